--- a/tests/standin/explore.c
+++ b/tests/standin/explore.c
@@ -3,7 +3,9 @@
  *
  *     explore [-j PROCESSES] [-s small|grown|fleet|slow] [-t SECONDS] [-d] [-v] FIRST LAST
  *
- * With -d single-holder duties are on, from the beginning or switched on, and perhaps off again, on the way.
+ * With -v it tells of every day; the digest at the end of its line covers all that was sent and answered, so
+ * that two versions of the library that behave alike print the same line for the same seed. With -d
+ * single-holder duties are on, from the beginning or switched on, and perhaps off again, on the way.
  */
 #include "standin.h"
 
@@ -260,14 +262,16 @@
     if (result.latest_order > totals->latest_order) totals->latest_order = result.latest_order;
     if (options->verbose || result.overtime || result.orders_after_cancel) {
         printf("seed %llu: %u accepted, %u done, %u left open, %lld s of overtime, %u orders after a "
-               "cancellation, at most %lld ms\n",
+               "cancellation, at most %lld ms, digest %016llx\n",
                (unsigned long long)seed, result.accepted, result.done, result.open,
-               (long long)result.overtime / 1000, result.orders_after_cancel, (long long)result.latest_order);
+               (long long)result.overtime / 1000, result.orders_after_cancel, (long long)result.latest_order,
+               (unsigned long long)result.digest);
         fflush(stdout);
     }
     if (!result.broken[0]) return;
     totals->broken++;
-    printf("seed %llu BROKEN %s\n", (unsigned long long)seed, result.broken);
+    printf("seed %llu BROKEN %s, digest %016llx\n", (unsigned long long)seed, result.broken,
+           (unsigned long long)result.digest);
     shrink(&day);
     result = play(&day);
     print_row(&day, sizes[options->size].name, result.broken);
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -108,6 +108,7 @@
     if (body) call->answer = *body;
     call->answered = true;
     call->answered_at = world.now;
+    sim_digest_answer(call);
     int keep = sim_switch_to(-1);
     amb_timer_in(&call->back, travel_time(call), call_back, call);
     sim_switch_to(keep);
@@ -148,7 +149,7 @@
     struct asked *asked = (struct asked *)req->conn;
     struct sim_call *call = asked->call;
     struct amb_buf b = {0};
-    (void)type;
+    sim_digest_reply(call, status, type, retry);
     sim_check_reply(&world.nodes[world.current], req, status, retry);
     /* Without the serial a late answer went to whoever's call had taken the place since. */
     if (call->used && call->serial == asked->serial && !call->answered) {
@@ -215,6 +216,7 @@
 }
 
 void sim_call_start(struct sim_call *call, amb_ms timeout) {
+    sim_digest_request(call, timeout);
     int keep = sim_switch_to(-1); /* what is under way outlives the node that sent it */
     amb_timer_in(&call->go, travel_time(call), sim_call_go, call);
     amb_timer_in(&call->deadline, timeout, call_deadline, call);
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -119,6 +119,7 @@
 struct sim_result {
     uint32_t accepted, done, cancelled, starts,
         open;                      /* open: accepted arrays and gangs not done at the end */
+    uint64_t digest;               /* of every request and answer, with their bytes and simulated times */
     amb_ms overtime;               /* that the day took */
     uint32_t ordered, kept_starts; /* run orders; and those in answers that had been kept for them */
     amb_ms kept_most;              /* the longest that an answer to a report took */
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -290,6 +290,12 @@
 void sim_call_go(void *arg);                                                   /* it reaches its place */
 void sim_call_answer(struct sim_call *call, int status, struct amb_buf *body); /* takes body over */
 
+/* digest.c: what is added to the digest of the day */
+void sim_digest_request(const struct sim_call *call, amb_ms timeout);
+void sim_digest_answer(const struct sim_call *call);
+void sim_digest_reply(const struct sim_call *call, int status, const char *type,
+                      int retry_after_s); /* of a node */
+
 /* state_service.c */
 void sim_serve_state(struct sim_call *call);
 void sim_state_tick(void);           /* leases end, refusals are over */
