--- a/include/amberpin/events.h
+++ b/include/amberpin/events.h
@@ -5,6 +5,7 @@
 
 #include "amberpin/absence.h"
 
+struct cbor_item_t;
 struct amb_job;
 struct amb_machine;
 struct amb_node;
@@ -12,14 +13,23 @@
 
 enum amb_event_type {
     AMB_EVENT_LEAD_WON,
-    AMB_EVENT_LEAD_LOST,     /* cause: why */
-    AMB_EVENT_JOB_KNOWN,     /* job: first heard of, and awaits no other */
-    AMB_EVENT_JOB_AWAITS,    /* job: it is accepted, and awaits others */
-    AMB_EVENT_JOB_OVER,      /* job: it is done, or cancelled by its own record */
-    AMB_EVENT_TASK_RECORDED, /* task: its placement is on record, it may be told to start */
-    AMB_EVENT_MACHINE_KNOWN, /* machine: added to the leader's table */
-    AMB_EVENT_MACHINE_GONE,  /* machine: it and all on it are no more, by this proof; it is freed */
-    AMB_EVENT_ROUND_WANTED,  /* something changed that the leader's round should look at */
+    AMB_EVENT_LEAD_LOST,        /* cause: why */
+    AMB_EVENT_JOB_KNOWN,        /* job: first heard of, and awaits no other */
+    AMB_EVENT_JOB_AWAITS,       /* job: it is accepted, and awaits others */
+    AMB_EVENT_JOB_OVER,         /* job: it is done, or cancelled by its own record */
+    AMB_EVENT_TASK_RECORDED,    /* task: its placement is on record, it may be told to start */
+    AMB_EVENT_MACHINE_KNOWN,    /* machine: added to the leader's table */
+    AMB_EVENT_MACHINE_GONE,     /* machine: it and all on it are no more, by this proof; it is freed */
+    AMB_EVENT_DUTY_KEY_CHANGED, /* change: of a key of single-holder duties */
+    AMB_EVENT_STORE_LISTED,     /* every key of the state service that nodes watch has been listed */
+    AMB_EVENT_ROUND_WANTED,     /* something changed that the leader's round should look at */
+};
+
+/* A key of the state service as it now stands. Borrowed: valid while the event is handled. */
+struct amb_key_change {
+    const char *key;
+    const struct cbor_item_t *value; /* NULL: the key is gone */
+    uint64_t stamp;
 };
 
 struct amb_event {
@@ -28,6 +38,7 @@
     struct amb_job *job;
     struct amb_task *task;
     struct amb_machine *machine;
+    struct amb_key_change change;
     const char *cause;
 };
 
--- a/lib/change_feed.c
+++ b/lib/change_feed.c
@@ -27,7 +27,8 @@
         amb_jobs_apply(node, key + sizeof JOB_PREFIX - 1, value, stamp);
     else if (!strncmp(key, DUTY_PREFIX, sizeof DUTY_PREFIX - 1) ||
              !strncmp(key, ORDER_PREFIX, sizeof ORDER_PREFIX - 1))
-        amb_duties_key(node, key, value, stamp);
+        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_DUTY_KEY_CHANGED,
+                                                 .change = {.key = key, .value = value, .stamp = stamp}});
 }
 
 /* One whose value is not parsed yet. */
@@ -147,7 +148,7 @@
     /* On whichever page: orders sort after it. */
     if (!jobs->leader_listed) amb_election_key(node, NULL, epoch);
     amb_deputy_listing(node, true);
-    amb_duties_listed(node);
+    amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_STORE_LISTED});
     jobs->listing = false;
     jobs->epoch = jobs->list_epoch;
     jobs->loaded = true;
--- a/lib/controller.c
+++ b/lib/controller.c
@@ -169,6 +169,10 @@
         amb_peer_images_recall(n, event->machine);
         break;
     case AMB_EVENT_MACHINE_GONE: amb_machine_gone(n, event->machine, event->proof); break;
+    case AMB_EVENT_DUTY_KEY_CHANGED:
+        amb_duties_key(n, event->change.key, event->change.value, event->change.stamp);
+        break;
+    case AMB_EVENT_STORE_LISTED: amb_duties_listed(n); break;
     case AMB_EVENT_ROUND_WANTED: want_round(n); break;
     }
 }
--- a/lib/duty_path.c
+++ b/lib/duty_path.c
@@ -1,10 +1,17 @@
 /* Which way machines are rented and returned: by the leader itself, or by orders to the holders of duties. */
 #include "amberpin/node.h"
 
+#include <jansson.h>
+
 bool amb_duties_wanted(const struct amb_node *node) {
     return node->opt.duties != 0;
 }
 
+void amb_duties_heard(struct amb_peer *peer, const json_t *said) {
+    bool on = json_integer_value(json_object_get(said, "duties")) > 0;
+    peer->duties = on ? AMB_PEER_DUTIES_ON : AMB_PEER_DUTIES_OFF;
+}
+
 /* Each peer's last word counts, however old. */
 bool amb_duties_agreed(const struct amb_node *node) {
     if (!amb_duties_wanted(node)) return false;
--- a/lib/duty_wiring.c
+++ b/lib/duty_wiring.c
@@ -6,7 +6,6 @@
 #include "amberpin/rental_requests.h"
 #include "amberpin/term_guard.h"
 
-#include <jansson.h>
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
@@ -170,11 +169,6 @@
 
 /* ---- the mode ---- */
 
-void amb_duties_heard(struct amb_peer *peer, const json_t *said) {
-    bool on = json_integer_value(json_object_get(said, "duties")) > 0;
-    peer->duties = on ? AMB_PEER_DUTIES_ON : AMB_PEER_DUTIES_OFF;
-}
-
 /* Has the leader a call under way, or to repeat, that the other path must not meet? */
 static bool leader_has_calls(const struct amb_node *node) {
     const struct amb_rental *rental = &node->rental;
