--- a/bench/bench.c
+++ b/bench/bench.c
@@ -7,7 +7,7 @@
 #include "cases.h"
 #include "measure.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <argp.h>
 #include <stdio.h>
--- a/bench/case_codec.c
+++ b/bench/case_codec.c
@@ -1,7 +1,7 @@
 /* CBOR messages: decoding from the body's bytes, encoding into a buffer. */
 #include "cases.h"
 
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/case_round.c
+++ b/bench/case_round.c
@@ -1,8 +1,8 @@
 /* A leader's round over its whole fleet: what waits is placed; with a plan, machines are wanted too. */
 #include "cases.h"
 
-#include "amberpin/plan.h"
-#include "amberpin/round.h"
+#include "amberpin/scheduler/capacity_plan.h"
+#include "amberpin/scheduler/cycle.h"
 
 static void *leader(const struct world_size *size) {
     return world_leader(size);
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -1,8 +1,8 @@
 /* A submission, from the request's body to the answer: the transaction is answered at once. */
 #include "cases.h"
 
-#include "amberpin/codec.h"
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
+#include "amberpin/codec/messages.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/profile.c
+++ b/bench/profile.c
@@ -5,7 +5,7 @@
  */
 #include "standin.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/world.c
+++ b/bench/world.c
@@ -1,7 +1,7 @@
 #include "world.h"
 
-#include "amberpin/codec.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/placement/wdrr.h"
 #include "bare_node.h"
 
 #include <stdio.h>
--- a/bench/world.h
+++ b/bench/world.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_BENCH_WORLD_H
 #define AMBERPIN_BENCH_WORLD_H
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 struct world_size {
     const char *name;
--- a/include/amberpin/worker_api.h
+++ b/include/amberpin/agent/agent_api.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_WORKER_API_H
 #define AMBERPIN_WORKER_API_H
 
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 
 struct amb_node;
 
--- a/include/amberpin/reports.h
+++ b/include/amberpin/agent/heartbeats.h
@@ -3,8 +3,8 @@
 #ifndef AMBERPIN_REPORTS_H
 #define AMBERPIN_REPORTS_H
 
-#include "amberpin/absence.h"
-#include "amberpin/orders.h"
+#include "amberpin/fleet/agent_commands.h"
+#include "amberpin/model/absence_proof.h"
 
 struct amb_node;
 
--- a/include/amberpin/fleet.h
+++ b/include/amberpin/agent/liveness.h
@@ -3,19 +3,19 @@
 #ifndef AMBERPIN_FLEET_H
 #define AMBERPIN_FLEET_H
 
-#include "amberpin/absence.h"
-#include "amberpin/machines.h"
-#include "amberpin/zones.h"
+#include "amberpin/fleet/machines.h"
+#include "amberpin/model/absence_proof.h"
+#include "amberpin/zone_recovery/zone_silence.h"
 
 struct amb_removed_machine;
 
 struct amb_fleet {
-    struct amb_machine *all;              /* by name (machines.h) */
-    struct amb_removed_machine *removed;  /* names that are never used again, the latest (machines.c) */
-    bool forgetting;                      /* there were more than are kept */
-    uint32_t numbered;                    /* machines that were ever added */
-    uint64_t reports_read;                /* tells the tasks that a report lists from the rest (reports.c) */
-    enum amb_zone_reach reach[AMB_ZONES]; /* (zones.h) */
+    struct amb_machine *all;             /* by name (machines.h) */
+    struct amb_removed_machine *removed; /* names that are never used again, the latest (machines.c) */
+    bool forgetting;                     /* there were more than are kept */
+    uint32_t numbered;                   /* machines that were ever added */
+    uint64_t reports_read; /* tells the tasks that a report lists from the rest (heartbeats.c) */
+    enum amb_zone_reach reach[AMB_ZONES]; /* (zone_silence.h) */
     amb_ms out_of_reach_at[AMB_ZONES];    /* when the zone was last not reached; 0: never */
     amb_ms last_report_at;                /* when a worker last reported to this node, whatever it was told */
 };
--- a/include/amberpin/task_failures.h
+++ b/include/amberpin/agent/task_failures.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_TASK_FAILURES_H
 #define AMBERPIN_TASK_FAILURES_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/admission.h
+++ b/include/amberpin/api/admission.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_ADMISSION_H
 #define AMBERPIN_ADMISSION_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_job;
 struct amb_node;
--- a/include/amberpin/user_api.h
+++ b/include/amberpin/api/user_api.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_USER_API_H
 #define AMBERPIN_USER_API_H
 
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 
 struct amb_node;
 
--- a/include/amberpin/loop.h
+++ b/include/amberpin/base/loop.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_LOOP_H
 #define AMBERPIN_LOOP_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 struct amb_watch { /* a socket in the loop */
     int fd;
--- a/include/amberpin/cloud_catalog.h
+++ b/include/amberpin/cloud/catalog_refresh.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_CLOUD_CATALOG_H
 #define AMBERPIN_CLOUD_CATALOG_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 struct amb_node;
 
--- a/include/amberpin/rental.h
+++ b/include/amberpin/cloud/cloud.h
@@ -2,10 +2,10 @@
 #ifndef AMBERPIN_RENTAL_H
 #define AMBERPIN_RENTAL_H
 
-#include "amberpin/loop.h"
-#include "amberpin/model.h"
-#include "amberpin/return_record.h"
-#include "amberpin/store.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/cloud/scale_in_log.h"
+#include "amberpin/kvstore/client.h"
+#include "amberpin/model/model.h"
 
 #include <cbor.h>
 
--- a/include/amberpin/cloud_calls.h
+++ b/include/amberpin/cloud/cloud_calls.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_CLOUD_CALLS_H
 #define AMBERPIN_CLOUD_CALLS_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 struct amb_node;
 
--- a/include/amberpin/machine_list.h
+++ b/include/amberpin/cloud/machine_list.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_MACHINE_LIST_H
 #define AMBERPIN_MACHINE_LIST_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 struct amb_node;
 
--- a/include/amberpin/machine_returns.h
+++ b/include/amberpin/cloud/machine_release.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_MACHINE_RETURNS_H
 #define AMBERPIN_MACHINE_RETURNS_H
 
-#include "amberpin/absence.h"
+#include "amberpin/model/absence_proof.h"
 
 struct amb_machine;
 struct amb_node;
--- a/include/amberpin/return_record.h
+++ b/include/amberpin/cloud/scale_in_log.h
@@ -5,7 +5,7 @@
 #ifndef AMBERPIN_RETURN_RECORD_H
 #define AMBERPIN_RETURN_RECORD_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 #include <cbor.h>
 
--- a/include/amberpin/rental_requests.h
+++ b/include/amberpin/cloud/scale_out.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_RENTAL_REQUESTS_H
 #define AMBERPIN_RENTAL_REQUESTS_H
 
-#include "amberpin/rental.h"
+#include "amberpin/cloud/cloud.h"
 
 struct amb_rental_kind { /* type and zone: places in the catalogue */
     int type, zone;
--- a/include/amberpin/cbor_writer.h
+++ b/include/amberpin/codec/cbor_writer.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_CBOR_WRITER_H
 #define AMBERPIN_CBOR_WRITER_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 void amb_w_map(struct amb_buf *b, size_t pairs);
 void amb_w_list(struct amb_buf *b, size_t items);
--- a/include/amberpin/codec_fields.h
+++ b/include/amberpin/codec/fields.h
@@ -3,8 +3,8 @@
 #ifndef AMBERPIN_CODEC_FIELDS_H
 #define AMBERPIN_CODEC_FIELDS_H
 
-#include "amberpin/cbor_item.h"
-#include "amberpin/model.h"
+#include "amberpin/codec/cbor_item.h"
+#include "amberpin/model/model.h"
 
 struct amb_word { /* the wire's word for one of our values; a list of them ends with one without text */
     const char *text;
--- a/include/amberpin/codec.h
+++ b/include/amberpin/codec/messages.h
@@ -4,13 +4,13 @@
 #ifndef AMBERPIN_CODEC_H
 #define AMBERPIN_CODEC_H
 
-#include "amberpin/cbor_item.h"
-#include "amberpin/cbor_writer.h"
-#include "amberpin/model.h"
+#include "amberpin/codec/cbor_item.h"
+#include "amberpin/codec/cbor_writer.h"
+#include "amberpin/model/model.h"
 
 enum amb_parse { AMB_PARSE_OK, AMB_PARSE_BAD };
 
-/* ---- submissions (codec_submission.c) ---- */
+/* ---- submissions (submission.c) ---- */
 
 bool amb_ref_ok(const char *ref);
 enum amb_parse amb_codec_spec(const cbor_item_t *map, struct amb_spec *spec);
@@ -21,7 +21,7 @@
 void amb_codec_put_job(struct amb_buf *out, const struct amb_spec *spec, const struct amb_awaits *awaits);
 const char *amb_codec_job_state(enum amb_job_state state, bool running);
 
-/* ---- workers' reports (codec_report.c) ---- */
+/* ---- workers' reports (agent_heartbeat.c) ---- */
 
 enum amb_parse amb_codec_report(const cbor_item_t *map, struct amb_report *report); /* allocates its tasks */
 /* The same from a body's bytes, mostly without a tree of items. */
@@ -31,11 +31,11 @@
 bool amb_codec_report_quick(const void *data, size_t len, struct amb_report *out);
 void amb_report_free(struct amb_report *report);
 
-/* ---- orders to workers (codec_orders.c) ---- */
+/* ---- orders to workers (agent_commands.c) ---- */
 
 void amb_codec_put_orders(struct amb_buf *out, const struct amb_order *orders, size_t count);
 
-/* ---- the cloud's catalogue (codec_catalogue.c) ---- */
+/* ---- the cloud's catalogue (catalog.c) ---- */
 
 bool amb_codec_type(const cbor_item_t *map, struct amb_type *type);
 
--- a/include/amberpin/record_layout.h
+++ b/include/amberpin/codec/placement_block.h
@@ -8,7 +8,7 @@
 #ifndef AMBERPIN_RECORD_LAYOUT_H
 #define AMBERPIN_RECORD_LAYOUT_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 enum { AMB_BLOCK_KEY = AMB_NAME + 32 };
 
--- a/include/amberpin/settings.h
+++ b/include/amberpin/config/settings.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_SETTINGS_H
 #define AMBERPIN_SETTINGS_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 enum { AMB_PEERS = 16, AMB_TEAMS = 256, AMB_OBJECTIVES = 64 };
 
--- a/include/amberpin/duties.h
+++ b/include/amberpin/duty/node_duties.h
@@ -84,7 +84,7 @@
 /* The node begins to lead, or ceases to: what it was about to write is given up. */
 void amb_duties_clear(struct amb_node *node);
 
-/* ---- the leader's orders (duty_orders.c) ---- */
+/* ---- the leader's orders (orders.c) ---- */
 
 /* Writes rental requests that go by order. Once on record, the duty's holder asks the cloud for them. */
 void amb_duties_order_rentals(struct amb_node *node, amb_ms now);
@@ -100,14 +100,14 @@
 void amb_duties_order_changed(struct amb_node *node, const struct amb_duty_order_record *order,
                               const struct amb_duty_work *work);
 
-/* ---- the cloud (duty_cloud.c) ---- */
+/* ---- the cloud (cloud_access.c) ---- */
 
 /* Calls the cloud for a holder. False: no call may be sent now. */
 bool amb_duties_call_cloud(struct amb_node *node, const struct amb_duty_order_record *order,
                            const struct amb_duty_work *work, uint64_t token, amb_duty_cloud_done done,
                            void *arg);
 
-/* ---- what operators see and ask for (duty_status.c) ---- */
+/* ---- what operators see and ask for (status.c) ---- */
 
 /* Answers GET /duties and POST /duties/handover. False: the request is for something else. */
 bool amb_duties_request(struct amb_node *node, struct amb_http_req *req);
--- a/include/amberpin/duty/record_codec.h
+++ b/include/amberpin/duty/record_codec.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_DUTY_RECORD_CODEC_H
 #define AMBERPIN_DUTY_RECORD_CODEC_H
 
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 #include "amberpin/duty/types.h"
 
 enum { AMB_DUTY_FORM = 1 }; /* of every record that this version writes */
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -6,7 +6,7 @@
 
 #include "amberpin/duty/core.h"
 #include "amberpin/duty/record_codec.h"
-#include "amberpin/store.h"
+#include "amberpin/kvstore/client.h"
 
 struct amb_duty_service;
 
@@ -18,7 +18,7 @@
 
 typedef void (*amb_duty_cloud_done)(void *arg, struct amb_duty_cloud_reply *reply);
 
-/* The state service, as in store.h. `list` answers the keys with the prefix, a page at a time. */
+/* The state service, as in client.h. `list` answers the keys with the prefix, a page at a time. */
 struct amb_duty_state_service {
     void *context;
     void (*grant)(void *context, amb_ms ttl, amb_store_done done, void *arg);
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -6,8 +6,8 @@
 #ifndef AMBERPIN_DUTY_TYPES_H
 #define AMBERPIN_DUTY_TYPES_H
 
-#include "amberpin/call_result.h"
-#include "amberpin/model.h"
+#include "amberpin/base/call_result.h"
+#include "amberpin/model/model.h"
 
 enum {
     AMB_DUTY_MEMBERS = 16,     /* most members that are tracked, this one included */
--- a/include/amberpin/election.h
+++ b/include/amberpin/election/election.h
@@ -1,9 +1,9 @@
-/* Who leads: the wiring of the election core (election_core.h) to the state service, the other nodes and the
+/* Who leads: the wiring of the election core (state_machine.h) to the state service, the other nodes and the
  * clock. The term of the election is the workers' token; nothing else is. */
 #ifndef AMBERPIN_ELECTION_H
 #define AMBERPIN_ELECTION_H
 
-#include "amberpin/election_core.h"
+#include "amberpin/election/state_machine.h"
 
 #include <cbor.h>
 
--- a/include/amberpin/formats.h
+++ b/include/amberpin/election/format_version.h
@@ -5,7 +5,7 @@
 #ifndef AMBERPIN_FORMATS_H
 #define AMBERPIN_FORMATS_H
 
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 
 struct amb_node;
 struct amb_peer;
--- a/include/amberpin/deputy.h
+++ b/include/amberpin/election/lease_proxy.h
@@ -2,9 +2,9 @@
 #ifndef AMBERPIN_DEPUTY_H
 #define AMBERPIN_DEPUTY_H
 
-#include "amberpin/loop.h"
-#include "amberpin/model.h"
-#include "amberpin/settings.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/config/settings.h"
+#include "amberpin/model/model.h"
 
 #include <cbor.h>
 
--- a/include/amberpin/election_core.h
+++ b/include/amberpin/election/state_machine.h
@@ -1,11 +1,12 @@
 /* Leader election as a pure state machine: what happened, and when, goes in; the new role and what is to be
  * done come out. It has no input or output, clock or luck of its own, so that tests drive it by tables
- * (tests/test_election.c). docs/safety.md, "Leadership", has the reasoning; election.c is the wiring. */
+ * (tests/election/test_election.c). docs/safety.md, "Leadership", has the reasoning; election.c is the
+ * wiring. */
 #ifndef AMBERPIN_ELECTION_CORE_H
 #define AMBERPIN_ELECTION_CORE_H
 
-#include "amberpin/call_result.h"
-#include "amberpin/model.h"
+#include "amberpin/base/call_result.h"
+#include "amberpin/model/model.h"
 
 enum amb_role {
     AMB_ROLE_STARTING,  /* has not read the state service yet */
--- a/include/amberpin/orders.h
+++ b/include/amberpin/fleet/agent_commands.h
@@ -3,8 +3,8 @@
 #ifndef AMBERPIN_ORDERS_H
 #define AMBERPIN_ORDERS_H
 
-#include "amberpin/http.h"
-#include "amberpin/model.h"
+#include "amberpin/http/http.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/held_answers.h
+++ b/include/amberpin/fleet/deferred_responses.h
@@ -5,8 +5,8 @@
 #ifndef AMBERPIN_HELD_ANSWERS_H
 #define AMBERPIN_HELD_ANSWERS_H
 
-#include "amberpin/http.h"
-#include "amberpin/model.h"
+#include "amberpin/http/http.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/seek.h
+++ b/include/amberpin/fleet/machine_probe.h
@@ -3,8 +3,8 @@
 #ifndef AMBERPIN_SEEK_H
 #define AMBERPIN_SEEK_H
 
-#include "amberpin/loop.h"
-#include "amberpin/model.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/machines.h
+++ b/include/amberpin/fleet/machines.h
@@ -2,8 +2,8 @@
 #ifndef AMBERPIN_MACHINES_H
 #define AMBERPIN_MACHINES_H
 
-#include "amberpin/loop.h"
-#include "amberpin/model.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/http.h
+++ b/include/amberpin/http/http.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_HTTP_H
 #define AMBERPIN_HTTP_H
 
-#include "amberpin/loop.h"
+#include "amberpin/base/loop.h"
 
 enum { AMB_HTTP_HEAD_MAX = 8192 };
 
--- a/include/amberpin/cancellations.h
+++ b/include/amberpin/job/cancellations.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_CANCELLATIONS_H
 #define AMBERPIN_CANCELLATIONS_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/dependencies.h
+++ b/include/amberpin/job/dependency_graph.h
@@ -5,7 +5,7 @@
 #ifndef AMBERPIN_DEPENDENCIES_H
 #define AMBERPIN_DEPENDENCIES_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 enum amb_outcome { AMB_OUTCOME_OPEN, AMB_OUTCOME_DONE, AMB_OUTCOME_CANCELLED };
 
--- a/include/amberpin/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -4,9 +4,9 @@
 #ifndef AMBERPIN_JOBS_H
 #define AMBERPIN_JOBS_H
 
-#include "amberpin/cancellations.h"
-#include "amberpin/codec.h"
-#include "amberpin/loop.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/job/cancellations.h"
 
 struct amb_node;
 struct amb_sync;
--- a/include/amberpin/pipelines.h
+++ b/include/amberpin/job/pipelines.h
@@ -5,7 +5,7 @@
 #ifndef AMBERPIN_PIPELINES_H
 #define AMBERPIN_PIPELINES_H
 
-#include "amberpin/dependencies.h"
+#include "amberpin/job/dependency_graph.h"
 
 struct amb_node;
 
--- a/include/amberpin/record_blocks.h
+++ b/include/amberpin/job/placement_blocks.h
@@ -3,8 +3,8 @@
 #ifndef AMBERPIN_RECORD_BLOCKS_H
 #define AMBERPIN_RECORD_BLOCKS_H
 
-#include "amberpin/model.h"
-#include "amberpin/record_layout.h"
+#include "amberpin/codec/placement_block.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 struct amb_settings;
--- a/include/amberpin/tasks.h
+++ b/include/amberpin/job/tasks.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_TASKS_H
 #define AMBERPIN_TASKS_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/store.h
+++ b/include/amberpin/kvstore/client.h
@@ -2,10 +2,10 @@
 #ifndef AMBERPIN_STORE_H
 #define AMBERPIN_STORE_H
 
-#include "amberpin/call_result.h"
-#include "amberpin/codec.h"
-#include "amberpin/loop.h"
-#include "amberpin/settings.h"
+#include "amberpin/base/call_result.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/config/settings.h"
 
 enum amb_urgency { /* most urgent first */
                    AMB_URGENT_LEASE,
--- a/include/amberpin/term_guard.h
+++ b/include/amberpin/kvstore/leader_key.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TERM_GUARD_H
 #define AMBERPIN_TERM_GUARD_H
 
-#include "amberpin/store.h"
+#include "amberpin/kvstore/client.h"
 
 #define AMB_LEADER_KEY "a/leader"
 
--- a/include/amberpin/absence.h
+++ b/include/amberpin/model/absence_proof.h
@@ -4,7 +4,7 @@
 #ifndef AMBERPIN_ABSENCE_H
 #define AMBERPIN_ABSENCE_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 enum amb_absence {
     AMB_ABSENCE_UNPROVEN,
--- a/include/amberpin/model.h
+++ b/include/amberpin/model/model.h
@@ -2,8 +2,8 @@
 #ifndef AMBERPIN_MODEL_H
 #define AMBERPIN_MODEL_H
 
-#include "amberpin/failure_evidence.h"
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
+#include "amberpin/model/failure_evidence.h"
 
 #include <uthash.h>
 
@@ -183,7 +183,7 @@
     bool cancel_noticed;      /* the leader was told of its cancellation, as this node told a user of it */
     uint32_t shown_done, shown_running; /* as the leader last said */
     bool shown_changed;
-    uint64_t shown_in; /* the leader's heartbeat that last told it (peer_say.c) */
+    uint64_t shown_in; /* the leader's heartbeat that last told it (heartbeat_sent.c) */
     bool demand_noted; /* as one of its class that came */
     /* Its pipeline's (pipelines.h): */
     bool awaiting;                  /* a job that it awaits is not done: it must not start */
@@ -257,7 +257,7 @@
     struct amb_task *tasks;
     struct amb_held *held;
     bool images_changed;           /* since the other nodes were told */
-    uint64_t images_told_in;       /* the leader's heartbeat that last told of them (peer_images.h) */
+    uint64_t images_told_in;       /* the leader's heartbeat that last told of them (image_locations.h) */
     uint32_t nimages, images_room; /* room: what is allocated (amb_machine_image_room) */
     char (*images)[AMB_NAME];      /* most recently used first, AMB_IMAGES at most */
     double *image_gb;
--- a/include/amberpin/events.h
+++ b/include/amberpin/node/events.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_EVENTS_H
 #define AMBERPIN_EVENTS_H
 
-#include "amberpin/absence.h"
+#include "amberpin/model/absence_proof.h"
 
 struct cbor_item_t;
 struct amb_job;
--- a/include/amberpin/capacity.h
+++ b/include/amberpin/node/fleet_capacity.h
@@ -2,8 +2,8 @@
 #ifndef AMBERPIN_CAPACITY_H
 #define AMBERPIN_CAPACITY_H
 
-#include "amberpin/options.h"
-#include "amberpin/settings.h"
+#include "amberpin/config/options.h"
+#include "amberpin/config/settings.h"
 
 /* Connections that others may have open to this node: workers, all of which may come to one node, and users.
  */
--- a/include/amberpin/memory.h
+++ b/include/amberpin/node/memory_budget.h
@@ -4,7 +4,7 @@
 #ifndef AMBERPIN_MEMORY_H
 #define AMBERPIN_MEMORY_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 struct amb_settings;
--- a/include/amberpin/peer_messages.h
+++ b/include/amberpin/peer/messages.h
@@ -1,16 +1,16 @@
-/* The messages between nodes, as JSON: making ours and reading theirs. For the exchange (peer.c) only. */
+/* The messages between nodes, as JSON: making ours and reading theirs. For the exchange (peers.c) only. */
 #ifndef AMBERPIN_PEER_MESSAGES_H
 #define AMBERPIN_PEER_MESSAGES_H
 
-#include "amberpin/peer.h"
+#include "amberpin/peer/peers.h"
 
-/* ---- ours (peer_say.c), made once as long as they would say the same ---- */
+/* ---- ours (heartbeat_sent.c), made once as long as they would say the same ---- */
 
 /* The answer to a heartbeat. If it was made for this question alone it is also in *made, to be freed. */
 const char *amb_peer_answer_text(struct amb_node *node, const struct json_t *question, char **made);
 void amb_peer_forget_said(struct amb_node *node);
 
-/* ---- theirs (peer_learn.c), parsed once as long as they repeat themselves ----
+/* ---- theirs (heartbeat_received.c), parsed once as long as they repeat themselves ----
  * What a node that does not lead says is the same for seconds, while every other node reads it twice a report
  * period. What is made of a message is done anew each time: only its parsed form is kept. */
 
--- a/include/amberpin/peer.h
+++ b/include/amberpin/peer/peers.h
@@ -2,12 +2,12 @@
 #ifndef AMBERPIN_PEER_H
 #define AMBERPIN_PEER_H
 
-#include "amberpin/duties.h"
-#include "amberpin/formats.h"
-#include "amberpin/loop.h"
-#include "amberpin/model.h"
-#include "amberpin/peer_images.h"
-#include "amberpin/settings.h"
+#include "amberpin/base/loop.h"
+#include "amberpin/config/settings.h"
+#include "amberpin/duty/node_duties.h"
+#include "amberpin/election/format_version.h"
+#include "amberpin/model/model.h"
+#include "amberpin/peer/image_locations.h"
 
 struct amb_node;
 struct json_t;
@@ -55,7 +55,7 @@
 };
 
 /* Bytes of a message between nodes. What a leader tells of jobs and machines grows with the fleet, so it is
- * told in parts that leave room for the rest (peer_say.c). */
+ * told in parts that leave room for the rest (heartbeat_sent.c). */
 enum { AMB_HEARTBEAT_MAX = 1024 * 1024 };
 
 void amb_peer_init(struct amb_node *node);
--- a/include/amberpin/place.h
+++ b/include/amberpin/placement/bin_packing.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_PLACE_H
 #define AMBERPIN_PLACE_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_slot {
     struct amb_res room; /* what is free */
@@ -20,7 +20,7 @@
     bool claimed;                /* by a gang that waits for the room: no batch work meanwhile */
     struct amb_res
         batch; /* of its room, what batch work took when the slot was made: no more can be had of it */
-    uint64_t marked_in;      /* the marking that has_image and late are of (round.h) */
+    uint64_t marked_in;      /* the marking that has_image and late are of (cycle.h) */
     struct amb_res reserved; /* of its room, for tasks that last: batch work leaves it alone */
 };
 
--- a/include/amberpin/slot_ranking.h
+++ b/include/amberpin/placement/slot_ranking.h
@@ -8,7 +8,7 @@
 #ifndef AMBERPIN_SLOT_RANKING_H
 #define AMBERPIN_SLOT_RANKING_H
 
-#include "amberpin/place.h"
+#include "amberpin/placement/bin_packing.h"
 
 /* What a slot's `has_image` and `late` are marked for. */
 struct amb_slot_marking {
--- a/include/amberpin/wdrr.h
+++ b/include/amberpin/placement/wdrr.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_WDRR_H
 #define AMBERPIN_WDRR_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_wdrr_item {
     double size; /* in the resource that guarantees are named in */
--- a/include/amberpin/record_write.h
+++ b/include/amberpin/placement_log/block_write.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_RECORD_WRITE_H
 #define AMBERPIN_RECORD_WRITE_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 
--- a/include/amberpin/record.h
+++ b/include/amberpin/placement_log/placement_log.h
@@ -1,11 +1,11 @@
 /* The durable form of placements and results in the state service. A job's tasks are recorded in blocks, so
- * that the largest jobs and the smallest values go together; record_layout.h has the form of a block. No run
- * order may go out before the block that names the machine is known to be written. */
+ * that the largest jobs and the smallest values go together; placement_block.h has the form of a block. No
+ * run order may go out before the block that names the machine is known to be written. */
 #ifndef AMBERPIN_RECORD_H
 #define AMBERPIN_RECORD_H
 
-#include "amberpin/codec.h"
-#include "amberpin/record_blocks.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/job/placement_blocks.h"
 
 /* Writes what is due, of all jobs in the leader's care. */
 void amb_record_pump(struct amb_node *node);
--- a/include/amberpin/record_call.h
+++ b/include/amberpin/placement_log/store_call.h
@@ -3,8 +3,8 @@
 #ifndef AMBERPIN_RECORD_CALL_H
 #define AMBERPIN_RECORD_CALL_H
 
-#include "amberpin/model.h"
-#include "amberpin/store.h"
+#include "amberpin/kvstore/client.h"
+#include "amberpin/model/model.h"
 
 struct amb_node;
 struct amb_record_call;
--- a/include/amberpin/plan.h
+++ b/include/amberpin/scheduler/capacity_plan.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_PLAN_H
 #define AMBERPIN_PLAN_H
 
-#include "amberpin/round.h"
+#include "amberpin/scheduler/cycle.h"
 
 void amb_plan(struct amb_round *r);
 void amb_plan_demand(struct amb_node *n, struct amb_job *j); /* a job of its class has come */
--- a/include/amberpin/round.h
+++ b/include/amberpin/scheduler/cycle.h
@@ -3,9 +3,9 @@
 #ifndef AMBERPIN_ROUND_H
 #define AMBERPIN_ROUND_H
 
-#include "amberpin/node.h"
-#include "amberpin/place.h"
-#include "amberpin/slot_ranking.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement/bin_packing.h"
+#include "amberpin/placement/slot_ranking.h"
 
 struct amb_line { /* a team's waiting jobs, in order */
     struct amb_job **jobs;
--- a/include/amberpin/start_patience.h
+++ b/include/amberpin/scheduler/start_deadline.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_START_PATIENCE_H
 #define AMBERPIN_START_PATIENCE_H
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 /* The soonest that the job's class is to start; NULL: nobody waits for its start. */
 const struct amb_objective *amb_start_objective(const struct amb_node *n, const struct amb_spec *s);
--- a/include/amberpin/change_feed.h
+++ b/include/amberpin/watch/change_feed.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_CHANGE_FEED_H
 #define AMBERPIN_CHANGE_FEED_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 struct amb_node;
 
--- a/include/amberpin/zone_recovery/recovery_order.h
+++ b/include/amberpin/zone_recovery/recovery_order.h
@@ -5,7 +5,7 @@
 #ifndef AMBERPIN_ZONE_RECOVERY_ORDER_H
 #define AMBERPIN_ZONE_RECOVERY_ORDER_H
 
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 enum {
     AMB_RECOVERY_STEPS = 32,        /* of an order; classes that come last have no step beyond these */
--- a/include/amberpin/zone_recovery/settings.h
+++ b/include/amberpin/zone_recovery/settings.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_ZONE_RECOVERY_SETTINGS_H
 #define AMBERPIN_ZONE_RECOVERY_SETTINGS_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 enum { AMB_RECOVERY_LIST = 256 }; /* bytes of a list of classes, with the terminating zero */
 
--- a/include/amberpin/zone_recovery.h
+++ b/include/amberpin/zone_recovery/zone_recovery.h
@@ -41,7 +41,7 @@
 
 enum { AMB_NO_STEP = UINT8_MAX }; /* the job belongs to no step of the order */
 
-/* ---- settings (zone_settings.c) ---- */
+/* ---- settings (activation.c) ---- */
 
 /* Can the operators' settings be used? False: err names file and field, and what is allowed. */
 bool amb_zone_recovery_check(const struct amb_settings *set, const struct amb_options *options,
@@ -50,7 +50,7 @@
 /* Before the node serves. */
 void amb_zone_recovery_init(struct amb_node *node);
 
-/* ---- evidence (zone_evidence.c) ---- */
+/* ---- evidence (evidence.c) ---- */
 
 /* How long a machine may be silent before it counts as such. */
 amb_ms amb_zone_patience(const struct amb_node *node);
@@ -60,14 +60,14 @@
 bool amb_zone_machine_expected(const struct amb_node *node, const struct amb_machine *machine, amb_ms now);
 bool amb_zone_machine_answers(const struct amb_node *node, const struct amb_machine *machine, amb_ms now);
 
-/* ---- verdicts (zone_verdicts.c) ---- */
+/* ---- verdicts (verdicts.c) ---- */
 
 /* Judges all zones. Not while a new leader has heard nobody yet. */
 void amb_zone_verdicts_tick(struct amb_node *node, amb_ms now);
 /* The lead is over, or begins: nothing is known. */
 void amb_zone_recovery_clear(struct amb_node *node);
 
-/* ---- what they mean (zone_state.c) ---- */
+/* ---- what they mean (state.c) ---- */
 
 /* Is the zone back, but not steady yet? Always no while recovery is off. */
 bool amb_zone_returning(const struct amb_node *node, int zone);
@@ -77,7 +77,7 @@
  */
 uint32_t amb_zones_without_batch(const struct amb_node *node);
 
-/* ---- the order of return (zone_order.c) ---- */
+/* ---- the order of return (return_order.c) ---- */
 
 /* The zone is lost: its classes get their steps. */
 void amb_zone_order_lost(struct amb_node *node, int zone, amb_ms now);
@@ -87,7 +87,7 @@
 /* The step with which the job has its turn, AMB_NO_STEP: after all of them. */
 uint8_t amb_zone_recovery_step(const struct amb_node *node, const struct amb_job *job);
 
-/* ---- the record (zone_record.c) ---- */
+/* ---- the record (record.c) ---- */
 
 /* Verdicts or steps have changed. */
 void amb_zone_record_changed(struct amb_node *node);
--- a/include/amberpin/zones.h
+++ b/include/amberpin/zone_recovery/zone_silence.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_ZONES_H
 #define AMBERPIN_ZONES_H
 
-#include "amberpin/loop.h"
+#include "amberpin/base/loop.h"
 
 #include <stdbool.h>
 
--- a/lib/worker_api.c
+++ b/lib/agent/agent_api.c
@@ -1,9 +1,9 @@
-#include "amberpin/worker_api.h"
+#include "amberpin/agent/agent_api.h"
 
-#include "amberpin/codec.h"
-#include "amberpin/held_answers.h"
-#include "amberpin/node.h"
-#include "amberpin/reports.h"
+#include "amberpin/agent/heartbeats.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/fleet/deferred_responses.h"
+#include "amberpin/node/node.h"
 
 #include <string.h>
 
--- a/lib/reports.c
+++ b/lib/agent/heartbeats.c
@@ -1,8 +1,8 @@
-#include "amberpin/reports.h"
+#include "amberpin/agent/heartbeats.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/task_reports.h"
+#include "amberpin/agent/task_status.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
 
 #include <string.h>
 
--- a/lib/fleet.c
+++ b/lib/agent/liveness.c
@@ -1,11 +1,11 @@
-#include "amberpin/fleet.h"
-
-#include "amberpin/events.h"
-#include "amberpin/held_answers.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/orders.h"
-#include "amberpin/seek.h"
+#include "amberpin/agent/liveness.h"
+
+#include "amberpin/base/log.h"
+#include "amberpin/fleet/agent_commands.h"
+#include "amberpin/fleet/deferred_responses.h"
+#include "amberpin/fleet/machine_probe.h"
+#include "amberpin/node/events.h"
+#include "amberpin/node/node.h"
 
 /* Of what a cancellation allows: a machine whose cancelled tasks are not proven gone by then is returned. */
 static const double RETURN_SHARE = 0.6;
--- a/lib/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -1,7 +1,7 @@
-#include "amberpin/task_failures.h"
+#include "amberpin/agent/task_failures.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
 
 #include <math.h>
 #include <string.h>
--- a/lib/task_reports.c
+++ b/lib/agent/task_status.c
@@ -1,10 +1,10 @@
-#include "amberpin/task_reports.h"
+#include "amberpin/agent/task_status.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/place.h"
-#include "amberpin/task_failures.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/agent/task_failures.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement/bin_packing.h"
+#include "amberpin/placement/wdrr.h"
 
 enum {
     MISSES_MAX = 2,     /* reports that fail to list a task which was ordered */
--- a/lib/admission.c
+++ b/lib/api/admission.c
@@ -1,9 +1,9 @@
 /* Can a submitted job ever run here? */
-#include "amberpin/admission.h"
+#include "amberpin/api/admission.h"
 
-#include "amberpin/cbor_reader.h"
-#include "amberpin/node.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/codec/cbor_reader.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement/wdrr.h"
 
 #include <string.h>
 
--- a/lib/user_api.c
+++ b/lib/api/user_api.c
@@ -1,12 +1,12 @@
 /* Requests of users: submissions, questions, cancellations. A user is answered only what is written in the
  * state service; what is not final is read afresh first. */
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
 
-#include "amberpin/admission.h"
-#include "amberpin/cancel_notice.h"
-#include "amberpin/log.h"
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
+#include "amberpin/api/admission.h"
+#include "amberpin/base/log.h"
+#include "amberpin/job/cancellation_notice.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/clock.c
+++ b/lib/base/clock.c
@@ -1,4 +1,4 @@
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 #include <sys/random.h>
 #include <time.h>
--- a/lib/log.c
+++ b/lib/base/log.c
@@ -1,6 +1,6 @@
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/lib/loop.c
+++ b/lib/base/loop.c
@@ -1,6 +1,6 @@
-#include "amberpin/loop.h"
+#include "amberpin/base/loop.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/lib/cloud_catalog.c
+++ b/lib/cloud/catalog_refresh.c
@@ -1,8 +1,8 @@
-#include "amberpin/cloud_catalog.h"
+#include "amberpin/cloud/catalog_refresh.h"
 
-#include "amberpin/cloud_calls.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 
--- a/lib/rental.c
+++ b/lib/cloud/cloud.c
@@ -1,10 +1,10 @@
-#include "amberpin/rental.h"
+#include "amberpin/cloud/cloud.h"
 
-#include "amberpin/cloud_catalog.h"
-#include "amberpin/machine_list.h"
-#include "amberpin/machine_returns.h"
-#include "amberpin/node.h"
-#include "amberpin/rental_requests.h"
+#include "amberpin/cloud/catalog_refresh.h"
+#include "amberpin/cloud/machine_list.h"
+#include "amberpin/cloud/machine_release.h"
+#include "amberpin/cloud/scale_out.h"
+#include "amberpin/node/node.h"
 
 #include <string.h>
 
--- a/lib/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -1,6 +1,6 @@
-#include "amberpin/cloud_calls.h"
+#include "amberpin/cloud/cloud_calls.h"
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 struct amb_cloud_call *amb_cloud_call_new(struct amb_node *node) {
     struct amb_cloud_call *call = amb_alloc(sizeof *call);
--- a/lib/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -1,8 +1,8 @@
-#include "amberpin/machine_list.h"
+#include "amberpin/cloud/machine_list.h"
 
-#include "amberpin/cloud_calls.h"
-#include "amberpin/machine_returns.h"
-#include "amberpin/node.h"
+#include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/cloud/machine_release.h"
+#include "amberpin/node/node.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/lib/machine_returns.c
+++ b/lib/cloud/machine_release.c
@@ -1,9 +1,9 @@
-#include "amberpin/machine_returns.h"
+#include "amberpin/cloud/machine_release.h"
 
-#include "amberpin/cloud_calls.h"
-#include "amberpin/events.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/node/events.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/return_record.c
+++ b/lib/cloud/scale_in_log.c
@@ -1,9 +1,9 @@
-#include "amberpin/return_record.h"
+#include "amberpin/cloud/scale_in_log.h"
 
-#include "amberpin/cloud_calls.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/rental_requests.c
+++ b/lib/cloud/scale_out.c
@@ -1,10 +1,10 @@
-#include "amberpin/rental_requests.h"
+#include "amberpin/cloud/scale_out.h"
 
-#include "amberpin/cloud_calls.h"
-#include "amberpin/events.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/events.h"
+#include "amberpin/node/node.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/lib/duty_orders.c
+++ b/lib/cloud_duty/orders.c
@@ -1,12 +1,12 @@
 /* The leader's orders to the holders of duties: rentals that it wants, machines that it gives up, and what
  * came of them. */
-#include "amberpin/duties.h"
-#include "amberpin/events.h"
-#include "amberpin/log.h"
-#include "amberpin/machine_returns.h"
-#include "amberpin/node.h"
-#include "amberpin/rental_requests.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/machine_release.h"
+#include "amberpin/cloud/scale_out.h"
+#include "amberpin/duty/node_duties.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/events.h"
+#include "amberpin/node/node.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/duty_wiring.c
+++ b/lib/cloud_duty/wiring.c
@@ -1,10 +1,10 @@
 /* The wiring of single-holder duties to a node, and the mode: who rents and returns machines. */
-#include "amberpin/duties.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/scale_out.h"
+#include "amberpin/duty/node_duties.h"
 #include "amberpin/duty/store_adapter.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/rental_requests.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/lib/codec_report.c
+++ b/lib/codec/agent_heartbeat.c
@@ -1,7 +1,7 @@
 /* Workers' reports, from a tree of items or, as a rule, straight from their bytes. */
-#include "amberpin/cbor_reader.h"
-#include "amberpin/codec.h"
-#include "amberpin/codec_fields.h"
+#include "amberpin/codec/cbor_reader.h"
+#include "amberpin/codec/fields.h"
+#include "amberpin/codec/messages.h"
 
 #include <ctype.h>
 #include <stdlib.h>
--- a/lib/codec_catalogue.c
+++ b/lib/codec/catalog.c
@@ -1,6 +1,6 @@
 /* The catalogue of machine types, as the cloud lists it. */
-#include "amberpin/codec.h"
-#include "amberpin/codec_fields.h"
+#include "amberpin/codec/fields.h"
+#include "amberpin/codec/messages.h"
 
 #include <string.h>
 
--- a/lib/cbor_item.c
+++ b/lib/codec/cbor_item.c
@@ -1,6 +1,6 @@
-#include "amberpin/cbor_item.h"
+#include "amberpin/codec/cbor_item.h"
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/lib/cbor_reader.c
+++ b/lib/codec/cbor_reader.c
@@ -1,4 +1,4 @@
-#include "amberpin/cbor_reader.h"
+#include "amberpin/codec/cbor_reader.h"
 
 #include <math.h>
 #include <string.h>
--- a/lib/cbor_writer.c
+++ b/lib/codec/cbor_writer.c
@@ -1,4 +1,4 @@
-#include "amberpin/cbor_writer.h"
+#include "amberpin/codec/cbor_writer.h"
 
 #include <cbor.h>
 #include <string.h>
--- a/lib/change_page.c
+++ b/lib/codec/change_page.c
@@ -1,6 +1,6 @@
-#include "amberpin/change_page.h"
+#include "amberpin/codec/change_page.h"
 
-#include "amberpin/cbor_reader.h"
+#include "amberpin/codec/cbor_reader.h"
 
 /* Which of the keys comes next, as a bit; 0: none of them, and its value is to be skipped. A key that comes
  * twice makes the reader odd. */
--- a/lib/codec_orders.c
+++ b/lib/codec/commands.c
@@ -1,6 +1,6 @@
 /* Orders to workers, in the answers to their reports. */
-#include "amberpin/codec.h"
-#include "amberpin/codec_fields.h"
+#include "amberpin/codec/fields.h"
+#include "amberpin/codec/messages.h"
 
 #include <stdio.h>
 
--- a/lib/codec_fields.c
+++ b/lib/codec/fields.c
@@ -1,6 +1,6 @@
-#include "amberpin/codec_fields.h"
+#include "amberpin/codec/fields.h"
 
-#include "amberpin/cbor_writer.h"
+#include "amberpin/codec/cbor_writer.h"
 
 bool amb_word_read(const struct amb_word *words, const cbor_item_t *item, int *out) {
     for (; words->text; words++)
--- a/lib/record_layout.c
+++ b/lib/codec/placement_block.c
@@ -1,6 +1,6 @@
-#include "amberpin/record_layout.h"
+#include "amberpin/codec/placement_block.h"
 
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/codec_submission.c
+++ b/lib/codec/submission.c
@@ -1,6 +1,6 @@
 /* Submissions: jobs as users describe them, in requests and in a job's record. */
-#include "amberpin/codec.h"
-#include "amberpin/codec_fields.h"
+#include "amberpin/codec/fields.h"
+#include "amberpin/codec/messages.h"
 
 #include <ctype.h>
 #include <stdlib.h>
--- a/lib/cli.c
+++ b/lib/config/command_line.c
@@ -1,4 +1,4 @@
-#include "amberpin/cli.h"
+#include "amberpin/config/command_line.h"
 
 #include <argp.h>
 #include <string.h>
--- a/lib/options.c
+++ b/lib/config/options.c
@@ -1,4 +1,4 @@
-#include "amberpin/options.h"
+#include "amberpin/config/options.h"
 
 #include "amberpin/duty/settings.h"
 
--- a/lib/settings.c
+++ b/lib/config/settings.c
@@ -1,6 +1,6 @@
-#include "amberpin/settings.h"
+#include "amberpin/config/settings.h"
 
-#include "amberpin/toml_shim.h"
+#include "amberpin/config/toml_reader.h"
 
 #include <math.h>
 #include <stddef.h>
--- a/lib/toml_shim.cpp
+++ b/lib/config/toml_reader.cpp
@@ -1,4 +1,4 @@
-#include "amberpin/toml_shim.h"
+#include "amberpin/config/toml_reader.h"
 
 #include <cstdio>
 #include <fstream>
--- a/lib/controller.c
+++ b/lib/controller/controller.c
@@ -1,11 +1,11 @@
 /* Wires the modules: the leader's round in time, take-over, and the front. */
-#include "amberpin/capacity.h"
-#include "amberpin/log.h"
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
-#include "amberpin/plan.h"
-#include "amberpin/user_api.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/api/user_api.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/fleet_capacity.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement/wdrr.h"
+#include "amberpin/scheduler/capacity_plan.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/duty_path.c
+++ b/lib/duty/path.c
@@ -1,5 +1,5 @@
 /* Which way machines are rented and returned: by the leader itself, or by orders to the holders of duties. */
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 #include <jansson.h>
 
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -1,7 +1,7 @@
 /* Carries out what the core of single-holder duties decides. */
 #include "service_internal.h"
 
-#include "amberpin/trace.h"
+#include "amberpin/base/trace.h"
 
 #include <string.h>
 
--- a/lib/duty_status.c
+++ b/lib/duty/status.c
@@ -1,8 +1,8 @@
 /* What operators see of duties, and ask for: on the listener for other nodes. */
-#include "amberpin/duties.h"
-#include "amberpin/http.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/duty/node_duties.h"
+#include "amberpin/http/http.h"
+#include "amberpin/node/node.h"
 
 #include <jansson.h>
 #include <stdio.h>
--- a/lib/election.c
+++ b/lib/election/election.c
@@ -1,9 +1,9 @@
-#include "amberpin/election.h"
+#include "amberpin/election/election.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
-#include "amberpin/trace.h"
+#include "amberpin/base/log.h"
+#include "amberpin/base/trace.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/formats.c
+++ b/lib/election/format_version.c
@@ -1,10 +1,10 @@
 /* Which form of records and messages the cluster uses: what each node speaks, and the key that says what all
  * of them do. */
-#include "amberpin/formats.h"
+#include "amberpin/election/format_version.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 static const char FORMAT_KEY[] = "a/format";
 
--- a/lib/deputy.c
+++ b/lib/election/lease_proxy.c
@@ -4,9 +4,9 @@
  * know, because the end of a worker's lease is one of its proofs that a task is gone: so a deputy first
  * writes a key, under a guard on the leader's term and on a lease of its own, and stops when it can't renew
  * that in time. */
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/lib/peer_evidence.c
+++ b/lib/election/peer_confirmation.c
@@ -1,5 +1,5 @@
 /* What the peers' last words show of this node's lead and place. Nothing is asked or changed here. */
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 static amb_ms patience(const struct amb_node *node) {
     return (amb_ms)(node->set.report_s * 3000);
--- a/lib/election_core.c
+++ b/lib/election/state_machine.c
@@ -1,4 +1,4 @@
-#include "amberpin/election_core.h"
+#include "amberpin/election/state_machine.h"
 
 #include <string.h>
 
--- a/lib/orders.c
+++ b/lib/fleet/agent_commands.c
@@ -1,8 +1,8 @@
-#include "amberpin/orders.h"
+#include "amberpin/fleet/agent_commands.h"
 
-#include "amberpin/cancel_notice.h"
-#include "amberpin/codec.h"
-#include "amberpin/node.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/job/cancellation_notice.h"
+#include "amberpin/node/node.h"
 
 #include <string.h>
 
--- a/lib/held_answers.c
+++ b/lib/fleet/deferred_responses.c
@@ -1,7 +1,7 @@
-#include "amberpin/held_answers.h"
+#include "amberpin/fleet/deferred_responses.h"
 
-#include "amberpin/node.h"
-#include "amberpin/orders.h"
+#include "amberpin/fleet/agent_commands.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 
--- a/lib/seek.c
+++ b/lib/fleet/machine_probe.c
@@ -1,8 +1,8 @@
-#include "amberpin/seek.h"
+#include "amberpin/fleet/machine_probe.h"
 
-#include "amberpin/machines.h"
-#include "amberpin/node.h"
-#include "amberpin/orders.h"
+#include "amberpin/fleet/agent_commands.h"
+#include "amberpin/fleet/machines.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/machines.c
+++ b/lib/fleet/machines.c
@@ -1,9 +1,9 @@
-#include "amberpin/machines.h"
+#include "amberpin/fleet/machines.h"
 
-#include "amberpin/events.h"
-#include "amberpin/log.h"
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/events.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/http.c
+++ b/lib/http/http.c
@@ -1,6 +1,6 @@
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/lib/http_cbor.c
+++ b/lib/http/http_cbor.c
@@ -1,5 +1,5 @@
 /* Replies whose body is CBOR. */
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 
 void amb_reply_cbor(struct amb_http_req *req, int status, struct amb_buf *body, int retry_after_s) {
     amb_http_reply(req, status, "application/cbor", body ? body->data : NULL, body ? body->len : 0,
--- a/lib/cancel_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -1,7 +1,7 @@
-#include "amberpin/cancel_notice.h"
+#include "amberpin/job/cancellation_notice.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/lib/cancellations.c
+++ b/lib/job/cancellations.c
@@ -1,8 +1,8 @@
 /* Cancelled jobs in order. Entries come nearly in order, so they are put in from the end. */
-#include "amberpin/cancellations.h"
+#include "amberpin/job/cancellations.h"
 
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/dependencies.c
+++ b/lib/job/dependency_graph.c
@@ -1,4 +1,4 @@
-#include "amberpin/dependencies.h"
+#include "amberpin/job/dependency_graph.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/jobs.c
+++ b/lib/job/jobs.c
@@ -1,8 +1,8 @@
 /* The table of all jobs: what the state service says of each, and the changes of a job's state. */
-#include "amberpin/cbor_reader.h"
-#include "amberpin/log.h"
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/codec/cbor_reader.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/pipelines.c
+++ b/lib/job/pipelines.c
@@ -1,7 +1,7 @@
-#include "amberpin/pipelines.h"
+#include "amberpin/job/pipelines.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
 
 /* Estimates are often wrong by half. */
 static const double ESTIMATE_ERROR = 1.5;
--- a/lib/record_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -1,7 +1,7 @@
-#include "amberpin/record_blocks.h"
+#include "amberpin/job/placement_blocks.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/tasks.c
+++ b/lib/job/tasks.c
@@ -1,8 +1,8 @@
 /* The leader's care of jobs: which jobs it holds tasks of, and one function for every change of a task's or
  * gang's state. */
-#include "amberpin/log.h"
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/store.c
+++ b/lib/kvstore/client.c
@@ -1,7 +1,7 @@
-#include "amberpin/store.h"
+#include "amberpin/kvstore/client.h"
 
-#include "amberpin/http.h"
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
+#include "amberpin/http/http.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/lib/absence.c
+++ b/lib/model/absence_proof.c
@@ -1,4 +1,4 @@
-#include "amberpin/absence.h"
+#include "amberpin/model/absence_proof.h"
 
 /* Clocks drift apart by at most 0.05% (the protocol): a twentieth of this. */
 static const double LEASE_WIDER = 1.01;
--- a/lib/catalog.c
+++ b/lib/model/catalog.c
@@ -1,4 +1,4 @@
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 #include <string.h>
 
--- a/lib/failure_evidence.c
+++ b/lib/model/failure_evidence.c
@@ -1,4 +1,4 @@
-#include "amberpin/failure_evidence.h"
+#include "amberpin/model/failure_evidence.h"
 
 enum {
     MACHINES_AGAINST_JOB = 2,         /* that a job failed on, and never succeeded */
--- a/lib/resources.c
+++ b/lib/model/resources.c
@@ -1,4 +1,4 @@
-#include "amberpin/model.h"
+#include "amberpin/model/model.h"
 
 bool amb_res_fits(const struct amb_res *need, const struct amb_res *room) {
     const double slack = 1e-6;
--- a/lib/events.c
+++ b/lib/node/events.c
@@ -1,6 +1,6 @@
-#include "amberpin/events.h"
+#include "amberpin/node/events.h"
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 void amb_event_post(struct amb_node *node, const struct amb_event *event) {
     node->on_event(node, event);
--- a/lib/capacity.c
+++ b/lib/node/fleet_capacity.c
@@ -1,6 +1,6 @@
-#include "amberpin/capacity.h"
+#include "amberpin/node/fleet_capacity.h"
 
-#include "amberpin/memory.h"
+#include "amberpin/node/memory_budget.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/lib/memory.c
+++ b/lib/node/memory_budget.c
@@ -1,7 +1,7 @@
 /* The shares of a node's memory quota. */
-#include "amberpin/memory.h"
+#include "amberpin/node/memory_budget.h"
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 
--- a/lib/peer_learn.c
+++ b/lib/peer/heartbeat_received.c
@@ -1,8 +1,8 @@
 /* What a node reads in the messages of the others. */
-#include "amberpin/peer_messages.h"
+#include "amberpin/peer/messages.h"
 
-#include "amberpin/memory.h"
-#include "amberpin/node.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/lib/peer_say.c
+++ b/lib/peer/heartbeat_sent.c
@@ -1,7 +1,7 @@
 /* What a node says to the others: heartbeats, and the answers to theirs. */
-#include "amberpin/peer_messages.h"
+#include "amberpin/peer/messages.h"
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/lib/peer_images.c
+++ b/lib/peer/image_locations.c
@@ -1,6 +1,6 @@
-#include "amberpin/peer_images.h"
+#include "amberpin/peer/image_locations.h"
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 #include <jansson.h>
 #include <string.h>
--- a/lib/peer.c
+++ b/lib/peer/peers.c
@@ -1,8 +1,8 @@
 /* The exchange between the nodes: heartbeats to all others, and what they send to us. */
-#include "amberpin/cancel_notice.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/peer_messages.h"
+#include "amberpin/base/log.h"
+#include "amberpin/job/cancellation_notice.h"
+#include "amberpin/node/node.h"
+#include "amberpin/peer/messages.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/lib/place.c
+++ b/lib/placement/bin_packing.c
@@ -1,4 +1,4 @@
-#include "amberpin/place.h"
+#include "amberpin/placement/bin_packing.h"
 
 #include <float.h>
 #include <math.h>
--- a/lib/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -1,4 +1,4 @@
-#include "amberpin/slot_ranking.h"
+#include "amberpin/placement/slot_ranking.h"
 
 #include <float.h>
 #include <stdlib.h>
--- a/lib/wdrr.c
+++ b/lib/placement/wdrr.c
@@ -1,4 +1,4 @@
-#include "amberpin/wdrr.h"
+#include "amberpin/placement/wdrr.h"
 
 #include <math.h>
 
--- a/lib/record_value.c
+++ b/lib/placement_log/block_value.c
@@ -1,5 +1,5 @@
 /* What the value of a block says: which of its tasks are done, and where the others are. */
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 #include <string.h>
 
--- a/lib/record_write.c
+++ b/lib/placement_log/block_write.c
@@ -1,11 +1,11 @@
 /* Writing a block until it is known whether its content stands in the state service. */
-#include "amberpin/record_write.h"
+#include "amberpin/placement_log/block_write.h"
 
-#include "amberpin/cbor_reader.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/record_call.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/codec/cbor_reader.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement_log/store_call.h"
 
 #include <stdio.h>
 
--- a/lib/record_pump.c
+++ b/lib/placement_log/flush.c
@@ -1,6 +1,6 @@
 /* When the blocks of jobs in the leader's care are written, and removed. */
-#include "amberpin/node.h"
-#include "amberpin/record_write.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement_log/block_write.h"
 
 static bool in_flight(const struct amb_job *job) {
     for (uint32_t i = 0; i < job->nblocks; i++)
--- a/lib/record_end.c
+++ b/lib/placement_log/job_end.c
@@ -1,9 +1,9 @@
 /* The end of a job: its final state, and its blocks removed when there is nothing else to write. */
-#include "amberpin/record_write.h"
+#include "amberpin/placement_log/block_write.h"
 
-#include "amberpin/node.h"
-#include "amberpin/record_call.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement_log/store_call.h"
 
 static void stamp_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
--- a/lib/record_load.c
+++ b/lib/placement_log/restore.c
@@ -1,8 +1,8 @@
 /* Reading the records of placements and results, by a new leader. */
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/record_call.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement_log/store_call.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/record_call.c
+++ b/lib/placement_log/store_call.c
@@ -1,7 +1,7 @@
-#include "amberpin/record_call.h"
+#include "amberpin/placement_log/store_call.h"
 
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -1,10 +1,10 @@
 /* What does not fit now: room to wait for, to make or to rent; and machines to return. */
-#include "amberpin/plan.h"
+#include "amberpin/scheduler/capacity_plan.h"
 
-#include "amberpin/log.h"
-#include "amberpin/start_patience.h"
-#include "amberpin/task_failures.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/agent/task_failures.h"
+#include "amberpin/base/log.h"
+#include "amberpin/placement/wdrr.h"
+#include "amberpin/scheduler/start_deadline.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/lib/round.c
+++ b/lib/scheduler/cycle.c
@@ -1,9 +1,9 @@
 /* The leader's round: order, admit, place. */
-#include "amberpin/round.h"
-#include "amberpin/log.h"
-#include "amberpin/start_patience.h"
-#include "amberpin/task_failures.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/scheduler/cycle.h"
+#include "amberpin/agent/task_failures.h"
+#include "amberpin/base/log.h"
+#include "amberpin/placement/wdrr.h"
+#include "amberpin/scheduler/start_deadline.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/lib/start_patience.c
+++ b/lib/scheduler/start_deadline.c
@@ -1,8 +1,8 @@
 /* How soon work has to start, from the objectives of its class, its deadline and what its team is guaranteed.
  */
-#include "amberpin/start_patience.h"
+#include "amberpin/scheduler/start_deadline.h"
 
-#include "amberpin/place.h"
+#include "amberpin/placement/bin_packing.h"
 
 #include <math.h>
 #include <string.h>
--- a/lib/change_feed.c
+++ b/lib/watch/change_feed.c
@@ -1,9 +1,9 @@
 /* Reading the state service: every key below a/ is listed once, then watched. Questions that need to know all
  * that has happened share fresh reads of the changes. */
-#include "amberpin/change_page.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
+#include "amberpin/base/log.h"
+#include "amberpin/codec/change_page.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/lib/zone_settings.c
+++ b/lib/zone_recovery/activation.c
@@ -1,5 +1,5 @@
-#include "amberpin/node.h"
-#include "amberpin/zone_recovery.h"
+#include "amberpin/node/node.h"
+#include "amberpin/zone_recovery/zone_recovery.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/lib/zone_evidence.c
+++ b/lib/zone_recovery/evidence.c
@@ -1,6 +1,6 @@
 /* What counts as silence of a machine, for whoever judges its zone. */
-#include "amberpin/node.h"
-#include "amberpin/zone_recovery.h"
+#include "amberpin/node/node.h"
+#include "amberpin/zone_recovery/zone_recovery.h"
 
 amb_ms amb_zone_patience(const struct amb_node *node) {
     return amb_secs(node->set.report_s * AMB_ZONE_PATIENCE_REPORTS);
--- a/lib/zone_record.c
+++ b/lib/zone_recovery/record.c
@@ -1,9 +1,9 @@
 /* The record of zones and of the order of return, `b/zones`, of which the leader is the only writer. */
-#include "amberpin/cloud_calls.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/term_guard.h"
-#include "amberpin/zone_recovery.h"
+#include "amberpin/base/log.h"
+#include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/kvstore/leader_key.h"
+#include "amberpin/node/node.h"
+#include "amberpin/zone_recovery/zone_recovery.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/zone_order.c
+++ b/lib/zone_recovery/return_order.c
@@ -1,10 +1,10 @@
 /* The order of return, from the leader's books: which classes lost replicas with a zone, what each still
  * misses, and what it waits for. */
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/place.h"
-#include "amberpin/wdrr.h"
-#include "amberpin/zone_recovery.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
+#include "amberpin/placement/bin_packing.h"
+#include "amberpin/placement/wdrr.h"
+#include "amberpin/zone_recovery/zone_recovery.h"
 
 #include <math.h>
 #include <string.h>
--- a/lib/zone_verdicts.c
+++ b/lib/zone_recovery/verdicts.c
@@ -1,7 +1,7 @@
 /* Verdicts on the zones, from the leader's table of machines. */
-#include "amberpin/log.h"
-#include "amberpin/node.h"
-#include "amberpin/zone_recovery.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
+#include "amberpin/zone_recovery/zone_recovery.h"
 
 struct zone_sets { /* of machines, by their numbers */
     roaring_bitmap_t *expected, *answering;
--- a/lib/zones.c
+++ b/lib/zone_recovery/zone_silence.c
@@ -1,7 +1,7 @@
-#include "amberpin/zones.h"
+#include "amberpin/zone_recovery/zone_silence.h"
 
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/node/node.h"
 
 #include <string.h>
 
--- a/src/main.c
+++ b/src/main.c
@@ -1,7 +1,7 @@
-#include "amberpin/capacity.h"
-#include "amberpin/cli.h"
-#include "amberpin/log.h"
-#include "amberpin/node.h"
+#include "amberpin/base/log.h"
+#include "amberpin/config/command_line.h"
+#include "amberpin/node/fleet_capacity.h"
+#include "amberpin/node/node.h"
 
 #include <signal.h>
 #include <stdio.h>
--- a/tests/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -1,5 +1,5 @@
 /* Answers to users: after the write, from fresh reads, and never from older news. */
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/test_loop.c
+++ b/tests/base/test_loop.c
@@ -2,7 +2,7 @@
  * more before it reads the reports that came meanwhile (docs/safety.md). The clock is the test's own. */
 #include "check.h"
 
-#include "amberpin/loop.h"
+#include "amberpin/base/loop.h"
 
 #include <sys/epoll.h>
 #include <unistd.h>
--- a/tests/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -1,6 +1,6 @@
 /* Rentals: what is asked for, how it is recorded, and what a successor does with it. */
-#include "amberpin/plan.h"
-#include "amberpin/round.h"
+#include "amberpin/scheduler/capacity_plan.h"
+#include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -3,7 +3,7 @@
 #include "fake_http.h"
 #include "node_fixture.h"
 
-#include "amberpin/change_page.h"
+#include "amberpin/codec/change_page.h"
 
 enum { JOBS = 12, RUNS = 5, ROUNDS = 400, PAGE_CHANGES = 8, STAMPS = 300 };
 
--- a/tests/test_codec.c
+++ b/tests/codec/test_codec.c
@@ -1,5 +1,5 @@
 /* Messages: what is taken, what is refused, and that no bytes can hurt. */
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 #include "check.h"
 
 enum kind { K_TEXT, K_NUM, K_UINT, K_BOOL, K_NULL, K_LIST, K_NEG };
--- a/tests/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -1,6 +1,6 @@
 /* Which format nodes of two versions use: what is announced, when the leader writes it down for good, and
  * that nobody uses the newer one before. */
-#include "amberpin/formats.h"
+#include "amberpin/election/format_version.h"
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
--- a/tests/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -1,8 +1,8 @@
 /* The form of the records of placements and results: keys, sizes, which block counts, and the text of values.
  * What the first format's rows say is what the version in production reads and writes. */
-#include "amberpin/cbor_reader.h"
-#include "amberpin/codec.h"
-#include "amberpin/record_layout.h"
+#include "amberpin/codec/cbor_reader.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/codec/placement_block.h"
 #include "check.h"
 #include "json_cbor.h"
 
--- a/tests/test_limits.c
+++ b/tests/config/test_limits.c
@@ -1,10 +1,10 @@
 /* What tasks that are not proven absent leave of zones and spread, when it is not known where all of them
  * are. */
-#include "amberpin/round.h"
+#include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "node_fixture.h"
 
-#include "amberpin/wdrr.h"
+#include "amberpin/placement/wdrr.h"
 
 enum { A, B, UNKNOWN = -1 };
 
--- a/tests/test_settings.c
+++ b/tests/config/test_settings.c
@@ -1,6 +1,6 @@
 /* Settings: the platform's TOML and the operators' XML, each with its complaints. */
-#include "amberpin/options.h"
-#include "amberpin/settings.h"
+#include "amberpin/config/options.h"
+#include "amberpin/config/settings.h"
 #include "check.h"
 
 #include <unistd.h>
--- a/tests/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -1,7 +1,7 @@
 /* Single-holder duties on a node: who rents and returns, the leader's orders, and the way from one to the
  * other. */
-#include "amberpin/machine_list.h"
-#include "amberpin/rental_requests.h"
+#include "amberpin/cloud/machine_list.h"
+#include "amberpin/cloud/scale_out.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/test_election.c
+++ b/tests/election/test_election.c
@@ -1,6 +1,6 @@
 /* The election core, by tables: what happens when, and what the node then is and does. There is a row for
  * every sentence of "Leadership" in docs/safety.md that speaks of the node itself. */
-#include "amberpin/election_core.h"
+#include "amberpin/election/state_machine.h"
 #include "check.h"
 
 enum {
--- a/tests/test_http_calls.c
+++ b/tests/http/test_http_calls.c
@@ -1,6 +1,6 @@
 /* Server and client over the loop-back, in one loop: every call is answered exactly once, never from within
  * the function that makes it, whatever becomes of the connection. */
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 #include "check.h"
 
 #include <arpa/inet.h>
--- a/tests/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -1,7 +1,7 @@
 /* Notices of cancellations: whom a node tells, and when; and that a leader which was told starts nothing of
  * the job. The node is put together by hand; the test plays the state service and the other nodes. */
-#include "amberpin/cancel_notice.h"
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
+#include "amberpin/job/cancellation_notice.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/test_dependencies.c
+++ b/tests/job/test_dependencies.c
@@ -1,5 +1,5 @@
 /* The graph of awaited jobs: tables of small pipelines, drawn ones against a plain oracle, and large ones. */
-#include "amberpin/dependencies.h"
+#include "amberpin/job/dependency_graph.h"
 #include "check.h"
 
 #include <sys/resource.h>
--- a/tests/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -1,8 +1,8 @@
 /* Gangs and jobs of one zone: one attempt at a time, all tasks or none, and the room that is made for them.
  */
-#include "amberpin/round.h"
-#include "amberpin/start_patience.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/placement/wdrr.h"
+#include "amberpin/scheduler/cycle.h"
+#include "amberpin/scheduler/start_deadline.h"
 #include "check.h"
 #include "leader_fixture.h"
 
--- a/tests/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -1,7 +1,7 @@
 /* Jobs that others await: their place in the line, what gives way to them, and what is rented for them. */
-#include "amberpin/plan.h"
-#include "amberpin/round.h"
-#include "amberpin/start_patience.h"
+#include "amberpin/scheduler/capacity_plan.h"
+#include "amberpin/scheduler/cycle.h"
+#include "amberpin/scheduler/start_deadline.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "json_cbor.h"
--- a/tests/test_pipelines.c
+++ b/tests/job/test_pipelines.c
@@ -1,5 +1,5 @@
 /* Jobs that await others, at one node: when they are accepted, started and cancelled. */
-#include "amberpin/round.h"
+#include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "json_cbor.h"
 #include "pipeline_fixture.h"
--- a/tests/loopback/controllers.c
+++ b/tests/loopback/controllers.c
@@ -1,7 +1,7 @@
 /* Controllers as child processes: settings, start, pause, end. */
 #include "proof.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
--- a/tests/loopback/event_log.h
+++ b/tests/loopback/event_log.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_TESTS_LOOPBACK_EVENT_LOG_H
 #define AMBERPIN_TESTS_LOOPBACK_EVENT_LOG_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 #include <stdio.h>
 
--- a/tests/loopback/incidents.c
+++ b/tests/loopback/incidents.c
@@ -2,7 +2,7 @@
  * what the stand-ins see, or while nothing is under way. */
 #include "proof.h"
 
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -1,7 +1,7 @@
 /* The way between real processes and the stand-in's models: takes the place of tests/standin/network.c. */
 #include "proof.h"
 
-#include "amberpin/http.h"
+#include "amberpin/http/http.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/loopback/server.c
+++ b/tests/loopback/server.c
@@ -1,7 +1,7 @@
 #include "server.h"
 
-#include "amberpin/http.h"
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
+#include "amberpin/http/http.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/tests/loopback/server.h
+++ b/tests/loopback/server.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TESTS_LOOPBACK_SERVER_H
 #define AMBERPIN_TESTS_LOOPBACK_SERVER_H
 
-#include "amberpin/util.h"
+#include "amberpin/base/util.h"
 
 enum { PROOF_PATH = 400, PROOF_ADDRESS = 32 };
 
--- a/tests/loopback/skewed_clock.c
+++ b/tests/loopback/skewed_clock.c
@@ -1,6 +1,6 @@
-/* The clock of a test build of the controller: takes the place of lib/clock.c. Its steady clock starts and
- * drifts as the environment says, as those of different machines do. */
-#include "amberpin/util.h"
+/* The clock of a test build of the controller: takes the place of lib/base/clock.c. Its steady clock starts
+ * and drifts as the environment says, as those of different machines do. */
+#include "amberpin/base/util.h"
 
 #include <stdlib.h>
 #include <sys/random.h>
--- a/tests/test_absence.c
+++ b/tests/model/test_absence.c
@@ -1,6 +1,6 @@
 /* Every sentence of "Proof of absence" in docs/safety.md as rows, and each bound just inside and just
  * outside. */
-#include "amberpin/absence.h"
+#include "amberpin/model/absence_proof.h"
 #include "check.h"
 
 enum { TERM = 50 };
--- a/tests/test_failure_evidence.c
+++ b/tests/model/test_failure_evidence.c
@@ -1,7 +1,7 @@
 /* Which is at fault when tasks fail: days of failures and successes, and the verdict on the last of them. */
 #include "check.h"
 
-#include "amberpin/failure_evidence.h"
+#include "amberpin/model/failure_evidence.h"
 
 #include <string.h>
 
--- a/tests/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -1,7 +1,7 @@
 /* What grows with the fleet has a bound that holds for thousands of machines, and nothing is lost at it
  * (docs/limits.md). */
-#include "amberpin/capacity.h"
-#include "amberpin/orders.h"
+#include "amberpin/fleet/agent_commands.h"
+#include "amberpin/node/fleet_capacity.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/test_memory.c
+++ b/tests/node/test_memory.c
@@ -1,11 +1,11 @@
 /* What a node's memory quota has room for, and what users are told when it is full. */
-#include "amberpin/memory.h"
+#include "amberpin/node/memory_budget.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "node_fixture.h"
 
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
 
 #include <unistd.h>
 
--- a/tests/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -1,7 +1,7 @@
 /* Messages between nodes, through the very handlers that the network calls: what a message says is done each
  * time it comes, also when it is, byte for byte, the last one again. */
-#include "amberpin/codec.h"
-#include "amberpin/node.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/node/node.h"
 #include "bare_node.h"
 #include "check.h"
 
--- a/tests/test_place.c
+++ b/tests/placement/test_place.c
@@ -1,5 +1,5 @@
 /* Fit, zones, spread, spot, and which machine is preferred. */
-#include "amberpin/place.h"
+#include "amberpin/placement/bin_packing.h"
 #include "check.h"
 
 enum { A, B };
--- a/tests/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -1,6 +1,6 @@
 /* What a round finds without looking at all of its slots each time, against what a look at all finds: marks
  * that are made when a slot is looked at, and picks by rankings. */
-#include "amberpin/round.h"
+#include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "node_fixture.h"
 
--- a/tests/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -1,5 +1,5 @@
 /* Turns: weights, limits, buckets, idle teams, items that do not fit. */
-#include "amberpin/wdrr.h"
+#include "amberpin/placement/wdrr.h"
 #include "check.h"
 
 struct queue {
--- a/tests/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -8,7 +8,7 @@
 #include "fake_state.h"
 #include "node_fixture.h"
 
-#include "amberpin/record_layout.h"
+#include "amberpin/codec/placement_block.h"
 
 enum { TASKS = 200, MACHINES = 8, ROUNDS = 400, NEVER = 100000 };
 static const double VALUE_KB = 8, LOWERED_KB = 1;
--- a/tests/test_meetings_cancel.c
+++ b/tests/scenarios/test_meetings_cancel.c
@@ -1,10 +1,10 @@
 /* Days of the stand-in on which a leader whose news came late ordered starts of jobs after their cancellation
- * had been confirmed to users: it is told by notices now (lib/cancel_notice.c). */
+ * had been confirmed to users: it is told by notices now (lib/job/cancellation_notice.c). */
 #include "check.h"
 #include "named_tests.h"
 #include "standin.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 enum { DAY = 200000, SHORT_DAY = 70000 };
 
--- a/tests/test_meetings_leader.c
+++ b/tests/scenarios/test_meetings_leader.c
@@ -6,7 +6,7 @@
 #include "named_tests.h"
 #include "standin.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 enum {
     FIRST_SEED = 1,
--- a/tests/test_meetings_users.c
+++ b/tests/scenarios/test_meetings_users.c
@@ -5,7 +5,7 @@
 #include "named_tests.h"
 #include "standin.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 enum { DAY = 200000, SEEDS = 3 };
 
--- a/tests/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -8,7 +8,7 @@
 #include "recorder.h"
 #include "world.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <stdio.h>
 
--- a/tests/test_small_memory.c
+++ b/tests/scenarios/test_small_memory.c
@@ -4,7 +4,7 @@
 #include "named_tests.h"
 #include "standin.h"
 
-#include "amberpin/memory.h"
+#include "amberpin/node/memory_budget.h"
 
 enum { DAY = 240000, FLOOD_JOBS = 2000 };
 
--- a/tests/test_standin.c
+++ b/tests/scenarios/test_standin.c
@@ -3,7 +3,7 @@
 #include "named_tests.h"
 #include "small_day.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 enum { DAY = 240000, DRAWN_KINDS = SIM_ZONES_APART + 1 };
 
@@ -106,7 +106,7 @@
 
 static void troubles_of_users(void **state) {
     (void)state;
-    single_troubles(SIM_CANCEL_NOW, SIM_LOWER_LIMITS); /* that lasts: tests/test_upgrade.c */
+    single_troubles(SIM_CANCEL_NOW, SIM_LOWER_LIMITS); /* that lasts: tests/scenarios/test_upgrade.c */
 }
 
 static void unfit_jobs_are_refused(void **state) {
--- a/tests/test_upgrade.c
+++ b/tests/scenarios/test_upgrade.c
@@ -4,7 +4,7 @@
 #include "named_tests.h"
 #include "standin.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 enum { LENGTH = 300000, SEEDS = 3 };
 
--- a/tests/standin/large_day.c
+++ b/tests/standin/large_day.c
@@ -8,7 +8,7 @@
  * troubles. The times are this machine's; a turn is all that a node does in one event or timer. */
 #include "standin.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #ifdef HAVE_GSL
 #include "quantile.h"
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -2,11 +2,14 @@
  * AMB_PRODUCTION_SIDE the production version (tests/standin/CMakeLists.txt). */
 #include "node_side.h"
 
+#ifdef AMB_PRODUCTION_SIDE
 #include "amberpin/log.h"
-#ifndef AMB_PRODUCTION_SIDE
-#include "amberpin/memory.h"
-#endif
 #include "amberpin/node.h"
+#else
+#include "amberpin/base/log.h"
+#include "amberpin/node/memory_budget.h"
+#include "amberpin/node/node.h"
+#endif
 
 #include <stdint.h>
 #include <stdio.h>
--- a/tests/standin/recovery.c
+++ b/tests/standin/recovery.c
@@ -3,7 +3,7 @@
  * its books; room, zones and cuts from the world. */
 #include "world.h"
 
-#include "amberpin/place.h"
+#include "amberpin/placement/bin_packing.h"
 
 #include <string.h>
 
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -2,7 +2,7 @@
 #include "node_side.h"
 #include "world.h"
 
-#include "amberpin/place.h"
+#include "amberpin/placement/bin_packing.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -5,7 +5,7 @@
 #ifndef AMBERPIN_TESTS_STANDIN_H
 #define AMBERPIN_TESTS_STANDIN_H
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 enum { SIM_NODES = 7 };               /* at most */
 enum { SIM_FOR_GOOD_MS = 100000000 }; /* a fault that lasts so long does not end */
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TESTS_STANDIN_WORLD_H
 #define AMBERPIN_TESTS_STANDIN_WORLD_H
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 #include "standin.h"
 
 #ifndef SIM_CAPACITY
--- a/tests/bare_node.c
+++ b/tests/support/bare_node.c
@@ -1,6 +1,6 @@
 #include "bare_node.h"
 
-#include "amberpin/memory.h"
+#include "amberpin/node/memory_budget.h"
 
 #include <stdlib.h>
 
--- a/tests/bare_node.h
+++ b/tests/support/bare_node.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TESTS_BARE_NODE_H
 #define AMBERPIN_TESTS_BARE_NODE_H
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 /* Its events go to the controller, its options are the usual ones. */
 struct amb_node *bare_node_new(void);
--- a/tests/fake_clock.h
+++ b/tests/support/fake_clock.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TESTS_FAKE_CLOCK_H
 #define AMBERPIN_TESTS_FAKE_CLOCK_H
 
-#include "amberpin/loop.h"
+#include "amberpin/base/loop.h"
 
 /* Time passes, and timers run as they fall due. */
 void fake_clock_advance(amb_ms by);
--- a/tests/fake_http.h
+++ b/tests/support/fake_http.h
@@ -4,8 +4,8 @@
 #ifndef AMBERPIN_TESTS_FAKE_HTTP_H
 #define AMBERPIN_TESTS_FAKE_HTTP_H
 
-#include "amberpin/codec.h"
-#include "amberpin/http.h"
+#include "amberpin/codec/messages.h"
+#include "amberpin/http/http.h"
 
 enum { FAKE_CALLS = 1024 };
 
--- a/tests/fake_state.c
+++ b/tests/support/fake_state.c
@@ -2,7 +2,7 @@
 #include "check.h"
 #include "fake_http.h"
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 enum { KEYS = 1024, LATE = 64, STATUSES = 600 };
 
--- a/tests/fake_state.h
+++ b/tests/support/fake_state.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TESTS_FAKE_STATE_H
 #define AMBERPIN_TESTS_FAKE_STATE_H
 
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 
 struct amb_node;
 
--- a/tests/json_cbor.h
+++ b/tests/support/json_cbor.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_TESTS_JSON_CBOR_H
 #define AMBERPIN_TESTS_JSON_CBOR_H
 
-#include "amberpin/codec.h"
+#include "amberpin/codec/messages.h"
 
 #include <jansson.h>
 
--- a/tests/named_tests.h
+++ b/tests/support/named_tests.h
@@ -4,7 +4,7 @@
 
 #include "check.h"
 
-#include "amberpin/log.h"
+#include "amberpin/base/log.h"
 
 #include <stdbool.h>
 
--- a/tests/node_fixture.h
+++ b/tests/support/node_fixture.h
@@ -3,7 +3,7 @@
 #ifndef AMBERPIN_TESTS_NODE_FIXTURE_H
 #define AMBERPIN_TESTS_NODE_FIXTURE_H
 
-#include "amberpin/node.h"
+#include "amberpin/node/node.h"
 
 enum { TERM = 50, FIXTURE_ORDERS = 32 };
 
--- a/tests/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -1,6 +1,6 @@
 #include "pipeline_fixture.h"
 
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -1,6 +1,6 @@
 #include "user_fixture.h"
 
-#include "amberpin/user_api.h"
+#include "amberpin/api/user_api.h"
 #include "check.h"
 #include "json_cbor.h"
 
--- a/tests/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -1,8 +1,8 @@
 /* Zone recovery in a leader: what is refused in its settings, which work may start where, what is kept for
  * what was lost, and the record from which a successor goes on. */
-#include "amberpin/plan.h"
-#include "amberpin/round.h"
-#include "amberpin/wdrr.h"
+#include "amberpin/placement/wdrr.h"
+#include "amberpin/scheduler/capacity_plan.h"
+#include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
