--- a/bench/case_codec.c
+++ b/bench/case_codec.c
@@ -23,10 +23,10 @@
 
 static void decode_report(void *input) {
     const struct amb_buf *body = input;
-    struct amb_report report;
+    struct amb_report heartbeat;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
-    if (amb_codec_report(item, &report) != AMB_PARSE_OK) abort();
-    amb_report_free(&report);
+    if (amb_codec_report(item, &heartbeat) != AMB_PARSE_OK) abort();
+    amb_report_free(&heartbeat);
     cbor_decref(&item);
 }
 
--- a/bench/case_round.c
+++ b/bench/case_round.c
@@ -13,10 +13,10 @@
 }
 
 static void play(struct amb_node *node, bool plan) {
-    struct amb_round *round = amb_round_new(node, amb_now());
-    amb_round_admit(round);
-    if (plan) amb_plan(round);
-    amb_round_free(round);
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    amb_round_admit(cycle);
+    if (plan) amb_plan(cycle);
+    amb_round_free(cycle);
 }
 
 static void round_only(void *input) {
--- a/bench/world.c
+++ b/bench/world.c
@@ -50,7 +50,7 @@
 /* The linker puts these in the place of the library's own (--wrap). */
 struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
                                           amb_http_handler fn, void *arg);
-void __wrap_amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body,
+void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s);
 struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
                                       const char *type, const void *body, size_t len, amb_ms timeout,
@@ -63,12 +63,12 @@
     return (struct amb_server *)&last_server;
 }
 
-void __wrap_amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body,
+void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s) {
     (void)type, (void)body, (void)len, (void)retry_after_s;
     last_status = status;
-    free(req->body);
-    free(req);
+    free(request->body);
+    free(request);
 }
 
 struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
@@ -92,14 +92,14 @@
 }
 
 struct amb_http_req *world_request(const char *method, const char *path, const void *body, size_t len) {
-    struct amb_http_req *req = amb_alloc(sizeof *req);
-    req->conn = (struct amb_conn *)&last_server; /* somebody waits for the answer */
-    strcpy(req->method, method);
-    strcpy(req->path, path);
-    req->body = amb_alloc(len + 1);
-    memcpy(req->body, body, len);
-    req->body_len = len;
-    return req;
+    struct amb_http_req *request = amb_alloc(sizeof *request);
+    request->conn = (struct amb_conn *)&last_server; /* somebody waits for the answer */
+    strcpy(request->method, method);
+    strcpy(request->path, path);
+    request->body = amb_alloc(len + 1);
+    memcpy(request->body, body, len);
+    request->body_len = len;
+    return request;
 }
 
 /* ---- names and specifications ---- */
@@ -338,37 +338,37 @@
 
 /* ---- nodes ---- */
 
-static void put_settings(struct amb_settings *set, const struct world_size *size, uint32_t member) {
-    snprintf(set->member, sizeof set->member, "n%u", member);
-    strcpy(set->zone, "a");
-    strcpy(set->state, "127.0.0.1:1");
-    strcpy(set->cloud, "127.0.0.1:2");
+static void put_settings(struct amb_settings *settings, const struct world_size *size, uint32_t member) {
+    snprintf(settings->member, sizeof settings->member, "n%u", member);
+    strcpy(settings->zone, "a");
+    strcpy(settings->state, "127.0.0.1:1");
+    strcpy(settings->cloud, "127.0.0.1:2");
     for (uint32_t i = 0; i < size->nodes; i++) {
         if (i == member) continue;
-        struct amb_peer_addr *peer = &set->peers[set->npeers++];
+        struct amb_peer_addr *peer = &settings->peers[settings->npeers++];
         snprintf(peer->member, sizeof peer->member, "n%u", i);
         snprintf(peer->addr, sizeof peer->addr, "127.0.0.1:%u", 100 + i);
     }
-    set->nteams = 2;
-    for (uint32_t t = 0; t < set->nteams; t++) {
-        snprintf(set->teams[t].name, AMB_NAME, "team-%u", t);
-        set->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
-        set->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
+    settings->nteams = 2;
+    for (uint32_t t = 0; t < settings->nteams; t++) {
+        snprintf(settings->teams[t].name, AMB_NAME, "team-%u", t);
+        settings->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
+        settings->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
     }
-    set->report_s = size->report_s;
-    set->lease_s = size->lease_s;
-    set->cancel_s = size->cancel_s;
-    set->gang_wait_s = 20;
-    set->gang_peer_s = 5;
-    set->state_rps = REQUESTS_PER_S;
-    set->state_write_rps = WRITES_PER_S;
-    set->value_kb = VALUE_KB;
-    set->txn_ops = 8;
-    set->cloud_rps = CLOUD_CALLS_PER_S;
-    set->list_lag_s = 5;
-    set->cores = 0.1;
-    set->memory_mb = 40;
-    set->fd_limit = 500;
+    settings->report_s = size->report_s;
+    settings->lease_s = size->lease_s;
+    settings->cancel_s = size->cancel_s;
+    settings->gang_wait_s = 20;
+    settings->gang_peer_s = 5;
+    settings->state_rps = REQUESTS_PER_S;
+    settings->state_write_rps = WRITES_PER_S;
+    settings->value_kb = VALUE_KB;
+    settings->txn_ops = 8;
+    settings->cloud_rps = CLOUD_CALLS_PER_S;
+    settings->list_lag_s = 5;
+    settings->cores = 0.1;
+    settings->memory_mb = 40;
+    settings->fd_limit = 500;
 }
 
 static void put_catalog(struct amb_catalog *catalog) {
@@ -409,7 +409,8 @@
 /* As after a heartbeat that told all other nodes. */
 static void forget_changes(struct amb_node *node) {
     for (struct amb_job *job = node->jobs.live; job; job = job->next_live) job->shown_changed = false;
-    for (struct amb_machine *m = node->fleet.all; m; m = m->hh.next) m->images_changed = false;
+    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+        machine->images_changed = false;
 }
 
 struct amb_node *world_leader(const struct world_size *size) {
--- a/include/amberpin/base/util.h
+++ b/include/amberpin/base/util.h
@@ -25,11 +25,11 @@
 void *amb_alloc(size_t n); /* zeroed; ends the process when there is no memory */
 void *amb_grow(void *p, size_t n);
 
-void amb_buf_add(struct amb_buf *b, const void *p, size_t n);
-void amb_buf_str(struct amb_buf *b, const char *s);
-void amb_buf_fmt(struct amb_buf *b, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-void amb_buf_drop(struct amb_buf *b, size_t n); /* forget the first n bytes */
-void amb_buf_free(struct amb_buf *b);
+void amb_buf_add(struct amb_buf *buffer, const void *p, size_t n);
+void amb_buf_str(struct amb_buf *buffer, const char *s);
+void amb_buf_fmt(struct amb_buf *buffer, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void amb_buf_drop(struct amb_buf *buffer, size_t n); /* forget the first n bytes */
+void amb_buf_free(struct amb_buf *buffer);
 
 amb_ms amb_now(void);      /* steady clock */
 int64_t amb_wall_ms(void); /* time of day */
--- a/include/amberpin/codec/messages.h
+++ b/include/amberpin/codec/messages.h
@@ -23,13 +23,14 @@
 
 /* ---- workers' reports (agent_heartbeat.c) ---- */
 
-enum amb_parse amb_codec_report(const cbor_item_t *map, struct amb_report *report); /* allocates its tasks */
+enum amb_parse amb_codec_report(const cbor_item_t *map,
+                                struct amb_report *heartbeat); /* allocates its tasks */
 /* The same from a body's bytes, mostly without a tree of items. */
 enum amb_parse amb_codec_read_report(const void *data, size_t len, struct amb_report *out);
 /* The part of it that needs none. False: not a report, or one in an encoding that only amb_cbor_parse knows.
  */
 bool amb_codec_report_quick(const void *data, size_t len, struct amb_report *out);
-void amb_report_free(struct amb_report *report);
+void amb_report_free(struct amb_report *heartbeat);
 
 /* ---- orders to workers (agent_commands.c) ---- */
 
--- a/include/amberpin/config/options.h
+++ b/include/amberpin/config/options.h
@@ -26,7 +26,7 @@
     char zone_recovery_order[AMB_RECOVERY_LIST]; /* classes that come back first */
 };
 
-void amb_options_default(struct amb_options *o);
-bool amb_options_load(const char *path, struct amb_options *o, char *err, size_t cap);
+void amb_options_default(struct amb_options *options);
+bool amb_options_load(const char *path, struct amb_options *options, char *err, size_t cap);
 
 #endif
--- a/include/amberpin/config/settings.h
+++ b/include/amberpin/config/settings.h
@@ -32,17 +32,17 @@
     double cores, memory_mb, fd_limit, skew_ms;
 };
 
-struct amb_team *amb_settings_team(struct amb_settings *s, const char *name); /* NULL: no such team */
+struct amb_team *amb_settings_team(struct amb_settings *settings, const char *name); /* NULL: no such team */
 /* Seconds that the leader's own turns are measured in: the report period, unless work is to start so soon
  * that waiting for turns of that length would use up much of its time. */
-double amb_settings_beat(const struct amb_settings *s);
+double amb_settings_beat(const struct amb_settings *settings);
 /* Seconds that leases of the state service are shares of: a worker's lease, or half of what a cancellation
  * allows beyond it where that is less. */
-double amb_settings_lease_base(const struct amb_settings *s);
+double amb_settings_lease_base(const struct amb_settings *settings);
 /* The limits that the state service may have from some moment on, without notice (`state.next`). Without an
  * announcement, the present ones; never more than these. */
-struct amb_state_limits amb_settings_lowered_limits(const struct amb_settings *s);
+struct amb_state_limits amb_settings_lowered_limits(const struct amb_settings *settings);
 /* False: err holds one line that names file and field. */
-bool amb_settings_load(const char *path, struct amb_settings *s, char *err, size_t cap);
+bool amb_settings_load(const char *path, struct amb_settings *settings, char *err, size_t cap);
 
 #endif
--- a/include/amberpin/duty/node_duties.h
+++ b/include/amberpin/duty/node_duties.h
@@ -55,11 +55,11 @@
 
 /* Do the operators' settings allow a service of duties? False: err names file and field, and what is
  * allowed. */
-bool amb_duties_check(const struct amb_settings *set, const struct amb_options *options, const char *file,
-                      char *err, size_t cap);
+bool amb_duties_check(const struct amb_settings *settings, const struct amb_options *options,
+                      const char *file, char *err, size_t cap);
 /* Seconds that leases of the state service are a share of: the workers' lease, or half of what a cancellation
  * allows beyond it where that is less. */
-struct amb_duty_settings amb_duties_settings(const struct amb_settings *set,
+struct amb_duty_settings amb_duties_settings(const struct amb_settings *settings,
                                              const struct amb_options *options);
 
 /* ---- records ---- */
@@ -110,6 +110,6 @@
 /* ---- what operators see and ask for (status.c) ---- */
 
 /* Answers GET /duties and POST /duties/handover. False: the request is for something else. */
-bool amb_duties_request(struct amb_node *node, struct amb_http_req *req);
+bool amb_duties_request(struct amb_node *node, struct amb_http_req *request);
 
 #endif
--- a/include/amberpin/election/lease_proxy.h
+++ b/include/amberpin/election/lease_proxy.h
@@ -38,7 +38,7 @@
 /* News of a deputy's key; value NULL: it is gone. */
 void amb_deputy_key(struct amb_node *node, const char *member, const cbor_item_t *value, uint64_t stamp);
 /* May this node answer the report as a deputy? */
-bool amb_deputy_answers(const struct amb_node *node, const struct amb_report *report);
+bool amb_deputy_answers(const struct amb_node *node, const struct amb_report *heartbeat);
 /* May somebody else be answering machines of this zone under our token? */
 bool amb_deputy_in_zone(const struct amb_node *node, int zone);
 
--- a/include/amberpin/election/state_machine.h
+++ b/include/amberpin/election/state_machine.h
@@ -100,18 +100,18 @@
     struct amb_election_action actions[AMB_ELECTION_ACTIONS];
 };
 
-void amb_election_step(struct amb_election *e, const struct amb_election_input *in,
+void amb_election_step(struct amb_election *election, const struct amb_election_input *in,
                        struct amb_election_output *out);
 
 /* May this node answer reports with its token at this moment? A tick may be overdue: after a stall, reports
  * that came meanwhile may be read before it. */
-bool amb_election_answers(const struct amb_election *e, amb_ms now,
+bool amb_election_answers(const struct amb_election *election, amb_ms now,
                           const struct amb_election_evidence *evidence);
 
 /* Is the lease surely ours at this moment? */
-bool amb_election_sure(const struct amb_election *e, amb_ms now);
+bool amb_election_sure(const struct amb_election *election, amb_ms now);
 /* Did the last renewal go through in good time? If not the state service may be out of reach, and what it
  * would tell of cancellations too. */
-bool amb_election_in_touch(const struct amb_election *e, amb_ms now);
+bool amb_election_in_touch(const struct amb_election *election, amb_ms now);
 
 #endif
--- a/include/amberpin/fleet/agent_commands.h
+++ b/include/amberpin/fleet/agent_commands.h
@@ -24,9 +24,9 @@
 bool amb_gang_recorded(const struct amb_job *job);
 
 /* Answers a report under this term. */
-void amb_orders_answer(struct amb_http_req *req, uint64_t term, const struct amb_orders *orders);
+void amb_orders_answer(struct amb_http_req *request, uint64_t term, const struct amb_orders *orders);
 /* Answers a report that this node may not answer: to the leader, if one is known. */
-void amb_orders_redirect(struct amb_node *node, struct amb_http_req *req);
+void amb_orders_redirect(struct amb_node *node, struct amb_http_req *request);
 /* Sends orders that may be carried out late, or none: our token alone. */
 void amb_orders_command(struct amb_node *node, const struct amb_machine *machine, uint64_t session,
                         const struct amb_orders *orders);
--- a/include/amberpin/http/http.h
+++ b/include/amberpin/http/http.h
@@ -43,10 +43,10 @@
 /* max: connections; body_max: bytes of a request's body, or else 413. */
 struct amb_server *amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
                                    amb_http_handler fn, void *arg);
-void amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body, size_t len,
+void amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body, size_t len,
                     int retry_after_s);
 /* With a body of CBOR, which it frees; NULL: none. */
-void amb_reply_cbor(struct amb_http_req *req, int status, struct amb_buf *body, int retry_after_s);
+void amb_reply_cbor(struct amb_http_req *request, int status, struct amb_buf *body, int retry_after_s);
 
 /* status 0: no answer, the request may have been carried out or may be later. */
 typedef void (*amb_http_done)(void *arg, int status, const char *body, size_t len);
--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -36,7 +36,7 @@
 struct amb_job *amb_job_find(struct amb_node *node, const char *ref); /* NULL: never heard of */
 void amb_job_key(char *out, size_t cap, const char *ref);
 /* The job's value in the state service, if it were in this state. */
-void amb_job_value(struct amb_buf *b, const struct amb_job *job, enum amb_job_state state);
+void amb_job_value(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state);
 /* News of a job: its value and the stamp of its change. */
 void amb_jobs_apply(struct amb_node *node, const char *ref, const cbor_item_t *value, uint64_t stamp);
 /* The same with the value's CBOR (NULL: none), of which only what is news is decoded. */
--- a/include/amberpin/job/placement_blocks.h
+++ b/include/amberpin/job/placement_blocks.h
@@ -9,7 +9,7 @@
 struct amb_node;
 struct amb_settings;
 
-uint32_t amb_record_tasks_per_block(const struct amb_settings *set); /* of the first format */
+uint32_t amb_record_tasks_per_block(const struct amb_settings *settings); /* of the first format */
 /* The size of values, in KiB, that the state service takes also when it has lowered its limits. */
 double amb_record_lowered_value_kb(const struct amb_node *node);
 
--- a/include/amberpin/kvstore/client.h
+++ b/include/amberpin/kvstore/client.h
@@ -31,9 +31,9 @@
     uint32_t nguards, nops;
 };
 
-void amb_txn_guard(struct amb_txn *t, const char *key, uint64_t stamp);
-void amb_txn_put(struct amb_txn *t, const char *key, const struct amb_buf *value, uint64_t lease);
-void amb_txn_remove(struct amb_txn *t, const char *key);
+void amb_txn_guard(struct amb_txn *transaction, const char *key, uint64_t stamp);
+void amb_txn_put(struct amb_txn *transaction, const char *key, const struct amb_buf *value, uint64_t lease);
+void amb_txn_remove(struct amb_txn *transaction, const char *key);
 
 struct amb_budget { /* a token bucket */
     double rate, tokens;
@@ -65,28 +65,30 @@
     amb_ms ok_at, failed_at;
 };
 
-void amb_store_init(struct amb_store *s, const struct amb_settings *set, amb_ms call_timeout);
-void amb_store_share(struct amb_store *s, bool leading); /* the leader writes most */
+void amb_store_init(struct amb_store *store, const struct amb_settings *settings, amb_ms call_timeout);
+void amb_store_share(struct amb_store *store, bool leading); /* the leader writes most */
 /* Single-holder duties are in use, or not: the duties held here have this part (0 to 1) of all holders'
  * writes. */
-void amb_store_share_duties(struct amb_store *s, bool in_use, double part);
+void amb_store_share_duties(struct amb_store *store, bool in_use, double part);
 /* The state service has been seen to have lowered its limits: for good. */
-void amb_store_limits_lowered(struct amb_store *s, const char *sign);
+void amb_store_limits_lowered(struct amb_store *store, const char *sign);
 /* For a user: are there tokens, and keep: a share of the bucket left for more urgent jobs? */
-bool amb_store_can_write(struct amb_store *s, uint32_t n, double keep);
+bool amb_store_can_write(struct amb_store *store, uint32_t n, double keep);
 /* The leader's: write tokens that one half does not need go to the other, at all nodes alike. How many went
  * to the users' half; negative: from it. */
-double amb_store_lend(struct amb_store *s);
-void amb_store_lent(struct amb_store *s, double tokens); /* the leader says so */
-void amb_store_user_wrote(struct amb_store *s);          /* some node's write for a user has been seen */
-void amb_store_get(struct amb_store *s, const char *key, enum amb_urgency u, amb_store_done fn, void *arg);
-void amb_store_list(struct amb_store *s, const char *prefix, const char *after, amb_store_done fn, void *arg);
-void amb_store_follow(struct amb_store *s, const char *prefix, uint64_t after, amb_ms wait,
+double amb_store_lend(struct amb_store *store);
+void amb_store_lent(struct amb_store *store, double tokens); /* the leader says so */
+void amb_store_user_wrote(struct amb_store *store);          /* some node's write for a user has been seen */
+void amb_store_get(struct amb_store *store, const char *key, enum amb_urgency u, amb_store_done fn,
+                   void *arg);
+void amb_store_list(struct amb_store *store, const char *prefix, const char *after, amb_store_done fn,
+                    void *arg);
+void amb_store_follow(struct amb_store *store, const char *prefix, uint64_t after, amb_ms wait,
                       amb_store_bytes_done fn, void *arg);
-void amb_store_commit(struct amb_store *s, struct amb_txn *t, enum amb_urgency u, amb_store_done fn,
-                      void *arg);
-void amb_store_grant(struct amb_store *s, amb_ms ttl, amb_store_done fn, void *arg);
-void amb_store_extend(struct amb_store *s, uint64_t lease, amb_store_done fn, void *arg);
-void amb_store_drop(struct amb_store *s, uint64_t lease);
+void amb_store_commit(struct amb_store *store, struct amb_txn *transaction, enum amb_urgency u,
+                      amb_store_done fn, void *arg);
+void amb_store_grant(struct amb_store *store, amb_ms ttl, amb_store_done fn, void *arg);
+void amb_store_extend(struct amb_store *store, uint64_t lease, amb_store_done fn, void *arg);
+void amb_store_drop(struct amb_store *store, uint64_t lease);
 
 #endif
--- a/include/amberpin/placement/bin_packing.h
+++ b/include/amberpin/placement/bin_packing.h
@@ -41,15 +41,15 @@
 
 /* What is free on it; with soon, what is about to be, too. */
 struct amb_res amb_place_room(const struct amb_slot *slot, bool soon);
-bool amb_place_allowed(const struct amb_wish *wish, const struct amb_slot *slot);
+bool amb_place_allowed(const struct amb_wish *request, const struct amb_slot *slot);
 /* The parts of amb_place_pick's choice: may the job have tasks in the zone; is the slot allowed in any zone,
  * and has it the room; and how good it is. The best score wins, of equals the first slot. */
-bool amb_place_zone_allowed(const struct amb_wish *wish, int zone);
-bool amb_place_allowed_in_any_zone(const struct amb_wish *wish, const struct amb_slot *slot);
-bool amb_place_fits(const struct amb_wish *wish, const struct amb_slot *slot, bool soon);
-double amb_place_score(const struct amb_wish *wish, const struct amb_slot *slot, bool soon);
+bool amb_place_zone_allowed(const struct amb_wish *request, int zone);
+bool amb_place_allowed_in_any_zone(const struct amb_wish *request, const struct amb_slot *slot);
+bool amb_place_fits(const struct amb_wish *request, const struct amb_slot *slot, bool soon);
+double amb_place_score(const struct amb_wish *request, const struct amb_slot *slot, bool soon);
 /* Best of the slots that can take it, or -1. With soon, room that is about to come counts too. */
-int amb_place_pick(const struct amb_wish *wish, const struct amb_slot *slots, uint32_t count, bool soon);
+int amb_place_pick(const struct amb_wish *request, const struct amb_slot *slots, uint32_t count, bool soon);
 uint32_t amb_place_spread_most(uint32_t tasks);
 /* Tasks that are not proven absent from a machine whose zone is unknown: they may be in any. */
 uint32_t amb_job_tasks_in_unknown_zones(const struct amb_job *job);
--- a/include/amberpin/placement/slot_ranking.h
+++ b/include/amberpin/placement/slot_ranking.h
@@ -65,10 +65,10 @@
 void amb_slot_rankings_changed(struct amb_slot_rankings *rankings, uint32_t slot);
 /* Best of the slots that can take it, or -1, as amb_place_pick with all slots marked so. */
 int amb_slot_rankings_pick(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                           const struct amb_slot_marking *marking, const struct amb_wish *wish, bool soon);
+                           const struct amb_slot_marking *marking, const struct amb_wish *request, bool soon);
 /* The slot on which it costs least to make room, of equals the first; or -1. Its marks are made. */
 int amb_slot_rankings_cheapest(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                               const struct amb_slot_marking *marking, const struct amb_wish *wish,
+                               const struct amb_slot_marking *marking, const struct amb_wish *request,
                                const struct amb_slot_terms *terms);
 void amb_slot_rankings_free(struct amb_slot_rankings *rankings);
 
--- a/include/amberpin/placement/wdrr.h
+++ b/include/amberpin/placement/wdrr.h
@@ -28,8 +28,8 @@
 void amb_wdrr_prepare(struct amb_team *teams, uint32_t n,
                       bool by_gpus); /* weights, full buckets, no deficit */
 void amb_wdrr_refill(struct amb_team *teams, uint32_t n, double seconds);
-bool amb_wdrr_within_limit(const struct amb_team *t, const struct amb_res *need, double times);
-bool amb_wdrr_within_guarantee(const struct amb_team *t, const struct amb_res *need);
+bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_res *need, double times);
+bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_res *need);
 /* One round: turns are taken until nobody can be admitted. Returns how many were. */
 uint32_t amb_wdrr_round(struct amb_team *teams, uint32_t n, uint32_t first, const struct amb_wdrr_ops *ops);
 
--- a/include/amberpin/scheduler/capacity_plan.h
+++ b/include/amberpin/scheduler/capacity_plan.h
@@ -5,7 +5,7 @@
 
 #include "amberpin/scheduler/cycle.h"
 
-void amb_plan(struct amb_round *r);
-void amb_plan_demand(struct amb_node *n, struct amb_job *j); /* a job of its class has come */
+void amb_plan(struct amb_round *cycle);
+void amb_plan_demand(struct amb_node *node, struct amb_job *job); /* a job of its class has come */
 
 #endif
--- a/include/amberpin/zone_recovery/zone_recovery.h
+++ b/include/amberpin/zone_recovery/zone_recovery.h
@@ -44,7 +44,7 @@
 /* ---- settings (activation.c) ---- */
 
 /* Can the operators' settings be used? False: err names file and field, and what is allowed. */
-bool amb_zone_recovery_check(const struct amb_settings *set, const struct amb_options *options,
+bool amb_zone_recovery_check(const struct amb_settings *settings, const struct amb_options *options,
                              const char *file, char *err, size_t cap);
 bool amb_zone_recovery_on(const struct amb_node *node);
 /* Before the node serves. */
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -8,49 +8,49 @@
 #include <string.h>
 
 /* To a leader: what the report leads to, now or a little later. */
-static void answer_as_leader(struct amb_node *node, struct amb_http_req *req, const struct amb_report *report,
-                             struct amb_orders *orders) {
-    struct amb_machine *machine = amb_machine_get(node, report->machine, false);
-    bool news = machine && amb_report_is_news(report, machine);
+static void answer_as_leader(struct amb_node *node, struct amb_http_req *request,
+                             const struct amb_report *heartbeat, struct amb_orders *orders) {
+    struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, false);
+    bool news = machine && amb_report_is_news(heartbeat, machine);
     if (news) amb_answer_drop(node, machine); /* the worker no longer waits for that one */
     if (!amb_leads(node) ||
-        !amb_fleet_report(node, report, amb_now(), orders->list, orders->capacity, &orders->count))
-        amb_orders_redirect(node, req);
+        !amb_fleet_report(node, heartbeat, amb_now(), orders->list, orders->capacity, &orders->count))
+        amb_orders_redirect(node, request);
     else if (news && !orders->count && node->ctl.ready && machine->state == AMB_MACHINE_UP &&
              !machine->release_wanted)
-        amb_answer_hold(node, machine, req);
+        amb_answer_hold(node, machine, request);
     else
-        amb_orders_answer(req, node->election.term, orders);
+        amb_orders_answer(request, node->election.term, orders);
 }
 
-static void answer(struct amb_node *node, struct amb_http_req *req, const struct amb_report *report) {
+static void answer(struct amb_node *node, struct amb_http_req *request, const struct amb_report *heartbeat) {
     static struct amb_order list[AMB_ORDERS_MAX];
     struct amb_orders orders = {list, AMB_ORDERS_MAX, 0};
     if (amb_leads(node)) {
-        answer_as_leader(node, req, report, &orders);
-    } else if (amb_deputy_answers(node, report)) {
+        answer_as_leader(node, request, heartbeat, &orders);
+    } else if (amb_deputy_answers(node, heartbeat)) {
         /* The leader can't be reached from here, but the workers of this zone can be kept alive. */
-        amb_report_halt_cancelled(node, report, &orders);
-        amb_orders_answer(req, node->deputy.term, &orders);
+        amb_report_halt_cancelled(node, heartbeat, &orders);
+        amb_orders_answer(request, node->deputy.term, &orders);
     } else {
-        amb_orders_redirect(node, req);
+        amb_orders_redirect(node, request);
     }
 }
 
-bool amb_fleet_request(struct amb_node *node, struct amb_http_req *req) {
-    if (strcmp(req->path, "/hello")) return false;
-    if (strcmp(req->method, "POST")) {
-        amb_reply_cbor(req, 405, NULL, 0);
+bool amb_fleet_request(struct amb_node *node, struct amb_http_req *request) {
+    if (strcmp(request->path, "/hello")) return false;
+    if (strcmp(request->method, "POST")) {
+        amb_reply_cbor(request, 405, NULL, 0);
         return true;
     }
-    struct amb_report report;
-    if (amb_codec_read_report(req->body, req->body_len, &report) != AMB_PARSE_OK) {
-        amb_reply_cbor(req, 400, NULL, 0);
+    struct amb_report heartbeat;
+    if (amb_codec_read_report(request->body, request->body_len, &heartbeat) != AMB_PARSE_OK) {
+        amb_reply_cbor(request, 400, NULL, 0);
         return true;
     }
     node->fleet.last_report_at = amb_now();
-    amb_election_saw_term(node, report.token, report.machine);
-    answer(node, req, &report);
-    amb_report_free(&report);
+    amb_election_saw_term(node, heartbeat.token, heartbeat.machine);
+    answer(node, request, &heartbeat);
+    amb_report_free(&heartbeat);
     return true;
 }
--- a/lib/agent/heartbeats.c
+++ b/lib/agent/heartbeats.c
@@ -6,22 +6,22 @@
 
 #include <string.h>
 
-static struct amb_report_order order_of(const struct amb_report *report) {
-    return (struct amb_report_order){report->session, report->seq};
+static struct amb_report_order order_of(const struct amb_report *heartbeat) {
+    return (struct amb_report_order){heartbeat->session, heartbeat->seq};
 }
 
 static struct amb_report_order newest_seen(const struct amb_machine *machine) {
     return (struct amb_report_order){machine->session, machine->seq};
 }
 
-bool amb_report_is_news(const struct amb_report *report, const struct amb_machine *machine) {
-    return amb_report_newer(order_of(report), newest_seen(machine));
+bool amb_report_is_news(const struct amb_report *heartbeat, const struct amb_machine *machine) {
+    return amb_report_newer(order_of(heartbeat), newest_seen(machine));
 }
 
-void amb_report_halt_cancelled(struct amb_node *node, const struct amb_report *report,
+void amb_report_halt_cancelled(struct amb_node *node, const struct amb_report *heartbeat,
                                struct amb_orders *orders) {
-    for (size_t i = 0; i < report->ntasks; i++) {
-        const struct amb_seen *listed = &report->tasks[i];
+    for (size_t i = 0; i < heartbeat->ntasks; i++) {
+        const struct amb_seen *listed = &heartbeat->tasks[i];
         const struct amb_job *job = amb_job_find(node, listed->ref);
         if (listed->on != AMB_ON_EXITED && job && job->state == AMB_JOB_CANCELLED)
             amb_orders_add(orders, AMB_OP_HALT, listed->ref, listed->index, listed->attempt, 0);
@@ -57,10 +57,10 @@
 /* ---- the report ---- */
 
 static void learn_machine(struct amb_node *node, struct amb_machine *machine,
-                          const struct amb_report *report) {
-    amb_machine_learn_place(node, machine, report->type, report->zone);
-    machine->spot = report->spot;
-    strcpy(machine->addr, report->addr);
+                          const struct amb_report *heartbeat) {
+    amb_machine_learn_place(node, machine, heartbeat->type, heartbeat->zone);
+    machine->spot = heartbeat->spot;
+    strcpy(machine->addr, heartbeat->addr);
 }
 
 static void note_token(struct amb_machine *machine, bool proven) {
@@ -86,47 +86,47 @@
     }
 }
 
-static void read_report(struct amb_node *node, const struct amb_report *report, amb_ms now,
+static void read_report(struct amb_node *node, const struct amb_report *heartbeat, amb_ms now,
                         struct amb_orders *orders) {
-    struct amb_machine *machine = amb_machine_get(node, report->machine, true);
+    struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, true);
     if (!machine) return; /* gone: a late copy */
-    learn_machine(node, machine, report);
+    learn_machine(node, machine, heartbeat);
     /* Whoever asked gets an answer and may take it as a renewal: so the lease counts from now, even when
      * the report turns out to be a late copy. */
     machine->answered_at = now;
     struct amb_report_order before = newest_seen(machine);
-    if (!amb_report_is_news(report, machine)) {
+    if (!amb_report_is_news(heartbeat, machine)) {
         amb_debug("machine %s: late copy of report %llu/%llu", machine->name,
-                  (unsigned long long)report->session, (unsigned long long)report->seq);
+                  (unsigned long long)heartbeat->session, (unsigned long long)heartbeat->seq);
         return;
     }
-    machine->session = report->session;
-    machine->seq = report->seq;
+    machine->session = heartbeat->session;
+    machine->seq = heartbeat->seq;
     machine->reported_at = now;
     if (!node->ctl.loaded_at) { /* the records are still being read */
-        amb_report_halt_cancelled(node, report, orders);
+        amb_report_halt_cancelled(node, heartbeat, orders);
         return;
     }
-    bool proven = report->token == node->election.term;
+    bool proven = heartbeat->token == node->election.term;
     note_token(machine, proven);
     node->fleet.reports_read++;
-    const struct amb_report_evidence evidence = {.report = order_of(report),
+    const struct amb_report_evidence evidence = {.report = order_of(heartbeat),
                                                  .newest_seen = before,
-                                                 .report_term = report->token,
+                                                 .report_term = heartbeat->token,
                                                  .our_term = node->election.term};
     machine->keeps_result = false;
-    for (size_t i = 0; i < report->ntasks; i++)
-        amb_task_listed(node, machine, &report->tasks[i], evidence, orders);
+    for (size_t i = 0; i < heartbeat->ntasks; i++)
+        amb_task_listed(node, machine, &heartbeat->tasks[i], evidence, orders);
     if (proven) read_unlisted(node, machine, evidence, orders);
-    if (report->notice_s >= 0) notice(node, machine, report->notice_s, now);
+    if (heartbeat->notice_s >= 0) notice(node, machine, heartbeat->notice_s, now);
 }
 
-bool amb_fleet_report(struct amb_node *node, const struct amb_report *report, amb_ms now,
+bool amb_fleet_report(struct amb_node *node, const struct amb_report *heartbeat, amb_ms now,
                       struct amb_order *orders, size_t capacity, size_t *count) {
     struct amb_orders list = {orders, capacity, 0};
     *count = 0;
-    if (report->token > node->election.term) return false;
-    read_report(node, report, now, &list);
+    if (heartbeat->token > node->election.term) return false;
+    read_report(node, heartbeat, now, &list);
     *count = list.count;
     return true;
 }
--- a/lib/api/admission.c
+++ b/lib/api/admission.c
@@ -40,10 +40,10 @@
 
 /* The names may take half of the job's record as it may be once the limits are lowered, in which sizes are
  * counted as JSON: the rest of a description takes a few hundred bytes. */
-static bool fits_record(const struct amb_settings *set, const struct amb_awaits *awaits) {
+static bool fits_record(const struct amb_settings *settings, const struct amb_awaits *awaits) {
     size_t bytes = 0, quotes_and_comma = 3;
     for (uint32_t i = 0; i < awaits->count; i++) bytes += strlen(awaits->names[i]) + quotes_and_comma;
-    return (double)bytes <= amb_settings_lowered_limits(set).value_kb * 1024 / 2;
+    return (double)bytes <= amb_settings_lowered_limits(settings).value_kb * 1024 / 2;
 }
 
 enum amb_admission amb_record_admission(const struct amb_node *node, const struct amb_job *job) {
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -106,14 +106,14 @@
 static void write_job(struct user_request *request, const struct amb_job *job, enum amb_job_state state,
                       amb_store_done done) {
     char key[AMB_NAME + 16];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_job_key(key, sizeof key, request->ref);
     amb_job_value(&value, job, state);
-    amb_txn_guard(&txn, key, job->stamp);
-    amb_txn_put(&txn, key, &value, 0);
+    amb_txn_guard(&transaction, key, job->stamp);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&request->node->store, &txn, AMB_URGENT_USER, done, request);
+    amb_store_commit(&request->node->store, &transaction, AMB_URGENT_USER, done, request);
 }
 
 static void send_cancellation(struct user_request *request, struct amb_job *job) {
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -74,15 +74,15 @@
 /* Under the stamp that the key is known to have: of several copies of a write one is carried out at most, and
  * none once a later one stands there. */
 static void write_record(struct amb_node *node) {
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     put_value(&value, &node->rental);
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, KEY, node->rental.return_record.stamp);
-    amb_txn_put(&txn, KEY, &value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, KEY, node->rental.return_record.stamp);
+    amb_txn_put(&transaction, KEY, &value, 0);
     amb_buf_free(&value);
     set_state(node, AMB_RETURN_WRITING, "machines are to be returned");
-    amb_store_commit(&node->store, &txn, AMB_URGENT_FINAL, written, amb_cloud_call_new(node));
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, written, amb_cloud_call_new(node));
 }
 
 static void read_back(void *arg, int status, const cbor_item_t *body) {
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -119,7 +119,7 @@
 
 static void record(struct amb_node *node, struct amb_rental_request *request) {
     char key[80];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     snprintf(key, sizeof key, "%s%s", PREFIX, request->id);
     amb_w_map(&value, 4);
@@ -131,10 +131,10 @@
     amb_w_bool(&value, request->spot);
     amb_w_str(&value, "count");
     amb_w_uint(&value, request->count);
-    amb_guard_term(&txn, node);
-    amb_txn_put(&txn, key, &value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_PLACE, recorded, request_call(node, request));
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, recorded, request_call(node, request));
 }
 
 /* ---- what came of a request, whoever asked the cloud ---- */
@@ -234,11 +234,11 @@
 
 static void unrecord(struct amb_node *node, struct amb_rental_request *request) {
     char key[80];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     snprintf(key, sizeof key, "%s%s", PREFIX, request->id);
-    amb_guard_term(&txn, node);
-    amb_txn_remove(&txn, key);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_READ, unrecorded, request_call(node, request));
+    amb_guard_term(&transaction, node);
+    amb_txn_remove(&transaction, key);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_READ, unrecorded, request_call(node, request));
 }
 
 void amb_rental_load(struct amb_node *node, const char *key, const cbor_item_t *value) {
--- a/lib/cloud_duty/orders.c
+++ b/lib/cloud_duty/orders.c
@@ -23,7 +23,7 @@
 static void create(struct amb_node *node, enum amb_duty_name duty, const char *id,
                    const struct amb_duty_work *work, amb_store_done done) {
     char key[AMB_DUTY_KEY];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     struct amb_duty_order_record order = {.duty = duty, .state = AMB_DUTY_ORDER_WANTED};
     struct order_call *call = amb_alloc(sizeof *call);
@@ -32,11 +32,11 @@
     snprintf(call->id, sizeof call->id, "%s", id);
     amb_duty_order_key(key, duty, id);
     amb_duty_encode_order(&value, &order, work);
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, key, 0);
-    amb_txn_put(&txn, key, &value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, key, 0);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_PLACE, done, call);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, done, call);
 }
 
 /* The node, if it still leads under the term of the call; NULL: not. */
--- a/lib/cloud_duty/wiring.c
+++ b/lib/cloud_duty/wiring.c
@@ -195,15 +195,15 @@
 /* The same guards each time: of several copies one is carried out at most. */
 static void write_mode(struct amb_node *node, enum amb_duty_mode mode) {
     struct amb_duties *duties = &node->duties;
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_duty_encode_mode(&value, mode);
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, AMB_DUTY_MODE_KEY, duties->mode_stamp);
-    amb_txn_put(&txn, AMB_DUTY_MODE_KEY, &value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, AMB_DUTY_MODE_KEY, duties->mode_stamp);
+    amb_txn_put(&transaction, AMB_DUTY_MODE_KEY, &value, 0);
     amb_buf_free(&value);
     duties->mode_writing = duties->mode_busy = true;
-    amb_store_commit(&node->store, &txn, AMB_URGENT_FINAL, mode_written, node);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, mode_written, node);
 }
 
 static void tick_mode(struct amb_node *node, amb_ms now) {
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -32,37 +32,37 @@
     return amb_cbor_str(item, text, sizeof text) && parse_task_name(text, ref, index);
 }
 
-enum amb_parse amb_codec_report(const cbor_item_t *map, struct amb_report *report) {
-    memset(report, 0, sizeof *report);
+enum amb_parse amb_codec_report(const cbor_item_t *map, struct amb_report *heartbeat) {
+    memset(heartbeat, 0, sizeof *heartbeat);
     if (!map || !cbor_isa_map(map)) return AMB_PARSE_BAD;
-    if (!amb_field_name(map, "rig", report->machine) || !amb_field_name(map, "address", report->addr) ||
-        !amb_field_name(map, "hull", report->type) || !amb_field_name(map, "yard", report->zone) ||
-        !amb_cbor_bool(amb_cbor_get(map, "driftwood"), &report->spot) ||
-        !amb_cbor_uint(amb_cbor_get(map, "watch"), &report->session) ||
-        !amb_cbor_uint(amb_cbor_get(map, "tally"), &report->seq) ||
-        !amb_cbor_uint(amb_cbor_get(map, "baton"), &report->token))
+    if (!amb_field_name(map, "rig", heartbeat->machine) || !amb_field_name(map, "address", heartbeat->addr) ||
+        !amb_field_name(map, "hull", heartbeat->type) || !amb_field_name(map, "yard", heartbeat->zone) ||
+        !amb_cbor_bool(amb_cbor_get(map, "driftwood"), &heartbeat->spot) ||
+        !amb_cbor_uint(amb_cbor_get(map, "watch"), &heartbeat->session) ||
+        !amb_cbor_uint(amb_cbor_get(map, "tally"), &heartbeat->seq) ||
+        !amb_cbor_uint(amb_cbor_get(map, "baton"), &heartbeat->token))
         return AMB_PARSE_BAD;
-    report->notice_s = -1;
+    heartbeat->notice_s = -1;
     const cbor_item_t *notice = amb_cbor_get(map, "recall_s");
-    if (!amb_cbor_absent(notice) && !amb_cbor_num(notice, &report->notice_s)) return AMB_PARSE_BAD;
+    if (!amb_cbor_absent(notice) && !amb_cbor_num(notice, &heartbeat->notice_s)) return AMB_PARSE_BAD;
     const cbor_item_t *legs = amb_cbor_get(map, "legs");
     size_t count = amb_cbor_len(legs);
-    report->tasks = amb_alloc((count + 1) * sizeof *report->tasks);
+    heartbeat->tasks = amb_alloc((count + 1) * sizeof *heartbeat->tasks);
     for (size_t i = 0; i < count; i++) {
         const cbor_item_t *task = amb_cbor_at(legs, i);
-        struct amb_seen *seen = &report->tasks[report->ntasks];
+        struct amb_seen *seen = &heartbeat->tasks[heartbeat->ntasks];
         int on, why = AMB_WHY_NONE;
         if (!task_name(amb_cbor_get(task, "leg"), seen->ref, &seen->index) ||
             !amb_cbor_uint(amb_cbor_get(task, "try"), &seen->attempt) ||
             !amb_word_read(states, amb_cbor_get(task, "stance"), &on)) {
-            amb_report_free(report);
+            amb_report_free(heartbeat);
             return AMB_PARSE_BAD;
         }
         amb_word_read(reasons, amb_cbor_get(task, "cause"), &why);
         seen->on = (enum amb_on)on;
         seen->why = (enum amb_why)why;
         amb_cbor_bool(amb_cbor_get(task, "stored"), &seen->saved);
-        report->ntasks++;
+        heartbeat->ntasks++;
     }
     return AMB_PARSE_OK;
 }
@@ -186,8 +186,8 @@
     return parsed;
 }
 
-void amb_report_free(struct amb_report *report) {
-    free(report->tasks);
-    report->tasks = NULL;
-    report->ntasks = 0;
+void amb_report_free(struct amb_report *heartbeat) {
+    free(heartbeat->tasks);
+    heartbeat->tasks = NULL;
+    heartbeat->ntasks = 0;
 }
--- a/lib/config/options.c
+++ b/lib/config/options.c
@@ -119,7 +119,7 @@
     ((struct reader *)arg)->depth--;
 }
 
-bool amb_options_load(const char *path, struct amb_options *o, char *err, size_t cap) {
+bool amb_options_load(const char *path, struct amb_options *options, char *err, size_t cap) {
     FILE *f = fopen(path, "r");
     if (!f) {
         snprintf(err, cap, "%s: can't be opened", path);
@@ -128,7 +128,7 @@
     char text[64 * 1024];
     size_t n = fread(text, 1, sizeof text, f);
     fclose(f);
-    struct reader r = {XML_ParserCreate(NULL), o, path, err, cap, 0, false};
+    struct reader r = {XML_ParserCreate(NULL), options, path, err, cap, 0, false};
     XML_SetUserData(r.xml, &r);
     XML_SetElementHandler(r.xml, begin, end);
     if (XML_Parse(r.xml, text, (int)n, 1) != XML_STATUS_OK && !r.bad) {
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -136,27 +136,27 @@
     }
 }
 
-struct amb_team *amb_settings_team(struct amb_settings *s, const char *name) {
-    for (uint32_t i = 0; i < s->nteams; i++)
-        if (!strcmp(s->teams[i].name, name)) return &s->teams[i];
+struct amb_team *amb_settings_team(struct amb_settings *settings, const char *name) {
+    for (uint32_t i = 0; i < settings->nteams; i++)
+        if (!strcmp(settings->teams[i].name, name)) return &settings->teams[i];
     return NULL;
 }
 
 /* Reports every 4 s and starts that are aimed at within 10 s: planning every half report, a round a twentieth
  * and a tick a tenth of one later took 1 to 4 s of those 10 (fleet deployments). */
-double amb_settings_beat(const struct amb_settings *s) {
-    double beat = s->report_s;
-    for (uint32_t i = 0; i < s->nobjectives; i++)
-        if (!strcmp(s->objectives[i].kind, "wait") && s->objectives[i].within_s > 0)
-            beat = fmin(beat, s->objectives[i].within_s / 10);
-    return fmax(beat, s->report_s / 4); /* turns cost processor time */
+double amb_settings_beat(const struct amb_settings *settings) {
+    double beat = settings->report_s;
+    for (uint32_t i = 0; i < settings->nobjectives; i++)
+        if (!strcmp(settings->objectives[i].kind, "wait") && settings->objectives[i].within_s > 0)
+            beat = fmin(beat, settings->objectives[i].within_s / 10);
+    return fmax(beat, settings->report_s / 4); /* turns cost processor time */
 }
 
 /* A lease longer than what a cancellation allows for serves nobody while its holder is dead: with workers'
  * leases of 22 s nothing was placed for 6.6 s, of the 10 s in which some work is to start. */
-double amb_settings_lease_base(const struct amb_settings *s) {
-    double grace = s->cancel_s - s->lease_s;
-    return fmin(s->lease_s, grace > 0 ? grace / 2 : s->lease_s);
+double amb_settings_lease_base(const struct amb_settings *settings) {
+    double grace = settings->cancel_s - settings->lease_s;
+    return fmin(settings->lease_s, grace > 0 ? grace / 2 : settings->lease_s);
 }
 
 /* A limit that is not announced stays as it is. One that rises later is of no use to us: we would have to
@@ -165,21 +165,23 @@
     return announced > 0 ? fmin(now, announced) : now;
 }
 
-struct amb_state_limits amb_settings_lowered_limits(const struct amb_settings *s) {
-    return (struct amb_state_limits){.write_rps = lowered_limit(s->state_write_rps, s->state_next.write_rps),
-                                     .value_kb = lowered_limit(s->value_kb, s->state_next.value_kb),
-                                     .txn_ops = lowered_limit(s->txn_ops, s->state_next.txn_ops)};
+struct amb_state_limits amb_settings_lowered_limits(const struct amb_settings *settings) {
+    return (struct amb_state_limits){
+        .write_rps = lowered_limit(settings->state_write_rps, settings->state_next.write_rps),
+        .value_kb = lowered_limit(settings->value_kb, settings->state_next.value_kb),
+        .txn_ops = lowered_limit(settings->txn_ops, settings->state_next.txn_ops)};
 }
 
-bool amb_settings_load(const char *path, struct amb_settings *s, char *err, size_t cap) {
-    memset(s, 0, sizeof *s);
-    struct reader r = {.s = s, .file = path, .err = err, .cap = cap};
+bool amb_settings_load(const char *path, struct amb_settings *settings, char *err, size_t cap) {
+    memset(settings, 0, sizeof *settings);
+    struct reader r = {.s = settings, .file = path, .err = err, .cap = cap};
     if (amb_toml_read(path, visit, &r, err, cap) < 0) return false;
     for (size_t i = 0; i < FIELDS && !r.bad; i++)
         if (fields[i].required && !r.seen[i]) complain(&r, fields[i].path, "is missing");
-    for (uint32_t i = 0; i < s->npeers && !r.bad; i++)
-        if (!s->peers[i].member[0] || !s->peers[i].addr[0]) complain(&r, "others[]", "needs member and addr");
-    for (uint32_t i = 0; i < s->nteams && !r.bad; i++)
-        if (!s->teams[i].name[0]) complain(&r, "params.teams[]", "needs a name");
+    for (uint32_t i = 0; i < settings->npeers && !r.bad; i++)
+        if (!settings->peers[i].member[0] || !settings->peers[i].addr[0])
+            complain(&r, "others[]", "needs member and addr");
+    for (uint32_t i = 0; i < settings->nteams && !r.bad; i++)
+        if (!settings->teams[i].name[0]) complain(&r, "params.teams[]", "needs a name");
     return !r.bad;
 }
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -70,34 +70,34 @@
                            .type = AMB_DUTY_COMMITTED, .call = number, .result = AMB_CALL_REFUSED});
 }
 
-static void send(struct amb_duty_service *service, struct amb_txn *txn, enum amb_urgency urgency,
+static void send(struct amb_duty_service *service, struct amb_txn *transaction, enum amb_urgency urgency,
                  uint64_t number) {
-    service->ports.state.commit(service->ports.state.context, txn, urgency, committed,
+    service->ports.state.commit(service->ports.state.context, transaction, urgency, committed,
                                 duty_call_new(service, number));
 }
 
 static void put_member(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_duty_member_key(key, service->core.member);
     amb_duty_encode_member(&value, &action->member);
-    amb_txn_guard(&txn, key, action->guard_stamp);
-    amb_txn_put(&txn, key, &value, action->lease);
+    amb_txn_guard(&transaction, key, action->guard_stamp);
+    amb_txn_put(&transaction, key, &value, action->lease);
     amb_buf_free(&value);
-    send(service, &txn, AMB_URGENT_LEASE, action->call);
+    send(service, &transaction, AMB_URGENT_LEASE, action->call);
 }
 
-static void guard_member(struct amb_txn *txn, const char *member, uint64_t stamp) {
+static void guard_member(struct amb_txn *transaction, const char *member, uint64_t stamp) {
     char key[AMB_DUTY_KEY];
     amb_duty_member_key(key, member);
-    amb_txn_guard(txn, key, stamp);
+    amb_txn_guard(transaction, key, stamp);
 }
 
 /* A claim or a release. */
 static void commit_record(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     if (service->unknown_form[action->duty]) {
         refuse_commit(service, action->call);
@@ -105,26 +105,27 @@
     }
     amb_duty_record_key(key, action->duty);
     amb_duty_encode_record(&value, &action->record);
-    amb_txn_guard(&txn, key, action->guard_stamp);
+    amb_txn_guard(&transaction, key, action->guard_stamp);
     if (action->guard_member.member[0])
-        guard_member(&txn, action->guard_member.member, action->guard_member.stamp);
-    if (action->guard_self) guard_member(&txn, service->core.member, action->guard_self);
-    amb_txn_put(&txn, key, &value, 0);
+        guard_member(&transaction, action->guard_member.member, action->guard_member.stamp);
+    if (action->guard_self) guard_member(&transaction, service->core.member, action->guard_self);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    send(service, &txn, AMB_URGENT_LEASE, action->call);
+    send(service, &transaction, AMB_URGENT_LEASE, action->call);
 }
 
 /* Guards of every write of a holder: its claim, and the order as it was read. */
-static void guard_order(struct amb_txn *txn, const struct amb_duty_action *action, const char *order_key) {
+static void guard_order(struct amb_txn *transaction, const struct amb_duty_action *action,
+                        const char *order_key) {
     char key[AMB_DUTY_KEY];
     amb_duty_record_key(key, action->duty);
-    amb_txn_guard(txn, key, action->guard_stamp);
-    amb_txn_guard(txn, order_key, action->order.stamp);
+    amb_txn_guard(transaction, key, action->guard_stamp);
+    amb_txn_guard(transaction, order_key, action->order.stamp);
 }
 
 static void commit_order(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_duty_order_key(key, action->order.duty, action->order.id);
     const struct amb_duty_order_entry *entry = duty_entry_find(service, key);
@@ -139,24 +140,24 @@
         work.machines = entry->rented.machines;
     }
     amb_duty_encode_order(&value, &action->order, &work);
-    guard_order(&txn, action, key);
+    guard_order(&transaction, action, key);
     AMB_TRACE3(duty_order, action->order.id, action->order.state, action->order.token);
-    amb_txn_put(&txn, key, &value, 0);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    send(service, &txn, AMB_URGENT_PLACE, action->call);
+    send(service, &transaction, AMB_URGENT_PLACE, action->call);
 }
 
 static void remove_order(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     if (service->unknown_form[action->duty]) {
         refuse_commit(service, action->call);
         return;
     }
     amb_duty_order_key(key, action->order.duty, action->order.id);
-    guard_order(&txn, action, key);
-    amb_txn_remove(&txn, key);
-    send(service, &txn, AMB_URGENT_READ, action->call);
+    guard_order(&transaction, action, key);
+    amb_txn_remove(&transaction, key);
+    send(service, &transaction, AMB_URGENT_READ, action->call);
 }
 
 /* ---- the cloud ---- */
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -94,65 +94,65 @@
     return said;
 }
 
-static void answer_status(const struct amb_node *node, struct amb_http_req *req) {
+static void answer_status(const struct amb_node *node, struct amb_http_req *request) {
     json_t *said = describe(node);
     char *text = json_dumps(said, JSON_INDENT(1));
     json_decref(said);
-    amb_http_reply(req, 200, "application/json", text, strlen(text), 0);
+    amb_http_reply(request, 200, "application/json", text, strlen(text), 0);
     free(text);
 }
 
 /* ---- a handover that is asked for ---- */
 
-static void answer_error(struct amb_http_req *req, int status, const char *what) {
+static void answer_error(struct amb_http_req *request, int status, const char *what) {
     json_t *said = json_pack("{s:s}", "error", what);
     char *text = json_dumps(said, JSON_COMPACT);
     json_decref(said);
-    amb_http_reply(req, status, "application/json", text, strlen(text), status == 503 ? 1 : 0);
+    amb_http_reply(request, status, "application/json", text, strlen(text), status == 503 ? 1 : 0);
     free(text);
 }
 
 static void wish_written(void *arg, int status, const cbor_item_t *body) {
-    struct amb_http_req *req = arg;
+    struct amb_http_req *request = arg;
     (void)body;
     if (status == 200)
-        amb_http_reply(req, 200, "application/json", "{}", 2, 0);
+        amb_http_reply(request, 200, "application/json", "{}", 2, 0);
     else
-        answer_error(req, 503, "the state service did not take it");
+        answer_error(request, 503, "the state service did not take it");
 }
 
-static void ask_handover(struct amb_node *node, struct amb_http_req *req) {
+static void ask_handover(struct amb_node *node, struct amb_http_req *request) {
     enum amb_duty_name duty;
     struct amb_duty_handover wish = {{0}};
-    json_t *body = json_loadb(req->body, req->body_len, 0, NULL);
+    json_t *body = json_loadb(request->body, request->body_len, 0, NULL);
     const char *name = json_string_value(json_object_get(body, "duty"));
     const char *to = json_string_value(json_object_get(body, "to"));
     bool good = name && amb_duty_name_parse(name, &duty) && (!to || strlen(to) < AMB_NAME);
     if (good && to) strcpy(wish.successor, to);
     json_decref(body);
     if (!good) {
-        answer_error(req, 400, "duty must be rent, return, reclaim or cleanup; to: a member, or nothing");
+        answer_error(request, 400, "duty must be rent, return, reclaim or cleanup; to: a member, or nothing");
         return;
     }
     if (!node->duties.service.active) {
-        answer_error(req, 409, "duties are not in use");
+        answer_error(request, 409, "duties are not in use");
         return;
     }
     char key[AMB_DUTY_KEY];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_duty_handover_key(key, duty);
     amb_duty_encode_handover(&value, &wish);
-    amb_txn_put(&txn, key, &value, 0);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_FINAL, wish_written, req);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, wish_written, request);
 }
 
-bool amb_duties_request(struct amb_node *node, struct amb_http_req *req) {
-    if (!strcmp(req->path, "/duties") && !strcmp(req->method, "GET"))
-        answer_status(node, req);
-    else if (!strcmp(req->path, "/duties/handover") && !strcmp(req->method, "POST"))
-        ask_handover(node, req);
+bool amb_duties_request(struct amb_node *node, struct amb_http_req *request) {
+    if (!strcmp(request->path, "/duties") && !strcmp(request->method, "GET"))
+        answer_status(node, request);
+    else if (!strcmp(request->path, "/duties/handover") && !strcmp(request->method, "POST"))
+        ask_handover(node, request);
     else
         return false;
     return true;
--- a/lib/duty/store_adapter.c
+++ b/lib/duty/store_adapter.c
@@ -16,9 +16,9 @@
     amb_store_list(context, prefix, after, done, arg);
 }
 
-static void commit(void *context, struct amb_txn *txn, enum amb_urgency urgency, amb_store_done done,
+static void commit(void *context, struct amb_txn *transaction, enum amb_urgency urgency, amb_store_done done,
                    void *arg) {
-    amb_store_commit(context, txn, urgency, done, arg);
+    amb_store_commit(context, transaction, urgency, done, arg);
 }
 
 struct amb_duty_state_service amb_duty_state_service_by_store(struct amb_store *store) {
--- a/lib/election/format_version.c
+++ b/lib/election/format_version.c
@@ -69,17 +69,17 @@
 }
 
 static void write_key(struct amb_node *node) {
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_w_map(&value, 1);
     amb_w_str(&value, "format");
     amb_w_uint(&value, AMB_FORMAT_LATEST);
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, FORMAT_KEY, 0);
-    amb_txn_put(&txn, FORMAT_KEY, &value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, FORMAT_KEY, 0);
+    amb_txn_put(&transaction, FORMAT_KEY, &value, 0);
     amb_buf_free(&value);
     node->formats.writing = true;
-    amb_store_commit(&node->store, &txn, AMB_URGENT_FINAL, key_written, node);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, key_written, node);
 }
 
 void amb_format_tick(struct amb_node *node, amb_ms now) {
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -52,18 +52,18 @@
         return;
     }
     char key[AMB_NAME + 16];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     snprintf(key, sizeof key, "a/deputy/%s", node->set.member);
-    amb_txn_guard(&txn, AMB_LEADER_KEY, deputy->term);
+    amb_txn_guard(&transaction, AMB_LEADER_KEY, deputy->term);
     amb_w_map(&value, 2);
     amb_w_str(&value, "zone");
     amb_w_str(&value, node->set.zone);
     amb_w_str(&value, "term");
     amb_w_uint(&value, deputy->term);
-    amb_txn_put(&txn, key, &value, deputy->lease);
+    amb_txn_put(&transaction, key, &value, deputy->lease);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_LEASE, written, node);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_LEASE, written, node);
 }
 
 static void renewed(void *arg, int status, const cbor_item_t *body) {
@@ -124,10 +124,10 @@
     }
 }
 
-bool amb_deputy_answers(const struct amb_node *node, const struct amb_report *report) {
+bool amb_deputy_answers(const struct amb_node *node, const struct amb_report *heartbeat) {
     return node->deputy.state == AMB_DEPUTY_ACTIVE && sure(node, amb_now()) &&
-           node->election.highest <= node->deputy.term && !strcmp(report->zone, node->set.zone) &&
-           report->token <= node->deputy.term;
+           node->election.highest <= node->deputy.term && !strcmp(heartbeat->zone, node->set.zone) &&
+           heartbeat->token <= node->deputy.term;
 }
 
 /* The keys are listed anew: what is not among them has gone, unnoticed. */
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -13,12 +13,12 @@
 void amb_orders_add(struct amb_orders *orders, enum amb_op op, const char *ref, uint32_t index,
                     uint64_t attempt, double grace_s) {
     if (orders->count == orders->capacity) return;
-    struct amb_order *order = &orders->list[orders->count++];
-    order->op = op;
-    strcpy(order->ref, ref);
-    order->index = index;
-    order->attempt = attempt;
-    order->grace_s = grace_s;
+    struct amb_order *command = &orders->list[orders->count++];
+    command->op = op;
+    strcpy(command->ref, ref);
+    command->index = index;
+    command->attempt = attempt;
+    command->grace_s = grace_s;
 }
 
 bool amb_gang_recorded(const struct amb_job *job) {
@@ -43,29 +43,29 @@
 
 /* ---- answers to reports ---- */
 
-void amb_orders_answer(struct amb_http_req *req, uint64_t term, const struct amb_orders *orders) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "baton");
-    amb_w_uint(&b, term);
-    amb_w_str(&b, "orders");
-    amb_codec_put_orders(&b, orders->list, orders->count);
-    amb_reply_cbor(req, 200, &b, 0);
+void amb_orders_answer(struct amb_http_req *request, uint64_t term, const struct amb_orders *orders) {
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "baton");
+    amb_w_uint(&buffer, term);
+    amb_w_str(&buffer, "orders");
+    amb_codec_put_orders(&buffer, orders->list, orders->count);
+    amb_reply_cbor(request, 200, &buffer, 0);
 }
 
-void amb_orders_redirect(struct amb_node *node, struct amb_http_req *req) {
+void amb_orders_redirect(struct amb_node *node, struct amb_http_req *request) {
     const char *leader = amb_leader_name(node);
     if (node->election.role == AMB_ROLE_FENCED) {
-        amb_reply_cbor(req, 503, NULL, 1);
+        amb_reply_cbor(request, 503, NULL, 1);
         return;
     }
-    struct amb_buf b = {0};
-    amb_w_map(&b, leader ? 1 : 0);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, leader ? 1 : 0);
     if (leader) {
-        amb_w_str(&b, "harbour");
-        amb_w_str(&b, leader);
+        amb_w_str(&buffer, "harbour");
+        amb_w_str(&buffer, leader);
     }
-    amb_reply_cbor(req, 421, &b, 0);
+    amb_reply_cbor(request, 421, &buffer, 0);
 }
 
 /* ---- /commands ---- */
@@ -77,17 +77,17 @@
 
 void amb_orders_command(struct amb_node *node, const struct amb_machine *machine, uint64_t session,
                         const struct amb_orders *orders) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 3);
-    amb_w_str(&b, "baton");
-    amb_w_uint(&b, node->election.term);
-    amb_w_str(&b, "watch");
-    amb_w_uint(&b, session);
-    amb_w_str(&b, "orders");
-    amb_codec_put_orders(&b, orders->list, orders->count);
-    amb_http_call(machine->addr, "POST", "/commands", "application/cbor", b.data, b.len,
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 3);
+    amb_w_str(&buffer, "baton");
+    amb_w_uint(&buffer, node->election.term);
+    amb_w_str(&buffer, "watch");
+    amb_w_uint(&buffer, session);
+    amb_w_str(&buffer, "orders");
+    amb_codec_put_orders(&buffer, orders->list, orders->count);
+    amb_http_call(machine->addr, "POST", "/commands", "application/cbor", buffer.data, buffer.len,
                   amb_secs(node->set.report_s), commanded, NULL);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 /* A late stop does no harm: it names an attempt that was to stop anyway. (Starts only ever go out in
--- a/lib/fleet/deferred_responses.c
+++ b/lib/fleet/deferred_responses.c
@@ -25,13 +25,13 @@
 
 void amb_answer_drop(struct amb_node *node, struct amb_machine *machine) {
     if (!machine->held) return;
-    struct amb_http_req *req = machine->held->req;
+    struct amb_http_req *request = machine->held->req;
     end_hold(machine);
     if (amb_leads(node)) {
         machine->answered_at = amb_now();
-        amb_orders_answer(req, node->election.term, &(struct amb_orders){0});
+        amb_orders_answer(request, node->election.term, &(struct amb_orders){0});
     } else {
-        amb_orders_redirect(node, req);
+        amb_orders_redirect(node, request);
     }
 }
 
@@ -45,9 +45,9 @@
     struct amb_held *held = arg;
     struct amb_node *node = held->node;
     struct amb_machine *machine = held->machine;
-    struct amb_http_req *req = held->req;
+    struct amb_http_req *request = held->req;
     struct amb_orders orders = {list, AMB_ORDERS_MAX, 0};
-    if (!amb_leads(node) || !req->conn) { /* nobody would hear an order */
+    if (!amb_leads(node) || !request->conn) { /* nobody would hear an order */
         amb_answer_drop(node, machine);
         return;
     }
@@ -55,16 +55,16 @@
     machine->answered_at = amb_now();
     for (struct amb_task *task = machine->tasks; task; task = task->next)
         if (starts_in_held_answer(task)) amb_orders_add_start(node, task, &orders);
-    amb_orders_answer(req, node->election.term, &orders);
+    amb_orders_answer(request, node->election.term, &orders);
 }
 
-void amb_answer_hold(struct amb_node *node, struct amb_machine *machine, struct amb_http_req *req) {
+void amb_answer_hold(struct amb_node *node, struct amb_machine *machine, struct amb_http_req *request) {
     struct amb_held *held = amb_alloc(sizeof *held);
     held->node = node;
     held->machine = machine;
-    held->req = req;
+    held->req = request;
     machine->held = held;
-    req->kept = true;
+    request->kept = true;
     double report_s = node->set.report_s;
     amb_timer_in(&held->timer, amb_secs(HOLD_SHARE * (report_s < DROPPED_S ? report_s : DROPPED_S)),
                  answer_held, held);
--- a/lib/http/http.c
+++ b/lib/http/http.c
@@ -274,21 +274,21 @@
             conn_flush(conn);
             return;
         }
-        struct amb_http_req *req = amb_alloc(sizeof *req);
-        req->conn = conn;
-        conn->req = req;
-        if (amb_log_on(AMB_DEBUG)) req->arrived_at = amb_now();
+        struct amb_http_req *request = amb_alloc(sizeof *request);
+        request->conn = conn;
+        conn->req = request;
+        if (amb_log_on(AMB_DEBUG)) request->arrived_at = amb_now();
         conn->close_after = msg.close;
-        memcpy(req->method, msg.method, sizeof req->method);
-        size_t path_len = msg.path_len < sizeof req->path ? msg.path_len : sizeof req->path - 1;
-        memcpy(req->path, msg.path, path_len);
-        req->body = amb_alloc(msg.body_len + 1);
-        memcpy(req->body, conn->in.data + msg.body_at, msg.body_len);
-        req->body_len = msg.body_len;
+        memcpy(request->method, msg.method, sizeof request->method);
+        size_t path_len = msg.path_len < sizeof request->path ? msg.path_len : sizeof request->path - 1;
+        memcpy(request->path, msg.path, path_len);
+        request->body = amb_alloc(msg.body_len + 1);
+        memcpy(request->body, conn->in.data + msg.body_at, msg.body_len);
+        request->body_len = msg.body_len;
         amb_buf_drop(&conn->in, (size_t)taken);
         if (!conn->in.len) amb_buf_free(&conn->in); /* hundreds of idle connections must not hold buffers */
         conn_state(conn, CONN_ANSWERING);
-        conn->server->fn(conn->server->arg, req);
+        conn->server->fn(conn->server->arg, request);
         return; /* the reply goes on with what is left in the input */
     }
 }
@@ -310,17 +310,17 @@
 }
 
 /* bench/waits.c reads these lines. */
-static void log_answer(const struct amb_http_req *req, int status) {
-    amb_debug("request %s %s: %d after %lld ms%s", req->method, req->path, status,
-              (long long)(amb_now() - req->arrived_at), req->kept ? ", kept" : "");
+static void log_answer(const struct amb_http_req *request, int status) {
+    amb_debug("request %s %s: %d after %lld ms%s", request->method, request->path, status,
+              (long long)(amb_now() - request->arrived_at), request->kept ? ", kept" : "");
 }
 
-void amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body, size_t len,
+void amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body, size_t len,
                     int retry_after_s) {
-    struct amb_conn *conn = req->conn;
-    if (amb_log_on(AMB_DEBUG)) log_answer(req, status);
-    free(req->body);
-    free(req);
+    struct amb_conn *conn = request->conn;
+    if (amb_log_on(AMB_DEBUG)) log_answer(request, status);
+    free(request->body);
+    free(request);
     if (!conn) return;
     conn->req = NULL;
     conn_answer(conn, status, type, body, len, retry_after_s);
--- a/lib/job/jobs.c
+++ b/lib/job/jobs.c
@@ -20,25 +20,25 @@
     return job;
 }
 
-void amb_job_value(struct amb_buf *b, const struct amb_job *job, enum amb_job_state state) {
+void amb_job_value(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state) {
     bool brief = state == AMB_JOB_DONE; /* a job that is done needs no description any more */
-    amb_w_map(b, brief ? 2 : 2u + (state == AMB_JOB_CANCELLED) + (job->spec != NULL));
-    amb_w_str(b, "s");
-    amb_w_str(b, amb_codec_job_state(state, false));
+    amb_w_map(buffer, brief ? 2 : 2u + (state == AMB_JOB_CANCELLED) + (job->spec != NULL));
+    amb_w_str(buffer, "s");
+    amb_w_str(buffer, amb_codec_job_state(state, false));
     if (brief) {
-        amb_w_str(b, "n");
-        amb_w_uint(b, job->spec ? job->spec->tasks : job->ndone);
+        amb_w_str(buffer, "n");
+        amb_w_uint(buffer, job->spec ? job->spec->tasks : job->ndone);
         return;
     }
-    amb_w_str(b, "a");
-    amb_w_uint(b, (uint64_t)job->accepted_wall);
+    amb_w_str(buffer, "a");
+    amb_w_uint(buffer, (uint64_t)job->accepted_wall);
     if (state == AMB_JOB_CANCELLED) {
-        amb_w_str(b, "c");
-        amb_w_uint(b, (uint64_t)job->cancelled_wall);
+        amb_w_str(buffer, "c");
+        amb_w_uint(buffer, (uint64_t)job->cancelled_wall);
     }
     if (!job->spec) return; /* its record could not be read */
-    amb_w_str(b, "d");
-    amb_codec_put_job(b, job->spec, job->awaits);
+    amb_w_str(buffer, "d");
+    amb_codec_put_job(buffer, job->spec, job->awaits);
 }
 
 /* Tasks that can't have been started are taken off their machines, all others are told to stop. */
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -10,8 +10,8 @@
     amb_layout_key(out, block->job->ref, block->id);
 }
 
-uint32_t amb_record_tasks_per_block(const struct amb_settings *set) {
-    return amb_layout_tasks_per_block(AMB_LAYOUT_BY_SETTINGS, set->value_kb);
+uint32_t amb_record_tasks_per_block(const struct amb_settings *settings) {
+    return amb_layout_tasks_per_block(AMB_LAYOUT_BY_SETTINGS, settings->value_kb);
 }
 
 /* What is written from now on. Before the second format is in use, exactly what a process of the first one
--- a/lib/kvstore/client.c
+++ b/lib/kvstore/client.c
@@ -34,33 +34,33 @@
 
 /* ---- transactions ---- */
 
-void amb_txn_guard(struct amb_txn *t, const char *key, uint64_t stamp) {
-    amb_w_map(&t->guards, 2);
-    amb_w_str(&t->guards, "path");
-    amb_w_str(&t->guards, key);
-    amb_w_str(&t->guards, "stamp");
-    amb_w_uint(&t->guards, stamp);
-    t->nguards++;
-}
-
-void amb_txn_put(struct amb_txn *t, const char *key, const struct amb_buf *value, uint64_t lease) {
-    amb_w_map(&t->then, lease ? 3 : 2);
-    amb_w_str(&t->then, "put");
-    amb_w_str(&t->then, key);
-    amb_w_str(&t->then, "value");
-    amb_buf_add(&t->then, value->data, value->len);
+void amb_txn_guard(struct amb_txn *transaction, const char *key, uint64_t stamp) {
+    amb_w_map(&transaction->guards, 2);
+    amb_w_str(&transaction->guards, "path");
+    amb_w_str(&transaction->guards, key);
+    amb_w_str(&transaction->guards, "stamp");
+    amb_w_uint(&transaction->guards, stamp);
+    transaction->nguards++;
+}
+
+void amb_txn_put(struct amb_txn *transaction, const char *key, const struct amb_buf *value, uint64_t lease) {
+    amb_w_map(&transaction->then, lease ? 3 : 2);
+    amb_w_str(&transaction->then, "put");
+    amb_w_str(&transaction->then, key);
+    amb_w_str(&transaction->then, "value");
+    amb_buf_add(&transaction->then, value->data, value->len);
     if (lease) {
-        amb_w_str(&t->then, "tenure");
-        amb_w_uint(&t->then, lease);
+        amb_w_str(&transaction->then, "tenure");
+        amb_w_uint(&transaction->then, lease);
     }
-    t->nops++;
+    transaction->nops++;
 }
 
-void amb_txn_remove(struct amb_txn *t, const char *key) {
-    amb_w_map(&t->then, 1);
-    amb_w_str(&t->then, "remove");
-    amb_w_str(&t->then, key);
-    t->nops++;
+void amb_txn_remove(struct amb_txn *transaction, const char *key) {
+    amb_w_map(&transaction->then, 1);
+    amb_w_str(&transaction->then, "remove");
+    amb_w_str(&transaction->then, key);
+    transaction->nops++;
 }
 
 /* ---- budget ---- */
@@ -108,17 +108,17 @@
 /* The answer to a call that follows changes has no bound but this node's: who asked must know. */
 static void op_done(void *arg, int status, const char *body, size_t len) {
     struct amb_store_op *op = arg;
-    struct amb_store *s = op->store;
+    struct amb_store *store = op->store;
     amb_ms now = amb_now();
-    if (status == 429) s->held_until = now + s->call_timeout / 4;
-    if (status == 429 && op->writes) amb_store_limits_lowered(s, "too many changes");
+    if (status == 429) store->held_until = now + store->call_timeout / 4;
+    if (status == 429 && op->writes) amb_store_limits_lowered(store, "too many changes");
     if (status == 0 || status == 503)
-        s->failed_at = now;
+        store->failed_at = now;
     else if (status != 429)
-        s->ok_at = now;
+        store->ok_at = now;
     if (op->urgency == AMB_URGENT_USER) {
-        s->user_pending -= op->writes;
-        if (status != 200) s->user_writes.tokens -= op->writes; /* no news will tell of it */
+        store->user_pending -= op->writes;
+        if (status != 200) store->user_writes.tokens -= op->writes; /* no news will tell of it */
     }
     if (status == AMB_HTTP_ANSWER_TOO_LONG && !op->bytes_fn) status = 0; /* what it said is not known */
     if (op->bytes_fn)
@@ -129,46 +129,47 @@
 }
 
 static void op_send(struct amb_store_op *op) {
-    struct amb_store *s = op->store;
-    s->requests.tokens -= 1;
+    struct amb_store *store = op->store;
+    store->requests.tokens -= 1;
     if (op->urgency == AMB_URGENT_USER)
-        s->user_pending += op->writes;
+        store->user_pending += op->writes;
     else
-        s->writes.tokens -= op->writes;
-    amb_http_call(s->addr, op->method, op->path, "application/cbor", op->body.data, op->body.len, op->timeout,
-                  op_done, op);
+        store->writes.tokens -= op->writes;
+    amb_http_call(store->addr, op->method, op->path, "application/cbor", op->body.data, op->body.len,
+                  op->timeout, op_done, op);
 }
 
 /* Users come to one node after another, in bursts. Were their half of the writes parted among the nodes, one
  * submission would use up a small share and the next be refused while the others' tokens lie unused. All
  * nodes follow all jobs, so each can count what the others write and draw on the whole. */
-static amb_ms user_wait(const struct amb_store *s, uint32_t n, double keep) {
-    return n ? amb_budget_wait(&s->user_writes, s->user_pending + n + keep * s->user_writes.rate) : 0;
+static amb_ms user_wait(const struct amb_store *store, uint32_t n, double keep) {
+    return n ? amb_budget_wait(&store->user_writes, store->user_pending + n + keep * store->user_writes.rate)
+             : 0;
 }
 
-void amb_store_user_wrote(struct amb_store *s) {
-    amb_budget_refill(&s->user_writes, amb_now());
+void amb_store_user_wrote(struct amb_store *store) {
+    amb_budget_refill(&store->user_writes, amb_now());
     /* Seen late, many at a time, they were spread over the time before: no more than one bucket of debt. */
-    s->user_writes.tokens = fmax(s->user_writes.tokens - 1, -s->user_writes.rate);
+    store->user_writes.tokens = fmax(store->user_writes.tokens - 1, -store->user_writes.rate);
 }
 
-void amb_store_lent(struct amb_store *s, double tokens) {
-    amb_budget_refill(&s->user_writes, amb_now());
-    double most = s->user_writes.rate;
-    s->user_writes.tokens = fmax(-most, fmin(s->user_writes.tokens + tokens, most));
+void amb_store_lent(struct amb_store *store, double tokens) {
+    amb_budget_refill(&store->user_writes, amb_now());
+    double most = store->user_writes.rate;
+    store->user_writes.tokens = fmax(-most, fmin(store->user_writes.tokens + tokens, most));
 }
 
-static void refill(struct amb_store *s) {
+static void refill(struct amb_store *store) {
     amb_ms now = amb_now();
-    amb_budget_refill(&s->requests, now);
-    amb_budget_refill(&s->writes, now);
-    amb_budget_refill(&s->user_writes, now);
+    amb_budget_refill(&store->requests, now);
+    amb_budget_refill(&store->writes, now);
+    amb_budget_refill(&store->user_writes, now);
 }
 
 /* Does a write of the leader's half wait for tokens? */
-static bool own_writes_wait(const struct amb_store *s) {
+static bool own_writes_wait(const struct amb_store *store) {
     for (int u = AMB_URGENT_FINAL; u < AMB_URGENCIES; u++)
-        for (const struct amb_store_op *op = s->queue[u]; op; op = op->next)
+        for (const struct amb_store_op *op = store->queue[u]; op; op = op->next)
             if (op->writes) return true;
     return false;
 }
@@ -176,9 +177,10 @@
 /* What the leader's half may take of the users', which keep most of a bucket for a burst. */
 static const double USERS_KEEP = 0.7;
 
-static double borrowable(const struct amb_store *s, double users) {
-    if (!own_writes_wait(s)) return 0;
-    double most = fmin(users - s->user_writes.rate * USERS_KEEP, s->writes.rate - s->writes.tokens);
+static double borrowable(const struct amb_store *store, double users) {
+    if (!own_writes_wait(store)) return 0;
+    double most =
+        fmin(users - store->user_writes.rate * USERS_KEEP, store->writes.rate - store->writes.tokens);
     return most < 1 ? 0 : floor(most);
 }
 
@@ -186,15 +188,15 @@
  * record: with their own half alone the first services were accepted up to 9 s late. When many small jobs
  * come and end, the leader has three records to write for each and users one: with its own half alone starts,
  * or ends, came a minute late. */
-double amb_store_lend(struct amb_store *s) {
-    refill(s);
-    double users = s->user_writes.tokens - s->user_pending;
-    double spare = fmin(s->writes.tokens - s->writes.rate / 2, s->user_writes.rate - users);
-    double lend = spare >= 1 ? floor(spare) : -borrowable(s, users);
+double amb_store_lend(struct amb_store *store) {
+    refill(store);
+    double users = store->user_writes.tokens - store->user_pending;
+    double spare = fmin(store->writes.tokens - store->writes.rate / 2, store->user_writes.rate - users);
+    double lend = spare >= 1 ? floor(spare) : -borrowable(store, users);
     if (lend == 0) return 0;
-    s->writes.tokens -= lend;
-    amb_store_lent(s, lend);
-    pump(s);
+    store->writes.tokens -= lend;
+    amb_store_lent(store, lend);
+    pump(store);
     return lend;
 }
 
@@ -203,54 +205,54 @@
  * times as often, a follower had no request left for one submission in three.) */
 static const double NEWS_LEAVE = 0.25;
 
-static amb_ms request_wait(const struct amb_store *s, const struct amb_store_op *op) {
-    double left = op->urgency == AMB_URGENT_NEWS ? s->requests.rate * NEWS_LEAVE : 0;
-    return amb_budget_wait(&s->requests, 1 + left);
+static amb_ms request_wait(const struct amb_store *store, const struct amb_store_op *op) {
+    double left = op->urgency == AMB_URGENT_NEWS ? store->requests.rate * NEWS_LEAVE : 0;
+    return amb_budget_wait(&store->requests, 1 + left);
 }
 
 /* How long until there are tokens for the operation. */
-static amb_ms token_wait(const struct amb_store *s, const struct amb_store_op *op, amb_ms now) {
+static amb_ms token_wait(const struct amb_store *store, const struct amb_store_op *op, amb_ms now) {
     if (op->urgency == AMB_URGENT_LEASE) return 0; /* keeping the leadership never waits for tokens */
-    amb_ms request = request_wait(s, op);
-    amb_ms write = op->urgency == AMB_URGENT_USER ? user_wait(s, op->writes, 0)
-                   : op->writes                   ? amb_budget_wait(&s->writes, op->writes)
+    amb_ms request = request_wait(store, op);
+    amb_ms write = op->urgency == AMB_URGENT_USER ? user_wait(store, op->writes, 0)
+                   : op->writes                   ? amb_budget_wait(&store->writes, op->writes)
                                                   : 0;
     amb_ms wait = request > write ? request : write;
-    return s->held_until - now > wait ? s->held_until - now : wait;
+    return store->held_until - now > wait ? store->held_until - now : wait;
 }
 
 static void pump(void *arg) {
-    struct amb_store *s = arg;
+    struct amb_store *store = arg;
     amb_ms now = amb_now();
-    refill(s);
+    refill(store);
     amb_ms next = 0;
     bool write_waits = false; /* a more urgent write of our own half does */
     for (int u = 0; u < AMB_URGENCIES; u++) {
-        while (s->queue[u]) {
-            struct amb_store_op *op = s->queue[u];
+        while (store->queue[u]) {
+            struct amb_store_op *op = store->queue[u];
             /* Else small writes would take each token as it comes, and a larger one never find enough: jobs
              * that had ended were called done minutes late while placements went on. */
             if (write_waits && op->writes) break;
-            amb_ms wait = token_wait(s, op, now);
+            amb_ms wait = token_wait(store, op, now);
             if (wait > 0) {
                 if (!next || wait < next) next = wait;
                 if (op->writes && u != AMB_URGENT_USER) write_waits = true;
                 break; /* in order within a class; a read may pass a write that waits */
             }
-            s->queue[u] = op->next;
-            if (!op->next) s->tail[u] = NULL;
+            store->queue[u] = op->next;
+            if (!op->next) store->tail[u] = NULL;
             op_send(op);
         }
     }
-    if (next) amb_timer_in(&s->pump, next, pump, s);
+    if (next) amb_timer_in(&store->pump, next, pump, store);
 }
 
-static struct amb_store_op *op_new(struct amb_store *s, const char *method, enum amb_urgency u,
+static struct amb_store_op *op_new(struct amb_store *store, const char *method, enum amb_urgency u,
                                    amb_store_done fn, void *arg) {
     struct amb_store_op *op = amb_alloc(sizeof *op);
-    op->store = s;
+    op->store = store;
     snprintf(op->method, sizeof op->method, "%s", method);
-    op->timeout = s->call_timeout;
+    op->timeout = store->call_timeout;
     op->urgency = u;
     op->fn = fn;
     op->arg = arg;
@@ -258,29 +260,29 @@
 }
 
 static void op_queue(struct amb_store_op *op) {
-    struct amb_store *s = op->store;
+    struct amb_store *store = op->store;
     enum amb_urgency u = op->urgency;
     op->next = NULL;
-    if (s->tail[u])
-        s->tail[u]->next = op;
+    if (store->tail[u])
+        store->tail[u]->next = op;
     else
-        s->queue[u] = op;
-    s->tail[u] = op;
-    pump(s);
+        store->queue[u] = op;
+    store->tail[u] = op;
+    pump(store);
 }
 
-void amb_store_init(struct amb_store *s, const struct amb_settings *set, amb_ms call_timeout) {
-    memset(s, 0, sizeof *s);
-    strcpy(s->addr, set->state);
-    s->rps = set->state_rps;
-    s->write_rps = set->state_write_rps;
-    s->lowered_write_rps = amb_settings_lowered_limits(set).write_rps;
-    s->members = set->npeers + 1;
-    s->call_timeout = call_timeout;
-    s->requests.tokens = s->rps / s->members;
-    s->writes.tokens = s->write_rps / s->members;
-    s->user_writes.tokens = s->write_rps * 0.5;
-    amb_store_share(s, false);
+void amb_store_init(struct amb_store *store, const struct amb_settings *settings, amb_ms call_timeout) {
+    memset(store, 0, sizeof *store);
+    strcpy(store->addr, settings->state);
+    store->rps = settings->state_rps;
+    store->write_rps = settings->state_write_rps;
+    store->lowered_write_rps = amb_settings_lowered_limits(settings).write_rps;
+    store->members = settings->npeers + 1;
+    store->call_timeout = call_timeout;
+    store->requests.tokens = store->rps / store->members;
+    store->writes.tokens = store->write_rps / store->members;
+    store->user_writes.tokens = store->write_rps * 0.5;
+    amb_store_share(store, false);
 }
 
 /* The leader's share of all writes, and that of all nodes for what they write as followers. */
@@ -291,56 +293,57 @@
  * tokens at its holder, while nobody else needed the others'. */
 static const double HOLDERS_PART = 0.5;
 
-static double write_share(const struct amb_store *s) {
-    double follower = FOLLOWER_WRITES / s->members;
+static double write_share(const struct amb_store *store) {
+    double follower = FOLLOWER_WRITES / store->members;
     double others = FOLLOWER_WRITES - follower; /* of all nodes but the leader */
-    if (!s->duties_in_use) return s->leading ? LEADER_WRITES : follower;
-    double base = s->leading ? LEADER_WRITES : follower * (1 - HOLDERS_PART);
-    return base + others * HOLDERS_PART * s->duty_part;
+    if (!store->duties_in_use) return store->leading ? LEADER_WRITES : follower;
+    double base = store->leading ? LEADER_WRITES : follower * (1 - HOLDERS_PART);
+    return base + others * HOLDERS_PART * store->duty_part;
 }
 
-void amb_store_share(struct amb_store *s, bool leading) {
+void amb_store_share(struct amb_store *store, bool leading) {
     /* Requests: half of what there is goes to the leader, the other half to the other nodes alike. Writes:
      * half is for users, whichever node they come to, and half for what the leader records. */
-    s->leading = leading;
-    double share = s->members == 1 ? 1.0 : leading ? 0.5 : 0.5 / (s->members - 1);
-    amb_budget_rate(&s->requests, s->rps * share);
-    amb_budget_rate(&s->writes, s->write_rps * write_share(s));
-    amb_budget_rate(&s->user_writes, s->write_rps * 0.5);
+    store->leading = leading;
+    double share = store->members == 1 ? 1.0 : leading ? 0.5 : 0.5 / (store->members - 1);
+    amb_budget_rate(&store->requests, store->rps * share);
+    amb_budget_rate(&store->writes, store->write_rps * write_share(store));
+    amb_budget_rate(&store->user_writes, store->write_rps * 0.5);
 }
 
-void amb_store_share_duties(struct amb_store *s, bool in_use, double part) {
-    if (s->duties_in_use == in_use && s->duty_part == part) return;
-    refill(s); /* what has passed counts at the old rate */
-    s->duties_in_use = in_use;
-    s->duty_part = part;
-    amb_store_share(s, s->leading);
+void amb_store_share_duties(struct amb_store *store, bool in_use, double part) {
+    if (store->duties_in_use == in_use && store->duty_part == part) return;
+    refill(store); /* what has passed counts at the old rate */
+    store->duties_in_use = in_use;
+    store->duty_part = part;
+    amb_store_share(store, store->leading);
 }
 
-void amb_store_limits_lowered(struct amb_store *s, const char *sign) {
-    if (s->limits_lowered) return;
-    s->limits_lowered = true;
-    amb_info("state service: limits lowered, %g instead of %g changes a second: %s", s->lowered_write_rps,
-             s->write_rps, sign);
-    s->write_rps = s->lowered_write_rps;
-    amb_store_share(s, s->leading);
+void amb_store_limits_lowered(struct amb_store *store, const char *sign) {
+    if (store->limits_lowered) return;
+    store->limits_lowered = true;
+    amb_info("state service: limits lowered, %g instead of %g changes a second: %s", store->lowered_write_rps,
+             store->write_rps, sign);
+    store->write_rps = store->lowered_write_rps;
+    amb_store_share(store, store->leading);
 }
 
-bool amb_store_can_write(struct amb_store *s, uint32_t n, double keep) {
-    refill(s);
-    return amb_now() >= s->held_until && !s->queue[AMB_URGENT_USER] && !amb_budget_wait(&s->requests, 1) &&
-           !user_wait(s, n, keep);
+bool amb_store_can_write(struct amb_store *store, uint32_t n, double keep) {
+    refill(store);
+    return amb_now() >= store->held_until && !store->queue[AMB_URGENT_USER] &&
+           !amb_budget_wait(&store->requests, 1) && !user_wait(store, n, keep);
 }
 
-void amb_store_get(struct amb_store *s, const char *key, enum amb_urgency u, amb_store_done fn, void *arg) {
-    struct amb_store_op *op = op_new(s, "GET", u, fn, arg);
+void amb_store_get(struct amb_store *store, const char *key, enum amb_urgency u, amb_store_done fn,
+                   void *arg) {
+    struct amb_store_op *op = op_new(store, "GET", u, fn, arg);
     snprintf(op->path, sizeof op->path, "/store/%s", key);
     op_queue(op);
 }
 
-void amb_store_list(struct amb_store *s, const char *prefix, const char *after, amb_store_done fn,
+void amb_store_list(struct amb_store *store, const char *prefix, const char *after, amb_store_done fn,
                     void *arg) {
-    struct amb_store_op *op = op_new(s, "GET", AMB_URGENT_NEWS, fn, arg);
+    struct amb_store_op *op = op_new(store, "GET", AMB_URGENT_NEWS, fn, arg);
     op->timeout *= 3; /* up to 512 KiB */
     if (after && *after)
         snprintf(op->path, sizeof op->path, "/store?prefix=%s&after=%s&most=200", prefix, after);
@@ -349,9 +352,9 @@
     op_queue(op);
 }
 
-void amb_store_follow(struct amb_store *s, const char *prefix, uint64_t after, amb_ms wait,
+void amb_store_follow(struct amb_store *store, const char *prefix, uint64_t after, amb_ms wait,
                       amb_store_bytes_done fn, void *arg) {
-    struct amb_store_op *op = op_new(s, "GET", AMB_URGENT_NEWS, NULL, arg);
+    struct amb_store_op *op = op_new(store, "GET", AMB_URGENT_NEWS, NULL, arg);
     op->bytes_fn = fn;
     op->timeout += wait;
     snprintf(op->path, sizeof op->path, "/follow?prefix=%s&after=%llu&wait_ms=%lld", prefix,
@@ -359,26 +362,26 @@
     op_queue(op);
 }
 
-void amb_store_commit(struct amb_store *s, struct amb_txn *t, enum amb_urgency u, amb_store_done fn,
-                      void *arg) {
-    struct amb_store_op *op = op_new(s, "POST", u, fn, arg);
+void amb_store_commit(struct amb_store *store, struct amb_txn *transaction, enum amb_urgency u,
+                      amb_store_done fn, void *arg) {
+    struct amb_store_op *op = op_new(store, "POST", u, fn, arg);
     strcpy(op->path, "/commit");
-    op->writes = t->nops;
+    op->writes = transaction->nops;
     amb_w_map(&op->body, 2);
     amb_w_str(&op->body, "guards");
-    amb_w_list(&op->body, t->nguards);
-    amb_buf_add(&op->body, t->guards.data, t->guards.len);
+    amb_w_list(&op->body, transaction->nguards);
+    amb_buf_add(&op->body, transaction->guards.data, transaction->guards.len);
     amb_w_str(&op->body, "then");
-    amb_w_list(&op->body, t->nops);
-    amb_buf_add(&op->body, t->then.data, t->then.len);
-    amb_buf_free(&t->guards);
-    amb_buf_free(&t->then);
-    memset(t, 0, sizeof *t);
+    amb_w_list(&op->body, transaction->nops);
+    amb_buf_add(&op->body, transaction->then.data, transaction->then.len);
+    amb_buf_free(&transaction->guards);
+    amb_buf_free(&transaction->then);
+    memset(transaction, 0, sizeof *transaction);
     op_queue(op);
 }
 
-void amb_store_grant(struct amb_store *s, amb_ms ttl, amb_store_done fn, void *arg) {
-    struct amb_store_op *op = op_new(s, "POST", AMB_URGENT_LEASE, fn, arg);
+void amb_store_grant(struct amb_store *store, amb_ms ttl, amb_store_done fn, void *arg) {
+    struct amb_store_op *op = op_new(store, "POST", AMB_URGENT_LEASE, fn, arg);
     strcpy(op->path, "/leases");
     amb_w_map(&op->body, 1);
     amb_w_str(&op->body, "ttl_ms");
@@ -386,14 +389,14 @@
     op_queue(op);
 }
 
-void amb_store_extend(struct amb_store *s, uint64_t lease, amb_store_done fn, void *arg) {
-    struct amb_store_op *op = op_new(s, "POST", AMB_URGENT_LEASE, fn, arg);
+void amb_store_extend(struct amb_store *store, uint64_t lease, amb_store_done fn, void *arg) {
+    struct amb_store_op *op = op_new(store, "POST", AMB_URGENT_LEASE, fn, arg);
     snprintf(op->path, sizeof op->path, "/leases/%llu/extend", (unsigned long long)lease);
     op_queue(op);
 }
 
-void amb_store_drop(struct amb_store *s, uint64_t lease) {
-    struct amb_store_op *op = op_new(s, "DELETE", AMB_URGENT_LEASE, NULL, NULL);
+void amb_store_drop(struct amb_store *store, uint64_t lease) {
+    struct amb_store_op *op = op_new(store, "DELETE", AMB_URGENT_LEASE, NULL, NULL);
     snprintf(op->path, sizeof op->path, "/leases/%llu", (unsigned long long)lease);
     op_queue(op);
 }
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -40,42 +40,44 @@
     free(text);
 }
 
-static void receive_cancel_notice(struct amb_node *node, struct amb_http_req *req) {
-    json_t *notice = strcmp(req->method, "POST") ? NULL : json_loadb(req->body, req->body_len, 0, NULL);
+static void receive_cancel_notice(struct amb_node *node, struct amb_http_req *request) {
+    json_t *notice =
+        strcmp(request->method, "POST") ? NULL : json_loadb(request->body, request->body_len, 0, NULL);
     bool understood = amb_cancel_notice_received(node, notice);
     json_decref(notice);
-    amb_http_reply(req, understood ? 200 : 400, NULL, NULL, 0, 0);
+    amb_http_reply(request, understood ? 200 : 400, NULL, NULL, 0, 0);
 }
 
-static void answer_heartbeat(struct amb_node *node, struct amb_http_req *req, const json_t *question) {
+static void answer_heartbeat(struct amb_node *node, struct amb_http_req *request, const json_t *question) {
     char *made;
     const char *text = amb_peer_answer_text(node, question, &made);
-    amb_http_reply(req, 200, "application/json", text, strlen(text), 0);
+    amb_http_reply(request, 200, "application/json", text, strlen(text), 0);
     free(made);
 }
 
-static void receive_heartbeat(struct amb_node *node, struct amb_http_req *req) {
-    json_t *heartbeat =
-        strcmp(req->method, "POST") ? NULL : amb_peer_read_heartbeat(node, req->body, req->body_len);
+static void receive_heartbeat(struct amb_node *node, struct amb_http_req *request) {
+    json_t *heartbeat = strcmp(request->method, "POST")
+                            ? NULL
+                            : amb_peer_read_heartbeat(node, request->body, request->body_len);
     const char *from = json_string_value(json_object_get(heartbeat, "from"));
     if (!from) {
         json_decref(heartbeat);
-        amb_http_reply(req, 400, NULL, NULL, 0, 0);
+        amb_http_reply(request, 400, NULL, NULL, 0, 0);
         return;
     }
     amb_peer_learn(node, amb_peer_find(node, from), heartbeat);
-    answer_heartbeat(node, req, heartbeat);
+    answer_heartbeat(node, request, heartbeat);
     json_decref(heartbeat);
 }
 
-static void request(void *arg, struct amb_http_req *req) {
+static void request(void *arg, struct amb_http_req *request) {
     struct amb_node *node = arg;
-    if (!strcmp(req->path, "/peer/heartbeat"))
-        receive_heartbeat(node, req);
-    else if (!strcmp(req->path, "/peer/cancellation"))
-        receive_cancel_notice(node, req);
-    else if (!amb_duties_request(node, req))
-        amb_http_reply(req, 404, NULL, NULL, 0, 0);
+    if (!strcmp(request->path, "/peer/heartbeat"))
+        receive_heartbeat(node, request);
+    else if (!strcmp(request->path, "/peer/cancellation"))
+        receive_cancel_notice(node, request);
+    else if (!amb_duties_request(node, request))
+        amb_http_reply(request, 404, NULL, NULL, 0, 0);
 }
 
 void amb_peer_forget(struct amb_node *node) {
--- a/lib/placement/bin_packing.c
+++ b/lib/placement/bin_packing.c
@@ -31,9 +31,9 @@
 /* Work of lower priority makes way when the expected work comes; other batch work stays clear of it. So does
  * opportunistic work, since making way takes time. (Gangs to be started within 25 s, 20 of which their image
  * took, were 4 s late on machines that a guest's idle-time work had filled.) */
-static bool kept_from(const struct amb_wish *wish, const struct amb_slot *slot) {
-    if (!wish->patient || slot->kept_for < 0) return false;
-    return wish->opportunistic || (int)wish->priority >= slot->kept_for;
+static bool kept_from(const struct amb_wish *request, const struct amb_slot *slot) {
+    if (!request->patient || slot->kept_for < 0) return false;
+    return request->opportunistic || (int)request->priority >= slot->kept_for;
 }
 
 struct amb_res amb_place_room(const struct amb_slot *slot, bool soon) {
@@ -42,62 +42,62 @@
     return room;
 }
 
-bool amb_place_zone_allowed(const struct amb_wish *wish, int zone) {
-    if (wish->zone >= 0 && wish->zone != zone) return false;
-    if (wish->zones_barred >> zone & 1) return false;
-    return !wish->zone_most || wish->zone_used[zone] < wish->zone_most;
+bool amb_place_zone_allowed(const struct amb_wish *request, int zone) {
+    if (request->zone >= 0 && request->zone != zone) return false;
+    if (request->zones_barred >> zone & 1) return false;
+    return !request->zone_most || request->zone_used[zone] < request->zone_most;
 }
 
-bool amb_place_allowed_in_any_zone(const struct amb_wish *wish, const struct amb_slot *slot) {
+bool amb_place_allowed_in_any_zone(const struct amb_wish *request, const struct amb_slot *slot) {
     if (!slot->usable || slot->type < 0 || slot->zone < 0) return false;
-    if (!(wish->type_mask >> slot->type & 1)) return false;
-    if (slot->spot && !wish->spot) return false;
-    if (wish->can_wait && kept_from(wish, slot)) return false;
-    return !slot->claimed || (!wish->patient && (int)wish->priority >= slot->kept_for);
+    if (!(request->type_mask >> slot->type & 1)) return false;
+    if (slot->spot && !request->spot) return false;
+    if (request->can_wait && kept_from(request, slot)) return false;
+    return !slot->claimed || (!request->patient && (int)request->priority >= slot->kept_for);
 }
 
-bool amb_place_allowed(const struct amb_wish *wish, const struct amb_slot *slot) {
-    return amb_place_allowed_in_any_zone(wish, slot) && amb_place_zone_allowed(wish, slot->zone);
+bool amb_place_allowed(const struct amb_wish *request, const struct amb_slot *slot) {
+    return amb_place_allowed_in_any_zone(request, slot) && amb_place_zone_allowed(request, slot->zone);
 }
 
-bool amb_place_fits(const struct amb_wish *wish, const struct amb_slot *slot, bool soon) {
-    if (!amb_place_allowed_in_any_zone(wish, slot)) return false;
+bool amb_place_fits(const struct amb_wish *request, const struct amb_slot *slot, bool soon) {
+    if (!amb_place_allowed_in_any_zone(request, slot)) return false;
     struct amb_res room = amb_place_room(slot, soon);
-    if (!wish->lasting) amb_res_add(&room, &slot->reserved, -1);
-    return amb_res_fits(&wish->need, &room);
+    if (!request->lasting) amb_res_add(&room, &slot->reserved, -1);
+    return amb_res_fits(&request->need, &room);
 }
 
 /* A task without GPUs keeps clear of machines that have some free: what it takes of their cores is then
  * missing to work that needs both. That a machine is cheap says nothing for it, since GPUs are what is paid
  * for. (Gangs that need whole machines once waited for 50 s with 200 GPUs free, each machine with a few such
  * tasks.) */
-static double score_of_room(const struct amb_wish *wish, const struct amb_slot *slot, double free_gpus) {
+static double score_of_room(const struct amb_wish *request, const struct amb_slot *slot, double free_gpus) {
     static const double spot_weight = 2, beside_gpus_weight = 3;
     double spot_score = slot->spot ? spot_weight : 0;
     if (slot->size_gpus <= 0) return spot_score;
-    double fullness = 1 - (free_gpus - wish->need.gpus) / slot->size_gpus;
-    return wish->need.gpus > 0 ? spot_score + fullness : beside_gpus_weight * fullness;
+    double fullness = 1 - (free_gpus - request->need.gpus) / slot->size_gpus;
+    return request->need.gpus > 0 ? spot_score + fullness : beside_gpus_weight * fullness;
 }
 
 /* An image at hand, or soon fetched, first: fetching takes longer than most tasks may wait. Then spot
  * machines, which only some jobs can use. Then the fullest, so that others empty and can be returned. */
-double amb_place_score(const struct amb_wish *wish, const struct amb_slot *slot, bool soon) {
+double amb_place_score(const struct amb_wish *request, const struct amb_slot *slot, bool soon) {
     double free_gpus = amb_place_room(slot, soon).gpus;
-    double score = (wish->patient ? 0.5 : 7) * (1 - slot->late) + score_of_room(wish, slot, free_gpus);
-    if (kept_from(wish, slot)) score -= 2;
+    double score = (request->patient ? 0.5 : 7) * (1 - slot->late) + score_of_room(request, slot, free_gpus);
+    if (kept_from(request, slot)) score -= 2;
     /* Tasks that last keep together: a machine with one of them can't be returned, and a machine with none
      * can as soon as its batch work ends. */
-    if (slot->size_gpus > 0 && wish->lasting) score += 1.5 * slot->lasting / slot->size_gpus;
+    if (slot->size_gpus > 0 && request->lasting) score += 1.5 * slot->lasting / slot->size_gpus;
     return score;
 }
 
-int amb_place_pick(const struct amb_wish *wish, const struct amb_slot *slots, uint32_t count, bool soon) {
+int amb_place_pick(const struct amb_wish *request, const struct amb_slot *slots, uint32_t count, bool soon) {
     int best = -1;
     double best_score = -DBL_MAX;
     for (uint32_t i = 0; i < count; i++) {
         const struct amb_slot *slot = &slots[i];
-        if (!amb_place_fits(wish, slot, soon) || !amb_place_zone_allowed(wish, slot->zone)) continue;
-        double score = amb_place_score(wish, slot, soon);
+        if (!amb_place_fits(request, slot, soon) || !amb_place_zone_allowed(request, slot->zone)) continue;
+        double score = amb_place_score(request, slot, soon);
         if (score > best_score) {
             best_score = score;
             best = (int)i;
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -70,12 +70,12 @@
            kept->slack_s == marking->slack_s && !strcmp(shape->image, marking->image);
 }
 
-static bool same_wish(const struct shape *shape, const struct amb_wish *wish) {
-    return shape->need.gpus == wish->need.gpus && shape->need.cpus == wish->need.cpus &&
-           shape->need.memory == wish->need.memory && shape->type_mask == wish->type_mask &&
-           shape->priority == wish->priority && shape->spot == wish->spot &&
-           shape->lasting == wish->lasting && shape->patient == wish->patient &&
-           shape->can_wait == wish->can_wait && shape->opportunistic == wish->opportunistic;
+static bool same_wish(const struct shape *shape, const struct amb_wish *request) {
+    return shape->need.gpus == request->need.gpus && shape->need.cpus == request->need.cpus &&
+           shape->need.memory == request->need.memory && shape->type_mask == request->type_mask &&
+           shape->priority == request->priority && shape->spot == request->spot &&
+           shape->lasting == request->lasting && shape->patient == request->patient &&
+           shape->can_wait == request->can_wait && shape->opportunistic == request->opportunistic;
 }
 
 static bool same_terms(const struct amb_slot_terms *a, const struct amb_slot_terms *b) {
@@ -100,15 +100,15 @@
 }
 
 static void set_shape(struct shape *shape, const struct question *question) {
-    const struct amb_wish *wish = question->wish;
-    *shape = (struct shape){.need = wish->need,
-                            .type_mask = wish->type_mask,
-                            .priority = wish->priority,
-                            .spot = wish->spot,
-                            .lasting = wish->lasting,
-                            .patient = wish->patient,
-                            .can_wait = wish->can_wait,
-                            .opportunistic = wish->opportunistic,
+    const struct amb_wish *request = question->wish;
+    *shape = (struct shape){.need = request->need,
+                            .type_mask = request->type_mask,
+                            .priority = request->priority,
+                            .spot = request->spot,
+                            .lasting = request->lasting,
+                            .patient = request->patient,
+                            .can_wait = request->can_wait,
+                            .opportunistic = request->opportunistic,
                             .soon = question->soon,
                             .room_is_made = question->terms != NULL,
                             .marking = *question->marking};
@@ -252,14 +252,15 @@
 }
 
 int amb_slot_rankings_pick(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                           const struct amb_slot_marking *marking, const struct amb_wish *wish, bool soon) {
-    const struct question question = {.wish = wish, .marking = marking, .soon = soon};
+                           const struct amb_slot_marking *marking, const struct amb_wish *request,
+                           bool soon) {
+    const struct question question = {.wish = request, .marking = marking, .soon = soon};
     return answer(rankings, list, &question);
 }
 
 int amb_slot_rankings_cheapest(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                               const struct amb_slot_marking *marking, const struct amb_wish *wish,
+                               const struct amb_slot_marking *marking, const struct amb_wish *request,
                                const struct amb_slot_terms *terms) {
-    const struct question question = {.wish = wish, .marking = marking, .terms = terms, .soon = true};
+    const struct question question = {.wish = request, .marking = marking, .terms = terms, .soon = true};
     return answer(rankings, list, &question);
 }
--- a/lib/placement/wdrr.c
+++ b/lib/placement/wdrr.c
@@ -29,37 +29,37 @@
 void amb_wdrr_prepare(struct amb_team *teams, uint32_t n, bool by_gpus) {
     bool some_are_guaranteed = any_guarantee(teams, n);
     for (uint32_t i = 0; i < n; i++) {
-        struct amb_team *t = &teams[i];
-        double guarantee = by_gpus ? t->guarantee.gpus : t->guarantee.cpus;
-        double limit = by_gpus ? t->limit.gpus : t->limit.cpus;
-        t->weight = fmax(1, guarantee);
-        t->opportunistic = some_are_guaranteed && !has_guarantee(t);
-        t->bucket_max = limit > 0 ? 60 * limit : INFINITY;
-        t->bucket = t->bucket_max;
-        t->deficit = 0;
+        struct amb_team *team = &teams[i];
+        double guarantee = by_gpus ? team->guarantee.gpus : team->guarantee.cpus;
+        double limit = by_gpus ? team->limit.gpus : team->limit.cpus;
+        team->weight = fmax(1, guarantee);
+        team->opportunistic = some_are_guaranteed && !has_guarantee(team);
+        team->bucket_max = limit > 0 ? 60 * limit : INFINITY;
+        team->bucket = team->bucket_max;
+        team->deficit = 0;
     }
 }
 
 void amb_wdrr_refill(struct amb_team *teams, uint32_t n, double seconds) {
     for (uint32_t i = 0; i < n; i++) {
-        struct amb_team *t = &teams[i];
-        if (isinf(t->bucket_max)) continue;
-        t->bucket = fmin(t->bucket_max, t->bucket + seconds * t->bucket_max / 60);
+        struct amb_team *team = &teams[i];
+        if (isinf(team->bucket_max)) continue;
+        team->bucket = fmin(team->bucket_max, team->bucket + seconds * team->bucket_max / 60);
     }
 }
 
-bool amb_wdrr_within_limit(const struct amb_team *t, const struct amb_res *need, double times) {
+bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_res *need, double times) {
     const double slack = 1e-6;
-    if (t->limit.cpus > 0 && t->used.cpus + need->cpus * times > t->limit.cpus + slack) return false;
-    if (t->limit.gpus > 0 && t->used.gpus + need->gpus * times > t->limit.gpus + slack) return false;
+    if (team->limit.cpus > 0 && team->used.cpus + need->cpus * times > team->limit.cpus + slack) return false;
+    if (team->limit.gpus > 0 && team->used.gpus + need->gpus * times > team->limit.gpus + slack) return false;
     return true;
 }
 
-bool amb_wdrr_within_guarantee(const struct amb_team *t, const struct amb_res *need) {
+bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_res *need) {
     const double slack = 1e-6;
-    if (!has_guarantee(t)) return false;
-    if (t->guarantee.cpus > 0 && t->used.cpus + need->cpus > t->guarantee.cpus + slack) return false;
-    if (t->guarantee.gpus > 0 && t->used.gpus + need->gpus > t->guarantee.gpus + slack) return false;
+    if (!has_guarantee(team)) return false;
+    if (team->guarantee.cpus > 0 && team->used.cpus + need->cpus > team->guarantee.cpus + slack) return false;
+    if (team->guarantee.gpus > 0 && team->used.gpus + need->gpus > team->guarantee.gpus + slack) return false;
     return true;
 }
 
@@ -70,27 +70,27 @@
         more = false;
         for (uint32_t k = 0; k < n; k++) {
             uint32_t i = (first + k) % n;
-            struct amb_team *t = &teams[i];
+            struct amb_team *team = &teams[i];
             struct amb_wdrr_item item;
             if (!ops->next(ops->arg, i, &item)) {
-                if (ops->idle(ops->arg, i)) t->deficit = 0; /* idle turns pass on */
+                if (ops->idle(ops->arg, i)) team->deficit = 0; /* idle turns pass on */
                 continue;
             }
             /* The cap keeps a shortage from piling up turns that would be taken all at once later; an item
              * larger than a turn still comes up after enough of them. */
-            t->deficit = fmin(t->deficit + t->weight, fmax(t->weight, item.size));
+            team->deficit = fmin(team->deficit + team->weight, fmax(team->weight, item.size));
             do {
-                if (t->deficit + 1e-9 < item.size) {
+                if (team->deficit + 1e-9 < item.size) {
                     more = true; /* saves up for it */
                     break;
                 }
-                if (t->bucket + 1e-9 < item.size || !amb_wdrr_within_limit(t, &item.need, 1) ||
+                if (team->bucket + 1e-9 < item.size || !amb_wdrr_within_limit(team, &item.need, 1) ||
                     ops->admit(ops->arg, i, &item) == AMB_TRY_NO_FIT) {
                     ops->skip(ops->arg, i, &item);
                     continue;
                 }
-                t->deficit -= item.size;
-                t->bucket -= item.size;
+                team->deficit -= item.size;
+                team->bucket -= item.size;
                 admitted++;
                 more = true;
             } while (ops->next(ops->arg, i, &item));
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -97,15 +97,16 @@
 
 void amb_record_send_block(struct amb_node *node, struct amb_block *block) {
     char key[AMB_BLOCK_KEY], job_key[AMB_NAME + 16];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     amb_record_block_key(key, block);
     amb_job_key(job_key, sizeof job_key, block->job->ref);
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, job_key, block->job_stamp);
-    amb_txn_guard(&txn, key, block->stamp);
-    amb_txn_put(&txn, key, &block->value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, job_key, block->job_stamp);
+    amb_txn_guard(&transaction, key, block->stamp);
+    amb_txn_put(&transaction, key, &block->value, 0);
     block->retry_at = INT64_MAX; /* set when the call ends */
-    amb_store_commit(&node->store, &txn, AMB_URGENT_PLACE, block_written, amb_record_call_new(node, block));
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, block_written,
+                     amb_record_call_new(node, block));
 }
 
 /* Blocks of the first format keep their size: an older process must be able to read them. */
--- a/lib/placement_log/job_end.c
+++ b/lib/placement_log/job_end.c
@@ -43,11 +43,11 @@
         amb_store_get(&node->store, key, AMB_URGENT_READ, stamp_read, amb_record_call_new(node, block));
         return;
     }
-    struct amb_txn txn = {0};
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, key, block->stamp);
-    amb_txn_remove(&txn, key);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_READ, removed, amb_record_call_new(node, block));
+    struct amb_txn transaction = {0};
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, key, block->stamp);
+    amb_txn_remove(&transaction, key);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_READ, removed, amb_record_call_new(node, block));
 }
 
 static void finished(void *arg, int status, const cbor_item_t *body) {
@@ -67,16 +67,17 @@
 
 void amb_record_finish_job(struct amb_node *node, struct amb_job *job) {
     char key[AMB_NAME + 32];
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    amb_guard_term(&txn, node);
+    amb_guard_term(&transaction, node);
     amb_job_key(key, sizeof key, job->ref);
-    amb_txn_guard(&txn, key, job->stamp);
+    amb_txn_guard(&transaction, key, job->stamp);
     amb_job_value(&value, job, AMB_JOB_DONE);
-    amb_txn_put(&txn, key, &value, 0);
+    amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
     job->finishing = true;
-    amb_store_commit(&node->store, &txn, AMB_URGENT_FINAL, finished, amb_record_call_of_job(node, job));
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, finished,
+                     amb_record_call_of_job(node, job));
 }
 
 bool amb_record_remove_block(struct amb_node *node, struct amb_block *block, amb_ms now) {
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -17,11 +17,11 @@
 
 /* Of a job that is done or whose tasks are gone: its leader was lost before it had removed this. */
 static void remove_leftover(struct amb_node *node, const char *key, uint64_t stamp) {
-    struct amb_txn txn = {0};
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, key, stamp);
-    amb_txn_remove(&txn, key);
-    amb_store_commit(&node->store, &txn, AMB_URGENT_READ, NULL, NULL);
+    struct amb_txn transaction = {0};
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, key, stamp);
+    amb_txn_remove(&transaction, key);
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_READ, NULL, NULL);
 }
 
 /* For each task, whether a block that counts more than this one speaks of it; NULL: none does. Such blocks
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -40,28 +40,30 @@
     return n;
 }
 
-static double longest_boot(const struct amb_node *n) {
+static double longest_boot(const struct amb_node *node) {
     double boot = 0;
-    for (uint32_t t = 0; t < n->catalog.ntypes; t++) boot = fmax(boot, n->catalog.types[t].boot_s);
+    for (uint32_t t = 0; t < node->catalog.ntypes; t++) boot = fmax(boot, node->catalog.types[t].boot_s);
     return boot;
 }
 
 /* The cheapest machine per task that could be rented for the wish; most: tasks of this shape that wait. */
-static struct amb_slot *rent_for(struct plan *p, const struct amb_wish *w, uint32_t most, bool spread_even) {
-    struct amb_round *r = p->r;
-    struct amb_node *n = r->n;
+static struct amb_slot *rent_for(struct plan *p, const struct amb_wish *request, uint32_t most,
+                                 bool spread_even) {
+    struct amb_round *cycle = p->r;
+    struct amb_node *node = cycle->n;
     double least = INFINITY;
     int bt = -1, bz = -1, bs = 0;
-    for (uint32_t t = 0; t < n->catalog.ntypes; t++) {
-        const struct amb_type *type = &n->catalog.types[t];
-        double times = fits_times(&w->need, &type->size);
-        if (times < 1 || !(w->type_mask >> t & 1)) continue;
+    for (uint32_t t = 0; t < node->catalog.ntypes; t++) {
+        const struct amb_type *type = &node->catalog.types[t];
+        double times = fits_times(&request->need, &type->size);
+        if (times < 1 || !(request->type_mask >> t & 1)) continue;
         for (uint32_t k = 0; k < type->nzones; k++) {
-            int z = amb_catalog_zone(&n->catalog, type->zones[k]);
-            for (int spot = 0; spot <= (int)w->spot; spot++) {
-                struct amb_slot s = {.type = (int)t, .zone = z, .spot = spot, .usable = true, .kept_for = -1};
-                if (z < 0 || !amb_place_allowed(w, &s) || amb_zone_unreachable(n, z) ||
-                    amb_rental_refused(n, (int)t, z, spot, r->now))
+            int z = amb_catalog_zone(&node->catalog, type->zones[k]);
+            for (int spot = 0; spot <= (int)request->spot; spot++) {
+                struct amb_slot slot = {
+                    .type = (int)t, .zone = z, .spot = spot, .usable = true, .kept_for = -1};
+                if (z < 0 || !amb_place_allowed(request, &slot) || amb_zone_unreachable(node, z) ||
+                    amb_rental_refused(node, (int)t, z, spot, cycle->now))
                     continue;
                 double cost = (spot ? type->spot_price : type->price) / fmin(times, most ? most : 1);
                 if (spread_even) cost += 1e-3 * p->rent[t][z][spot];
@@ -76,9 +78,9 @@
     }
     if (bt < 0) return NULL;
     if (!p->rent[bt][bz][bs]++)
-        p->kinds[p->nkinds++] = (struct kind){bt, bz, bs, w->priority, n->catalog.types[bt].boot_s};
+        p->kinds[p->nkinds++] = (struct kind){bt, bz, bs, request->priority, node->catalog.types[bt].boot_s};
     p->rented++;
-    return amb_round_add_type(r, bt, bz, bs);
+    return amb_round_add_type(cycle, bt, bz, bs);
 }
 
 /* What is to be asked for first when calls are few: for the most urgent work, and what takes longest to come.
@@ -91,81 +93,81 @@
     return (int)x->spot - (int)y->spot;
 }
 
-static bool within_plan(const struct plan *p, const struct amb_job *j, double times) {
-    uint32_t team = (uint32_t)(j->team - p->r->n->set.teams);
-    struct amb_team t = *j->team;
+static bool within_plan(const struct plan *p, const struct amb_job *job, double times) {
+    uint32_t team = (uint32_t)(job->team - p->r->n->set.teams);
+    struct amb_team t = *job->team;
     amb_res_add(&t.used, &p->extra[team], 1);
-    return amb_wdrr_within_limit(&t, &j->spec->each, times);
+    return amb_wdrr_within_limit(&t, &job->spec->each, times);
 }
 
-static void plan_task(struct plan *p, struct amb_job *j, struct amb_wish *w, uint32_t most, bool patient,
-                      bool *done) {
-    struct amb_round *r = p->r;
-    struct amb_slot *s = NULL;
-    int at = amb_round_pick(r, w, true);
+static void plan_task(struct plan *p, struct amb_job *job, struct amb_wish *request, uint32_t most,
+                      bool patient, bool *done) {
+    struct amb_round *cycle = p->r;
+    struct amb_slot *slot = NULL;
+    int at = amb_round_pick(cycle, request, true);
     *done = false;
     /* A place that has to boot is taken only when no running work can make way. */
-    bool up = at >= 0 && r->slots[at].machine && r->slots[at].machine->state == AMB_MACHINE_UP;
-    if (!up) s = amb_round_make_room(r, j, w, false); /* takes the room itself */
-    if (!s) {
-        s = at >= 0 ? &r->slots[at] : patient ? NULL : rent_for(p, w, most, true);
-        if (!s) {
+    bool up = at >= 0 && cycle->slots[at].machine && cycle->slots[at].machine->state == AMB_MACHINE_UP;
+    if (!up) slot = amb_round_make_room(cycle, job, request, false); /* takes the room itself */
+    if (!slot) {
+        slot = at >= 0 ? &cycle->slots[at] : patient ? NULL : rent_for(p, request, most, true);
+        if (!slot) {
             *done = true;
             return;
         }
-        amb_res_add(&s->room, &w->need, -1);
-        amb_round_slot_changed(r, s);
-        s->planned++;
-        if (amb_job_recovers(r->n, j)) amb_round_reserve(s, j->spec);
+        amb_res_add(&slot->room, &request->need, -1);
+        amb_round_slot_changed(cycle, slot);
+        slot->planned++;
+        if (amb_job_recovers(cycle->n, job)) amb_round_reserve(slot, job->spec);
     }
-    j->zone_used[s->zone]++;
-    p->zones[p->nzones++] = s->zone;
+    job->zone_used[slot->zone]++;
+    p->zones[p->nzones++] = slot->zone;
 }
 
-static void plan_job(struct plan *p, struct amb_job *j) {
-    struct amb_round *r = p->r;
-    struct amb_wish w;
-    bool done = false, patient = amb_start_can_wait(r->n, j);
-    uint32_t left = amb_job_waiting(j), team = (uint32_t)(j->team - r->n->set.teams);
-    amb_round_mark(r, j->spec, j->spec->image);
-    amb_round_wish(r, j, &w);
-    if (j->spec->kind == AMB_GANG) {
-        if (!within_plan(p, j, j->spec->tasks)) return;
-        int *where = p->zones = amb_alloc(j->spec->tasks * sizeof *where);
+static void plan_job(struct plan *p, struct amb_job *job) {
+    struct amb_round *cycle = p->r;
+    struct amb_wish request;
+    bool done = false, patient = amb_start_can_wait(cycle->n, job);
+    uint32_t left = amb_job_waiting(job), team = (uint32_t)(job->team - cycle->n->set.teams);
+    amb_round_mark(cycle, job->spec, job->spec->image);
+    amb_round_wish(cycle, job, &request);
+    if (job->spec->kind == AMB_GANG) {
+        if (!within_plan(p, job, job->spec->tasks)) return;
+        int *where = p->zones = amb_alloc(job->spec->tasks * sizeof *where);
         p->nzones = 0;
-        amb_res_add(&p->extra[team], &j->spec->each, j->spec->tasks);
+        amb_res_add(&p->extra[team], &job->spec->each, job->spec->tasks);
         /* A place that has to boot is taken only when no running work can make way. */
-        if (amb_round_make_room_gang(r, j)) {
+        if (amb_round_make_room_gang(cycle, job)) {
             free(where);
             return;
         }
-        if (amb_round_place_gang(r, j, where, true)) {
-            for (uint32_t i = 0; i < j->spec->tasks; i++) {
-                struct amb_slot *s = &r->slots[where[i]];
-                if (s->machine) s->machine->kept_for = (int)amb_job_priority(j);
-                s->planned++;
-                j->zone_used[r->slots[where[i]].zone]--;
+        if (amb_round_place_gang(cycle, job, where, true)) {
+            for (uint32_t i = 0; i < job->spec->tasks; i++) {
+                struct amb_slot *slot = &cycle->slots[where[i]];
+                if (slot->machine) slot->machine->kept_for = (int)amb_job_priority(job);
+                slot->planned++;
+                job->zone_used[cycle->slots[where[i]].zone]--;
             }
             free(where);
             return;
         }
         /* In one zone: all of it goes where the first machine can be had. */
-        for (uint32_t i = 0; i < j->spec->tasks && !done; i++) {
-            plan_task(p, j, &w, j->spec->tasks, false, &done);
-            if (j->spec->one_zone && p->nzones) w.zone = p->zones[0];
+        for (uint32_t i = 0; i < job->spec->tasks && !done; i++) {
+            plan_task(p, job, &request, job->spec->tasks, false, &done);
+            if (job->spec->one_zone && p->nzones) request.zone = p->zones[0];
         }
     } else {
         /* The rest of a larger job has its turn once these are on their machines. */
         if (left > p->tasks_at_a_time) left = p->tasks_at_a_time;
         p->zones = amb_alloc(left * sizeof *p->zones);
         p->nzones = 0;
-        for (; left && !done && within_plan(p, j, 1); left--) {
-            plan_task(p, j, &w, left, patient, &done);
-            if (j->spec->one_zone && p->nzones) w.zone = p->zones[0];
-            amb_res_add(&p->extra[team], &j->spec->each, 1);
+        for (; left && !done && within_plan(p, job, 1); left--) {
+            plan_task(p, job, &request, left, patient, &done);
+            if (job->spec->one_zone && p->nzones) request.zone = p->zones[0];
+            amb_res_add(&p->extra[team], &job->spec->each, 1);
         }
     }
-    while (p->nzones) j->zone_used[p->zones[--p->nzones]]--;
+    while (p->nzones) job->zone_used[p->zones[--p->nzones]]--;
     free(p->zones);
 }
 
@@ -173,45 +175,48 @@
  * for before the lease proves it, since a machine takes longer to boot than the rest of a lease. (Nothing is
  * stopped for them yet: the machines may come back.) */
 static void plan_lost_soon(struct plan *p) {
-    struct amb_round *r = p->r;
-    struct amb_node *n = r->n;
-    amb_ms most = amb_secs(n->set.lease_s * 0.65); /* longer than a worker takes to find another node */
+    struct amb_round *cycle = p->r;
+    struct amb_node *node = cycle->n;
+    amb_ms most = amb_secs(node->set.lease_s * 0.65); /* longer than a worker takes to find another node */
     amb_ms latest = 0;
-    for (const struct amb_machine *m = n->fleet.all; m; m = m->hh.next)
-        if (m->reported_at > latest) latest = m->reported_at;
+    for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+        if (machine->reported_at > latest) latest = machine->reported_at;
     /* Nobody heard at all: it is this node that is out of reach. (A new leader in that place once rented
      * twice its fleet anew within 14 s.) */
-    if (r->now - latest > amb_secs(n->set.report_s * 3)) return;
-    amb_round_mark_any(r);
-    for (struct amb_machine *m = n->fleet.all; m; m = m->hh.next) {
-        amb_ms heard = m->reported_at > n->ctl.leading_since ? m->reported_at : n->ctl.leading_since;
-        if (m->zone < 0 || m->type < 0 || m->release_wanted || r->now - heard < most) continue;
-        if (amb_deputy_in_zone(n, m->zone)) continue; /* kept alive by a node that reaches it */
-        for (struct amb_task *t = m->tasks; t; t = t->next) {
-            struct amb_job *j = t->job;
-            if (t->halting || t->done || j->state != AMB_JOB_QUEUED) continue;
-            struct amb_wish w;
-            amb_round_wish(r, j, &w);
-            j->zone_used[m->zone]--;
-            int at = amb_round_pick(r, &w, true);
-            struct amb_slot *s = at >= 0 ? &r->slots[at] : rent_for(p, &w, p->tasks_at_a_time, true);
-            j->zone_used[m->zone]++;
-            if (!s) continue;
-            amb_res_add(&s->room, &w.need, -1);
-            amb_round_slot_changed(r, s);
-            s->planned++;
-            if (s->machine) s->machine->kept_for = (int)amb_job_priority(j);
+    if (cycle->now - latest > amb_secs(node->set.report_s * 3)) return;
+    amb_round_mark_any(cycle);
+    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
+        amb_ms heard =
+            machine->reported_at > node->ctl.leading_since ? machine->reported_at : node->ctl.leading_since;
+        if (machine->zone < 0 || machine->type < 0 || machine->release_wanted || cycle->now - heard < most)
+            continue;
+        if (amb_deputy_in_zone(node, machine->zone)) continue; /* kept alive by a node that reaches it */
+        for (struct amb_task *task = machine->tasks; task; task = task->next) {
+            struct amb_job *job = task->job;
+            if (task->halting || task->done || job->state != AMB_JOB_QUEUED) continue;
+            struct amb_wish request;
+            amb_round_wish(cycle, job, &request);
+            job->zone_used[machine->zone]--;
+            int at = amb_round_pick(cycle, &request, true);
+            struct amb_slot *slot =
+                at >= 0 ? &cycle->slots[at] : rent_for(p, &request, p->tasks_at_a_time, true);
+            job->zone_used[machine->zone]++;
+            if (!slot) continue;
+            amb_res_add(&slot->room, &request.need, -1);
+            amb_round_slot_changed(cycle, slot);
+            slot->planned++;
+            if (slot->machine) slot->machine->kept_for = (int)amb_job_priority(job);
         }
     }
 }
 
 /* The machine types that a job of this kind may run on, as a mask, and the longest time one of them takes to
  * boot. */
-static uint32_t allowed_types(const struct amb_node *n, const struct amb_spec *spec, double *boot_s) {
+static uint32_t allowed_types(const struct amb_node *node, const struct amb_spec *spec, double *boot_s) {
     uint32_t mask = 0;
     *boot_s = 0;
-    for (uint32_t t = 0; t < n->catalog.ntypes; t++) {
-        const struct amb_type *type = &n->catalog.types[t];
+    for (uint32_t t = 0; t < node->catalog.ntypes; t++) {
+        const struct amb_type *type = &node->catalog.types[t];
         if (!amb_spec_allows(spec, type->name) || fits_times(&spec->each, &type->size) < 1) continue;
         mask |= 1u << t;
         *boot_s = fmax(*boot_s, type->boot_s);
@@ -221,34 +226,34 @@
 
 /* Free room kept for what a class of urgent jobs is expected to ask for while a machine would boot. */
 static void plan_headroom(struct plan *p) {
-    struct amb_round *r = p->r;
-    struct amb_node *n = r->n;
+    struct amb_round *cycle = p->r;
+    struct amb_node *node = cycle->n;
     uint32_t none[AMB_ZONES] = {0};
-    for (uint32_t i = 0; i < n->ctl.ndemands; i++) {
-        struct amb_demand *d = &n->ctl.demands[i];
+    for (uint32_t i = 0; i < node->ctl.ndemands; i++) {
+        struct amb_demand *d = &node->ctl.demands[i];
         if (d->rate <= 0) continue;
         double boot;
-        uint32_t mask = allowed_types(n, &d->last, &boot);
-        double age = (double)(r->now - d->at) / 1000, fade = exp(-age / (4 * boot));
+        uint32_t mask = allowed_types(node, &d->last, &boot);
+        double age = (double)(cycle->now - d->at) / 1000, fade = exp(-age / (4 * boot));
         /* Arrivals come and tasks end about as often: what is left to cover is their spread. Of gangs some
          * surely end meanwhile; services run until somebody says so. */
         double part = d->last.kind == AMB_GANG ? 2.0 / 3 : 1;
-        double count = n->opt.headroom * part * sqrt(d->rate * fade * boot * d->size2);
-        const struct amb_claim claim = amb_round_claim(&d->last, amb_settings_team(&n->set, d->last.team));
-        struct amb_wish w = {
+        double count = node->opt.headroom * part * sqrt(d->rate * fade * boot * d->size2);
+        const struct amb_claim claim = amb_round_claim(&d->last, amb_settings_team(&node->set, d->last.team));
+        struct amb_wish request = {
             .need = d->last.each, .type_mask = mask, .zone = -1, .spot = d->last.spot, .zone_used = none};
         /* Rented after what urgent work waits for, before what batch work does. */
-        w.priority = d->last.priority < AMB_NORMAL ? d->last.priority : AMB_NORMAL;
+        request.priority = d->last.priority < AMB_NORMAL ? d->last.priority : AMB_NORMAL;
         for (uint32_t k = 0; k < (uint32_t)ceil(count) && k < p->tasks_at_a_time; k++) {
             uint32_t image = k % d->nimages; /* a share of the room for each image asked for */
-            amb_round_mark(r, &d->last, d->images[image]);
-            struct amb_slot *s = amb_round_headroom(r, &w, &claim);
-            if (!s) s = rent_for(p, &w, (uint32_t)ceil(count) - k, false);
-            if (!s) break;
-            amb_res_add(&s->room, &w.need, -1);
-            amb_round_slot_changed(r, s);
-            s->planned++;
-            if (s->machine) s->machine->kept_for = (int)d->last.priority;
+            amb_round_mark(cycle, &d->last, d->images[image]);
+            struct amb_slot *slot = amb_round_headroom(cycle, &request, &claim);
+            if (!slot) slot = rent_for(p, &request, (uint32_t)ceil(count) - k, false);
+            if (!slot) break;
+            amb_res_add(&slot->room, &request.need, -1);
+            amb_round_slot_changed(cycle, slot);
+            slot->planned++;
+            if (slot->machine) slot->machine->kept_for = (int)d->last.priority;
         }
     }
 }
@@ -256,69 +261,72 @@
 /* Nothing is placed on it, and no new leader would need what it holds. (A machine was returned 0.04 s after
  * its last task had ended; the end could not be recorded in an outage, and the next leader ran the task
  * again.) */
-static bool is_empty(const struct amb_machine *m) {
-    return !m->ntasks && !m->keeps_result;
+static bool is_empty(const struct amb_machine *machine) {
+    return !machine->ntasks && !machine->keeps_result;
 }
 
 static void plan_returns(struct plan *p) {
-    struct amb_round *r = p->r;
-    struct amb_node *n = r->n;
-    struct amb_machine *m, *next;
-    for (uint32_t i = 0; i < r->nslots; i++) {
-        struct amb_slot *s = &r->slots[i];
-        m = s->machine;
-        if (!m || s->planned || !is_empty(m) || m->state != AMB_MACHINE_UP) continue;
+    struct amb_round *cycle = p->r;
+    struct amb_node *node = cycle->n;
+    struct amb_machine *machine, *next;
+    for (uint32_t i = 0; i < cycle->nslots; i++) {
+        struct amb_slot *slot = &cycle->slots[i];
+        machine = slot->machine;
+        if (!machine || slot->planned || !is_empty(machine) || machine->state != AMB_MACHINE_UP) continue;
         /* Idle since batch work may not start there yet, for a bounded time. */
-        if (r->zones_without_batch >> m->zone & 1) continue;
-        const struct amb_type *t = &n->catalog.types[m->type];
-        amb_ms idle = amb_secs(t->boot_s * n->opt.idle_return);
-        amb_ms lead = r->now - n->ctl.leading_since;
-        if (r->now - m->idle_since > idle && lead > idle) amb_rental_give_back(n, m, "idle");
+        if (cycle->zones_without_batch >> machine->zone & 1) continue;
+        const struct amb_type *type = &node->catalog.types[machine->type];
+        amb_ms idle = amb_secs(type->boot_s * node->opt.idle_return);
+        amb_ms lead = cycle->now - node->ctl.leading_since;
+        if (cycle->now - machine->idle_since > idle && lead > idle)
+            amb_rental_give_back(node, machine, "idle");
     }
-    HASH_ITER(hh, n->fleet.all, m, next) if (m->drain && is_empty(m)) amb_rental_give_back(n, m, "emptied");
+    HASH_ITER(hh, node->fleet.all, machine, next)
+    if (machine->drain && is_empty(machine)) amb_rental_give_back(node, machine, "emptied");
 }
 
 /* ---- emptying machines: what runs on a few could run on fewer ---- */
 
 /* A replica may be moved once it has run for a while, to a machine that holds its image: then it is down for
  * little more than two reports. Takes the room it would get. */
-static bool movable(struct amb_round *r, struct amb_task *t) {
-    struct amb_job *j = t->job;
-    struct amb_wish w;
-    if (t->halting || t->state != AMB_TASK_SEEN || !t->running_at || j->state != AMB_JOB_QUEUED) return false;
-    if (r->now - t->running_at < amb_secs(r->n->set.lease_s * 4)) return false;
-    amb_round_mark(r, j->spec, j->spec->image);
-    amb_round_wish(r, j, &w);
-    int zone = t->machine->zone;
-    j->zone_used[zone]--;
-    int at = amb_round_pick(r, &w, false);
-    j->zone_used[zone]++;
-    if (at < 0 || !r->slots[at].has_image || !r->slots[at].machine ||
-        r->slots[at].machine->state != AMB_MACHINE_UP || r->slots[at].machine == t->machine)
+static bool movable(struct amb_round *cycle, struct amb_task *task) {
+    struct amb_job *job = task->job;
+    struct amb_wish request;
+    if (task->halting || task->state != AMB_TASK_SEEN || !task->running_at || job->state != AMB_JOB_QUEUED)
         return false;
-    amb_res_add(&r->slots[at].room, &j->spec->each, -1);
-    amb_round_slot_changed(r, &r->slots[at]);
+    if (cycle->now - task->running_at < amb_secs(cycle->n->set.lease_s * 4)) return false;
+    amb_round_mark(cycle, job->spec, job->spec->image);
+    amb_round_wish(cycle, job, &request);
+    int zone = task->machine->zone;
+    job->zone_used[zone]--;
+    int at = amb_round_pick(cycle, &request, false);
+    job->zone_used[zone]++;
+    if (at < 0 || !cycle->slots[at].has_image || !cycle->slots[at].machine ||
+        cycle->slots[at].machine->state != AMB_MACHINE_UP || cycle->slots[at].machine == task->machine)
+        return false;
+    amb_res_add(&cycle->slots[at].room, &job->spec->each, -1);
+    amb_round_slot_changed(cycle, &cycle->slots[at]);
     return true;
 }
 
 /* Tries where its replicas would go, and takes none of the room. */
-static bool can_empty(struct amb_round *r, struct amb_slot *s) {
+static bool can_empty(struct amb_round *cycle, struct amb_slot *slot) {
     bool could = true;
-    uint32_t first_change = r->rankings.changes;
-    struct amb_res *rooms = amb_alloc(r->nslots * sizeof *rooms);
-    for (uint32_t i = 0; i < r->nslots; i++) rooms[i] = r->slots[i].room;
-    s->usable = false;
-    amb_round_slot_changed(r, s);
-    for (struct amb_task *t = s->machine->tasks; t && could; t = t->next) {
-        if (t->job->spec->kind == AMB_GANG || t->halting) could = false;
-        if (t->job->spec->kind == AMB_SERVICE) could = movable(r, t);
+    uint32_t first_change = cycle->rankings.changes;
+    struct amb_res *rooms = amb_alloc(cycle->nslots * sizeof *rooms);
+    for (uint32_t i = 0; i < cycle->nslots; i++) rooms[i] = cycle->slots[i].room;
+    slot->usable = false;
+    amb_round_slot_changed(cycle, slot);
+    for (struct amb_task *task = slot->machine->tasks; task && could; task = task->next) {
+        if (task->job->spec->kind == AMB_GANG || task->halting) could = false;
+        if (task->job->spec->kind == AMB_SERVICE) could = movable(cycle, task);
     }
-    s->usable = true;
-    uint32_t last_change = r->rankings.changes;
+    slot->usable = true;
+    uint32_t last_change = cycle->rankings.changes;
     for (uint32_t k = first_change; k < last_change; k++) {
-        uint32_t i = r->rankings.changed[k];
-        r->slots[i].room = rooms[i];
-        amb_round_slot_changed(r, &r->slots[i]);
+        uint32_t i = cycle->rankings.changed[k];
+        cycle->slots[i].room = rooms[i];
+        amb_round_slot_changed(cycle, &cycle->slots[i]);
     }
     free(rooms);
     return could;
@@ -330,29 +338,30 @@
 
 /* Batch work comes in bursts: what it took a little while ago it will take again. */
 static void note_demand(struct plan *p) {
-    struct amb_round *r = p->r;
-    struct amb_node *n = r->n;
-    struct amb_controller *c = &n->ctl;
+    struct amb_round *cycle = p->r;
+    struct amb_node *node = cycle->n;
+    struct amb_controller *c = &node->ctl;
     struct amb_res now = {0, 0, 0};
-    for (uint32_t i = 0; i < n->set.nteams; i++) {
-        amb_res_add(&now, &n->set.teams[i].used, 1);
+    for (uint32_t i = 0; i < node->set.nteams; i++) {
+        amb_res_add(&now, &node->set.teams[i].used, 1);
         amb_res_add(&now, &p->extra[i], 1); /* what waits and may start */
     }
-    double keep = c->peak_at ? exp(-(double)(r->now - c->peak_at) / 1000 / (1.5 * longest_boot(n) + 1)) : 0;
+    double keep =
+        c->peak_at ? exp(-(double)(cycle->now - c->peak_at) / 1000 / (1.5 * longest_boot(node) + 1)) : 0;
     c->peak.cpus = fade(c->peak.cpus, now.cpus, keep);
     c->peak.gpus = fade(c->peak.gpus, now.gpus, keep);
     c->peak.memory = fade(c->peak.memory, now.memory, keep);
-    c->peak_at = r->now;
+    c->peak_at = cycle->now;
 }
 
 /* Would the fleet without this machine still have held the latest peak? */
-static bool spare(const struct amb_round *r, const struct amb_machine *one) {
+static bool spare(const struct amb_round *cycle, const struct amb_machine *one) {
     struct amb_res rest = {0, 0, 0};
-    const struct amb_res *peak = &r->n->ctl.peak;
-    for (uint32_t i = 0; i < r->nslots; i++) {
-        const struct amb_machine *m = r->slots[i].machine;
-        if (!m || m == one || m->state != AMB_MACHINE_UP || m->drain) continue;
-        const struct amb_res *size = &r->n->catalog.types[m->type].size;
+    const struct amb_res *peak = &cycle->n->ctl.peak;
+    for (uint32_t i = 0; i < cycle->nslots; i++) {
+        const struct amb_machine *machine = cycle->slots[i].machine;
+        if (!machine || machine == one || machine->state != AMB_MACHINE_UP || machine->drain) continue;
+        const struct amb_res *size = &cycle->n->catalog.types[machine->type].size;
         /* Only as much of a machine counts as tasks of the usual shape can use. */
         double share = 1;
         if (peak->memory > 0) share = fmin(share, size->memory / peak->memory * peak->gpus / size->gpus);
@@ -363,36 +372,39 @@
 }
 
 static void plan_emptying(struct plan *p) {
-    struct amb_round *r = p->r;
-    struct amb_node *n = r->n;
-    struct amb_machine *m, *next;
+    struct amb_round *cycle = p->r;
+    struct amb_node *node = cycle->n;
+    struct amb_machine *machine, *next;
     uint32_t draining = 0, up = 0;
-    HASH_ITER(hh, n->fleet.all, m, next) {
-        up += m->state == AMB_MACHINE_UP;
-        draining += m->drain;
+    HASH_ITER(hh, node->fleet.all, machine, next) {
+        up += machine->state == AMB_MACHINE_UP;
+        draining += machine->drain;
     }
     /* Demand is back: better keep what boots already. */
     if (p->rented) {
-        HASH_ITER(hh, n->fleet.all, m, next) if (m->drain && !m->release_wanted) m->drain = false;
+        HASH_ITER(hh, node->fleet.all, machine, next)
+        if (machine->drain && !machine->release_wanted) machine->drain = false;
         return;
     }
     uint32_t moves = 0;
-    HASH_ITER(hh, n->fleet.all, m, next) {
-        if (!m->drain || m->state != AMB_MACHINE_UP) continue;
-        for (struct amb_task *t = m->tasks; t && moves < 2; t = t->next)
-            if (t->job->spec->kind == AMB_SERVICE && movable(r, t)) {
-                amb_task_halt(n, t, 0, "moves, so that its machine can be returned");
+    HASH_ITER(hh, node->fleet.all, machine, next) {
+        if (!machine->drain || machine->state != AMB_MACHINE_UP) continue;
+        for (struct amb_task *task = machine->tasks; task && moves < 2; task = task->next)
+            if (task->job->spec->kind == AMB_SERVICE && movable(cycle, task)) {
+                amb_task_halt(node, task, 0, "moves, so that its machine can be returned");
                 moves++;
             }
     }
     if (draining * 20 > up) return;
     struct amb_slot *best = NULL;
-    for (uint32_t i = 0; i < r->nslots; i++) {
-        struct amb_slot *s = &r->slots[i];
-        if (!s->machine || s->machine->state != AMB_MACHINE_UP || !s->machine->ntasks || s->planned) continue;
-        if (s->machine->used.gpus * 2 > s->size_gpus) continue;
-        if (best && s->machine->used.gpus >= best->machine->used.gpus) continue;
-        if (spare(r, s->machine) && can_empty(r, s)) best = s;
+    for (uint32_t i = 0; i < cycle->nslots; i++) {
+        struct amb_slot *slot = &cycle->slots[i];
+        if (!slot->machine || slot->machine->state != AMB_MACHINE_UP || !slot->machine->ntasks ||
+            slot->planned)
+            continue;
+        if (slot->machine->used.gpus * 2 > slot->size_gpus) continue;
+        if (best && slot->machine->used.gpus >= best->machine->used.gpus) continue;
+        if (spare(cycle, slot->machine) && can_empty(cycle, slot)) best = slot;
     }
     if (!best) return;
     amb_info("machine %s: to be emptied: the rest of the fleet has room for its %u tasks",
@@ -400,43 +412,44 @@
     best->machine->drain = true;
 }
 
-static void drop_dead_boots(struct amb_node *n, amb_ms now) {
-    struct amb_machine *m, *next;
-    HASH_ITER(hh, n->fleet.all, m, next) {
-        if (m->state != AMB_MACHINE_BOOTING || m->type < 0) continue;
-        if (now - m->rented_at > amb_secs(n->catalog.types[m->type].boot_s * 4))
-            amb_rental_release(n, m, "it does not come up");
+static void drop_dead_boots(struct amb_node *node, amb_ms now) {
+    struct amb_machine *machine, *next;
+    HASH_ITER(hh, node->fleet.all, machine, next) {
+        if (machine->state != AMB_MACHINE_BOOTING || machine->type < 0) continue;
+        if (now - machine->rented_at > amb_secs(node->catalog.types[machine->type].boot_s * 4))
+            amb_rental_release(node, machine, "it does not come up");
     }
 }
 
-void amb_plan(struct amb_round *r) {
+void amb_plan(struct amb_round *cycle) {
     static const struct amb_res no_room = {0, 0, 0};
-    struct amb_node *n = r->n;
+    struct amb_node *node = cycle->n;
     struct plan *p = amb_alloc(sizeof *p);
-    p->r = r;
-    p->tasks_at_a_time = r->nslots > PLAN_TASKS_LEAST ? r->nslots : PLAN_TASKS_LEAST;
-    amb_round_add_coming(r);
-    for (uint32_t i = 0; i < r->nslots; i++)
-        if (r->slots[i].machine) {
-            r->slots[i].machine->kept_for = -1;
-            r->slots[i].machine->claimed = false;
-            r->slots[i].machine->reserved = r->slots[i].reserved = no_room;
+    p->r = cycle;
+    p->tasks_at_a_time = cycle->nslots > PLAN_TASKS_LEAST ? cycle->nslots : PLAN_TASKS_LEAST;
+    amb_round_add_coming(cycle);
+    for (uint32_t i = 0; i < cycle->nslots; i++)
+        if (cycle->slots[i].machine) {
+            cycle->slots[i].machine->kept_for = -1;
+            cycle->slots[i].machine->claimed = false;
+            cycle->slots[i].machine->reserved = cycle->slots[i].reserved = no_room;
         }
-    for (uint32_t i = 0; i < r->njobs; i++)
-        if (amb_round_wants_start(r, r->jobs[i]) && !amb_job_broken(r->jobs[i])) plan_job(p, r->jobs[i]);
+    for (uint32_t i = 0; i < cycle->njobs; i++)
+        if (amb_round_wants_start(cycle, cycle->jobs[i]) && !amb_job_broken(cycle->jobs[i]))
+            plan_job(p, cycle->jobs[i]);
     plan_lost_soon(p);
     note_demand(p);
     plan_headroom(p);
     plan_returns(p);
     plan_emptying(p);
     qsort(p->kinds, p->nkinds, sizeof *p->kinds, by_need);
-    uint32_t calls = amb_rental_calls(n, r->now);
+    uint32_t calls = amb_rental_calls(node, cycle->now);
     for (uint32_t i = 0; i < p->nkinds && i < calls; i++) {
         const struct kind *k = &p->kinds[i];
-        amb_rental_want(n, k->type, k->zone, k->spot, p->rent[k->type][k->zone][k->spot]);
+        amb_rental_want(node, k->type, k->zone, k->spot, p->rent[k->type][k->zone][k->spot]);
     }
     free(p);
-    drop_dead_boots(n, r->now);
+    drop_dead_boots(node, cycle->now);
 }
 
 /* ---- what classes ask for ---- */
@@ -451,37 +464,37 @@
     return oldest;
 }
 
-void amb_plan_demand(struct amb_node *n, struct amb_job *j) {
-    struct amb_controller *c = &n->ctl;
-    const struct amb_spec *s = j->spec;
+void amb_plan_demand(struct amb_node *node, struct amb_job *job) {
+    struct amb_controller *c = &node->ctl;
+    const struct amb_spec *spec = job->spec;
     struct amb_demand *d = NULL;
     /* Noted once, by followers too: a leader that knew only what came since it led would return what its
      * predecessor had kept, and rent it again. */
-    if (j->demand_noted || j->awaiting || !s || !n->rental.catalog_known) return;
-    j->demand_noted = true;
+    if (job->demand_noted || job->awaiting || !spec || !node->rental.catalog_known) return;
+    job->demand_noted = true;
     /* Work that starts late is missed, and a machine takes longer to boot than it may wait. */
-    if (s->priority < AMB_HIGH && !amb_start_objective(n, s)) return;
-    if (s->kind == AMB_ARRAY) return;
-    int64_t age = amb_wall_ms() - amb_job_ready_wall(j);
+    if (spec->priority < AMB_HIGH && !amb_start_objective(node, spec)) return;
+    if (spec->kind == AMB_ARRAY) return;
+    int64_t age = amb_wall_ms() - amb_job_ready_wall(job);
     amb_ms at = amb_now() - (age > 0 ? age : 0);
     for (uint32_t i = 0; i < c->ndemands && !d; i++)
-        if (!strcmp(c->demands[i].class_name, s->class_name)) d = &c->demands[i];
+        if (!strcmp(c->demands[i].class_name, spec->class_name)) d = &c->demands[i];
     if (!d) {
         d = c->ndemands < AMB_DEMANDS ? &c->demands[c->ndemands++] : longest_unasked(c);
         memset(d, 0, sizeof *d);
-        strcpy(d->class_name, s->class_name);
+        strcpy(d->class_name, spec->class_name);
         d->at = at;
     }
-    double tau = fmax(4 * longest_boot(n), n->set.lease_s);
+    double tau = fmax(4 * longest_boot(node), node->set.lease_s);
     double since = (double)(at - d->at) / 1000; /* negative: an earlier job that was heard of later */
     if (since >= 0) {
         d->rate = d->rate * exp(-since / tau) + 1 / tau; /* jobs a second */
         d->at = at;
-        d->last = *s;
+        d->last = *spec;
     } else {
         d->rate += exp(since / tau) / tau;
     }
-    double square = (double)s->tasks * s->tasks;
+    double square = (double)spec->tasks * spec->tasks;
     d->size2 = d->size2 > 0 ? d->size2 * 0.9 + square * 0.1 : square;
-    amb_latest_first(d->images, NULL, &d->nimages, AMB_DEMAND_IMAGES, s->image, 0);
+    amb_latest_first(d->images, NULL, &d->nimages, AMB_DEMAND_IMAGES, spec->image, 0);
 }
--- a/lib/zone_recovery/activation.c
+++ b/lib/zone_recovery/activation.c
@@ -4,19 +4,19 @@
 #include <stdio.h>
 #include <string.h>
 
-static struct amb_zone_settings settings_of(const struct amb_settings *set,
+static struct amb_zone_settings settings_of(const struct amb_settings *settings,
                                             const struct amb_options *options) {
     return (struct amb_zone_settings){
-        .report_period = amb_secs(set->report_s),
-        .steady = amb_secs(set->lease_s * options->zone_steady),
-        .steady_longest = amb_secs(set->lease_s * options->zone_steady_longest),
-        .loss_forgotten = amb_secs(set->lease_s * options->zone_loss_forgotten),
+        .report_period = amb_secs(settings->report_s),
+        .steady = amb_secs(settings->lease_s * options->zone_steady),
+        .steady_longest = amb_secs(settings->lease_s * options->zone_steady_longest),
+        .loss_forgotten = amb_secs(settings->lease_s * options->zone_loss_forgotten),
     };
 }
 
-static bool is_class(const struct amb_settings *set, const char *name) {
-    for (uint32_t i = 0; i < set->nobjectives; i++)
-        if (!strcmp(set->objectives[i].class_name, name)) return true;
+static bool is_class(const struct amb_settings *settings, const char *name) {
+    for (uint32_t i = 0; i < settings->nobjectives; i++)
+        if (!strcmp(settings->objectives[i].class_name, name)) return true;
     return false;
 }
 
@@ -28,12 +28,12 @@
     return false;
 }
 
-static bool check_order(const struct amb_settings *set, const char *order, const char *file, char *err,
+static bool check_order(const struct amb_settings *settings, const char *order, const char *file, char *err,
                         size_t cap) {
     char name[AMB_NAME];
     const char *at = order;
     while (amb_zone_settings_next_class(&at, name, sizeof name)) {
-        if (!is_class(set, name)) {
+        if (!is_class(settings, name)) {
             snprintf(err, cap, "%s: zone-recovery-order: '%s' is no class that objectives name", file, name);
             return false;
         }
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -83,18 +83,18 @@
 /* Under the stamp that the key is known to have: a copy that is carried out late changes nothing. */
 static void write_record(struct amb_node *node) {
     struct amb_zone_record *record = &node->zone_recovery.record;
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     put_value(&value, node);
-    amb_guard_term(&txn, node);
-    amb_txn_guard(&txn, KEY, record->stamp);
-    amb_txn_put(&txn, KEY, &value, 0);
+    amb_guard_term(&transaction, node);
+    amb_txn_guard(&transaction, KEY, record->stamp);
+    amb_txn_put(&transaction, KEY, &value, 0);
     amb_buf_free(&value);
     record->writing_lost = amb_zones_away(node);
     record->lost |= record->writing_lost;
     record->changed = false;
     record->state = AMB_ZONE_RECORD_WRITING;
-    amb_store_commit(&node->store, &txn, AMB_URGENT_PLACE, written, amb_cloud_call_new(node));
+    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, written, amb_cloud_call_new(node));
 }
 
 static void read_back(void *arg, int status, const cbor_item_t *body) {
--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -98,21 +98,21 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         setup(NULL);
-        struct amb_job *j = add_job("wk-1", AMB_ARRAY, 2);
-        struct amb_task *t = bound(j, 0, "m-1", OURS);
-        t->state = rows[i].begin;
-        t->foreign = rows[i].foreign;
+        struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
+        struct amb_task *task = bound(job, 0, "m-1", OURS);
+        task->state = rows[i].begin;
+        task->foreign = rows[i].foreign;
         if (rows[i].cancelled) {
-            j->state = AMB_JOB_CANCELLED;
-            amb_task_halt(node, t, 0, "cancelled");
+            job->state = AMB_JOB_CANCELLED;
+            amb_task_halt(node, task, 0, "cancelled");
         }
         for (size_t k = 0; k < ROWS(rows[i].steps) && rows[i].steps[k].report.session; k++) {
             const struct step *step = &rows[i].steps[k];
             assert_true(report_step(step));
-            if (!orders_are(&step->orders) || t->state != step->want)
+            if (!orders_are(&step->orders) || task->state != step->want)
                 fail_msg("%s, step %zu: %zu runs, %zu halts, %zu clears, state %d", rows[i].what, k,
                          count_orders(AMB_OP_RUN), count_orders(AMB_OP_HALT), count_orders(AMB_OP_CLEAR),
-                         t->state);
+                         task->state);
         }
         end(NULL);
     }
@@ -121,11 +121,11 @@
 /* /commands may be carried out minutes late: what stops a task may go there, what starts one may not. */
 static void commands_start_nothing(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 2);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 2);
     machine_up("m-1", 0);
-    bound(j, 0, "m-1", 1)->state = AMB_TASK_SEEN;
-    bound(j, 1, "m-1", 2);
-    amb_task_halt(node, &j->tasks[0], 0, "test");
+    bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+    bound(job, 1, "m-1", 2);
+    amb_task_halt(node, &job->tasks[0], 0, "test");
     amb_fleet_tick(node, amb_now());
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
@@ -152,20 +152,20 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         end(NULL);
         setup(NULL);
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 3);
-        j->spec->spread = rows[i].spread;
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 3);
+        job->spec->spread = rows[i].spread;
         node->set.teams[0].limit.gpus = rows[i].limit;
         int zone = amb_catalog_zone(&node->catalog, "a");
         const char *names[] = {"m-0", "m-1", "m-2"};
         for (uint32_t k = 0; k <= rows[i].others; k++) {
-            struct amb_machine *m = amb_machine_get(node, names[k], true);
-            m->zone = zone;
-            m->type = 0;
-            bound(j, k, names[k], 1)->foreign = true;
+            struct amb_machine *machine = amb_machine_get(node, names[k], true);
+            machine->zone = zone;
+            machine->type = 0;
+            bound(job, k, names[k], 1)->foreign = true;
         }
         report("m-0", 1, 1, TERM, amb_now(), NULL, 0);
         if ((count_orders(AMB_OP_RUN) == 1) != rows[i].starts ||
-            (j->tasks[0].machine != NULL) != rows[i].starts)
+            (job->tasks[0].machine != NULL) != rows[i].starts)
             fail_msg("%s", rows[i].what);
     }
 }
@@ -186,13 +186,13 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 2), *other = add_job("wk-2", AMB_SERVICE, 1);
-        j->spec->one_zone = rows[i].one_zone;
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 2), *other = add_job("wk-2", AMB_SERVICE, 1);
+        job->spec->one_zone = rows[i].one_zone;
         other->spec->each.gpus = rows[i].others_gpus;
         machine_in("m-1", 0);
         machine_in("m-2", 1);
-        bound(j, 0, "m-1", 1)->foreign = true;
-        if (rows[i].elsewhere) bound(j, 1, "m-2", 2)->foreign = true;
+        bound(job, 0, "m-1", 1)->foreign = true;
+        if (rows[i].elsewhere) bound(job, 1, "m-2", 2)->foreign = true;
         if (rows[i].others_gpus > 0) {
             bound(other, 0, "m-1", 1);
             other->tasks[0].state = AMB_TASK_PLACED;
@@ -211,9 +211,9 @@
     send_report(r);
     assert_int_equal(answers(), 1);
     r.seq = 2;
-    struct amb_http_req *req = send_report(r);
+    struct amb_http_req *request = send_report(r);
     if (answers() != 1) fail_msg("not held");
-    return req;
+    return request;
 }
 
 /* What the answer says that goes when its time is over. */
@@ -238,19 +238,19 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_http_req *req = hold_answer();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        struct amb_task *t = bound(j, 0, "m-1", 1);
-        t->state = rows[i].state;
-        t->sent = rows[i].meanwhile == SENT_BEFORE;
-        t->foreign = rows[i].meanwhile == FOREIGN;
+        struct amb_http_req *request = hold_answer();
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_task *task = bound(job, 0, "m-1", 1);
+        task->state = rows[i].state;
+        task->sent = rows[i].meanwhile == SENT_BEFORE;
+        task->foreign = rows[i].meanwhile == FOREIGN;
         if (rows[i].meanwhile == CANCELLED) amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
         if (rows[i].meanwhile == FENCED) node->election.role = AMB_ROLE_FENCED;
-        if (rows[i].meanwhile == HUNG_UP) req->conn = NULL;
+        if (rows[i].meanwhile == HUNG_UP) request->conn = NULL;
         fake_clock_advance(400);
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
-        if (replied_orders("run") != rows[i].starts || t->sent != rows[i].sent)
-            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_orders("run"), t->sent);
+        if (replied_orders("run") != rows[i].starts || task->sent != rows[i].sent)
+            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_orders("run"), task->sent);
     }
 }
 
@@ -264,14 +264,14 @@
         begin_anew();
         node->set.report_s = rows[i].report_s;
         hold_answer();
-        struct amb_machine *m = amb_machine_get(node, "m-1", false);
+        struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         fake_clock_advance(rows[i].waits - 1);
         assert_int_equal(answers(), 1);
         fake_clock_advance(1);
         if (answers() != 2) fail_msg("reports every %g s: not answered in time", rows[i].report_s);
-        if (m->answered_at != amb_now())
+        if (machine->answered_at != amb_now())
             fail_msg("the machine's lease counts from %lld ms before the answer",
-                     (long long)(amb_now() - m->answered_at));
+                     (long long)(amb_now() - machine->answered_at));
     }
 }
 
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -11,13 +11,13 @@
 
 static void submit(const char *ref, const char *team) {
     struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, team);
     strcpy(spec.image, "img");
-    amb_codec_put_spec(&b, &spec);
-    ask("POST", "/v1/jobs", &b);
+    amb_codec_put_spec(&buffer, &spec);
+    ask("POST", "/v1/jobs", &buffer);
 }
 
 static const char *replied_state(void) {
@@ -60,8 +60,8 @@
                 {"refused", 503, 503, AMB_JOB_QUEUED}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-000001", AMB_SERVICE, 1);
-        j->stamp = 20;
+        struct amb_job *job = add_job("wk-000001", AMB_SERVICE, 1);
+        job->stamp = 20;
         ask("POST", "/v1/jobs/wk-000001/cancel", NULL);
         answer_news(open_call("GET", "/follow"), 20, NULL, 0, 0);
         struct fake_call *commit = open_call("POST", "/commit");
@@ -72,8 +72,8 @@
             answer_epoch(commit, 60);
         else
             fake_answer(commit, rows[i].written, NULL);
-        if (latest()->status != rows[i].want || j->state != rows[i].state)
-            fail_msg("%s: answered %d, state %d", rows[i].what, latest()->status, j->state);
+        if (latest()->status != rows[i].want || job->state != rows[i].state)
+            fail_msg("%s: answered %d, state %d", rows[i].what, latest()->status, job->state);
     }
 }
 
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -20,20 +20,20 @@
 
 static void machines_that_hear_badly_rest(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    bound(j, 0, "m-1", 1);
-    struct amb_machine *m = amb_machine_get(node, "m-1", false);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    bound(job, 0, "m-1", 1);
+    struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     for (uint64_t seq = 1; seq <= 3; seq++) report("m-1", 1, seq, TERM, amb_now(), NULL, 0);
-    assert_null(j->tasks[0].machine);
-    if (amb_machine_usable(node, m, amb_now())) fail_msg("used again at once");
+    assert_null(job->tasks[0].machine);
+    if (amb_machine_usable(node, machine, amb_now())) fail_msg("used again at once");
 }
 
 static void machines_nobody_expected_are_known_by_reporting(void **state) {
     (void)state;
     send_report((struct sent_report){.machine = "m-9", .session = 1, .seq = 1, .token = TERM});
-    struct amb_machine *m = amb_machine_get(node, "m-9", false);
-    assert_non_null(m);
-    assert_true(amb_machine_usable(node, m, amb_now()));
+    struct amb_machine *machine = amb_machine_get(node, "m-9", false);
+    assert_non_null(machine);
+    assert_true(amb_machine_usable(node, machine, amb_now()));
 }
 
 static void returned_machines_are_not_used_again(void **state) {
@@ -50,24 +50,25 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        struct amb_machine *m = machine_up("m-1", 0);
-        bound(j, 0, "m-1", 1);
-        m->state = rows[i].state;
-        m->release_wanted = rows[i].wanted;
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_machine *machine = machine_up("m-1", 0);
+        bound(job, 0, "m-1", 1);
+        machine->state = rows[i].state;
+        machine->release_wanted = rows[i].wanted;
         report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
         if (count_orders(AMB_OP_RUN) != rows[i].starts)
             fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_OP_RUN));
-        if (m->state != rows[i].state) fail_msg("%s: state %d by a report", rows[i].what, m->state);
+        if (machine->state != rows[i].state)
+            fail_msg("%s: state %d by a report", rows[i].what, machine->state);
     }
 }
 
 static void returned_machines_never_come_back(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    bound(j, 0, "m-1", 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    bound(job, 0, "m-1", 1);
     amb_machine_gone(node, amb_machine_get(node, "m-1", false), AMB_ABSENCE_RETURNED);
-    assert_null(j->tasks[0].machine);
+    assert_null(job->tasks[0].machine);
     assert_true(report("m-1", 1, 9, TERM, amb_now(), NULL, 0));
     assert_null(amb_machine_get(node, "m-1", false));
     assert_int_equal(norders, 0);
@@ -93,10 +94,10 @@
         for (uint32_t k = 0; k < total; k++) {
             char name[AMB_NAME];
             snprintf(name, sizeof name, "m-%zu-%u", i, k);
-            struct amb_machine *m = amb_machine_get(node, name, true);
-            m->token_shown = k < rows[i].up;
-            if (k >= rows[i].up + rows[i].unproven) m->state = AMB_MACHINE_BOOTING;
-            if (k >= total - rows[i].failed) m->state = AMB_MACHINE_UNPROVEN, m->failed = true;
+            struct amb_machine *machine = amb_machine_get(node, name, true);
+            machine->token_shown = k < rows[i].up;
+            if (k >= rows[i].up + rows[i].unproven) machine->state = AMB_MACHINE_BOOTING;
+            if (k >= total - rows[i].failed) machine->state = AMB_MACHINE_UNPROVEN, machine->failed = true;
         }
         if (amb_fleet_learned(node) != rows[i].want) fail_msg("%s", rows[i].what);
         amb_fleet_clear(node);
@@ -133,12 +134,12 @@
             for (uint32_t c = 0; c < counts[k]; c++) {
                 char name[AMB_NAME];
                 snprintf(name, sizeof name, "m-%d-%u", k, c);
-                struct amb_machine *m = amb_machine_get(node, name, true);
-                m->type = 0;
-                m->zone = k / 2;
-                m->state = AMB_MACHINE_UP;
-                m->token_shown = true;
-                m->reported_at = m->answered_at = now - (k % 2 ? 5000 : 500);
+                struct amb_machine *machine = amb_machine_get(node, name, true);
+                machine->type = 0;
+                machine->zone = k / 2;
+                machine->state = AMB_MACHINE_UP;
+                machine->token_shown = true;
+                machine->reported_at = machine->answered_at = now - (k % 2 ? 5000 : 500);
             }
         node->deputy.nknown = 1;
         node->deputy.known[0].zone = 1;
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -33,10 +33,10 @@
     amb_rental_tick(node, amb_now());
     struct fake_call *rent = open_call("POST", "/machines");
     assert_true(amb_cbor_eq(amb_cbor_get(rent->map, "charter"), "r-50-1"));
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "rigs"), amb_w_list(&b, 1), amb_w_str(&b, "m-1");
-    fake_answer(rent, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "rigs"), amb_w_list(&buffer, 1), amb_w_str(&buffer, "m-1");
+    fake_answer(rent, 200, &buffer);
     for (amb_ms since = 0; since <= 11000; since += 1000) {
         node->election.renewed_at = amb_now();
         amb_rental_tick(node, amb_now());
@@ -51,16 +51,16 @@
 
 static void successors_repeat_rentals(void **state) {
     (void)state;
-    struct amb_buf b = {0};
-    amb_w_map(&b, 4);
-    amb_w_str(&b, "type"), amb_w_str(&b, "g8");
-    amb_w_str(&b, "zone"), amb_w_str(&b, "a");
-    amb_w_str(&b, "spot"), amb_w_bool(&b, false);
-    amb_w_str(&b, "count"), amb_w_uint(&b, 3);
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 4);
+    amb_w_str(&buffer, "type"), amb_w_str(&buffer, "g8");
+    amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "a");
+    amb_w_str(&buffer, "spot"), amb_w_bool(&buffer, false);
+    amb_w_str(&buffer, "count"), amb_w_uint(&buffer, 3);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_rental_load(node, "b/r/r-40-7", value);
     cbor_decref(&value);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     amb_rental_tick(node, amb_now());
     struct fake_call *rent = find_call("POST", "/machines");
     if (!rent) fail_msg("an earlier leader's rental is not repeated");
@@ -88,9 +88,9 @@
 }
 
 static void plan_now(void) {
-    struct amb_round *r = amb_round_new(node, amb_now());
-    amb_plan(r);
-    amb_round_free(r);
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    amb_plan(cycle);
+    amb_round_free(cycle);
 }
 
 /* No more is asked for than there are calls for, the most urgent first; the rest adds up in the plan. (All of
@@ -207,14 +207,14 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew_with_a_cloud();
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        bound(j, 0, "m-1", 1);
-        if (rows[i].over) j->state = AMB_JOB_CANCELLED;
-        struct amb_machine *m = amb_machine_get(node, "m-1", false);
-        m->type = m->zone = 0;
-        m->state = AMB_MACHINE_UP;
-        m->token_shown = true;
-        m->reported_at = now - rows[i].silent;
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        bound(job, 0, "m-1", 1);
+        if (rows[i].over) job->state = AMB_JOB_CANCELLED;
+        struct amb_machine *machine = amb_machine_get(node, "m-1", false);
+        machine->type = machine->zone = 0;
+        machine->state = AMB_MACHINE_UP;
+        machine->token_shown = true;
+        machine->reported_at = now - rows[i].silent;
         if (!rows[i].alone) {
             struct amb_machine *other = amb_machine_get(node, "m-2", true);
             other->reported_at = now - 500;
@@ -222,9 +222,9 @@
         }
         node->deputy.nknown = 1;
         node->deputy.known[0].present = rows[i].deputy;
-        struct amb_round *r = amb_round_new(node, now);
-        amb_plan(r);
-        amb_round_free(r);
+        struct amb_round *cycle = amb_round_new(node, now);
+        amb_plan(cycle);
+        amb_round_free(cycle);
         uint32_t wants = 0;
         for (struct amb_rental_request *c = node->rental.requests; c; c = c->next) wants += c->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
@@ -250,10 +250,10 @@
         struct amb_job *job = add_job("wk-1", AMB_SERVICE, 3);
         if (rows[i].bound) bound(job, 0, "m-1", 1);
         job->failures.broken = rows[i].broken;
-        struct amb_round *round = amb_round_new(node, amb_now());
-        if (amb_round_wants_start(round, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
-        amb_plan(round);
-        amb_round_free(round);
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        if (amb_round_wants_start(cycle, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
+        amb_plan(cycle);
+        amb_round_free(cycle);
         int type = -1;
         if (requests(&type) != rows[i].rented) fail_msg("%s: %u rented", rows[i].what, requests(&type));
     }
--- a/tests/codec/test_codec.c
+++ b/tests/codec/test_codec.c
@@ -21,57 +21,57 @@
     {"stow_s", K_NUM, "", 4},         {"due_s", K_NUM, "", 900},
 };
 
-static void put(struct amb_buf *b, const struct field *f) {
-    amb_w_str(b, f->key);
+static void put(struct amb_buf *buffer, const struct field *f) {
+    amb_w_str(buffer, f->key);
     switch (f->kind) {
-    case K_TEXT: amb_w_str(b, f->text); break;
-    case K_NUM: amb_w_num(b, f->num); break;
-    case K_UINT: amb_w_uint(b, (uint64_t)f->num); break;
-    case K_BOOL: amb_w_bool(b, f->num != 0); break;
-    case K_NULL: amb_w_null(b); break;
+    case K_TEXT: amb_w_str(buffer, f->text); break;
+    case K_NUM: amb_w_num(buffer, f->num); break;
+    case K_UINT: amb_w_uint(buffer, (uint64_t)f->num); break;
+    case K_BOOL: amb_w_bool(buffer, f->num != 0); break;
+    case K_NULL: amb_w_null(buffer); break;
     case K_LIST:
-        amb_w_list(b, 1);
-        amb_w_str(b, f->text);
+        amb_w_list(buffer, 1);
+        amb_w_str(buffer, f->text);
         break;
-    case K_NEG: amb_buf_add(b, "\x20", 1); break; /* -1 */
+    case K_NEG: amb_buf_add(buffer, "\x20", 1); break; /* -1 */
     }
 }
 
 /* The good job with one field changed, or left out when the change has no key. */
 static enum amb_parse parse_with(const char *key, const struct field *change, struct amb_spec *out) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, ROWS(good) - (change == NULL && key ? 1 : 0));
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, ROWS(good) - (change == NULL && key ? 1 : 0));
     for (size_t i = 0; i < ROWS(good); i++) {
         if (key && !strcmp(good[i].key, key)) {
-            if (change) put(&b, change);
+            if (change) put(&buffer, change);
         } else {
-            put(&b, &good[i]);
+            put(&buffer, &good[i]);
         }
     }
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     assert_non_null(item);
     enum amb_parse p = amb_codec_spec(item, out);
     cbor_decref(&item);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     return p;
 }
 
 static void job_is_read_and_written_back(void **state) {
     (void)state;
-    struct amb_spec s, again;
-    assert_int_equal(parse_with(NULL, NULL, &s), AMB_PARSE_OK);
-    assert_int_equal(s.kind, AMB_GANG);
-    assert_int_equal(s.priority, AMB_HIGH);
-    assert_int_equal(s.tasks, 16);
-    assert_true(s.one_zone && !s.spread && s.spot);
-    assert_string_equal(s.types[0], "g8");
-    struct amb_buf b = {0};
-    amb_codec_put_spec(&b, &s);
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
+    struct amb_spec spec, again;
+    assert_int_equal(parse_with(NULL, NULL, &spec), AMB_PARSE_OK);
+    assert_int_equal(spec.kind, AMB_GANG);
+    assert_int_equal(spec.priority, AMB_HIGH);
+    assert_int_equal(spec.tasks, 16);
+    assert_true(spec.one_zone && !spec.spread && spec.spot);
+    assert_string_equal(spec.types[0], "g8");
+    struct amb_buf buffer = {0};
+    amb_codec_put_spec(&buffer, &spec);
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     assert_int_equal(amb_codec_spec(item, &again), AMB_PARSE_OK);
-    assert_memory_equal(&s, &again, sizeof s);
+    assert_memory_equal(&spec, &again, sizeof spec);
     cbor_decref(&item);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 static void bad_fields_are_refused(void **state) {
@@ -87,18 +87,18 @@
         {"one_zone", K_NUM, "", 1},    {"scatter", K_NUM, "", 0.5},    {"driftwood", K_TEXT, "no", 0},
         {"due_s", K_TEXT, "soon", 0},  {"mark_s", K_NUM, "", -0.5},
     };
-    struct amb_spec s;
+    struct amb_spec spec;
     for (size_t i = 0; i < ROWS(bad); i++)
-        if (parse_with(bad[i].key, &bad[i], &s) != AMB_PARSE_BAD) fail_msg("row %zu: %s", i, bad[i].key);
+        if (parse_with(bad[i].key, &bad[i], &spec) != AMB_PARSE_BAD) fail_msg("row %zu: %s", i, bad[i].key);
 }
 
 static void only_nullable_fields_may_be_missing(void **state) {
     (void)state;
-    struct amb_spec s;
+    struct amb_spec spec;
     for (size_t i = 0; i < ROWS(good); i++) {
         const char *k = good[i].key;
         bool may = !strcmp(k, "hulls") || !strcmp(k, "yard") || !strcmp(k, "due_s");
-        if (parse_with(k, NULL, &s) != (may ? AMB_PARSE_OK : AMB_PARSE_BAD)) fail_msg("%s left out", k);
+        if (parse_with(k, NULL, &spec) != (may ? AMB_PARSE_OK : AMB_PARSE_BAD)) fail_msg("%s left out", k);
     }
 }
 
@@ -115,9 +115,9 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         cbor_item_t *item = amb_cbor_parse(rows[i].bytes, rows[i].len);
-        struct amb_spec s;
+        struct amb_spec spec;
         if ((item != NULL) != rows[i].cbor) fail_msg("row %zu", i);
-        assert_int_equal(amb_codec_spec(item, &s), AMB_PARSE_BAD);
+        assert_int_equal(amb_codec_spec(item, &spec), AMB_PARSE_BAD);
         if (item) cbor_decref(&item);
     }
 }
@@ -143,57 +143,57 @@
 /* A report, cut short and with each byte changed in turn: read or refused, never a crash. */
 static void reports_survive_damage(void **state) {
     (void)state;
-    struct amb_buf b = {0};
-    amb_w_map(&b, 9);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 9);
     const char *texts[][2] = {{"rig", "m-1"}, {"address", "1.2.3.4:9"}, {"hull", "g8"}, {"yard", "a"}};
     for (size_t i = 0; i < 4; i++) {
-        amb_w_str(&b, texts[i][0]);
-        amb_w_str(&b, texts[i][1]);
+        amb_w_str(&buffer, texts[i][0]);
+        amb_w_str(&buffer, texts[i][1]);
     }
-    amb_w_str(&b, "driftwood");
-    amb_w_bool(&b, true);
+    amb_w_str(&buffer, "driftwood");
+    amb_w_bool(&buffer, true);
     const char *counts[] = {"watch", "tally", "baton"};
     for (size_t i = 0; i < 3; i++) {
-        amb_w_str(&b, counts[i]);
-        amb_w_uint(&b, i + 1);
+        amb_w_str(&buffer, counts[i]);
+        amb_w_uint(&buffer, i + 1);
     }
-    amb_w_str(&b, "legs");
-    amb_w_list(&b, 1);
-    amb_w_map(&b, 4);
-    amb_w_str(&b, "leg");
-    amb_w_str(&b, "wk-1/3");
-    amb_w_str(&b, "try");
-    amb_w_uint(&b, 2);
-    amb_w_str(&b, "stance");
-    amb_w_str(&b, "exited");
-    amb_w_str(&b, "cause");
-    amb_w_str(&b, "done");
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
-    struct amb_report r;
-    assert_int_equal(amb_codec_report(item, &r), AMB_PARSE_OK);
-    assert_int_equal(r.ntasks, 1);
-    assert_string_equal(r.tasks[0].ref, "wk-1");
-    assert_int_equal(r.tasks[0].index, 3);
-    assert_int_equal(r.tasks[0].why, AMB_WHY_DONE);
-    assert_true(r.notice_s < 0);
-    amb_report_free(&r);
+    amb_w_str(&buffer, "legs");
+    amb_w_list(&buffer, 1);
+    amb_w_map(&buffer, 4);
+    amb_w_str(&buffer, "leg");
+    amb_w_str(&buffer, "wk-1/3");
+    amb_w_str(&buffer, "try");
+    amb_w_uint(&buffer, 2);
+    amb_w_str(&buffer, "stance");
+    amb_w_str(&buffer, "exited");
+    amb_w_str(&buffer, "cause");
+    amb_w_str(&buffer, "done");
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
+    struct amb_report heartbeat;
+    assert_int_equal(amb_codec_report(item, &heartbeat), AMB_PARSE_OK);
+    assert_int_equal(heartbeat.ntasks, 1);
+    assert_string_equal(heartbeat.tasks[0].ref, "wk-1");
+    assert_int_equal(heartbeat.tasks[0].index, 3);
+    assert_int_equal(heartbeat.tasks[0].why, AMB_WHY_DONE);
+    assert_true(heartbeat.notice_s < 0);
+    amb_report_free(&heartbeat);
     cbor_decref(&item);
     size_t read = 0;
-    for (size_t at = 0; at < b.len; at++)
+    for (size_t at = 0; at < buffer.len; at++)
         for (int v = 0; v < 256; v += 5) {
-            char *copy = malloc(b.len);
-            memcpy(copy, b.data, b.len);
+            char *copy = malloc(buffer.len);
+            memcpy(copy, buffer.data, buffer.len);
             copy[at] = (char)v;
-            item = amb_cbor_parse(copy, v % 2 ? b.len : at);
-            if (amb_codec_report(item, &r) == AMB_PARSE_OK) {
+            item = amb_cbor_parse(copy, v % 2 ? buffer.len : at);
+            if (amb_codec_report(item, &heartbeat) == AMB_PARSE_OK) {
                 read++;
-                amb_report_free(&r);
+                amb_report_free(&heartbeat);
             }
             if (item) cbor_decref(&item);
             free(copy);
         }
     assert_true(read > 0);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 /* ---- reports read straight from their bytes, against the plain reading of the same bytes ---- */
@@ -209,7 +209,7 @@
 }
 
 /* Any value, sensible or not, in an encoding that a worker may use. */
-static void put_drawn_scalar(struct amb_buf *b) {
+static void put_drawn_scalar(struct amb_buf *buffer) {
     static const char *const texts[] = {"running",  "exited", "done", "m-000231",    "",     "wk-000412/3",
                                         "wk-1/1x",  "a b",    "g8",   "caf\xc3\xa9", "\xff", "fetching",
                                         "wk-1/070", "wk-1",   "no",   "wk-1/100000"};
@@ -218,49 +218,50 @@
         "\x20",     "\xf8\x20",     "\xc1\x05", "\x41\x61",     "\x7f\x61\x61\xff"};
     static const size_t raw_len[] = {2, 3, 1, 3, 5, 1, 2, 2, 2, 4};
     switch (draw(7)) {
-    case 0: amb_w_str(b, pick(texts, ROWS(texts))); break;
-    case 1: amb_w_uint(b, draw(3) ? draw(300) : (uint64_t)draw(1u << 31) << draw(34)); break;
-    case 2: amb_w_bool(b, draw(2)); break;
-    case 3: amb_w_null(b); break;
-    case 4: amb_w_num(b, draw(2) ? draw(100) * 0.5 : draw(2) ? -3.5 : 1.0 / 0.0); break;
+    case 0: amb_w_str(buffer, pick(texts, ROWS(texts))); break;
+    case 1: amb_w_uint(buffer, draw(3) ? draw(300) : (uint64_t)draw(1u << 31) << draw(34)); break;
+    case 2: amb_w_bool(buffer, draw(2)); break;
+    case 3: amb_w_null(buffer); break;
+    case 4: amb_w_num(buffer, draw(2) ? draw(100) * 0.5 : draw(2) ? -3.5 : 1.0 / 0.0); break;
     case 5: {
         size_t i = draw(ROWS(raw));
         if (i != 2 && i != 1)
-            amb_buf_add(b, raw[i], raw_len[i]);
+            amb_buf_add(buffer, raw[i], raw_len[i]);
         else
-            amb_w_null(b);
+            amb_w_null(buffer);
         break;
     }
-    default: amb_w_str(b, pick(texts, ROWS(texts))); break;
+    default: amb_w_str(buffer, pick(texts, ROWS(texts))); break;
     }
 }
 
-static void put_drawn_value(struct amb_buf *b) {
+static void put_drawn_value(struct amb_buf *buffer) {
     uint32_t luck = draw(9);
     if (luck >= 7) {
-        amb_w_map(b, 1);
-        amb_w_str(b, "x");
+        amb_w_map(buffer, 1);
+        amb_w_str(buffer, "x");
     }
-    if (luck >= 6) amb_w_list(b, 2);
-    if (luck >= 6) put_drawn_scalar(b);
-    put_drawn_scalar(b);
+    if (luck >= 6) amb_w_list(buffer, 2);
+    if (luck >= 6) put_drawn_scalar(buffer);
+    put_drawn_scalar(buffer);
 }
 
 /* A pair as it should be, or now and then with another key or value, or left out. Returns how many it put. */
-static size_t put_drawn_pair(struct amb_buf *b, uint32_t odds, const char *key, const struct field *value) {
+static size_t put_drawn_pair(struct amb_buf *buffer, uint32_t odds, const char *key,
+                             const struct field *value) {
     static const char *const keys[] = {"rig", "legs", "try", "leg", "zz", "", "stance", "watch"};
     uint32_t luck = odds ? draw(odds) : 5;
     if (luck == 0) return 0;
     if (luck == 1) {
-        amb_w_str(b, pick(keys, ROWS(keys)));
-        put_drawn_value(b);
+        amb_w_str(buffer, pick(keys, ROWS(keys)));
+        put_drawn_value(buffer);
     } else if (luck == 2) {
-        amb_w_str(b, key);
-        put_drawn_value(b);
+        amb_w_str(buffer, key);
+        put_drawn_value(buffer);
     } else {
         struct field f = *value;
         f.key = key;
-        put(b, &f);
+        put(buffer, &f);
     }
     return 1;
 }
@@ -269,7 +270,7 @@
     static const char *const states[] = {"fetching", "waiting", "running", "saving", "exited"};
     static const char *const causes[] = {"done", "stopped", "peers", "incomplete", "error", "full", "odd"};
     char name[32];
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     snprintf(name, sizeof name, "wk-%06u/%u", draw(1000), draw(120000));
     const struct field fields[] = {{"leg", K_TEXT, name, 0},
                                    {"try", K_UINT, "", draw(50)},
@@ -277,14 +278,14 @@
                                    {"cause", K_TEXT, pick(causes, ROWS(causes)), 0},
                                    {"stored", K_BOOL, "", draw(2)}};
     size_t pairs = 0, most = draw(3) ? 3 : ROWS(fields);
-    for (size_t i = 0; i < most; i++) pairs += put_drawn_pair(&b, odds, fields[i].key, &fields[i]);
+    for (size_t i = 0; i < most; i++) pairs += put_drawn_pair(&buffer, odds, fields[i].key, &fields[i]);
     amb_w_map(list, pairs);
-    if (b.len) amb_buf_add(list, b.data, b.len);
-    amb_buf_free(&b);
+    if (buffer.len) amb_buf_add(list, buffer.data, buffer.len);
+    amb_buf_free(&buffer);
 }
 
 static void put_drawn_report(struct amb_buf *out, uint32_t odds) {
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     const struct field fields[] = {{"rig", K_TEXT, "m-000231", 0},
                                    {"address", K_TEXT, "10.1.0.232:9000", 0},
                                    {"hull", K_TEXT, "g8", 0},
@@ -297,18 +298,18 @@
     size_t pairs = 0, first = draw(ROWS(fields));
     for (size_t i = 0; i < ROWS(fields); i++) {
         const struct field *f = &fields[(first + i) % ROWS(fields)];
-        pairs += put_drawn_pair(&b, odds, f->key, f);
+        pairs += put_drawn_pair(&buffer, odds, f->key, f);
     }
     if (draw(20)) {
         uint32_t tasks = draw(6);
         pairs++;
-        amb_w_str(&b, "legs");
-        amb_w_list(&b, tasks);
-        for (uint32_t i = 0; i < tasks; i++) put_drawn_task(&b, odds);
+        amb_w_str(&buffer, "legs");
+        amb_w_list(&buffer, tasks);
+        for (uint32_t i = 0; i < tasks; i++) put_drawn_task(&buffer, odds);
     }
     amb_w_map(out, pairs);
-    amb_buf_add(out, b.data, b.len);
-    amb_buf_free(&b);
+    amb_buf_add(out, buffer.data, buffer.len);
+    amb_buf_free(&buffer);
 }
 
 static void same_report(const struct amb_report *a, const struct amb_report *b) {
@@ -367,16 +368,16 @@
     for (size_t row = 0; row < ROWS(rows); row++) {
         size_t taken = 0, good = 0;
         for (int i = 0; i < 10000; i++) {
-            struct amb_buf b = {0};
+            struct amb_buf buffer = {0};
             enum amb_parse result;
-            put_drawn_report(&b, rows[row].odds);
-            if (rows[row].damaged) b.data[draw((uint32_t)b.len)] = (char)draw(256);
-            if (rows[row].damaged && !draw(4)) b.len = draw((uint32_t)b.len + 1);
-            taken += compare_readings(b.data, b.len, &result);
+            put_drawn_report(&buffer, rows[row].odds);
+            if (rows[row].damaged) buffer.data[draw((uint32_t)buffer.len)] = (char)draw(256);
+            if (rows[row].damaged && !draw(4)) buffer.len = draw((uint32_t)buffer.len + 1);
+            taken += compare_readings(buffer.data, buffer.len, &result);
             good += result == AMB_PARSE_OK;
             /* What workers send is never left to the slow way. */
             if (!row && result == AMB_PARSE_OK) assert_int_equal(taken, good);
-            amb_buf_free(&b);
+            amb_buf_free(&buffer);
         }
         if (taken < rows[row].taken_least || taken > rows[row].taken_most || good < taken)
             fail_msg("%s: %zu taken, %zu good", rows[row].what, taken, good);
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -262,16 +262,17 @@
         json_object_set_new(before, "limits_lowered", json_true());
         amb_peer_heard(node, &node->peers.list[0], before, 0);
         json_decref(before);
-        const struct amb_store *s = &node->store;
-        assert_true(s->limits_lowered);
-        if (s->writes.rate != rows[i].own || s->user_writes.rate != rows[i].users)
-            fail_msg("%s: %g of its own, %g for users", rows[i].what, s->writes.rate, s->user_writes.rate);
+        const struct amb_store *store = &node->store;
+        assert_true(store->limits_lowered);
+        if (store->writes.rate != rows[i].own || store->user_writes.rate != rows[i].users)
+            fail_msg("%s: %g of its own, %g for users", rows[i].what, store->writes.rate,
+                     store->user_writes.rate);
         json_t *after = amb_peer_answer(node, NULL);
         assert_true(json_is_true(json_object_get(after, "limits_lowered")));
         json_decref(after);
         hear(0, 2); /* a node that has not seen it yet takes nothing back */
         amb_store_share(&node->store, !rows[i].leads);
-        assert_float_equal(s->user_writes.rate, rows[i].users, 1e-9);
+        assert_float_equal(store->user_writes.rate, rows[i].users, 1e-9);
         end();
     }
 }
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -250,10 +250,10 @@
         "{\"price\": 21.55}",
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_buf b = cbor_from_text(rows[i]);
-        size_t size = amb_cbor_json_size(b.data, b.len), want = strlen(rows[i]);
+        struct amb_buf buffer = cbor_from_text(rows[i]);
+        size_t size = amb_cbor_json_size(buffer.data, buffer.len), want = strlen(rows[i]);
         if (size < want || size > want + 32 + want / 4) fail_msg("%s: %zu of %zu", rows[i], size, want);
-        amb_buf_free(&b);
+        amb_buf_free(&buffer);
     }
     /* What the quick reader does not know is overestimated. */
     static const char umlauts[] =
--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -19,23 +19,23 @@
 /* A machine that has shown our token, in this zone. */
 static struct amb_machine *machine_in(const char *name, int zone) {
     report(name, 1, 1, TERM, amb_now(), NULL, 0);
-    struct amb_machine *m = amb_machine_get(node, name, false);
-    m->zone = zone;
-    return m;
+    struct amb_machine *machine = amb_machine_get(node, name, false);
+    machine->zone = zone;
+    return machine;
 }
 
 static struct amb_job *job_on(enum amb_kind kind, bool one_zone, bool spread, uint32_t tasks,
                               const int *zones, uint32_t count) {
-    struct amb_job *j = add_job("wk-1", kind, tasks);
-    j->spec->one_zone = one_zone;
-    j->spec->spread = spread;
+    struct amb_job *job = add_job("wk-1", kind, tasks);
+    job->spec->one_zone = one_zone;
+    job->spec->spread = spread;
     for (uint32_t i = 0; i < count; i++) {
         char name[AMB_NAME];
         snprintf(name, sizeof name, "m-old-%u", i);
         amb_machine_get(node, name, true)->zone = zones[i];
-        bound(j, i, name, 1)->foreign = true;
+        bound(job, i, name, 1)->foreign = true;
     }
-    return j;
+    return job;
 }
 
 static void zones_left(void **state) {
@@ -94,12 +94,12 @@
         begin();
         machine_in("m-a", A);
         machine_in("m-b", B);
-        struct amb_job *j = job_on(rows[i].kind, rows[i].one_zone, rows[i].spread, rows[i].tasks,
-                                   rows[i].on_record, rows[i].count);
-        struct amb_round *r = amb_round_new(node, amb_now());
-        amb_round_admit(r);
-        amb_round_free(r);
-        uint32_t a = j->zone_used[A], b = j->zone_used[B];
+        struct amb_job *job = job_on(rows[i].kind, rows[i].one_zone, rows[i].spread, rows[i].tasks,
+                                     rows[i].on_record, rows[i].count);
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        amb_round_admit(cycle);
+        amb_round_free(cycle);
+        uint32_t a = job->zone_used[A], b = job->zone_used[B];
         bool same = a == rows[i].want_a && b == rows[i].want_b;
         if (!same && !(rows[i].either && a == rows[i].want_b && b == rows[i].want_a))
             fail_msg("%s: %u in a, %u in b", rows[i].what, a, b);
@@ -130,10 +130,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        struct amb_job *j = job_on(rows[i].spread ? AMB_SERVICE : AMB_ARRAY, rows[i].one_zone, rows[i].spread,
-                                   rows[i].tasks, rows[i].others, rows[i].count);
+        struct amb_job *job = job_on(rows[i].spread ? AMB_SERVICE : AMB_ARRAY, rows[i].one_zone,
+                                     rows[i].spread, rows[i].tasks, rows[i].others, rows[i].count);
         machine_in("m-a", A);
-        bound(j, rows[i].count, "m-a", 1)->foreign = true;
+        bound(job, rows[i].count, "m-a", 1)->foreign = true;
         report("m-a", 1, 2, TERM, amb_now(), NULL, 0);
         if ((count_orders(AMB_OP_RUN) == 1) != rows[i].starts)
             fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_OP_RUN));
@@ -146,18 +146,18 @@
     (void)state;
     begin();
     static const int unknown[] = {UNKNOWN};
-    struct amb_job *j = job_on(AMB_ARRAY, true, false, 4, unknown, ROWS(unknown));
-    struct amb_machine *m = j->tasks[0].machine;
-    amb_machine_learn_zone(m, UNKNOWN);
-    assert_int_equal(amb_job_tasks_in_unknown_zones(j), 1);
-    amb_machine_learn_zone(m, B);
-    amb_machine_learn_zone(m, A);
-    assert_int_equal(m->zone, B);
-    assert_int_equal(j->zone_used[A], 0);
-    assert_int_equal(j->zone_used[B], 1);
-    assert_int_equal(amb_job_tasks_in_unknown_zones(j), 0);
-    amb_task_unbind(node, &j->tasks[0], "gone");
-    assert_int_equal(j->zone_used[B], 0);
+    struct amb_job *job = job_on(AMB_ARRAY, true, false, 4, unknown, ROWS(unknown));
+    struct amb_machine *machine = job->tasks[0].machine;
+    amb_machine_learn_zone(machine, UNKNOWN);
+    assert_int_equal(amb_job_tasks_in_unknown_zones(job), 1);
+    amb_machine_learn_zone(machine, B);
+    amb_machine_learn_zone(machine, A);
+    assert_int_equal(machine->zone, B);
+    assert_int_equal(job->zone_used[A], 0);
+    assert_int_equal(job->zone_used[B], 1);
+    assert_int_equal(amb_job_tasks_in_unknown_zones(job), 0);
+    amb_task_unbind(node, &job->tasks[0], "gone");
+    assert_int_equal(job->zone_used[B], 0);
     teardown(NULL);
 }
 
