--- a/tests/config/test_settings.c
+++ b/tests/config/test_settings.c
@@ -25,17 +25,18 @@
 
 static void good_settings_load(void **state) {
     (void)state;
-    struct amb_settings s;
+    struct amb_settings settings;
     char err[256];
-    if (!amb_settings_load("tests/data/good.toml", &s, err, sizeof err)) fail_msg("%s", err);
-    assert_string_equal(s.member, "node-0");
-    assert_int_equal(s.npeers, 1);
-    assert_string_equal(s.peers[0].addr, "127.0.0.1:9");
-    assert_int_equal(s.nzones, 2);
-    assert_true(s.teams[0].limit.gpus == 32 && s.teams[0].guarantee.gpus == 16);
-    assert_true(s.value_kb == 8 && s.fd_limit == 800);
-    assert_true(s.state_next.value_kb == 2 && s.state_next.write_rps == 15 && s.state_next.txn_ops == 4);
-    assert_string_equal(s.objectives[0].class_name, "train");
+    if (!amb_settings_load("tests/data/good.toml", &settings, err, sizeof err)) fail_msg("%s", err);
+    assert_string_equal(settings.member, "node-0");
+    assert_int_equal(settings.npeers, 1);
+    assert_string_equal(settings.peers[0].addr, "127.0.0.1:9");
+    assert_int_equal(settings.nzones, 2);
+    assert_true(settings.teams[0].limit.gpus == 32 && settings.teams[0].guarantee.gpus == 16);
+    assert_true(settings.value_kb == 8 && settings.fd_limit == 800);
+    assert_true(settings.state_next.value_kb == 2 && settings.state_next.write_rps == 15 &&
+                settings.state_next.txn_ops == 4);
+    assert_string_equal(settings.objectives[0].class_name, "train");
 }
 
 /* What the state service will allow: as announced, or as now. */
@@ -58,13 +59,13 @@
     assert_non_null(at);
     for (size_t i = 0; i < ROWS(rows); i++) {
         char text[65536], path[64], err[256] = "";
-        struct amb_settings s;
+        struct amb_settings settings;
         snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good, rows[i].announced,
                  at + strlen(announcement));
         spill(path, text);
-        if (!amb_settings_load(path, &s, err, sizeof err)) fail_msg("%s: %s", rows[i].what, err);
+        if (!amb_settings_load(path, &settings, err, sizeof err)) fail_msg("%s: %s", rows[i].what, err);
         unlink(path);
-        struct amb_state_limits got = amb_settings_lowered_limits(&s);
+        struct amb_state_limits got = amb_settings_lowered_limits(&settings);
         if (got.write_rps != rows[i].want.write_rps || got.value_kb != rows[i].want.value_kb ||
             got.txn_ops != rows[i].want.txn_ops)
             fail_msg("%s: %g writes, %g KiB, %g changes", rows[i].what, got.write_rps, got.value_kb,
@@ -83,16 +84,17 @@
         {4, {40, 80}, 4}, {2.5, {25, 50}, 2.5}, {4, {1, 0}, 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        static struct amb_settings s;
-        memset(&s, 0, sizeof s);
-        s.report_s = rows[i].report_s;
+        static struct amb_settings settings;
+        memset(&settings, 0, sizeof settings);
+        settings.report_s = rows[i].report_s;
         for (size_t k = 0; k < 2 && rows[i].within_s[k] > 0; k++) {
-            struct amb_objective *o = &s.objectives[s.nobjectives++];
+            struct amb_objective *o = &settings.objectives[settings.nobjectives++];
             strcpy(o->kind, "wait");
             o->within_s = rows[i].within_s[k];
         }
-        strcpy(s.objectives[s.nobjectives++].kind, "guarantee"); /* no start's aim */
-        if (amb_settings_beat(&s) != rows[i].want) fail_msg("row %zu: %g", i, amb_settings_beat(&s));
+        strcpy(settings.objectives[settings.nobjectives++].kind, "guarantee"); /* no start's aim */
+        if (amb_settings_beat(&settings) != rows[i].want)
+            fail_msg("row %zu: %g", i, amb_settings_beat(&settings));
     }
 }
 
@@ -123,16 +125,16 @@
         snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good, rows[i].to,
                  at + strlen(rows[i].from));
         spill(path, text);
-        struct amb_settings s;
-        bool ok = amb_settings_load(path, &s, err, sizeof err);
+        struct amb_settings settings;
+        bool ok = amb_settings_load(path, &settings, err, sizeof err);
         unlink(path);
         if (ok || !strstr(err, rows[i].complaint) || !strstr(err, path))
             fail_msg("row %zu: '%s' instead of '%s'", i, err, rows[i].complaint);
     }
     free(good);
     char err[256];
-    struct amb_settings s;
-    assert_false(amb_settings_load("/nonexistent.toml", &s, err, sizeof err));
+    struct amb_settings settings;
+    assert_false(amb_settings_load("/nonexistent.toml", &settings, err, sizeof err));
 }
 
 static void options(void **state) {
@@ -162,14 +164,14 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         char path[64], err[256] = "";
-        struct amb_options o;
-        amb_options_default(&o);
+        struct amb_options options;
+        amb_options_default(&options);
         spill(path, rows[i].xml);
-        bool ok = amb_options_load(path, &o, err, sizeof err);
+        bool ok = amb_options_load(path, &options, err, sizeof err);
         unlink(path);
         if (ok != !rows[i].complaint || (!ok && !strstr(err, rows[i].complaint)))
             fail_msg("row %zu: '%s'", i, err);
-        if (i == 1) assert_true(o.headroom == 2.5);
+        if (i == 1) assert_true(options.headroom == 2.5);
     }
     struct amb_options normal, sample;
     char err[256] = "";
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -27,38 +27,38 @@
     amb_buf_free(&reply->body);
 }
 
-static void w_pair(struct amb_buf *b, const char *name, const char *value) {
-    amb_w_str(b, name);
-    amb_w_str(b, value);
+static void w_pair(struct amb_buf *buffer, const char *name, const char *value) {
+    amb_w_str(buffer, name);
+    amb_w_str(buffer, value);
 }
 
 /* A worker of zone a reports one running task over HTTP. */
 static void hello(uint64_t token, const char *task) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 9);
-    w_pair(&b, "rig", "m-1");
-    w_pair(&b, "address", "127.0.0.1:1");
-    w_pair(&b, "hull", "g8");
-    w_pair(&b, "yard", "a");
-    amb_w_str(&b, "driftwood");
-    amb_w_bool(&b, false);
-    amb_w_str(&b, "watch");
-    amb_w_uint(&b, 1);
-    amb_w_str(&b, "tally");
-    amb_w_uint(&b, 1);
-    amb_w_str(&b, "baton");
-    amb_w_uint(&b, token);
-    amb_w_str(&b, "legs");
-    amb_w_list(&b, 1);
-    amb_w_map(&b, 3);
-    w_pair(&b, "leg", task);
-    amb_w_str(&b, "try");
-    amb_w_uint(&b, 1);
-    w_pair(&b, "stance", "running");
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 9);
+    w_pair(&buffer, "rig", "m-1");
+    w_pair(&buffer, "address", "127.0.0.1:1");
+    w_pair(&buffer, "hull", "g8");
+    w_pair(&buffer, "yard", "a");
+    amb_w_str(&buffer, "driftwood");
+    amb_w_bool(&buffer, false);
+    amb_w_str(&buffer, "watch");
+    amb_w_uint(&buffer, 1);
+    amb_w_str(&buffer, "tally");
+    amb_w_uint(&buffer, 1);
+    amb_w_str(&buffer, "baton");
+    amb_w_uint(&buffer, token);
+    amb_w_str(&buffer, "legs");
+    amb_w_list(&buffer, 1);
+    amb_w_map(&buffer, 3);
+    w_pair(&buffer, "leg", task);
+    amb_w_str(&buffer, "try");
+    amb_w_uint(&buffer, 1);
+    w_pair(&buffer, "stance", "running");
     struct fake_reply reply = {0};
-    assert_true(amb_fleet_request(node, fake_request("POST", "/hello", &b, &reply)));
+    assert_true(amb_fleet_request(node, fake_request("POST", "/hello", &buffer, &reply)));
     read_answer(&reply);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 /* ---- jobs as news tell of them ---- */
@@ -66,22 +66,22 @@
 static void news(const char *ref, enum amb_job_state state, uint64_t stamp, int64_t cancelled_wall) {
     struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
     struct amb_job draft = {.spec = &spec, .accepted_wall = 1, .cancelled_wall = cancelled_wall};
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(&b, &draft, state);
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
+    amb_job_value(&buffer, &draft, state);
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     amb_jobs_apply(node, ref, item, stamp);
     cbor_decref(&item);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 static enum amb_job_state state_of(const char *ref) {
-    const struct amb_job *j = amb_job_find(node, ref);
-    assert_non_null(j);
-    return j->state;
+    const struct amb_job *job = amb_job_find(node, ref);
+    assert_non_null(job);
+    return job->state;
 }
 
 /* ---- the tests ---- */
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -465,17 +465,17 @@
 /* Of a leader before duties came into use: it had been answered, and the leader calls no more. */
 static void old_requests_are_not_repeated(void **state) {
     (void)state;
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     use_duties();
-    amb_w_map(&b, 4);
-    amb_w_str(&b, "type"), amb_w_str(&b, "g8");
-    amb_w_str(&b, "zone"), amb_w_str(&b, "a");
-    amb_w_str(&b, "spot"), amb_w_bool(&b, false);
-    amb_w_str(&b, "count"), amb_w_uint(&b, 3);
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+    amb_w_map(&buffer, 4);
+    amb_w_str(&buffer, "type"), amb_w_str(&buffer, "g8");
+    amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "a");
+    amb_w_str(&buffer, "spot"), amb_w_bool(&buffer, false);
+    amb_w_str(&buffer, "count"), amb_w_uint(&buffer, 3);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_rental_load(node, "b/r/r-40-7", value);
     cbor_decref(&value);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     node->rental.list_at = amb_now();
     amb_rental_tick(node, amb_now());
     assert_null(find_call("POST", "/machines"));
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -79,69 +79,69 @@
 
 /* News: n-1 stands in for the leader in zone a. */
 static void deputy_key_appears(void) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "zone");
-    amb_w_str(&b, "a");
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "zone");
+    amb_w_str(&buffer, "a");
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_deputy_key(node, "n-1", value, 55);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     cbor_decref(&value);
 }
 
 /* As long as the deputy's key stands its workers may be alive, however long they are silent here. */
 static void known_deputies_keep_their_zone_alive(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     machine_up("m-1", 0);
-    struct amb_task *t = bound(j, 0, "m-1", 1);
-    t->state = AMB_TASK_SEEN;
+    struct amb_task *task = bound(job, 0, "m-1", 1);
+    task->state = AMB_TASK_SEEN;
     deputy_key_appears();
     for (int i = 0; i < 30; i++) {
         fake_clock_advance(1000);
         node->jobs.fresh_at = node->jobs.fresh_sent_at = amb_now();
         amb_deputy_tick(node, amb_now());
         amb_fleet_tick(node, amb_now());
-        if (!t->machine) fail_msg("lost after %d s, while the deputy's key stands", i + 1);
+        if (!task->machine) fail_msg("lost after %d s, while the deputy's key stands", i + 1);
     }
     amb_deputy_key(node, "n-1", NULL, 56);
     fake_clock_advance(11000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    assert_null(t->machine);
+    assert_null(task->machine);
 }
 
 /* A deputy that came and went within a moment may have answered its zone's workers. */
 static void short_deputies_count(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     machine_up("m-1", 0);
-    bound(j, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+    bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
     deputy_key_appears();
     amb_deputy_key(node, "n-1", NULL, 56);
     fake_clock_advance(9000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!j->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
+    if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
     fake_clock_advance(2000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    assert_null(j->tasks[0].machine);
+    assert_null(job->tasks[0].machine);
 }
 
 /* Nor is it known, of a machine whose zone is not, whether a deputy answers it. */
 static void deputies_of_any_zone_count_for_unknown_ones(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     machine_up("m-1", -1);
-    bound(j, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+    bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
     deputy_key_appears();
     fake_clock_advance(9000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!j->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
+    if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
 }
 
 int main(void) {
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -58,19 +58,19 @@
 };
 
 static struct amb_election begin(enum start start) {
-    struct amb_election e = {.member = "n-0", .ttl = TTL, .fence_after = FENCE, .shun_for = SHUN};
-    if (start == NEW) return e;
-    e.role = AMB_ROLE_FOLLOWING;
-    e.key_known = true;
-    if (start == FOLLOWER) return e;
-    e.role = AMB_ROLE_LEADING;
-    e.term = e.highest = e.holder_stamp = TERM;
-    strcpy(e.holder, "n-0");
-    e.lease = LEASE;
-    e.claim = OURS;
-    e.nonce = e.holder_nonce = NONCE + OURS;
-    e.claim_at = e.renewed_at = e.renew_sent_at = START;
-    return e;
+    struct amb_election election = {.member = "n-0", .ttl = TTL, .fence_after = FENCE, .shun_for = SHUN};
+    if (start == NEW) return election;
+    election.role = AMB_ROLE_FOLLOWING;
+    election.key_known = true;
+    if (start == FOLLOWER) return election;
+    election.role = AMB_ROLE_LEADING;
+    election.term = election.highest = election.holder_stamp = TERM;
+    strcpy(election.holder, "n-0");
+    election.lease = LEASE;
+    election.claim = OURS;
+    election.nonce = election.holder_nonce = NONCE + OURS;
+    election.claim_at = election.renewed_at = election.renew_sent_at = START;
+    return election;
 }
 
 static const char *as_text(const struct amb_election_output *out, char *text, size_t cap) {
@@ -100,18 +100,18 @@
 }
 
 static void play(const struct row *row) {
-    struct amb_election e = begin(row->start);
+    struct amb_election election = begin(row->start);
     for (size_t k = 0; k < STEPS && (k == 0 || row->steps[k].in.now); k++) {
         const struct step *s = &row->steps[k];
         struct amb_election_output out;
         char text[128];
-        enum amb_role before = e.role;
-        amb_election_step(&e, &s->in, &out);
+        enum amb_role before = election.role;
+        amb_election_step(&election, &s->in, &out);
         as_text(&out, text, sizeof text);
-        if (e.role != s->role || strcmp(text, s->actions ? s->actions : ""))
-            fail_msg("%s, step %zu: role %d, wanted %d; actions '%s', wanted '%s'", row->what, k, (int)e.role,
-                     (int)s->role, text, s->actions ? s->actions : "");
-        if ((e.role != before) != (out.cause != NULL)) fail_msg("%s, step %zu: cause", row->what, k);
+        if (election.role != s->role || strcmp(text, s->actions ? s->actions : ""))
+            fail_msg("%s, step %zu: role %d, wanted %d; actions '%s', wanted '%s'", row->what, k,
+                     (int)election.role, (int)s->role, text, s->actions ? s->actions : "");
+        if ((election.role != before) != (out.cause != NULL)) fail_msg("%s, step %zu: cause", row->what, k);
     }
 }
 
@@ -403,25 +403,25 @@
 /* Its term is what it tells other nodes, and workers as their token. */
 static void term_of_a_leader(void **state) {
     (void)state;
-    struct amb_election e = begin(FOLLOWER);
+    struct amb_election election = begin(FOLLOWER);
     static const struct amb_election_input inputs[] = {
         {.event = AMB_ELECTION_TICK, .now = START},
         {.event = AMB_ELECTION_LEASE_GRANTED, .now = START + 1, .claim = 1, .lease = LEASE},
         {.event = AMB_ELECTION_CLAIM_ANSWERED, .now = START + 2, .claim = 1, .stamp = TERM},
     };
     struct amb_election_output out;
-    for (size_t i = 0; i < ROWS(inputs); i++) amb_election_step(&e, &inputs[i], &out);
-    assert_int_equal(e.role, LEADING);
-    assert_int_equal(e.term, TERM);
-    assert_int_equal(e.highest, TERM);
-    assert_int_equal(e.holder_stamp, TERM);
-    assert_string_equal(e.holder, "n-0");
+    for (size_t i = 0; i < ROWS(inputs); i++) amb_election_step(&election, &inputs[i], &out);
+    assert_int_equal(election.role, LEADING);
+    assert_int_equal(election.term, TERM);
+    assert_int_equal(election.highest, TERM);
+    assert_int_equal(election.holder_stamp, TERM);
+    assert_string_equal(election.holder, "n-0");
     /* That the key is gone is nobody's term. */
     const struct amb_election_input gone = {
         .event = AMB_ELECTION_KEY_CHANGED, .now = START, .key = {.stamp = TERM + 5}};
-    amb_election_step(&e, &gone, &out);
-    assert_int_equal(e.role, FOLLOWING);
-    assert_int_equal(e.highest, TERM);
+    amb_election_step(&election, &gone, &out);
+    assert_int_equal(election.role, FOLLOWING);
+    assert_int_equal(election.highest, TERM);
 }
 
 /* Whether or not a tick has come since: after a stall, reports that came meanwhile may be read before it. */
@@ -445,11 +445,11 @@
         {"one that begins", STARTING, 500, 500, 500, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_election e = begin(LEADER);
+        struct amb_election election = begin(LEADER);
         const struct amb_election_evidence evidence = {.news_asked_at = START + rows[i].news,
                                                        .peers_asked_at = START + rows[i].peers};
-        e.role = rows[i].role;
-        if (amb_election_answers(&e, START + rows[i].at, &evidence) != rows[i].answers)
+        election.role = rows[i].role;
+        if (amb_election_answers(&election, START + rows[i].at, &evidence) != rows[i].answers)
             fail_msg("%s", rows[i].what);
     }
 }
@@ -457,13 +457,13 @@
 /* Only a sure leader starts tasks, whether or not a tick has come since its lease may have run out. */
 static void starts(void **state) {
     (void)state;
-    struct amb_election e = begin(LEADER);
-    assert_true(amb_election_sure(&e, START + SURE - 1));
-    assert_false(amb_election_sure(&e, START + SURE));
+    struct amb_election election = begin(LEADER);
+    assert_true(amb_election_sure(&election, START + SURE - 1));
+    assert_false(amb_election_sure(&election, START + SURE));
     static const enum amb_role others[] = {STARTING, FOLLOWING, CLAIMING, CHECKING, UNSURE, FENCED};
     for (size_t i = 0; i < ROWS(others); i++) {
-        e.role = others[i];
-        assert_false(amb_election_sure(&e, START + 1));
+        election.role = others[i];
+        assert_false(amb_election_sure(&election, START + 1));
     }
 }
 
@@ -482,8 +482,9 @@
         {"while the lease is still sure", SURE - 1, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_election e = begin(LEADER);
-        if (amb_election_in_touch(&e, START + rows[i].at) != rows[i].in_touch) fail_msg("%s", rows[i].what);
+        struct amb_election election = begin(LEADER);
+        if (amb_election_in_touch(&election, START + rows[i].at) != rows[i].in_touch)
+            fail_msg("%s", rows[i].what);
     }
 }
 
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -89,16 +89,16 @@
         {"it did, and another leads by now", "n-0", 10, 20, AMB_ROLE_FOLLOWING},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_election *e = &node->election;
-        strcpy(e->member, "n-0");
-        e->role = AMB_ROLE_FOLLOWING;
-        e->key_known = true;
-        e->claim_at = 0;
-        strcpy(e->holder, rows[i].holder);
-        e->holder_stamp = rows[i].stamp;
-        e->highest = rows[i].highest;
-        amb_election_tick(node, amb_now() + 2 * e->ttl);
-        if (e->role != rows[i].want) fail_msg("%s: role %d", rows[i].what, e->role);
+        struct amb_election *election = &node->election;
+        strcpy(election->member, "n-0");
+        election->role = AMB_ROLE_FOLLOWING;
+        election->key_known = true;
+        election->claim_at = 0;
+        strcpy(election->holder, rows[i].holder);
+        election->holder_stamp = rows[i].stamp;
+        election->highest = rows[i].highest;
+        amb_election_tick(node, amb_now() + 2 * election->ttl);
+        if (election->role != rows[i].want) fail_msg("%s: role %d", rows[i].what, election->role);
     }
     node->election.role = AMB_ROLE_LEADING;
 }
@@ -183,8 +183,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        bound(j, 0, "m-1", 1);
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        bound(job, 0, "m-1", 1);
         amb_rental_want(node, 0, 0, false, 1);
         node->rental.requests->state = AMB_REQUEST_ASKING;
         node->election.role = rows[i].role;
@@ -298,7 +298,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         ask_peers();
-        struct amb_buf b = {0};
+        struct amb_buf buffer = {0};
         switch (rows[i].source) {
         case WORKER:
             send_report((struct sent_report){.machine = "m-1", .session = 1, .seq = 1, .token = TERM + 1});
@@ -310,15 +310,15 @@
         case KEY_GONE: amb_election_key(node, NULL, TERM + 1); break;
         case KEY_OF_ANOTHER:
         case OWN_KEY:
-            amb_w_map(&b, 2);
-            amb_w_str(&b, "member");
-            amb_w_str(&b, rows[i].source == OWN_KEY ? "n-0" : "n-1");
-            amb_w_str(&b, "nonce");
-            amb_w_uint(&b, rows[i].source == OWN_KEY ? node->election.nonce : 99);
-            cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+            amb_w_map(&buffer, 2);
+            amb_w_str(&buffer, "member");
+            amb_w_str(&buffer, rows[i].source == OWN_KEY ? "n-0" : "n-1");
+            amb_w_str(&buffer, "nonce");
+            amb_w_uint(&buffer, rows[i].source == OWN_KEY ? node->election.nonce : 99);
+            cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
             amb_election_key(node, value, TERM + 1);
             cbor_decref(&value);
-            amb_buf_free(&b);
+            amb_buf_free(&buffer);
             break;
         }
         if (amb_leads(node) != rows[i].leads) fail_msg("%s: leads %d", rows[i].what, amb_leads(node));
--- a/tests/http/test_http_calls.c
+++ b/tests/http/test_http_calls.c
@@ -23,16 +23,16 @@
 
 /* ---- the server's side ---- */
 
-static void serve(void *arg, struct amb_http_req *req) {
+static void serve(void *arg, struct amb_http_req *request) {
     (void)arg;
-    if (!strcmp(req->path, "/silent")) return; /* never answered */
-    if (strcmp(req->path, "/echo")) {
-        amb_http_reply(req, 404, NULL, NULL, 0, 0);
+    if (!strcmp(request->path, "/silent")) return; /* never answered */
+    if (strcmp(request->path, "/echo")) {
+        amb_http_reply(request, 404, NULL, NULL, 0, 0);
         return;
     }
     struct amb_buf copy = {0}; /* the request is gone before the answer is written */
-    amb_buf_add(&copy, req->body, req->body_len);
-    amb_http_reply(req, 200, "text/plain", copy.data, copy.len, 0);
+    amb_buf_add(&copy, request->body, request->body_len);
+    amb_http_reply(request, 200, "text/plain", copy.data, copy.len, 0);
     amb_buf_free(&copy);
 }
 
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -8,9 +8,9 @@
 
 static void gangs(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_GANG, 2);
-    struct amb_task *a = bound(j, 0, "m-1", 1), *b = bound(j, 1, "m-2", 1);
-    amb_gang_state(j, AMB_GANG_STARTING, "placed");
+    struct amb_job *job = add_job("wk-1", AMB_GANG, 2);
+    struct amb_task *a = bound(job, 0, "m-1", 1), *b = bound(job, 1, "m-2", 1);
+    amb_gang_state(job, AMB_GANG_STARTING, "placed");
     /* All or none: one record not durable yet keeps the other task waiting too. */
     b->state = AMB_TASK_PLACED;
     report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
@@ -22,10 +22,10 @@
     struct amb_seen sb = listing("wk-1", 1, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
     report("m-1", 1, 3, TERM, amb_now(), &sa, 1);
     report("m-2", 1, 3, TERM, amb_now(), &sb, 1);
-    assert_int_equal(j->gang, AMB_GANG_RUNNING);
+    assert_int_equal(job->gang, AMB_GANG_RUNNING);
     /* One task is lost: the other is told to stop, and nothing starts before it is gone. */
     report("m-2", 2, 1, TERM, amb_now(), NULL, 0);
-    assert_int_equal(j->gang, AMB_GANG_TEARING);
+    assert_int_equal(job->gang, AMB_GANG_TEARING);
     assert_null(b->machine);
     assert_non_null(a->machine);
     report("m-1", 1, 4, TERM, amb_now(), &sa, 1);
@@ -33,25 +33,25 @@
     sa.on = AMB_ON_EXITED;
     sa.why = AMB_WHY_PEERS;
     report("m-1", 1, 5, TERM, amb_now(), &sa, 1);
-    assert_int_equal(j->gang, AMB_GANG_IDLE);
-    assert_int_equal(j->nbound, 0);
+    assert_int_equal(job->gang, AMB_GANG_IDLE);
+    assert_int_equal(job->nbound, 0);
 }
 
 /* A gang's tasks on one machine all go when one of them tears the attempt down in mid-report. */
 static void gang_on_one_machine(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_GANG, 3);
+    struct amb_job *job = add_job("wk-1", AMB_GANG, 3);
     struct amb_seen s[3];
     for (uint32_t i = 0; i < 3; i++) {
-        bound(j, i, "m-1", 1);
+        bound(job, i, "m-1", 1);
         s[i] = listing("wk-1", i, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
     }
-    amb_gang_state(j, AMB_GANG_STARTING, "placed");
+    amb_gang_state(job, AMB_GANG_STARTING, "placed");
     report("m-1", 1, 1, TERM, amb_now(), s, 3);
-    assert_int_equal(j->gang, AMB_GANG_RUNNING);
+    assert_int_equal(job->gang, AMB_GANG_RUNNING);
     report("m-1", 2, 1, TERM, amb_now(), NULL, 0);
-    assert_int_equal(j->nbound, 0);
-    assert_int_equal(j->gang, AMB_GANG_IDLE);
+    assert_int_equal(job->nbound, 0);
+    assert_int_equal(job->gang, AMB_GANG_IDLE);
 }
 
 static void gangs_have_one_attempt(void **state) {
@@ -60,16 +60,16 @@
     amb_wdrr_refill(node->set.teams, 1, 1000);
     machine_up("m-1", 0);
     machine_up("m-2", 0);
-    struct amb_job *j = add_job("wk-1", AMB_GANG, 2);
-    j->spec->each.gpus = 8;
-    struct amb_round *r = amb_round_new(node, amb_now());
-    amb_round_admit(r);
-    amb_round_free(r);
-    assert_int_equal(j->nbound, 2);
-    if (j->tasks[0].attempt != j->tasks[1].attempt)
-        fail_msg("attempts %llu and %llu", (unsigned long long)j->tasks[0].attempt,
-                 (unsigned long long)j->tasks[1].attempt);
-    assert_true(j->next_attempt > j->tasks[0].attempt);
+    struct amb_job *job = add_job("wk-1", AMB_GANG, 2);
+    job->spec->each.gpus = 8;
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    amb_round_admit(cycle);
+    amb_round_free(cycle);
+    assert_int_equal(job->nbound, 2);
+    if (job->tasks[0].attempt != job->tasks[1].attempt)
+        fail_msg("attempts %llu and %llu", (unsigned long long)job->tasks[0].attempt,
+                 (unsigned long long)job->tasks[1].attempt);
+    assert_true(job->next_attempt > job->tasks[0].attempt);
     assert_true(node->set.teams[0].used.gpus == 16); /* debited, though no record is written yet */
 }
 
@@ -87,28 +87,28 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_GANG, 2);
+        struct amb_job *job = add_job("wk-1", AMB_GANG, 2);
         machine_up("m-1", 0);
-        if (rows[i].one_left) bound(j, 0, "m-1", 1);
-        j->gang = rows[i].gang;
-        struct amb_round *r = amb_round_new(node, amb_now());
-        bool starts = amb_round_wants_start(r, j);
-        amb_round_free(r);
+        if (rows[i].one_left) bound(job, 0, "m-1", 1);
+        job->gang = rows[i].gang;
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        bool starts = amb_round_wants_start(cycle, job);
+        amb_round_free(cycle);
         if (starts != rows[i].starts) fail_msg("%s: starts %d", rows[i].what, starts);
     }
 }
 
 static void old_tasks_bind_the_zone(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 2);
-    j->spec->one_zone = true;
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 2);
+    job->spec->one_zone = true;
     machine_up("m-1", 1);
-    bound(j, 0, "m-1", 1);
-    struct amb_round *r = amb_round_new(node, amb_now());
-    struct amb_wish wish;
-    amb_round_wish(r, j, &wish);
-    amb_round_free(r);
-    if (wish.zone != 1) fail_msg("may start in zone %d", wish.zone);
+    bound(job, 0, "m-1", 1);
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    struct amb_wish request;
+    amb_round_wish(cycle, job, &request);
+    amb_round_free(cycle);
+    if (request.zone != 1) fail_msg("may start in zone %d", request.zone);
 }
 
 /* Room for a gang that its team is guaranteed: what another team runs beyond its own guarantee makes way, on
@@ -159,9 +159,9 @@
         gang->spec->each = (struct amb_res){80, 8, 500};
         gang->team = &node->set.teams[1];
         for (uint32_t i = 0; i < 16; i++) {
-            struct amb_task *t = bound(sweep, i, i < 8 ? "m-1" : "m-2", 1);
-            t->state = AMB_TASK_SEEN;
-            t->on = AMB_ON_RUNNING;
+            struct amb_task *task = bound(sweep, i, i < 8 ? "m-1" : "m-2", 1);
+            task->state = AMB_TASK_SEEN;
+            task->on = AMB_ON_RUNNING;
         }
         report("m-1", k + 1, 1, TERM, amb_now(), NULL, 0);
         report("m-2", k + 1, 1, TERM, amb_now(), NULL, 0);
@@ -169,12 +169,12 @@
             if (!sweep->tasks[i].machine) bound(sweep, i, i < 8 ? "m-1" : "m-2", 2);
             sweep->tasks[i].state = AMB_TASK_SEEN;
         }
-        struct amb_round *r = amb_round_new(node, amb_now());
-        amb_round_mark(r, gang->spec, gang->spec->image);
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        amb_round_mark(cycle, gang->spec, gang->spec->image);
         uint32_t stopped = 0, claimed = 0;
-        bool room = amb_round_make_room_gang(r, gang);
-        for (uint32_t i = 0; i < r->nslots; i++) claimed += r->slots[i].machine->claimed;
-        amb_round_free(r);
+        bool room = amb_round_make_room_gang(cycle, gang);
+        for (uint32_t i = 0; i < cycle->nslots; i++) claimed += cycle->slots[i].machine->claimed;
+        amb_round_free(cycle);
         for (uint32_t i = 0; i < 16; i++) stopped += sweep->tasks[i].halting;
         for (uint32_t i = 0; i < 16; i++)
             if (sweep->tasks[i].halting && sweep->tasks[i].grace_s != rows[k].grace)
@@ -189,8 +189,8 @@
             free(jobs[i]->spec);
             free(jobs[i]);
         }
-        struct amb_machine *m, *next;
-        HASH_ITER(hh, node->fleet.all, m, next) m->claimed = false;
+        struct amb_machine *machine, *next;
+        HASH_ITER(hh, node->fleet.all, machine, next) machine->claimed = false;
     }
 }
 
@@ -212,7 +212,7 @@
     node->catalog.types[0].boot_s = 50;
     node->catalog.types[0].fetch_gb_s = 1.7;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_spec s = {.kind = rows[i].kind, .class_name = "class", .image_gb = 16};
+        struct amb_spec spec = {.kind = rows[i].kind, .class_name = "class", .image_gb = 16};
         node->set.nobjectives = 0;
         for (size_t k = 0; k < 3 && rows[i].within[k] > 0; k++) {
             struct amb_objective *o = &node->set.objectives[node->set.nobjectives++];
@@ -220,7 +220,7 @@
             strcpy(o->class_name, "class");
             o->within_s = rows[i].within[k];
         }
-        const struct amb_objective *o = amb_start_objective(node, &s);
+        const struct amb_objective *o = amb_start_objective(node, &spec);
         if ((o ? o->within_s : 0) != rows[i].want) fail_msg("%s", rows[i].what);
     }
 }
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -9,16 +9,16 @@
 
 static struct amb_job *job_from(const char *ref, const char *rank, double due_s, double reckon_s, int age_s,
                                 const char *awaits, uint64_t stamp) {
-    struct amb_buf b = cbor_from_text(
+    struct amb_buf buffer = cbor_from_text(
         "{\"s\":\"queued\",\"a\":%lld,\"d\":{\"ref\":\"%s\",\"berth\":\"stage\",\"crew\":\"vision\","
         "\"shape\":\"batch\",\"rank\":\"%s\",\"legs\":1,\"vcpus\":1.0,\"accelerators\":0.0,\"ram_gb\":4.0,"
         "\"cask\":\"img\",\"size_gb\":1.0,\"one_zone\":false,\"scatter\":false,\"driftwood\":true,"
         "\"reckon_s\":%f,\"mark_s\":0.0,\"stow_s\":0.0,\"due_s\":%f,\"awaits\":[%s]}}",
         (long long)amb_wall_ms() - age_s * 1000LL, ref, rank, reckon_s, due_s, awaits);
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_jobs_apply(node, ref, value, stamp);
     cbor_decref(&value);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     return amb_job_find(node, ref);
 }
 
@@ -54,10 +54,10 @@
         job_from("wk-third", rows[i].last_rank, rows[i].due_s, rows[i].reckon_s, rows[i].age_s,
                  "\"wk-second\"", 203);
         job_from("wk-other", rows[i].other_rank, 0, 10, rows[i].other_age_s, "", 204);
-        struct amb_round *round = amb_round_new(node, amb_now());
-        assert_int_equal(round->njobs, 2);
-        if ((round->jobs[0] == first) != rows[i].before) fail_msg("%s", rows[i].what);
-        amb_round_free(round);
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        assert_int_equal(cycle->njobs, 2);
+        if ((cycle->jobs[0] == first) != rows[i].before) fail_msg("%s", rows[i].what);
+        amb_round_free(cycle);
     }
 }
 
@@ -175,11 +175,11 @@
         first->team->opportunistic = rows[i].opportunistic;
         if (amb_round_makes_way(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
         assert_int_equal(amb_job_priority(first), rows[i].own_claim);
-        struct amb_round *round = amb_round_new(node, amb_now());
-        struct amb_wish wish;
-        amb_round_wish(round, first, &wish);
-        assert_int_equal(wish.priority, rows[i].own_claim);
-        amb_round_free(round);
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        struct amb_wish request;
+        amb_round_wish(cycle, first, &request);
+        assert_int_equal(request.priority, rows[i].own_claim);
+        amb_round_free(cycle);
         amb_task_unbind(node, task, "end of row");
         first->team->opportunistic = false;
     }
--- a/tests/job/test_pipelines.c
+++ b/tests/job/test_pipelines.c
@@ -143,21 +143,21 @@
     lead();
     play("setup", "+a +b:a");
     struct amb_job *job = amb_job_find(node, "wk-b");
-    struct amb_buf b =
+    struct amb_buf buffer =
         cbor_from_text("{\"n\":2,\"p\":\"0,1,m-1,0,0,0;\",\"d\":\"\",\"t\":[\"g8\"],\"z\":[\"a\"]}");
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_record_load(node, "b/p/wk-b/00000", value, 60);
     cbor_decref(&value);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     assert_true(job->live);
     assert_int_equal(job->nbound, 1);
-    struct amb_round *round = amb_round_new(node, amb_now());
-    if (amb_round_wants_start(round, job)) fail_msg("it is started while it waits");
-    amb_round_free(round);
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    if (amb_round_wants_start(cycle, job)) fail_msg("it is started while it waits");
+    amb_round_free(cycle);
     finish_tasks('a');
-    round = amb_round_new(node, amb_now());
-    assert_true(amb_round_wants_start(round, job));
-    amb_round_free(round);
+    cycle = amb_round_new(node, amb_now());
+    assert_true(amb_round_wants_start(cycle, job));
+    amb_round_free(cycle);
 }
 
 int main(void) {
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -8,16 +8,16 @@
 static void hear(const char *ref, enum amb_job_state state, uint64_t stamp) {
     struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
     struct amb_job draft = {.spec = &spec, .accepted_wall = 1};
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(&b, &draft, state);
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
+    amb_job_value(&buffer, &draft, state);
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     amb_jobs_apply(node, ref, item, stamp);
     cbor_decref(&item);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 /* All nodes draw on one half of the state service's writes for users: when the half was parted among seven,
@@ -80,17 +80,17 @@
     node->set.state_rps = 200;
     node->set.state_write_rps = 20;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_store *s = &node->store;
-        amb_store_init(s, &node->set, 1000);
-        amb_store_share(s, true);
-        s->writes.at = s->user_writes.at = amb_now() + 3600000;
-        s->writes.tokens = rows[i].own;
-        s->user_writes.tokens = rows[i].users;
-        assert_float_equal(amb_store_lend(s), rows[i].lends, 1e-9);
-        assert_float_equal(s->writes.tokens, rows[i].own - rows[i].lends, 1e-9);
-        assert_float_equal(s->user_writes.tokens, rows[i].users + rows[i].lends, 1e-9);
-        amb_store_lent(s, 1000); /* a wrong word from a peer fills the bucket and no more */
-        assert_float_equal(s->user_writes.tokens, 10, 1e-9);
+        struct amb_store *store = &node->store;
+        amb_store_init(store, &node->set, 1000);
+        amb_store_share(store, true);
+        store->writes.at = store->user_writes.at = amb_now() + 3600000;
+        store->writes.tokens = rows[i].own;
+        store->user_writes.tokens = rows[i].users;
+        assert_float_equal(amb_store_lend(store), rows[i].lends, 1e-9);
+        assert_float_equal(store->writes.tokens, rows[i].own - rows[i].lends, 1e-9);
+        assert_float_equal(store->user_writes.tokens, rows[i].users + rows[i].lends, 1e-9);
+        amb_store_lent(store, 1000); /* a wrong word from a peer fills the bucket and no more */
+        assert_float_equal(store->user_writes.tokens, 10, 1e-9);
     }
 }
 
@@ -115,17 +115,18 @@
         {"alone, holding all", 0, true, true, 1, 14},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_store *s = &node->store;
+        struct amb_store *store = &node->store;
         node->set.npeers = rows[i].peers;
         node->set.state_rps = 200;
         node->set.state_write_rps = 28;
-        amb_store_init(s, &node->set, 1000);
-        amb_store_share_duties(s, rows[i].in_use, rows[i].part);
-        amb_store_share(s, rows[i].leading);
-        if (fabs(s->writes.rate - rows[i].writes) > 1e-9) fail_msg("%s: %g", rows[i].what, s->writes.rate);
-        assert_float_equal(s->user_writes.rate, 14, 1e-9);
-        amb_store_share_duties(s, false, 0);
-        assert_float_equal(s->writes.rate, rows[i].leading ? 14 : 14.0 / (rows[i].peers + 1), 1e-9);
+        amb_store_init(store, &node->set, 1000);
+        amb_store_share_duties(store, rows[i].in_use, rows[i].part);
+        amb_store_share(store, rows[i].leading);
+        if (fabs(store->writes.rate - rows[i].writes) > 1e-9)
+            fail_msg("%s: %g", rows[i].what, store->writes.rate);
+        assert_float_equal(store->user_writes.rate, 14, 1e-9);
+        amb_store_share_duties(store, false, 0);
+        assert_float_equal(store->writes.rate, rows[i].leading ? 14 : 14.0 / (rows[i].peers + 1), 1e-9);
     }
 }
 
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -7,16 +7,16 @@
 
 static void usage_counts_until_absence(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_ARRAY, 2);
+    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
     struct amb_team *team = &node->set.teams[0];
-    bound(j, 0, "m-1", 1);
-    bound(j, 1, "m-1", 2);
-    struct amb_machine *m = amb_machine_get(node, "m-1", false);
-    assert_true(team->used.gpus == 2 && m->used.gpus == 2);
-    amb_task_halt(node, &j->tasks[0], 0, "test");
+    bound(job, 0, "m-1", 1);
+    bound(job, 1, "m-1", 2);
+    struct amb_machine *machine = amb_machine_get(node, "m-1", false);
+    assert_true(team->used.gpus == 2 && machine->used.gpus == 2);
+    amb_task_halt(node, &job->tasks[0], 0, "test");
     assert_true(team->used.gpus == 2);
-    amb_task_unbind(node, &j->tasks[0], "test");
-    assert_true(team->used.gpus == 1 && m->used.gpus == 1);
+    amb_task_unbind(node, &job->tasks[0], "test");
+    assert_true(team->used.gpus == 1 && machine->used.gpus == 1);
 }
 
 /* ---- by the end of a lease ---- */
@@ -37,11 +37,12 @@
     };
     node->peers.count = 1; /* which has not heeded our term: it may answer whoever has not shown our token */
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_job *j = add_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_SERVICE, 1);
+        struct amb_job *job =
+            add_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_SERVICE, 1);
         char name[16];
         snprintf(name, sizeof name, "m-%zu", i);
-        struct amb_task *t = bound(j, 0, name, 1);
-        struct amb_seen seen = listing(j->ref, 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+        struct amb_task *task = bound(job, 0, name, 1);
+        struct amb_seen seen = listing(job->ref, 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
         amb_ms now = amb_now();
         node->ctl.leading_since = now;
         assert_true(report(name, 1, 1, rows[i].token, now, &seen, 1));
@@ -50,24 +51,24 @@
         int zone = amb_catalog_zone(&node->catalog, "a");
         node->deputy.zone_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
         amb_fleet_tick(node, now + rows[i].silent);
-        if ((t->machine == NULL) != rows[i].absent) fail_msg("row %zu", i);
+        if ((task->machine == NULL) != rows[i].absent) fail_msg("row %zu", i);
     }
 }
 
 /* Any 200 may be taken as a renewal, also one that answers what turns out to be a late copy. */
 static void answering_a_copy_counts_as_renewal(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    struct amb_task *t = bound(j, 0, "m-1", 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_task *task = bound(job, 0, "m-1", 1);
     struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
     amb_ms now = amb_now();
     assert_true(report("m-1", 1, 2, TERM, now, &seen, 1));
     assert_true(report("m-1", 1, 1, TERM, now + 6000, &seen, 1));
     node->jobs.fresh_sent_at = now + 20000;
     amb_fleet_tick(node, now + 11000);
-    assert_non_null(t->machine);
+    assert_non_null(task->machine);
     amb_fleet_tick(node, now + 17000);
-    assert_null(t->machine);
+    assert_null(task->machine);
 }
 
 /* A lease of 10 s, on a clock that may be 1% off, and a quarter report period for work under way. */
@@ -79,13 +80,13 @@
     } rows[] = {{10050, false}, {10300, false}, {10400, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
         machine_up("m-1", 0);
-        bound(j, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+        bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
         fake_clock_advance(rows[i].silent);
         node->jobs.fresh_sent_at = amb_now();
         amb_fleet_tick(node, amb_now());
-        if ((j->tasks[0].machine == NULL) != rows[i].absent)
+        if ((job->tasks[0].machine == NULL) != rows[i].absent)
             fail_msg("after %lld ms: %s", (long long)rows[i].silent,
                      rows[i].absent ? "still counted" : "taken as absent");
     }
@@ -111,12 +112,12 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        struct amb_task *t = bound(j, 0, "m-1", 1);
-        struct amb_machine *m = amb_machine_get(node, "m-1", false);
-        m->type = m->zone = 0;
-        m->known_at = m->first_at = now - 20000;
-        m->answered_at = now - rows[i].answered;
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_task *task = bound(job, 0, "m-1", 1);
+        struct amb_machine *machine = amb_machine_get(node, "m-1", false);
+        machine->type = machine->zone = 0;
+        machine->known_at = machine->first_at = now - 20000;
+        machine->answered_at = now - rows[i].answered;
         node->ctl.leading_since = now - 20000;
         node->jobs.fresh_sent_at = now - rows[i].news;
         node->jobs.syncing = true; /* no call goes out */
@@ -124,7 +125,7 @@
         node->peers.list[0].quiet_term = rows[i].heeds;
         node->peers.list[0].quiet_at = now - rows[i].quiet;
         amb_fleet_tick(node, now);
-        if ((t->state == AMB_TASK_WAITING) != rows[i].lost) fail_msg("%s", rows[i].what);
+        if ((task->state == AMB_TASK_WAITING) != rows[i].lost) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -132,31 +133,31 @@
 
 static void returns_count_once_they_are_answered(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    struct amb_machine *m = machine_up("m-1", 0);
-    bound(j, 0, "m-1", 1);
-    amb_rental_release(node, m, "test");
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_machine *machine = machine_up("m-1", 0);
+    bound(job, 0, "m-1", 1);
+    amb_rental_release(node, machine, "test");
     amb_rental_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 0, NULL);
-    if (!j->tasks[0].machine) fail_msg("taken as absent though the return was not answered");
+    if (!job->tasks[0].machine) fail_msg("taken as absent though the return was not answered");
     fake_clock_advance(500);
     amb_rental_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 200, NULL);
-    assert_null(j->tasks[0].machine);
+    assert_null(job->tasks[0].machine);
 }
 
 /* A page of the cloud's list: one machine, or none (name NULL). */
 static void answer_list(struct fake_call *call, const char *name, const char *stance, bool truncated) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "rigs"), amb_w_list(&b, name ? 1 : 0);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "rigs"), amb_w_list(&buffer, name ? 1 : 0);
     if (name) {
-        amb_w_map(&b, 2);
-        amb_w_str(&b, "ref"), amb_w_str(&b, name);
-        amb_w_str(&b, "stance"), amb_w_str(&b, stance);
+        amb_w_map(&buffer, 2);
+        amb_w_str(&buffer, "ref"), amb_w_str(&buffer, name);
+        amb_w_str(&buffer, "stance"), amb_w_str(&buffer, stance);
     }
-    amb_w_str(&b, "truncated"), amb_w_bool(&b, truncated);
-    fake_answer(call, 200, &b);
+    amb_w_str(&buffer, "truncated"), amb_w_bool(&buffer, truncated);
+    fake_answer(call, 200, &buffer);
 }
 
 /* Lists lag by 5 s, at times by twice that; 2.2 lags and a report period are 12 s. */
@@ -181,18 +182,18 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        struct amb_machine *m = machine_up("m-1", 0);
-        bound(j, 0, "m-1", 1);
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_machine *machine = machine_up("m-1", 0);
+        bound(job, 0, "m-1", 1);
         amb_ms now = amb_now();
-        m->known_at = m->first_at = now - rows[i].known;
-        m->reported_at = rows[i].reported == NEVER ? 0 : now - rows[i].reported;
-        m->listed_at = rows[i].listed == NEVER ? 0 : now - rows[i].listed;
+        machine->known_at = machine->first_at = now - rows[i].known;
+        machine->reported_at = rows[i].reported == NEVER ? 0 : now - rows[i].reported;
+        machine->listed_at = rows[i].listed == NEVER ? 0 : now - rows[i].listed;
         amb_rental_tick(node, now);
         fake_clock_advance(rows[i].takes);
         answer_list(open_call("GET", "/machines"), rows[i].stance ? "m-1" : NULL, rows[i].stance, false);
         amb_fleet_tick(node, amb_now());
-        if ((j->tasks[0].machine == NULL) != rows[i].absent)
+        if ((job->tasks[0].machine == NULL) != rows[i].absent)
             fail_msg("%s: %s", rows[i].what, rows[i].absent ? "still counted" : "taken as absent");
     }
 }
@@ -208,19 +209,19 @@
         {"all pages come", 200, true}, {"the last page is refused", 503, false}, {"no answer", 0, false}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        struct amb_machine *m = machine_up("m-1", 0);
-        bound(j, 0, "m-1", 1);
-        m->known_at = m->first_at = m->reported_at = amb_now() - 60000;
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_machine *machine = machine_up("m-1", 0);
+        bound(job, 0, "m-1", 1);
+        machine->known_at = machine->first_at = machine->reported_at = amb_now() - 60000;
         amb_rental_tick(node, amb_now());
         answer_list(open_call("GET", "/machines"), "m-0", "running", true);
-        if (!j->tasks[0].machine) fail_msg("taken as absent though more of the list is to come");
+        if (!job->tasks[0].machine) fail_msg("taken as absent though more of the list is to come");
         struct fake_call *second = open_call("GET", "/machines?after=m-0");
         if (rows[i].status == 200)
             answer_list(second, NULL, NULL, false);
         else
             fake_answer(second, rows[i].status, NULL);
-        if ((j->tasks[0].machine == NULL) != rows[i].absent)
+        if ((job->tasks[0].machine == NULL) != rows[i].absent)
             fail_msg("%s: %s", rows[i].what, rows[i].absent ? "still counted" : "taken as absent");
     }
 }
@@ -243,17 +244,17 @@
 
 static void unproven_machines_are_sought_with_the_token_alone(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    struct amb_machine *m = machine_in("m-1", 0);
-    strcpy(m->addr, "worker:1");
-    bound(j, 0, "m-1", 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_machine *machine = machine_in("m-1", 0);
+    strcpy(machine->addr, "worker:1");
+    bound(job, 0, "m-1", 1);
     node->peers.count = 1; /* which may still answer it */
     fake_clock_advance(2500);
     amb_fleet_tick(node, amb_now());
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "watch"), amb_w_uint(&b, 3);
-    fake_answer(open_call("GET", "/inspect"), 200, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "watch"), amb_w_uint(&buffer, 3);
+    fake_answer(open_call("GET", "/inspect"), 200, &buffer);
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
     uint64_t token = 0, session = 0;
@@ -265,11 +266,11 @@
     fake_clock_advance(12000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    assert_false(m->release_wanted);
+    assert_false(machine->release_wanted);
     fake_clock_advance(1000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!m->release_wanted) fail_msg("not returned after more than 1.5 leases");
+    if (!machine->release_wanted) fail_msg("not returned after more than 1.5 leases");
 }
 
 /* A machine whose reports come, but which never takes our token: deaf since before we led. */
@@ -303,12 +304,12 @@
         if (rows[i].has_task) bound(add_job("wk-1", AMB_SERVICE, 1), 0, "m-1", 1);
         node->ctl.ready = false; /* nothing is ordered */
         assert_true(report("m-1", 1, 1, rows[i].token, now - rows[i].reported, NULL, 0));
-        struct amb_machine *m = amb_machine_get(node, "m-1", false);
-        m->state_at = now - rows[i].since;
+        struct amb_machine *machine = amb_machine_get(node, "m-1", false);
+        machine->state_at = now - rows[i].since;
         node->ctl.loaded_at = now - rows[i].loaded;
         node->jobs.syncing = true;
         amb_fleet_tick(node, now);
-        if (m->release_wanted != rows[i].returned) fail_msg("%s", rows[i].what);
+        if (machine->release_wanted != rows[i].returned) fail_msg("%s", rows[i].what);
     }
 }
 
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -63,8 +63,8 @@
             if (exchange_heartbeat() > AMB_HEARTBEAT_MAX) fail_msg("row %zu: heartbeat %u is too long", i, k);
         for (uint32_t k = 0; k < rows[i].machines; k++)
             if (!is_known(k)) fail_msg("row %zu: machine %u is not told of", i, k);
-        for (const struct amb_machine *m = node->fleet.all; m; m = m->hh.next)
-            if (m->images_changed) fail_msg("row %zu: %s would be told of again", i, m->name);
+        for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+            if (machine->images_changed) fail_msg("row %zu: %s would be told of again", i, machine->name);
     }
 }
 
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -56,8 +56,8 @@
     for (int speaks_first = 0; speaks_first <= 1; speaks_first++) {
         begin_anew();
         ask_peers();
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        bound(j, 0, "m-1", 1);
+        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        bound(job, 0, "m-1", 1);
         struct sent_report r = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
         send_report(r);
         char cancelled[64];
@@ -73,9 +73,9 @@
 
 static void cancellations_are_told_to_peers(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
-    assert_int_equal(j->state, AMB_JOB_CANCELLED);
+    assert_int_equal(job->state, AMB_JOB_CANCELLED);
     node->jobs.epoch = 1234;
     ask_peers();
     struct fake_call *heartbeat = open_call("POST", "/peer/heartbeat");
@@ -93,12 +93,12 @@
 /* A peer's word of a cancellation stops the tasks of a leader that the news can't reach. */
 static void cancellation_by_hint(void **state) {
     (void)state;
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    struct amb_task *t = bound(j, 0, "m-1", 1);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_task *task = bound(job, 0, "m-1", 1);
     struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
     report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
     amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 2);
-    assert_true(t->halting);
+    assert_true(task->halting);
     report("m-1", 1, 2, TERM, amb_now(), &seen, 1);
     assert_int_equal(count_orders(AMB_OP_HALT), 1);
 }
@@ -116,15 +116,16 @@
     for (uint32_t i = 0; i < 1300; i++) {
         char name[AMB_NAME];
         snprintf(name, sizeof name, "m-%06u", i);
-        struct amb_machine *m = amb_machine_get(node, name, true);
-        amb_machine_image_room(m, AMB_IMAGES);
-        for (m->nimages = 0; m->nimages < AMB_IMAGES; m->nimages++) {
-            snprintf(m->images[m->nimages], AMB_NAME, "img-%02u", m->nimages);
-            m->image_gb[m->nimages] = 65.5;
+        struct amb_machine *machine = amb_machine_get(node, name, true);
+        amb_machine_image_room(machine, AMB_IMAGES);
+        for (machine->nimages = 0; machine->nimages < AMB_IMAGES; machine->nimages++) {
+            snprintf(machine->images[machine->nimages], AMB_NAME, "img-%02u", machine->nimages);
+            machine->image_gb[machine->nimages] = 65.5;
         }
     }
     for (size_t i = 0; i < ROWS(rows); i++) {
-        for (struct amb_machine *m = node->fleet.all; m; m = m->hh.next) m->images_changed = rows[i].changed;
+        for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+            machine->images_changed = rows[i].changed;
         char *text = amb_peer_say(node);
         size_t len = strlen(text);
         free(text);
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -21,7 +21,7 @@
 /* The linker puts these in the place of the library's own (--wrap). */
 struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
                                           amb_http_handler fn, void *arg);
-void __wrap_amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body,
+void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s);
 struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
                                       const char *type, const void *body, size_t len, amb_ms timeout,
@@ -34,15 +34,15 @@
     return (struct amb_server *)&handler;
 }
 
-void __wrap_amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body,
+void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s) {
     (void)type, (void)retry_after_s;
     last_status = status;
     assert_true(len < sizeof last_answer);
     if (len) memcpy(last_answer, body, len);
     last_answer[len] = 0;
-    free(req->body);
-    free(req);
+    free(request->body);
+    free(request);
 }
 
 struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
@@ -90,32 +90,32 @@
 }
 
 static void receive(const char *text) {
-    struct amb_http_req *req = amb_alloc(sizeof *req);
-    strcpy(req->method, "POST");
-    strcpy(req->path, "/peer/heartbeat");
-    req->body_len = strlen(text);
-    req->body = amb_alloc(req->body_len + 1);
-    if (req->body_len) memcpy(req->body, text, req->body_len);
-    handler(node, req);
+    struct amb_http_req *request = amb_alloc(sizeof *request);
+    strcpy(request->method, "POST");
+    strcpy(request->path, "/peer/heartbeat");
+    request->body_len = strlen(text);
+    request->body = amb_alloc(request->body_len + 1);
+    if (request->body_len) memcpy(request->body, text, request->body_len);
+    handler(node, request);
 }
 
 /* A job as the state service has it, accepted and not over. */
 static void job_comes(const char *ref, uint64_t stamp) {
     struct amb_spec spec = {.kind = AMB_ARRAY, .tasks = 1};
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "train");
     strcpy(spec.team, "team");
     strcpy(spec.image, "img");
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "s");
-    amb_w_str(&b, "queued");
-    amb_w_str(&b, "d");
-    amb_codec_put_spec(&b, &spec);
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "s");
+    amb_w_str(&buffer, "queued");
+    amb_w_str(&buffer, "d");
+    amb_codec_put_spec(&buffer, &spec);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_jobs_apply(node, ref, value, stamp);
     cbor_decref(&value);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 static const char WORD[] =
@@ -151,9 +151,9 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         say(text, rows[i].from, rows[i].term, rows[i].store, "");
         receive(text);
-        const struct amb_peer *p = &node->peers.list[rows[i].from[1] - '1'];
-        if (p->store_ok != !strcmp(rows[i].store, "true") || p->term != (uint64_t)rows[i].term)
-            fail_msg("row %zu: store %d, term %llu", i, p->store_ok, (unsigned long long)p->term);
+        const struct amb_peer *peer = &node->peers.list[rows[i].from[1] - '1'];
+        if (peer->store_ok != !strcmp(rows[i].store, "true") || peer->term != (uint64_t)rows[i].term)
+            fail_msg("row %zu: store %d, term %llu", i, peer->store_ok, (unsigned long long)peer->term);
     }
 }
 
--- a/tests/placement/test_place.c
+++ b/tests/placement/test_place.c
@@ -4,9 +4,9 @@
 
 enum { A, B };
 
-static void check_pick(const char *what, const struct amb_wish *wish, const struct amb_slot *slots,
+static void check_pick(const char *what, const struct amb_wish *request, const struct amb_slot *slots,
                        uint32_t count, bool soon, int want) {
-    int got = amb_place_pick(wish, slots, count, soon);
+    int got = amb_place_pick(request, slots, count, soon);
     if (got != want) fail_msg("%s: %d instead of %d", what, got, want);
 }
 
@@ -83,9 +83,9 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         for (int patient = 0; patient < 2; patient++) {
-            struct amb_wish w = {rows[i].need,      1, rows[i].zone, true, none, 0, false, AMB_BEST_EFFORT,
-                                 .patient = patient};
-            check_pick(rows[i].what, &w, slots, ROWS(slots), false, rows[i].want);
+            struct amb_wish request = {
+                rows[i].need, 1, rows[i].zone, true, none, 0, false, AMB_BEST_EFFORT, .patient = patient};
+            check_pick(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
         }
     }
 }
@@ -98,10 +98,10 @@
         {{64, 2, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 6, -1, 0, 0, .claimed = false},
         {{64, 4, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 2, -1, 4, 0, .claimed = false},
     };
-    struct amb_wish w = {{8, 2, 40}, 1, -1, false, none, 0, true, .priority = AMB_HIGH};
-    assert_int_equal(amb_place_pick(&w, slots, ROWS(slots), false), 1);
-    w.lasting = false;
-    assert_int_equal(amb_place_pick(&w, slots, ROWS(slots), false), 0);
+    struct amb_wish request = {{8, 2, 40}, 1, -1, false, none, 0, true, .priority = AMB_HIGH};
+    assert_int_equal(amb_place_pick(&request, slots, ROWS(slots), false), 1);
+    request.lasting = false;
+    assert_int_equal(amb_place_pick(&request, slots, ROWS(slots), false), 0);
 }
 
 /* A machine kept for expected work is left alone by batch work that can wait, taken last by batch work that
@@ -126,21 +126,21 @@
         {AMB_BEST_EFFORT, false, false, true, 1, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_wish w = {.need = {8, 1, 40}, .type_mask = 1, .zone = -1, .zone_used = none};
-        w.priority = rows[i].priority;
-        w.patient = rows[i].patient;
-        w.can_wait = rows[i].can_wait;
-        w.opportunistic = rows[i].opportunistic;
-        int got = amb_place_pick(&w, slots, rows[i].slots, false);
+        struct amb_wish request = {.need = {8, 1, 40}, .type_mask = 1, .zone = -1, .zone_used = none};
+        request.priority = rows[i].priority;
+        request.patient = rows[i].patient;
+        request.can_wait = rows[i].can_wait;
+        request.opportunistic = rows[i].opportunistic;
+        int got = amb_place_pick(&request, slots, rows[i].slots, false);
         if (got != rows[i].want) fail_msg("row %zu: %d", i, got);
     }
     /* What a gang has claimed is not for batch work at all, or the room made would be taken as it comes. */
     struct amb_slot claimed = slots[0];
     claimed.claimed = true;
-    struct amb_wish w = {{8, 1, 40}, 1, -1, false, none, 0, false, AMB_NORMAL, true, .can_wait = false};
-    assert_int_equal(amb_place_pick(&w, &claimed, 1, false), -1);
-    w.patient = false;
-    assert_int_equal(amb_place_pick(&w, &claimed, 1, false), 0);
+    struct amb_wish request = {{8, 1, 40}, 1, -1, false, none, 0, false, AMB_NORMAL, true, .can_wait = false};
+    assert_int_equal(amb_place_pick(&request, &claimed, 1, false), -1);
+    request.patient = false;
+    assert_int_equal(amb_place_pick(&request, &claimed, 1, false), 0);
 }
 
 /* Only a start in time counts: what can't be in time is all about as bad, what surely is as good. */
@@ -207,10 +207,10 @@
         {"higher work", AMB_HIGH, false, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_wish w = {.need = {2, 0, 10}, .type_mask = 1, .zone = -1, .zone_used = none};
-        w.priority = rows[i].priority;
-        w.patient = rows[i].patient;
-        check_pick(rows[i].what, &w, slots, ROWS(slots), false, rows[i].want);
+        struct amb_wish request = {.need = {2, 0, 10}, .type_mask = 1, .zone = -1, .zone_used = none};
+        request.priority = rows[i].priority;
+        request.patient = rows[i].patient;
+        check_pick(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
     }
 }
 
--- a/tests/placement/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -49,8 +49,8 @@
 
 /* ---- marks ---- */
 
-static void expect_same_marks(struct amb_round *round, struct amb_round *fresh, uint32_t i) {
-    const struct amb_slot *slot = amb_round_slot(round, i), *plain = amb_round_slot(fresh, i);
+static void expect_same_marks(struct amb_round *cycle, struct amb_round *fresh, uint32_t i) {
+    const struct amb_slot *slot = amb_round_slot(cycle, i), *plain = amb_round_slot(fresh, i);
     assert_int_equal(slot->has_image, plain->has_image);
     assert_true(slot->late == plain->late);
 }
@@ -63,25 +63,25 @@
         prepare(i);
         add_machines();
         struct amb_spec spec = {.estimate_s = 60, .image_gb = 10};
-        struct amb_round *round = amb_round_new(node, amb_now());
-        assert_int_equal(round->nslots, MACHINES);
+        struct amb_round *cycle = amb_round_new(node, amb_now());
+        assert_int_equal(cycle->nslots, MACHINES);
         for (int turn = 0; turn < TURNS; turn++) {
             char image[AMB_NAME];
             image_name(image, draw(IMAGES));
-            amb_round_mark(round, &spec, image);
+            amb_round_mark(cycle, &spec, image);
             struct amb_round *fresh = amb_round_new(node, amb_now());
-            while (fresh->nslots < round->nslots) amb_round_add_type(fresh, 0, 0, false);
+            while (fresh->nslots < cycle->nslots) amb_round_add_type(fresh, 0, 0, false);
             amb_round_mark(fresh, &spec, image);
-            for (uint32_t k = 0; k < round->nslots; k++) {
+            for (uint32_t k = 0; k < cycle->nslots; k++) {
                 if (!draw(4)) continue; /* not looked at this time */
-                expect_same_marks(round, fresh, k);
-                *(round->slots[k].has_image ? &at_hand : &elsewhere) += 1;
+                expect_same_marks(cycle, fresh, k);
+                *(cycle->slots[k].has_image ? &at_hand : &elsewhere) += 1;
             }
             amb_round_free(fresh);
-            round->slots[draw(round->nslots)].room.gpus -= 1;
-            if (draw(2)) amb_round_add_type(round, 0, 0, false);
+            cycle->slots[draw(cycle->nslots)].room.gpus -= 1;
+            if (draw(2)) amb_round_add_type(cycle, 0, 0, false);
         }
-        amb_round_free(round);
+        amb_round_free(cycle);
     }
     assert_true(at_hand > 100 && elsewhere > 100);
 }
@@ -120,15 +120,15 @@
     slot->fetching_gb = (double)draw(2) * 20;
 }
 
-static void change_something(struct amb_round *round) {
-    uint64_t changes = draw(20) ? draw(3) : draw(4) * (uint64_t)round->nslots; /* now and then a great many */
+static void change_something(struct amb_round *cycle) {
+    uint64_t changes = draw(20) ? draw(3) : draw(4) * (uint64_t)cycle->nslots; /* now and then a great many */
     for (; changes; changes--) {
-        struct amb_slot *slot = &round->slots[draw(round->nslots)];
+        struct amb_slot *slot = &cycle->slots[draw(cycle->nslots)];
         draw_slot(slot);
-        amb_round_slot_changed(round, slot);
+        amb_round_slot_changed(cycle, slot);
     }
     if (draw(15)) return;
-    draw_slot(amb_round_add_type(round, (int)draw(2), (int)draw(2), draw(2)));
+    draw_slot(amb_round_add_type(cycle, (int)draw(2), (int)draw(2), draw(2)));
 }
 
 /* Picks by the rankings, and among all slots, step by step through drawn changes. */
@@ -142,25 +142,25 @@
         add_machines();
         struct shape shapes[SHAPES];
         for (int k = 0; k < SHAPES; k++) draw_shape(&shapes[k]);
-        struct amb_round *round = amb_round_new(node, amb_now());
+        struct amb_round *cycle = amb_round_new(node, amb_now());
         for (int step = 0; step < STEPS; step++) {
-            change_something(round);
+            change_something(cycle);
             struct shape *shape = &shapes[draw(draw(2) ? 5 : SHAPES)];
             uint32_t used[AMB_ZONES] = {(uint32_t)draw(3), (uint32_t)draw(3)};
             struct amb_spec spec = {.estimate_s = 60, .image_gb = 10};
             shape->wish.zone_used = used;
             shape->wish.zone_most = (uint32_t)draw(3);
             if (draw(8))
-                amb_round_mark(round, &spec, shape->image);
+                amb_round_mark(cycle, &spec, shape->image);
             else
-                amb_round_mark_any(round);
-            int picked = amb_round_pick(round, &shape->wish, shape->soon);
-            for (uint32_t k = 0; k < round->nslots; k++) amb_round_slot(round, k);
-            int want = amb_place_pick(&shape->wish, round->slots, round->nslots, shape->soon);
+                amb_round_mark_any(cycle);
+            int picked = amb_round_pick(cycle, &shape->wish, shape->soon);
+            for (uint32_t k = 0; k < cycle->nslots; k++) amb_round_slot(cycle, k);
+            int want = amb_place_pick(&shape->wish, cycle->slots, cycle->nslots, shape->soon);
             if (picked != want) fail_msg("seed %d, step %d: slot %d, not %d", (int)i, step, picked, want);
             *(picked < 0 ? &nothing : &found) += 1;
         }
-        amb_round_free(round);
+        amb_round_free(cycle);
     }
     assert_true(found > 1000 && nothing > 1000);
 }
--- a/tests/placement/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -100,9 +100,9 @@
         {{16, 0, 0}, {8, 0, 0}, {9, 0, 0}, {8, 1, 0}, 1, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_team t = {.limit = rows[i].limit, .guarantee = rows[i].guarantee, .used = rows[i].used};
-        assert_int_equal(amb_wdrr_within_limit(&t, &rows[i].need, rows[i].times), rows[i].within_limit);
-        assert_int_equal(amb_wdrr_within_guarantee(&t, &rows[i].need), rows[i].within_guarantee);
+        struct amb_team team = {.limit = rows[i].limit, .guarantee = rows[i].guarantee, .used = rows[i].used};
+        assert_int_equal(amb_wdrr_within_limit(&team, &rows[i].need, rows[i].times), rows[i].within_limit);
+        assert_int_equal(amb_wdrr_within_guarantee(&team, &rows[i].need), rows[i].within_guarantee);
     }
 }
 
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -41,31 +41,31 @@
 }
 
 static void commit_ops(enum amb_urgency urgency, uint32_t ops) {
-    struct amb_txn txn = {0};
+    struct amb_txn transaction = {0};
     char key[32];
     for (uint32_t i = 0; i < ops; i++) {
         snprintf(key, sizeof key, "b/%d-%u", urgency, i);
-        amb_txn_remove(&txn, key);
+        amb_txn_remove(&transaction, key);
     }
-    amb_store_commit(&node->store, &txn, urgency, NULL, NULL);
+    amb_store_commit(&node->store, &transaction, urgency, NULL, NULL);
 }
 
 /* A write that needs several tokens is not passed by smaller ones that are less urgent: ends of jobs were
  * told minutes late while placements went on. Reads, and users' writes from their own half, may pass it. */
 static void small_writes_do_not_pass(void **state) {
     (void)state;
-    struct amb_store *s = &node->store;
-    s->writes.at = s->user_writes.at = s->requests.at = amb_now() + 3600000; /* no token comes */
-    s->writes.tokens = 1.5;
+    struct amb_store *store = &node->store;
+    store->writes.at = store->user_writes.at = store->requests.at = amb_now() + 3600000; /* no token comes */
+    store->writes.tokens = 1.5;
     commit_ops(AMB_URGENT_FINAL, 2);
     commit_ops(AMB_URGENT_PLACE, 1);
     assert_int_equal(fake_calls_sent(COMMIT), 0);
-    amb_store_get(s, "a/leader", AMB_URGENT_READ, NULL, NULL);
+    amb_store_get(store, "a/leader", AMB_URGENT_READ, NULL, NULL);
     assert_int_equal(fake_calls_sent("/store/a/leader"), 1);
     commit_ops(AMB_URGENT_USER, 1);
     assert_int_equal(fake_calls_sent(COMMIT), 1);
-    s->writes.tokens = 3;
-    s->pump.fn(s->pump.arg);
+    store->writes.tokens = 3;
+    store->pump.fn(store->pump.arg);
     assert_int_equal(fake_calls_sent(COMMIT), 3);
 }
 
@@ -84,17 +84,17 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        struct amb_store *s = &node->store;
-        amb_budget_rate(&s->requests, 16);
-        s->requests.at = amb_now() + 3600000; /* no token comes */
-        s->requests.tokens = rows[i].tokens;
+        struct amb_store *store = &node->store;
+        amb_budget_rate(&store->requests, 16);
+        store->requests.at = amb_now() + 3600000; /* no token comes */
+        store->requests.tokens = rows[i].tokens;
         uint32_t before = fake_calls_sent("/follow");
-        amb_store_follow(s, "a/", 1, 0, NULL, NULL);
+        amb_store_follow(store, "a/", 1, 0, NULL, NULL);
         uint32_t sent = fake_calls_sent("/follow") - before;
         if (sent != rows[i].reads_sent) fail_msg("%s: %u", rows[i].what, sent);
-        if (!amb_store_can_write(s, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
-        s->requests.tokens = 16;
-        if (!sent) s->pump.fn(s->pump.arg);
+        if (!amb_store_can_write(store, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
+        store->requests.tokens = 16;
+        if (!sent) store->pump.fn(store->pump.arg);
     }
 }
 
@@ -115,22 +115,22 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        struct amb_store *s = &node->store;
-        amb_budget_rate(&s->writes, 500);
-        s->writes.at = s->user_writes.at = s->requests.at = amb_now() + 3600000;
-        s->user_writes.tokens = rows[i].users;
-        s->user_pending = rows[i].pending;
-        s->writes.tokens = rows[i].own;
+        struct amb_store *store = &node->store;
+        amb_budget_rate(&store->writes, 500);
+        store->writes.at = store->user_writes.at = store->requests.at = amb_now() + 3600000;
+        store->user_writes.tokens = rows[i].users;
+        store->user_pending = rows[i].pending;
+        store->writes.tokens = rows[i].own;
         if (rows[i].waiting) commit_ops(AMB_URGENT_PLACE, rows[i].waiting);
         assert_int_equal(fake_calls_sent(COMMIT), 0);
-        double lends = amb_store_lend(s);
+        double lends = amb_store_lend(store);
         if (lends != rows[i].lends) fail_msg("%s: %g", rows[i].what, lends);
-        assert_float_equal(s->user_writes.tokens, rows[i].users + lends, 1e-9);
-        s->user_pending = 0;
-        amb_store_lent(s, -1e9); /* a wrong word from a peer costs a bucket and no more */
-        assert_float_equal(s->user_writes.tokens, -500, 1e-9);
-        s->writes.tokens = 1e6;
-        s->pump.fn ? s->pump.fn(s->pump.arg) : (void)0;
+        assert_float_equal(store->user_writes.tokens, rows[i].users + lends, 1e-9);
+        store->user_pending = 0;
+        amb_store_lent(store, -1e9); /* a wrong word from a peer costs a bucket and no more */
+        assert_float_equal(store->user_writes.tokens, -500, 1e-9);
+        store->writes.tokens = 1e6;
+        store->pump.fn ? store->pump.fn(store->pump.arg) : (void)0;
     }
 }
 
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -8,19 +8,19 @@
 /* ---- guards ---- */
 
 static struct fake_call *begin_block_removal(void) {
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    j->stamp = 20;
-    j->blocks[0].stamp = 33;
-    j->state = AMB_JOB_CANCELLED;
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    job->stamp = 20;
+    job->blocks[0].stamp = 33;
+    job->state = AMB_JOB_CANCELLED;
     amb_record_pump(node);
     return open_call("POST", "/commit");
 }
 
 static struct fake_call *begin_job_end(void) {
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    j->stamp = 20;
-    j->blocks[0].stamp = 33;
-    amb_task_finish(node, &j->tasks[0]);
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    job->stamp = 20;
+    job->blocks[0].stamp = 33;
+    amb_task_finish(node, &job->tasks[0]);
     amb_record_pump(node);
     return open_call("POST", "/commit");
 }
@@ -98,26 +98,26 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         struct fake_call *commit = begin_block();
-        struct amb_job *j = amb_job_find(node, "wk-1");
+        struct amb_job *job = amb_job_find(node, "wk-1");
         char id[AMB_NAME];
         struct amb_buf first = {0};
         amb_buf_add(&first, commit->body.data, commit->body.len);
         assert_true(amb_cbor_str(amb_cbor_get(fake_txn_put(commit, BLOCK_KEY, NULL), "w"), id, sizeof id));
         fake_answer(commit, 0, NULL);
-        if (j->tasks[0].state != AMB_TASK_PLACED) fail_msg("%s: bound before it is known", rows[i].what);
+        if (job->tasks[0].state != AMB_TASK_PLACED) fail_msg("%s: bound before it is known", rows[i].what);
         struct fake_call *read = open_call("GET", "/store/b/p/wk-1/00000");
         if (rows[i].read == FAILS) fake_answer(read, 0, NULL);
         if (rows[i].read == MISSING) fake_answer(read, 404, NULL);
         if (rows[i].read == OTHERS) answer_value(read, "w", "49-1", 0, 33);
         if (rows[i].read == OURS) answer_value(read, "w", id, 0, 61);
         if (rows[i].job_changed) {
-            j->state = AMB_JOB_CANCELLED;
-            j->stamp = 21;
+            job->state = AMB_JOB_CANCELLED;
+            job->stamp = 21;
         }
         fake_clock_advance(2500);
         node->election.renewed_at = amb_now();
         amb_record_pump(node);
-        if (j->tasks[0].state != rows[i].state) fail_msg("%s: state %d", rows[i].what, j->tasks[0].state);
+        if (job->tasks[0].state != rows[i].state) fail_msg("%s: state %d", rows[i].what, job->tasks[0].state);
         struct fake_call *again = find_call("POST", "/commit");
         bool puts = again && fake_txn_put(again, BLOCK_KEY, NULL);
         if (puts != rows[i].sent_again) fail_msg("%s: sent again %d", rows[i].what, puts);
@@ -150,9 +150,9 @@
 static void jobs_end_after_their_blocks(void **state) {
     (void)state;
     struct fake_call *block = begin_block();
-    struct amb_job *j = amb_job_find(node, "wk-1");
-    amb_task_finish(node, &j->tasks[0]);
-    amb_task_unbind(node, &j->tasks[0], "done");
+    struct amb_job *job = amb_job_find(node, "wk-1");
+    amb_task_finish(node, &job->tasks[0]);
+    amb_task_unbind(node, &job->tasks[0], "done");
     amb_record_pump(node);
     if (fake_calls_open("POST", "/commit") != 1) fail_msg("the job ends while its block is being written");
     answer_epoch(block, 61);
@@ -179,25 +179,25 @@
 static void records_are_read_back(void **state) {
     (void)state;
     uint32_t per = amb_record_tasks_per_block(&node->set);
-    struct amb_job *j = add_job("wk-1", AMB_ARRAY, per + 10);
-    assert_int_equal(j->nblocks, 2);
+    struct amb_job *job = add_job("wk-1", AMB_ARRAY, per + 10);
+    assert_int_equal(job->nblocks, 2);
     amb_catalog_zone(&node->catalog, "a");
     for (uint32_t i = 0; i < per; i++) {
         char name[16];
         snprintf(name, sizeof name, "m-%06u", i);
-        bound(j, i, name, 100000 + i);
-        j->tasks[i].machine->type = 0;
-        j->tasks[i].machine->zone = 0;
+        bound(job, i, name, 100000 + i);
+        job->tasks[i].machine->type = 0;
+        job->tasks[i].machine->zone = 0;
     }
-    struct amb_task *t = &j->tasks[3];
-    amb_task_finish(node, t);
-    amb_task_unbind(node, t, "done");
-    struct amb_buf b = {0};
-    strcpy(j->blocks[0].write_id, "50-1");
-    amb_record_encode(node, &j->blocks[0], &b);
-    assert_true(b.len < (size_t)(node->set.value_kb * 1024)); /* the limit holds for the fullest block */
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
-    amb_job_leave(node, j);
+    struct amb_task *task = &job->tasks[3];
+    amb_task_finish(node, task);
+    amb_task_unbind(node, task, "done");
+    struct amb_buf buffer = {0};
+    strcpy(job->blocks[0].write_id, "50-1");
+    amb_record_encode(node, &job->blocks[0], &buffer);
+    assert_true(buffer.len < (size_t)(node->set.value_kb * 1024)); /* the limit holds for the fullest block */
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
+    amb_job_leave(node, job);
     amb_fleet_clear(node);
     cbor_item_t *at = (cbor_item_t *)amb_cbor_get(item, "at");
     cbor_set_uint64(at, (uint64_t)amb_wall_ms() - 30000); /* as if written half a minute ago */
@@ -205,18 +205,18 @@
     cbor_decref(&item);
     amb_ms known = amb_now() - amb_machine_get(node, "m-000000", false)->first_at;
     assert_true(known >= 30000 && known < 60000);
-    amb_buf_free(&b);
-    assert_true(j->live);
-    assert_int_equal(j->blocks[0].stamp, 77);
-    assert_int_equal(j->nbound, per - 1);
-    assert_int_equal(j->ndone, 1);
-    assert_true(j->tasks[3].done && j->tasks[3].done_saved);
-    assert_string_equal(j->tasks[per - 1].machine->name,
-                        amb_machine_get(node, j->tasks[per - 1].machine->name, false)->name);
-    assert_int_equal(j->tasks[5].attempt, 100005);
-    assert_int_equal(j->tasks[5].machine->type, 0);
-    assert_true(j->tasks[5].foreign);
-    assert_int_equal(j->zone_used[0], per - 1);
+    amb_buf_free(&buffer);
+    assert_true(job->live);
+    assert_int_equal(job->blocks[0].stamp, 77);
+    assert_int_equal(job->nbound, per - 1);
+    assert_int_equal(job->ndone, 1);
+    assert_true(job->tasks[3].done && job->tasks[3].done_saved);
+    assert_string_equal(job->tasks[per - 1].machine->name,
+                        amb_machine_get(node, job->tasks[per - 1].machine->name, false)->name);
+    assert_int_equal(job->tasks[5].attempt, 100005);
+    assert_int_equal(job->tasks[5].machine->type, 0);
+    assert_true(job->tasks[5].foreign);
+    assert_int_equal(job->zone_used[0], per - 1);
 }
 
 static void damaged_records_do_no_harm(void **state) {
@@ -224,22 +224,22 @@
     static const char *const texts[] = {
         "",      ";", "0", "0,1", "0,1,m-1,0,0", "9999,1,m-1,0,0,0;", "-1,1,m,0,0,0;", "0,1,m-1,99,99,0;",
         "x,y,z;"};
-    struct amb_job *j = add_job("wk-1", AMB_ARRAY, 2);
+    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
     for (size_t i = 0; i < ROWS(texts); i++) {
-        struct amb_buf b = {0};
-        amb_w_map(&b, 2);
-        amb_w_str(&b, "p");
-        amb_w_str(&b, texts[i]);
-        amb_w_str(&b, "d");
-        amb_w_str(&b, texts[i]);
-        cbor_item_t *item = amb_cbor_parse(b.data, b.len);
+        struct amb_buf buffer = {0};
+        amb_w_map(&buffer, 2);
+        amb_w_str(&buffer, "p");
+        amb_w_str(&buffer, texts[i]);
+        amb_w_str(&buffer, "d");
+        amb_w_str(&buffer, texts[i]);
+        cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
         amb_record_load(node, "b/p/wk-1/00000", item, i + 1);
         amb_record_load(node, "b/p/wk-1/99999", item, i + 1);
         amb_record_load(node, "b/p/wk-1", item, i + 1);
         cbor_decref(&item);
-        amb_buf_free(&b);
+        amb_buf_free(&buffer);
     }
-    assert_true(j->nbound <= 1 && j->ndone <= 2);
+    assert_true(job->nbound <= 1 && job->ndone <= 2);
 }
 
 int main(void) {
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -83,27 +83,27 @@
 
 static void place(uint32_t first, uint32_t end, uint32_t shift) {
     for (uint32_t i = first; i < end; i++) {
-        struct amb_task *t = &job->tasks[i];
-        if (t->machine || t->done) continue;
-        amb_task_bind(node, t, machine(i + shift), job->next_attempt++, AMB_TASK_PLACED);
-        amb_record_dirty(node, t, true);
+        struct amb_task *task = &job->tasks[i];
+        if (task->machine || task->done) continue;
+        amb_task_bind(node, task, machine(i + shift), job->next_attempt++, AMB_TASK_PLACED);
+        amb_record_dirty(node, task, true);
     }
 }
 
 static void finish(uint32_t first, uint32_t end) {
     for (uint32_t i = first; i < end; i++) {
-        struct amb_task *t = &job->tasks[i];
-        if (!t->machine || t->state == AMB_TASK_PLACED) continue;
-        amb_task_finish(node, t);
-        amb_task_unbind(node, t, "done");
+        struct amb_task *task = &job->tasks[i];
+        if (!task->machine || task->state == AMB_TASK_PLACED) continue;
+        amb_task_finish(node, task);
+        amb_task_unbind(node, task, "done");
     }
 }
 
 /* Lost on its machine, and placed on another. */
 static void move(uint32_t i) {
-    struct amb_task *t = &job->tasks[i];
-    if (t->state == AMB_TASK_PLACED || t->done) return;
-    amb_task_unbind(node, t, "lost");
+    struct amb_task *task = &job->tasks[i];
+    if (task->state == AMB_TASK_PLACED || task->done) return;
+    amb_task_unbind(node, task, "lost");
     place(i, i + 1, 3);
 }
 
@@ -128,11 +128,11 @@
 static void remember(void) {
     bound_attempts = 0;
     for (uint32_t i = 0; i < TASKS; i++) {
-        const struct amb_task *t = &job->tasks[i];
-        known[i] = (struct known){t->state, t->done, t->done_saved, t->attempt, ""};
-        if (t->machine) strcpy(known[i].machine, t->machine->name);
-        if (t->state >= AMB_TASK_BOUND && t->machine && t->attempt >= bound_attempts)
-            bound_attempts = t->attempt + 1;
+        const struct amb_task *task = &job->tasks[i];
+        known[i] = (struct known){task->state, task->done, task->done_saved, task->attempt, ""};
+        if (task->machine) strcpy(known[i].machine, task->machine->name);
+        if (task->state >= AMB_TASK_BOUND && task->machine && task->attempt >= bound_attempts)
+            bound_attempts = task->attempt + 1;
     }
 }
 
@@ -140,16 +140,16 @@
  * task that has gone may still be said to be where it was last. */
 static void check_known(const char *what, size_t when) {
     for (uint32_t i = 0; i < TASKS; i++) {
-        const struct amb_task *t = &job->tasks[i];
+        const struct amb_task *task = &job->tasks[i];
         const struct known *k = &known[i];
-        bool there = t->machine && !strcmp(t->machine->name, k->machine) && t->attempt == k->attempt;
-        if (k->done_saved && !t->done) fail_msg("%s, end %zu: task %u: its result is gone", what, when, i);
-        if (!k->done && t->done) fail_msg("%s, end %zu: task %u: never done", what, when, i);
+        bool there = task->machine && !strcmp(task->machine->name, k->machine) && task->attempt == k->attempt;
+        if (k->done_saved && !task->done) fail_msg("%s, end %zu: task %u: its result is gone", what, when, i);
+        if (!k->done && task->done) fail_msg("%s, end %zu: task %u: never done", what, when, i);
         if (k->state >= AMB_TASK_BOUND && k->machine[0] && !k->done && !there)
             fail_msg("%s, end %zu: task %u: on %s by attempt %llu, known on %s by %llu", what, when, i,
-                     k->machine, (unsigned long long)k->attempt, t->machine ? t->machine->name : "none",
-                     (unsigned long long)t->attempt);
-        if (k->state == AMB_TASK_WAITING && !k->attempt && t->machine)
+                     k->machine, (unsigned long long)k->attempt, task->machine ? task->machine->name : "none",
+                     (unsigned long long)task->attempt);
+        if (k->state == AMB_TASK_WAITING && !k->attempt && task->machine)
             fail_msg("%s, end %zu: task %u: never placed", what, when, i);
     }
     if (job->next_attempt < bound_attempts) fail_msg("%s, end %zu: attempts would be used again", what, when);
@@ -456,9 +456,9 @@
         begin();
         int status = -1;
         if (rows[i].change) {
-            struct amb_txn txn = {0};
-            amb_txn_remove(&txn, "a/x");
-            amb_store_commit(&node->store, &txn, rows[i].urgency, count_answer, &status);
+            struct amb_txn transaction = {0};
+            amb_txn_remove(&transaction, "a/x");
+            amb_store_commit(&node->store, &transaction, rows[i].urgency, count_answer, &status);
         } else {
             amb_store_get(&node->store, "a/x", rows[i].urgency, count_answer, &status);
         }
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -43,7 +43,7 @@
 }
 
 static void list_machines(struct sim_call *call) {
-    struct amb_buf b = {0}, list = {0};
+    struct amb_buf buffer = {0}, list = {0};
     size_t n = 0;
     amb_ms lag = sim_between(0, sim_pace.list_lag * 2), then = world.now - lag;
     for (int i = 0; i < world.machine_count; i++) {
@@ -62,14 +62,14 @@
         amb_w_str(&list, "stance"), amb_w_str(&list, failed ? "failed" : machine->up ? "running" : "booting");
         amb_w_str(&list, "held_s"), amb_w_num(&list, (double)(then - machine->created) / 1000);
     }
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "rigs");
-    amb_w_list(&b, n);
-    amb_buf_add(&b, list.data, list.len);
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "rigs");
+    amb_w_list(&buffer, n);
+    amb_buf_add(&buffer, list.data, list.len);
     amb_buf_free(&list);
-    amb_w_str(&b, "truncated");
-    amb_w_bool(&b, false);
-    sim_call_answer(call, 200, &b);
+    amb_w_str(&buffer, "truncated");
+    amb_w_bool(&buffer, false);
+    sim_call_answer(call, 200, &buffer);
 }
 
 static void refuse(struct sim_call *call, const char *error) {
@@ -114,13 +114,13 @@
         world.cloud.rentals[world.cloud.rental_count++].count = (int)count;
         for (uint64_t i = 0; i < count; i++) sim_machine_new(zone, spot, boot_time());
     }
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "rigs");
-    amb_w_list(&b, (size_t)world.cloud.rentals[k].count);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "rigs");
+    amb_w_list(&buffer, (size_t)world.cloud.rentals[k].count);
     for (int i = 0; i < world.cloud.rentals[k].count; i++)
-        amb_w_str(&b, world.machines[world.cloud.rentals[k].first + i].name);
-    sim_call_answer(call, 200, &b);
+        amb_w_str(&buffer, world.machines[world.cloud.rentals[k].first + i].name);
+    sim_call_answer(call, 200, &buffer);
 }
 
 /* ---- single-holder duties ---- */
@@ -199,29 +199,29 @@
     if (stale) {
         sim_call_answer(call, 409, NULL);
     } else if (!strcmp(call->path, "/catalog")) {
-        struct amb_buf b = {0};
-        amb_w_map(&b, 1);
-        amb_w_str(&b, "hulls");
-        amb_w_list(&b, 1);
-        amb_w_map(&b, 10);
-        amb_w_str(&b, "name"), amb_w_str(&b, "g8");
-        amb_w_str(&b, "vcpus"), amb_w_num(&b, 96);
-        amb_w_str(&b, "accelerators"), amb_w_num(&b, 8);
-        amb_w_str(&b, "ram_gb"), amb_w_num(&b, 576);
-        amb_w_str(&b, "local_gb"), amb_w_num(&b, 200);
-        amb_w_str(&b, "fetch_gb_per_s"), amb_w_num(&b, 5);
-        amb_w_str(&b, "hourly"), amb_w_num(&b, 12);
-        amb_w_str(&b, "market_price"), amb_w_num(&b, 4.5);
-        amb_w_str(&b, "boot_s"), amb_w_num(&b, (double)sim_pace.boot / 1000);
-        amb_w_str(&b, "yards"), amb_w_list(&b, (size_t)sim_zones());
-        for (int zone = 0; zone < sim_zones(); zone++) amb_w_str(&b, sim_zone_name(zone));
-        sim_call_answer(call, 200, &b);
+        struct amb_buf buffer = {0};
+        amb_w_map(&buffer, 1);
+        amb_w_str(&buffer, "hulls");
+        amb_w_list(&buffer, 1);
+        amb_w_map(&buffer, 10);
+        amb_w_str(&buffer, "name"), amb_w_str(&buffer, "g8");
+        amb_w_str(&buffer, "vcpus"), amb_w_num(&buffer, 96);
+        amb_w_str(&buffer, "accelerators"), amb_w_num(&buffer, 8);
+        amb_w_str(&buffer, "ram_gb"), amb_w_num(&buffer, 576);
+        amb_w_str(&buffer, "local_gb"), amb_w_num(&buffer, 200);
+        amb_w_str(&buffer, "fetch_gb_per_s"), amb_w_num(&buffer, 5);
+        amb_w_str(&buffer, "hourly"), amb_w_num(&buffer, 12);
+        amb_w_str(&buffer, "market_price"), amb_w_num(&buffer, 4.5);
+        amb_w_str(&buffer, "boot_s"), amb_w_num(&buffer, (double)sim_pace.boot / 1000);
+        amb_w_str(&buffer, "yards"), amb_w_list(&buffer, (size_t)sim_zones());
+        for (int zone = 0; zone < sim_zones(); zone++) amb_w_str(&buffer, sim_zone_name(zone));
+        sim_call_answer(call, 200, &buffer);
     } else if (!strcmp(call->path, "/machines/release")) {
         world.result.late_returns += sim_leader_stamp() > call->sent_at_revision;
         release(call, body);
-        struct amb_buf b = {0};
-        amb_w_map(&b, 0);
-        sim_call_answer(call, 200, &b);
+        struct amb_buf buffer = {0};
+        amb_w_map(&buffer, 0);
+        sim_call_answer(call, 200, &buffer);
     } else if (!strcmp(call->method, "POST")) {
         rent(call);
     } else {
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -144,21 +144,21 @@
     sim_switch_to(keep);
 }
 
-void amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body, size_t len,
+void amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body, size_t len,
                     int retry) {
-    struct asked *asked = (struct asked *)req->conn;
+    struct asked *asked = (struct asked *)request->conn;
     struct sim_call *call = asked->call;
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     sim_digest_reply(call, status, type, retry);
-    sim_check_reply(&world.nodes[world.current], req, status, retry);
+    sim_check_reply(&world.nodes[world.current], request, status, retry);
     /* Without the serial a late answer went to whoever's call had taken the place since. */
     if (call->used && call->serial == asked->serial && !call->answered) {
-        if (len) amb_buf_add(&b, body, len);
-        sim_call_answer(call, status, &b);
+        if (len) amb_buf_add(&buffer, body, len);
+        sim_call_answer(call, status, &buffer);
     }
     free(asked);
-    free(req->body);
-    free(req);
+    free(request->body);
+    free(request);
 }
 
 /* How long the network or the other side holds it up, once; 0: not at all. */
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -22,52 +22,52 @@
 #define SIM_SIDE sim_present_side
 #endif
 
-static void set_names(struct amb_settings *set, const struct sim_node_settings *from) {
-    snprintf(set->member, sizeof set->member, "n%d", from->index);
-    snprintf(set->zone, sizeof set->zone, "%s", from->zone_names[from->zones[from->index]]);
-    snprintf(set->front, sizeof set->front, "F%d:1", from->index);
-    snprintf(set->peer_listen, sizeof set->peer_listen, "P%d:1", from->index);
-    strcpy(set->state, "S:1");
-    strcpy(set->cloud, "C:1");
+static void set_names(struct amb_settings *settings, const struct sim_node_settings *from) {
+    snprintf(settings->member, sizeof settings->member, "n%d", from->index);
+    snprintf(settings->zone, sizeof settings->zone, "%s", from->zone_names[from->zones[from->index]]);
+    snprintf(settings->front, sizeof settings->front, "F%d:1", from->index);
+    snprintf(settings->peer_listen, sizeof settings->peer_listen, "P%d:1", from->index);
+    strcpy(settings->state, "S:1");
+    strcpy(settings->cloud, "C:1");
     for (int k = 0; k < from->nodes; k++) {
         if (k == from->index) continue;
-        snprintf(set->peers[set->npeers].member, AMB_NAME, "n%d", k);
-        snprintf(set->peers[set->npeers++].addr, AMB_NAME, "P%d:1", k);
+        snprintf(settings->peers[settings->npeers].member, AMB_NAME, "n%d", k);
+        snprintf(settings->peers[settings->npeers++].addr, AMB_NAME, "P%d:1", k);
     }
-    set->nzones = (uint32_t)from->zone_count;
-    for (int i = 0; i < from->zone_count; i++) strcpy(set->zones[i], from->zone_names[i]);
+    settings->nzones = (uint32_t)from->zone_count;
+    for (int i = 0; i < from->zone_count; i++) strcpy(settings->zones[i], from->zone_names[i]);
 }
 
-static void set_teams(struct amb_settings *set, const struct sim_node_settings *from) {
+static void set_teams(struct amb_settings *settings, const struct sim_node_settings *from) {
     int guarantee = from->team_limit / 3;
-    set->nteams = (uint32_t)from->teams;
-    for (uint32_t t = 0; t < set->nteams; t++) {
-        snprintf(set->teams[t].name, AMB_NAME, "team-%u", t);
-        set->teams[t].guarantee.gpus = guarantee;
-        set->teams[t].limit.gpus = from->team_limit;
+    settings->nteams = (uint32_t)from->teams;
+    for (uint32_t t = 0; t < settings->nteams; t++) {
+        snprintf(settings->teams[t].name, AMB_NAME, "team-%u", t);
+        settings->teams[t].guarantee.gpus = guarantee;
+        settings->teams[t].limit.gpus = from->team_limit;
     }
-    if (from->guest) set->teams[set->nteams - 1].guarantee.gpus = 0;
+    if (from->guest) settings->teams[settings->nteams - 1].guarantee.gpus = 0;
 }
 
-static void set_limits(struct amb_settings *set, const struct sim_node_settings *from) {
-    set->report_s = from->report_s;
-    set->lease_s = from->lease_s;
-    set->cancel_s = from->cancel_s;
-    set->gang_wait_s = from->gang_wait_s;
-    set->gang_peer_s = 5;
-    set->state_rps = from->state_rps;
-    set->state_write_rps = from->write_rps;
-    set->value_kb = from->value_kb;
-    set->txn_ops = from->txn_ops;
+static void set_limits(struct amb_settings *settings, const struct sim_node_settings *from) {
+    settings->report_s = from->report_s;
+    settings->lease_s = from->lease_s;
+    settings->cancel_s = from->cancel_s;
+    settings->gang_wait_s = from->gang_wait_s;
+    settings->gang_peer_s = 5;
+    settings->state_rps = from->state_rps;
+    settings->state_write_rps = from->write_rps;
+    settings->value_kb = from->value_kb;
+    settings->txn_ops = from->txn_ops;
 #ifndef AMB_PRODUCTION_SIDE /* which ignores what it does not know */
-    set->state_next = (struct amb_state_limits){
+    settings->state_next = (struct amb_state_limits){
         .write_rps = from->next_write_rps, .value_kb = from->next_value_kb, .txn_ops = from->next_txn_ops};
 #endif
-    set->cloud_rps = from->cloud_rps;
-    set->list_lag_s = from->list_lag_s;
-    set->cores = 0.1;
-    set->memory_mb = from->memory_mb;
-    set->fd_limit = 500;
+    settings->cloud_rps = from->cloud_rps;
+    settings->list_lag_s = from->list_lag_s;
+    settings->cores = 0.1;
+    settings->memory_mb = from->memory_mb;
+    settings->fd_limit = 500;
 }
 
 static void *start(const struct sim_node_settings *settings) {
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -21,15 +21,15 @@
     snprintf(world.result.broken, sizeof world.result.broken, "at %lld ms: %s", (long long)world.now, text);
 }
 
-static bool is_submission(const struct amb_http_req *req) {
-    return !strcmp(req->method, "POST") && !strcmp(req->path, "/v1/jobs");
+static bool is_submission(const struct amb_http_req *request) {
+    return !strcmp(request->method, "POST") && !strcmp(request->path, "/v1/jobs");
 }
 
-void sim_check_reply(const struct sim_node *node, const struct amb_http_req *req, int status,
+void sim_check_reply(const struct sim_node *node, const struct amb_http_req *request, int status,
                      int retry_after_s) {
-    if (status == 503 && !retry_after_s && strcmp(req->path, "/healthz"))
-        sim_broken("a 503 without Retry-After for %s", req->path);
-    if (status == 503 && is_submission(req) && !node->side->job_table_has_room(node->node))
+    if (status == 503 && !retry_after_s && strcmp(request->path, "/healthz"))
+        sim_broken("a 503 without Retry-After for %s", request->path);
+    if (status == 503 && is_submission(request) && !node->side->job_table_has_room(node->node))
         world.result.refused_for_memory++;
 }
 
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -77,8 +77,8 @@
     snprintf(out, cap, "%.*s", (int)n, p);
 }
 
-static void put_value(struct amb_buf *b, const struct amb_buf *v) {
-    amb_buf_add(b, v->data, v->len);
+static void put_value(struct amb_buf *buffer, const struct amb_buf *v) {
+    amb_buf_add(buffer, v->data, v->len);
 }
 
 static bool follow_answer(struct sim_call *call, bool even_empty) {
@@ -87,7 +87,7 @@
     parameter(call->path, "after=", after, sizeof after);
     uint64_t from = strtoull(after, NULL, 10);
     size_t n = 0;
-    struct amb_buf b = {0}, list = {0};
+    struct amb_buf buffer = {0}, list = {0};
     int first = world.state.change_count; /* stamps only rise */
     while (first && world.state.changes[first - 1].stamp > from) first--;
     for (int i = first; i < world.state.change_count; i++) {
@@ -108,14 +108,14 @@
         amb_buf_free(&list);
         return false;
     }
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, world.state.revision);
-    amb_w_str(&b, "news");
-    amb_w_list(&b, n);
-    amb_buf_add(&b, list.data, list.len);
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, world.state.revision);
+    amb_w_str(&buffer, "news");
+    amb_w_list(&buffer, n);
+    amb_buf_add(&buffer, list.data, list.len);
     amb_buf_free(&list);
-    sim_call_answer(call, 200, &b);
+    sim_call_answer(call, 200, &buffer);
     return true;
 }
 
@@ -142,11 +142,11 @@
 }
 
 static void number_answer(struct sim_call *call, int status, const char *name, uint64_t v) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, name);
-    amb_w_uint(&b, v);
-    sim_call_answer(call, status, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, name);
+    amb_w_uint(&buffer, v);
+    sim_call_answer(call, status, &buffer);
 }
 
 static bool lease_lives(uint64_t id) {
@@ -398,24 +398,24 @@
             strcmp(world.state.keys[i].key, after) > 0)
             found[n++] = i;
     qsort(found, (size_t)n, sizeof *found, by_key);
-    struct amb_buf b = {0};
-    amb_w_map(&b, 3);
-    amb_w_str(&b, "pairs");
-    amb_w_list(&b, (size_t)(n < most ? n : most));
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 3);
+    amb_w_str(&buffer, "pairs");
+    amb_w_list(&buffer, (size_t)(n < most ? n : most));
     for (int i = 0; i < n && i < most; i++) {
-        amb_w_map(&b, 3);
-        amb_w_str(&b, "path");
-        amb_w_str(&b, world.state.keys[found[i]].key);
-        amb_w_str(&b, "value");
-        put_value(&b, &world.state.keys[found[i]].value);
-        amb_w_str(&b, "stamp");
-        amb_w_uint(&b, world.state.keys[found[i]].stamp);
+        amb_w_map(&buffer, 3);
+        amb_w_str(&buffer, "path");
+        amb_w_str(&buffer, world.state.keys[found[i]].key);
+        amb_w_str(&buffer, "value");
+        put_value(&buffer, &world.state.keys[found[i]].value);
+        amb_w_str(&buffer, "stamp");
+        amb_w_uint(&buffer, world.state.keys[found[i]].stamp);
     }
-    amb_w_str(&b, "truncated");
-    amb_w_bool(&b, n > most);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, world.state.revision);
-    sim_call_answer(call, 200, &b);
+    amb_w_str(&buffer, "truncated");
+    amb_w_bool(&buffer, n > most);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, world.state.revision);
+    sim_call_answer(call, 200, &buffer);
 }
 
 static void read_key(struct sim_call *call, const char *key) {
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -237,31 +237,31 @@
     }
 }
 
-static void write_report(struct sim_machine *machine, struct amb_buf *b) {
+static void write_report(struct sim_machine *machine, struct amb_buf *buffer) {
     static const char *const on[] = {"fetching", "waiting", "running", "saving", "exited"};
     static const char *const why[] = {"?",     "done", "stopped", "peers",  "incomplete",
                                       "error", "full", "busy",    "unknown"};
     char text[AMB_NAME + 16];
     machine->seq++;
-    amb_w_map(b, 9);
-    amb_w_str(b, "rig"), amb_w_str(b, machine->name);
+    amb_w_map(buffer, 9);
+    amb_w_str(buffer, "rig"), amb_w_str(buffer, machine->name);
     sim_machine_address((int)(machine - world.machines), text);
-    amb_w_str(b, "address"), amb_w_str(b, text);
-    amb_w_str(b, "hull"), amb_w_str(b, "g8");
-    amb_w_str(b, "yard"), amb_w_str(b, sim_zone_name(machine->zone));
-    amb_w_str(b, "driftwood"), amb_w_bool(b, machine->spot);
-    amb_w_str(b, "watch"), amb_w_uint(b, machine->session);
-    amb_w_str(b, "tally"), amb_w_uint(b, machine->seq);
-    amb_w_str(b, "baton"), amb_w_uint(b, machine->token);
-    amb_w_str(b, "legs"), amb_w_list(b, machine->task_count);
+    amb_w_str(buffer, "address"), amb_w_str(buffer, text);
+    amb_w_str(buffer, "hull"), amb_w_str(buffer, "g8");
+    amb_w_str(buffer, "yard"), amb_w_str(buffer, sim_zone_name(machine->zone));
+    amb_w_str(buffer, "driftwood"), amb_w_bool(buffer, machine->spot);
+    amb_w_str(buffer, "watch"), amb_w_uint(buffer, machine->session);
+    amb_w_str(buffer, "tally"), amb_w_uint(buffer, machine->seq);
+    amb_w_str(buffer, "baton"), amb_w_uint(buffer, machine->token);
+    amb_w_str(buffer, "legs"), amb_w_list(buffer, machine->task_count);
     for (uint32_t k = 0; k < machine->task_count; k++) {
         struct sim_task *task = &machine->tasks[k];
-        amb_w_map(b, 4);
+        amb_w_map(buffer, 4);
         snprintf(text, sizeof text, "%s/%u", task->ref, task->index);
-        amb_w_str(b, "leg"), amb_w_str(b, text);
-        amb_w_str(b, "try"), amb_w_uint(b, task->attempt);
-        amb_w_str(b, "stance"), amb_w_str(b, on[task->on]);
-        amb_w_str(b, "cause"), amb_w_str(b, why[task->why]);
+        amb_w_str(buffer, "leg"), amb_w_str(buffer, text);
+        amb_w_str(buffer, "try"), amb_w_uint(buffer, task->attempt);
+        amb_w_str(buffer, "stance"), amb_w_str(buffer, on[task->on]);
+        amb_w_str(buffer, "cause"), amb_w_str(buffer, why[task->why]);
     }
 }
 
@@ -423,7 +423,7 @@
         }
         cbor_decref(&body);
     }
-    struct amb_buf b = {0};
-    write_report(machine, &b);
-    sim_call_answer(call, status, &b);
+    struct amb_buf buffer = {0};
+    write_report(machine, &buffer);
+    sim_call_answer(call, status, &buffer);
 }
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -371,7 +371,7 @@
 void sim_check_answer(const struct sim_call *call, const cbor_item_t *body);         /* to a user */
 void sim_check_second(void);                                                         /* what must not last */
 void sim_check_order(const struct sim_job *job, amb_ms issued);
-void sim_check_reply(const struct sim_node *node, const struct amb_http_req *req, int status,
+void sim_check_reply(const struct sim_node *node, const struct amb_http_req *request, int status,
                      int retry_after_s);   /* of a node */
 uint32_t sim_open_jobs(void);              /* accepted arrays and gangs that are not done */
 void sim_check_end(bool all_must_be_done); /* of the day */
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -434,22 +434,22 @@
     return amb_cbor_eq(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
 }
 
-static void port_commit(void *context, struct amb_txn *txn, enum amb_urgency urgency, amb_store_done done,
-                        void *arg) {
+static void port_commit(void *context, struct amb_txn *transaction, enum amb_urgency urgency,
+                        amb_store_done done, void *arg) {
     struct call *call = call_new(context, COMMIT);
     struct amb_buf body = {0};
     (void)urgency;
     amb_w_map(&body, 2);
     amb_w_str(&body, "guards");
-    amb_w_list(&body, txn->nguards);
-    amb_buf_add(&body, txn->guards.data, txn->guards.len);
+    amb_w_list(&body, transaction->nguards);
+    amb_buf_add(&body, transaction->guards.data, transaction->guards.len);
     amb_w_str(&body, "then");
-    amb_w_list(&body, txn->nops);
-    amb_buf_add(&body, txn->then.data, txn->then.len);
+    amb_w_list(&body, transaction->nops);
+    amb_buf_add(&body, transaction->then.data, transaction->then.len);
     call->body = amb_cbor_parse(body.data, body.len);
     amb_buf_free(&body);
-    amb_buf_free(&txn->guards);
-    amb_buf_free(&txn->then);
+    amb_buf_free(&transaction->guards);
+    amb_buf_free(&transaction->then);
     call->kind = kind_of(amb_cbor_at(amb_cbor_get(call->body, "then"), 0));
     call->done = done;
     call->arg = arg;
--- a/tests/support/fake_http.c
+++ b/tests/support/fake_http.c
@@ -52,37 +52,37 @@
     return server;
 }
 
-void fake_serve(const char *addr, struct amb_http_req *req) {
+void fake_serve(const char *addr, struct amb_http_req *request) {
     struct amb_server *server = servers;
     while (server < servers + nservers && strcmp(server->addr, addr) != 0) server++;
     if (server == servers + nservers) abort();
-    server->handler(server->arg, req);
+    server->handler(server->arg, request);
 }
 
-void amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body, size_t len,
+void amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body, size_t len,
                     int retry_after_s) {
-    struct fake_reply *reply = (struct fake_reply *)(void *)req->conn;
+    struct fake_reply *reply = (struct fake_reply *)(void *)request->conn;
     (void)type;
     if (reply) { /* or else whoever asked has hung up */
         reply->status = status;
         reply->retry_after_s = retry_after_s;
         if (len) amb_buf_add(&reply->body, body, len);
     }
-    free(req->body);
-    free(req);
+    free(request->body);
+    free(request);
 }
 
 struct amb_http_req *fake_request(const char *method, const char *path, const struct amb_buf *body,
                                   struct fake_reply *reply) {
-    struct amb_http_req *req = amb_alloc(sizeof *req);
+    struct amb_http_req *request = amb_alloc(sizeof *request);
     memset(reply, 0, sizeof *reply);
-    req->conn = (struct amb_conn *)(void *)reply;
-    snprintf(req->method, sizeof req->method, "%s", method);
-    snprintf(req->path, sizeof req->path, "%s", path);
-    req->body_len = body ? body->len : 0;
-    req->body = amb_alloc(req->body_len + 1);
-    if (req->body_len) memcpy(req->body, body->data, req->body_len);
-    return req;
+    request->conn = (struct amb_conn *)(void *)reply;
+    snprintf(request->method, sizeof request->method, "%s", method);
+    snprintf(request->path, sizeof request->path, "%s", path);
+    request->body_len = body ? body->len : 0;
+    request->body = amb_alloc(request->body_len + 1);
+    if (request->body_len) memcpy(request->body, body->data, request->body_len);
+    return request;
 }
 
 static bool begins(const char *path, const char *prefix) {
--- a/tests/support/fake_http.h
+++ b/tests/support/fake_http.h
@@ -41,7 +41,7 @@
 struct amb_http_req *fake_request(const char *method, const char *path, const struct amb_buf *body,
                                   struct fake_reply *reply);
 /* Hands a request to the server that the node has opened at this address. */
-void fake_serve(const char *addr, struct amb_http_req *req);
+void fake_serve(const char *addr, struct amb_http_req *request);
 
 /* What a transaction holds: the stamp that a key is guarded with, the value that is put there (NULL: none)
  * with its lease (0: none), and whether the key is removed. */
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -18,9 +18,9 @@
 
 struct amb_http_req *new_request(const char *method, const char *path, struct amb_buf *body) {
     assert_true(nrequests < REQUESTS);
-    struct amb_http_req *req = fake_request(method, path, body, &replies[nrequests++]);
+    struct amb_http_req *request = fake_request(method, path, body, &replies[nrequests++]);
     if (body) amb_buf_free(body);
-    return req;
+    return request;
 }
 
 struct fake_reply *latest(void) {
@@ -86,13 +86,13 @@
     node->ctl.leading_since = node->ctl.loaded_at = now;
     node->jobs.loaded = true;
     node->jobs.fresh_at = node->jobs.fresh_sent_at = now;
-    struct amb_election *e = &node->election;
-    e->ttl = TTL;
-    e->renewed_at = e->renew_sent_at = now;
-    e->highest = e->holder_stamp = TERM;
-    e->nonce = e->holder_nonce = 1;
-    e->key_known = true;
-    strcpy(e->holder, "n-0");
+    struct amb_election *election = &node->election;
+    election->ttl = TTL;
+    election->renewed_at = election->renew_sent_at = now;
+    election->highest = election->holder_stamp = TERM;
+    election->nonce = election->holder_nonce = 1;
+    election->key_known = true;
+    strcpy(election->holder, "n-0");
     return 0;
 }
 
@@ -110,110 +110,110 @@
 }
 
 void follow(const char *leader, uint64_t term) {
-    struct amb_election *e = &node->election;
-    e->role = AMB_ROLE_FOLLOWING;
-    strcpy(e->holder, leader);
-    e->holder_stamp = e->highest = term;
+    struct amb_election *election = &node->election;
+    election->role = AMB_ROLE_FOLLOWING;
+    strcpy(election->holder, leader);
+    election->holder_stamp = election->highest = term;
 }
 
 /* ---- what the state service answers ---- */
 
 void answer_epoch(struct fake_call *call, uint64_t epoch) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, epoch);
-    fake_answer(call, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, epoch);
+    fake_answer(call, 200, &buffer);
 }
 
 void answer_lease(struct fake_call *call, uint64_t lease) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "tenure");
-    amb_w_uint(&b, lease);
-    fake_answer(call, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "tenure");
+    amb_w_uint(&buffer, lease);
+    fake_answer(call, 200, &buffer);
 }
 
 void answer_refused(struct fake_call *call, const char *key) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "failed");
-    amb_w_list(&b, 1);
-    amb_w_str(&b, key);
-    fake_answer(call, 409, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, "failed");
+    amb_w_list(&buffer, 1);
+    amb_w_str(&buffer, key);
+    fake_answer(call, 409, &buffer);
 }
 
 void answer_value(struct fake_call *call, const char *field, const char *text, uint64_t number,
                   uint64_t stamp) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "value");
-    amb_w_map(&b, 1);
-    amb_w_str(&b, field);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "value");
+    amb_w_map(&buffer, 1);
+    amb_w_str(&buffer, field);
     if (text)
-        amb_w_str(&b, text);
+        amb_w_str(&buffer, text);
     else
-        amb_w_uint(&b, number);
-    amb_w_str(&b, "stamp");
-    amb_w_uint(&b, stamp);
-    fake_answer(call, 200, &b);
+        amb_w_uint(&buffer, number);
+    amb_w_str(&buffer, "stamp");
+    amb_w_uint(&buffer, stamp);
+    fake_answer(call, 200, &buffer);
 }
 
-static void put_job_value(struct amb_buf *b, const char *ref, enum amb_job_state state) {
+static void put_job_value(struct amb_buf *buffer, const char *ref, enum amb_job_state state) {
     struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
     struct amb_job draft = {.spec = &spec, .accepted_wall = 1, .cancelled_wall = amb_wall_ms()};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(b, &draft, state);
+    amb_job_value(buffer, &draft, state);
 }
 
 void answer_news(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
                  uint64_t stamp) {
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     char key[AMB_NAME + 16];
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, epoch);
-    amb_w_str(&b, "news");
-    amb_w_list(&b, ref ? 1 : 0);
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, epoch);
+    amb_w_str(&buffer, "news");
+    amb_w_list(&buffer, ref ? 1 : 0);
     if (ref) {
         amb_job_key(key, sizeof key, ref);
-        amb_w_map(&b, 3);
-        amb_w_str(&b, "put");
-        amb_w_str(&b, key);
-        amb_w_str(&b, "value");
-        put_job_value(&b, ref, state);
-        amb_w_str(&b, "stamp");
-        amb_w_uint(&b, stamp);
+        amb_w_map(&buffer, 3);
+        amb_w_str(&buffer, "put");
+        amb_w_str(&buffer, key);
+        amb_w_str(&buffer, "value");
+        put_job_value(&buffer, ref, state);
+        amb_w_str(&buffer, "stamp");
+        amb_w_uint(&buffer, stamp);
     }
-    fake_answer(call, 200, &b);
+    fake_answer(call, 200, &buffer);
 }
 
 /* ---- workers' reports, over HTTP ---- */
 
 struct amb_http_req *send_report(struct sent_report r) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 9);
-    amb_w_str(&b, "rig"), amb_w_str(&b, r.machine);
-    amb_w_str(&b, "address"), amb_w_str(&b, "worker:1");
-    amb_w_str(&b, "hull"), amb_w_str(&b, "g8");
-    amb_w_str(&b, "yard"), amb_w_str(&b, r.zone ? r.zone : "a");
-    amb_w_str(&b, "driftwood"), amb_w_bool(&b, false);
-    amb_w_str(&b, "watch"), amb_w_uint(&b, r.session);
-    amb_w_str(&b, "tally"), amb_w_uint(&b, r.seq);
-    amb_w_str(&b, "baton"), amb_w_uint(&b, r.token);
-    amb_w_str(&b, "legs"), amb_w_list(&b, r.task ? 1 : 0);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 9);
+    amb_w_str(&buffer, "rig"), amb_w_str(&buffer, r.machine);
+    amb_w_str(&buffer, "address"), amb_w_str(&buffer, "worker:1");
+    amb_w_str(&buffer, "hull"), amb_w_str(&buffer, "g8");
+    amb_w_str(&buffer, "yard"), amb_w_str(&buffer, r.zone ? r.zone : "a");
+    amb_w_str(&buffer, "driftwood"), amb_w_bool(&buffer, false);
+    amb_w_str(&buffer, "watch"), amb_w_uint(&buffer, r.session);
+    amb_w_str(&buffer, "tally"), amb_w_uint(&buffer, r.seq);
+    amb_w_str(&buffer, "baton"), amb_w_uint(&buffer, r.token);
+    amb_w_str(&buffer, "legs"), amb_w_list(&buffer, r.task ? 1 : 0);
     if (r.task) {
-        amb_w_map(&b, 3);
-        amb_w_str(&b, "leg"), amb_w_str(&b, r.task);
-        amb_w_str(&b, "try"), amb_w_uint(&b, r.attempt);
-        amb_w_str(&b, "stance"), amb_w_str(&b, r.stance);
+        amb_w_map(&buffer, 3);
+        amb_w_str(&buffer, "leg"), amb_w_str(&buffer, r.task);
+        amb_w_str(&buffer, "try"), amb_w_uint(&buffer, r.attempt);
+        amb_w_str(&buffer, "stance"), amb_w_str(&buffer, r.stance);
     }
-    struct amb_http_req *req = new_request("POST", "/hello", &b);
-    assert_true(amb_fleet_request(node, req));
-    return req;
+    struct amb_http_req *request = new_request("POST", "/hello", &buffer);
+    assert_true(amb_fleet_request(node, request));
+    return request;
 }
 
 size_t orders_in(const cbor_item_t *body, const char *verb) {
@@ -237,41 +237,41 @@
 /* ---- machines ---- */
 
 struct amb_machine *machine_in(const char *name, int zone) {
-    struct amb_machine *m = amb_machine_get(node, name, true);
-    m->type = 0;
-    m->zone = zone;
-    return m;
+    struct amb_machine *machine = amb_machine_get(node, name, true);
+    machine->type = 0;
+    machine->zone = zone;
+    return machine;
 }
 
 struct amb_machine *machine_up(const char *name, int zone) {
-    struct amb_machine *m = machine_in(name, zone);
-    m->state = AMB_MACHINE_UP;
-    m->token_shown = true;
-    m->reported_at = m->answered_at = amb_now();
-    strcpy(m->addr, "worker:1");
-    return m;
+    struct amb_machine *machine = machine_in(name, zone);
+    machine->state = AMB_MACHINE_UP;
+    machine->token_shown = true;
+    machine->reported_at = machine->answered_at = amb_now();
+    strcpy(machine->addr, "worker:1");
+    return machine;
 }
 
 /* ---- peers ---- */
 
 static struct amb_buf said_text(int peer, struct said said) {
-    struct amb_buf b = {0};
-    amb_buf_fmt(&b,
+    struct amb_buf buffer = {0};
+    amb_buf_fmt(&buffer,
                 "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
                 "\"reports_arrive\":false,\"cancelled\":[%s]}",
                 peer + 1, said.unloaded ? "false" : "true", (unsigned long long)said.term,
                 said.leading ? "true" : "false", said.cancelled ? said.cancelled : "");
-    return b;
+    return buffer;
 }
 
 void peer_answers(int peer, struct said said) {
-    struct amb_buf b = said_text(peer, said);
-    fake_answer(fake_call_find(node->set.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &b);
+    struct amb_buf buffer = said_text(peer, said);
+    fake_answer(fake_call_find(node->set.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &buffer);
 }
 
 void peer_speaks(int peer, struct said said) {
-    struct amb_buf b = said_text(peer, said);
-    fake_serve(PEER_LISTEN, new_request("POST", "/peer/heartbeat", &b));
+    struct amb_buf buffer = said_text(peer, said);
+    fake_serve(PEER_LISTEN, new_request("POST", "/peer/heartbeat", &buffer));
 }
 
 void ask_peers(void) {
@@ -281,13 +281,13 @@
 /* ---- records ---- */
 
 struct fake_call *begin_block(void) {
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    j->stamp = 20;
-    j->blocks[0].stamp = 33;
+    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    job->stamp = 20;
+    job->blocks[0].stamp = 33;
     machine_up("m-1", 0);
-    struct amb_task *t = bound(j, 0, "m-1", 1);
-    t->state = AMB_TASK_PLACED;
-    amb_record_dirty(node, t, true);
+    struct amb_task *task = bound(job, 0, "m-1", 1);
+    task->state = AMB_TASK_PLACED;
+    amb_record_dirty(node, task, true);
     amb_record_pump(node);
     return open_call("POST", "/commit");
 }
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -7,21 +7,21 @@
 size_t norders;
 
 struct amb_job *add_job(const char *ref, enum amb_kind kind, uint32_t tasks) {
-    struct amb_job *j = amb_alloc(sizeof *j);
-    strcpy(j->ref, ref);
-    j->spec = amb_alloc(sizeof *j->spec);
+    struct amb_job *job = amb_alloc(sizeof *job);
+    strcpy(job->ref, ref);
+    job->spec = amb_alloc(sizeof *job->spec);
     node->jobs.described++;
-    strcpy(j->spec->ref, ref);
-    strcpy(j->spec->image, "img");
-    j->spec->kind = kind;
-    j->spec->tasks = tasks;
-    j->spec->each = (struct amb_res){8, 1, 40};
-    j->spec->checkpoint_s = 10;
-    j->spec->save_s = 2;
-    j->team = &node->set.teams[0];
-    HASH_ADD_STR(node->jobs.all, ref, j);
-    amb_job_take(node, j);
-    return j;
+    strcpy(job->spec->ref, ref);
+    strcpy(job->spec->image, "img");
+    job->spec->kind = kind;
+    job->spec->tasks = tasks;
+    job->spec->each = (struct amb_res){8, 1, 40};
+    job->spec->checkpoint_s = 10;
+    job->spec->save_s = 2;
+    job->team = &node->set.teams[0];
+    HASH_ADD_STR(node->jobs.all, ref, job);
+    amb_job_take(node, job);
+    return job;
 }
 
 int setup(void **state) {
@@ -60,13 +60,14 @@
 
 bool report(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
             const struct amb_seen *tasks, size_t ntasks) {
-    struct amb_report r = {.session = session, .seq = seq, .token = token, .notice_s = -1, .ntasks = ntasks};
-    strcpy(r.machine, machine);
-    strcpy(r.addr, "127.0.0.1:1");
-    strcpy(r.type, "g8");
-    strcpy(r.zone, "a");
-    r.tasks = (struct amb_seen *)tasks;
-    return amb_fleet_report(node, &r, now, orders, ROWS(orders), &norders);
+    struct amb_report heartbeat = {
+        .session = session, .seq = seq, .token = token, .notice_s = -1, .ntasks = ntasks};
+    strcpy(heartbeat.machine, machine);
+    strcpy(heartbeat.addr, "127.0.0.1:1");
+    strcpy(heartbeat.type, "g8");
+    strcpy(heartbeat.zone, "a");
+    heartbeat.tasks = (struct amb_seen *)tasks;
+    return amb_fleet_report(node, &heartbeat, now, orders, ROWS(orders), &norders);
 }
 
 size_t count_orders(enum amb_op op) {
@@ -75,9 +76,9 @@
     return n;
 }
 
-struct amb_task *bound(struct amb_job *j, uint32_t i, const char *machine, uint64_t attempt) {
-    amb_task_bind(node, &j->tasks[i], amb_machine_get(node, machine, true), attempt, AMB_TASK_BOUND);
-    return &j->tasks[i];
+struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt) {
+    amb_task_bind(node, &job->tasks[i], amb_machine_get(node, machine, true), attempt, AMB_TASK_BOUND);
+    return &job->tasks[i];
 }
 
 struct amb_seen listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_on on, enum amb_why why) {
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -40,48 +40,48 @@
     return (char)('a' + (record - records));
 }
 
-static void put_change(struct amb_buf *b, const struct record *record, const char *key_field) {
+static void put_change(struct amb_buf *buffer, const struct record *record, const char *key_field) {
     char key[AMB_NAME + 16];
     amb_job_key(key, sizeof key, job_name(letter_of(record)));
-    amb_w_map(b, 3);
-    amb_w_str(b, key_field);
-    amb_w_str(b, key);
-    amb_w_str(b, "value");
-    amb_buf_add(b, record->value.data, record->value.len);
-    amb_w_str(b, "stamp");
-    amb_w_uint(b, record->stamp);
+    amb_w_map(buffer, 3);
+    amb_w_str(buffer, key_field);
+    amb_w_str(buffer, key);
+    amb_w_str(buffer, "value");
+    amb_buf_add(buffer, record->value.data, record->value.len);
+    amb_w_str(buffer, "stamp");
+    amb_w_uint(buffer, record->stamp);
 }
 
-static void put_changes(struct amb_buf *b, uint64_t after, const char *key_field) {
+static void put_changes(struct amb_buf *buffer, uint64_t after, const char *key_field) {
     size_t count = 0;
     for (size_t i = 0; i < LETTERS; i++) count += records[i].stamp > after;
-    amb_w_list(b, count);
+    amb_w_list(buffer, count);
     for (size_t i = 0; i < LETTERS; i++)
-        if (records[i].stamp > after) put_change(b, &records[i], key_field);
+        if (records[i].stamp > after) put_change(buffer, &records[i], key_field);
 }
 
 static void answer_changes(struct fake_call *call) {
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     const char *after = strstr(call->path, "after=");
     assert_non_null(after);
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, service.epoch);
-    amb_w_str(&b, "news");
-    put_changes(&b, strtoull(after + 6, NULL, 10), "put");
-    fake_answer(call, 200, &b);
+    amb_w_map(&buffer, 2);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, service.epoch);
+    amb_w_str(&buffer, "news");
+    put_changes(&buffer, strtoull(after + 6, NULL, 10), "put");
+    fake_answer(call, 200, &buffer);
 }
 
 static void answer_listing(struct fake_call *call, bool jobs) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 3);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, service.epoch);
-    amb_w_str(&b, "truncated");
-    amb_w_bool(&b, false);
-    amb_w_str(&b, "pairs");
-    put_changes(&b, jobs ? 0 : UINT64_MAX, "path");
-    fake_answer(call, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 3);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, service.epoch);
+    amb_w_str(&buffer, "truncated");
+    amb_w_bool(&buffer, false);
+    amb_w_str(&buffer, "pairs");
+    put_changes(&buffer, jobs ? 0 : UINT64_MAX, "path");
+    fake_answer(call, 200, &buffer);
 }
 
 static bool guards_hold(const struct fake_call *call) {
@@ -98,7 +98,7 @@
 }
 
 static void carry_out(struct fake_call *call) {
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     bool holds = guards_hold(call);
     const cbor_item_t *changes = amb_cbor_get(call->map, "then");
     service.epoch += holds;
@@ -115,16 +115,16 @@
         amb_buf_add(&record->value, bytes, len);
         record->stamp = service.epoch;
     }
-    amb_w_map(&b, holds ? 1 : 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, service.epoch);
+    amb_w_map(&buffer, holds ? 1 : 2);
+    amb_w_str(&buffer, "epoch");
+    amb_w_uint(&buffer, service.epoch);
     if (!holds) {
-        amb_w_str(&b, "failed");
-        amb_w_list(&b, 0);
+        amb_w_str(&buffer, "failed");
+        amb_w_list(&buffer, 0);
     }
     bool lost = service.loses;
     service.loses = false;
-    fake_answer(call, lost ? 0 : holds ? 200 : 409, &b);
+    fake_answer(call, lost ? 0 : holds ? 200 : 409, &buffer);
 }
 
 static bool is_watch(const struct fake_call *call) {
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -102,9 +102,9 @@
 }
 
 static void admit(void) {
-    struct amb_round *round = amb_round_new(node, amb_now());
-    amb_round_admit(round);
-    amb_round_free(round);
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    amb_round_admit(cycle);
+    amb_round_free(cycle);
 }
 
 static void off_judges_nothing(void **state) {
@@ -157,9 +157,9 @@
     unproven->state = AMB_MACHINE_UNPROVEN;
     unproven->state_at = node->ctl.loaded_at = node->ctl.leading_since;
     unproven->reported_at = amb_now();
-    struct amb_round *round = amb_round_new(node, amb_now());
-    amb_plan(round);
-    amb_round_free(round);
+    struct amb_round *cycle = amb_round_new(node, amb_now());
+    amb_plan(cycle);
+    amb_round_free(cycle);
     amb_fleet_tick(node, amb_now());
     assert_true(other->release_wanted);
     assert_false(idle->release_wanted);
@@ -267,22 +267,22 @@
 }
 
 static cbor_item_t *record_value(uint64_t form) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 3);
-    amb_w_str(&b, "form"), amb_w_uint(&b, form);
-    amb_w_str(&b, "zones"), amb_w_list(&b, 1), amb_w_map(&b, 3);
-    amb_w_str(&b, "zone"), amb_w_str(&b, "b");
-    amb_w_str(&b, "verdict"), amb_w_str(&b, "returning");
-    amb_w_str(&b, "losses"), amb_w_uint(&b, 3);
-    amb_w_str(&b, "steps"), amb_w_list(&b, 2);
+    struct amb_buf buffer = {0};
+    amb_w_map(&buffer, 3);
+    amb_w_str(&buffer, "form"), amb_w_uint(&buffer, form);
+    amb_w_str(&buffer, "zones"), amb_w_list(&buffer, 1), amb_w_map(&buffer, 3);
+    amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "b");
+    amb_w_str(&buffer, "verdict"), amb_w_str(&buffer, "returning");
+    amb_w_str(&buffer, "losses"), amb_w_uint(&buffer, 3);
+    amb_w_str(&buffer, "steps"), amb_w_list(&buffer, 2);
     static const char *const classes[] = {"drafts", "assistant"}; /* as an earlier loss had it */
     for (uint64_t i = 0; i < 2; i++) {
-        amb_w_map(&b, 2);
-        amb_w_str(&b, "class"), amb_w_str(&b, classes[i]);
-        amb_w_str(&b, "priority"), amb_w_uint(&b, AMB_HIGH + i);
+        amb_w_map(&buffer, 2);
+        amb_w_str(&buffer, "class"), amb_w_str(&buffer, classes[i]);
+        amb_w_str(&buffer, "priority"), amb_w_uint(&buffer, AMB_HIGH + i);
     }
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
-    amb_buf_free(&b);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
+    amb_buf_free(&buffer);
     return value;
 }
 
