--- a/bench/case_follow.c
+++ b/bench/case_follow.c
@@ -34,7 +34,7 @@
                          uint64_t stamp) {
     struct news *news = amb_alloc(sizeof *news);
     news->node = world_node(size, 1);
-    news->node->election.role = AMB_ROLE_FOLLOWING;
+    news->node->election.role = AMB_ROLE_FOLLOWER;
     news->node->jobs.loaded = true;
     amb_w_map(&news->page, 2);
     amb_w_str(&news->page, "epoch");
@@ -82,7 +82,7 @@
 
 static void follow(void *input) {
     struct news *news = input;
-    news->node->store.requests.tokens = 1; /* the clock stands still */
+    news->node->store.request_bucket.tokens = 1; /* the clock stands still */
     amb_jobs_sync(news->node, check, NULL);
     struct world_call call = world_last_call();
     call.done(call.arg, 200, news->page.data, news->page.len);
--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -15,8 +15,8 @@
     struct world_pages jobs = world_job_pages(size);
     world_apply_jobs(node, &jobs);
     world_pages_free(&jobs);
-    node->election.role = AMB_ROLE_FOLLOWING;
-    node->election.highest = WORLD_TERM;
+    node->election.role = AMB_ROLE_FOLLOWER;
+    node->election.highest_term = WORLD_TERM;
     node->jobs.loaded = true;
     return node;
 }
--- a/bench/case_report.c
+++ b/bench/case_report.c
@@ -27,8 +27,8 @@
 
 static void *to_follower(const struct world_size *size) {
     struct amb_node *node = world_node(size, 1);
-    node->election.role = AMB_ROLE_FOLLOWING;
-    node->election.highest = WORLD_TERM;
+    node->election.role = AMB_ROLE_FOLLOWER;
+    node->election.highest_term = WORLD_TERM;
     return reporting_to(node, size, 421);
 }
 
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -20,8 +20,8 @@
     s->node = world_node(size, 1);
     world_apply_jobs(s->node, &jobs);
     world_pages_free(&jobs);
-    s->node->election.role = AMB_ROLE_FOLLOWING;
-    s->node->election.highest = WORLD_TERM;
+    s->node->election.role = AMB_ROLE_FOLLOWER;
+    s->node->election.highest_term = WORLD_TERM;
     s->node->jobs.loaded = true;
     s->node->set.memory_mb = 4096; /* each run adds a job */
     world_spec(&s->spec, size, 0);
@@ -29,8 +29,8 @@
 }
 
 static void fill_budgets(struct amb_store *store) {
-    store->requests.tokens = store->requests.rate;
-    store->user_writes.tokens = store->user_writes.rate;
+    store->request_bucket.tokens = store->request_bucket.tokens_per_second;
+    store->user_write_bucket.tokens = store->user_write_bucket.tokens_per_second;
 }
 
 static void answer_commit(uint64_t epoch) {
--- a/bench/world.c
+++ b/bench/world.c
@@ -399,8 +399,8 @@
 }
 
 void world_make_leader(struct amb_node *node) {
-    node->election.role = AMB_ROLE_LEADING;
-    node->election.term = node->election.highest = WORLD_TERM;
+    node->election.role = AMB_ROLE_LEADER;
+    node->election.term = node->election.highest_term = WORLD_TERM;
     node->election.ttl = node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
     amb_controller_lead(node);
--- a/include/amberpin/cloud/cloud.h
+++ b/include/amberpin/cloud/cloud.h
@@ -33,7 +33,7 @@
 };
 
 struct amb_rental {
-    struct amb_budget calls;
+    struct amb_token_bucket calls;
     bool catalog_known, listing, releasing;
     amb_ms catalog_at, list_at, held_until, list_began, release_retry_at;
     struct amb_timer timer;
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -21,12 +21,12 @@
 /* The state service, as in client.h. `list` answers the keys with the prefix, a page at a time. */
 struct amb_duty_state_service {
     void *context;
-    void (*grant)(void *context, amb_ms ttl, amb_store_done done, void *arg);
-    void (*extend)(void *context, uint64_t lease, amb_store_done done, void *arg);
+    void (*grant)(void *context, amb_ms ttl, amb_store_callback done, void *arg);
+    void (*extend)(void *context, uint64_t lease, amb_store_callback done, void *arg);
     void (*drop)(void *context, uint64_t lease);
-    void (*list)(void *context, const char *prefix, const char *after, amb_store_done done, void *arg);
-    void (*commit)(void *context, struct amb_txn *txn, enum amb_urgency urgency, amb_store_done done,
-                   void *arg);
+    void (*list)(void *context, const char *prefix, const char *after, amb_store_callback done, void *arg);
+    void (*commit)(void *context, struct amb_txn *txn, enum amb_store_priority urgency,
+                   amb_store_callback done, void *arg);
 };
 
 /* The owner's functions. */
--- a/include/amberpin/election/format_version.h
+++ b/include/amberpin/election/format_version.h
@@ -17,27 +17,27 @@
     AMB_FORMAT_LATEST = AMB_FORMAT_2,
 };
 
-struct amb_formats {
+struct amb_format_negotiation {
     enum amb_format
-        held_at; /* tests only: the node behaves as a process of this format. UNKNOWN: the latest */
-    enum amb_format written; /* what `a/format` says; UNKNOWN: there is no such key */
-    bool upgrade_over;       /* the state service has shown that no older process comes back */
-    bool writing;            /* the key is being written */
+        test_override; /* tests only: the node behaves as a process of this format. UNKNOWN: the latest */
+    enum amb_format recorded; /* what `a/format` says; UNKNOWN: there is no such key */
+    bool upgrade_complete;    /* the state service has shown that no older process comes back */
+    bool write_pending;       /* the key is being written */
     amb_ms retry_at;
 };
 
 /* The newest format that this node speaks. */
-enum amb_format amb_format_spoken(const struct amb_node *node);
+enum amb_format amb_format_supported(const struct amb_node *node);
 /* The format that may be written now. Never falls. */
-enum amb_format amb_format_in_use(const struct amb_node *node);
+enum amb_format amb_format_active(const struct amb_node *node);
 /* Is some peer's last word an older format than ours, so that it would drop what it does not know? */
-bool amb_format_known_old(const struct amb_node *node);
+bool amb_format_has_older_peer(const struct amb_node *node);
 /* A message of a peer said this; UNKNOWN when it did not name a format. */
-void amb_format_heard(struct amb_peer *peer, enum amb_format format);
+void amb_format_update_peer(struct amb_peer *peer, enum amb_format format);
 /* News of `a/format`; value NULL: it is gone. */
-void amb_format_key(struct amb_node *node, const cbor_item_t *value);
+void amb_format_apply_key(struct amb_node *node, const cbor_item_t *value);
 /* The state service behaves as only after the upgrade. */
-void amb_format_upgrade_over(struct amb_node *node, const char *sign);
+void amb_format_complete_upgrade(struct amb_node *node, const char *evidence);
 /* The leader writes the key when its time has come. */
 void amb_format_tick(struct amb_node *node, amb_ms now);
 
--- a/include/amberpin/election/lease_proxy.h
+++ b/include/amberpin/election/lease_proxy.h
@@ -10,17 +10,17 @@
 
 struct amb_node;
 
-enum amb_deputy_state {
-    AMB_DEPUTY_OFF,
-    AMB_DEPUTY_ASKING, /* lease asked for, or the key being written */
-    AMB_DEPUTY_ACTIVE, /* answers reports of its own zone with the leader's token, and starts nothing */
+enum amb_lease_proxy_state {
+    AMB_LEASE_PROXY_OFF,
+    AMB_LEASE_PROXY_ACQUIRING, /* lease asked for, or the key being written */
+    AMB_LEASE_PROXY_ACTIVE, /* answers reports of its own zone with the leader's token, and starts nothing */
 };
 
-struct amb_deputy {
-    enum amb_deputy_state state;
-    uint64_t lease, term;
-    amb_ms since, renewed_at, renew_sent_at;
-    bool renewing;
+struct amb_lease_proxy {
+    enum amb_lease_proxy_state state;
+    uint64_t lease_id, term;
+    amb_ms stopped_at, renewed_at, renewal_sent_at;
+    bool renewal_pending;
     /* As the leader sees others: when a deputy of a zone was last known of. */
     struct {
         char member[AMB_NAME];
@@ -28,18 +28,19 @@
         uint64_t stamp;
         bool present, seen;
     } known[AMB_PEERS + 1];
-    uint32_t nknown;
-    amb_ms zone_at[AMB_ZONES];
+    uint32_t known_count;
+    amb_ms zone_covered_at[AMB_ZONES];
 };
 
-void amb_deputy_tick(struct amb_node *node, amb_ms now);
+void amb_lease_proxy_tick(struct amb_node *node, amb_ms now);
 /* The deputies' keys are listed anew: before the first (over: false) and after the last. */
-void amb_deputy_listing(struct amb_node *node, bool over);
+void amb_lease_proxy_mark_listing(struct amb_node *node, bool complete);
 /* News of a deputy's key; value NULL: it is gone. */
-void amb_deputy_key(struct amb_node *node, const char *member, const cbor_item_t *value, uint64_t stamp);
+void amb_lease_proxy_apply_key(struct amb_node *node, const char *member, const cbor_item_t *value,
+                               uint64_t revision);
 /* May this node answer the report as a deputy? */
-bool amb_deputy_answers(const struct amb_node *node, const struct amb_report *heartbeat);
+bool amb_lease_proxy_may_answer(const struct amb_node *node, const struct amb_report *heartbeat);
 /* May somebody else be answering machines of this zone under our token? */
-bool amb_deputy_in_zone(const struct amb_node *node, int zone);
+bool amb_lease_proxy_is_active_in_zone(const struct amb_node *node, int zone);
 
 #endif
--- a/include/amberpin/kvstore/leader_key.h
+++ b/include/amberpin/kvstore/leader_key.h
@@ -10,6 +10,6 @@
 struct amb_node;
 
 /* For whatever a leader writes: it is not carried out once another leads. */
-void amb_guard_term(struct amb_txn *transaction, const struct amb_node *node);
+void amb_txn_require_leadership(struct amb_txn *transaction, const struct amb_node *node);
 
 #endif
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -70,13 +70,13 @@
     struct amb_store store;
     struct amb_election election;
     struct amb_timer election_timer;
-    struct amb_deputy deputy;
+    struct amb_lease_proxy deputy;
     struct amb_jobs jobs;
     struct amb_pipelines pipelines;
     struct amb_fleet fleet;
     struct amb_rental rental;
     struct amb_peers peers;
-    struct amb_formats formats;
+    struct amb_format_negotiation formats;
     struct amb_duties duties;
     struct amb_zone_recovery zone_recovery;
     struct amb_controller ctl;
--- a/include/amberpin/peer/peers.h
+++ b/include/amberpin/peer/peers.h
@@ -67,11 +67,11 @@
 /* What another node says of itself; sent_at: when we asked, 0 when it spoke first. */
 void amb_peer_heard(struct amb_node *node, struct amb_peer *peer, const struct json_t *said, amb_ms sent_at);
 /* Do workers come to another node, or can no other node be reached at all? */
-bool amb_peer_better_placed(const struct amb_node *node, amb_ms now);
-amb_ms amb_peer_confirmed(const struct amb_node *node,
-                          amb_ms now); /* since when all peers last confirmed our lead */
+bool amb_election_has_better_placed_peer(const struct amb_node *node, amb_ms now);
+amb_ms amb_election_peers_confirmed_at(const struct amb_node *node,
+                                       amb_ms now); /* since when all peers last confirmed our lead */
 /* Since when no other node can have answered a machine under an older term than ours; 0: one still might. */
-amb_ms amb_peer_quiet(const struct amb_node *node);
-bool amb_peer_store_ok(const struct amb_node *node, amb_ms now);
+amb_ms amb_election_peers_fenced_at(const struct amb_node *node);
+bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now);
 
 #endif
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -40,10 +40,10 @@
 
 /* When a deputy that may answer this machine was last known; of any zone's if the machine's is unknown. */
 static amb_ms deputy_known_at(const struct amb_node *node, const struct amb_machine *machine) {
-    if (machine->zone >= 0) return node->deputy.zone_at[machine->zone];
+    if (machine->zone >= 0) return node->deputy.zone_covered_at[machine->zone];
     amb_ms latest = 0;
     for (uint32_t zone = 0; zone < AMB_ZONES; zone++)
-        if (node->deputy.zone_at[zone] > latest) latest = node->deputy.zone_at[zone];
+        if (node->deputy.zone_covered_at[zone] > latest) latest = node->deputy.zone_covered_at[zone];
     return latest;
 }
 
@@ -55,7 +55,7 @@
         .lease_span = amb_absence_lease_span(node->set.lease_s, node->set.report_s),
         .answered_at = machine->answered_at,
         .follows_our_term = machine->token_shown,
-        .fenced_at = machine->token_shown ? 0 : amb_peer_quiet(node),
+        .fenced_at = machine->token_shown ? 0 : amb_election_peers_fenced_at(node),
         .deputy_known_at = deputy_known_at(node, machine),
         .last_read_asked_at = node->jobs.fresh_sent_at,
     };
@@ -101,7 +101,7 @@
  * back, so that silence and a missing token are of before. (Machines were returned 0.1 s after their first
  * report, and others because their zone had been away for as long as it takes to give them up.) */
 static bool is_covered(const struct amb_node *node, const struct amb_machine *machine) {
-    return amb_deputy_in_zone(node, machine->zone) || amb_zone_returning(node, machine->zone);
+    return amb_lease_proxy_is_active_in_zone(node, machine->zone) || amb_zone_returning(node, machine->zone);
 }
 
 static void look_at_silent(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
@@ -121,7 +121,7 @@
     bool covered = is_covered(node, machine);
     /* Its silence proves nothing while it may hold another leader's token. */
     if (!covered && unknown > amb_secs(unproven_s(node, machine) * patience(node, machine, now)) &&
-        amb_may_start(node))
+        amb_election_may_act(node))
         amb_rental_release(node, machine, "it can't be reached");
 }
 
@@ -161,7 +161,7 @@
     look_at_lease(node, machine, now);
     look_at_silent(node, machine, now);
     look_at_unproven(node, machine, now);
-    if (!is_covered(node, machine) && does_not_hear_us(node, machine, now) && amb_may_start(node))
+    if (!is_covered(node, machine) && does_not_hear_us(node, machine, now) && amb_election_may_act(node))
         amb_rental_release(node, machine, "it reports, but does not take our token");
     /* A machine of ours that reports to another node only. */
     if (machine->state == AMB_MACHINE_UP && now - machine->reported_at > amb_secs(node->set.report_s * 4))
--- a/lib/api/admission.c
+++ b/lib/api/admission.c
@@ -60,7 +60,7 @@
 enum amb_admission amb_awaits_admission(struct amb_node *node, const struct amb_awaits *awaits) {
     if (!awaits) return AMB_CAN_RUN;
     if (!fits_record(&node->set, awaits)) return AMB_NEVER_RUNS;
-    if (amb_format_known_old(node)) return AMB_UNDECIDED; /* it would start the job at once if it led */
+    if (amb_format_has_older_peer(node)) return AMB_UNDECIDED; /* it would start the job at once if it led */
     for (uint32_t i = 0; i < awaits->count; i++) {
         const struct amb_job *job = amb_job_find(node, awaits->names[i]);
         if (!job) return AMB_NEVER_RUNS;
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -104,20 +104,20 @@
 
 /* Writes the job in this state, if its stamp in the state service still is what the job says. */
 static void write_job(struct user_request *request, const struct amb_job *job, enum amb_job_state state,
-                      amb_store_done done) {
+                      amb_store_callback done) {
     char key[AMB_NAME + 16];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_job_key(key, sizeof key, request->ref);
     amb_job_value(&value, job, state);
-    amb_txn_guard(&transaction, key, job->stamp);
+    amb_txn_compare(&transaction, key, job->stamp);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&request->node->store, &transaction, AMB_URGENT_USER, done, request);
+    amb_store_commit(&request->node->store, &transaction, AMB_STORE_PRIORITY_USER, done, request);
 }
 
 static void send_cancellation(struct user_request *request, struct amb_job *job) {
-    if (!amb_store_can_write(&request->node->store, 1, 0)) {
+    if (!amb_store_can_write_for_user(&request->node->store, 1, 0)) {
         reply_status(request, 503);
         return;
     }
@@ -204,7 +204,7 @@
     const struct amb_spec *spec = request->draft->spec;
     if (admission == AMB_UNDECIDED) return refuse_now(request, "not known whether it can run");
     if (!amb_memory_holds(node, spec)) return refuse_now(request, "no memory left for jobs");
-    if (!amb_store_can_write(&node->store, 1, kept_for_others(spec)))
+    if (!amb_store_can_write_for_user(&node->store, 1, kept_for_others(spec)))
         return refuse_now(request, "too many changes of the state service wait");
     return true;
 }
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -33,7 +33,7 @@
 void amb_cloud_catalog_tick(struct amb_node *node, amb_ms now) {
     struct amb_rental *rental = &node->rental;
     amb_ms stale = rental->catalog_known ? amb_secs(node->set.lease_s * 6) : amb_secs(node->set.report_s / 2);
-    if ((!rental->catalog_known || amb_leads(node)) &&
+    if ((!rental->catalog_known || amb_election_is_leader(node)) &&
         (!rental->catalog_at || now - rental->catalog_at > stale) && amb_cloud_take_token(node, now)) {
         rental->catalog_at = now;
         amb_http_call(node->set.cloud, "GET", "/catalog", NULL, NULL, 0, amb_secs(node->set.report_s * 3),
--- a/lib/cloud/cloud.c
+++ b/lib/cloud/cloud.c
@@ -10,7 +10,7 @@
 
 void amb_rental_tick(struct amb_node *node, amb_ms now) {
     amb_cloud_catalog_tick(node, now);
-    if (!amb_leads(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_is_leader(node) || !node->ctl.loaded_at) return;
     amb_machine_returns_tick(node, now);
     amb_rental_requests_tick(node, now);
     amb_machine_list_tick(node, now);
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -11,7 +11,7 @@
 }
 
 bool amb_cloud_call_current(const struct amb_cloud_call *call) {
-    return amb_holds_lead(call->node) && call->node->election.term == call->term;
+    return amb_election_has_leader_role(call->node) && call->node->election.term == call->term;
 }
 
 struct amb_node *amb_cloud_call_take(struct amb_cloud_call *call) {
@@ -23,14 +23,14 @@
 /* The leader makes nearly all calls; the others read the catalogue once. */
 static double share_by_leader(const struct amb_node *node) {
     if (!node->set.npeers) return 1.0;
-    return amb_leads(node) ? 0.8 : 0.2 / node->set.npeers;
+    return amb_election_is_leader(node) ? 0.8 : 0.2 / node->set.npeers;
 }
 
 /* The leader lists machines; holders of duties rent and return them, on whichever node. */
 static double share_by_duties(const struct amb_node *node) {
     const struct amb_duty_service *service = &node->duties.service;
     double share = 0.1 / (node->set.npeers + 1);
-    if (amb_leads(node)) share += 0.3;
+    if (amb_election_is_leader(node)) share += 0.3;
     if (amb_duty_service_holds(service, AMB_DUTY_RENT)) share += AMB_CLOUD_RENT_SHARE;
     if (amb_duty_service_holds(service, AMB_DUTY_RETURN)) share += 0.1;
     if (amb_duty_service_holds(service, AMB_DUTY_RECLAIM)) share += 0.1;
@@ -40,15 +40,15 @@
 void amb_cloud_refill(struct amb_node *node, amb_ms now) {
     struct amb_rental *rental = &node->rental;
     double share = node->duties.mode == AMB_DUTY_MODE_DUTIES ? share_by_duties(node) : share_by_leader(node);
-    rental->calls.seconds = 2; /* the protocol: bursts worth two seconds are permitted */
-    amb_budget_rate(&rental->calls, node->set.cloud_rps * share);
-    amb_budget_refill(&rental->calls, now);
+    rental->calls.burst_seconds = 2; /* the protocol: bursts worth two seconds are permitted */
+    amb_token_bucket_set_rate(&rental->calls, node->set.cloud_rps * share);
+    amb_token_bucket_refill(&rental->calls, now);
 }
 
 bool amb_cloud_take_token(struct amb_node *node, amb_ms now) {
     struct amb_rental *rental = &node->rental;
     amb_cloud_refill(node, now);
-    if (now < rental->held_until || amb_budget_wait(&rental->calls, 1) > 0) return false;
+    if (now < rental->held_until || amb_token_bucket_delay(&rental->calls, 1) > 0) return false;
     rental->calls.tokens -= 1;
     return true;
 }
--- a/lib/cloud/machine_release.c
+++ b/lib/cloud/machine_release.c
@@ -82,7 +82,7 @@
 
 void amb_machine_returns_tick(struct amb_node *node, amb_ms now) {
     struct amb_rental *rental = &node->rental;
-    if (!rental->releasing && now >= rental->release_retry_at && amb_may_start(node) && pick_releases(node) &&
-        amb_return_record_ready(node, now) && amb_cloud_take_token(node, now))
+    if (!rental->releasing && now >= rental->release_retry_at && amb_election_may_act(node) &&
+        pick_releases(node) && amb_return_record_ready(node, now) && amb_cloud_take_token(node, now))
         release(node);
 }
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -77,12 +77,13 @@
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     put_value(&value, &node->rental);
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, KEY, node->rental.return_record.stamp);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, KEY, node->rental.return_record.stamp);
     amb_txn_put(&transaction, KEY, &value, 0);
     amb_buf_free(&value);
     set_state(node, AMB_RETURN_WRITING, "machines are to be returned");
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, written, amb_cloud_call_new(node));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, written,
+                     amb_cloud_call_new(node));
 }
 
 static void read_back(void *arg, int status, const cbor_item_t *body) {
@@ -101,13 +102,13 @@
 
 static void read_record(struct amb_node *node) {
     set_state(node, AMB_RETURN_READING, "what stands there is not known");
-    amb_store_get(&node->store, KEY, AMB_URGENT_FINAL, read_back, amb_cloud_call_new(node));
+    amb_store_get(&node->store, KEY, AMB_STORE_PRIORITY_FINAL_STATE, read_back, amb_cloud_call_new(node));
 }
 
 /* An old version would neither write nor heed the record, and one that it left standing could name machines
  * that have been given work since: it is used once no old process can lead any more. */
 static bool is_used(const struct amb_node *node) {
-    return amb_format_in_use(node) >= AMB_FORMAT_2;
+    return amb_format_active(node) >= AMB_FORMAT_2;
 }
 
 bool amb_return_record_ready(struct amb_node *node, amb_ms now) {
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -131,10 +131,11 @@
     amb_w_bool(&value, request->spot);
     amb_w_str(&value, "count");
     amb_w_uint(&value, request->count);
-    amb_guard_term(&transaction, node);
+    amb_txn_require_leadership(&transaction, node);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, recorded, request_call(node, request));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, recorded,
+                     request_call(node, request));
 }
 
 /* ---- what came of a request, whoever asked the cloud ---- */
@@ -236,9 +237,10 @@
     char key[80];
     struct amb_txn transaction = {0};
     snprintf(key, sizeof key, "%s%s", PREFIX, request->id);
-    amb_guard_term(&transaction, node);
+    amb_txn_require_leadership(&transaction, node);
     amb_txn_remove(&transaction, key);
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_READ, unrecorded, request_call(node, request));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, unrecorded,
+                     request_call(node, request));
 }
 
 void amb_rental_load(struct amb_node *node, const char *key, const cbor_item_t *value) {
@@ -295,10 +297,10 @@
     if (request->by_order) return; /* see amb_duties_order_rentals */
     switch (request->state) {
     case AMB_REQUEST_RECORDING:
-        if (amb_may_start(node)) record(node, request);
+        if (amb_election_may_act(node)) record(node, request);
         break;
     case AMB_REQUEST_ASKING:
-        if (amb_may_start(node) && amb_cloud_take_token(node, now)) ask(node, request);
+        if (amb_election_may_act(node) && amb_cloud_take_token(node, now)) ask(node, request);
         break;
     case AMB_REQUEST_DONE:
         /* Kept until the machines must be listed: until then only this record tells a successor of them. */
@@ -306,7 +308,7 @@
             request_state(request, AMB_REQUEST_REMOVING, "listed by now");
         break;
     case AMB_REQUEST_REMOVING:
-        if (amb_may_start(node)) unrecord(node, request);
+        if (amb_election_may_act(node)) unrecord(node, request);
         break;
     }
 }
--- a/lib/cloud_duty/orders.c
+++ b/lib/cloud_duty/orders.c
@@ -21,7 +21,7 @@
 
 /* Orders are created under the leader's term, and once: the key must not be there. */
 static void create(struct amb_node *node, enum amb_duty_name duty, const char *id,
-                   const struct amb_duty_work *work, amb_store_done done) {
+                   const struct amb_duty_work *work, amb_store_callback done) {
     char key[AMB_DUTY_KEY];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
@@ -32,18 +32,18 @@
     snprintf(call->id, sizeof call->id, "%s", id);
     amb_duty_order_key(key, duty, id);
     amb_duty_encode_order(&value, &order, work);
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, key, 0);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, key, 0);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, done, call);
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, done, call);
 }
 
 /* The node, if it still leads under the term of the call; NULL: not. */
 static struct amb_node *take_call(void *arg, struct order_call *call) {
     *call = *(struct order_call *)arg;
     free(arg);
-    bool ours = amb_holds_lead(call->node) && call->node->election.term == call->term;
+    bool ours = amb_election_has_leader_role(call->node) && call->node->election.term == call->term;
     return ours ? call->node : NULL;
 }
 
@@ -240,7 +240,7 @@
 void amb_duties_order_changed(struct amb_node *node, const struct amb_duty_order_record *order,
                               const struct amb_duty_work *work) {
     struct amb_return_order *returning = &node->duties.returning;
-    if (!amb_holds_lead(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_has_leader_role(node) || !node->ctl.loaded_at) return;
     if (!work) {
         rental_forgotten(node, order);
         return;
--- a/lib/cloud_duty/wiring.c
+++ b/lib/cloud_duty/wiring.c
@@ -101,7 +101,7 @@
 static void share_writes(struct amb_node *node) {
     const struct amb_duties *duties = &node->duties;
     bool in_use = duties->service.active && duties->mode == AMB_DUTY_MODE_DUTIES;
-    amb_store_share_duties(&node->store, in_use, in_use ? held_part(&duties->service) : 0);
+    amb_store_set_duty_share(&node->store, in_use, in_use ? held_part(&duties->service) : 0);
 }
 
 static void tick(void *arg) {
@@ -198,12 +198,12 @@
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_duty_encode_mode(&value, mode);
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, AMB_DUTY_MODE_KEY, duties->mode_stamp);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, AMB_DUTY_MODE_KEY, duties->mode_stamp);
     amb_txn_put(&transaction, AMB_DUTY_MODE_KEY, &value, 0);
     amb_buf_free(&value);
     duties->mode_writing = duties->mode_busy = true;
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, mode_written, node);
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, mode_written, node);
 }
 
 static void tick_mode(struct amb_node *node, amb_ms now) {
@@ -221,7 +221,7 @@
 
 void amb_duties_tick(struct amb_node *node, amb_ms now) {
     if (!amb_duties_wanted(node) && !node->duties.mode_stamp) return;
-    if (!amb_may_start(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_may_act(node) || !node->ctl.loaded_at) return;
     tick_mode(node, now);
     amb_duties_order_rentals(node, now);
     amb_duties_order_returns(node, now);
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -14,7 +14,7 @@
 static void run_round(void *arg) {
     struct amb_node *node = arg;
     struct amb_controller *c = &node->ctl;
-    if (!c->ready || !amb_may_start(node) || !node->rental.catalog_known) return;
+    if (!c->ready || !amb_election_may_act(node) || !node->rental.catalog_known) return;
     amb_ms now = amb_now();
     amb_wdrr_refill(node->set.teams, node->set.nteams, c->round_at ? (double)(now - c->round_at) / 1000 : 0);
     c->round_at = now;
@@ -69,7 +69,9 @@
 
 static void load_page(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = arg;
-    if (!amb_holds_lead(node) || !node->ctl.loading || node->ctl.load_term != node->election.term) return;
+    if (!amb_election_has_leader_role(node) || !node->ctl.loading ||
+        node->ctl.load_term != node->election.term)
+        return;
     node->ctl.load_busy = false;
     const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
     if (status != 200 || !pairs) return; /* the tick tries again */
@@ -103,7 +105,7 @@
 static void load_synced(void *arg, bool ok) {
     struct amb_node *node = arg;
     node->ctl.load_busy = false;
-    if (!amb_holds_lead(node) || !node->ctl.loading || node->ctl.load_synced || !ok) return;
+    if (!amb_election_has_leader_role(node) || !node->ctl.loading || node->ctl.load_synced || !ok) return;
     node->ctl.load_synced = true;
     load_next(node);
 }
@@ -202,11 +204,11 @@
     note_standstill(node, now);
     amb_timer_in(&c->timer, amb_secs(node->ctl.turn_s * 0.1), tick, node);
     amb_rental_tick(node, now);
-    amb_deputy_tick(node, now);
+    amb_lease_proxy_tick(node, now);
     amb_format_tick(node, now);
     amb_duties_tick(node, now);
     amb_cancellations_drop_descriptions(node, now);
-    if (!amb_leads(node)) return;
+    if (!amb_election_is_leader(node)) return;
     if (c->loading) load_tick(node, now);
     amb_jobs_take_left_out(node);
     amb_ms learn = amb_secs(node->set.report_s * 1.3);
@@ -233,9 +235,9 @@
     if (!node->jobs.loaded) return false;
     /* The store refuses us alone: users are better served elsewhere. When it refuses everybody, staying in
      * lets them have an answer at once. */
-    bool failing = node->store.failed_at > node->store.ok_at &&
-                   now - node->store.ok_at > amb_secs(node->set.report_s * 3);
-    return !failing || !amb_peer_store_ok(node, now);
+    bool failing = node->store.last_failure_at > node->store.last_success_at &&
+                   now - node->store.last_success_at > amb_secs(node->set.report_s * 3);
+    return !failing || !amb_election_peer_reaches_store(node, now);
 }
 
 static void request(void *arg, struct amb_http_req *request) {
@@ -255,7 +257,7 @@
     amb_controller_attach(node);
     node->ctl.turn_s = amb_settings_beat(&node->set);
     amb_election_init(node);
-    amb_store_init(&node->store, &node->set, amb_election_patience(node));
+    amb_store_init(&node->store, &node->set, amb_election_call_timeout(node));
     amb_rental_init(node);
     amb_zone_recovery_init(node);
     for (uint32_t i = 0; i < node->set.nzones; i++) amb_catalog_zone(&node->catalog, node->set.zones[i]);
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -10,7 +10,7 @@
 /* An answer of the state service that can't be used proves nothing about what was done. */
 static enum amb_call_result read_answer(int status, const cbor_item_t *body, const char *field,
                                         uint64_t *out) {
-    enum amb_call_result result = amb_store_result(status);
+    enum amb_call_result result = amb_store_call_result(status);
     if (result == AMB_CALL_OK && !amb_cbor_uint(amb_cbor_get(body, field), out)) return AMB_CALL_LOST;
     return result;
 }
@@ -33,7 +33,7 @@
     if (!service) return;
     duty_feed(service, &(struct amb_duty_event){.type = AMB_DUTY_LEASE_EXTENDED,
                                                 .call = call.number,
-                                                .result = amb_store_result(status)});
+                                                .result = amb_store_call_result(status)});
 }
 
 static void committed(void *arg, int status, const cbor_item_t *body) {
@@ -70,8 +70,8 @@
                            .type = AMB_DUTY_COMMITTED, .call = number, .result = AMB_CALL_REFUSED});
 }
 
-static void send(struct amb_duty_service *service, struct amb_txn *transaction, enum amb_urgency urgency,
-                 uint64_t number) {
+static void send(struct amb_duty_service *service, struct amb_txn *transaction,
+                 enum amb_store_priority urgency, uint64_t number) {
     service->ports.state.commit(service->ports.state.context, transaction, urgency, committed,
                                 duty_call_new(service, number));
 }
@@ -82,16 +82,16 @@
     struct amb_buf value = {0};
     amb_duty_member_key(key, service->core.member);
     amb_duty_encode_member(&value, &action->member);
-    amb_txn_guard(&transaction, key, action->guard_stamp);
+    amb_txn_compare(&transaction, key, action->guard_stamp);
     amb_txn_put(&transaction, key, &value, action->lease);
     amb_buf_free(&value);
-    send(service, &transaction, AMB_URGENT_LEASE, action->call);
+    send(service, &transaction, AMB_STORE_PRIORITY_LEASE, action->call);
 }
 
 static void guard_member(struct amb_txn *transaction, const char *member, uint64_t stamp) {
     char key[AMB_DUTY_KEY];
     amb_duty_member_key(key, member);
-    amb_txn_guard(transaction, key, stamp);
+    amb_txn_compare(transaction, key, stamp);
 }
 
 /* A claim or a release. */
@@ -105,13 +105,13 @@
     }
     amb_duty_record_key(key, action->duty);
     amb_duty_encode_record(&value, &action->record);
-    amb_txn_guard(&transaction, key, action->guard_stamp);
+    amb_txn_compare(&transaction, key, action->guard_stamp);
     if (action->guard_member.member[0])
         guard_member(&transaction, action->guard_member.member, action->guard_member.stamp);
     if (action->guard_self) guard_member(&transaction, service->core.member, action->guard_self);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    send(service, &transaction, AMB_URGENT_LEASE, action->call);
+    send(service, &transaction, AMB_STORE_PRIORITY_LEASE, action->call);
 }
 
 /* Guards of every write of a holder: its claim, and the order as it was read. */
@@ -119,8 +119,8 @@
                         const char *order_key) {
     char key[AMB_DUTY_KEY];
     amb_duty_record_key(key, action->duty);
-    amb_txn_guard(transaction, key, action->guard_stamp);
-    amb_txn_guard(transaction, order_key, action->order.stamp);
+    amb_txn_compare(transaction, key, action->guard_stamp);
+    amb_txn_compare(transaction, order_key, action->order.stamp);
 }
 
 static void commit_order(struct amb_duty_service *service, const struct amb_duty_action *action) {
@@ -144,7 +144,7 @@
     AMB_TRACE3(duty_order, action->order.id, action->order.state, action->order.token);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    send(service, &transaction, AMB_URGENT_PLACE, action->call);
+    send(service, &transaction, AMB_STORE_PRIORITY_PLACEMENT, action->call);
 }
 
 static void remove_order(struct amb_duty_service *service, const struct amb_duty_action *action) {
@@ -157,7 +157,7 @@
     amb_duty_order_key(key, action->order.duty, action->order.id);
     guard_order(&transaction, action, key);
     amb_txn_remove(&transaction, key);
-    send(service, &transaction, AMB_URGENT_READ, action->call);
+    send(service, &transaction, AMB_STORE_PRIORITY_READ, action->call);
 }
 
 /* ---- the cloud ---- */
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -74,13 +74,13 @@
 static json_t *describe(const struct amb_node *node) {
     const struct amb_duty_service *service = &node->duties.service;
     amb_ms now = amb_now();
-    json_t *said =
-        json_pack("{s:s, s:I, s:b, s:I, s:b, s:s, s:b, s:b}", "node", node->set.member, "term",
-                  (json_int_t)(amb_holds_lead(node) ? node->election.term : node->election.highest),
-                  "leading", (int)amb_leads(node), "age_ms", (json_int_t)(now - node->jobs.fresh_at),
-                  "switched_on", (int)amb_duties_wanted(node), "mode", amb_duty_mode_text(node->duties.mode),
-                  "takes_part", (int)service->active, "records_read", (int)service->loaded);
-    if (amb_holds_lead(node))
+    json_t *said = json_pack(
+        "{s:s, s:I, s:b, s:I, s:b, s:s, s:b, s:b}", "node", node->set.member, "term",
+        (json_int_t)(amb_election_has_leader_role(node) ? node->election.term : node->election.highest_term),
+        "leading", (int)amb_election_is_leader(node), "age_ms", (json_int_t)(now - node->jobs.fresh_at),
+        "switched_on", (int)amb_duties_wanted(node), "mode", amb_duty_mode_text(node->duties.mode),
+        "takes_part", (int)service->active, "records_read", (int)service->loaded);
+    if (amb_election_has_leader_role(node))
         json_object_set_new(said, "rentals_by", json_string(path_text(amb_duties_path(node))));
     if (service->active)
         json_object_set_new(
@@ -145,7 +145,7 @@
     amb_duty_encode_handover(&value, &wish);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, wish_written, request);
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, wish_written, request);
 }
 
 bool amb_duties_request(struct amb_node *node, struct amb_http_req *request) {
--- a/lib/duty/store_adapter.c
+++ b/lib/duty/store_adapter.c
@@ -1,23 +1,23 @@
 #include "amberpin/duty/store_adapter.h"
 
-static void grant(void *context, amb_ms ttl, amb_store_done done, void *arg) {
-    amb_store_grant(context, ttl, done, arg);
+static void grant(void *context, amb_ms ttl, amb_store_callback done, void *arg) {
+    amb_store_grant_lease(context, ttl, done, arg);
 }
 
-static void extend(void *context, uint64_t lease, amb_store_done done, void *arg) {
-    amb_store_extend(context, lease, done, arg);
+static void extend(void *context, uint64_t lease, amb_store_callback done, void *arg) {
+    amb_store_renew_lease(context, lease, done, arg);
 }
 
 static void drop(void *context, uint64_t lease) {
-    amb_store_drop(context, lease);
+    amb_store_revoke_lease(context, lease);
 }
 
-static void list(void *context, const char *prefix, const char *after, amb_store_done done, void *arg) {
+static void list(void *context, const char *prefix, const char *after, amb_store_callback done, void *arg) {
     amb_store_list(context, prefix, after, done, arg);
 }
 
-static void commit(void *context, struct amb_txn *transaction, enum amb_urgency urgency, amb_store_done done,
-                   void *arg) {
+static void commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
+                   amb_store_callback done, void *arg) {
     amb_store_commit(context, transaction, urgency, done, arg);
 }
 
--- a/lib/election/state_machine.c
+++ b/lib/election/state_machine.c
@@ -3,93 +3,98 @@
 #include <string.h>
 
 enum {
-    TRIES_PER_LEASE = 4,  /* renewals and claims */
-    OVERDUE_PERCENT = 35, /* of a lease, after which the next renewal should have been answered */
+    ATTEMPTS_PER_LEASE = 4,       /* renewals and claims */
+    RENEWAL_OVERDUE_PERCENT = 35, /* of a lease, after which the next renewal should have been answered */
 };
 
-static void act(struct amb_election_output *out, struct amb_election_action action) {
-    out->actions[out->count++] = action;
+static void add_action(struct amb_election_output *output, struct amb_election_action action) {
+    output->actions[output->action_count++] = action;
 }
 
-static void change_role(struct amb_election *election, struct amb_election_output *out, enum amb_role to,
-                        const char *cause) {
-    if (election->role == to) return;
-    election->role = to;
-    out->cause = cause;
+static void change_role(struct amb_election *election, struct amb_election_output *output,
+                        enum amb_election_role new_role, const char *cause) {
+    if (election->role == new_role) return;
+    election->role = new_role;
+    output->cause = cause;
 }
 
-static bool holds_lead(const struct amb_election *election) {
-    return election->role >= AMB_ROLE_LEADING;
+static bool has_leader_role(const struct amb_election *election) {
+    return election->role >= AMB_ROLE_LEADER;
 }
 
-static amb_ms later(amb_ms a, amb_ms b) {
-    return a > b ? a : b;
+static amb_ms later_of(amb_ms first, amb_ms second) {
+    return first > second ? first : second;
 }
 
-static amb_ms sooner(amb_ms a, amb_ms b) {
-    return a < b ? a : b;
+static amb_ms earlier_of(amb_ms first, amb_ms second) {
+    return first < second ? first : second;
 }
 
-bool amb_election_sure(const struct amb_election *election, amb_ms now) {
+bool amb_election_has_valid_lease(const struct amb_election *election, amb_ms now) {
     /* Counted from when the renewal was sent; less a tenth for drift and for work already under way. */
-    return election->role == AMB_ROLE_LEADING &&
+    return election->role == AMB_ROLE_LEADER &&
            now < election->renewed_at + election->ttl - election->ttl / 10;
 }
 
-bool amb_election_in_touch(const struct amb_election *election, amb_ms now) {
-    return now < election->renewed_at + election->ttl * OVERDUE_PERCENT / 100;
+bool amb_election_has_recent_renewal(const struct amb_election *election, amb_ms now) {
+    return now < election->renewed_at + election->ttl * RENEWAL_OVERDUE_PERCENT / 100;
 }
 
 /* ---- changes of role ---- */
 
-static void become_follower(struct amb_election *election, struct amb_election_output *out,
+static void become_follower(struct amb_election *election, struct amb_election_output *output,
                             const char *cause) {
-    bool led = holds_lead(election);
-    if (election->lease)
-        act(out, (struct amb_election_action){.type = AMB_ELECTION_DROP_LEASE, .lease = election->lease});
-    election->lease = 0;
-    change_role(election, out, AMB_ROLE_FOLLOWING, cause);
-    if (led) act(out, (struct amb_election_action){.type = AMB_ELECTION_LEAD_LOST});
+    bool had_leader_role = has_leader_role(election);
+    if (election->lease_id)
+        add_action(output, (struct amb_election_action){.type = AMB_ELECTION_REVOKE_LEASE,
+                                                        .lease_id = election->lease_id});
+    election->lease_id = 0;
+    change_role(election, output, AMB_ROLE_FOLLOWER, cause);
+    if (had_leader_role)
+        add_action(output, (struct amb_election_action){.type = AMB_ELECTION_LEADERSHIP_LOST});
 }
 
-static void begin_claim(struct amb_election *election, struct amb_election_output *out, amb_ms now,
-                        uint64_t expect, const char *cause) {
-    change_role(election, out, AMB_ROLE_CLAIMING, cause);
-    election->claim++;
-    election->expect = expect;
-    election->lease = 0;
-    election->claim_at = now;
-    act(out, (struct amb_election_action){.type = AMB_ELECTION_GRANT_LEASE, .claim = election->claim});
+static void begin_claim(struct amb_election *election, struct amb_election_output *output, amb_ms now,
+                        uint64_t expected_revision, const char *cause) {
+    change_role(election, output, AMB_ROLE_CANDIDATE, cause);
+    election->claim_id++;
+    election->expected_revision = expected_revision;
+    election->lease_id = 0;
+    election->claimed_at = now;
+    add_action(output, (struct amb_election_action){.type = AMB_ELECTION_GRANT_LEASE,
+                                                    .claim_id = election->claim_id});
 }
 
-static void begin_check(struct amb_election *election, struct amb_election_output *out) {
-    change_role(election, out, AMB_ROLE_CHECKING, "the claim got no answer");
-    act(out, (struct amb_election_action){.type = AMB_ELECTION_READ_KEY, .claim = election->claim});
+static void begin_claim_verification(struct amb_election *election, struct amb_election_output *output) {
+    change_role(election, output, AMB_ROLE_VERIFYING_CLAIM, "the claim got no answer");
+    add_action(output,
+               (struct amb_election_action){.type = AMB_ELECTION_READ_KEY, .claim_id = election->claim_id});
 }
 
-static void begin_lead(struct amb_election *election, struct amb_election_output *out, uint64_t stamp) {
+static void begin_leadership(struct amb_election *election, struct amb_election_output *output,
+                             uint64_t revision) {
     /* The answer may come late, when another leads, or the key is gone: whoever has told it that it knows of
-     * a newer term must not answer machines under an older one (amb_peer_quiet). */
-    if (stamp < election->highest || stamp < election->holder_stamp) {
-        become_follower(election, out, "the claim is older than what is known of the lead");
+     * a newer term must not answer machines under an older one (amb_election_peers_fenced_at). */
+    if (revision < election->highest_term || revision < election->holder_revision) {
+        become_follower(election, output, "the claim is older than what is known of the lead");
         return;
     }
-    election->term = election->highest = stamp;
+    election->term = election->highest_term = revision;
     strcpy(election->holder, election->member);
-    election->holder_stamp = stamp;
+    election->holder_revision = revision;
     election->holder_nonce = election->nonce;
-    election->renewed_at = election->renew_sent_at = election->claim_at;
-    election->renewing = false;
-    change_role(election, out, AMB_ROLE_LEADING, "the leader key is ours");
-    act(out, (struct amb_election_action){.type = AMB_ELECTION_LEAD_WON});
+    election->renewed_at = election->renewal_sent_at = election->claimed_at;
+    election->renewal_pending = false;
+    change_role(election, output, AMB_ROLE_LEADER, "the leader key is ours");
+    add_action(output, (struct amb_election_action){.type = AMB_ELECTION_LEADERSHIP_WON});
 }
 
 /* Others are better placed: they get the time of a lease to claim first. */
-static void give_up_lead(struct amb_election *election, struct amb_election_output *out, amb_ms now) {
-    election->shun_until = now + election->shun_for;
+static void yield_leadership(struct amb_election *election, struct amb_election_output *output, amb_ms now) {
+    election->yield_until = now + election->yield_for;
     election->vacant_since = now;
     election->holder[0] = 0;
-    become_follower(election, out, "no worker reaches this node");
+    become_follower(election, output, "no worker reaches this node");
 }
 
 /* After this a leader answers no report. Another node may have promised that a cancelled task is gone within
@@ -97,164 +102,173 @@
  * every peer comes (which would tell of the cancellation, or of another leader), we stop in time for that:
  * not much sooner, since when a cut lasts 30 s every task that reports here hangs on the last seconds
  * (docs/safety.md has the sum). News count only as long as renewals come too. */
-static amb_ms fenced_from(const struct amb_election *election, const struct amb_election_evidence *evidence) {
-    amb_ms own = sooner(election->renewed_at, evidence->news_asked_at);
-    return later(own, evidence->peers_asked_at) + later(election->fence_after, election->ttl);
+static amb_ms fencing_deadline(const struct amb_election *election,
+                               const struct amb_election_evidence *evidence) {
+    amb_ms store_contact_at = earlier_of(election->renewed_at, evidence->watch_sent_at);
+    return later_of(store_contact_at, evidence->peers_queried_at) +
+           later_of(election->fence_after, election->ttl);
 }
 
-bool amb_election_answers(const struct amb_election *election, amb_ms now,
-                          const struct amb_election_evidence *evidence) {
-    return (election->role == AMB_ROLE_LEADING || election->role == AMB_ROLE_UNSURE) &&
-           now <= fenced_from(election, evidence);
+bool amb_election_may_answer_agents(const struct amb_election *election, amb_ms now,
+                                    const struct amb_election_evidence *evidence) {
+    return (election->role == AMB_ROLE_LEADER || election->role == AMB_ROLE_UNSURE) &&
+           now <= fencing_deadline(election, evidence);
 }
 
 /* Leading, unsure or fenced? */
-static void update_role(struct amb_election *election, struct amb_election_output *out, amb_ms now,
+static void update_role(struct amb_election *election, struct amb_election_output *output, amb_ms now,
                         const struct amb_election_evidence *evidence) {
-    if (now > fenced_from(election, evidence))
-        change_role(election, out, AMB_ROLE_FENCED, "neither news nor the peers' word that we still lead");
+    if (now > fencing_deadline(election, evidence))
+        change_role(election, output, AMB_ROLE_FENCED, "neither news nor the peers' word that we still lead");
     else if (now >= election->renewed_at + election->ttl - election->ttl / 10)
-        change_role(election, out, AMB_ROLE_UNSURE, "the lease could not be renewed in time");
+        change_role(election, output, AMB_ROLE_UNSURE, "the lease could not be renewed in time");
     else
-        change_role(election, out, AMB_ROLE_LEADING, "the lease is renewed");
+        change_role(election, output, AMB_ROLE_LEADER, "the lease is renewed");
 }
 
 /* ---- what happens ---- */
 
-static void lease_granted(struct amb_election *election, const struct amb_election_input *in,
-                          struct amb_election_output *out) {
-    if (election->role != AMB_ROLE_CLAIMING || in->claim != election->claim) return;
-    if (in->result != AMB_CALL_OK) {
-        become_follower(election, out, "no lease to be had");
+static void on_lease_granted(struct amb_election *election, const struct amb_election_input *input,
+                             struct amb_election_output *output) {
+    if (election->role != AMB_ROLE_CANDIDATE || input->claim_id != election->claim_id) return;
+    if (input->result != AMB_CALL_OK) {
+        become_follower(election, output, "no lease to be had");
         return;
     }
-    election->lease = in->lease;
-    election->nonce = in->nonce;
-    act(out, (struct amb_election_action){.type = AMB_ELECTION_COMMIT_CLAIM,
-                                          .claim = election->claim,
-                                          .lease = election->lease,
-                                          .nonce = election->nonce,
-                                          .expect = election->expect});
+    election->lease_id = input->lease_id;
+    election->nonce = input->nonce;
+    add_action(output, (struct amb_election_action){.type = AMB_ELECTION_COMMIT_CLAIM,
+                                                    .claim_id = election->claim_id,
+                                                    .lease_id = election->lease_id,
+                                                    .nonce = election->nonce,
+                                                    .expected_revision = election->expected_revision});
 }
 
-static void claim_answered(struct amb_election *election, const struct amb_election_input *in,
-                           struct amb_election_output *out) {
-    if (election->role != AMB_ROLE_CLAIMING || in->claim != election->claim) return;
-    switch (in->result) {
-    case AMB_CALL_OK: begin_lead(election, out, in->stamp); break;
-    case AMB_CALL_LOST: begin_check(election, out); break;
-    case AMB_CALL_CONFLICT: become_follower(election, out, "somebody else was first"); break;
-    default: become_follower(election, out, "the claim was refused");
+static void on_claim_answered(struct amb_election *election, const struct amb_election_input *input,
+                              struct amb_election_output *output) {
+    if (election->role != AMB_ROLE_CANDIDATE || input->claim_id != election->claim_id) return;
+    switch (input->result) {
+    case AMB_CALL_OK: begin_leadership(election, output, input->revision); break;
+    case AMB_CALL_LOST: begin_claim_verification(election, output); break;
+    case AMB_CALL_CONFLICT: become_follower(election, output, "somebody else was first"); break;
+    default: become_follower(election, output, "the claim was refused");
     }
 }
 
-static void key_read(struct amb_election *election, const struct amb_election_input *in,
-                     struct amb_election_output *out) {
-    if (election->role != AMB_ROLE_CHECKING || in->claim != election->claim) return;
-    if (in->result == AMB_CALL_OK && in->key.present && in->key.nonce == election->nonce)
-        begin_lead(election, out, in->key.stamp);
-    else if (in->result == AMB_CALL_OK || in->result == AMB_CALL_NOT_FOUND)
+static void on_key_read(struct amb_election *election, const struct amb_election_input *input,
+                        struct amb_election_output *output) {
+    if (election->role != AMB_ROLE_VERIFYING_CLAIM || input->claim_id != election->claim_id) return;
+    if (input->result == AMB_CALL_OK && input->key.present && input->key.nonce == election->nonce)
+        begin_leadership(election, output, input->key.revision);
+    else if (input->result == AMB_CALL_OK || input->result == AMB_CALL_NOT_FOUND)
         /* A late claim can't be applied any more once its lease is dropped. */
-        become_follower(election, out, "the claim was not carried out");
-    else if (in->now - election->claim_at > election->ttl)
-        become_follower(election, out, "the claim can't be checked in time");
+        become_follower(election, output, "the claim was not carried out");
+    else if (input->now - election->claimed_at > election->ttl)
+        become_follower(election, output, "the claim can't be checked in time");
 }
 
-static void lease_renewed(struct amb_election *election, const struct amb_election_input *in,
-                          struct amb_election_output *out) {
+static void on_lease_renewed(struct amb_election *election, const struct amb_election_input *input,
+                             struct amb_election_output *output) {
     /* The answer may be to a renewal of an earlier lead, whose lease was another. */
-    if (!election->renewing || in->lease != election->lease) return;
-    election->renewing = false;
-    if (!holds_lead(election)) return;
-    if (in->result == AMB_CALL_OK) {
-        election->renewed_at = election->renew_sent_at;
-        update_role(election, out, in->now, &in->evidence);
-    } else if (in->result == AMB_CALL_NOT_FOUND) {
-        become_follower(election, out, "the lease has run out");
+    if (!election->renewal_pending || input->lease_id != election->lease_id) return;
+    election->renewal_pending = false;
+    if (!has_leader_role(election)) return;
+    if (input->result == AMB_CALL_OK) {
+        election->renewed_at = election->renewal_sent_at;
+        update_role(election, output, input->now, &input->evidence);
+    } else if (input->result == AMB_CALL_NOT_FOUND) {
+        become_follower(election, output, "the lease has run out");
     }
 }
 
-static void key_changed(struct amb_election *election, const struct amb_election_key *key,
-                        struct amb_election_output *out) {
-    if (key->stamp < election->holder_stamp) return; /* older than what is known */
+static void on_key_changed(struct amb_election *election, const struct amb_election_apply_key *key,
+                           struct amb_election_output *output) {
+    if (key->revision < election->holder_revision) return; /* older than what is known */
     election->key_known = true;
-    if (key->stamp == election->holder_stamp && key->nonce == election->holder_nonce &&
+    if (key->revision == election->holder_revision && key->nonce == election->holder_nonce &&
         !strcmp(key->member, election->holder))
         return;
     strcpy(election->holder, key->member);
-    election->holder_stamp = key->stamp;
+    election->holder_revision = key->revision;
     election->holder_nonce = key->nonce;
-    if (key->present) election->highest = key->stamp > election->highest ? key->stamp : election->highest;
-    if (holds_lead(election) && key->stamp > election->term &&
+    if (key->present)
+        election->highest_term =
+            key->revision > election->highest_term ? key->revision : election->highest_term;
+    if (has_leader_role(election) && key->revision > election->term &&
         (!key->present || key->nonce != election->nonce))
-        become_follower(election, out,
+        become_follower(election, output,
                         key->present ? "the leader key names another" : "the leader key is gone");
 }
 
-static void term_seen(struct amb_election *election, uint64_t term, struct amb_election_output *out) {
-    if (term > election->highest) election->highest = term;
-    if (holds_lead(election) && term > election->term)
-        become_follower(election, out, "a higher term is known");
+static void on_term_seen(struct amb_election *election, uint64_t term, struct amb_election_output *output) {
+    if (term > election->highest_term) election->highest_term = term;
+    if (has_leader_role(election) && term > election->term)
+        become_follower(election, output, "a higher term is known");
 }
 
-static void follower_tick(struct amb_election *election, amb_ms now, struct amb_election_output *out) {
-    bool yields = now < election->shun_until && now - election->vacant_since < election->ttl;
-    if (!election->key_known || now - election->claim_at <= election->ttl / TRIES_PER_LEASE || yields) return;
+static void tick_follower(struct amb_election *election, amb_ms now, struct amb_election_output *output) {
+    bool is_yielding = now < election->yield_until && now - election->vacant_since < election->ttl;
+    if (!election->key_known || now - election->claimed_at <= election->ttl / ATTEMPTS_PER_LEASE ||
+        is_yielding)
+        return;
     if (!election->holder[0])
-        begin_claim(election, out, now, 0, "nobody leads");
-    else if (!strcmp(election->holder, election->member) && election->holder_stamp >= election->highest)
+        begin_claim(election, output, now, 0, "nobody leads");
+    else if (!strcmp(election->holder, election->member) &&
+             election->holder_revision >= election->highest_term)
         /* Not when a higher term is known: then it is our news of the key that is old, as with a node that
          * the state service refuses alone, which would claim in vain four times a lease. */
-        begin_claim(election, out, now, election->holder_stamp,
+        begin_claim(election, output, now, election->holder_revision,
                     "the key names this node's former self"); /* it is dead */
 }
 
-static void leader_tick(struct amb_election *election, const struct amb_election_input *in,
-                        struct amb_election_output *out) {
+static void tick_leader(struct amb_election *election, const struct amb_election_input *input,
+                        struct amb_election_output *output) {
     /* Only while the lease is sure: in an outage nobody else could be elected. */
-    if (election->role == AMB_ROLE_LEADING && in->evidence.unreachable) {
-        give_up_lead(election, out, in->now);
+    if (election->role == AMB_ROLE_LEADER && input->evidence.unreachable) {
+        yield_leadership(election, output, input->now);
         return;
     }
-    if (!election->renewing && in->now - election->renew_sent_at >= election->ttl / TRIES_PER_LEASE) {
-        election->renewing = true;
-        election->renew_sent_at = in->now;
-        act(out, (struct amb_election_action){.type = AMB_ELECTION_EXTEND_LEASE, .lease = election->lease});
+    if (!election->renewal_pending &&
+        input->now - election->renewal_sent_at >= election->ttl / ATTEMPTS_PER_LEASE) {
+        election->renewal_pending = true;
+        election->renewal_sent_at = input->now;
+        add_action(output, (struct amb_election_action){.type = AMB_ELECTION_RENEW_LEASE,
+                                                        .lease_id = election->lease_id});
     }
-    update_role(election, out, in->now, &in->evidence);
+    update_role(election, output, input->now, &input->evidence);
 }
 
-static void tick(struct amb_election *election, const struct amb_election_input *in,
-                 struct amb_election_output *out) {
-    amb_ms claiming = in->now - election->claim_at;
-    if (election->holder[0]) election->vacant_since = in->now;
+static void tick(struct amb_election *election, const struct amb_election_input *input,
+                 struct amb_election_output *output) {
+    amb_ms claim_age = input->now - election->claimed_at;
+    if (election->holder[0]) election->vacant_since = input->now;
     switch (election->role) {
     case AMB_ROLE_STARTING: break;
-    case AMB_ROLE_FOLLOWING: follower_tick(election, in->now, out); break;
-    case AMB_ROLE_CLAIMING:
-        if (claiming > election->ttl) become_follower(election, out, "the claim took too long");
+    case AMB_ROLE_FOLLOWER: tick_follower(election, input->now, output); break;
+    case AMB_ROLE_CANDIDATE:
+        if (claim_age > election->ttl) become_follower(election, output, "the claim took too long");
         break;
-    case AMB_ROLE_CHECKING:
-        if (claiming > 2 * election->ttl) become_follower(election, out, "the claim can't be checked");
+    case AMB_ROLE_VERIFYING_CLAIM:
+        if (claim_age > 2 * election->ttl) become_follower(election, output, "the claim can't be checked");
         break;
-    default: leader_tick(election, in, out);
+    default: tick_leader(election, input, output);
     }
 }
 
-void amb_election_step(struct amb_election *election, const struct amb_election_input *in,
-                       struct amb_election_output *out) {
-    memset(out, 0, sizeof *out);
-    switch (in->event) {
+void amb_election_step(struct amb_election *election, const struct amb_election_input *input,
+                       struct amb_election_output *output) {
+    memset(output, 0, sizeof *output);
+    switch (input->event) {
     case AMB_ELECTION_STORE_READ:
         if (election->role == AMB_ROLE_STARTING)
-            change_role(election, out, AMB_ROLE_FOLLOWING, "the state service has been read");
+            change_role(election, output, AMB_ROLE_FOLLOWER, "the state service has been read");
         break;
-    case AMB_ELECTION_LEASE_GRANTED: lease_granted(election, in, out); break;
-    case AMB_ELECTION_CLAIM_ANSWERED: claim_answered(election, in, out); break;
-    case AMB_ELECTION_KEY_READ: key_read(election, in, out); break;
-    case AMB_ELECTION_LEASE_RENEWED: lease_renewed(election, in, out); break;
-    case AMB_ELECTION_KEY_CHANGED: key_changed(election, &in->key, out); break;
-    case AMB_ELECTION_TERM_SEEN: term_seen(election, in->term, out); break;
-    case AMB_ELECTION_TICK: tick(election, in, out); break;
+    case AMB_ELECTION_LEASE_GRANTED: on_lease_granted(election, input, output); break;
+    case AMB_ELECTION_CLAIM_ANSWERED: on_claim_answered(election, input, output); break;
+    case AMB_ELECTION_KEY_READ: on_key_read(election, input, output); break;
+    case AMB_ELECTION_LEASE_RENEWED: on_lease_renewed(election, input, output); break;
+    case AMB_ELECTION_KEY_CHANGED: on_key_changed(election, &input->key, output); break;
+    case AMB_ELECTION_TERM_SEEN: on_term_seen(election, input->term, output); break;
+    case AMB_ELECTION_TICK: tick(election, input, output); break;
     }
 }
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -32,7 +32,7 @@
 void amb_orders_add_start(struct amb_node *node, struct amb_task *task, struct amb_orders *orders) {
     struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
-    if (!amb_may_order_start(node) || !node->ctl.ready) return;
+    if (!amb_election_may_start_tasks(node) || !node->ctl.ready) return;
     if (machine->release_wanted || machine->state == AMB_MACHINE_RELEASING) return;
     if (job->spec->kind == AMB_GANG && !amb_gang_recorded(job)) return;
     if (amb_cancel_is_pending(node, job)) return;
@@ -54,7 +54,7 @@
 }
 
 void amb_orders_redirect(struct amb_node *node, struct amb_http_req *request) {
-    const char *leader = amb_leader_name(node);
+    const char *leader = amb_election_leader_name(node);
     if (node->election.role == AMB_ROLE_FENCED) {
         amb_reply_cbor(request, 503, NULL, 1);
         return;
--- a/lib/fleet/deferred_responses.c
+++ b/lib/fleet/deferred_responses.c
@@ -27,7 +27,7 @@
     if (!machine->held) return;
     struct amb_http_req *request = machine->held->req;
     end_hold(machine);
-    if (amb_leads(node)) {
+    if (amb_election_is_leader(node)) {
         machine->answered_at = amb_now();
         amb_orders_answer(request, node->election.term, &(struct amb_orders){0});
     } else {
@@ -47,7 +47,7 @@
     struct amb_machine *machine = held->machine;
     struct amb_http_req *request = held->req;
     struct amb_orders orders = {list, AMB_ORDERS_MAX, 0};
-    if (!amb_leads(node) || !request->conn) { /* nobody would hear an order */
+    if (!amb_election_is_leader(node) || !request->conn) { /* nobody would hear an order */
         amb_answer_drop(node, machine);
         return;
     }
--- a/lib/fleet/machine_probe.c
+++ b/lib/fleet/machine_probe.c
@@ -21,7 +21,7 @@
     cbor_item_t *item = status == 200 ? amb_cbor_parse(body, len) : NULL;
     uint64_t session;
     /* No orders, only the token. */
-    if (machine && amb_leads(node) && node->election.term == call.term &&
+    if (machine && amb_election_is_leader(node) && node->election.term == call.term &&
         amb_cbor_uint(amb_cbor_get(item, "watch"), &session))
         amb_orders_command(node, machine, session, &(struct amb_orders){0});
     if (item) cbor_decref(&item);
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -25,7 +25,7 @@
 
 /* To the leader; to all when nobody is known to lead. `stamp` 0: it is not written yet. */
 static void send_notice(struct amb_node *node, const struct amb_job *job, uint64_t stamp) {
-    if (amb_holds_lead(node)) return;
+    if (amb_election_has_leader_role(node)) return;
     json_t *notice = json_pack("{s:s, s:I, s:I}", "ref", job->ref, "wall", (json_int_t)job->cancelled_wall,
                                "stamp", (json_int_t)stamp);
     char *text = json_dumps(notice, JSON_COMPACT);
--- a/lib/job/jobs.c
+++ b/lib/job/jobs.c
@@ -197,7 +197,7 @@
      * from another job's may bear an older stamp than the job itself.) */
     if (to == AMB_JOB_QUEUED && job->state == AMB_JOB_CANCELLED) to = AMB_JOB_CANCELLED;
     /* A user's submission or cancellation, at whichever node. */
-    if (node->jobs.loaded && (fresh || to == AMB_JOB_CANCELLED)) amb_store_user_wrote(&node->store);
+    if (node->jobs.loaded && (fresh || to == AMB_JOB_CANCELLED)) amb_store_count_user_write(&node->store);
     job_state(node, job, to);
     if (to == AMB_JOB_QUEUED && job->awaits)
         amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_JOB_AWAITS, .job = job});
@@ -238,7 +238,7 @@
 void amb_job_can_start(struct amb_node *node, struct amb_job *job) {
     if (job->awaiting) return;
     if (node->jobs.loaded) amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_JOB_KNOWN, .job = job});
-    if (amb_holds_lead(node) && node->ctl.loaded_at && job->state == AMB_JOB_QUEUED) {
+    if (amb_election_has_leader_role(node) && node->ctl.loaded_at && job->state == AMB_JOB_QUEUED) {
         amb_job_take_if_room(node, job);
         amb_controller_wake(node);
     }
@@ -256,7 +256,7 @@
     if (stamp <= job->stamp) return; /* news were here first */
     job->stamp = job->cancel_stamp = stamp;
     job->cancelled_wall = amb_wall_ms();
-    amb_store_user_wrote(&node->store);
+    amb_store_count_user_write(&node->store);
     job_state(node, job, AMB_JOB_CANCELLED);
 }
 
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -17,7 +17,7 @@
 /* What is written from now on. Before the second format is in use, exactly what a process of the first one
  * reads; after that, what the state service takes also when it has lowered its limits. */
 static enum amb_layout layout_in_use(const struct amb_node *node) {
-    return amb_format_in_use(node) >= AMB_FORMAT_2 ? AMB_LAYOUT_BY_KEY : AMB_LAYOUT_BY_SETTINGS;
+    return amb_format_active(node) >= AMB_FORMAT_2 ? AMB_LAYOUT_BY_KEY : AMB_LAYOUT_BY_SETTINGS;
 }
 
 double amb_record_lowered_value_kb(const struct amb_node *node) {
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -34,10 +34,10 @@
         term < 0)
         return;
     peer->heard_at = amb_now();
-    amb_format_heard(peer, read_format(said));
+    amb_format_update_peer(peer, read_format(said));
     amb_duties_heard(peer, said);
     if (json_is_true(json_object_get(said, "limits_lowered")))
-        amb_store_limits_lowered(&node->store, "another node says so");
+        amb_store_lower_limits(&node->store, "another node says so");
     learn_cancellations(node, json_object_get(said, "cancelled"));
     peer->term = (uint64_t)term;
     peer->leading = leading;
@@ -46,14 +46,15 @@
     /* Only an answer to our own question can confirm: a message that came late is as old as it is. And only
      * of a node that has read the state service: its former self may have told users of what it does not
      * know. */
-    if (sent_at && loaded && amb_holds_lead(node) && !leading && peer->term <= node->election.term)
+    if (sent_at && loaded && amb_election_has_leader_role(node) && !leading &&
+        peer->term <= node->election.term)
         peer->confirmed_at = sent_at;
-    if (sent_at && amb_holds_lead(node) && !leading && peer->term == node->election.term &&
+    if (sent_at && amb_election_has_leader_role(node) && !leading && peer->term == node->election.term &&
         peer->quiet_term != peer->term) {
         peer->quiet_term = peer->term;
         peer->quiet_at = peer->heard_at;
     }
-    amb_election_saw_term(node, peer->term, peer->member);
+    amb_election_observe_term(node, peer->term, peer->member);
 }
 
 static void learn_progress(struct amb_node *node, const json_t *heartbeat) {
@@ -80,9 +81,9 @@
         amb_peer_heard(node, peer, heartbeat, 0);
         peer->epoch = known_epoch(heartbeat);
     }
-    if (amb_leads(node)) return;
+    if (amb_election_is_leader(node)) return;
     double token_grant = json_number_value(json_object_get(heartbeat, "token_grant"));
-    if (token_grant != 0) amb_store_lent(&node->store, token_grant);
+    if (token_grant != 0) amb_store_apply_token_loan(&node->store, token_grant);
     learn_progress(node, heartbeat);
     amb_peer_images_heard(node, json_object_get(heartbeat, "images"));
 }
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -19,8 +19,8 @@
 };
 
 static bool own_store_ok(const struct amb_node *node, amb_ms now) {
-    return node->store.ok_at > node->store.failed_at ||
-           now - node->store.failed_at > (amb_ms)(node->set.report_s * 3000);
+    return node->store.last_success_at > node->store.last_failure_at ||
+           now - node->store.last_failure_at > (amb_ms)(node->set.report_s * 3000);
 }
 
 static amb_ms patience(const struct amb_node *node) {
@@ -70,10 +70,10 @@
 static struct amb_peer_facts own_facts(const struct amb_node *node) {
     amb_ms now = amb_now();
     return (struct amb_peer_facts){
-        .term = amb_leads(node) ? node->election.term : node->election.highest,
+        .term = amb_election_is_leader(node) ? node->election.term : node->election.highest_term,
         .limits_lowered = node->store.limits_lowered,
         .loaded = node->jobs.loaded,
-        .leading = amb_leads(node),
+        .leading = amb_election_is_leader(node),
         .store_ok = own_store_ok(node, now),
         .reports_arrive = now - node->fleet.last_report_at < patience(node),
     };
@@ -87,8 +87,8 @@
                              facts.loaded, "term", (json_int_t)facts.term, "leading", facts.leading, "store",
                              facts.store_ok, "reports_arrive", facts.reports_arrive);
     /* The first format had no name. */
-    if (amb_format_spoken(node) > AMB_FORMAT_1)
-        json_object_set_new(said, "format", json_integer(amb_format_spoken(node)));
+    if (amb_format_supported(node) > AMB_FORMAT_1)
+        json_object_set_new(said, "format", json_integer(amb_format_supported(node)));
     if (facts.limits_lowered) json_object_set_new(said, "limits_lowered", json_true());
     if (amb_duties_wanted(node)) json_object_set_new(said, "duties", json_integer(AMB_DUTY_FORM));
     return said;
@@ -191,8 +191,8 @@
     json_object_set_new(message, "cancelled",
                         recent_cancellations(node, known_to_all_peers(node), CANCELLATIONS_MOST));
     json_object_set_new(message, "epoch", json_integer((json_int_t)node->jobs.epoch));
-    if (amb_leads(node)) {
-        json_object_set_new(message, "token_grant", json_real(amb_store_lend(&node->store)));
+    if (amb_election_is_leader(node)) {
+        json_object_set_new(message, "token_grant", json_real(amb_store_lend_tokens(&node->store)));
         json_object_set_new(message, "images", amb_peer_images_tell(node, IMAGES_MOST));
         json_object_set_new(message, "jobs", progress(node));
     }
@@ -200,7 +200,7 @@
 }
 
 void amb_peer_said(struct amb_node *node) {
-    if (!amb_leads(node)) return;
+    if (!amb_election_is_leader(node)) return;
     for (struct amb_job *job = node->jobs.live; job; job = job->next_live)
         if (job->shown_in == node->peers.images.telling) job->shown_changed = false;
     amb_peer_images_sent(node);
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -62,8 +62,8 @@
 static void refused_as_bad(struct amb_node *node, struct amb_block *block) {
     double size = (double)amb_cbor_json_size(block->value.data, block->value.len);
     if (size > amb_record_lowered_value_kb(node) * 1024 && size <= node->set.value_kb * 1024) {
-        amb_store_limits_lowered(&node->store, "a value was refused for its size");
-        amb_format_upgrade_over(node, "a value was refused for its size");
+        amb_store_lower_limits(&node->store, "a value was refused for its size");
+        amb_format_complete_upgrade(node, "a value was refused for its size");
         block->retry_at += node->store.call_timeout;
     } else {
         amb_error("block %s/%u: the state service calls it malformed", block->job->ref, block->id.index);
@@ -83,13 +83,14 @@
     block->retry_at = amb_now() + node->store.call_timeout / 5;
     if (status == 409) {
         amb_record_write_refused(node, body);
-        if (node->election.role < AMB_ROLE_LEADING) return;
+        if (node->election.role < AMB_ROLE_LEADER) return;
     }
     if (status == 0 || status == 409) {
         char key[AMB_BLOCK_KEY];
         amb_record_block_key(key, block);
         block->retry_at += node->store.call_timeout;
-        amb_store_get(&node->store, key, AMB_URGENT_PLACE, block_read, amb_record_call_new(node, block));
+        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_PLACEMENT, block_read,
+                      amb_record_call_new(node, block));
     } else if (status == 400) {
         refused_as_bad(node, block);
     }
@@ -100,12 +101,12 @@
     struct amb_txn transaction = {0};
     amb_record_block_key(key, block);
     amb_job_key(job_key, sizeof job_key, block->job->ref);
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, job_key, block->job_stamp);
-    amb_txn_guard(&transaction, key, block->stamp);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, job_key, block->job_stamp);
+    amb_txn_compare(&transaction, key, block->stamp);
     amb_txn_put(&transaction, key, &block->value, 0);
     block->retry_at = INT64_MAX; /* set when the call ends */
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, block_written,
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, block_written,
                      amb_record_call_new(node, block));
 }
 
--- a/lib/placement_log/flush.c
+++ b/lib/placement_log/flush.c
@@ -49,7 +49,7 @@
 }
 
 void amb_record_pump(struct amb_node *node) {
-    if (!amb_may_start(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_may_act(node) || !node->ctl.loaded_at) return;
     amb_ms now = amb_now();
     for (struct amb_job *job = node->jobs.live, *next; job; job = next) {
         next = job->next_live;
--- a/lib/placement_log/job_end.c
+++ b/lib/placement_log/job_end.c
@@ -40,14 +40,16 @@
     block->retry_at = INT64_MAX;
     amb_buf_free(&block->value);
     if (block->stamp_unsure) {
-        amb_store_get(&node->store, key, AMB_URGENT_READ, stamp_read, amb_record_call_new(node, block));
+        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_READ, stamp_read,
+                      amb_record_call_new(node, block));
         return;
     }
     struct amb_txn transaction = {0};
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, key, block->stamp);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, key, block->stamp);
     amb_txn_remove(&transaction, key);
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_READ, removed, amb_record_call_new(node, block));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, removed,
+                     amb_record_call_new(node, block));
 }
 
 static void finished(void *arg, int status, const cbor_item_t *body) {
@@ -69,14 +71,14 @@
     char key[AMB_NAME + 32];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    amb_guard_term(&transaction, node);
+    amb_txn_require_leadership(&transaction, node);
     amb_job_key(key, sizeof key, job->ref);
-    amb_txn_guard(&transaction, key, job->stamp);
+    amb_txn_compare(&transaction, key, job->stamp);
     amb_job_value(&value, job, AMB_JOB_DONE);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
     job->finishing = true;
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_FINAL, finished,
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, finished,
                      amb_record_call_of_job(node, job));
 }
 
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -18,10 +18,10 @@
 /* Of a job that is done or whose tasks are gone: its leader was lost before it had removed this. */
 static void remove_leftover(struct amb_node *node, const char *key, uint64_t stamp) {
     struct amb_txn transaction = {0};
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, key, stamp);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, key, stamp);
     amb_txn_remove(&transaction, key);
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_READ, NULL, NULL);
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, NULL, NULL);
 }
 
 /* For each task, whether a block that counts more than this one speaks of it; NULL: none does. Such blocks
@@ -144,7 +144,7 @@
     char ref[AMB_NAME];
     struct amb_block_id id;
     if (!amb_layout_parse_key(key, ref, &id)) return;
-    if (id.layout == AMB_LAYOUT_BY_KEY && amb_format_spoken(node) < AMB_FORMAT_2) return;
+    if (id.layout == AMB_LAYOUT_BY_KEY && amb_format_supported(node) < AMB_FORMAT_2) return;
     struct amb_job *job = amb_job_find(node, ref);
     if (!job || !job->spec) {
         amb_debug("block %s: its job is over", key);
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -29,7 +29,7 @@
 
 static struct amb_job *find_job(const struct amb_record_call *call) {
     const struct amb_election *election = &call->node->election;
-    if (election->role < AMB_ROLE_LEADING || election->term != call->term) return NULL;
+    if (election->role < AMB_ROLE_LEADER || election->term != call->term) return NULL;
     struct amb_job *job = amb_job_find(call->node, call->ref);
     return job && job->live ? job : NULL;
 }
@@ -53,5 +53,5 @@
     const cbor_item_t *failed = amb_cbor_get(body, "failed");
     for (size_t i = 0; i < amb_cbor_len(failed); i++)
         if (amb_cbor_eq(amb_cbor_at(failed, i), AMB_LEADER_KEY))
-            amb_election_saw_term(node, node->election.term + 1, "a refused write");
+            amb_election_observe_term(node, node->election.term + 1, "a refused write");
 }
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -190,7 +190,8 @@
             machine->reported_at > node->ctl.leading_since ? machine->reported_at : node->ctl.leading_since;
         if (machine->zone < 0 || machine->type < 0 || machine->release_wanted || cycle->now - heard < most)
             continue;
-        if (amb_deputy_in_zone(node, machine->zone)) continue; /* kept alive by a node that reaches it */
+        if (amb_lease_proxy_is_active_in_zone(node, machine->zone))
+            continue; /* kept alive by a node that reaches it */
         for (struct amb_task *task = machine->tasks; task; task = task->next) {
             struct amb_job *job = task->job;
             if (task->halting || task->done || job->state != AMB_JOB_QUEUED) continue;
--- a/lib/watch/change_feed.c
+++ b/lib/watch/change_feed.c
@@ -18,11 +18,11 @@
 
 static void apply_item(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t stamp) {
     if (!strcmp(key, AMB_LEADER_KEY))
-        amb_election_key(node, value, stamp);
+        amb_election_apply_key(node, value, stamp);
     else if (!strcmp(key, FORMAT_KEY))
-        amb_format_key(node, value);
+        amb_format_apply_key(node, value);
     else if (!strncmp(key, DEPUTY_PREFIX, sizeof DEPUTY_PREFIX - 1))
-        amb_deputy_key(node, key + sizeof DEPUTY_PREFIX - 1, value, stamp);
+        amb_lease_proxy_apply_key(node, key + sizeof DEPUTY_PREFIX - 1, value, stamp);
     else if (!strncmp(key, JOB_PREFIX, sizeof JOB_PREFIX - 1))
         amb_jobs_apply(node, key + sizeof JOB_PREFIX - 1, value, stamp);
     else if (!strncmp(key, DUTY_PREFIX, sizeof DUTY_PREFIX - 1) ||
@@ -87,7 +87,7 @@
     node->jobs.list_after[0] = 0;
     node->jobs.list_epoch = 0;
     node->jobs.leader_listed = false;
-    amb_deputy_listing(node, false);
+    amb_lease_proxy_mark_listing(node, false);
     list_next(node);
 }
 
@@ -114,8 +114,9 @@
     if (node->jobs.following) return;
     node->jobs.following = true;
     node->jobs.follow_sent_at = amb_now();
-    /* Back within two thirds of the leadership lease, before news would count as old (amb_deputy_tick). */
-    amb_store_follow(&node->store, PREFIX, node->jobs.epoch, node->store.call_timeout * 2, followed, node);
+    /* Back within two thirds of the leadership lease, before news would count as old (amb_lease_proxy_tick).
+     */
+    amb_store_watch(&node->store, PREFIX, node->jobs.epoch, node->store.call_timeout * 2, followed, node);
 }
 
 static void listed(void *arg, int status, const cbor_item_t *body) {
@@ -146,13 +147,13 @@
         return;
     }
     /* On whichever page: orders sort after it. */
-    if (!jobs->leader_listed) amb_election_key(node, NULL, epoch);
-    amb_deputy_listing(node, true);
+    if (!jobs->leader_listed) amb_election_apply_key(node, NULL, epoch);
+    amb_lease_proxy_mark_listing(node, true);
     amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_STORE_LISTED});
     jobs->listing = false;
     jobs->epoch = jobs->list_epoch;
     jobs->loaded = true;
-    amb_election_ready(node);
+    amb_election_start(node);
     follow(node);
 }
 
@@ -181,7 +182,7 @@
     }
     if (jobs->waiting && !jobs->sync_timer.slot) {
         /* Spaced out, so that questions share a read when they come faster than reads may be made. */
-        amb_ms gap = (amb_ms)(4000.0 / node->store.requests.rate);
+        amb_ms gap = (amb_ms)(4000.0 / node->store.request_bucket.tokens_per_second);
         amb_timer_in(&jobs->sync_timer, gap, sync_send, node);
     }
 }
@@ -194,7 +195,7 @@
     jobs->waiting = NULL;
     jobs->syncing = true;
     jobs->sync_sent_at = amb_now();
-    amb_store_follow(&node->store, PREFIX, jobs->epoch, 0, synced, node);
+    amb_store_watch(&node->store, PREFIX, jobs->epoch, 0, synced, node);
 }
 
 void amb_jobs_sync(struct amb_node *node, void (*fn)(void *arg, bool ok), void *arg) {
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -86,15 +86,16 @@
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     put_value(&value, node);
-    amb_guard_term(&transaction, node);
-    amb_txn_guard(&transaction, KEY, record->stamp);
+    amb_txn_require_leadership(&transaction, node);
+    amb_txn_compare(&transaction, KEY, record->stamp);
     amb_txn_put(&transaction, KEY, &value, 0);
     amb_buf_free(&value);
     record->writing_lost = amb_zones_away(node);
     record->lost |= record->writing_lost;
     record->changed = false;
     record->state = AMB_ZONE_RECORD_WRITING;
-    amb_store_commit(&node->store, &transaction, AMB_URGENT_PLACE, written, amb_cloud_call_new(node));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, written,
+                     amb_cloud_call_new(node));
 }
 
 static void read_back(void *arg, int status, const cbor_item_t *body) {
@@ -112,7 +113,7 @@
 
 static void read_record(struct amb_node *node) {
     node->zone_recovery.record.state = AMB_ZONE_RECORD_READING;
-    amb_store_get(&node->store, KEY, AMB_URGENT_PLACE, read_back, amb_cloud_call_new(node));
+    amb_store_get(&node->store, KEY, AMB_STORE_PRIORITY_PLACEMENT, read_back, amb_cloud_call_new(node));
 }
 
 void amb_zone_record_changed(struct amb_node *node) {
@@ -123,9 +124,9 @@
 
 void amb_zone_record_tick(struct amb_node *node, amb_ms now) {
     const struct amb_zone_record *record = &node->zone_recovery.record;
-    if (now < record->retry_at || !amb_may_start(node)) return;
+    if (now < record->retry_at || !amb_election_may_act(node)) return;
     /* An old version would neither write nor heed it. */
-    if (amb_format_in_use(node) < AMB_FORMAT_2) return;
+    if (amb_format_active(node) < AMB_FORMAT_2) return;
     if (record->state == AMB_ZONE_RECORD_DUE) write_record(node);
     if (record->state == AMB_ZONE_RECORD_UNSURE) read_record(node);
 }
--- a/lib/zone_recovery/return_order.c
+++ b/lib/zone_recovery/return_order.c
@@ -161,7 +161,7 @@
     const struct amb_job *job = missing->waits;
     if (!missing->replicas) return AMB_RECOVERY_SERVED;
     if (!job) return AMB_RECOVERY_FOR_PROOF;
-    if (!amb_may_start(node)) return AMB_RECOVERY_FOR_STATE;
+    if (!amb_election_may_act(node)) return AMB_RECOVERY_FOR_STATE;
     if (!amb_wdrr_within_limit(job->team, &job->spec->each, 1)) return AMB_RECOVERY_FOR_LIMIT;
     if (!spread_allows(node, job)) return AMB_RECOVERY_FOR_SPREAD;
     return job->image_since ? AMB_RECOVERY_FOR_IMAGE : AMB_RECOVERY_FOR_ROOM;
--- a/lib/zone_recovery/verdicts.c
+++ b/lib/zone_recovery/verdicts.c
@@ -78,7 +78,7 @@
     const struct amb_zone_evidence evidence = {
         .expected = sets->expected,
         .answering = sets->answering,
-        .deputy_at_work = amb_deputy_in_zone(node, (int)zone),
+        .deputy_at_work = amb_lease_proxy_is_active_in_zone(node, (int)zone),
         .nobody_heard = nobody,
     };
     if (amb_zone_health_update(health, &node->zone_recovery.settings, &evidence, now))
--- a/lib/zone_recovery/zone_silence.c
+++ b/lib/zone_recovery/zone_silence.c
@@ -53,7 +53,8 @@
     }
     for (uint32_t zone = 0; zone < AMB_ZONES; zone++) {
         /* Nobody heard from anywhere shows nothing of any zone; and one with a deputy is at work. */
-        bool at_work = unreachable == node->catalog.nzones || amb_deputy_in_zone(node, (int)zone);
+        bool at_work =
+            unreachable == node->catalog.nzones || amb_lease_proxy_is_active_in_zone(node, (int)zone);
         if (at_work && reach[zone] == AMB_ZONE_UNREACHABLE) reach[zone] = AMB_ZONE_DEGRADED;
         set_reach(node, zone, reach[zone], counts[zone]);
         if (reach[zone] != AMB_ZONE_REACHED) node->fleet.out_of_reach_at[zone] = now;
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -141,7 +141,7 @@
                 machine->token_shown = true;
                 machine->reported_at = machine->answered_at = now - (k % 2 ? 5000 : 500);
             }
-        node->deputy.nknown = 1;
+        node->deputy.known_count = 1;
         node->deputy.known[0].zone = 1;
         node->deputy.known[0].present = rows[i].deputy;
         amb_fleet_tick(node, now);
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -106,7 +106,7 @@
     struct amb_rental *r = &node->rental;
     node->set.cloud_rps = 3;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        r->calls = (struct amb_budget){.tokens = rows[i].tokens};
+        r->calls = (struct amb_token_bucket){.tokens = rows[i].tokens};
         for (int k = 0; k < rows[i].recording + rows[i].asking + rows[i].asked; k++) {
             amb_rental_want(node, 0, 0, false, 1);
             struct amb_rental_request *c = r->requests;
@@ -132,7 +132,7 @@
     strcpy(surge->spec->types[0], "g4");
     strcpy(draft->spec->types[0], "g8");
     int type = -1;
-    r->calls = (struct amb_budget){.tokens = 1};
+    r->calls = (struct amb_token_bucket){.tokens = 1};
     plan_now();
     assert_int_equal(requests(&type), 1);
     assert_int_equal(type, 1);
@@ -220,7 +220,7 @@
             other->reported_at = now - 500;
             other->release_wanted = true; /* no room there */
         }
-        node->deputy.nknown = 1;
+        node->deputy.known_count = 1;
         node->deputy.known[0].present = rows[i].deputy;
         struct amb_round *cycle = amb_round_new(node, now);
         amb_plan(cycle);
--- a/tests/cloud/test_return_record.c
+++ b/tests/cloud/test_return_record.c
@@ -18,7 +18,7 @@
 }
 
 static void give_back(const char *name) {
-    node->formats.written = AMB_FORMAT_2;
+    node->formats.recorded = AMB_FORMAT_2;
     amb_rental_give_back(node, machine_up(name, 0), "idle");
     turn();
 }
@@ -150,7 +150,7 @@
         {"known from a record", true, false}, {"known later", false, true}, {"never known", false, false}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        node->formats.written = AMB_FORMAT_2;
+        node->formats.recorded = AMB_FORMAT_2;
         if (rows[i].known_before) machine_up("m-1", 0);
         load_record("m-1");
         if (rows[i].known_after) machine_up("m-1", 0)->state = AMB_MACHINE_UP;
@@ -172,7 +172,7 @@
 /* All calls for it had been answered before duties came into use. */
 static void the_record_is_of_the_past_once_duties_are_in_use(void **state) {
     (void)state;
-    node->formats.written = AMB_FORMAT_2;
+    node->formats.recorded = AMB_FORMAT_2;
     node->duties.mode = AMB_DUTY_MODE_DUTIES;
     load_record("m-1");
     turn();
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -124,7 +124,7 @@
 
 static int begin(void **state) {
     setup(state);
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     strcpy(node->set.state, "S:1");
     node->set.state_rps = node->set.state_write_rps = 1e9;
     strcpy(node->set.teams[0].name, "t");
@@ -138,7 +138,7 @@
     fake_http_reset();
     amb_timer_stop(&node->jobs.sync_timer);
     amb_timer_stop(&node->jobs.follow_timer);
-    amb_timer_stop(&node->store.pump);
+    amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
 }
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -17,7 +17,7 @@
     node->set.state_rps = node->set.state_write_rps = 1000;
     node->set.npeers = PEERS;
     amb_store_init(&node->store, &node->set, 1000);
-    amb_store_share(&node->store, true);
+    amb_store_set_leadership(&node->store, true);
     node->peers.count = PEERS;
     for (uint32_t i = 0; i < PEERS; i++) snprintf(node->peers.list[i].member, AMB_NAME, "n-%u", i + 1);
 }
@@ -57,7 +57,7 @@
 
 static void news_of_key(int format) {
     cbor_item_t *value = format_value(format);
-    amb_format_key(node, value);
+    amb_format_apply_key(node, value);
     cbor_decref(&value);
 }
 
@@ -73,9 +73,9 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        node->formats.held_at = rows[i].held_at;
+        node->formats.test_override = rows[i].held_at;
         for (int leads = 0; leads < 2; leads++) {
-            node->election.role = leads ? AMB_ROLE_LEADING : AMB_ROLE_FOLLOWING;
+            node->election.role = leads ? AMB_ROLE_LEADER : AMB_ROLE_FOLLOWER;
             char *text = amb_peer_say(node);
             json_t *messages[] = {json_loads(text, 0, NULL), amb_peer_answer(node, NULL)};
             for (size_t m = 0; m < ROWS(messages); m++) {
@@ -87,7 +87,7 @@
             }
             free(text);
         }
-        node->election.role = AMB_ROLE_LEADING;
+        node->election.role = AMB_ROLE_LEADER;
         end();
     }
 }
@@ -134,16 +134,16 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
         for (uint32_t w = 0; w < rows[i].count; w++) hear(rows[i].words[w].peer, rows[i].words[w].format);
-        if (rows[i].upgrade_over) amb_format_upgrade_over(node, "test");
-        if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWING;
-        if (rows[i].held) node->formats.held_at = AMB_FORMAT_1;
+        if (rows[i].upgrade_over) amb_format_complete_upgrade(node, "test");
+        if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWER;
+        if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
         if (rows[i].loading) node->ctl.loaded_at = 0;
-        if (amb_format_known_old(node) != rows[i].known_old) fail_msg("%s: known_old", rows[i].what);
+        if (amb_format_has_older_peer(node) != rows[i].known_old) fail_msg("%s: known_old", rows[i].what);
         amb_format_tick(node, amb_now());
         amb_format_tick(node, amb_now());
         if (fake_calls_open("POST", "/commit") != rows[i].writes) fail_msg("%s: writes", rows[i].what);
-        assert_int_equal(amb_format_in_use(node), AMB_FORMAT_1);
-        node->election.role = AMB_ROLE_LEADING;
+        assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
+        node->election.role = AMB_ROLE_LEADER;
         end();
     }
 }
@@ -196,19 +196,19 @@
             answer_epoch(commit);
         else
             fake_answer(commit, rows[i].status, NULL);
-        if (rows[i].held) node->formats.held_at = AMB_FORMAT_1;
+        if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
         if (rows[i].news) news_of_key(rows[i].news);
-        if (amb_format_in_use(node) != rows[i].in_use)
-            fail_msg("%s: %d in use", rows[i].what, (int)amb_format_in_use(node));
-        node->store.held_until = 0;
+        if (amb_format_active(node) != rows[i].in_use)
+            fail_msg("%s: %d in use", rows[i].what, (int)amb_format_active(node));
+        node->store.throttled_until = 0;
         amb_format_tick(node, amb_now() + 60000);
         if (fake_calls_open("POST", "/commit") != rows[i].again) fail_msg("%s: again", rows[i].what);
         /* A late message of an ended process, or news that the key is gone, take nothing back. */
         hear(0, 0);
-        amb_format_key(node, NULL);
+        amb_format_apply_key(node, NULL);
         news_of_key(1);
-        if (amb_format_in_use(node) != rows[i].in_use) fail_msg("%s: taken back", rows[i].what);
-        if (rows[i].in_use == AMB_FORMAT_2 && amb_format_known_old(node))
+        if (amb_format_active(node) != rows[i].in_use) fail_msg("%s: taken back", rows[i].what);
+        if (rows[i].in_use == AMB_FORMAT_2 && amb_format_has_older_peer(node))
             fail_msg("%s: an old node where none can be", rows[i].what);
         end();
     }
@@ -231,9 +231,9 @@
     amb_w_str(&body, "path"), amb_w_str(&body, "a/format");
     amb_w_str(&body, "stamp"), amb_w_uint(&body, WRITTEN);
     amb_w_str(&body, "value"), amb_w_map(&body, 1), amb_w_str(&body, "format"), amb_w_uint(&body, 2);
-    assert_int_equal(amb_format_in_use(node), AMB_FORMAT_1);
+    assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
     fake_answer(list, 200, &body);
-    assert_int_equal(amb_format_in_use(node), AMB_FORMAT_2);
+    assert_int_equal(amb_format_active(node), AMB_FORMAT_2);
     amb_timer_stop(&node->jobs.follow_timer);
     end();
 }
@@ -254,7 +254,7 @@
         begin();
         node->set.state_next.write_rps = rows[i].announced ? 600 : 0;
         amb_store_init(&node->store, &node->set, 1000);
-        amb_store_share(&node->store, rows[i].leads);
+        amb_store_set_leadership(&node->store, rows[i].leads);
         json_t *before = amb_peer_answer(node, NULL);
         assert_null(json_object_get(before, "limits_lowered"));
         hear(0, 2);
@@ -264,15 +264,16 @@
         json_decref(before);
         const struct amb_store *store = &node->store;
         assert_true(store->limits_lowered);
-        if (store->writes.rate != rows[i].own || store->user_writes.rate != rows[i].users)
-            fail_msg("%s: %g of its own, %g for users", rows[i].what, store->writes.rate,
-                     store->user_writes.rate);
+        if (store->write_bucket.tokens_per_second != rows[i].own ||
+            store->user_write_bucket.tokens_per_second != rows[i].users)
+            fail_msg("%s: %g of its own, %g for users", rows[i].what, store->write_bucket.tokens_per_second,
+                     store->user_write_bucket.tokens_per_second);
         json_t *after = amb_peer_answer(node, NULL);
         assert_true(json_is_true(json_object_get(after, "limits_lowered")));
         json_decref(after);
         hear(0, 2); /* a node that has not seen it yet takes nothing back */
-        amb_store_share(&node->store, !rows[i].leads);
-        assert_float_equal(store->user_writes.rate, rows[i].users, 1e-9);
+        amb_store_set_leadership(&node->store, !rows[i].leads);
+        assert_float_equal(store->user_write_bucket.tokens_per_second, rows[i].users, 1e-9);
         end();
     }
 }
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -145,7 +145,8 @@
         json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term,
                                  "leading", rows[i].leading, "store", 1, "reports_arrive", 0);
         amb_peer_heard(node, peer, said, rows[i].answer ? asked : 0);
-        if (amb_peer_confirmed(node, amb_now()) != (rows[i].counts ? asked : 0)) fail_msg("%s", rows[i].what);
+        if (amb_election_peers_confirmed_at(node, amb_now()) != (rows[i].counts ? asked : 0))
+            fail_msg("%s", rows[i].what);
         json_decref(said);
     }
 }
@@ -190,12 +191,12 @@
 /* So does a deputy, which orders nothing else and answers nobody once it knows a newer term. */
 static void deputies_stop_cancelled_tasks(void **state) {
     (void)state;
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     node->election.term = 0;
-    node->election.highest = TERM;
+    node->election.highest_term = TERM;
     node->election.ttl = 3000;
     strcpy(node->set.zone, "a");
-    node->deputy.state = AMB_DEPUTY_ACTIVE;
+    node->deputy.state = AMB_LEASE_PROXY_ACTIVE;
     node->deputy.term = TERM;
     node->deputy.renewed_at = amb_now();
     news("wk-1", AMB_JOB_QUEUED, 30, 0);
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -537,7 +537,7 @@
     amb_jobs_init(node);
     answer_page(LEADER_KEY, TERM, &leader, true);
     answer_page("a/order/return/t-1-1", 61, &order, false);
-    assert_true(amb_holds_lead(node));
+    assert_true(amb_election_has_leader_role(node));
 }
 
 /* ---- proofs that machines are gone ---- */
@@ -663,7 +663,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
-        amb_store_share(&node->store, false);
+        amb_store_set_leadership(&node->store, false);
         use_duties();
         if (!rows[i].in_use) mode_news(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
         struct amb_duty_service *service = &node->duties.service;
@@ -672,15 +672,15 @@
         fake_clock_advance(service->core.settings.backoff / 4);
         for (int k = 0; k < AMB_DUTY_NAMES; k++)
             assert_int_equal(amb_duty_service_holds(service, (enum amb_duty_name)k), rows[i].held[k]);
-        if (fabs(node->store.writes.rate - rows[i].writes) > 1e-6)
-            fail_msg("row %zu: %g", i, node->store.writes.rate);
+        if (fabs(node->store.write_bucket.tokens_per_second - rows[i].writes) > 1e-6)
+            fail_msg("row %zu: %g", i, node->store.write_bucket.tokens_per_second);
     }
 }
 
 /* A node that takes part no longer has a follower's share again. */
 static void the_end_of_duties_ends_the_share(void **state) {
     (void)state;
-    amb_store_share(&node->store, false);
+    amb_store_set_leadership(&node->store, false);
     mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     take_part();
     fake_clock_advance(1000);
@@ -689,7 +689,7 @@
     fake_clock_advance(1000);
     fake_answer_all_lost();
     assert_false(node->duties.service.active);
-    assert_float_equal(node->store.writes.rate, 500, 1e-6);
+    assert_float_equal(node->store.write_bucket.tokens_per_second, 500, 1e-6);
 }
 
 /* ---- operators ---- */
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -5,19 +5,19 @@
 #include "leader_fixture.h"
 
 /* The leader n-1 is silent, and news are fresh: the node stands in for it in zone a. */
-static struct fake_call *begin_deputy(void) {
+static struct fake_call *begin_lease_proxy(void) {
     follow("n-1", TERM);
     node->peers.count = 1;
     strcpy(node->peers.list[0].member, "n-1");
     node->peers.list[0].heard_at = amb_now() - 10000;
-    amb_deputy_tick(node, amb_now());
+    amb_lease_proxy_tick(node, amb_now());
     answer_lease(open_call("POST", "/leases"), 9);
     return open_call("POST", "/commit");
 }
 
-static void deputies_write_before_they_answer(void **state) {
+static void proxies_write_before_they_answer(void **state) {
     (void)state;
-    struct fake_call *commit = begin_deputy();
+    struct fake_call *commit = begin_lease_proxy();
     uint64_t lease = 0, zone_term = 0;
     if (fake_txn_guard(commit, LEADER_KEY) != TERM) fail_msg("no guard on the leader's term");
     const cbor_item_t *value = fake_txn_put(commit, "a/deputy/n-0", &lease);
@@ -34,7 +34,7 @@
     assert_int_equal(amb_cbor_len(amb_cbor_get(latest_map(), "orders")), 0);
 }
 
-static void whom_deputies_answer(void **state) {
+static void whom_proxies_answer(void **state) {
     (void)state;
     static const struct {
         const char *what, *zone;
@@ -52,19 +52,19 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        answer_epoch(begin_deputy(), 60);
-        node->election.highest = rows[i].highest;
+        answer_epoch(begin_lease_proxy(), 60);
+        node->election.highest_term = rows[i].highest;
         node->deputy.renewed_at = amb_now() - rows[i].renewed;
         send_report((struct sent_report){"m-1", rows[i].zone, 1, 1, rows[i].token, NULL, 0, NULL});
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
     }
 }
 
-static void deputys_lease_counts_from_when_it_was_asked_for(void **state) {
+static void lease_of_a_proxy_counts_from_when_it_was_requested(void **state) {
     (void)state;
-    answer_epoch(begin_deputy(), 60);
+    answer_epoch(begin_lease_proxy(), 60);
     fake_clock_advance(TTL / 4);
-    amb_deputy_tick(node, amb_now());
+    amb_lease_proxy_tick(node, amb_now());
     struct fake_call *renewal = open_call("POST", "/leases/9/extend");
     fake_clock_advance(1000);
     answer_lease(renewal, 9);
@@ -78,33 +78,33 @@
 }
 
 /* News: n-1 stands in for the leader in zone a. */
-static void deputy_key_appears(void) {
+static void proxy_key_appears(void) {
     struct amb_buf buffer = {0};
     amb_w_map(&buffer, 1);
     amb_w_str(&buffer, "zone");
     amb_w_str(&buffer, "a");
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_deputy_key(node, "n-1", value, 55);
+    amb_lease_proxy_apply_key(node, "n-1", value, 55);
     amb_buf_free(&buffer);
     cbor_decref(&value);
 }
 
 /* As long as the deputy's key stands its workers may be alive, however long they are silent here. */
-static void known_deputies_keep_their_zone_alive(void **state) {
+static void known_proxies_keep_their_zone_alive(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     machine_up("m-1", 0);
     struct amb_task *task = bound(job, 0, "m-1", 1);
     task->state = AMB_TASK_SEEN;
-    deputy_key_appears();
+    proxy_key_appears();
     for (int i = 0; i < 30; i++) {
         fake_clock_advance(1000);
         node->jobs.fresh_at = node->jobs.fresh_sent_at = amb_now();
-        amb_deputy_tick(node, amb_now());
+        amb_lease_proxy_tick(node, amb_now());
         amb_fleet_tick(node, amb_now());
         if (!task->machine) fail_msg("lost after %d s, while the deputy's key stands", i + 1);
     }
-    amb_deputy_key(node, "n-1", NULL, 56);
+    amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(11000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
@@ -112,14 +112,14 @@
 }
 
 /* A deputy that came and went within a moment may have answered its zone's workers. */
-static void short_deputies_count(void **state) {
+static void short_lived_proxies_count(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     machine_up("m-1", 0);
     bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
-    deputy_key_appears();
-    amb_deputy_key(node, "n-1", NULL, 56);
+    proxy_key_appears();
+    amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(9000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
@@ -131,13 +131,13 @@
 }
 
 /* Nor is it known, of a machine whose zone is not, whether a deputy answers it. */
-static void deputies_of_any_zone_count_for_unknown_ones(void **state) {
+static void proxies_of_any_zone_count_for_unknown_ones(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
     machine_up("m-1", -1);
     bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
-    deputy_key_appears();
+    proxy_key_appears();
     fake_clock_advance(9000);
     node->jobs.fresh_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
@@ -146,12 +146,12 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(deputies_write_before_they_answer, begin, end),
-        cmocka_unit_test_setup_teardown(whom_deputies_answer, begin, end),
-        cmocka_unit_test_setup_teardown(deputys_lease_counts_from_when_it_was_asked_for, begin, end),
-        cmocka_unit_test_setup_teardown(known_deputies_keep_their_zone_alive, begin, end),
-        cmocka_unit_test_setup_teardown(short_deputies_count, begin, end),
-        cmocka_unit_test_setup_teardown(deputies_of_any_zone_count_for_unknown_ones, begin, end),
+        cmocka_unit_test_setup_teardown(proxies_write_before_they_answer, begin, end),
+        cmocka_unit_test_setup_teardown(whom_proxies_answer, begin, end),
+        cmocka_unit_test_setup_teardown(lease_of_a_proxy_counts_from_when_it_was_requested, begin, end),
+        cmocka_unit_test_setup_teardown(known_proxies_keep_their_zone_alive, begin, end),
+        cmocka_unit_test_setup_teardown(short_lived_proxies_count, begin, end),
+        cmocka_unit_test_setup_teardown(proxies_of_any_zone_count_for_unknown_ones, begin, end),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -19,32 +19,34 @@
 
 struct step {
     struct amb_election_input in;
-    enum amb_role role;  /* afterwards */
-    const char *actions; /* as text; NULL: none */
+    enum amb_election_role role; /* afterwards */
+    const char *actions;         /* as text; NULL: none */
 };
 
 #define EVENT(what, at) .event = AMB_ELECTION_##what, .now = START + (at)
-#define EVIDENCE(news, peers) .evidence = {.news_asked_at = START + (news), .peers_asked_at = START + (peers)}
+#define EVIDENCE(news, peers)                                                                                \
+    .evidence = {.watch_sent_at = START + (news), .peers_queried_at = START + (peers)}
 /* Time passes; when the questions were sent that news and peers have answered, and whether no worker comes.
  */
 #define TICK(at, news, peers) .in = {EVENT(TICK, at), EVIDENCE(news, peers)}
 #define TICK_UNREACHABLE(at)                                                                                 \
-    .in = {EVENT(TICK, at),                                                                                  \
-           .evidence = {.news_asked_at = START + (at), .peers_asked_at = START + (at), .unreachable = true}}
+    .in = {                                                                                                  \
+        EVENT(TICK, at),                                                                                     \
+        .evidence = {.watch_sent_at = START + (at), .peers_queried_at = START + (at), .unreachable = true}}
 #define STORE_READ(at) .in = {EVENT(STORE_READ, at)}
 #define GRANTED(at, which, id)                                                                               \
-    .in = {EVENT(LEASE_GRANTED, at), .claim = which, .lease = id, .nonce = NONCE + which}
-#define NOT_GRANTED(at, which) .in = {EVENT(LEASE_GRANTED, at), .claim = which, .result = AMB_CALL_REFUSED}
+    .in = {EVENT(LEASE_GRANTED, at), .claim_id = which, .lease_id = id, .nonce = NONCE + which}
+#define NOT_GRANTED(at, which) .in = {EVENT(LEASE_GRANTED, at), .claim_id = which, .result = AMB_CALL_REFUSED}
 #define CLAIMED(at, which, how, under)                                                                       \
-    .in = {EVENT(CLAIM_ANSWERED, at), .claim = which, .result = AMB_CALL_##how, .stamp = under}
+    .in = {EVENT(CLAIM_ANSWERED, at), .claim_id = which, .result = AMB_CALL_##how, .revision = under}
 #define READ(at, which, how, by, under)                                                                      \
-    .in = {EVENT(KEY_READ, at), .claim = which, .result = AMB_CALL_##how,                                    \
-           .key = {.present = true, .member = "n-0", .nonce = by, .stamp = under}}
+    .in = {EVENT(KEY_READ, at), .claim_id = which, .result = AMB_CALL_##how,                                 \
+           .key = {.present = true, .member = "n-0", .nonce = by, .revision = under}}
 #define RENEWED(at, id, how, news, peers)                                                                    \
-    .in = {EVENT(LEASE_RENEWED, at), .lease = id, .result = AMB_CALL_##how, EVIDENCE(news, peers)}
+    .in = {EVENT(LEASE_RENEWED, at), .lease_id = id, .result = AMB_CALL_##how, EVIDENCE(news, peers)}
 #define KEY(who, by, under)                                                                                  \
-    .in = {EVENT(KEY_CHANGED, 0), .key = {.present = true, .member = who, .nonce = by, .stamp = under}}
-#define KEY_GONE(under) .in = {EVENT(KEY_CHANGED, 0), .key = {.stamp = under}}
+    .in = {EVENT(KEY_CHANGED, 0), .key = {.present = true, .member = who, .nonce = by, .revision = under}}
+#define KEY_GONE(under) .in = {EVENT(KEY_CHANGED, 0), .key = {.revision = under}}
 #define TERM_SEEN(which) .in = {EVENT(TERM_SEEN, 0), .term = which}
 
 enum start { NEW, FOLLOWER, LEADER };
@@ -58,42 +60,42 @@
 };
 
 static struct amb_election begin(enum start start) {
-    struct amb_election election = {.member = "n-0", .ttl = TTL, .fence_after = FENCE, .shun_for = SHUN};
+    struct amb_election election = {.member = "n-0", .ttl = TTL, .fence_after = FENCE, .yield_for = SHUN};
     if (start == NEW) return election;
-    election.role = AMB_ROLE_FOLLOWING;
+    election.role = AMB_ROLE_FOLLOWER;
     election.key_known = true;
     if (start == FOLLOWER) return election;
-    election.role = AMB_ROLE_LEADING;
-    election.term = election.highest = election.holder_stamp = TERM;
+    election.role = AMB_ROLE_LEADER;
+    election.term = election.highest_term = election.holder_revision = TERM;
     strcpy(election.holder, "n-0");
-    election.lease = LEASE;
-    election.claim = OURS;
+    election.lease_id = LEASE;
+    election.claim_id = OURS;
     election.nonce = election.holder_nonce = NONCE + OURS;
-    election.claim_at = election.renewed_at = election.renew_sent_at = START;
+    election.claimed_at = election.renewed_at = election.renewal_sent_at = START;
     return election;
 }
 
 static const char *as_text(const struct amb_election_output *out, char *text, size_t cap) {
     size_t len = 0;
     text[0] = 0;
-    for (uint32_t i = 0; i < out->count; i++) {
+    for (uint32_t i = 0; i < out->action_count; i++) {
         const struct amb_election_action *a = &out->actions[i];
         if (i) len += (size_t)snprintf(text + len, cap - len, ", ");
         switch (a->type) {
         case AMB_ELECTION_GRANT_LEASE: len += (size_t)snprintf(text + len, cap - len, "grant"); break;
         case AMB_ELECTION_COMMIT_CLAIM:
-            len += (size_t)snprintf(text + len, cap - len, "commit on %d over %d", (int)a->lease,
-                                    (int)a->expect);
+            len += (size_t)snprintf(text + len, cap - len, "commit on %d over %d", (int)a->lease_id,
+                                    (int)a->expected_revision);
             break;
         case AMB_ELECTION_READ_KEY: len += (size_t)snprintf(text + len, cap - len, "read"); break;
-        case AMB_ELECTION_EXTEND_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)a->lease);
+        case AMB_ELECTION_RENEW_LEASE:
+            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)a->lease_id);
             break;
-        case AMB_ELECTION_DROP_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)a->lease);
+        case AMB_ELECTION_REVOKE_LEASE:
+            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)a->lease_id);
             break;
-        case AMB_ELECTION_LEAD_WON: len += (size_t)snprintf(text + len, cap - len, "won"); break;
-        case AMB_ELECTION_LEAD_LOST: len += (size_t)snprintf(text + len, cap - len, "lost"); break;
+        case AMB_ELECTION_LEADERSHIP_WON: len += (size_t)snprintf(text + len, cap - len, "won"); break;
+        case AMB_ELECTION_LEADERSHIP_LOST: len += (size_t)snprintf(text + len, cap - len, "lost"); break;
         }
     }
     return text;
@@ -105,7 +107,7 @@
         const struct step *s = &row->steps[k];
         struct amb_election_output out;
         char text[128];
-        enum amb_role before = election.role;
+        enum amb_election_role before = election.role;
         amb_election_step(&election, &s->in, &out);
         as_text(&out, text, sizeof text);
         if (election.role != s->role || strcmp(text, s->actions ? s->actions : ""))
@@ -120,10 +122,10 @@
 }
 
 #define STARTING AMB_ROLE_STARTING
-#define FOLLOWING AMB_ROLE_FOLLOWING
-#define CLAIMING AMB_ROLE_CLAIMING
-#define CHECKING AMB_ROLE_CHECKING
-#define LEADING AMB_ROLE_LEADING
+#define FOLLOWING AMB_ROLE_FOLLOWER
+#define CLAIMING AMB_ROLE_CANDIDATE
+#define CHECKING AMB_ROLE_VERIFYING_CLAIM
+#define LEADING AMB_ROLE_LEADER
 #define UNSURE AMB_ROLE_UNSURE
 #define FENCED AMB_ROLE_FENCED
 
@@ -406,22 +408,22 @@
     struct amb_election election = begin(FOLLOWER);
     static const struct amb_election_input inputs[] = {
         {.event = AMB_ELECTION_TICK, .now = START},
-        {.event = AMB_ELECTION_LEASE_GRANTED, .now = START + 1, .claim = 1, .lease = LEASE},
-        {.event = AMB_ELECTION_CLAIM_ANSWERED, .now = START + 2, .claim = 1, .stamp = TERM},
+        {.event = AMB_ELECTION_LEASE_GRANTED, .now = START + 1, .claim_id = 1, .lease_id = LEASE},
+        {.event = AMB_ELECTION_CLAIM_ANSWERED, .now = START + 2, .claim_id = 1, .revision = TERM},
     };
     struct amb_election_output out;
     for (size_t i = 0; i < ROWS(inputs); i++) amb_election_step(&election, &inputs[i], &out);
     assert_int_equal(election.role, LEADING);
     assert_int_equal(election.term, TERM);
-    assert_int_equal(election.highest, TERM);
-    assert_int_equal(election.holder_stamp, TERM);
+    assert_int_equal(election.highest_term, TERM);
+    assert_int_equal(election.holder_revision, TERM);
     assert_string_equal(election.holder, "n-0");
     /* That the key is gone is nobody's term. */
     const struct amb_election_input gone = {
-        .event = AMB_ELECTION_KEY_CHANGED, .now = START, .key = {.stamp = TERM + 5}};
+        .event = AMB_ELECTION_KEY_CHANGED, .now = START, .key = {.revision = TERM + 5}};
     amb_election_step(&election, &gone, &out);
     assert_int_equal(election.role, FOLLOWING);
-    assert_int_equal(election.highest, TERM);
+    assert_int_equal(election.highest_term, TERM);
 }
 
 /* Whether or not a tick has come since: after a stall, reports that came meanwhile may be read before it. */
@@ -429,7 +431,7 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_role role;
+        enum amb_election_role role;
         amb_ms at, news, peers;
         bool answers;
     } rows[] = {
@@ -446,10 +448,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_election election = begin(LEADER);
-        const struct amb_election_evidence evidence = {.news_asked_at = START + rows[i].news,
-                                                       .peers_asked_at = START + rows[i].peers};
+        const struct amb_election_evidence evidence = {.watch_sent_at = START + rows[i].news,
+                                                       .peers_queried_at = START + rows[i].peers};
         election.role = rows[i].role;
-        if (amb_election_answers(&election, START + rows[i].at, &evidence) != rows[i].answers)
+        if (amb_election_may_answer_agents(&election, START + rows[i].at, &evidence) != rows[i].answers)
             fail_msg("%s", rows[i].what);
     }
 }
@@ -458,12 +460,12 @@
 static void starts(void **state) {
     (void)state;
     struct amb_election election = begin(LEADER);
-    assert_true(amb_election_sure(&election, START + SURE - 1));
-    assert_false(amb_election_sure(&election, START + SURE));
-    static const enum amb_role others[] = {STARTING, FOLLOWING, CLAIMING, CHECKING, UNSURE, FENCED};
+    assert_true(amb_election_has_valid_lease(&election, START + SURE - 1));
+    assert_false(amb_election_has_valid_lease(&election, START + SURE));
+    static const enum amb_election_role others[] = {STARTING, FOLLOWING, CLAIMING, CHECKING, UNSURE, FENCED};
     for (size_t i = 0; i < ROWS(others); i++) {
         election.role = others[i];
-        assert_false(amb_election_sure(&election, START + 1));
+        assert_false(amb_election_has_valid_lease(&election, START + 1));
     }
 }
 
@@ -483,7 +485,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_election election = begin(LEADER);
-        if (amb_election_in_touch(&election, START + rows[i].at) != rows[i].in_touch)
+        if (amb_election_has_recent_renewal(&election, START + rows[i].at) != rows[i].in_touch)
             fail_msg("%s", rows[i].what);
     }
 }
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -32,7 +32,7 @@
         if (lease != 7) fail_msg("%s: on lease %llu", rows[i].what, (unsigned long long)lease);
         assert_true(amb_cbor_eq(amb_cbor_get(value, "member"), "n-0"));
         answer_epoch(commit, 60);
-        assert_true(amb_leads(node));
+        assert_true(amb_election_is_leader(node));
         assert_int_equal(node->election.term, 60);
     }
 }
@@ -58,7 +58,8 @@
             answer_value(read, "nonce", NULL, node->election.nonce + !rows[i].ours, 60);
         else
             fake_answer(read, rows[i].status, NULL);
-        if (amb_leads(node) != rows[i].leads) fail_msg("%s: leads %d", rows[i].what, amb_leads(node));
+        if (amb_election_is_leader(node) != rows[i].leads)
+            fail_msg("%s: leads %d", rows[i].what, amb_election_is_leader(node));
         bool dropped = find_call("DELETE", "/leases/7") != NULL;
         if (dropped == rows[i].leads)
             fail_msg("%s: its lease is %s", rows[i].what, dropped ? "dropped" : "kept");
@@ -69,9 +70,9 @@
     (void)state;
     follow("", 40);
     struct fake_call *commit = claim_until_commit(7);
-    amb_election_saw_term(node, 61, "a worker");
+    amb_election_observe_term(node, 61, "a worker");
     answer_epoch(commit, 60);
-    assert_false(amb_leads(node));
+    assert_false(amb_election_is_leader(node));
     assert_non_null(find_call("DELETE", "/leases/7"));
 }
 
@@ -81,26 +82,26 @@
     static const struct {
         const char *what, *holder;
         uint64_t stamp, highest;
-        enum amb_role want;
+        enum amb_election_role want;
     } rows[] = {
-        {"nobody leads", "", 10, 20, AMB_ROLE_CLAIMING},
-        {"another leads", "n-1", 10, 10, AMB_ROLE_FOLLOWING},
-        {"the key names this node's former self", "n-0", 10, 10, AMB_ROLE_CLAIMING},
-        {"it did, and another leads by now", "n-0", 10, 20, AMB_ROLE_FOLLOWING},
+        {"nobody leads", "", 10, 20, AMB_ROLE_CANDIDATE},
+        {"another leads", "n-1", 10, 10, AMB_ROLE_FOLLOWER},
+        {"the key names this node's former self", "n-0", 10, 10, AMB_ROLE_CANDIDATE},
+        {"it did, and another leads by now", "n-0", 10, 20, AMB_ROLE_FOLLOWER},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_election *election = &node->election;
         strcpy(election->member, "n-0");
-        election->role = AMB_ROLE_FOLLOWING;
+        election->role = AMB_ROLE_FOLLOWER;
         election->key_known = true;
-        election->claim_at = 0;
+        election->claimed_at = 0;
         strcpy(election->holder, rows[i].holder);
-        election->holder_stamp = rows[i].stamp;
-        election->highest = rows[i].highest;
+        election->holder_revision = rows[i].stamp;
+        election->highest_term = rows[i].highest;
         amb_election_tick(node, amb_now() + 2 * election->ttl);
         if (election->role != rows[i].want) fail_msg("%s: role %d", rows[i].what, election->role);
     }
-    node->election.role = AMB_ROLE_LEADING;
+    node->election.role = AMB_ROLE_LEADER;
 }
 
 /* ---- the lease ---- */
@@ -134,7 +135,7 @@
             answer_lease(renewal, 7);
         }
         fake_clock_advance(rows[i].since_sent - rows[i].takes);
-        if (amb_may_start(node) != rows[i].sure) fail_msg("%s", rows[i].what);
+        if (amb_election_may_act(node) != rows[i].sure) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -157,9 +158,9 @@
         node->set.lease_s = rows[i].lease;
         node->set.cancel_s = rows[i].cancel;
         amb_election_init(node);
-        if (node->election.ttl != rows[i].ttl || amb_election_patience(node) != rows[i].patience)
+        if (node->election.ttl != rows[i].ttl || amb_election_call_timeout(node) != rows[i].patience)
             fail_msg("row %zu: %lld, %lld", i, (long long)node->election.ttl,
-                     (long long)amb_election_patience(node));
+                     (long long)amb_election_call_timeout(node));
     }
 }
 
@@ -168,15 +169,15 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_role role;
+        enum amb_election_role role;
         amb_ms renewed; /* how long ago */
         int status;     /* to a report */
         size_t starts, rentals;
     } rows[] = {
-        {"sure", AMB_ROLE_LEADING, 500, 200, 1, 1},
-        {"its renewal is not overdue yet", AMB_ROLE_LEADING, 1049, 200, 1, 1},
-        {"its renewal is overdue: no order, though sure", AMB_ROLE_LEADING, 1050, 200, 0, 1},
-        {"sure until a moment ago", AMB_ROLE_LEADING, 2700, 200, 0, 0},
+        {"sure", AMB_ROLE_LEADER, 500, 200, 1, 1},
+        {"its renewal is not overdue yet", AMB_ROLE_LEADER, 1049, 200, 1, 1},
+        {"its renewal is overdue: no order, though sure", AMB_ROLE_LEADER, 1050, 200, 0, 1},
+        {"sure until a moment ago", AMB_ROLE_LEADER, 2700, 200, 0, 0},
         {"unsure", AMB_ROLE_UNSURE, 9000, 200, 0, 0},
         {"fenced", AMB_ROLE_FENCED, 30000, 503, 0, 0},
         {"to be fenced, by a tick that is overdue", AMB_ROLE_UNSURE, 30000, 421, 0, 0},
@@ -203,7 +204,7 @@
 static void news_without_renewals_end_in_silence(void **state) {
     (void)state;
     amb_ms now = amb_now() + 100000;
-    node->election.renewing = true;
+    node->election.renewal_pending = true;
     node->jobs.fresh_sent_at = now - 500;
     node->election.renewed_at = now - 50000;
     node->fleet.last_report_at = now;
@@ -219,24 +220,24 @@
     static const struct {
         const char *what;
         amb_ms renewed, news, word; /* how long ago */
-        enum amb_role want;
+        enum amb_election_role want;
     } rows[] = {
-        {"all well", 500, 500, 500, AMB_ROLE_LEADING},
+        {"all well", 500, 500, 500, AMB_ROLE_LEADER},
         {"renewals fail", 9000, 9000, 90000, AMB_ROLE_UNSURE},
         {"not yet too long for a cancellation told since", 18500, 18500, 90000, AMB_ROLE_UNSURE},
         {"too long", 19500, 19500, 90000, AMB_ROLE_FENCED},
         {"renewals fail for long, the peer confirms", 50000, 50000, 500, AMB_ROLE_UNSURE},
         {"nor does the peer's word come", 50000, 50000, 50000, AMB_ROLE_FENCED},
         {"renewals come, news do not, nor the peer's word", 500, 50000, 50000, AMB_ROLE_FENCED},
-        {"renewals come, news do not, the peer confirms", 500, 50000, 500, AMB_ROLE_LEADING},
+        {"renewals come, news do not, the peer confirms", 500, 50000, 500, AMB_ROLE_LEADER},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
         node->election.ttl = 3000;
-        node->election.renewing = true;
-        node->election.renewed_at = node->election.renew_sent_at = now - rows[i].renewed;
+        node->election.renewal_pending = true;
+        node->election.renewed_at = node->election.renewal_sent_at = now - rows[i].renewed;
         node->jobs.fresh_sent_at = now - rows[i].news;
         node->peers.count = 1;
         node->peers.list[0].heard_at = node->peers.list[0].confirmed_at = now - rows[i].word;
@@ -265,7 +266,7 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 100000;
-        node->election.renewed_at = node->election.renew_sent_at = node->jobs.fresh_sent_at = now;
+        node->election.renewed_at = node->election.renewal_sent_at = node->jobs.fresh_sent_at = now;
         node->peers.count = 1;
         node->peers.list[0].heard_at = now - rows[i].heard;
         node->peers.list[0].reports_arrive = rows[i].peer_reports;
@@ -273,7 +274,7 @@
         node->ctl.leading_since = now - 50000;
         if (rows[i].machines) amb_machine_get(node, "m-1", true)->state = AMB_MACHINE_UP;
         amb_election_tick(node, now);
-        if (amb_leads(node) != rows[i].leads) fail_msg("%s", rows[i].what);
+        if (amb_election_is_leader(node) != rows[i].leads) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -307,7 +308,7 @@
         case PEER_ANSWER: peer_answers(0, (struct said){.term = TERM + 1}); break;
         case PEER_MESSAGE: peer_speaks(0, (struct said){.term = TERM + 1, .leading = true}); break;
         case REFUSED_WRITE: answer_refused(begin_block(), LEADER_KEY); break;
-        case KEY_GONE: amb_election_key(node, NULL, TERM + 1); break;
+        case KEY_GONE: amb_election_apply_key(node, NULL, TERM + 1); break;
         case KEY_OF_ANOTHER:
         case OWN_KEY:
             amb_w_map(&buffer, 2);
@@ -316,12 +317,13 @@
             amb_w_str(&buffer, "nonce");
             amb_w_uint(&buffer, rows[i].source == OWN_KEY ? node->election.nonce : 99);
             cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-            amb_election_key(node, value, TERM + 1);
+            amb_election_apply_key(node, value, TERM + 1);
             cbor_decref(&value);
             amb_buf_free(&buffer);
             break;
         }
-        if (amb_leads(node) != rows[i].leads) fail_msg("%s: leads %d", rows[i].what, amb_leads(node));
+        if (amb_election_is_leader(node) != rows[i].leads)
+            fail_msg("%s: leads %d", rows[i].what, amb_election_is_leader(node));
     }
 }
 
--- a/tests/job/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -57,7 +57,7 @@
 static void anew(bool leads) {
     end(NULL);
     begin(NULL);
-    if (!leads) node->election.role = AMB_ROLE_FOLLOWING;
+    if (!leads) node->election.role = AMB_ROLE_FOLLOWER;
 }
 
 static void user_request(const char *method, const char *path) {
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -118,7 +118,7 @@
         for (int leads = 0; leads < 2; leads++) {
             teardown(NULL);
             setup(NULL);
-            if (!leads) node->election.role = AMB_ROLE_FOLLOWING;
+            if (!leads) node->election.role = AMB_ROLE_FOLLOWER;
             strcpy(node->set.peer_listen, "P:1");
             node->set.npeers = 2;
             strcpy(node->set.peers[0].member, "n1");
--- a/tests/job/test_pipeline_submissions.c
+++ b/tests/job/test_pipeline_submissions.c
@@ -149,7 +149,7 @@
         node->peers.count = 1;
         node->peers.list[0].node = node;
         node->peers.list[0].format = rows[i].last_word;
-        node->formats.written = rows[i].written;
+        node->formats.recorded = rows[i].written;
         play(rows[i].what, rows[i].script);
     }
 }
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -5,7 +5,7 @@
 #include <math.h>
 
 /* What news say of a job, as a node that is not asked for it hears it. */
-static void hear(const char *ref, enum amb_job_state state, uint64_t stamp) {
+static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t stamp) {
     struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
     struct amb_job draft = {.spec = &spec, .accepted_wall = 1};
     struct amb_buf buffer = {0};
@@ -43,30 +43,31 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         teardown(NULL);
         setup(NULL);
-        node->election.role = AMB_ROLE_FOLLOWING;
+        node->election.role = AMB_ROLE_FOLLOWER;
         node->jobs.loaded = true;
         node->set.npeers = 6;
         node->set.state_rps = 200;
         node->set.state_write_rps = 20;
         amb_store_init(&node->store, &node->set, 1000);
-        node->store.user_writes.at = amb_now() + 3600000; /* no refill meanwhile */
+        node->store.user_write_bucket.refilled_at = amb_now() + 3600000; /* no refill meanwhile */
         char ref[AMB_NAME];
         uint64_t stamp = 1;
         for (uint32_t k = 0; k < rows[i].submitted; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
-            hear(ref, AMB_JOB_QUEUED, stamp + k);
+            apply_job_change(ref, AMB_JOB_QUEUED, stamp + k);
         }
         for (uint32_t k = 0; k < rows[i].copies; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
-            hear(ref, AMB_JOB_QUEUED, stamp + k);
+            apply_job_change(ref, AMB_JOB_QUEUED, stamp + k);
         }
         stamp += 100;
         for (uint32_t k = 0; k < rows[i].cancelled + rows[i].done; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
-            hear(ref, k < rows[i].cancelled ? AMB_JOB_CANCELLED : AMB_JOB_DONE, stamp + k);
+            apply_job_change(ref, k < rows[i].cancelled ? AMB_JOB_CANCELLED : AMB_JOB_DONE, stamp + k);
         }
-        if (rows[i].lent > 0) amb_store_lent(&node->store, rows[i].lent);
-        if (amb_store_can_write(&node->store, 1, rows[i].keep) != rows[i].can) fail_msg("%s", rows[i].what);
+        if (rows[i].lent > 0) amb_store_apply_token_loan(&node->store, rows[i].lent);
+        if (amb_store_can_write_for_user(&node->store, 1, rows[i].keep) != rows[i].can)
+            fail_msg("%s", rows[i].what);
     }
 }
 
@@ -82,15 +83,15 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_store *store = &node->store;
         amb_store_init(store, &node->set, 1000);
-        amb_store_share(store, true);
-        store->writes.at = store->user_writes.at = amb_now() + 3600000;
-        store->writes.tokens = rows[i].own;
-        store->user_writes.tokens = rows[i].users;
-        assert_float_equal(amb_store_lend(store), rows[i].lends, 1e-9);
-        assert_float_equal(store->writes.tokens, rows[i].own - rows[i].lends, 1e-9);
-        assert_float_equal(store->user_writes.tokens, rows[i].users + rows[i].lends, 1e-9);
-        amb_store_lent(store, 1000); /* a wrong word from a peer fills the bucket and no more */
-        assert_float_equal(store->user_writes.tokens, 10, 1e-9);
+        amb_store_set_leadership(store, true);
+        store->write_bucket.refilled_at = store->user_write_bucket.refilled_at = amb_now() + 3600000;
+        store->write_bucket.tokens = rows[i].own;
+        store->user_write_bucket.tokens = rows[i].users;
+        assert_float_equal(amb_store_lend_tokens(store), rows[i].lends, 1e-9);
+        assert_float_equal(store->write_bucket.tokens, rows[i].own - rows[i].lends, 1e-9);
+        assert_float_equal(store->user_write_bucket.tokens, rows[i].users + rows[i].lends, 1e-9);
+        amb_store_apply_token_loan(store, 1000); /* a wrong word from a peer fills the bucket and no more */
+        assert_float_equal(store->user_write_bucket.tokens, 10, 1e-9);
     }
 }
 
@@ -120,13 +121,14 @@
         node->set.state_rps = 200;
         node->set.state_write_rps = 28;
         amb_store_init(store, &node->set, 1000);
-        amb_store_share_duties(store, rows[i].in_use, rows[i].part);
-        amb_store_share(store, rows[i].leading);
-        if (fabs(store->writes.rate - rows[i].writes) > 1e-9)
-            fail_msg("%s: %g", rows[i].what, store->writes.rate);
-        assert_float_equal(store->user_writes.rate, 14, 1e-9);
-        amb_store_share_duties(store, false, 0);
-        assert_float_equal(store->writes.rate, rows[i].leading ? 14 : 14.0 / (rows[i].peers + 1), 1e-9);
+        amb_store_set_duty_share(store, rows[i].in_use, rows[i].part);
+        amb_store_set_leadership(store, rows[i].leading);
+        if (fabs(store->write_bucket.tokens_per_second - rows[i].writes) > 1e-9)
+            fail_msg("%s: %g", rows[i].what, store->write_bucket.tokens_per_second);
+        assert_float_equal(store->user_write_bucket.tokens_per_second, 14, 1e-9);
+        amb_store_set_duty_share(store, false, 0);
+        assert_float_equal(store->write_bucket.tokens_per_second,
+                           rows[i].leading ? 14 : 14.0 / (rows[i].peers + 1), 1e-9);
     }
 }
 
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -49,7 +49,7 @@
         node->jobs.fresh_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
         node->jobs.syncing = true; /* the read that would be asked for is not under test */
         int zone = amb_catalog_zone(&node->catalog, "a");
-        node->deputy.zone_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
+        node->deputy.zone_covered_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
         amb_fleet_tick(node, now + rows[i].silent);
         if ((task->machine == NULL) != rows[i].absent) fail_msg("row %zu", i);
     }
@@ -298,7 +298,7 @@
         amb_ms now = amb_now() + 1000000;
         node->election.renewed_at = node->ctl.leading_since = now; /* silent machines are not under test */
         node->peers.count = 1;                                     /* which has not heeded our term */
-        node->deputy.nknown = 1;
+        node->deputy.known_count = 1;
         node->deputy.known[0].present = rows[i].deputy;
         node->deputy.known[0].zone = amb_catalog_zone(&node->catalog, "a");
         if (rows[i].has_task) bound(add_job("wk-1", AMB_SERVICE, 1), 0, "m-1", 1);
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -38,11 +38,11 @@
             peer_speaks(0, rows[i].said);
         else
             peer_answers(0, rows[i].said);
-        amb_ms confirmed = amb_peer_confirmed(node, amb_now());
+        amb_ms confirmed = amb_election_peers_confirmed_at(node, amb_now());
         if (confirmed != (rows[i].confirms ? asked : 0))
             fail_msg("%s: confirmed %lld ms after the question", rows[i].what,
                      (long long)(confirmed - asked));
-        amb_ms quiet = amb_leads(node) ? amb_peer_quiet(node) : 0;
+        amb_ms quiet = amb_election_is_leader(node) ? amb_election_peers_fenced_at(node) : 0;
         if (quiet != (rows[i].fences ? asked + 300 : 0))
             fail_msg("%s: nobody answers under an older term since %lld ms after the question", rows[i].what,
                      (long long)(quiet - asked));
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -137,7 +137,7 @@
         assert_int_equal(node->peers.list[0].heard_at, now_ms);
         assert_int_equal(node->peers.list[1].heard_at, 0);
     }
-    assert_int_equal(node->election.highest, 5);
+    assert_int_equal(node->election.highest_term, 5);
 }
 
 static void a_changed_heartbeat_is_read_again(void **state) {
@@ -175,7 +175,7 @@
 static void a_repeated_answer_confirms_anew(void **state) {
     (void)state;
     char text[512];
-    node->election.role = AMB_ROLE_LEADING;
+    node->election.role = AMB_ROLE_LEADER;
     node->election.term = 7;
     node->election.ttl = 3600000;
     node->election.renewed_at = now_ms;
@@ -210,11 +210,11 @@
         break;
     case 2: node->jobs.loaded = draw(2); break;
     case 3: node->fleet.last_report_at = now_ms; break;
-    case 4: node->store.failed_at = now_ms; break;
-    case 5: node->store.ok_at = now_ms + 1; break;
-    case 6: node->election.highest += draw(2); break;
-    case 7: node->election.term = node->election.highest; break;
-    default: node->election.role = draw(8) ? AMB_ROLE_FOLLOWING : AMB_ROLE_LEADING;
+    case 4: node->store.last_failure_at = now_ms; break;
+    case 5: node->store.last_success_at = now_ms + 1; break;
+    case 6: node->election.highest_term += draw(2); break;
+    case 7: node->election.term = node->election.highest_term; break;
+    default: node->election.role = draw(8) ? AMB_ROLE_FOLLOWER : AMB_ROLE_LEADER;
     }
 }
 
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -17,7 +17,7 @@
 /* Jobs beyond what memory holds are taken up as soon as others have ended, not by the next leader. */
 static void jobs_left_out_are_taken_up(void **state) {
     (void)state;
-    node->election.role = AMB_ROLE_LEADING;
+    node->election.role = AMB_ROLE_LEADER;
     node->set.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
     static const char *const refs[] = {"wk-1", "wk-2", "wk-3", "wk-4"};
     for (uint64_t i = 0; i < ROWS(refs); i++) come(refs[i], 16, ACCEPTED + i);
@@ -40,7 +40,7 @@
     assert_true(amb_job_find(node, "wk-4")->live);
 }
 
-static void commit_ops(enum amb_urgency urgency, uint32_t ops) {
+static void commit_ops(enum amb_store_priority urgency, uint32_t ops) {
     struct amb_txn transaction = {0};
     char key[32];
     for (uint32_t i = 0; i < ops; i++) {
@@ -55,17 +55,18 @@
 static void small_writes_do_not_pass(void **state) {
     (void)state;
     struct amb_store *store = &node->store;
-    store->writes.at = store->user_writes.at = store->requests.at = amb_now() + 3600000; /* no token comes */
-    store->writes.tokens = 1.5;
-    commit_ops(AMB_URGENT_FINAL, 2);
-    commit_ops(AMB_URGENT_PLACE, 1);
+    store->write_bucket.refilled_at = store->user_write_bucket.refilled_at =
+        store->request_bucket.refilled_at = amb_now() + 3600000; /* no token comes */
+    store->write_bucket.tokens = 1.5;
+    commit_ops(AMB_STORE_PRIORITY_FINAL_STATE, 2);
+    commit_ops(AMB_STORE_PRIORITY_PLACEMENT, 1);
     assert_int_equal(fake_calls_sent(COMMIT), 0);
-    amb_store_get(store, "a/leader", AMB_URGENT_READ, NULL, NULL);
+    amb_store_get(store, "a/leader", AMB_STORE_PRIORITY_READ, NULL, NULL);
     assert_int_equal(fake_calls_sent("/store/a/leader"), 1);
-    commit_ops(AMB_URGENT_USER, 1);
+    commit_ops(AMB_STORE_PRIORITY_USER, 1);
     assert_int_equal(fake_calls_sent(COMMIT), 1);
-    store->writes.tokens = 3;
-    store->pump.fn(store->pump.arg);
+    store->write_bucket.tokens = 3;
+    store->dispatch_timer.fn(store->dispatch_timer.arg);
     assert_int_equal(fake_calls_sent(COMMIT), 3);
 }
 
@@ -85,16 +86,16 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
         struct amb_store *store = &node->store;
-        amb_budget_rate(&store->requests, 16);
-        store->requests.at = amb_now() + 3600000; /* no token comes */
-        store->requests.tokens = rows[i].tokens;
+        amb_token_bucket_set_rate(&store->request_bucket, 16);
+        store->request_bucket.refilled_at = amb_now() + 3600000; /* no token comes */
+        store->request_bucket.tokens = rows[i].tokens;
         uint32_t before = fake_calls_sent("/follow");
-        amb_store_follow(store, "a/", 1, 0, NULL, NULL);
+        amb_store_watch(store, "a/", 1, 0, NULL, NULL);
         uint32_t sent = fake_calls_sent("/follow") - before;
         if (sent != rows[i].reads_sent) fail_msg("%s: %u", rows[i].what, sent);
-        if (!amb_store_can_write(store, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
-        store->requests.tokens = 16;
-        if (!sent) store->pump.fn(store->pump.arg);
+        if (!amb_store_can_write_for_user(store, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
+        store->request_bucket.tokens = 16;
+        if (!sent) store->dispatch_timer.fn(store->dispatch_timer.arg);
     }
 }
 
@@ -116,21 +117,22 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
         struct amb_store *store = &node->store;
-        amb_budget_rate(&store->writes, 500);
-        store->writes.at = store->user_writes.at = store->requests.at = amb_now() + 3600000;
-        store->user_writes.tokens = rows[i].users;
-        store->user_pending = rows[i].pending;
-        store->writes.tokens = rows[i].own;
-        if (rows[i].waiting) commit_ops(AMB_URGENT_PLACE, rows[i].waiting);
+        amb_token_bucket_set_rate(&store->write_bucket, 500);
+        store->write_bucket.refilled_at = store->user_write_bucket.refilled_at =
+            store->request_bucket.refilled_at = amb_now() + 3600000;
+        store->user_write_bucket.tokens = rows[i].users;
+        store->pending_user_writes = rows[i].pending;
+        store->write_bucket.tokens = rows[i].own;
+        if (rows[i].waiting) commit_ops(AMB_STORE_PRIORITY_PLACEMENT, rows[i].waiting);
         assert_int_equal(fake_calls_sent(COMMIT), 0);
-        double lends = amb_store_lend(store);
+        double lends = amb_store_lend_tokens(store);
         if (lends != rows[i].lends) fail_msg("%s: %g", rows[i].what, lends);
-        assert_float_equal(store->user_writes.tokens, rows[i].users + lends, 1e-9);
-        store->user_pending = 0;
-        amb_store_lent(store, -1e9); /* a wrong word from a peer costs a bucket and no more */
-        assert_float_equal(store->user_writes.tokens, -500, 1e-9);
-        store->writes.tokens = 1e6;
-        store->pump.fn ? store->pump.fn(store->pump.arg) : (void)0;
+        assert_float_equal(store->user_write_bucket.tokens, rows[i].users + lends, 1e-9);
+        store->pending_user_writes = 0;
+        amb_store_apply_token_loan(store, -1e9); /* a wrong word from a peer costs a bucket and no more */
+        assert_float_equal(store->user_write_bucket.tokens, -500, 1e-9);
+        store->write_bucket.tokens = 1e6;
+        store->dispatch_timer.fn ? store->dispatch_timer.fn(store->dispatch_timer.arg) : (void)0;
     }
 }
 
@@ -139,7 +141,7 @@
  */
 static void the_end_is_one_write(void **state) {
     (void)state;
-    node->election.role = AMB_ROLE_LEADING;
+    node->election.role = AMB_ROLE_LEADER;
     struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
     job->stamp = ACCEPTED;
     job->blocks[0].stamp = ACCEPTED + 1;
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -46,8 +46,8 @@
     node->peers.count = 1;   /* never heard of */
     node->ctl.ready = false; /* the test places tasks, not the round */
     amb_store_init(&node->store, &node->set, 1000);
-    amb_store_share(&node->store, true);
-    if (fake_state_value(FORMAT_KEY)) amb_format_key(node, fake_state_value(FORMAT_KEY));
+    amb_store_set_leadership(&node->store, true);
+    if (fake_state_value(FORMAT_KEY)) amb_format_apply_key(node, fake_state_value(FORMAT_KEY));
     job = add_job("wk-1", AMB_ARRAY, TASKS);
     job->stamp = fake_state_stamp(JOB_KEY);
     fake_state_load_records(node);
@@ -55,14 +55,14 @@
 
 /* The process ends; calls that are open get this fate. */
 static void end_leader(enum fake_fate fate) {
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     do {
         while (fake_state_serve(fate)) continue;
         fake_clock_advance(2000); /* what waits for tokens is sent */
     } while (fake_call_open(""));
     fake_clock_reset();
     fake_http_reset();
-    node->election.role = AMB_ROLE_LEADING; /* as the fixture takes it down */
+    node->election.role = AMB_ROLE_LEADER; /* as the fixture takes it down */
     teardown(NULL);
 }
 
@@ -108,7 +108,7 @@
 }
 
 static void pump(void) {
-    if (fake_state_value(FORMAT_KEY)) amb_format_key(node, fake_state_value(FORMAT_KEY)); /* news */
+    if (fake_state_value(FORMAT_KEY)) amb_format_apply_key(node, fake_state_value(FORMAT_KEY)); /* news */
     amb_format_tick(node, amb_now());
     amb_record_pump(node);
 }
@@ -346,10 +346,10 @@
         if ((fake_state_answers(429) > 0) != want[d].rates_refused)
             fail_msg("%s: %zu refused for their rate", what, fake_state_answers(429));
         if (node->store.limits_lowered != want[d].lowered) fail_msg("%s: limits lowered", what);
-        if (node->store.write_rps != (want[d].lowered ? 2000 : 3000))
-            fail_msg("%s: %g changes a second", what, node->store.write_rps);
+        if (node->store.writes_per_second != (want[d].lowered ? 2000 : 3000))
+            fail_msg("%s: %g changes a second", what, node->store.writes_per_second);
         if (fake_state_answers(409)) fail_msg("%s: a guard failed", what);
-        if (node->election.role != AMB_ROLE_LEADING) fail_msg("%s: the lead was given up", what);
+        if (node->election.role != AMB_ROLE_LEADER) fail_msg("%s: the lead was given up", what);
         for (uint32_t i = 0; i < TASKS; i++)
             if (job->tasks[i].state == AMB_TASK_PLACED) fail_msg("%s: task %u is not recorded", what, i);
         end_leader(FAKE_REQUEST_LOST);
@@ -438,19 +438,19 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_urgency urgency;
+        enum amb_store_priority urgency;
         bool change;
         int status;
         bool lowered;
     } rows[] = {
-        {"a change is refused", AMB_URGENT_PLACE, true, 429, true},
-        {"a user's change", AMB_URGENT_USER, true, 429, true},
-        {"a claim", AMB_URGENT_LEASE, true, 429, true},
-        {"a read is refused", AMB_URGENT_READ, false, 429, false},
-        {"an outage", AMB_URGENT_PLACE, true, 503, false},
-        {"no answer", AMB_URGENT_PLACE, true, 0, false},
-        {"a guard did not hold", AMB_URGENT_PLACE, true, 409, false},
-        {"malformed", AMB_URGENT_PLACE, true, 400, false},
+        {"a change is refused", AMB_STORE_PRIORITY_PLACEMENT, true, 429, true},
+        {"a user's change", AMB_STORE_PRIORITY_USER, true, 429, true},
+        {"a claim", AMB_STORE_PRIORITY_LEASE, true, 429, true},
+        {"a read is refused", AMB_STORE_PRIORITY_READ, false, 429, false},
+        {"an outage", AMB_STORE_PRIORITY_PLACEMENT, true, 503, false},
+        {"no answer", AMB_STORE_PRIORITY_PLACEMENT, true, 0, false},
+        {"a guard did not hold", AMB_STORE_PRIORITY_PLACEMENT, true, 409, false},
+        {"malformed", AMB_STORE_PRIORITY_PLACEMENT, true, 400, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
@@ -467,7 +467,7 @@
         fake_answer(call, rows[i].status, NULL);
         if (status != rows[i].status) fail_msg("%s: told %d", rows[i].what, status);
         if (node->store.limits_lowered != rows[i].lowered) fail_msg("%s", rows[i].what);
-        if (node->formats.upgrade_over) fail_msg("%s: the upgrade is taken as over", rows[i].what);
+        if (node->formats.upgrade_complete) fail_msg("%s: the upgrade is taken as over", rows[i].what);
         end_leader(FAKE_REQUEST_LOST);
     }
 }
@@ -520,7 +520,7 @@
     uint64_t moved = job->tasks[60].attempt;
     amb_job_leave(node, job);
     amb_fleet_clear(node);
-    node->formats.held_at = AMB_FORMAT_1;
+    node->formats.test_override = AMB_FORMAT_1;
     fake_state_load_records(node);
     assert_true(job->live);
     assert_int_equal(job->layout, AMB_LAYOUT_BY_SETTINGS);
--- a/tests/scenarios/test_meetings_cancel.c
+++ b/tests/scenarios/test_meetings_cancel.c
@@ -48,7 +48,7 @@
 
 /* Row 6: a leader that has just taken over is cut off from all but its workers, while users cancel at the
  * other nodes. What its predecessor had recorded it ordered up to 1.3 s after the confirmation on these days;
- * it stops once a renewal is overdue (amb_election_in_touch). */
+ * it stops once a renewal is overdue (amb_election_has_recent_renewal). */
 static void cut_off_after_a_take_over(void **state) {
     (void)state;
     static const struct {
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -247,13 +247,13 @@
     json_t *list = load_samples(SIM_LEADER_KEYS), *sample;
     size_t i;
     strcpy(node->set.member, "other");
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     json_array_foreach(list, i, sample) {
         cbor_item_t *value = value_of(sample);
         uint64_t stamp = TERM + 10 + i;
-        amb_election_key(node, value, stamp);
+        amb_election_apply_key(node, value, stamp);
         assert_string_equal(node->election.holder, text(json_object_get(sample, "value"), "member"));
-        assert_int_equal(node->election.holder_stamp, stamp);
+        assert_int_equal(node->election.holder_revision, stamp);
         cbor_decref(&value);
     }
     json_decref(list);
@@ -267,8 +267,8 @@
     json_array_foreach(list, i, sample) {
         const char *zone = text(json_object_get(sample, "value"), "zone");
         cbor_item_t *value = value_of(sample);
-        amb_deputy_key(node, key_of(sample) + strlen("a/deputy/"), value, 60 + i);
-        assert_true(amb_deputy_in_zone(node, amb_catalog_zone(&node->catalog, zone)));
+        amb_lease_proxy_apply_key(node, key_of(sample) + strlen("a/deputy/"), value, 60 + i);
+        assert_true(amb_lease_proxy_is_active_in_zone(node, amb_catalog_zone(&node->catalog, zone)));
         cbor_decref(&value);
     }
     json_decref(list);
@@ -278,7 +278,7 @@
     (void)state;
     struct amb_peer *peer = &node->peers.list[0];
     node->peers.count = 1;
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     for (int kind = SIM_HEARTBEATS; kind <= SIM_HEARTBEAT_ANSWERS; kind++) {
         json_t *list = load_samples((enum sim_sample_kind)kind), *said, *row;
         size_t i, k;
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -89,7 +89,7 @@
 }
 
 static bool leads(const void *node) {
-    return amb_leads(node);
+    return amb_election_is_leader(node);
 }
 
 #ifdef AMB_PRODUCTION_SIDE /* its table knows no bound */
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -42,7 +42,7 @@
     struct amb_duty_order_record order;
     uint32_t count, machine_count;
     char machines[AMB_DUTY_MACHINES][AMB_NAME];
-    amb_store_done done;
+    amb_store_callback done;
     amb_duty_cloud_done cloud_done;
     void *arg;
     bool carried_out, hold;
@@ -398,14 +398,14 @@
     return now;
 }
 
-static void port_grant(void *context, amb_ms ttl, amb_store_done done, void *arg) {
+static void port_grant(void *context, amb_ms ttl, amb_store_callback done, void *arg) {
     struct call *call = call_new(context, GRANT);
     call->ttl = ttl;
     call->done = done;
     call->arg = arg;
 }
 
-static void port_extend(void *context, uint64_t lease, amb_store_done done, void *arg) {
+static void port_extend(void *context, uint64_t lease, amb_store_callback done, void *arg) {
     struct call *call = call_new(context, EXTEND);
     call->lease = lease;
     call->done = done;
@@ -416,7 +416,8 @@
     call_new(context, DROP)->lease = lease;
 }
 
-static void port_list(void *context, const char *prefix, const char *after, amb_store_done done, void *arg) {
+static void port_list(void *context, const char *prefix, const char *after, amb_store_callback done,
+                      void *arg) {
     struct call *call = call_new(context, LIST);
     (void)after; /* all keys go into one page */
     strcpy(call->prefix, prefix);
@@ -434,22 +435,22 @@
     return amb_cbor_eq(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
 }
 
-static void port_commit(void *context, struct amb_txn *transaction, enum amb_urgency urgency,
-                        amb_store_done done, void *arg) {
+static void port_commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
+                        amb_store_callback done, void *arg) {
     struct call *call = call_new(context, COMMIT);
     struct amb_buf body = {0};
     (void)urgency;
     amb_w_map(&body, 2);
     amb_w_str(&body, "guards");
-    amb_w_list(&body, transaction->nguards);
-    amb_buf_add(&body, transaction->guards.data, transaction->guards.len);
+    amb_w_list(&body, transaction->compare_count);
+    amb_buf_add(&body, transaction->compares.data, transaction->compares.len);
     amb_w_str(&body, "then");
-    amb_w_list(&body, transaction->nops);
-    amb_buf_add(&body, transaction->then.data, transaction->then.len);
+    amb_w_list(&body, transaction->operation_count);
+    amb_buf_add(&body, transaction->operations.data, transaction->operations.len);
     call->body = amb_cbor_parse(body.data, body.len);
     amb_buf_free(&body);
-    amb_buf_free(&transaction->guards);
-    amb_buf_free(&transaction->then);
+    amb_buf_free(&transaction->compares);
+    amb_buf_free(&transaction->operations);
     call->kind = kind_of(amb_cbor_at(amb_cbor_get(call->body, "then"), 0));
     call->done = done;
     call->arg = arg;
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -77,7 +77,7 @@
     node->set.cloud_rps = 100;
     node->set.list_lag_s = 5;
     amb_store_init(&node->store, &node->set, 1000);
-    amb_store_share(&node->store, true);
+    amb_store_set_leadership(&node->store, true);
     node->rental.calls.tokens = 100;
     node->rental.catalog_at = now;
     amb_catalog_zone(&node->catalog, "a");
@@ -88,8 +88,8 @@
     node->jobs.fresh_at = node->jobs.fresh_sent_at = now;
     struct amb_election *election = &node->election;
     election->ttl = TTL;
-    election->renewed_at = election->renew_sent_at = now;
-    election->highest = election->holder_stamp = TERM;
+    election->renewed_at = election->renewal_sent_at = now;
+    election->highest_term = election->holder_revision = TERM;
     election->nonce = election->holder_nonce = 1;
     election->key_known = true;
     strcpy(election->holder, "n-0");
@@ -111,9 +111,9 @@
 
 void follow(const char *leader, uint64_t term) {
     struct amb_election *election = &node->election;
-    election->role = AMB_ROLE_FOLLOWING;
+    election->role = AMB_ROLE_FOLLOWER;
     strcpy(election->holder, leader);
-    election->holder_stamp = election->highest = term;
+    election->holder_revision = election->highest_term = term;
 }
 
 /* ---- what the state service answers ---- */
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -39,11 +39,11 @@
     strcpy(node->catalog.types[0].name, "g8");
     node->catalog.types[0].size = (struct amb_res){96, 8, 576};
     node->rental.catalog_known = true;
-    node->election.role = AMB_ROLE_LEADING;
+    node->election.role = AMB_ROLE_LEADER;
     node->election.term = TERM;
     node->election.ttl = 3600000;
     node->election.fence_after = 19000;
-    node->election.shun_for = 10000;
+    node->election.yield_for = 10000;
     node->election.renewed_at = amb_now();
     node->ctl.loaded_at = 1;
     node->ctl.ready = true;
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -274,7 +274,7 @@
     fake_clock_reset();
     forget_records();
     setup(state);
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     node->ctl.ready = false;
     node->ctl.loaded_at = 0;
     strcpy(node->set.member, "n-0");
@@ -310,8 +310,8 @@
 }
 
 void lead(void) {
-    node->election.role = AMB_ROLE_LEADING;
-    node->election.term = node->election.highest = TERM;
+    node->election.role = AMB_ROLE_LEADER;
+    node->election.term = node->election.highest_term = TERM;
     node->election.ttl = 3600000;
     node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
@@ -322,7 +322,7 @@
 
 void stop(void) {
     amb_controller_stop(node, "test");
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
 }
 
 void finish_tasks(char letter) {
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -14,7 +14,7 @@
 
 int begin(void **state) {
     setup(state);
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     node->set.state_rps = 1000;
     node->set.state_write_rps = 1000;
     strcpy(node->set.teams[0].name, "vision");
@@ -49,7 +49,7 @@
     forget_replies();
     amb_timer_stop(&node->jobs.sync_timer);
     amb_timer_stop(&node->jobs.follow_timer);
-    amb_timer_stop(&node->store.pump);
+    amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
 }
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -52,7 +52,7 @@
 static void switch_on(void) {
     amb_options_default(&node->opt);
     node->opt.zone_recovery = 1;
-    node->formats.written = AMB_FORMAT_2;
+    node->formats.recorded = AMB_FORMAT_2;
     amb_zone_recovery_init(node);
     amb_wdrr_prepare(node->set.teams, node->set.nteams, true);
     amb_catalog_zone(&node->catalog, "a");
@@ -321,7 +321,7 @@
     for (int old = 0; old < 2; old++) {
         begin_anew();
         switch_on();
-        node->formats.written = old ? AMB_FORMAT_1 : AMB_FORMAT_2;
+        node->formats.recorded = old ? AMB_FORMAT_1 : AMB_FORMAT_2;
         silent_zone(ZONE_B);
         assert_int_equal(find_call("POST", "/commit") == NULL, old);
     }
