--- a/bench/case_codec.c
+++ b/bench/case_codec.c
@@ -23,7 +23,7 @@
 
 static void decode_report(void *input) {
     const struct amb_buf *body = input;
-    struct amb_report heartbeat;
+    struct amb_agent_heartbeat heartbeat;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
     if (amb_codec_report(item, &heartbeat) != AMB_PARSE_OK) abort();
     amb_report_free(&heartbeat);
@@ -32,7 +32,7 @@
 
 static void *spec_body(const struct world_size *size) {
     struct amb_buf *body = amb_alloc(sizeof *body);
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     world_spec(&spec, size, 0);
     amb_codec_put_spec(body, &spec);
     return body;
@@ -40,7 +40,7 @@
 
 static void decode_spec(void *input) {
     const struct amb_buf *body = input;
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
     if (amb_codec_spec(item, &spec) != AMB_PARSE_OK) abort();
     cbor_decref(&item);
@@ -55,8 +55,8 @@
     amb_w_str(body, "news");
     amb_w_list(body, FOLLOW_CHANGES);
     for (uint32_t i = 0; i < FOLLOW_CHANGES; i++) {
-        struct amb_spec spec;
-        char key[AMB_NAME + 8];
+        struct amb_job_spec spec;
+        char key[AMB_NAME_SIZE + 8];
         world_spec(&spec, size, i);
         snprintf(key, sizeof key, "a/job/%s", spec.ref);
         amb_w_map(body, 3);
@@ -81,7 +81,7 @@
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
     const cbor_item_t *news = amb_cbor_get(item, "news");
     for (size_t i = 0; i < amb_cbor_len(news); i++) {
-        struct amb_spec spec;
+        struct amb_job_spec spec;
         const cbor_item_t *value = amb_cbor_get(amb_cbor_at(news, i), "value");
         if (amb_codec_spec(amb_cbor_get(value, "d"), &spec) != AMB_PARSE_OK) abort();
     }
@@ -89,12 +89,12 @@
 }
 
 static void *some_orders(const struct world_size *size) {
-    struct amb_order *orders = amb_alloc(ORDERS * sizeof *orders);
+    struct amb_agent_command *orders = amb_alloc(ORDERS * sizeof *orders);
     for (uint32_t i = 0; i < ORDERS; i++) {
-        struct amb_spec spec;
+        struct amb_job_spec spec;
         world_spec(&spec, size, i);
-        orders[i].op = i % 2 ? AMB_OP_HALT : AMB_OP_RUN;
-        strcpy(orders[i].ref, spec.ref);
+        orders[i].kind = i % 2 ? AMB_COMMAND_STOP : AMB_COMMAND_RUN;
+        strcpy(orders[i].job_ref, spec.ref);
         orders[i].index = i;
         orders[i].attempt = 1;
     }
--- a/bench/case_follow.c
+++ b/bench/case_follow.c
@@ -16,18 +16,19 @@
 /* The job's record in this state, as a node writes it. */
 static void put_change(struct amb_buf *page, const struct world_size *size, uint32_t number,
                        enum amb_job_state state, uint64_t stamp) {
-    struct amb_spec spec;
-    char key[AMB_NAME + 8];
+    struct amb_job_spec spec;
+    char key[AMB_NAME_SIZE + 8];
     world_spec(&spec, size, number);
-    struct amb_job job = {.spec = &spec, .accepted_wall = 1700000000000, .cancelled_wall = 1700000001000};
-    amb_job_key(key, sizeof key, spec.ref);
+    struct amb_job job = {
+        .spec = &spec, .accepted_wall_ms = 1700000000000, .cancelled_wall_ms = 1700000001000};
+    amb_job_format_key(key, sizeof key, spec.ref);
     amb_w_map(page, 3);
     amb_w_str(page, "put");
     amb_w_str(page, key);
     amb_w_str(page, "stamp");
     amb_w_uint(page, stamp + number);
     amb_w_str(page, "value");
-    amb_job_value(page, &job, state);
+    amb_job_encode_record(page, &job, state);
 }
 
 static struct news *news(const struct world_size *size, uint32_t changes, enum amb_job_state state,
--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -86,7 +86,7 @@
     uint64_t newest = 0;
     a->node = follower(size, 1);
     for (const struct amb_job *job = a->node->jobs.all; job; job = job->hh.next)
-        if (job->cancel_stamp > newest) newest = job->cancel_stamp;
+        if (job->cancel_revision > newest) newest = job->cancel_revision;
     a->question = json_pack("{s:I}", "epoch", (json_int_t)newest - 1);
     return a;
 }
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -10,7 +10,7 @@
 
 struct submitting {
     struct amb_node *node;
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     uint32_t count;
 };
 
@@ -23,7 +23,7 @@
     s->node->election.role = AMB_ROLE_FOLLOWER;
     s->node->election.highest_term = WORLD_TERM;
     s->node->jobs.loaded = true;
-    s->node->set.memory_mb = 4096; /* each run adds a job */
+    s->node->settings.memory_mb = 4096; /* each run adds a job */
     world_spec(&s->spec, size, 0);
     return s;
 }
--- a/bench/case_tick.c
+++ b/bench/case_tick.c
@@ -16,9 +16,9 @@
 
 static void *leader_with_zone_recovery(const struct world_size *size) {
     struct amb_node *node = world_leader(size);
-    node->opt.zone_recovery = 1;
+    node->options.zone_recovery = 1;
     amb_zone_recovery_init(node);
-    node->ctl.leading_since = 0; /* long enough to judge */
+    node->controller.leader_since = 0; /* long enough to judge */
     return node;
 }
 
--- a/bench/world.c
+++ b/bench/world.c
@@ -117,8 +117,8 @@
     return job >= job_count(size) - size->cancelled_jobs;
 }
 
-void world_spec(struct amb_spec *spec, const struct world_size *size, uint32_t job) {
-    static const enum amb_kind kinds[] = {AMB_ARRAY, AMB_GANG, AMB_SERVICE};
+void world_spec(struct amb_job_spec *spec, const struct world_size *size, uint32_t job) {
+    static const enum amb_job_kind kinds[] = {AMB_JOB_KIND_ARRAY, AMB_JOB_KIND_GANG, AMB_JOB_KIND_SERVICE};
     memset(spec, 0, sizeof *spec);
     snprintf(spec->ref, sizeof spec->ref, "wk-%06u", job);
     spec->kind = kinds[job % 3];
@@ -126,20 +126,20 @@
     snprintf(spec->team, sizeof spec->team, "team-%u", job / 3 % 2);
     snprintf(spec->image, sizeof spec->image, "img-%02u", job % size->images);
     spec->image_gb = 10;
-    spec->priority = spec->kind == AMB_SERVICE ? AMB_PROD : AMB_NORMAL;
-    spec->tasks = size->tasks_per_job;
-    spec->each = (struct amb_res){8, 1, 40};
-    spec->estimate_s = spec->kind == AMB_SERVICE ? 0 : 120;
-    spec->checkpoint_s = spec->kind == AMB_SERVICE ? 0 : 30;
-    spec->save_s = 4;
-    spec->spread = spec->kind == AMB_SERVICE;
-    spec->spot = spec->kind != AMB_SERVICE;
-    spec->ntypes = 1;
-    strcpy(spec->types[0], "g8");
+    spec->priority = spec->kind == AMB_JOB_KIND_SERVICE ? AMB_PRIORITY_PRODUCTION : AMB_PRIORITY_NORMAL;
+    spec->task_count = size->tasks_per_job;
+    spec->task_resources = (struct amb_resources){8, 1, 40};
+    spec->estimated_runtime_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : 120;
+    spec->checkpoint_interval_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : 30;
+    spec->checkpoint_save_s = 4;
+    spec->spread_zones = spec->kind == AMB_JOB_KIND_SERVICE;
+    spec->spot_allowed = spec->kind != AMB_JOB_KIND_SERVICE;
+    spec->allowed_type_count = 1;
+    strcpy(spec->allowed_types[0], "g8");
 }
 
-static void machine_name(char out[AMB_NAME], uint32_t machine) {
-    snprintf(out, AMB_NAME, "m-%06u", machine);
+static void machine_name(char out[AMB_NAME_SIZE], uint32_t machine) {
+    snprintf(out, AMB_NAME_SIZE, "m-%06u", machine);
 }
 
 /* Task by task around the machines, so that tasks of a job lie on many. */
@@ -154,14 +154,14 @@
 /* ---- records ---- */
 
 static void put_job_value(struct amb_buf *out, const struct world_size *size, uint32_t job) {
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     world_spec(&spec, size, job);
     if (is_finished(size, job)) {
         amb_w_map(out, 2);
         amb_w_str(out, "s");
         amb_w_str(out, "done");
         amb_w_str(out, "n");
-        amb_w_uint(out, spec.tasks);
+        amb_w_uint(out, spec.task_count);
         return;
     }
     bool cancelled = is_cancelled(size, job);
@@ -181,7 +181,7 @@
 static void put_placement_value(struct amb_buf *out, const struct world_size *size, uint32_t job) {
     struct amb_buf placed = {0};
     for (uint32_t task = 0; task < size->tasks_per_job; task++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         uint32_t machine = machine_of(size, job, task);
         machine_name(name, machine);
         amb_buf_fmt(&placed, "%u,%u,%s,0,%u,0;", task, 1, name, machine % 2);
@@ -208,7 +208,7 @@
 }
 
 static void put_entry(struct amb_buf *out, const struct world_size *size, uint32_t job, bool placement) {
-    char key[AMB_NAME + 16];
+    char key[AMB_NAME_SIZE + 16];
     snprintf(key, sizeof key, placement ? "b/p/wk-%06u/00000" : "a/job/wk-%06u", job);
     amb_w_map(out, 3);
     amb_w_str(out, "path");
@@ -271,7 +271,7 @@
         if (placements)
             amb_record_load(node, key, amb_cbor_get(pair, "value"), stamp);
         else
-            amb_jobs_apply(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_get(pair, "value"), stamp);
+            amb_jobs_apply_item(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_get(pair, "value"), stamp);
     }
     cbor_decref(&body);
 }
@@ -299,7 +299,7 @@
 
 void world_put_report(struct amb_buf *body, const struct world_size *size, uint32_t machine, uint64_t seq,
                       size_t *seq_at) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     machine_name(name, machine);
     amb_w_map(body, 10);
     amb_w_str(body, "rig");
@@ -324,7 +324,7 @@
     amb_w_str(body, "legs");
     amb_w_list(body, tasks_on(size, machine));
     for (uint32_t i = machine; i < size->running_jobs * size->tasks_per_job; i += size->machines) {
-        char task[AMB_NAME];
+        char task[AMB_NAME_SIZE];
         snprintf(task, sizeof task, "wk-%06u/%u", i / size->tasks_per_job, i % size->tasks_per_job);
         amb_w_map(body, 3);
         amb_w_str(body, "leg");
@@ -351,7 +351,7 @@
     }
     settings->nteams = 2;
     for (uint32_t t = 0; t < settings->nteams; t++) {
-        snprintf(settings->teams[t].name, AMB_NAME, "team-%u", t);
+        snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
         settings->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
         settings->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
     }
@@ -372,29 +372,29 @@
 }
 
 static void put_catalog(struct amb_catalog *catalog) {
-    struct amb_type *type = &catalog->types[0];
-    catalog->ntypes = 1;
+    struct amb_machine_type *type = &catalog->types[0];
+    catalog->type_count = 1;
     strcpy(type->name, "g8");
-    type->size = (struct amb_res){96, GPUS_PER_MACHINE, 576};
-    type->cache_gb = 200;
-    type->fetch_gb_s = 5;
-    type->price = 12;
-    type->spot_price = 4.5;
+    type->resources = (struct amb_resources){96, GPUS_PER_MACHINE, 576};
+    type->image_cache_gb = 200;
+    type->image_fetch_gb_per_s = 5;
+    type->hourly_price = 12;
+    type->hourly_spot_price = 4.5;
     type->boot_s = 50;
-    type->nzones = 2;
+    type->zone_count = 2;
     strcpy(type->zones[0], "a");
     strcpy(type->zones[1], "b");
-    amb_catalog_zone(catalog, "a");
-    amb_catalog_zone(catalog, "b");
+    amb_catalog_find_or_add_zone(catalog, "a");
+    amb_catalog_find_or_add_zone(catalog, "b");
 }
 
 struct amb_node *world_node(const struct world_size *size, uint32_t member) {
     struct amb_node *node = bare_node_new();
-    put_settings(&node->set, size, member);
+    put_settings(&node->settings, size, member);
     put_catalog(&node->catalog);
-    node->rental.catalog_known = true;
-    node->ctl.turn_s = amb_settings_beat(&node->set);
-    amb_store_init(&node->store, &node->set, 1000);
+    node->cloud.catalog_known = true;
+    node->controller.tick_interval_s = amb_settings_beat(&node->settings);
+    amb_store_init(&node->store, &node->settings, 1000);
     return node;
 }
 
@@ -408,7 +408,7 @@
 
 /* As after a heartbeat that told all other nodes. */
 static void forget_changes(struct amb_node *node) {
-    for (struct amb_job *job = node->jobs.live; job; job = job->next_live) job->shown_changed = false;
+    for (struct amb_job *job = node->jobs.active; job; job = job->next_active) job->progress_changed = false;
     for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
         machine->images_changed = false;
 }
@@ -421,12 +421,12 @@
     world_apply_placements(node, &placements);
     struct amb_job *job, *next;
     HASH_ITER(hh, node->jobs.all, job, next) {
-        if (job->state == AMB_JOB_QUEUED) amb_job_take(node, job);
+        if (job->state == AMB_JOB_QUEUED) amb_job_activate(node, job);
     }
     node->jobs.loaded = true;
-    node->ctl.loading = false;
-    node->ctl.loaded_at = amb_now();
-    node->ctl.ready = true;
+    node->controller.restoring = false;
+    node->controller.restored_at = amb_now();
+    node->controller.ready = true;
     for (uint32_t machine = 0; machine < size->machines; machine++) {
         struct amb_buf body = {0};
         world_put_report(&body, size, machine, 1, NULL);
--- a/bench/world.h
+++ b/bench/world.h
@@ -43,7 +43,7 @@
 /* A machine's report. `seq_at` is the place of its eight-byte sequence number within the body. */
 void world_put_report(struct amb_buf *body, const struct world_size *size, uint32_t machine, uint64_t seq,
                       size_t *seq_at);
-void world_spec(struct amb_spec *spec, const struct world_size *size, uint32_t job);
+void world_spec(struct amb_job_spec *spec, const struct world_size *size, uint32_t job);
 
 /* What a node under test has opened and answered last (the network's place is taken by world.c). */
 struct world_server {
--- a/include/amberpin/agent/liveness.h
+++ b/include/amberpin/agent/liveness.h
@@ -15,9 +15,9 @@
     bool forgetting;                     /* there were more than are kept */
     uint32_t numbered;                   /* machines that were ever added */
     uint64_t reports_read; /* tells the tasks that a report lists from the rest (heartbeats.c) */
-    enum amb_zone_reach reach[AMB_ZONES]; /* (zone_silence.h) */
-    amb_ms out_of_reach_at[AMB_ZONES];    /* when the zone was last not reached; 0: never */
-    amb_ms last_report_at;                /* when a worker last reported to this node, whatever it was told */
+    enum amb_zone_reach reach[AMB_ZONES_MAX]; /* (zone_silence.h) */
+    amb_ms out_of_reach_at[AMB_ZONES_MAX];    /* when the zone was last not reached; 0: never */
+    amb_ms last_report_at; /* when a worker last reported to this node, whatever it was told */
 };
 
 void amb_fleet_tick(struct amb_node *node, amb_ms now);
--- a/include/amberpin/api/admission.h
+++ b/include/amberpin/api/admission.h
@@ -15,11 +15,11 @@
     AMB_MALFORMED,  /* no description of a job */
 };
 
-enum amb_admission amb_job_admission(struct amb_node *node, const struct amb_spec *spec);
+enum amb_admission amb_job_admission(struct amb_node *node, const struct amb_job_spec *spec);
 /* Can the job be kept, also once it is cancelled and the limits of the state service are lowered? A record
  * that is too large would be refused for ever, and its user told to come back. */
 enum amb_admission amb_record_admission(const struct amb_node *node, const struct amb_job *job);
 /* Can a job that awaits these ever start, as far as this node knows of them? NULL: it awaits none. */
-enum amb_admission amb_awaits_admission(struct amb_node *node, const struct amb_awaits *awaits);
+enum amb_admission amb_awaits_admission(struct amb_node *node, const struct amb_job_dependencies *awaits);
 
 #endif
--- a/include/amberpin/cloud/cloud.h
+++ b/include/amberpin/cloud/cloud.h
@@ -41,13 +41,13 @@
     uint64_t counter;
     uint64_t list_pass;
     bool listed; /* the cloud has listed its machines to the end since this node leads */
-    char list_after[AMB_NAME];
+    char list_after[AMB_NAME_SIZE];
     bool list_page_due;     /* the listing under way goes on from there, once a call may be made */
     uint32_t list_failures; /* in a row, of the page that is due */
     amb_ms list_retry_at, page_asked_at;
     uint32_t list_pages; /* of the listing under way, or of the last */
-    struct amb_refusal refused[AMB_TYPES][AMB_ZONES][2];
-    char release_names[AMB_RELEASE_MAX][AMB_NAME];
+    struct amb_refusal refused[AMB_MACHINE_TYPES_MAX][AMB_ZONES_MAX][2];
+    char release_names[AMB_RELEASE_MAX][AMB_NAME_SIZE];
     uint32_t nrelease; /* to be returned together: recorded, then asked for until it is answered */
     struct amb_return_record return_record;
 };
--- a/include/amberpin/codec/fields.h
+++ b/include/amberpin/codec/fields.h
@@ -16,7 +16,7 @@
 const char *amb_word_text(const struct amb_word *words, int value);
 
 bool amb_name_plain(const char *name); /* may it stand in logs and records? */
-bool amb_field_name(const cbor_item_t *map, const char *key, char out[AMB_NAME]);
+bool amb_field_name(const cbor_item_t *map, const char *key, char out[AMB_NAME_SIZE]);
 bool amb_field_amount(const cbor_item_t *map, const char *key, double *out);
 
 void amb_put_amount(struct amb_buf *out, const char *key, double amount);
--- a/include/amberpin/codec/placement_block.h
+++ b/include/amberpin/codec/placement_block.h
@@ -10,27 +10,27 @@
 
 #include "amberpin/model/model.h"
 
-enum { AMB_BLOCK_KEY = AMB_NAME + 32 };
+enum { AMB_BLOCK_KEY = AMB_NAME_SIZE + 32 };
 
 /* How many tasks a block holds for values of this size. */
-uint32_t amb_layout_tasks_per_block(enum amb_layout layout, double value_kb);
+uint32_t amb_layout_tasks_per_block(enum amb_block_layout layout, double value_kb);
 /* The tasks that a block holds, of a job with so many. */
-struct amb_task_range amb_layout_range(struct amb_block_id id, uint32_t tasks);
+struct amb_task_range amb_layout_range(struct amb_placement_block_id id, uint32_t tasks);
 
-void amb_layout_key(char out[AMB_BLOCK_KEY], const char *ref, struct amb_block_id id);
+void amb_layout_key(char out[AMB_BLOCK_KEY], const char *ref, struct amb_placement_block_id id);
 /* False: not the key of a block. tasks_per_block is 0 where the key does not say it. */
-bool amb_layout_parse_key(const char *key, char ref[AMB_NAME], struct amb_block_id *id);
+bool amb_layout_parse_key(const char *key, char ref[AMB_NAME_SIZE], struct amb_placement_block_id *id);
 
 /* Does `a` count, and not `b`, for the tasks that both hold? Keys are ordered so that it also comes first in
  * a listing. */
-bool amb_layout_precedes(struct amb_block_id a, struct amb_block_id b);
+bool amb_layout_precedes(struct amb_placement_block_id a, struct amb_placement_block_id b);
 
 /* ---- values ---- */
 
 struct amb_placement { /* a task on a machine; type and zone as numbers in the value's own lists */
     uint32_t task;
     uint64_t attempt;
-    char machine[AMB_NAME];
+    char machine[AMB_NAME_SIZE];
     int type, zone;
     bool spot;
 };
--- a/include/amberpin/config/settings.h
+++ b/include/amberpin/config/settings.h
@@ -7,22 +7,22 @@
 enum { AMB_PEERS = 16, AMB_TEAMS = 256, AMB_OBJECTIVES = 64 };
 
 struct amb_peer_addr {
-    char member[AMB_NAME], addr[AMB_NAME];
+    char member[AMB_NAME_SIZE], addr[AMB_NAME_SIZE];
 };
 
 struct amb_objective {
-    char kind[24], class_name[AMB_NAME];
+    char kind[24], class_name[AMB_NAME_SIZE];
     double within_s, share;
 };
 
 struct amb_settings {
-    char member[AMB_NAME], zone[AMB_NAME], front[AMB_NAME], peer_listen[AMB_NAME];
-    char cloud[AMB_NAME], state[AMB_NAME];
+    char member[AMB_NAME_SIZE], zone[AMB_NAME_SIZE], front[AMB_NAME_SIZE], peer_listen[AMB_NAME_SIZE];
+    char cloud[AMB_NAME_SIZE], state[AMB_NAME_SIZE];
     uint32_t npeers, nteams, nobjectives, nzones;
     struct amb_peer_addr peers[AMB_PEERS];
     struct amb_team teams[AMB_TEAMS];
     struct amb_objective objectives[AMB_OBJECTIVES];
-    char zones[AMB_ZONES][AMB_NAME];
+    char zones[AMB_ZONES_MAX][AMB_NAME_SIZE];
     double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
     double state_rps, state_write_rps, value_kb, txn_ops;
     struct amb_state_limits {
--- a/include/amberpin/duty/assignment.h
+++ b/include/amberpin/duty/assignment.h
@@ -7,7 +7,7 @@
 
 /* A member as this one knows it. */
 struct amb_duty_member {
-    char name[AMB_NAME]; /* empty: the place is free */
+    char name[AMB_NAME_SIZE]; /* empty: the place is free */
     bool alive;
     uint64_t session; /* stamp of its key; meaningful while alive */
     uint64_t nonce;
--- a/include/amberpin/duty/core.h
+++ b/include/amberpin/duty/core.h
@@ -44,7 +44,7 @@
     /* planned handover */
     amb_ms drain_by;
     bool release_sent; /* the release may have been carried out: the cloud must not be called any more */
-    char successor[AMB_NAME];
+    char successor[AMB_NAME_SIZE];
     char cause[AMB_DUTY_CAUSE_LENGTH];
     uint64_t handovers; /* changes of holder seen */
     uint64_t stale;     /* calls that the cloud refused as stale */
@@ -73,7 +73,7 @@
 
 struct amb_duty_core {
     struct amb_duty_settings settings;
-    char member[AMB_NAME];
+    char member[AMB_NAME_SIZE];
     uint64_t random; /* state of the generator for jitter and nonces */
     uint64_t calls;  /* number of the last call */
     struct amb_duty_session session;
@@ -109,7 +109,7 @@
     struct amb_duty_member_record member;
     struct amb_duty_record record;
     struct amb_duty_order_record order;
-    char successor[AMB_NAME];
+    char successor[AMB_NAME_SIZE];
     const char *cause;
 };
 
--- a/include/amberpin/duty/record_codec.h
+++ b/include/amberpin/duty/record_codec.h
@@ -22,14 +22,14 @@
 
 /* What an order asks for, and what came of it. */
 struct amb_duty_work {
-    char type[AMB_NAME], zone[AMB_NAME]; /* rent */
+    char type[AMB_NAME_SIZE], zone[AMB_NAME_SIZE]; /* rent */
     bool spot;
     uint32_t count;
     char reason[AMB_DUTY_REASON]; /* return and reclaim */
     int64_t ordered_wall;         /* time of day at which the leader wrote it */
     /* Return and reclaim: the machines to be returned. Rent: those rented, once it is settled. */
     uint32_t machine_count;
-    char (*machines)[AMB_NAME]; /* allocated; NULL: none */
+    char (*machines)[AMB_NAME_SIZE]; /* allocated; NULL: none */
 };
 
 void amb_duty_work_free(struct amb_duty_work *work);
@@ -50,7 +50,7 @@
 /* An operator's wish to have a duty handed over: `a/duty-handover/NAME`. It concerns the holder at the time
  * at which it was written; a later claim ends it. */
 struct amb_duty_handover {
-    char successor[AMB_NAME]; /* empty: nobody in particular */
+    char successor[AMB_NAME_SIZE]; /* empty: nobody in particular */
 };
 
 void amb_duty_encode_member(struct amb_buf *out, const struct amb_duty_member_record *member);
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -61,7 +61,7 @@
 /* A change of a duty's holder, as far as this member has heard. */
 struct amb_duty_handover_seen {
     enum amb_duty_name duty;
-    char from[AMB_NAME], to[AMB_NAME];
+    char from[AMB_NAME_SIZE], to[AMB_NAME_SIZE];
     uint64_t token;
     char cause[AMB_DUTY_CAUSE_LENGTH];
     amb_ms at;
@@ -96,7 +96,7 @@
     const char *listing_prefix;
     char listing_after[256];
     bool record_listed[AMB_DUTY_NAMES];
-    char listed_members[AMB_DUTY_MEMBERS][AMB_NAME];
+    char listed_members[AMB_DUTY_MEMBERS][AMB_NAME_SIZE];
     uint32_t listed_member_count;
     amb_ms listing_retry_at;
     /* Events that wait while the core's output is being carried out. */
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -34,7 +34,7 @@
  * life of one lease), so its stamp names the session. */
 struct amb_duty_member_record {
     bool present;
-    char member[AMB_NAME];
+    char member[AMB_NAME_SIZE];
     uint64_t nonce; /* drawn by the member for this session */
     uint64_t stamp; /* of the key; if it is not present, the revision at which it was seen to be absent */
 };
@@ -45,11 +45,11 @@
 struct amb_duty_record {
     bool present;
     enum amb_duty_record_state state;
-    char holder[AMB_NAME];
-    uint64_t holder_session;  /* stamp of the holder's member key when it claimed */
-    uint64_t token;           /* one higher at every claim; never falls */
-    uint64_t nonce;           /* of the claim, so that its author knows it again */
-    char successor[AMB_NAME]; /* released: who should claim first; empty: nobody in particular */
+    char holder[AMB_NAME_SIZE];
+    uint64_t holder_session;       /* stamp of the holder's member key when it claimed */
+    uint64_t token;                /* one higher at every claim; never falls */
+    uint64_t nonce;                /* of the claim, so that its author knows it again */
+    char successor[AMB_NAME_SIZE]; /* released: who should claim first; empty: nobody in particular */
     char cause[AMB_DUTY_CAUSE_LENGTH];
     uint64_t stamp; /* of the key; not part of its value */
 };
--- a/include/amberpin/election/lease_proxy.h
+++ b/include/amberpin/election/lease_proxy.h
@@ -23,13 +23,13 @@
     bool renewal_pending;
     /* As the leader sees others: when a deputy of a zone was last known of. */
     struct {
-        char member[AMB_NAME];
+        char member[AMB_NAME_SIZE];
         int zone;
         uint64_t stamp;
         bool present, seen;
     } known[AMB_PEERS + 1];
     uint32_t known_count;
-    amb_ms zone_covered_at[AMB_ZONES];
+    amb_ms zone_covered_at[AMB_ZONES_MAX];
 };
 
 void amb_lease_proxy_tick(struct amb_node *node, amb_ms now);
@@ -39,7 +39,7 @@
 void amb_lease_proxy_apply_key(struct amb_node *node, const char *member, const cbor_item_t *value,
                                uint64_t revision);
 /* May this node answer the report as a deputy? */
-bool amb_lease_proxy_may_answer(const struct amb_node *node, const struct amb_report *heartbeat);
+bool amb_lease_proxy_may_answer(const struct amb_node *node, const struct amb_agent_heartbeat *heartbeat);
 /* May somebody else be answering machines of this zone under our token? */
 bool amb_lease_proxy_is_active_in_zone(const struct amb_node *node, int zone);
 
--- a/include/amberpin/election/state_machine.h
+++ b/include/amberpin/election/state_machine.h
@@ -21,10 +21,10 @@
 /* The state. Read it freely; only amb_election_step changes it. */
 struct amb_election {
     /* settings */
-    char member[AMB_NAME]; /* this node */
-    amb_ms ttl;            /* of the leadership lease */
-    amb_ms fence_after;    /* without news or the peers' word (the ttl, if that is more) */
-    amb_ms yield_for;      /* after giving the lead up because no worker comes: others first */
+    char member[AMB_NAME_SIZE]; /* this node */
+    amb_ms ttl;                 /* of the leadership lease */
+    amb_ms fence_after;         /* without news or the peers' word (the ttl, if that is more) */
+    amb_ms yield_for;           /* after giving the lead up because no worker comes: others first */
     /* role */
     enum amb_election_role role;
     uint64_t term;         /* ours, while leading, unsure or fenced */
@@ -38,14 +38,14 @@
     amb_ms renewed_at, renewal_sent_at;
     /* the leader key, as last known */
     bool key_known;
-    char holder[AMB_NAME]; /* member named by the key; empty: none */
+    char holder[AMB_NAME_SIZE]; /* member named by the key; empty: none */
     uint64_t holder_revision, holder_nonce;
     amb_ms vacant_since, yield_until;
 };
 
 struct amb_election_apply_key { /* the leader key as read, or as news tell of it */
     bool present;
-    char member[AMB_NAME];
+    char member[AMB_NAME_SIZE];
     uint64_t nonce, revision;
 };
 
--- a/include/amberpin/fleet/agent_commands.h
+++ b/include/amberpin/fleet/agent_commands.h
@@ -11,13 +11,13 @@
 enum { AMB_ORDERS_MAX = 256 /* in an answer */ };
 
 struct amb_orders {
-    struct amb_order *list;
+    struct amb_agent_command *list;
     size_t capacity, count;
 };
 
 /* Nothing is added to a full list: the rest goes out with the next report. */
-void amb_orders_add(struct amb_orders *orders, enum amb_op op, const char *ref, uint32_t index,
-                    uint64_t attempt, double grace_s);
+void amb_orders_add(struct amb_orders *orders, enum amb_agent_command_kind op, const char *ref,
+                    uint32_t index, uint64_t attempt, double grace_s);
 /* The task's start, if it may be ordered: in the answer to its machine's latest report. */
 void amb_orders_add_start(struct amb_node *node, struct amb_task *task, struct amb_orders *orders);
 /* Is every placement of the gang's attempt durable? None of its tasks may start before. */
--- a/include/amberpin/job/cancellation_notice.h
+++ b/include/amberpin/job/cancellation_notice.h
@@ -11,13 +11,13 @@
 struct json_t;
 
 /* This node is about to write the job's cancellation. */
-void amb_cancel_notice_pending(struct amb_node *node, struct amb_job *job);
+void amb_cancellation_notice_send_pending(struct amb_node *node, struct amb_job *job);
 /* This node is about to tell a user that the job is cancelled. */
-void amb_cancel_notice_told(struct amb_node *node, struct amb_job *job);
+void amb_cancellation_notice_send_cancelled(struct amb_node *node, struct amb_job *job);
 /* A notice of another node; false: it is malformed. */
-bool amb_cancel_notice_received(struct amb_node *node, const struct json_t *notice);
+bool amb_cancellation_notice_receive(struct amb_node *node, const struct json_t *notice);
 /* May a cancellation of the job be written of which this node's news can't tell yet? Then none of its tasks
  * should be started. */
-bool amb_cancel_is_pending(const struct amb_node *node, const struct amb_job *job);
+bool amb_cancellation_is_pending(const struct amb_node *node, const struct amb_job *job);
 
 #endif
--- a/include/amberpin/job/cancellations.h
+++ b/include/amberpin/job/cancellations.h
@@ -18,21 +18,21 @@
 };
 
 struct amb_cancellations {
-    uint64_t changes;                      /* counts whatever becomes known of any */
-    struct amb_cancellation_list by_stamp; /* of the cancellation in the state service */
-    struct amb_cancellation_list by_wall;  /* the time of day at which it was asked for */
+    uint64_t change_count;                    /* counts whatever becomes known of any */
+    struct amb_cancellation_list by_revision; /* of the cancellation in the state service */
+    struct amb_cancellation_list by_wall_ms;  /* the time of day at which it was asked for */
     struct amb_cancellation_list
-        described; /* by when this node heard of it; jobs that still may have tasks */
+        with_spec; /* by when this node heard of it; jobs that still may have tasks */
 };
 
 /* The job is cancelled, or more has become known of its cancellation. */
-void amb_cancellation_note(struct amb_node *node, struct amb_job *job);
+void amb_cancellations_update(struct amb_node *node, struct amb_job *job);
 
 /* The first entry with a key above this one; `count` when there is none. */
-size_t amb_cancellations_after(const struct amb_cancellation_list *list, int64_t key);
+size_t amb_cancellations_find_after(const struct amb_cancellation_list *list, int64_t key);
 
 /* Frees the descriptions of jobs whose tasks are all proven to be gone by now (docs/memory.md). */
-void amb_cancellations_drop_descriptions(struct amb_node *node, amb_ms now);
+void amb_cancellations_drop_specs(struct amb_node *node, amb_ms now);
 
 void amb_cancellations_free(struct amb_cancellations *cancellations);
 
--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -12,47 +12,48 @@
 struct amb_sync;
 
 struct amb_jobs {
-    struct amb_job *all;  /* by ref */
-    size_t described;     /* of these, jobs whose description is held */
-    struct amb_job *live; /* in the leader's care */
-    size_t task_count;    /* of these */
-    bool left_out;        /* some jobs are not among them for want of memory */
-    bool room_made;       /* a job has left since */
+    struct amb_job *all;      /* by ref */
+    size_t spec_count;        /* of these, jobs whose description is held */
+    struct amb_job *active;   /* in the leader's care */
+    size_t active_task_count; /* of these */
+    bool has_unadmitted;      /* some jobs are not among them for want of memory */
+    bool memory_freed;        /* a job has left since */
     struct amb_cancellations cancellations;
     /* The change feed's: */
     bool loaded;
-    uint64_t epoch;       /* everything below a/ up to here is known */
-    amb_ms fresh_at;      /* when news last came */
-    amb_ms fresh_sent_at; /* when the question was sent whose answer came last */
-    amb_ms sync_sent_at, follow_sent_at;
-    struct amb_sync *waiting, *asked;
-    bool syncing, following, listing;
-    struct amb_timer follow_timer, sync_timer;
-    char list_after[256];
-    uint64_t list_epoch;
-    bool leader_listed; /* a page of the listing has named the leader key */
+    uint64_t known_revision;  /* everything below a/ up to here is known */
+    amb_ms last_read_at;      /* when news last came */
+    amb_ms last_read_sent_at; /* when the question was sent whose answer came last */
+    amb_ms sync_sent_at, watch_sent_at;
+    struct amb_sync *queued_syncs, *sent_syncs;
+    bool sync_in_flight, watch_in_flight, list_in_flight;
+    struct amb_timer watch_timer, sync_timer;
+    char list_cursor[256];
+    uint64_t list_revision;
+    bool leader_key_listed; /* a page of the listing has named the leader key */
 };
 
 struct amb_job *amb_job_find(struct amb_node *node, const char *ref); /* NULL: never heard of */
-void amb_job_key(char *out, size_t cap, const char *ref);
+void amb_job_format_key(char *out, size_t cap, const char *ref);
 /* The job's value in the state service, if it were in this state. */
-void amb_job_value(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state);
+void amb_job_encode_record(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state);
 /* News of a job: its value and the stamp of its change. */
-void amb_jobs_apply(struct amb_node *node, const char *ref, const cbor_item_t *value, uint64_t stamp);
+void amb_jobs_apply_item(struct amb_node *node, const char *ref, const cbor_item_t *value, uint64_t revision);
 /* The same with the value's CBOR (NULL: none), of which only what is news is decoded. */
-void amb_jobs_apply_bytes(struct amb_node *node, const char *ref, const void *value, size_t len,
-                          uint64_t stamp);
+void amb_jobs_apply_bytes(struct amb_node *node, const char *ref, const void *value, size_t value_len,
+                          uint64_t revision);
 /* This node has written the job in this state: as if news had come of it. */
-void amb_job_written(struct amb_node *node, const struct amb_job *job, enum amb_job_state state,
-                     uint64_t stamp);
+void amb_job_apply_own_write(struct amb_node *node, const struct amb_job *job, enum amb_job_state state,
+                             uint64_t revision);
 /* Nothing keeps the job from starting any more: the leader takes it into its care. */
-void amb_job_can_start(struct amb_node *node, struct amb_job *job);
+void amb_job_handle_ready(struct amb_node *node, struct amb_job *job);
 /* The job awaits another that is cancelled, directly or through others, and so is cancelled without a record
  * of its own, under the stamp and time of that cancellation. */
-void amb_job_cancelled_with(struct amb_node *node, struct amb_job *job, const struct amb_job *cause);
+void amb_job_cancel_with_dependency(struct amb_node *node, struct amb_job *job, const struct amb_job *cause);
 /* This node has written the job's cancellation. */
-void amb_job_cancelled(struct amb_node *node, struct amb_job *job, uint64_t stamp);
+void amb_job_apply_own_cancellation(struct amb_node *node, struct amb_job *job, uint64_t revision);
 /* Another node has told of a cancellation, written under this stamp: final, though news may not reach us. */
-void amb_job_cancel_hint(struct amb_node *node, const char *ref, int64_t wall, uint64_t stamp);
+void amb_job_apply_cancel_hint(struct amb_node *node, const char *ref, int64_t cancelled_wall_ms,
+                               uint64_t revision);
 
 #endif
--- a/include/amberpin/job/pipelines.h
+++ b/include/amberpin/job/pipelines.h
@@ -10,32 +10,33 @@
 struct amb_node;
 
 struct amb_pipelines {
-    struct amb_dependencies graph;
+    struct amb_dependency_graph graph;
 };
 
 /* News of a queued job that awaits others. It may turn out to be cancelled. */
-void amb_pipeline_accepted(struct amb_node *node, struct amb_job *job);
+void amb_pipeline_add_job(struct amb_node *node, struct amb_job *job);
 /* The job is done, or cancelled by its own record. */
-void amb_pipeline_over(struct amb_node *node, const struct amb_job *job);
+void amb_pipeline_remove_final(struct amb_node *node, const struct amb_job *job);
 /* Brings `needed` and `late` of the jobs in care up to date. */
-void amb_pipelines_reckon(struct amb_node *node);
+void amb_pipelines_update_priorities(struct amb_node *node);
 void amb_pipelines_clear(struct amb_node *node);
 
 /* The job's own priority or, if its pipeline is late or has no due time, that of the most urgent job that
  * needs it. */
-static inline enum amb_priority amb_job_priority(const struct amb_job *job) {
+static inline enum amb_priority amb_job_get_effective_priority(const struct amb_job *job) {
     enum amb_priority own = job->spec->priority;
-    return job->late && job->needed.priority > own ? job->needed.priority : own;
+    return job->pipeline_late && job->inherited_priority.priority > own ? job->inherited_priority.priority
+                                                                        : own;
 }
 /* The time of day since which the job could run: its submission, or the end of the last job that it awaited.
  */
-int64_t amb_job_ready_wall(const struct amb_job *job);
+int64_t amb_job_ready_wall_ms(const struct amb_job *job);
 /* When it should be complete, for its own sake or for that of jobs that need it; AMB_NO_DUE: whenever. */
-int64_t amb_job_due_wall(const struct amb_job *job);
+int64_t amb_job_due_wall_ms(const struct amb_job *job);
 /* The time of day by which it is ordered among jobs of its priority: since when it could run or, in a
  * pipeline, when it has to start at the latest, if that is earlier. */
-int64_t amb_job_order_wall(const struct amb_job *job);
+int64_t amb_job_order_wall_ms(const struct amb_job *job);
 /* How long its tasks are reckoned to take, on the careful side. */
-double amb_spec_work_s(const struct amb_spec *spec);
+double amb_job_spec_work_s(const struct amb_job_spec *spec);
 
 #endif
--- a/include/amberpin/kvstore/client.h
+++ b/include/amberpin/kvstore/client.h
@@ -50,7 +50,7 @@
 
 struct amb_store_request;
 struct amb_store {
-    char address[AMB_NAME];
+    char address[AMB_NAME_SIZE];
     struct amb_token_bucket request_bucket, write_bucket;
     struct amb_token_bucket
         user_write_bucket;        /* shared by all nodes: each counts what the others are seen to write */
--- a/include/amberpin/node/events.h
+++ b/include/amberpin/node/events.h
@@ -12,24 +12,24 @@
 struct amb_task;
 
 enum amb_event_type {
-    AMB_EVENT_LEAD_WON,
-    AMB_EVENT_LEAD_LOST,        /* cause: why */
-    AMB_EVENT_JOB_KNOWN,        /* job: first heard of, and awaits no other */
-    AMB_EVENT_JOB_AWAITS,       /* job: it is accepted, and awaits others */
-    AMB_EVENT_JOB_OVER,         /* job: it is done, or cancelled by its own record */
-    AMB_EVENT_TASK_RECORDED,    /* task: its placement is on record, it may be told to start */
-    AMB_EVENT_MACHINE_KNOWN,    /* machine: added to the leader's table */
-    AMB_EVENT_MACHINE_GONE,     /* machine: it and all on it are no more, by this proof; it is freed */
-    AMB_EVENT_DUTY_KEY_CHANGED, /* change: of a key of single-holder duties */
-    AMB_EVENT_STORE_LISTED,     /* every key of the state service that nodes watch has been listed */
-    AMB_EVENT_ROUND_WANTED,     /* something changed that the leader's round should look at */
+    AMB_EVENT_LEADERSHIP_GAINED,
+    AMB_EVENT_LEADERSHIP_LOST,      /* cause: why */
+    AMB_EVENT_JOB_READY,            /* job: first heard of, and awaits no other */
+    AMB_EVENT_JOB_HAS_DEPENDENCIES, /* job: it is accepted, and awaits others */
+    AMB_EVENT_JOB_FINAL,            /* job: it is done, or cancelled by its own record */
+    AMB_EVENT_PLACEMENT_DURABLE,    /* task: its placement is on record, it may be told to start */
+    AMB_EVENT_MACHINE_ADDED,        /* machine: added to the leader's table */
+    AMB_EVENT_MACHINE_REMOVED,      /* machine: it and all on it are no more, by this proof; it is freed */
+    AMB_EVENT_DUTY_KEY_CHANGED,     /* change: of a key of single-holder duties */
+    AMB_EVENT_STORE_LISTED,         /* every key of the state service that nodes watch has been listed */
+    AMB_EVENT_CYCLE_REQUESTED,      /* something changed that the leader's round should look at */
 };
 
 /* A key of the state service as it now stands. Borrowed: valid while the event is handled. */
 struct amb_key_change {
     const char *key;
     const struct cbor_item_t *value; /* NULL: the key is gone */
-    uint64_t stamp;
+    uint64_t revision;
 };
 
 struct amb_event {
@@ -45,7 +45,7 @@
 typedef void (*amb_event_handler)(struct amb_node *node, const struct amb_event *event);
 
 void amb_event_post(struct amb_node *node, const struct amb_event *event);
-/* Posts AMB_EVENT_ROUND_WANTED. */
-void amb_controller_wake(struct amb_node *node);
+/* Posts AMB_EVENT_CYCLE_REQUESTED. */
+void amb_node_request_cycle(struct amb_node *node);
 
 #endif
--- a/include/amberpin/node/fleet_capacity.h
+++ b/include/amberpin/node/fleet_capacity.h
@@ -7,9 +7,9 @@
 
 /* Connections that others may have open to this node: workers, all of which may come to one node, and users.
  */
-int amb_capacity_incoming(const struct amb_settings *settings);
+int amb_capacity_max_incoming(const struct amb_settings *settings);
 /* Connections that this node may have open to others. */
-int amb_capacity_outgoing(const struct amb_settings *settings);
+int amb_capacity_max_outgoing(const struct amb_settings *settings);
 /* Does the quota hold the fleet that the operators name (fleet-machines)? Yes if they name none. False: err
  * names the setting, its value and what is needed. */
 bool amb_capacity_check(const struct amb_settings *settings, const struct amb_options *options,
--- a/include/amberpin/node/memory_budget.h
+++ b/include/amberpin/node/memory_budget.h
@@ -10,26 +10,26 @@
 struct amb_settings;
 
 /* Tasks that the leader cares for at a time. Jobs beyond that are accepted, and wait for room. */
-size_t amb_memory_tasks(const struct amb_settings *settings);
+size_t amb_memory_max_tasks(const struct amb_settings *settings);
 /* Tasks of the largest job that is accepted: it has to fit even when it is cared for alone. */
-size_t amb_memory_tasks_of_one_job(const struct amb_settings *settings);
+size_t amb_memory_max_tasks_of_one_job(const struct amb_settings *settings);
 /* What the table of all jobs may take, in bytes, and what it takes now. */
-size_t amb_memory_job_table(const struct amb_settings *settings);
-size_t amb_memory_job_table_used(const struct amb_node *node);
+size_t amb_memory_job_table_bytes(const struct amb_settings *settings);
+size_t amb_memory_job_table_used_bytes(const struct amb_node *node);
 
 /* Bytes of an answer that a node reads at most: whole pages of the state service, or an eighth of the quota.
  */
-size_t amb_memory_answer(const struct amb_settings *settings);
+size_t amb_memory_max_response_bytes(const struct amb_settings *settings);
 /* Bytes of a peer's message that is kept to be recognised when it comes again. */
-size_t amb_memory_peer_message(const struct amb_settings *settings);
+size_t amb_memory_max_peer_message_bytes(const struct amb_settings *settings);
 /* Bytes for the names of machines that are gone, the latest of which are kept. */
-size_t amb_memory_removed_machines(const struct amb_settings *settings);
+size_t amb_memory_removed_machines_bytes(const struct amb_settings *settings);
 /* Machines for which there is room: each with its place in the leader's table, its connection, and what other
  * nodes have said of it. */
-size_t amb_memory_machines(const struct amb_settings *settings);
+size_t amb_memory_max_machines(const struct amb_settings *settings);
 
 /* Whether there is room for one job more, as its user describes it. */
-bool amb_memory_holds(const struct amb_node *node, const struct amb_spec *spec);
+bool amb_memory_has_room_for_job(const struct amb_node *node, const struct amb_job_spec *spec);
 
 /* Frees the description of a draft, which is not in the table. */
 void amb_job_free_spec(struct amb_job *job);
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -26,35 +26,35 @@
 
 /* ---- controller: wires them; the leader's round ---- */
 
-enum { AMB_DEMAND_IMAGES = 6 };
+enum { AMB_DEMAND_IMAGES_MAX = 6 };
 
 struct amb_demand { /* what a class of jobs has asked for lately */
-    char class_name[AMB_NAME];
-    struct amb_spec last;
-    double rate;  /* tasks a second, decayed */
-    double size2; /* mean square of a job's tasks */
-    uint32_t nimages;
-    char images[AMB_DEMAND_IMAGES][AMB_NAME]; /* those asked for, latest first */
-    amb_ms at;
+    char class_name[AMB_NAME_SIZE];
+    struct amb_job_spec last_spec;
+    double tasks_per_s;       /* tasks a second, decayed */
+    double mean_square_tasks; /* mean square of a job's tasks */
+    uint32_t image_count;
+    char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* those asked for, latest first */
+    amb_ms updated_at;
 };
 
-enum { AMB_DEMANDS = 32 };
+enum { AMB_DEMANDS_MAX = 32 };
 
 struct amb_controller {
-    bool loading, ready, load_synced, load_busy;
-    amb_ms load_at, round_at;
-    amb_ms leading_since, loaded_at;
-    char load_after[256];
-    uint64_t load_term;
-    bool round_wanted;
-    uint32_t turn; /* whose turn comes first */
-    double turn_s; /* what the leader's turns are measured in (amb_settings_beat) */
-    struct amb_timer timer, round_timer;
+    bool restoring, ready, restore_synced, restore_in_flight;
+    amb_ms restore_sent_at, cycle_at;
+    amb_ms leader_since, restored_at;
+    char restore_cursor[256];
+    uint64_t restore_term;
+    bool cycle_requested;
+    uint32_t team_cursor;   /* whose turn comes first */
+    double tick_interval_s; /* what the leader's turns are measured in (amb_settings_beat) */
+    struct amb_timer timer, cycle_timer;
     amb_ms ticked_at; /* this node's last turn, leader or not */
-    uint32_t ndemands;
-    struct amb_demand demands[AMB_DEMANDS];
+    uint32_t demand_count;
+    struct amb_demand demands[AMB_DEMANDS_MAX];
     amb_ms plan_at;
-    struct amb_res peak; /* what jobs took and waited for lately, fading */
+    struct amb_resources peak_usage; /* what jobs took and waited for lately, fading */
     amb_ms peak_at;
 };
 
@@ -64,23 +64,23 @@
 void amb_controller_stop(struct amb_node *node, const char *cause);
 
 struct amb_node {
-    struct amb_settings set;
-    struct amb_options opt;
+    struct amb_settings settings;
+    struct amb_options options;
     struct amb_catalog catalog;
     struct amb_store store;
     struct amb_election election;
     struct amb_timer election_timer;
-    struct amb_lease_proxy deputy;
+    struct amb_lease_proxy lease_proxy;
     struct amb_jobs jobs;
     struct amb_pipelines pipelines;
     struct amb_fleet fleet;
-    struct amb_rental rental;
+    struct amb_rental cloud;
     struct amb_peers peers;
     struct amb_format_negotiation formats;
     struct amb_duties duties;
     struct amb_zone_recovery zone_recovery;
-    struct amb_controller ctl;
-    struct amb_server *front, *side;
+    struct amb_controller controller;
+    struct amb_server *public_server, *peer_server;
     amb_event_handler on_event;
 };
 
--- a/include/amberpin/peer/peers.h
+++ b/include/amberpin/peer/peers.h
@@ -31,7 +31,7 @@
 };
 
 struct amb_peer {
-    char member[AMB_NAME], addr[AMB_NAME];
+    char member[AMB_NAME_SIZE], addr[AMB_NAME_SIZE];
     amb_ms heard_at, confirmed_at; /* any word; word that it does not lead and knows no higher term */
     uint64_t quiet_term;           /* the last term of ours that it has heeded, and since when */
     amb_ms quiet_at;
--- a/include/amberpin/placement/bin_packing.h
+++ b/include/amberpin/placement/bin_packing.h
@@ -6,9 +6,9 @@
 #include "amberpin/model/model.h"
 
 struct amb_slot {
-    struct amb_res room; /* what is free */
-    struct amb_res soon; /* and what will be once tasks that were told to stop have gone */
-    double size_gpus;    /* of the machine */
+    struct amb_resources room; /* what is free */
+    struct amb_resources soon; /* and what will be once tasks that were told to stop have gone */
+    double size_gpus;          /* of the machine */
     int type, zone;
     bool spot, has_image, usable;
     double late; /* how ill the fetch of its image bodes for the task's start in time; 0 to 1 */
@@ -18,14 +18,14 @@
     double lasting;              /* GPUs of tasks that run until they are cancelled */
     double fetching_gb;          /* images on their way there, which a further fetch shares the rate with */
     bool claimed;                /* by a gang that waits for the room: no batch work meanwhile */
-    struct amb_res
+    struct amb_resources
         batch; /* of its room, what batch work took when the slot was made: no more can be had of it */
-    uint64_t marked_in;      /* the marking that has_image and late are of (cycle.h) */
-    struct amb_res reserved; /* of its room, for tasks that last: batch work leaves it alone */
+    uint64_t marked_in;            /* the marking that has_image and late are of (cycle.h) */
+    struct amb_resources reserved; /* of its room, for tasks that last: batch work leaves it alone */
 };
 
 struct amb_wish { /* what one task needs */
-    struct amb_res need;
+    struct amb_resources need;
     uint32_t type_mask;
     int zone; /* the only allowed; -1: any */
     bool spot;
@@ -40,7 +40,7 @@
 };
 
 /* What is free on it; with soon, what is about to be, too. */
-struct amb_res amb_place_room(const struct amb_slot *slot, bool soon);
+struct amb_resources amb_place_room(const struct amb_slot *slot, bool soon);
 bool amb_place_allowed(const struct amb_wish *request, const struct amb_slot *slot);
 /* The parts of amb_place_pick's choice: may the job have tasks in the zone; is the slot allowed in any zone,
  * and has it the room; and how good it is. The best score wins, of equals the first slot. */
--- a/include/amberpin/placement/slot_ranking.h
+++ b/include/amberpin/placement/slot_ranking.h
@@ -58,7 +58,7 @@
     struct amb_zone_slots {
         uint32_t *slots;
         uint32_t count, room;
-    } zones[AMB_ZONES];
+    } zones[AMB_ZONES_MAX];
 };
 
 /* A slot has changed in anything but its marks, or in what they are made from. */
--- a/include/amberpin/placement/wdrr.h
+++ b/include/amberpin/placement/wdrr.h
@@ -6,7 +6,7 @@
 
 struct amb_wdrr_item {
     double size; /* in the resource that guarantees are named in */
-    struct amb_res need;
+    struct amb_resources need;
     void *what;
 };
 
@@ -23,13 +23,13 @@
     void *arg;
 };
 
-double amb_wdrr_size(const struct amb_res *need, bool by_gpus);
+double amb_wdrr_size(const struct amb_resources *need, bool by_gpus);
 bool amb_wdrr_by_gpus(const struct amb_team *teams, uint32_t n); /* does any guarantee name GPUs? */
 void amb_wdrr_prepare(struct amb_team *teams, uint32_t n,
                       bool by_gpus); /* weights, full buckets, no deficit */
 void amb_wdrr_refill(struct amb_team *teams, uint32_t n, double seconds);
-bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_res *need, double times);
-bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_res *need);
+bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_resources *need, double times);
+bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_resources *need);
 /* One round: turns are taken until nobody can be admitted. Returns how many were. */
 uint32_t amb_wdrr_round(struct amb_team *teams, uint32_t n, uint32_t first, const struct amb_wdrr_ops *ops);
 
--- a/include/amberpin/placement_log/placement_log.h
+++ b/include/amberpin/placement_log/placement_log.h
@@ -12,6 +12,6 @@
 /* Takes over what an earlier leader has written under this key. */
 void amb_record_load(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t stamp);
 /* The block's value as its tasks are now. */
-void amb_record_encode(struct amb_node *node, const struct amb_block *block, struct amb_buf *out);
+void amb_record_encode(struct amb_node *node, const struct amb_placement_block *block, struct amb_buf *out);
 
 #endif
--- a/include/amberpin/scheduler/cycle.h
+++ b/include/amberpin/scheduler/cycle.h
@@ -48,10 +48,10 @@
 bool amb_round_wants_start(const struct amb_round *cycle, const struct amb_job *job);
 void amb_round_wish(struct amb_round *cycle, struct amb_job *job, struct amb_wish *request);
 /* Batch work leaves the task this room on the slot's machine until the next plan. */
-void amb_round_reserve(struct amb_slot *slot, const struct amb_spec *spec);
+void amb_round_reserve(struct amb_slot *slot, const struct amb_job_spec *spec);
 /* From now on marks say where the image is, and what fetching it elsewhere means for a start in time (or,
  * when nobody waits for its start, takes of what the task runs for). */
-void amb_round_mark(struct amb_round *cycle, const struct amb_spec *spec, const char *image);
+void amb_round_mark(struct amb_round *cycle, const struct amb_job_spec *spec, const char *image);
 /* From now on they say that any room will do. */
 void amb_round_mark_any(struct amb_round *cycle);
 /* The slot, its marks made. Each slot is marked when it is first looked at. */
@@ -62,7 +62,7 @@
 /* Best of the slots for the wish under the marks of now, its marks made; or -1. */
 int amb_round_pick(struct amb_round *cycle, const struct amb_wish *request, bool soon);
 bool amb_round_place_gang(struct amb_round *cycle, struct amb_job *job, int *where, bool soon);
-struct amb_claim amb_round_claim(const struct amb_spec *spec, const struct amb_team *team);
+struct amb_claim amb_round_claim(const struct amb_job_spec *spec, const struct amb_team *team);
 /* A slot with free room for the wish, or else, and also where that lacks the image, one whose work would make
  * way for the claim: that is as good as free room. NULL if there is none. */
 struct amb_slot *amb_round_headroom(struct amb_round *cycle, const struct amb_wish *request,
--- a/include/amberpin/zone_recovery/recovery_order.h
+++ b/include/amberpin/zone_recovery/recovery_order.h
@@ -14,7 +14,7 @@
 
 /* A class that lost replicas, as it was at the loss: all that its place depends on. */
 struct amb_recovery_class {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     uint32_t listed; /* place in the operators' list; AMB_RECOVERY_UNLISTED */
     enum amb_priority priority;
     double missing_share;  /* of its replicas */
--- a/include/amberpin/zone_recovery/zone_recovery.h
+++ b/include/amberpin/zone_recovery/zone_recovery.h
@@ -33,7 +33,7 @@
 
 struct amb_zone_recovery {
     struct amb_zone_settings settings;
-    struct amb_zone_health zones[AMB_ZONES];
+    struct amb_zone_health zones[AMB_ZONES_MAX];
     struct amb_recovery_order order;
     amb_ms order_looked_at;
     struct amb_zone_record record;
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -17,10 +17,11 @@
     while (machine->tasks) {
         struct amb_task *task = machine->tasks;
         struct amb_job *job = task->job;
-        task->lost = true;
+        task->interrupted = true;
         amb_info("task %s/%u on %s: lost: %s", job->ref, task->index, machine->name, cause);
         amb_task_unbind(node, task, cause);
-        if (job->spec->kind == AMB_GANG && job->nbound) amb_gang_tear(node, job, "a task is lost");
+        if (job->spec->kind == AMB_JOB_KIND_GANG && job->bound_count)
+            amb_gang_tear_down(node, job, "a task is lost");
     }
 }
 
@@ -29,7 +30,7 @@
     lose_tasks(node, machine, proof);
     amb_answer_drop(node, machine);
     amb_machine_remove(node, machine);
-    amb_controller_wake(node);
+    amb_node_request_cycle(node);
 }
 
 /* ---- the end of a machine's lease ---- */
@@ -40,10 +41,11 @@
 
 /* When a deputy that may answer this machine was last known; of any zone's if the machine's is unknown. */
 static amb_ms deputy_known_at(const struct amb_node *node, const struct amb_machine *machine) {
-    if (machine->zone >= 0) return node->deputy.zone_covered_at[machine->zone];
+    if (machine->zone_index >= 0) return node->lease_proxy.zone_covered_at[machine->zone_index];
     amb_ms latest = 0;
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++)
-        if (node->deputy.zone_covered_at[zone] > latest) latest = node->deputy.zone_covered_at[zone];
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++)
+        if (node->lease_proxy.zone_covered_at[zone] > latest)
+            latest = node->lease_proxy.zone_covered_at[zone];
     return latest;
 }
 
@@ -52,15 +54,15 @@
                                          amb_ms now) {
     const struct amb_lease_evidence evidence = {
         .now = now,
-        .lease_span = amb_absence_lease_span(node->set.lease_s, node->set.report_s),
-        .answered_at = machine->answered_at,
-        .follows_our_term = machine->token_shown,
-        .fenced_at = machine->token_shown ? 0 : amb_election_peers_fenced_at(node),
-        .deputy_known_at = deputy_known_at(node, machine),
-        .last_read_asked_at = node->jobs.fresh_sent_at,
+        .lease_span = amb_absence_lease_span(node->settings.lease_s, node->settings.report_s),
+        .last_response_at = machine->last_response_at,
+        .follows_own_term = machine->token_acknowledged,
+        .fenced_at = machine->token_acknowledged ? 0 : amb_election_peers_fenced_at(node),
+        .lease_proxy_known_at = deputy_known_at(node, machine),
+        .last_read_sent_at = node->jobs.last_read_sent_at,
     };
     enum amb_absence absence = amb_absence_by_lease(&evidence);
-    if (absence == AMB_ABSENCE_READ_NEEDED && !node->jobs.waiting && !node->jobs.syncing)
+    if (absence == AMB_ABSENCE_READ_NEEDED && !node->jobs.queued_syncs && !node->jobs.sync_in_flight)
         amb_jobs_sync(node, noted, NULL);
     return absence;
 }
@@ -73,7 +75,7 @@
     if (machine->state != AMB_MACHINE_UP && machine->state != AMB_MACHINE_UNPROVEN && !silent_with_tasks)
         return;
     enum amb_absence proof = absence_by_lease(node, machine, now);
-    if (!amb_absence_proven(proof)) return;
+    if (!amb_absence_is_proven(proof)) return;
     amb_machine_state(machine, AMB_MACHINE_SILENT, amb_absence_name(proof));
     lose_tasks(node, machine, proof);
 }
@@ -84,8 +86,8 @@
  * most cuts last. Not all are back at once. (Machines were returned 0.1 to 0.4 s after a cut had ended, since
  * the first that reported again made their zone a reached one.) */
 static double patience(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
-    bool reached = amb_zone_reach(node, machine->zone) == AMB_ZONE_REACHED;
-    return !reached || amb_zone_recovers(node, machine->zone, now) ? 3 : 1;
+    bool reached = amb_zone_reach(node, machine->zone_index) == AMB_ZONE_REACHED;
+    return !reached || amb_zone_recovers(node, machine->zone_index, now) ? 3 : 1;
 }
 
 static amb_ms later(amb_ms a, amb_ms b) {
@@ -94,30 +96,32 @@
 
 /* How long an unproven machine is waited for. */
 static double unproven_s(const struct amb_node *node, const struct amb_machine *machine) {
-    return node->set.lease_s * (machine->ntasks ? 1.5 : 3);
+    return node->settings.lease_s * (machine->task_count ? 1.5 : 3);
 }
 
 /* What it does not show has a reason that is not its own: a deputy answers it, or its zone has just come
  * back, so that silence and a missing token are of before. (Machines were returned 0.1 s after their first
  * report, and others because their zone had been away for as long as it takes to give them up.) */
 static bool is_covered(const struct amb_node *node, const struct amb_machine *machine) {
-    return amb_lease_proxy_is_active_in_zone(node, machine->zone) || amb_zone_returning(node, machine->zone);
+    return amb_lease_proxy_is_active_in_zone(node, machine->zone_index) ||
+           amb_zone_returning(node, machine->zone_index);
 }
 
 static void look_at_silent(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
     if (machine->state != AMB_MACHINE_SILENT || is_covered(node, machine)) return;
-    amb_ms since = machine->token_shown ? machine->answered_at : node->ctl.leading_since;
-    if (now - since > amb_secs(node->set.lease_s * node->opt.silent_release * patience(node, machine, now)))
+    amb_ms since = machine->token_acknowledged ? machine->last_response_at : node->controller.leader_since;
+    if (now - since >
+        amb_secs(node->settings.lease_s * node->options.silent_release * patience(node, machine, now)))
         amb_rental_release(node, machine, "silent for too long");
 }
 
 static void look_at_unproven(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
-    amb_ms recent = amb_secs(node->set.report_s * 2);
-    if (machine->state != AMB_MACHINE_UNPROVEN || now - machine->reported_at <= recent ||
-        now - node->ctl.leading_since <= recent)
+    amb_ms recent = amb_secs(node->settings.report_s * 2);
+    if (machine->state != AMB_MACHINE_UNPROVEN || now - machine->last_heartbeat_at <= recent ||
+        now - node->controller.leader_since <= recent)
         return;
     amb_machine_seek(node, machine, now);
-    amb_ms unknown = now - later(machine->known_at, node->ctl.leading_since);
+    amb_ms unknown = now - later(machine->exists_since, node->controller.leader_since);
     bool covered = is_covered(node, machine);
     /* Its silence proves nothing while it may hold another leader's token. */
     if (!covered && unknown > amb_secs(unproven_s(node, machine) * patience(node, machine, now)) &&
@@ -130,9 +134,9 @@
  * ever proven. (Jobs waited for such machines for as long as the trouble lasted.) */
 static bool does_not_hear_us(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
     if (machine->state != AMB_MACHINE_UNPROVEN ||
-        now - machine->reported_at > amb_secs(node->set.report_s * 2))
+        now - machine->last_heartbeat_at > amb_secs(node->settings.report_s * 2))
         return false;
-    amb_ms since = later(machine->state_at, node->ctl.loaded_at);
+    amb_ms since = later(machine->state_since, node->controller.restored_at);
     return now - since > amb_secs(unproven_s(node, machine));
 }
 
@@ -140,38 +144,40 @@
 
 static void look_at_tasks(struct amb_node *node, struct amb_machine *machine) {
     for (struct amb_task *task = machine->tasks, *next; task; task = next) {
-        next = task->next;
+        next = task->next_on_machine;
         struct amb_job *job = task->job;
-        uint32_t before = machine->ntasks;
-        if (task->halting && task->state == AMB_TASK_BOUND && !task->sent && !task->foreign) {
+        uint32_t before = machine->task_count;
+        if (task->stop_requested && task->state == AMB_TASK_BOUND && !task->start_sent && !task->inherited) {
             amb_task_unbind(node, task, "no order went out");
         } else if (job->state == AMB_JOB_CANCELLED && machine->state != AMB_MACHINE_RELEASING &&
-                   amb_wall_ms() - job->cancelled_wall > amb_secs(node->set.cancel_s * RETURN_SHARE)) {
+                   amb_wall_ms() - job->cancelled_wall_ms >
+                       amb_secs(node->settings.cancel_s * RETURN_SHARE)) {
             amb_rental_release(node, machine, "a cancelled task can't be proven gone in time");
         }
-        if (machine->ntasks != before) next = machine->tasks;
+        if (machine->task_count != before) next = machine->tasks;
     }
 }
 
 /* ---- the module's turn ---- */
 
 static void tick_machine(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
-    if (machine->halts_due) amb_orders_push_halts(node, machine);
-    if (machine->failed && machine->tasks) lose_tasks(node, machine, AMB_ABSENCE_FAILED);
+    if (machine->stops_due) amb_orders_push_halts(node, machine);
+    if (machine->failed_by_cloud && machine->tasks) lose_tasks(node, machine, AMB_ABSENCE_FAILED);
     look_at_lease(node, machine, now);
     look_at_silent(node, machine, now);
     look_at_unproven(node, machine, now);
     if (!is_covered(node, machine) && does_not_hear_us(node, machine, now) && amb_election_may_act(node))
         amb_rental_release(node, machine, "it reports, but does not take our token");
     /* A machine of ours that reports to another node only. */
-    if (machine->state == AMB_MACHINE_UP && now - machine->reported_at > amb_secs(node->set.report_s * 4))
+    if (machine->state == AMB_MACHINE_UP &&
+        now - machine->last_heartbeat_at > amb_secs(node->settings.report_s * 4))
         amb_machine_seek(node, machine, now);
     look_at_tasks(node, machine);
 }
 
 void amb_fleet_tick(struct amb_node *node, amb_ms now) {
     struct amb_machine *machine, *next;
-    if (!node->ctl.loaded_at) return;
+    if (!node->controller.restored_at) return;
     amb_zones_tick(node, now);
     HASH_ITER(hh, node->fleet.all, machine, next) tick_machine(node, machine, now);
 }
@@ -181,10 +187,10 @@
     uint32_t known = 0, shown = 0;
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
         if (machine->state == AMB_MACHINE_BOOTING || machine->state == AMB_MACHINE_RELEASING ||
-            machine->failed)
+            machine->failed_by_cloud)
             continue;
         known++;
-        shown += machine->token_shown;
+        shown += machine->token_acknowledged;
     }
     return shown * 10 >= known * 9;
 }
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -21,11 +21,12 @@
 
 static void try_again_later(const struct amb_node *node, struct amb_job *job) {
     amb_ms now = amb_now();
-    if (now < job->hold_until) return; /* others of the same try */
+    if (now < job->backoff_until) return; /* others of the same try */
     uint32_t doublings = job->failures.retries < PAUSE_DOUBLINGS ? job->failures.retries : PAUSE_DOUBLINGS;
-    double pause_s = fmin(node->set.report_s * (double)(1u << doublings), node->set.lease_s * PAUSE_LEASES);
+    double pause_s =
+        fmin(node->settings.report_s * (double)(1u << doublings), node->settings.lease_s * PAUSE_LEASES);
     job->failures.retries++;
-    job->hold_until = now + amb_secs(pause_s);
+    job->backoff_until = now + amb_secs(pause_s);
 }
 
 static void job_at_fault(const struct amb_node *node, struct amb_job *job,
@@ -38,32 +39,33 @@
 }
 
 static void machine_at_fault(struct amb_node *node, struct amb_machine *machine) {
-    machine->faults++;
-    amb_machine_rest(machine, node->set.lease_s * machine->faults, "a task failed on it");
-    if (machine->faults >= FAULTS_MAX && !machine->good)
+    machine->failure_count++;
+    amb_machine_rest(machine, node->settings.lease_s * machine->failure_count, "a task failed on it");
+    if (machine->failure_count >= FAULTS_MAX && !machine->success_count)
         amb_rental_release(node, machine, "tasks keep failing on it");
 }
 
 /* The job is to be tried elsewhere: where it fails again the next time tells which of them it was. */
 static void nobody_at_fault(const struct amb_node *node, struct amb_machine *machine) {
-    double rest_s = node->set.report_s * REST_REPORTS * ++machine->doubts;
-    amb_machine_rest(machine, fmin(rest_s, node->set.lease_s), "a task failed, on it alone");
+    double rest_s = node->settings.report_s * REST_REPORTS * ++machine->unattributed_failures;
+    amb_machine_rest(machine, fmin(rest_s, node->settings.lease_s), "a task failed, on it alone");
 }
 
 void amb_task_failed(struct amb_node *node, struct amb_job *job, struct amb_machine *machine) {
-    amb_failed_with_add(&job->failures.machines, machine->number);
+    amb_failure_set_add(&job->failures.machines, machine->number);
     /* What is known to be broken tells nothing of a machine. */
-    if (!job->failures.broken) amb_failed_with_add(&machine->failed_jobs, job->hh.hashv);
+    if (!job->failures.broken) amb_failure_set_add(&machine->failed_jobs, job->hh.hashv);
     const struct amb_failure_evidence evidence = {
-        .machines = job->failures.machines.count,
-        .jobs = machine->failed_jobs.count,
-        .job_works = job->failures.works,
+        .failed_machines = job->failures.machines.count,
+        .failed_jobs = machine->failed_jobs.count,
+        .job_has_succeeded = job->failures.works,
     };
-    enum amb_fault fault = amb_failure_fault(&evidence);
+    enum amb_fault fault = amb_failure_attribute(&evidence);
     amb_debug("job %s: a task failed on %s: fault %s (%u machines, %u jobs%s)", job->ref, machine->name,
-              amb_fault_name(fault), evidence.machines, evidence.jobs, evidence.job_works ? ", works" : "");
-    if (fault == AMB_FAULT_OF_JOB || fault == AMB_FAULT_OF_BOTH) job_at_fault(node, job, machine);
-    if (fault == AMB_FAULT_OF_MACHINE || fault == AMB_FAULT_OF_BOTH) machine_at_fault(node, machine);
+              amb_fault_name(fault), evidence.failed_machines, evidence.failed_jobs,
+              evidence.job_has_succeeded ? ", works" : "");
+    if (fault == AMB_FAULT_JOB || fault == AMB_FAULT_BOTH) job_at_fault(node, job, machine);
+    if (fault == AMB_FAULT_MACHINE || fault == AMB_FAULT_BOTH) machine_at_fault(node, machine);
     if (fault == AMB_FAULT_UNKNOWN) nobody_at_fault(node, machine);
 }
 
@@ -71,6 +73,6 @@
     memset(&job->failures, 0, sizeof job->failures);
     job->failures.works = true;
     machine->failed_jobs.count = 0;
-    machine->doubts = 0;
-    machine->good++;
+    machine->unattributed_failures = 0;
+    machine->success_count++;
 }
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -12,128 +12,132 @@
 };
 
 static bool is_gang(const struct amb_job *job) {
-    return job->spec->kind == AMB_GANG;
+    return job->spec->kind == AMB_JOB_KIND_GANG;
 }
 
 /* ---- exits ---- */
 
 static void succeeded(struct amb_node *node, struct amb_task *task) {
     amb_task_works(task->job, task->machine);
-    task->machine->faults = 0;
-    amb_task_finish(node, task);
+    task->machine->failure_count = 0;
+    amb_task_mark_done(node, task);
 }
 
-static void log_exit(const struct amb_task *task, const struct amb_seen *listed) {
+static void log_exit(const struct amb_task *task, const struct amb_agent_task *listed) {
     static const char *const names[] = {"?",     "done",    "stopped", "peers",  "incomplete",
                                         "error", "no room", "busy",    "unknown"};
     amb_info("task %s/%u try %llu on %s: exited, %s%s", task->job->ref, task->index,
-             (unsigned long long)task->attempt, task->machine->name, names[listed->why],
-             listed->saved ? ", saved" : "");
+             (unsigned long long)task->attempt, task->machine->name, names[listed->exit_reason],
+             listed->checkpoint_saved ? ", saved" : "");
 }
 
-static void exited(struct amb_node *node, struct amb_task *task, const struct amb_seen *listed) {
+static void exited(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
     struct amb_machine *machine = task->machine;
     struct amb_job *job = task->job;
-    bool stopping = task->halting;
-    enum amb_why why = listed->why;
+    bool stopping = task->stop_requested;
+    enum amb_exit_reason why = listed->exit_reason;
     log_exit(task, listed);
-    if (why == AMB_WHY_DONE) succeeded(node, task);
+    if (why == AMB_EXIT_DONE) succeeded(node, task);
     /* The cause decides before the task is let go, so that the next round knows it. */
     if (job->state == AMB_JOB_QUEUED) {
-        if (why == AMB_WHY_ERROR) amb_task_failed(node, job, machine);
-        if (why == AMB_WHY_NO_ROOM || why == AMB_WHY_BUSY)
-            amb_machine_rest(machine, node->set.report_s * 2, "it refused a task");
-        if (why == AMB_WHY_UNKNOWN) job->hold_until = amb_now() + amb_secs(node->set.report_s * 2);
-        if (why != AMB_WHY_DONE && !stopping) task->lost = true;
+        if (why == AMB_EXIT_ERROR) amb_task_failed(node, job, machine);
+        if (why == AMB_EXIT_MACHINE_FULL || why == AMB_EXIT_ATTEMPT_CONFLICT)
+            amb_machine_rest(machine, node->settings.report_s * 2, "it refused a task");
+        if (why == AMB_EXIT_UNKNOWN_JOB)
+            job->backoff_until = amb_now() + amb_secs(node->settings.report_s * 2);
+        if (why != AMB_EXIT_DONE && !stopping) task->interrupted = true;
     }
     amb_task_unbind(node, task, "it exited");
-    bool gang_saves = stopping && job->gang == AMB_GANG_STOPPING;
-    if (is_gang(job) && job->nbound && why != AMB_WHY_DONE && !gang_saves)
-        amb_gang_tear(node, job, "a task of the attempt exited");
+    bool gang_saves = stopping && job->gang_state == AMB_GANG_STOPPING;
+    if (is_gang(job) && job->bound_count && why != AMB_EXIT_DONE && !gang_saves)
+        amb_gang_tear_down(node, job, "a task of the attempt exited");
 }
 
 /* ---- tasks at work ---- */
 
 static void look_at_gang(struct amb_job *job) {
-    if (job->gang != AMB_GANG_STARTING) return;
-    for (uint32_t i = 0; i < job->spec->tasks; i++) {
+    if (job->gang_state != AMB_GANG_STARTING) return;
+    for (uint32_t i = 0; i < job->spec->task_count; i++) {
         const struct amb_task *task = &job->tasks[i];
-        if (task->state != AMB_TASK_SEEN || task->on != AMB_ON_RUNNING) return;
+        if (task->state != AMB_TASK_SEEN || task->agent_state != AMB_AGENT_TASK_RUNNING) return;
     }
-    amb_gang_state(job, AMB_GANG_RUNNING, "all its tasks run");
+    amb_gang_set_state(job, AMB_GANG_RUNNING, "all its tasks run");
 }
 
-static void at_work(struct amb_node *node, struct amb_task *task, const struct amb_seen *listed) {
+static void at_work(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
     struct amb_job *job = task->job;
     if (task->state != AMB_TASK_SEEN) {
-        amb_task_state(node, task, AMB_TASK_SEEN, "reported");
-        task->misses = 0;
+        amb_task_set_state(node, task, AMB_TASK_SEEN, "reported");
+        task->missed_heartbeats = 0;
     }
-    task->on = listed->on;
-    bool runs = listed->on == AMB_ON_RUNNING || listed->on == AMB_ON_SAVING;
+    task->agent_state = listed->state;
+    bool runs = listed->state == AMB_AGENT_TASK_RUNNING || listed->state == AMB_AGENT_TASK_SAVING;
     if (runs && !task->running_at) {
         amb_info("task %s/%u try %llu on %s: runs", job->ref, task->index, (unsigned long long)task->attempt,
                  task->machine->name);
-        task->lost = false;
+        task->interrupted = false;
     }
-    amb_task_running(task, runs);
-    if (listed->on != AMB_ON_FETCHING)
+    amb_task_set_running(task, runs);
+    if (listed->state != AMB_AGENT_TASK_FETCHING)
         amb_machine_use_image(node, task->machine, job->spec->image, job->spec->image_gb);
     if (is_gang(job)) look_at_gang(job);
-    if (task->running_at && amb_now() - task->running_at > amb_secs(node->set.report_s * STEADY_REPORTS))
+    if (task->running_at && amb_now() - task->running_at > amb_secs(node->settings.report_s * STEADY_REPORTS))
         amb_task_works(job, task->machine);
 }
 
 /* ---- a task that the report names ---- */
 
 /* listed: as the report names the task with this attempt; NULL: it does not. */
-static enum amb_absence absence_by_report(struct amb_report_evidence evidence, const struct amb_task *task,
-                                          const struct amb_seen *listed) {
-    evidence.recorded = task->state == AMB_TASK_BOUND || task->state == AMB_TASK_SEEN;
+static enum amb_absence absence_by_report(struct amb_heartbeat_evidence evidence, const struct amb_task *task,
+                                          const struct amb_agent_task *listed) {
+    evidence.placement_durable = task->state == AMB_TASK_BOUND || task->state == AMB_TASK_SEEN;
     evidence.listed = listed != NULL;
-    evidence.exited = listed && listed->on == AMB_ON_EXITED;
-    return amb_absence_by_report(&evidence);
+    evidence.exited = listed && listed->state == AMB_AGENT_TASK_EXITED;
+    return amb_absence_by_heartbeat(&evidence);
 }
 
 /* The task is completed, and the state service is not known to have it yet. */
 static bool end_is_unrecorded(const struct amb_task *task) {
-    return task && task->done && !task->done_saved && task->job->state == AMB_JOB_QUEUED;
+    return task && task->done && !task->done_durable && task->job->state == AMB_JOB_QUEUED;
 }
 
 /* A result is cleared only once it is on record, or else a new leader would run the task again. job, task:
  * NULL if not known. */
-static bool may_clear(const struct amb_job *job, const struct amb_task *task, const struct amb_seen *listed) {
-    if (listed->why != AMB_WHY_DONE) return true;
+static bool may_clear(const struct amb_job *job, const struct amb_task *task,
+                      const struct amb_agent_task *listed) {
+    if (listed->exit_reason != AMB_EXIT_DONE) return true;
     if (end_is_unrecorded(task)) return false;
     return task || job; /* the cache may be behind */
 }
 
-void amb_task_listed(struct amb_node *node, struct amb_machine *machine, const struct amb_seen *listed,
-                     struct amb_report_evidence evidence, struct amb_orders *orders) {
-    bool proven = evidence.report_term == evidence.our_term;
-    struct amb_job *job = amb_job_find(node, listed->ref);
+void amb_task_listed(struct amb_node *node, struct amb_machine *machine, const struct amb_agent_task *listed,
+                     struct amb_heartbeat_evidence evidence, struct amb_orders *orders) {
+    bool proven = evidence.heartbeat_term == evidence.own_term;
+    struct amb_job *job = amb_job_find(node, listed->job_ref);
     struct amb_task *task =
-        job && job->live && listed->index < job->spec->tasks ? &job->tasks[listed->index] : NULL;
+        job && job->active && listed->index < job->spec->task_count ? &job->tasks[listed->index] : NULL;
     if (task && task->machine == machine && task->attempt == listed->attempt &&
         task->state != AMB_TASK_PLACED) {
-        task->mark = node->fleet.reports_read;
-        if (listed->on != AMB_ON_EXITED) {
+        task->last_listed_in = node->fleet.reports_read;
+        if (listed->state != AMB_AGENT_TASK_EXITED) {
             at_work(node, task, listed);
-            if (proven && task->halting)
-                amb_orders_add(orders, AMB_OP_HALT, listed->ref, listed->index, listed->attempt,
+            if (proven && task->stop_requested)
+                amb_orders_add(orders, AMB_COMMAND_STOP, listed->job_ref, listed->index, listed->attempt,
                                task->grace_s);
             return;
         }
-        if (!amb_absence_proven(absence_by_report(evidence, task, listed))) return;
+        if (!amb_absence_is_proven(absence_by_report(evidence, task, listed))) return;
         exited(node, task, listed);
-    } else if (listed->on != AMB_ON_EXITED) {
+    } else if (listed->state != AMB_AGENT_TASK_EXITED) {
         /* Nothing on record puts it here: an attempt that was given up. */
-        if (proven) amb_orders_add(orders, AMB_OP_HALT, listed->ref, listed->index, listed->attempt, 0);
+        if (proven)
+            amb_orders_add(orders, AMB_COMMAND_STOP, listed->job_ref, listed->index, listed->attempt, 0);
         return;
     }
-    if (listed->why == AMB_WHY_DONE && end_is_unrecorded(task)) machine->keeps_result = true;
+    if (listed->exit_reason == AMB_EXIT_DONE && end_is_unrecorded(task))
+        machine->has_unrecorded_result = true;
     if (proven && may_clear(job, task, listed))
-        amb_orders_add(orders, AMB_OP_CLEAR, listed->ref, listed->index, listed->attempt, 0);
+        amb_orders_add(orders, AMB_COMMAND_CLEAR, listed->job_ref, listed->index, listed->attempt, 0);
 }
 
 /* ---- a task that it does not name ---- */
@@ -143,46 +147,47 @@
 static bool still_fits(const struct amb_node *node, const struct amb_task *task) {
     const struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
-    if (is_gang(job) || machine->type < 0 || machine->zone < 0) return false;
-    if (!amb_wdrr_within_limit(job->team, &job->spec->each, 0)) return false;
-    if (!amb_res_fits(&machine->used, &node->catalog.types[machine->type].size)) return false;
-    uint32_t in_zone = job->zone_used[machine->zone] + amb_job_tasks_in_unknown_zones(job); /* at most */
-    if (job->spec->spread && in_zone > amb_place_spread_most(job->spec->tasks)) return false;
-    return !job->spec->one_zone || job->zone_used[machine->zone] == job->nbound;
+    if (is_gang(job) || machine->type_index < 0 || machine->zone_index < 0) return false;
+    if (!amb_wdrr_within_limit(job->team, &job->spec->task_resources, 0)) return false;
+    if (!amb_resources_fit(&machine->used, &node->catalog.types[machine->type_index].resources)) return false;
+    uint32_t in_zone =
+        job->zone_task_counts[machine->zone_index] + amb_job_tasks_in_unknown_zones(job); /* at most */
+    if (job->spec->spread_zones && in_zone > amb_place_spread_most(job->spec->task_count)) return false;
+    return !job->spec->one_zone || job->zone_task_counts[machine->zone_index] == job->bound_count;
 }
 
 /* It is off its machine; a gang's others go too. */
 static void gone(struct amb_node *node, struct amb_task *task, const char *cause, const char *gang_cause) {
     struct amb_job *job = task->job;
     amb_task_unbind(node, task, cause);
-    if (is_gang(job) && job->nbound) amb_gang_tear(node, job, gang_cause);
+    if (is_gang(job) && job->bound_count) amb_gang_tear_down(node, job, gang_cause);
 }
 
-void amb_task_unlisted(struct amb_node *node, struct amb_task *task, struct amb_report_evidence evidence,
+void amb_task_unlisted(struct amb_node *node, struct amb_task *task, struct amb_heartbeat_evidence evidence,
                        struct amb_orders *orders) {
     struct amb_job *job = task->job;
-    if (!amb_absence_proven(absence_by_report(evidence, task, NULL))) return;
+    if (!amb_absence_is_proven(absence_by_report(evidence, task, NULL))) return;
     if (task->state == AMB_TASK_SEEN) {
-        task->lost = true;
+        task->interrupted = true;
         amb_info("task %s/%u on %s: no longer there", job->ref, task->index, task->machine->name);
         gone(node, task, "its machine no longer reports it", "a task is lost");
         return;
     }
     /* BOUND. The report is newer than any answer that carried the order, so the task is not there. */
-    if (task->halting || job->state != AMB_JOB_QUEUED) {
+    if (task->stop_requested || job->state != AMB_JOB_QUEUED) {
         amb_task_unbind(node, task, "told to stop, and not there");
         return;
     }
-    if (task->foreign && !still_fits(node, task)) {
-        task->lost = job->spec->kind == AMB_SERVICE;
+    if (task->inherited && !still_fits(node, task)) {
+        task->interrupted = job->spec->kind == AMB_JOB_KIND_SERVICE;
         gone(node, task, "placed by an earlier leader, not there, and its place may be taken",
              "a task is not there");
         return;
     }
-    if (task->sent && ++task->misses >= MISSES_MAX) {
+    if (task->start_sent && ++task->missed_heartbeats >= MISSES_MAX) {
         /* Its reports arrive, but it does not act on answers. */
-        amb_machine_rest(task->machine, node->set.lease_s, "it does not act on orders");
-        task->lost = true;
+        amb_machine_rest(task->machine, node->settings.lease_s, "it does not act on orders");
+        task->interrupted = true;
         gone(node, task, "its machine did not start it", "a task was not started");
         return;
     }
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -18,7 +18,7 @@
     struct amb_node *node;
     struct amb_http_req *req;
     enum { SUBMIT, QUERY, CANCEL } kind;
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     int tries;             /* cancel: transactions sent */
     struct amb_job *draft; /* submit: as it is to be accepted; its description is missing if malformed */
     bool sent;             /* submit: the draft was */
@@ -37,11 +37,11 @@
 
 static void reply_job(struct user_request *request, int status, struct amb_job *job, bool brief) {
     struct amb_buf body = {0};
-    if (job->state == AMB_JOB_CANCELLED) amb_cancel_notice_told(request->node, job);
-    uint32_t done = job->live ? job->ndone : job->shown_done;
-    uint32_t running = job->live ? job->nrunning : job->shown_running;
+    if (job->state == AMB_JOB_CANCELLED) amb_cancellation_notice_send_cancelled(request->node, job);
+    uint32_t done = job->active ? job->done_count : job->progress_done;
+    uint32_t running = job->active ? job->running_count : job->progress_running;
     if (job->state != AMB_JOB_QUEUED) running = 0;
-    if (job->state == AMB_JOB_DONE && job->spec) done = job->spec->tasks;
+    if (job->state == AMB_JOB_DONE && job->spec) done = job->spec->task_count;
     amb_w_map(&body, brief ? 2 : 4);
     amb_w_str(&body, "ref");
     amb_w_str(&body, request->ref);
@@ -68,13 +68,14 @@
     struct amb_node *node = request->node;
     uint64_t stamp;
     if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &stamp)) {
-        const struct amb_spec *spec = request->draft->spec;
-        amb_job_written(node, request->draft, AMB_JOB_QUEUED, stamp);
-        amb_info("job %s: accepted for %s, %u tasks of class %s", request->ref, spec->team, spec->tasks,
+        const struct amb_job_spec *spec = request->draft->spec;
+        amb_job_apply_own_write(node, request->draft, AMB_JOB_QUEUED, stamp);
+        amb_info("job %s: accepted for %s, %u tasks of class %s", request->ref, spec->team, spec->task_count,
                  spec->class_name);
         amb_debug("job %s: a task takes %g vcpus, %g accelerators, %g GB, image %g GB, for %g s, due in %g s",
-                  request->ref, spec->each.cpus, spec->each.gpus, spec->each.memory, spec->image_gb,
-                  spec->estimate_s, spec->deadline_s);
+                  request->ref, spec->task_resources.cpus, spec->task_resources.gpus,
+                  spec->task_resources.memory_gb, spec->image_gb, spec->estimated_runtime_s,
+                  spec->deadline_s);
         reply_job(request, 201, amb_job_find(node, request->ref), true);
     } else if (status == 409 || amb_job_find(node, request->ref)) {
         /* Another node was first, or only the answer was lost and news have told of the job since. Such news
@@ -91,7 +92,7 @@
     uint64_t stamp;
     struct amb_job *job = amb_job_find(node, request->ref);
     if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &stamp)) {
-        amb_job_cancelled(node, job, stamp);
+        amb_job_apply_own_cancellation(node, job, stamp);
         reply_job(request, 200, job, true);
     } else if (job->state != AMB_JOB_QUEUED) { /* only the answer was lost, or another node was first */
         reply_job(request, 200, job, true);
@@ -105,12 +106,12 @@
 /* Writes the job in this state, if its stamp in the state service still is what the job says. */
 static void write_job(struct user_request *request, const struct amb_job *job, enum amb_job_state state,
                       amb_store_callback done) {
-    char key[AMB_NAME + 16];
+    char key[AMB_NAME_SIZE + 16];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    amb_job_key(key, sizeof key, request->ref);
-    amb_job_value(&value, job, state);
-    amb_txn_compare(&transaction, key, job->stamp);
+    amb_job_format_key(key, sizeof key, request->ref);
+    amb_job_encode_record(&value, job, state);
+    amb_txn_compare(&transaction, key, job->revision);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
     amb_store_commit(&request->node->store, &transaction, AMB_STORE_PRIORITY_USER, done, request);
@@ -122,8 +123,8 @@
         return;
     }
     struct amb_job changed = *job;
-    changed.cancelled_wall = amb_wall_ms();
-    amb_cancel_notice_pending(request->node, job);
+    changed.cancelled_wall_ms = amb_wall_ms();
+    amb_cancellation_notice_send_pending(request->node, job);
     write_job(request, &changed, AMB_JOB_CANCELLED, cancelled);
 }
 
@@ -160,13 +161,13 @@
 }
 
 /* When more comes than can be written, what users wait for most is accepted first. */
-static double kept_for_others(const struct amb_spec *spec) {
-    return spec->priority == AMB_PROD ? 0 : spec->priority == AMB_HIGH ? 0.2 : 0.3;
+static double kept_for_others(const struct amb_job_spec *spec) {
+    return spec->priority == AMB_PRIORITY_PRODUCTION ? 0 : spec->priority == AMB_PRIORITY_HIGH ? 0.2 : 0.3;
 }
 
 static void send_submission(struct user_request *request) {
     struct amb_job *draft = request->draft; /* its stamp, 0, guards: the job must be new */
-    draft->accepted_wall = amb_wall_ms();
+    draft->accepted_wall_ms = amb_wall_ms();
     request->sent = true;
     write_job(request, draft, AMB_JOB_QUEUED, submitted);
 }
@@ -177,7 +178,7 @@
     struct amb_job *draft = request->draft = amb_alloc(sizeof *draft);
     draft->spec = amb_alloc(sizeof *draft->spec);
     if (amb_codec_spec(body, draft->spec) != AMB_PARSE_OK ||
-        amb_codec_awaits(body, &draft->awaits) != AMB_PARSE_OK)
+        amb_codec_awaits(body, &draft->dependencies) != AMB_PARSE_OK)
         amb_job_free_spec(draft);
     if (!amb_cbor_str(amb_cbor_get(body, "ref"), request->ref, sizeof request->ref)) request->ref[0] = 0;
     strcpy(draft->ref, request->ref);
@@ -190,7 +191,7 @@
     enum amb_admission admission = amb_job_admission(request->node, draft->spec);
     if (admission == AMB_NEVER_RUNS) return admission;
     if (amb_record_admission(request->node, draft) == AMB_NEVER_RUNS) return AMB_NEVER_RUNS;
-    enum amb_admission awaits = amb_awaits_admission(request->node, draft->awaits);
+    enum amb_admission awaits = amb_awaits_admission(request->node, draft->dependencies);
     return awaits == AMB_CAN_RUN ? admission : awaits;
 }
 
@@ -201,9 +202,9 @@
 
 static bool may_accept(const struct user_request *request, enum amb_admission admission) {
     struct amb_node *node = request->node;
-    const struct amb_spec *spec = request->draft->spec;
+    const struct amb_job_spec *spec = request->draft->spec;
     if (admission == AMB_UNDECIDED) return refuse_now(request, "not known whether it can run");
-    if (!amb_memory_holds(node, spec)) return refuse_now(request, "no memory left for jobs");
+    if (!amb_memory_has_room_for_job(node, spec)) return refuse_now(request, "no memory left for jobs");
     if (!amb_store_can_write_for_user(&node->store, 1, kept_for_others(spec)))
         return refuse_now(request, "too many changes of the state service wait");
     return true;
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -14,29 +14,32 @@
     cbor_item_t *item = status == 200 ? amb_cbor_parse(body, len) : NULL;
     const cbor_item_t *types = amb_cbor_get(item, "hulls");
     for (size_t i = 0; i < amb_cbor_len(types); i++) {
-        struct amb_type type;
+        struct amb_machine_type type;
         if (!amb_codec_type(amb_cbor_at(types, i), &type)) continue;
-        int place = amb_catalog_type(&node->catalog, type.name);
-        if (place < 0 && node->catalog.ntypes < AMB_TYPES) place = (int)node->catalog.ntypes++;
+        int place = amb_catalog_find_type(&node->catalog, type.name);
+        if (place < 0 && node->catalog.type_count < AMB_MACHINE_TYPES_MAX)
+            place = (int)node->catalog.type_count++;
         if (place < 0) {
-            amb_error("the cloud offers more than %d types: %s is not used", AMB_TYPES, type.name);
+            amb_error("the cloud offers more than %d types: %s is not used", AMB_MACHINE_TYPES_MAX,
+                      type.name);
             continue;
         }
         node->catalog.types[place] = type;
-        for (uint32_t zone = 0; zone < type.nzones; zone++)
-            amb_catalog_zone(&node->catalog, type.zones[zone]);
-        node->rental.catalog_known = true;
+        for (uint32_t zone = 0; zone < type.zone_count; zone++)
+            amb_catalog_find_or_add_zone(&node->catalog, type.zones[zone]);
+        node->cloud.catalog_known = true;
     }
     if (item) cbor_decref(&item);
 }
 
 void amb_cloud_catalog_tick(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->rental;
-    amb_ms stale = rental->catalog_known ? amb_secs(node->set.lease_s * 6) : amb_secs(node->set.report_s / 2);
+    struct amb_rental *rental = &node->cloud;
+    amb_ms stale =
+        rental->catalog_known ? amb_secs(node->settings.lease_s * 6) : amb_secs(node->settings.report_s / 2);
     if ((!rental->catalog_known || amb_election_is_leader(node)) &&
         (!rental->catalog_at || now - rental->catalog_at > stale) && amb_cloud_take_token(node, now)) {
         rental->catalog_at = now;
-        amb_http_call(node->set.cloud, "GET", "/catalog", NULL, NULL, 0, amb_secs(node->set.report_s * 3),
-                      catalog_done, amb_cloud_call_new(node));
+        amb_http_call(node->settings.cloud, "GET", "/catalog", NULL, NULL, 0,
+                      amb_secs(node->settings.report_s * 3), catalog_done, amb_cloud_call_new(node));
     }
 }
--- a/lib/cloud/cloud.c
+++ b/lib/cloud/cloud.c
@@ -10,14 +10,14 @@
 
 void amb_rental_tick(struct amb_node *node, amb_ms now) {
     amb_cloud_catalog_tick(node, now);
-    if (!amb_election_is_leader(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_is_leader(node) || !node->controller.restored_at) return;
     amb_machine_returns_tick(node, now);
     amb_rental_requests_tick(node, now);
     amb_machine_list_tick(node, now);
 }
 
 void amb_rental_clear(struct amb_node *node) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     amb_rental_requests_clear(node);
     rental->listing = rental->list_page_due = rental->releasing = rental->listed = false;
     rental->nrelease = 0;
@@ -27,5 +27,5 @@
 }
 
 void amb_rental_init(struct amb_node *node) {
-    node->rental.calls.tokens = 1;
+    node->cloud.calls.tokens = 1;
 }
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -22,14 +22,14 @@
 
 /* The leader makes nearly all calls; the others read the catalogue once. */
 static double share_by_leader(const struct amb_node *node) {
-    if (!node->set.npeers) return 1.0;
-    return amb_election_is_leader(node) ? 0.8 : 0.2 / node->set.npeers;
+    if (!node->settings.npeers) return 1.0;
+    return amb_election_is_leader(node) ? 0.8 : 0.2 / node->settings.npeers;
 }
 
 /* The leader lists machines; holders of duties rent and return them, on whichever node. */
 static double share_by_duties(const struct amb_node *node) {
     const struct amb_duty_service *service = &node->duties.service;
-    double share = 0.1 / (node->set.npeers + 1);
+    double share = 0.1 / (node->settings.npeers + 1);
     if (amb_election_is_leader(node)) share += 0.3;
     if (amb_duty_service_holds(service, AMB_DUTY_RENT)) share += AMB_CLOUD_RENT_SHARE;
     if (amb_duty_service_holds(service, AMB_DUTY_RETURN)) share += 0.1;
@@ -38,15 +38,15 @@
 }
 
 void amb_cloud_refill(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     double share = node->duties.mode == AMB_DUTY_MODE_DUTIES ? share_by_duties(node) : share_by_leader(node);
     rental->calls.burst_seconds = 2; /* the protocol: bursts worth two seconds are permitted */
-    amb_token_bucket_set_rate(&rental->calls, node->set.cloud_rps * share);
+    amb_token_bucket_set_rate(&rental->calls, node->settings.cloud_rps * share);
     amb_token_bucket_refill(&rental->calls, now);
 }
 
 bool amb_cloud_take_token(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     amb_cloud_refill(node, now);
     if (now < rental->held_until || amb_token_bucket_delay(&rental->calls, 1) > 0) return false;
     rental->calls.tokens -= 1;
@@ -54,5 +54,5 @@
 }
 
 void amb_cloud_note_status(struct amb_node *node, int status) {
-    if (status == 429) node->rental.held_until = amb_now() + amb_secs(1.0 / node->set.cloud_rps);
+    if (status == 429) node->cloud.held_until = amb_now() + amb_secs(1.0 / node->settings.cloud_rps);
 }
--- a/lib/cloud/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -18,66 +18,67 @@
 static const double LIST_CALLS_SHARE = 0.25;
 
 static void listed_machine(struct amb_node *node, const cbor_item_t *entry, amb_ms asked_at) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     double held = 0;
     if (!amb_cbor_str(amb_cbor_get(entry, "ref"), name, sizeof name)) return;
-    snprintf(node->rental.list_after, sizeof node->rental.list_after, "%s", name);
+    snprintf(node->cloud.list_after, sizeof node->cloud.list_after, "%s", name);
     bool known = amb_machine_get(node, name, false) != NULL;
     struct amb_machine *machine = amb_machine_get(node, name, true);
     if (!machine) return;
     const cbor_item_t *stance = amb_cbor_get(entry, "stance");
-    machine->list_pass = node->rental.list_pass;
+    machine->last_listing = node->cloud.list_pass;
     machine->listed = true;
-    machine->listed_at = asked_at;
-    char type[AMB_NAME] = "", zone[AMB_NAME] = "";
+    machine->last_listed_at = asked_at;
+    char type[AMB_NAME_SIZE] = "", zone[AMB_NAME_SIZE] = "";
     amb_cbor_str(amb_cbor_get(entry, "hull"), type, sizeof type);
     amb_cbor_str(amb_cbor_get(entry, "yard"), zone, sizeof zone);
     amb_machine_learn_place(node, machine, type, zone);
-    if (!machine->addr[0]) amb_cbor_str(amb_cbor_get(entry, "address"), machine->addr, sizeof machine->addr);
+    if (!machine->address[0])
+        amb_cbor_str(amb_cbor_get(entry, "address"), machine->address, sizeof machine->address);
     bool age_known = amb_cbor_num(amb_cbor_get(entry, "held_s"), &held);
     /* (A new leader once counted boots that would never end from its own beginning: six machines that had
      * been paid for since 250 s were returned at 604 s.) */
     amb_ms rented_at = asked_at - amb_secs(held);
-    if (age_known && rented_at < machine->rented_at) machine->rented_at = rented_at;
+    if (age_known && rented_at < machine->created_at) machine->created_at = rented_at;
     if (!known) {
         amb_cbor_bool(amb_cbor_get(entry, "driftwood"), &machine->spot);
-        if (age_known) machine->known_at = rented_at;
+        if (age_known) machine->exists_since = rented_at;
         if (amb_cbor_eq(stance, "booting")) amb_machine_state(machine, AMB_MACHINE_BOOTING, "listed");
     }
     /* A list may be old, but a machine that failed once never works again. */
     if (amb_cbor_eq(stance, "failed") && machine->state != AMB_MACHINE_RELEASING) {
-        machine->failed = true;
+        machine->failed_by_cloud = true;
         amb_rental_release(node, machine, "the cloud says it failed");
     }
 }
 
 static void list_over(struct amb_node *node, amb_ms began) {
-    node->rental.listed = true;
-    amb_ms span = amb_absence_list_span(node->set.list_lag_s, node->set.report_s);
+    node->cloud.listed = true;
+    amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.report_s);
     struct amb_machine *machine, *next;
     HASH_ITER(hh, node->fleet.all, machine, next) {
-        if (machine->list_pass == node->rental.list_pass) continue;
+        if (machine->last_listing == node->cloud.list_pass) continue;
         const struct amb_list_evidence evidence = {.list_span = span,
-                                                   .asked_at = began,
-                                                   .known_at = machine->first_at,
-                                                   .reported_at = machine->reported_at,
-                                                   .last_named_at = machine->listed_at};
+                                                   .list_sent_at = began,
+                                                   .first_known_at = machine->first_known_at,
+                                                   .last_heartbeat_at = machine->last_heartbeat_at,
+                                                   .last_listed_at = machine->last_listed_at};
         enum amb_absence proof = amb_absence_by_list(&evidence);
-        if (amb_absence_proven(proof)) amb_machine_post_gone(node, machine, proof);
+        if (amb_absence_is_proven(proof)) amb_machine_post_gone(node, machine, proof);
     }
 }
 
 /* A page was refused, or its answer lost. The first: another listing begins when its turn comes. A later one
  * is asked for again, since a listing of 4,000 machines has eight. */
 static void page_failed(struct amb_node *node) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     rental->list_page_due = rental->list_pages > 0 && ++rental->list_failures < PAGE_FAILURES_MAX;
-    rental->list_retry_at = amb_now() + amb_secs(node->set.report_s / 4);
+    rental->list_retry_at = amb_now() + amb_secs(node->settings.report_s / 4);
     if (!rental->list_page_due) rental->listing = false;
 }
 
 static void page_read(struct amb_node *node, const cbor_item_t *page) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     const cbor_item_t *rigs = amb_cbor_get(page, "rigs");
     bool more = false;
     amb_cbor_bool(amb_cbor_get(page, "truncated"), &more);
@@ -108,20 +109,20 @@
 
 static void list_page(struct amb_node *node) {
     char path[160];
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     if (rental->list_after[0])
         snprintf(path, sizeof path, "/machines?after=%s&most=%d", rental->list_after, LIST_PAGE);
     else
         snprintf(path, sizeof path, "/machines?most=%d", LIST_PAGE);
     rental->list_page_due = false;
     rental->page_asked_at = amb_now();
-    amb_http_call(node->set.cloud, "GET", path, NULL, NULL, 0, amb_secs(node->set.report_s * 3), list_done,
-                  amb_cloud_call_new(node));
+    amb_http_call(node->settings.cloud, "GET", path, NULL, NULL, 0, amb_secs(node->settings.report_s * 3),
+                  list_done, amb_cloud_call_new(node));
 }
 
 /* The next page, if one is due and a call may be made now; else the module's turn tries again. */
 static void list_next_page(struct amb_node *node, amb_ms now) {
-    const struct amb_rental *rental = &node->rental;
+    const struct amb_rental *rental = &node->cloud;
     if (!rental->list_page_due || now < rental->list_retry_at || !amb_cloud_take_token(node, now)) return;
     list_page(node);
 }
@@ -129,14 +130,14 @@
 /* ---- the module's turn ---- */
 
 static amb_ms pace(const struct amb_node *node) {
-    double seconds = fmax(node->set.list_lag_s * 0.25, node->set.report_s);
-    uint32_t pages = node->rental.list_pages;
-    if (pages > 1) seconds = fmax(seconds, pages / (node->set.cloud_rps * LIST_CALLS_SHARE));
+    double seconds = fmax(node->settings.list_lag_s * 0.25, node->settings.report_s);
+    uint32_t pages = node->cloud.list_pages;
+    if (pages > 1) seconds = fmax(seconds, pages / (node->settings.cloud_rps * LIST_CALLS_SHARE));
     return amb_secs(seconds);
 }
 
 static void begin_listing(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     rental->list_at = rental->list_began = now;
     rental->list_pass++;
     rental->list_after[0] = 0;
@@ -147,7 +148,7 @@
 }
 
 void amb_machine_list_tick(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     if (rental->listing)
         list_next_page(node, now);
     else if (now - rental->list_at > pace(node) && amb_cloud_take_token(node, now))
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -18,25 +18,25 @@
 
 static void set_state(struct amb_node *node, enum amb_return_record_state to, const char *cause) {
     static const char *const names[] = {"unrecorded", "writing", "unsure", "reading", "recorded"};
-    struct amb_return_record *record = &node->rental.return_record;
+    struct amb_return_record *record = &node->cloud.return_record;
     amb_debug("return record: %s -> %s: %s", names[record->state], names[to], cause);
     record->state = to;
 }
 
 static void retry_later(struct amb_node *node) {
-    node->rental.return_record.retry_at = amb_now() + node->store.call_timeout / 4;
+    node->cloud.return_record.retry_at = amb_now() + node->store.call_timeout / 4;
 }
 
 /* The node, if it still leads under the term of the call and waits for it; else NULL. Frees the call. */
 static struct amb_node *take_call(void *arg, enum amb_return_record_state waits) {
     struct amb_node *node = amb_cloud_call_take(arg);
-    return node && node->rental.return_record.state == waits ? node : NULL;
+    return node && node->cloud.return_record.state == waits ? node : NULL;
 }
 
 /* ---- the value ---- */
 
 size_t amb_return_record_room(const struct amb_node *node) {
-    return (size_t)(amb_settings_lowered_limits(&node->set).value_kb * BYTES_PER_KB) - ENVELOPE_BYTES;
+    return (size_t)(amb_settings_lowered_limits(&node->settings).value_kb * BYTES_PER_KB) - ENVELOPE_BYTES;
 }
 
 static void put_value(struct amb_buf *out, const struct amb_rental *rental) {
@@ -61,7 +61,7 @@
 static void written(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = take_call(arg, AMB_RETURN_WRITING);
     if (!node) return;
-    struct amb_return_record *record = &node->rental.return_record;
+    struct amb_return_record *record = &node->cloud.return_record;
     if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &record->stamp)) {
         set_state(node, AMB_RETURN_RECORDED, "written");
         return;
@@ -76,9 +76,9 @@
 static void write_record(struct amb_node *node) {
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    put_value(&value, &node->rental);
+    put_value(&value, &node->cloud);
     amb_txn_require_leadership(&transaction, node);
-    amb_txn_compare(&transaction, KEY, node->rental.return_record.stamp);
+    amb_txn_compare(&transaction, KEY, node->cloud.return_record.stamp);
     amb_txn_put(&transaction, KEY, &value, 0);
     amb_buf_free(&value);
     set_state(node, AMB_RETURN_WRITING, "machines are to be returned");
@@ -89,9 +89,9 @@
 static void read_back(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = take_call(arg, AMB_RETURN_READING);
     if (!node) return;
-    struct amb_return_record *record = &node->rental.return_record;
+    struct amb_return_record *record = &node->cloud.return_record;
     bool there = status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &record->stamp);
-    if (there && names_these(amb_cbor_get(body, "value"), &node->rental)) {
+    if (there && names_these(amb_cbor_get(body, "value"), &node->cloud)) {
         set_state(node, AMB_RETURN_RECORDED, "it had been written");
         return;
     }
@@ -112,7 +112,7 @@
 }
 
 bool amb_return_record_ready(struct amb_node *node, amb_ms now) {
-    const struct amb_return_record *record = &node->rental.return_record;
+    const struct amb_return_record *record = &node->cloud.return_record;
     if (record->state == AMB_RETURN_RECORDED || !is_used(node)) return true;
     if (now < record->retry_at) return false;
     if (record->state == AMB_RETURN_UNRECORDED)
@@ -123,12 +123,12 @@
 }
 
 void amb_return_record_settled(struct amb_node *node) {
-    if (node->rental.return_record.state == AMB_RETURN_RECORDED)
+    if (node->cloud.return_record.state == AMB_RETURN_RECORDED)
         set_state(node, AMB_RETURN_UNRECORDED, "the machines are gone");
 }
 
 void amb_return_record_clear(struct amb_node *node) {
-    memset(&node->rental.return_record, 0, sizeof node->rental.return_record);
+    memset(&node->cloud.return_record, 0, sizeof node->cloud.return_record);
 }
 
 /* ---- taking over ---- */
@@ -139,14 +139,14 @@
  * written. */
 void amb_return_record_load(struct amb_node *node, const char *key, const cbor_item_t *value,
                             uint64_t stamp) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     if (strcmp(key, KEY) != 0) return;
     rental->return_record.stamp = stamp;
     if (node->duties.mode == AMB_DUTY_MODE_DUTIES || rental->nrelease) return;
     const cbor_item_t *machines = amb_cbor_get(value, "machines");
     for (size_t i = 0; i < amb_cbor_len(machines) && rental->nrelease < AMB_RELEASE_MAX; i++) {
         char *name = rental->release_names[rental->nrelease];
-        if (!amb_cbor_str(amb_cbor_at(machines, i), name, AMB_NAME)) continue;
+        if (!amb_cbor_str(amb_cbor_at(machines, i), name, AMB_NAME_SIZE)) continue;
         rental->nrelease++;
         struct amb_machine *machine = amb_machine_get(node, name, false);
         if (machine) amb_machine_returning(machine, CAUSE);
@@ -155,7 +155,7 @@
 }
 
 void amb_return_record_machine_known(struct amb_node *node, struct amb_machine *machine) {
-    const struct amb_rental *rental = &node->rental;
+    const struct amb_rental *rental = &node->cloud;
     for (uint32_t i = 0; i < rental->nrelease; i++)
         if (!strcmp(rental->release_names[i], machine->name)) amb_machine_returning(machine, CAUSE);
 }
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -23,13 +23,13 @@
 }
 
 struct amb_rental_request *amb_rental_request_find(struct amb_node *node, const char *id) {
-    struct amb_rental_request *request = node->rental.requests;
+    struct amb_rental_request *request = node->cloud.requests;
     while (request && strcmp(request->id, id)) request = request->next;
     return request;
 }
 
 void amb_rental_request_drop(struct amb_node *node, struct amb_rental_request *request) {
-    struct amb_rental_request **at = &node->rental.requests;
+    struct amb_rental_request **at = &node->cloud.requests;
     while (*at != request) at = &(*at)->next;
     *at = request->next;
     free(request);
@@ -64,7 +64,7 @@
 /* What the holder of the rent duty may call at a time, as far as is known here. */
 static double holders_calls(const struct amb_node *node) {
     enum { BURST_SECONDS = 2 }; /* the protocol */
-    return node->set.cloud_rps * AMB_CLOUD_RENT_SHARE * BURST_SECONDS;
+    return node->settings.cloud_rps * AMB_CLOUD_RENT_SHARE * BURST_SECONDS;
 }
 
 /* Calls are few: what is wanted beyond those that can be made now stays in the plan, where what is wanted of
@@ -74,9 +74,9 @@
     enum amb_rental_path path = amb_duties_path(node);
     if (path == AMB_RENTAL_PAUSED) return 0;
     amb_cloud_refill(node, now);
-    double tokens = path == AMB_RENTAL_BY_HOLDER ? holders_calls(node) : node->rental.calls.tokens;
+    double tokens = path == AMB_RENTAL_BY_HOLDER ? holders_calls(node) : node->cloud.calls.tokens;
     double left = fmax(tokens, 1);
-    for (struct amb_rental_request *request = node->rental.requests; request; request = request->next)
+    for (struct amb_rental_request *request = node->cloud.requests; request; request = request->next)
         if (request->state == AMB_REQUEST_RECORDING ||
             (request->state == AMB_REQUEST_ASKING && !request->busy))
             left -= 1;
@@ -84,7 +84,7 @@
 }
 
 void amb_rental_want(struct amb_node *node, int type, int zone, bool spot, uint32_t count) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     struct amb_rental_request *request = amb_alloc(sizeof *request);
     /* The term is never used twice, nor is the counter within it. */
     snprintf(request->id, sizeof request->id, "r-%llu-%llu", (unsigned long long)node->election.term,
@@ -95,7 +95,7 @@
     request->count = count > RENT_MAX ? RENT_MAX : count;
     request->node = node;
     request->by_order = amb_duties_path(node) == AMB_RENTAL_BY_HOLDER;
-    uint32_t recordable = amb_duty_machines_most(amb_settings_lowered_limits(&node->set).value_kb);
+    uint32_t recordable = amb_duty_machines_most(amb_settings_lowered_limits(&node->settings).value_kb);
     if (request->by_order && request->count > recordable) request->count = recordable;
     request_append(rental, request);
     amb_info("rental request %s: wants %u %s in %s%s", request->id, request->count,
@@ -144,21 +144,21 @@
     bool known = amb_machine_get(node, name, false) != NULL;
     struct amb_machine *machine = amb_machine_get(node, name, true);
     if (!machine) return;
-    machine->type = kind->type;
+    machine->type_index = kind->type;
     amb_machine_learn_zone(machine, kind->zone);
     machine->spot = kind->spot;
     if (!known) amb_machine_state(machine, AMB_MACHINE_BOOTING, "rented");
 }
 
 static struct amb_refusal *refusal_of(struct amb_node *node, const struct amb_rental_request *request) {
-    return &node->rental.refused[request->type][request->zone][request->spot];
+    return &node->cloud.refused[request->type][request->zone][request->spot];
 }
 
 void amb_rental_filled(struct amb_node *node, const struct amb_rental_request *request, size_t got) {
     struct amb_refusal *refusal = refusal_of(node, request);
     amb_info("rental request %s: got %zu of %u", request->id, got, request->count);
     if (got < request->count)
-        refusal->until = amb_now() + amb_secs(node->set.lease_s * 1.5);
+        refusal->until = amb_now() + amb_secs(node->settings.lease_s * 1.5);
     else
         refusal->times = 0;
 }
@@ -166,7 +166,7 @@
 void amb_rental_no_capacity(struct amb_node *node, const struct amb_rental_request *request) {
     struct amb_refusal *refusal = refusal_of(node, request);
     refusal->times++;
-    refusal->until = amb_now() + amb_secs(node->set.lease_s * (refusal->times > 4 ? 4 : refusal->times));
+    refusal->until = amb_now() + amb_secs(node->settings.lease_s * (refusal->times > 4 ? 4 : refusal->times));
     amb_info("rental request %s: no capacity", request->id);
 }
 
@@ -184,22 +184,22 @@
         const cbor_item_t *rigs = amb_cbor_get(item, "rigs");
         size_t got = amb_cbor_len(rigs);
         for (size_t i = 0; i < got; i++) {
-            char name[AMB_NAME];
+            char name[AMB_NAME_SIZE];
             if (amb_cbor_str(amb_cbor_at(rigs, i), name, sizeof name)) amb_rental_learn(node, &kind, name);
         }
         amb_rental_filled(node, request, got);
         request->done_at = now;
         request_state(request, AMB_REQUEST_DONE, "answered");
-        amb_controller_wake(node);
+        amb_node_request_cycle(node);
     } else if (status == 503 && amb_cbor_eq(amb_cbor_get(item, "error"), "no capacity")) {
         amb_rental_no_capacity(node, request);
         request_state(request, AMB_REQUEST_REMOVING, "no capacity");
-        amb_controller_wake(node);
+        amb_node_request_cycle(node);
     } else if (status == 400) {
         amb_error("rental request %s: the cloud calls it malformed", request->id);
         request_state(request, AMB_REQUEST_REMOVING, "malformed");
     } else { /* no answer, an outage, too many calls: the same name again rents nothing twice */
-        request->retry_at = now + amb_secs(node->set.report_s / 2);
+        request->retry_at = now + amb_secs(node->settings.report_s / 2);
     }
     if (item) cbor_decref(&item);
 }
@@ -217,8 +217,8 @@
     amb_w_bool(&body, request->spot);
     amb_w_str(&body, "count");
     amb_w_uint(&body, request->count);
-    amb_http_call(node->set.cloud, "POST", "/machines", "application/cbor", body.data, body.len,
-                  amb_secs(node->set.report_s * 2), rented, request_call(node, request));
+    amb_http_call(node->settings.cloud, "POST", "/machines", "application/cbor", body.data, body.len,
+                  amb_secs(node->settings.report_s * 2), rented, request_call(node, request));
     amb_buf_free(&body);
 }
 
@@ -244,16 +244,16 @@
 }
 
 void amb_rental_load(struct amb_node *node, const char *key, const cbor_item_t *value) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     uint64_t count;
     if (strncmp(key, PREFIX, sizeof PREFIX - 1)) return;
     struct amb_rental_request *request = amb_alloc(sizeof *request);
     snprintf(request->id, sizeof request->id, "%s", key + sizeof PREFIX - 1);
     request->type = amb_cbor_str(amb_cbor_get(value, "type"), name, sizeof name)
-                        ? amb_catalog_type(&node->catalog, name)
+                        ? amb_catalog_find_type(&node->catalog, name)
                         : -1;
     request->zone = amb_cbor_str(amb_cbor_get(value, "zone"), name, sizeof name)
-                        ? amb_catalog_zone(&node->catalog, name)
+                        ? amb_catalog_find_or_add_zone(&node->catalog, name)
                         : -1;
     amb_cbor_bool(amb_cbor_get(value, "spot"), &request->spot);
     if (!amb_cbor_uint(amb_cbor_get(value, "count"), &count) || request->type < 0 || request->zone < 0) {
@@ -268,7 +268,7 @@
         request->state = AMB_REQUEST_DONE;
         request->done_at = amb_now();
     }
-    request_append(&node->rental, request);
+    request_append(&node->cloud, request);
 }
 
 struct amb_rental_request *amb_rental_request_ordered(struct amb_node *node, const char *id,
@@ -282,12 +282,12 @@
     request->node = node;
     request->by_order = true;
     request->state = AMB_REQUEST_ASKING;
-    request_append(&node->rental, request);
+    request_append(&node->cloud, request);
     return request;
 }
 
 bool amb_rental_refused(const struct amb_node *node, int type, int zone, bool spot, amb_ms now) {
-    return now < node->rental.refused[type][zone][spot].until;
+    return now < node->cloud.refused[type][zone][spot].until;
 }
 
 /* ---- the module's turn ---- */
@@ -304,7 +304,7 @@
         break;
     case AMB_REQUEST_DONE:
         /* Kept until the machines must be listed: until then only this record tells a successor of them. */
-        if (now - request->done_at > amb_secs(node->set.list_lag_s * 2.2))
+        if (now - request->done_at > amb_secs(node->settings.list_lag_s * 2.2))
             request_state(request, AMB_REQUEST_REMOVING, "listed by now");
         break;
     case AMB_REQUEST_REMOVING:
@@ -314,7 +314,7 @@
 }
 
 void amb_rental_requests_tick(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->rental;
+    struct amb_rental *rental = &node->cloud;
     for (struct amb_rental_request *request = rental->requests, *next; request; request = next) {
         next = request->next;
         tick_request(node, request, now);
@@ -322,5 +322,5 @@
 }
 
 void amb_rental_requests_clear(struct amb_node *node) {
-    while (node->rental.requests) amb_rental_request_drop(node, node->rental.requests);
+    while (node->cloud.requests) amb_rental_request_drop(node, node->cloud.requests);
 }
--- a/lib/cloud_duty/cloud_access.c
+++ b/lib/cloud_duty/cloud_access.c
@@ -15,7 +15,7 @@
 static void read_machines(const cbor_item_t *body, struct amb_duty_work *rented) {
     const cbor_item_t *names = amb_cbor_get(body, "rigs");
     for (size_t i = 0; i < amb_cbor_len(names); i++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         if (amb_cbor_str(amb_cbor_at(names, i), name, sizeof name)) amb_duty_work_add_machine(rented, name);
     }
 }
@@ -91,8 +91,8 @@
         put_rental(&body, order, work, token);
     else
         put_return(&body, order, work, token);
-    amb_http_call(node->set.cloud, "POST", path, "application/cbor", body.data, body.len,
-                  amb_secs(node->set.report_s * 2), answered, call);
+    amb_http_call(node->settings.cloud, "POST", path, "application/cbor", body.data, body.len,
+                  amb_secs(node->settings.report_s * 2), answered, call);
     amb_buf_free(&body);
     return true;
 }
--- a/lib/cloud_duty/orders.c
+++ b/lib/cloud_duty/orders.c
@@ -72,7 +72,7 @@
 }
 
 void amb_duties_order_rentals(struct amb_node *node, amb_ms now) {
-    for (struct amb_rental_request *request = node->rental.requests; request; request = request->next) {
+    for (struct amb_rental_request *request = node->cloud.requests; request; request = request->next) {
         bool due = request->state == AMB_REQUEST_RECORDING && !request->busy && now >= request->retry_at;
         if (request->by_order && due) order_rental(node, request);
     }
@@ -80,8 +80,8 @@
 
 /* False: the catalogue does not know the type, or there is no room for the zone. */
 static bool read_kind(struct amb_node *node, const struct amb_duty_work *work, struct amb_rental_kind *out) {
-    out->type = amb_catalog_type(&node->catalog, work->type);
-    out->zone = amb_catalog_zone(&node->catalog, work->zone);
+    out->type = amb_catalog_find_type(&node->catalog, work->type);
+    out->zone = amb_catalog_find_or_add_zone(&node->catalog, work->zone);
     out->spot = work->spot;
     return out->type >= 0 && out->zone >= 0;
 }
@@ -104,7 +104,7 @@
     else
         amb_error("rental request %s: the cloud calls it malformed", request->id);
     amb_rental_request_drop(node, request);
-    amb_controller_wake(node);
+    amb_node_request_cycle(node);
 }
 
 static void rental_changed(struct amb_node *node, const struct amb_duty_order_record *order,
@@ -132,7 +132,7 @@
 
 /* A machine of a return order is never used again, whatever becomes of the order. */
 static void mark_returned(struct amb_machine *machine, const char *cause) {
-    machine->return_ordered = true;
+    machine->scale_in_logged = true;
     amb_machine_returning(machine, cause);
 }
 
@@ -145,8 +145,8 @@
         if (!machine) continue;
         mark_returned(machine, "a return is on record");
         /* The cloud did not accept it: the machine is not gone, and is given up anew. */
-        if (order->state == AMB_DUTY_ORDER_SETTLED) machine->return_ordered = false;
-        if (gone) amb_machine_post_gone(node, machine, AMB_ABSENCE_RETURNED);
+        if (order->state == AMB_DUTY_ORDER_SETTLED) machine->scale_in_logged = false;
+        if (gone) amb_machine_post_gone(node, machine, AMB_ABSENCE_RELEASED);
     }
 }
 
@@ -178,7 +178,7 @@
 }
 
 static bool fits_order(const struct amb_return_order *order, const struct amb_machine *machine) {
-    enum amb_duty_name duty = machine->return_planned ? AMB_DUTY_RETURN : AMB_DUTY_RECLAIM;
+    enum amb_duty_name duty = machine->scale_in_planned ? AMB_DUTY_RETURN : AMB_DUTY_RECLAIM;
     const char *reason = machine->release_reason ? machine->release_reason : "";
     return order->duty == duty && !strncmp(order->work.reason, reason, sizeof order->work.reason - 1);
 }
@@ -186,13 +186,13 @@
 /* Machines that are given up for the same reason go into one order. */
 static bool collect(struct amb_node *node) {
     struct amb_return_order *order = &node->duties.returning;
-    uint32_t most = amb_duty_machines_most(amb_settings_lowered_limits(&node->set).value_kb);
+    uint32_t most = amb_duty_machines_most(amb_settings_lowered_limits(&node->settings).value_kb);
     struct amb_machine *machine, *next;
     HASH_ITER(hh, node->fleet.all, machine, next) {
-        if (!machine->release_wanted || machine->return_ordered || order->work.machine_count == most)
+        if (!machine->release_pending || machine->scale_in_logged || order->work.machine_count == most)
             continue;
         if (!order->work.machine_count) {
-            order->duty = machine->return_planned ? AMB_DUTY_RETURN : AMB_DUTY_RECLAIM;
+            order->duty = machine->scale_in_planned ? AMB_DUTY_RETURN : AMB_DUTY_RECLAIM;
             snprintf(order->work.reason, sizeof order->work.reason, "%s",
                      machine->release_reason ? machine->release_reason : "");
         }
@@ -218,7 +218,7 @@
 
 bool amb_duties_ordering(const struct amb_node *node) {
     if (node->duties.returning.id[0]) return true;
-    for (const struct amb_rental_request *request = node->rental.requests; request; request = request->next)
+    for (const struct amb_rental_request *request = node->cloud.requests; request; request = request->next)
         if (request->by_order && request->state == AMB_REQUEST_RECORDING) return true;
     return false;
 }
@@ -240,7 +240,7 @@
 void amb_duties_order_changed(struct amb_node *node, const struct amb_duty_order_record *order,
                               const struct amb_duty_work *work) {
     struct amb_return_order *returning = &node->duties.returning;
-    if (!amb_election_has_leader_role(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_has_leader_role(node) || !node->controller.restored_at) return;
     if (!work) {
         rental_forgotten(node, order);
         return;
--- a/lib/cloud_duty/wiring.c
+++ b/lib/cloud_duty/wiring.c
@@ -26,7 +26,7 @@
     if (settings.call_timeout < call) settings.call_timeout = call;
     if (settings.backoff < settings.call_timeout) settings.backoff = settings.call_timeout;
     if (settings.keep_settled <= 0) settings.keep_settled = settings.keep_uncertain = ttl;
-    char wrong[AMB_NAME];
+    char wrong[AMB_NAME_SIZE];
     amb_duty_settings_names(&settings, options->duty_names, wrong, sizeof wrong);
     return settings;
 }
@@ -125,10 +125,10 @@
                                          .order_changed = port_order_changed,
                                          .loaded = port_loaded,
                                          .log = port_log};
-    struct amb_duty_settings settings = amb_duties_settings(&node->set, &node->opt);
+    struct amb_duty_settings settings = amb_duties_settings(&node->settings, &node->options);
     duties->records_exist = false;
     amb_info("duties: this node takes part, lease %lld ms", (long long)settings.ttl);
-    amb_duty_service_start(&duties->service, &ports, &settings, node->set.member, amb_nonce());
+    amb_duty_service_start(&duties->service, &ports, &settings, node->settings.member, amb_nonce());
     tick(node);
 }
 
@@ -171,7 +171,7 @@
 
 /* Has the leader a call under way, or to repeat, that the other path must not meet? */
 static bool leader_has_calls(const struct amb_node *node) {
-    const struct amb_rental *rental = &node->rental;
+    const struct amb_rental *rental = &node->cloud;
     if (rental->nrelease) return true;
     for (const struct amb_rental_request *request = rental->requests; request; request = request->next)
         if (request->state == AMB_REQUEST_RECORDING || request->state == AMB_REQUEST_ASKING) return true;
@@ -221,7 +221,7 @@
 
 void amb_duties_tick(struct amb_node *node, amb_ms now) {
     if (!amb_duties_wanted(node) && !node->duties.mode_stamp) return;
-    if (!amb_election_may_act(node) || !node->ctl.loaded_at) return;
+    if (!amb_election_may_act(node) || !node->controller.restored_at) return;
     tick_mode(node, now);
     amb_duties_order_rentals(node, now);
     amb_duties_order_returns(node, now);
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -7,15 +7,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const struct amb_word states[] = {{"fetching", AMB_ON_FETCHING}, {"waiting", AMB_ON_WAITING},
-                                         {"running", AMB_ON_RUNNING},   {"saving", AMB_ON_SAVING},
-                                         {"exited", AMB_ON_EXITED},     {0, 0}};
-static const struct amb_word reasons[] = {
-    {"done", AMB_WHY_DONE},        {"stopped", AMB_WHY_STOPPED}, {"peers", AMB_WHY_PEERS},
-    {"incomplete", AMB_WHY_ALONE}, {"error", AMB_WHY_ERROR},     {"full", AMB_WHY_NO_ROOM},
-    {"busy", AMB_WHY_BUSY},        {"unknown", AMB_WHY_UNKNOWN}, {0, 0}};
-
-static bool parse_task_name(char text[AMB_NAME], char *ref, uint32_t *index) {
+static const struct amb_word states[] = {
+    {"fetching", AMB_AGENT_TASK_FETCHING}, {"waiting", AMB_AGENT_TASK_WAITING},
+    {"running", AMB_AGENT_TASK_RUNNING},   {"saving", AMB_AGENT_TASK_SAVING},
+    {"exited", AMB_AGENT_TASK_EXITED},     {0, 0}};
+static const struct amb_word reasons[] = {{"done", AMB_EXIT_DONE},
+                                          {"stopped", AMB_EXIT_STOPPED},
+                                          {"peers", AMB_EXIT_GANG_PEER_GONE},
+                                          {"incomplete", AMB_EXIT_GANG_INCOMPLETE},
+                                          {"error", AMB_EXIT_ERROR},
+                                          {"full", AMB_EXIT_MACHINE_FULL},
+                                          {"busy", AMB_EXIT_ATTEMPT_CONFLICT},
+                                          {"unknown", AMB_EXIT_UNKNOWN_JOB},
+                                          {0, 0}};
+
+static bool parse_task_name(char text[AMB_NAME_SIZE], char *ref, uint32_t *index) {
     char *slash = strchr(text, '/');
     if (!slash || !isdigit((unsigned char)slash[1])) return false;
     char *end;
@@ -28,41 +34,42 @@
 }
 
 static bool task_name(const cbor_item_t *item, char *ref, uint32_t *index) {
-    char text[AMB_NAME];
+    char text[AMB_NAME_SIZE];
     return amb_cbor_str(item, text, sizeof text) && parse_task_name(text, ref, index);
 }
 
-enum amb_parse amb_codec_report(const cbor_item_t *map, struct amb_report *heartbeat) {
+enum amb_parse amb_codec_report(const cbor_item_t *map, struct amb_agent_heartbeat *heartbeat) {
     memset(heartbeat, 0, sizeof *heartbeat);
     if (!map || !cbor_isa_map(map)) return AMB_PARSE_BAD;
-    if (!amb_field_name(map, "rig", heartbeat->machine) || !amb_field_name(map, "address", heartbeat->addr) ||
+    if (!amb_field_name(map, "rig", heartbeat->machine) ||
+        !amb_field_name(map, "address", heartbeat->address) ||
         !amb_field_name(map, "hull", heartbeat->type) || !amb_field_name(map, "yard", heartbeat->zone) ||
         !amb_cbor_bool(amb_cbor_get(map, "driftwood"), &heartbeat->spot) ||
-        !amb_cbor_uint(amb_cbor_get(map, "watch"), &heartbeat->session) ||
-        !amb_cbor_uint(amb_cbor_get(map, "tally"), &heartbeat->seq) ||
-        !amb_cbor_uint(amb_cbor_get(map, "baton"), &heartbeat->token))
+        !amb_cbor_uint(amb_cbor_get(map, "watch"), &heartbeat->incarnation) ||
+        !amb_cbor_uint(amb_cbor_get(map, "tally"), &heartbeat->sequence) ||
+        !amb_cbor_uint(amb_cbor_get(map, "baton"), &heartbeat->fencing_token))
         return AMB_PARSE_BAD;
-    heartbeat->notice_s = -1;
+    heartbeat->reclaim_notice_s = -1;
     const cbor_item_t *notice = amb_cbor_get(map, "recall_s");
-    if (!amb_cbor_absent(notice) && !amb_cbor_num(notice, &heartbeat->notice_s)) return AMB_PARSE_BAD;
+    if (!amb_cbor_absent(notice) && !amb_cbor_num(notice, &heartbeat->reclaim_notice_s)) return AMB_PARSE_BAD;
     const cbor_item_t *legs = amb_cbor_get(map, "legs");
     size_t count = amb_cbor_len(legs);
     heartbeat->tasks = amb_alloc((count + 1) * sizeof *heartbeat->tasks);
     for (size_t i = 0; i < count; i++) {
         const cbor_item_t *task = amb_cbor_at(legs, i);
-        struct amb_seen *seen = &heartbeat->tasks[heartbeat->ntasks];
-        int on, why = AMB_WHY_NONE;
-        if (!task_name(amb_cbor_get(task, "leg"), seen->ref, &seen->index) ||
+        struct amb_agent_task *seen = &heartbeat->tasks[heartbeat->task_count];
+        int on, why = AMB_EXIT_NONE;
+        if (!task_name(amb_cbor_get(task, "leg"), seen->job_ref, &seen->index) ||
             !amb_cbor_uint(amb_cbor_get(task, "try"), &seen->attempt) ||
             !amb_word_read(states, amb_cbor_get(task, "stance"), &on)) {
             amb_report_free(heartbeat);
             return AMB_PARSE_BAD;
         }
         amb_word_read(reasons, amb_cbor_get(task, "cause"), &why);
-        seen->on = (enum amb_on)on;
-        seen->why = (enum amb_why)why;
-        amb_cbor_bool(amb_cbor_get(task, "stored"), &seen->saved);
-        heartbeat->ntasks++;
+        seen->state = (enum amb_agent_task_state)on;
+        seen->exit_reason = (enum amb_exit_reason)why;
+        amb_cbor_bool(amb_cbor_get(task, "stored"), &seen->checkpoint_saved);
+        heartbeat->task_count++;
     }
     return AMB_PARSE_OK;
 }
@@ -83,8 +90,8 @@
     return 0;
 }
 
-static void read_name(struct amb_cbor_reader *in, char out[AMB_NAME]) {
-    if (!amb_cbor_copy_text(in, amb_cbor_read_text(in), out, AMB_NAME) || !amb_name_plain(out))
+static void read_name(struct amb_cbor_reader *in, char out[AMB_NAME_SIZE]) {
+    if (!amb_cbor_copy_text(in, amb_cbor_read_text(in), out, AMB_NAME_SIZE) || !amb_name_plain(out))
         in->odd = true;
 }
 
@@ -99,33 +106,33 @@
 enum { TASK_NAME = 1, TASK_ATTEMPT = 2, TASK_ON = 4, TASK_WHY = 8, TASK_SAVED = 16 };
 static const char *const task_keys[] = {"leg", "try", "stance", "cause", "stored", NULL};
 
-static void read_task(struct amb_cbor_reader *in, struct amb_seen *seen) {
-    char name[AMB_NAME];
+static void read_task(struct amb_cbor_reader *in, struct amb_agent_task *seen) {
+    char name[AMB_NAME_SIZE];
     uint32_t keys = 0;
     int on = -1;
     for (size_t pairs = amb_cbor_read_map(in); pairs && !in->odd; pairs--) {
         switch (read_key(in, task_keys, &keys)) {
         case TASK_NAME:
             if (!amb_cbor_copy_text(in, amb_cbor_read_text(in), name, sizeof name) ||
-                !parse_task_name(name, seen->ref, &seen->index))
+                !parse_task_name(name, seen->job_ref, &seen->index))
                 in->odd = true;
             break;
         case TASK_ATTEMPT: seen->attempt = amb_cbor_read_uint(in); break;
         case TASK_ON: on = read_word(in, states, -1); break;
-        case TASK_WHY: seen->why = (enum amb_why)read_word(in, reasons, AMB_WHY_NONE); break;
-        case TASK_SAVED: seen->saved = amb_cbor_read_bool(in); break;
+        case TASK_WHY: seen->exit_reason = (enum amb_exit_reason)read_word(in, reasons, AMB_EXIT_NONE); break;
+        case TASK_SAVED: seen->checkpoint_saved = amb_cbor_read_bool(in); break;
         default: amb_cbor_skip(in);
         }
     }
     const uint32_t needed = TASK_NAME | TASK_ATTEMPT | TASK_ON;
     if ((keys & needed) != needed || on < 0) in->odd = true;
-    seen->on = (enum amb_on)on;
+    seen->state = (enum amb_agent_task_state)on;
 }
 
-static void read_tasks(struct amb_cbor_reader *in, struct amb_report *out) {
+static void read_tasks(struct amb_cbor_reader *in, struct amb_agent_heartbeat *out) {
     size_t count = amb_cbor_read_list(in);
     out->tasks = amb_alloc((count + 1) * sizeof *out->tasks);
-    while (out->ntasks < count && !in->odd) read_task(in, &out->tasks[out->ntasks++]);
+    while (out->task_count < count && !in->odd) read_task(in, &out->tasks[out->task_count++]);
 }
 
 enum {
@@ -144,20 +151,20 @@
 static const char *const report_keys[] = {"rig",   "address", "hull",     "yard", "driftwood", "watch",
                                           "tally", "baton",   "recall_s", "legs", NULL};
 
-static void read_report(struct amb_cbor_reader *in, struct amb_report *out) {
+static void read_report(struct amb_cbor_reader *in, struct amb_agent_heartbeat *out) {
     uint32_t keys = 0;
     for (size_t pairs = amb_cbor_read_map(in); pairs && !in->odd; pairs--) {
         switch (read_key(in, report_keys, &keys)) {
         case REPORT_MACHINE: read_name(in, out->machine); break;
-        case REPORT_ADDRESS: read_name(in, out->addr); break;
+        case REPORT_ADDRESS: read_name(in, out->address); break;
         case REPORT_TYPE: read_name(in, out->type); break;
         case REPORT_ZONE: read_name(in, out->zone); break;
         case REPORT_SPOT: out->spot = amb_cbor_read_bool(in); break;
-        case REPORT_SESSION: out->session = amb_cbor_read_uint(in); break;
-        case REPORT_SEQ: out->seq = amb_cbor_read_uint(in); break;
-        case REPORT_TOKEN: out->token = amb_cbor_read_uint(in); break;
+        case REPORT_SESSION: out->incarnation = amb_cbor_read_uint(in); break;
+        case REPORT_SEQ: out->sequence = amb_cbor_read_uint(in); break;
+        case REPORT_TOKEN: out->fencing_token = amb_cbor_read_uint(in); break;
         case REPORT_NOTICE:
-            if (!amb_cbor_read_null(in)) out->notice_s = amb_cbor_read_num(in);
+            if (!amb_cbor_read_null(in)) out->reclaim_notice_s = amb_cbor_read_num(in);
             break;
         case REPORT_TASKS: /* a key that comes twice has made the reader odd */
             if (!in->odd) read_tasks(in, out);
@@ -168,17 +175,17 @@
     if ((keys & REPORT_NEEDED) != REPORT_NEEDED || in->at != in->end) in->odd = true;
 }
 
-bool amb_codec_report_quick(const void *data, size_t len, struct amb_report *out) {
+bool amb_codec_report_quick(const void *data, size_t len, struct amb_agent_heartbeat *out) {
     struct amb_cbor_reader in = amb_cbor_reader(data, len);
     memset(out, 0, sizeof *out);
-    out->notice_s = -1;
+    out->reclaim_notice_s = -1;
     read_report(&in, out);
     if (!in.odd && !out->tasks) out->tasks = amb_alloc(sizeof *out->tasks);
     if (in.odd) amb_report_free(out);
     return !in.odd;
 }
 
-enum amb_parse amb_codec_read_report(const void *data, size_t len, struct amb_report *out) {
+enum amb_parse amb_codec_read_report(const void *data, size_t len, struct amb_agent_heartbeat *out) {
     if (amb_codec_report_quick(data, len, out)) return AMB_PARSE_OK;
     cbor_item_t *item = amb_cbor_parse(data, len);
     enum amb_parse parsed = amb_codec_report(item, out);
@@ -186,8 +193,8 @@
     return parsed;
 }
 
-void amb_report_free(struct amb_report *heartbeat) {
+void amb_report_free(struct amb_agent_heartbeat *heartbeat) {
     free(heartbeat->tasks);
     heartbeat->tasks = NULL;
-    heartbeat->ntasks = 0;
+    heartbeat->task_count = 0;
 }
--- a/lib/codec/catalog.c
+++ b/lib/codec/catalog.c
@@ -4,19 +4,20 @@
 
 #include <string.h>
 
-bool amb_codec_type(const cbor_item_t *map, struct amb_type *type) {
+bool amb_codec_type(const cbor_item_t *map, struct amb_machine_type *type) {
     memset(type, 0, sizeof *type);
-    if (!amb_field_name(map, "name", type->name) || !amb_field_amount(map, "vcpus", &type->size.cpus) ||
-        !amb_field_amount(map, "accelerators", &type->size.gpus) ||
-        !amb_field_amount(map, "ram_gb", &type->size.memory))
+    if (!amb_field_name(map, "name", type->name) || !amb_field_amount(map, "vcpus", &type->resources.cpus) ||
+        !amb_field_amount(map, "accelerators", &type->resources.gpus) ||
+        !amb_field_amount(map, "ram_gb", &type->resources.memory_gb))
         return false;
-    amb_field_amount(map, "local_gb", &type->cache_gb);
-    amb_field_amount(map, "fetch_gb_per_s", &type->fetch_gb_s);
-    amb_field_amount(map, "hourly", &type->price);
-    amb_field_amount(map, "market_price", &type->spot_price);
+    amb_field_amount(map, "local_gb", &type->image_cache_gb);
+    amb_field_amount(map, "fetch_gb_per_s", &type->image_fetch_gb_per_s);
+    amb_field_amount(map, "hourly", &type->hourly_price);
+    amb_field_amount(map, "market_price", &type->hourly_spot_price);
     amb_field_amount(map, "boot_s", &type->boot_s);
     const cbor_item_t *zones = amb_cbor_get(map, "yards");
-    for (size_t i = 0; i < amb_cbor_len(zones) && type->nzones < AMB_ZONES; i++)
-        if (amb_cbor_str(amb_cbor_at(zones, i), type->zones[type->nzones], AMB_NAME)) type->nzones++;
+    for (size_t i = 0; i < amb_cbor_len(zones) && type->zone_count < AMB_ZONES_MAX; i++)
+        if (amb_cbor_str(amb_cbor_at(zones, i), type->zones[type->zone_count], AMB_NAME_SIZE))
+            type->zone_count++;
     return true;
 }
--- a/lib/codec/fields.c
+++ b/lib/codec/fields.c
@@ -23,8 +23,8 @@
     return true;
 }
 
-bool amb_field_name(const cbor_item_t *map, const char *key, char out[AMB_NAME]) {
-    return amb_cbor_str(amb_cbor_get(map, key), out, AMB_NAME) && amb_name_plain(out);
+bool amb_field_name(const cbor_item_t *map, const char *key, char out[AMB_NAME_SIZE]) {
+    return amb_cbor_str(amb_cbor_get(map, key), out, AMB_NAME_SIZE) && amb_name_plain(out);
 }
 
 bool amb_field_amount(const cbor_item_t *map, const char *key, double *out) {
--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -17,13 +17,13 @@
 /* The rest of a value: its head, and the names of types and zones. */
 static const double ENTRIES_SHARE = 0.8;
 
-uint32_t amb_layout_tasks_per_block(enum amb_layout layout, double value_kb) {
+uint32_t amb_layout_tasks_per_block(enum amb_block_layout layout, double value_kb) {
     int entry = layout == AMB_LAYOUT_BY_SETTINGS ? LONGEST_ENTRY : USUAL_ENTRY;
     uint32_t tasks = (uint32_t)(value_kb * 1024 * ENTRIES_SHARE / entry);
     return tasks ? tasks : 1;
 }
 
-struct amb_task_range amb_layout_range(struct amb_block_id id, uint32_t tasks) {
+struct amb_task_range amb_layout_range(struct amb_placement_block_id id, uint32_t tasks) {
     uint64_t first = (uint64_t)id.tasks_per_block * id.index, end = first + id.tasks_per_block;
     return (struct amb_task_range){first < tasks ? (uint32_t)first : tasks,
                                    end < tasks ? (uint32_t)end : tasks};
@@ -31,7 +31,7 @@
 
 /* ---- keys ---- */
 
-void amb_layout_key(char out[AMB_BLOCK_KEY], const char *ref, struct amb_block_id id) {
+void amb_layout_key(char out[AMB_BLOCK_KEY], const char *ref, struct amb_placement_block_id id) {
     if (id.layout == AMB_LAYOUT_BY_SETTINGS)
         snprintf(out, AMB_BLOCK_KEY, "%s%s/%05u", SETTINGS_PREFIX, ref, id.index);
     else
@@ -53,14 +53,14 @@
     return true;
 }
 
-bool amb_layout_parse_key(const char *key, char ref[AMB_NAME], struct amb_block_id *id) {
+bool amb_layout_parse_key(const char *key, char ref[AMB_NAME_SIZE], struct amb_placement_block_id *id) {
     memset(id, 0, sizeof *id);
     if (starts_with(key, KEY_PREFIX))
         id->layout = AMB_LAYOUT_BY_KEY;
     else if (!starts_with(key, SETTINGS_PREFIX))
         return false;
     const char *name = key + sizeof KEY_PREFIX - 1, *at = strchr(name, '/');
-    if (!at || at == name || at - name >= AMB_NAME) return false;
+    if (!at || at == name || at - name >= AMB_NAME_SIZE) return false;
     memcpy(ref, name, (size_t)(at - name));
     ref[at - name] = 0;
     if (id->layout == AMB_LAYOUT_BY_KEY && (!next_number(&at, &id->tasks_per_block) || !id->tasks_per_block))
@@ -68,7 +68,7 @@
     return next_number(&at, &id->index) && !*at;
 }
 
-bool amb_layout_precedes(struct amb_block_id a, struct amb_block_id b) {
+bool amb_layout_precedes(struct amb_placement_block_id a, struct amb_placement_block_id b) {
     if (a.layout != b.layout) return a.layout == AMB_LAYOUT_BY_KEY;
     return a.layout == AMB_LAYOUT_BY_KEY && a.tasks_per_block < b.tasks_per_block;
 }
@@ -96,8 +96,8 @@
         return false;
     out->task = (uint32_t)task;
     out->attempt = attempt;
-    out->type = type >= 0 && type < AMB_TYPES ? (int)type : -1;
-    out->zone = zone >= 0 && zone < AMB_ZONES ? (int)zone : -1;
+    out->type = type >= 0 && type < AMB_MACHINE_TYPES_MAX ? (int)type : -1;
+    out->zone = zone >= 0 && zone < AMB_ZONES_MAX ? (int)zone : -1;
     out->spot = spot;
     *at += used;
     return true;
@@ -133,11 +133,11 @@
     amb_w_str(out, "d");
     put_text(out, &text->done);
     amb_w_str(out, "t"); /* the names that the numbers of types and zones stand for */
-    amb_w_list(out, catalog->ntypes);
-    for (uint32_t i = 0; i < catalog->ntypes; i++) amb_w_str(out, catalog->types[i].name);
+    amb_w_list(out, catalog->type_count);
+    for (uint32_t i = 0; i < catalog->type_count; i++) amb_w_str(out, catalog->types[i].name);
     amb_w_str(out, "z");
-    amb_w_list(out, catalog->nzones);
-    for (uint32_t i = 0; i < catalog->nzones; i++) amb_w_str(out, catalog->zones[i]);
+    amb_w_list(out, catalog->zone_count);
+    for (uint32_t i = 0; i < catalog->zone_count; i++) amb_w_str(out, catalog->zones[i]);
     amb_buf_free(&text->placed);
     amb_buf_free(&text->done);
 }
--- a/lib/config/options.c
+++ b/lib/config/options.c
@@ -63,7 +63,7 @@
 
 static void read_duty_names(struct reader *r, const char *names) {
     struct amb_duty_settings settings = {0};
-    char wrong[AMB_NAME] = "", said[AMB_NAME * 4];
+    char wrong[AMB_NAME_SIZE] = "", said[AMB_NAME_SIZE * 4];
     if (strlen(names) >= sizeof r->o->duty_names) {
         complain(r, DUTY_NAMES, "the list is too long");
         return;
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -41,7 +41,7 @@
     TEXT("endpoints.state", state, true),
     ITEM_TEXT("others[].member", peers, member, npeers, AMB_PEERS),
     ITEM_TEXT("others[].addr", peers, addr, npeers, AMB_PEERS),
-    {"params.zones[]", true, false, S(zones), AMB_NAME, AMB_ZONES, S(nzones), 0, 0},
+    {"params.zones[]", true, false, S(zones), AMB_NAME_SIZE, AMB_ZONES_MAX, S(nzones), 0, 0},
     ITEM_TEXT("params.teams[].name", teams, name, nteams, AMB_TEAMS),
     ITEM_NUM("params.teams[].cpus", teams, guarantee.cpus, nteams, AMB_TEAMS),
     ITEM_NUM("params.teams[].gpus", teams, guarantee.gpus, nteams, AMB_TEAMS),
@@ -103,7 +103,8 @@
 }
 
 static size_t text_room(const struct field *f) {
-    return !strcmp(f->path, "params.objectives[].kind") ? sizeof((struct amb_objective *)0)->kind : AMB_NAME;
+    return !strcmp(f->path, "params.objectives[].kind") ? sizeof((struct amb_objective *)0)->kind
+                                                        : AMB_NAME_SIZE;
 }
 
 static void visit(void *arg, const char *path, enum amb_toml_kind kind, const char *text, double num) {
--- a/lib/duty/path.c
+++ b/lib/duty/path.c
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 bool amb_duties_wanted(const struct amb_node *node) {
-    return node->opt.duties != 0;
+    return node->options.duties != 0;
 }
 
 void amb_duties_heard(struct amb_peer *peer, const json_t *said) {
--- a/lib/duty/record_codec.c
+++ b/lib/duty/record_codec.c
@@ -19,13 +19,14 @@
 }
 
 bool amb_duty_work_add_machine(struct amb_duty_work *work, const char *machine) {
-    if (work->machine_count == AMB_DUTY_MACHINES || strlen(machine) >= AMB_NAME) return false;
+    if (work->machine_count == AMB_DUTY_MACHINES || strlen(machine) >= AMB_NAME_SIZE) return false;
     work->machines = amb_grow(work->machines, (work->machine_count + 1) * sizeof *work->machines);
     strcpy(work->machines[work->machine_count++], machine);
     return true;
 }
 
-/* Sizes are counted in JSON form. The fixed part: names, numbers and up to four names of AMB_NAME bytes. */
+/* Sizes are counted in JSON form. The fixed part: names, numbers and up to four names of AMB_NAME_SIZE bytes.
+ */
 uint32_t amb_duty_machines_most(double value_kb) {
     enum { FIXED_BYTES = 480, BYTES_PER_MACHINE = 20, BYTES_PER_KB = 1024 };
     double room = (value_kb * BYTES_PER_KB - FIXED_BYTES) / BYTES_PER_MACHINE;
@@ -169,7 +170,7 @@
 static bool read_machines(const cbor_item_t *value, struct amb_duty_work *work) {
     const cbor_item_t *list = amb_cbor_get(value, "machines");
     for (size_t i = 0; i < amb_cbor_len(list); i++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         if (!amb_cbor_str(amb_cbor_at(list, i), name, sizeof name) || !amb_duty_work_add_machine(work, name))
             return false;
     }
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -144,7 +144,7 @@
 static void member_news(struct amb_duty_service *service, const char *member, const cbor_item_t *value,
                         uint64_t stamp) {
     struct amb_duty_event event = {.type = AMB_DUTY_MEMBER_CHANGED, .member = {.stamp = stamp}};
-    if (strlen(member) >= AMB_NAME) return;
+    if (strlen(member) >= AMB_NAME_SIZE) return;
     strcpy(event.member.member, member);
     /* One of a form that is not known is alive: its duties are not taken. */
     if (value && amb_duty_decode_member(value, &event.member) != AMB_DUTY_DECODED)
--- a/lib/duty/settings.c
+++ b/lib/duty/settings.c
@@ -41,7 +41,7 @@
 
 enum amb_duty_settings_error amb_duty_settings_names(struct amb_duty_settings *settings, const char *names,
                                                      char *wrong, size_t cap) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     bool all = !strcmp(names, "all");
     uint32_t count = all ? AMB_DUTY_NAMES : 0;
     if (cap) wrong[0] = 0;
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -75,17 +75,17 @@
     const struct amb_duty_service *service = &node->duties.service;
     amb_ms now = amb_now();
     json_t *said = json_pack(
-        "{s:s, s:I, s:b, s:I, s:b, s:s, s:b, s:b}", "node", node->set.member, "term",
+        "{s:s, s:I, s:b, s:I, s:b, s:s, s:b, s:b}", "node", node->settings.member, "term",
         (json_int_t)(amb_election_has_leader_role(node) ? node->election.term : node->election.highest_term),
-        "leading", (int)amb_election_is_leader(node), "age_ms", (json_int_t)(now - node->jobs.fresh_at),
+        "leading", (int)amb_election_is_leader(node), "age_ms", (json_int_t)(now - node->jobs.last_read_at),
         "switched_on", (int)amb_duties_wanted(node), "mode", amb_duty_mode_text(node->duties.mode),
         "takes_part", (int)service->active, "records_read", (int)service->loaded);
     if (amb_election_has_leader_role(node))
         json_object_set_new(said, "rentals_by", json_string(path_text(amb_duties_path(node))));
     if (service->active)
-        json_object_set_new(
-            said, "vacancy_bound_ms",
-            json_integer(amb_duty_settings_vacancy_bound(&service->core.settings, node->set.npeers + 1)));
+        json_object_set_new(said, "vacancy_bound_ms",
+                            json_integer(amb_duty_settings_vacancy_bound(&service->core.settings,
+                                                                         node->settings.npeers + 1)));
     json_t *list = json_array();
     for (int i = 0; i < AMB_DUTY_NAMES && service->active; i++)
         json_array_append_new(list, describe_duty(service, (enum amb_duty_name)i, now));
@@ -127,7 +127,7 @@
     json_t *body = json_loadb(request->body, request->body_len, 0, NULL);
     const char *name = json_string_value(json_object_get(body, "duty"));
     const char *to = json_string_value(json_object_get(body, "to"));
-    bool good = name && amb_duty_name_parse(name, &duty) && (!to || strlen(to) < AMB_NAME);
+    bool good = name && amb_duty_name_parse(name, &duty) && (!to || strlen(to) < AMB_NAME_SIZE);
     if (good && to) strcpy(wish.successor, to);
     json_decref(body);
     if (!good) {
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -35,7 +35,7 @@
 
 /* Sending a worker to a node that is gone costs it seconds of its lease. */
 static bool was_heard_recently(const struct amb_node *node, const char *member) {
-    amb_ms patience = (amb_ms)(node->set.report_s * 2500);
+    amb_ms patience = (amb_ms)(node->settings.report_s * 2500);
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (!strcmp(node->peers.list[i].member, member))
             return amb_now() - node->peers.list[i].heard_at < patience;
@@ -44,7 +44,7 @@
 
 const char *amb_election_leader_name(const struct amb_node *node) {
     const struct amb_election *election = &node->election;
-    if (amb_election_is_leader(node)) return node->set.member;
+    if (amb_election_is_leader(node)) return node->settings.member;
     const char *name = election->holder[0] ? election->holder : NULL;
     uint64_t term = election->holder_revision;
     for (uint32_t i = 0; i < node->peers.count; i++) {
@@ -54,7 +54,7 @@
             term = peer->term;
         }
     }
-    if (!name || !strcmp(name, node->set.member) || !was_heard_recently(node, name)) return NULL;
+    if (!name || !strcmp(name, node->settings.member) || !was_heard_recently(node, name)) return NULL;
     return name;
 }
 
@@ -63,26 +63,26 @@
 /* A leader that no worker reaches serves nobody while it holds the lease: when the workers come to another
  * node, or when no node can be reached either, somebody else should lead. */
 static bool is_unreachable_by_agents(const struct amb_node *node, amb_ms now) {
-    amb_ms silence = (amb_ms)(node->set.report_s * 3000);
+    amb_ms silence = (amb_ms)(node->settings.report_s * 3000);
     if (node->election.role != AMB_ROLE_LEADER || now - node->fleet.last_report_at < silence ||
-        now - node->ctl.leading_since < silence || !node->ctl.loaded_at)
+        now - node->controller.leader_since < silence || !node->controller.restored_at)
         return false;
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
-        if (machine->state == AMB_MACHINE_UP || machine->ntasks)
+        if (machine->state == AMB_MACHINE_UP || machine->task_count)
             return amb_election_has_better_placed_peer(node, now);
     return false;
 }
 
 bool amb_election_is_leader(const struct amb_node *node) {
     amb_ms now = amb_now();
-    const struct amb_election_evidence evidence = {.watch_sent_at = node->jobs.fresh_sent_at,
+    const struct amb_election_evidence evidence = {.watch_sent_at = node->jobs.last_read_sent_at,
                                                    .peers_queried_at =
                                                        amb_election_peers_confirmed_at(node, now)};
     return amb_election_may_answer_agents(&node->election, now, &evidence);
 }
 
 static struct amb_election_evidence current_evidence(const struct amb_node *node, amb_ms now) {
-    return (struct amb_election_evidence){.watch_sent_at = node->jobs.fresh_sent_at,
+    return (struct amb_election_evidence){.watch_sent_at = node->jobs.last_read_sent_at,
                                           .peers_queried_at = amb_election_peers_confirmed_at(node, now),
                                           .unreachable = is_unreachable_by_agents(node, now)};
 }
@@ -173,7 +173,7 @@
     amb_txn_compare(&transaction, AMB_LEADER_KEY, action->expected_revision);
     amb_w_map(&value, 2);
     amb_w_str(&value, "member");
-    amb_w_str(&value, node->set.member);
+    amb_w_str(&value, node->settings.member);
     amb_w_str(&value, "nonce");
     amb_w_uint(&value, action->nonce);
     amb_txn_put(&transaction, AMB_LEADER_KEY, &value, action->lease_id);
@@ -210,11 +210,11 @@
     case AMB_ELECTION_REVOKE_LEASE: amb_store_revoke_lease(store, action->lease_id); break;
     case AMB_ELECTION_LEADERSHIP_WON:
         amb_store_set_leadership(store, true);
-        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_LEAD_WON});
+        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_LEADERSHIP_GAINED});
         break;
     case AMB_ELECTION_LEADERSHIP_LOST:
         amb_store_set_leadership(store, false);
-        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_LEAD_LOST, .cause = cause});
+        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_LEADERSHIP_LOST, .cause = cause});
         break;
     }
 }
@@ -259,21 +259,21 @@
 
 static amb_ms leader_lease_ttl(const struct amb_node *node) {
     enum { SHORTEST = 100, LONGEST = 600000 }; /* what the state service allows */
-    amb_ms ttl = amb_secs(node->opt.leader_ttl * amb_settings_lease_base(&node->set));
+    amb_ms ttl = amb_secs(node->options.leader_ttl * amb_settings_lease_base(&node->settings));
     return ttl < SHORTEST ? SHORTEST : ttl > LONGEST ? LONGEST : ttl;
 }
 
 void amb_election_init(struct amb_node *node) {
     struct amb_election *election = &node->election;
-    strcpy(election->member, node->set.member);
+    strcpy(election->member, node->settings.member);
     election->ttl = leader_lease_ttl(node);
-    election->fence_after = (amb_ms)((node->set.cancel_s - node->set.lease_s) * 1000 * FENCE_SHARE);
-    election->yield_for = (amb_ms)(node->set.lease_s * 1000);
+    election->fence_after = (amb_ms)((node->settings.cancel_s - node->settings.lease_s) * 1000 * FENCE_SHARE);
+    election->yield_for = (amb_ms)(node->settings.lease_s * 1000);
 }
 
 /* One renewal without an answer must not cost the lead: with calls given up after a report period of 4 s it
  * would have cost a lease of 3 s. */
 amb_ms amb_election_call_timeout(const struct amb_node *node) {
-    amb_ms third = node->election.ttl / 3, report = amb_secs(node->set.report_s);
+    amb_ms third = node->election.ttl / 3, report = amb_secs(node->settings.report_s);
     return third < report ? third : report;
 }
--- a/lib/election/format_version.c
+++ b/lib/election/format_version.c
@@ -85,7 +85,7 @@
 
 void amb_format_tick(struct amb_node *node, amb_ms now) {
     struct amb_format_negotiation *negotiation = &node->formats;
-    if (!amb_election_may_act(node) || !node->ctl.loaded_at || negotiation->write_pending ||
+    if (!amb_election_may_act(node) || !node->controller.restored_at || negotiation->write_pending ||
         now < negotiation->retry_at)
         return;
     if (amb_format_supported(node) < AMB_FORMAT_LATEST || amb_format_active(node) == AMB_FORMAT_LATEST)
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -13,7 +13,7 @@
 
 static void set_state(struct amb_node *node, enum amb_lease_proxy_state new_state, const char *cause) {
     static const char *const names[] = {"off", "asking", "active"};
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     if (proxy->state == new_state) return;
     amb_info("deputy: %s -> %s for term %llu: %s", names[proxy->state], names[new_state],
              (unsigned long long)proxy->term, cause);
@@ -21,7 +21,7 @@
 }
 
 static void stop(struct amb_node *node, const char *cause) {
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     if (proxy->lease_id) amb_store_revoke_lease(&node->store, proxy->lease_id);
     proxy->lease_id = 0;
     proxy->stopped_at = amb_now();
@@ -30,13 +30,13 @@
 
 static bool has_valid_lease(const struct amb_node *node, amb_ms now) {
     const struct amb_election *election = &node->election;
-    return now < node->deputy.renewed_at + election->ttl - election->ttl / 10;
+    return now < node->lease_proxy.renewed_at + election->ttl - election->ttl / 10;
 }
 
 static void on_key_written(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = arg;
     (void)body;
-    if (node->deputy.state != AMB_LEASE_PROXY_ACQUIRING) return;
+    if (node->lease_proxy.state != AMB_LEASE_PROXY_ACQUIRING) return;
     if (status == 200)
         set_state(node, AMB_LEASE_PROXY_ACTIVE, "the leader can't be reached from here");
     else
@@ -45,20 +45,20 @@
 
 static void on_lease_granted(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = arg;
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     if (proxy->state != AMB_LEASE_PROXY_ACQUIRING) return;
     if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "tenure"), &proxy->lease_id)) {
         stop(node, "no lease to be had");
         return;
     }
-    char key[AMB_NAME + 16];
+    char key[AMB_NAME_SIZE + 16];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    snprintf(key, sizeof key, "a/deputy/%s", node->set.member);
+    snprintf(key, sizeof key, "a/deputy/%s", node->settings.member);
     amb_txn_compare(&transaction, AMB_LEADER_KEY, proxy->term);
     amb_w_map(&value, 2);
     amb_w_str(&value, "zone");
-    amb_w_str(&value, node->set.zone);
+    amb_w_str(&value, node->settings.zone);
     amb_w_str(&value, "term");
     amb_w_uint(&value, proxy->term);
     amb_txn_put(&transaction, key, &value, proxy->lease_id);
@@ -68,7 +68,7 @@
 
 static void on_lease_renewed(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = arg;
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     (void)body;
     proxy->renewal_pending = false;
     if (proxy->state != AMB_LEASE_PROXY_ACTIVE) return;
@@ -86,15 +86,15 @@
 }
 
 void amb_lease_proxy_tick(struct amb_node *node, amb_ms now) {
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     const struct amb_election *election = &node->election;
     for (uint32_t i = 0; i < proxy->known_count; i++)
         if (proxy->known[i].present && proxy->known[i].zone >= 0)
             proxy->zone_covered_at[proxy->known[i].zone] = now;
-    amb_ms heartbeat_period = (amb_ms)(node->set.report_s * 1000);
+    amb_ms heartbeat_period = (amb_ms)(node->settings.report_s * 1000);
     bool another_leads = election->role == AMB_ROLE_FOLLOWER && election->holder[0] &&
-                         strcmp(election->holder, node->set.member);
-    bool watch_is_current = now - node->jobs.fresh_at < election->ttl;
+                         strcmp(election->holder, node->settings.member);
+    bool watch_is_current = now - node->jobs.last_read_at < election->ttl;
     if (proxy->state == AMB_LEASE_PROXY_OFF) {
         /* The key outlives a leader that has died by its lease, and heartbeats come twice a report: silence
          * must last longer than either, but workers find another node after five seconds and have a lease to
@@ -125,15 +125,16 @@
     }
 }
 
-bool amb_lease_proxy_may_answer(const struct amb_node *node, const struct amb_report *heartbeat) {
-    return node->deputy.state == AMB_LEASE_PROXY_ACTIVE && has_valid_lease(node, amb_now()) &&
-           node->election.highest_term <= node->deputy.term && !strcmp(heartbeat->zone, node->set.zone) &&
-           heartbeat->token <= node->deputy.term;
+bool amb_lease_proxy_may_answer(const struct amb_node *node, const struct amb_agent_heartbeat *heartbeat) {
+    return node->lease_proxy.state == AMB_LEASE_PROXY_ACTIVE && has_valid_lease(node, amb_now()) &&
+           node->election.highest_term <= node->lease_proxy.term &&
+           !strcmp(heartbeat->zone, node->settings.zone) &&
+           heartbeat->fencing_token <= node->lease_proxy.term;
 }
 
 /* The keys are listed anew: what is not among them has gone, unnoticed. */
 void amb_lease_proxy_mark_listing(struct amb_node *node, bool complete) {
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     for (uint32_t i = 0; i < proxy->known_count; i++) {
         if (complete && !proxy->known[i].seen) proxy->known[i].present = false;
         proxy->known[i].seen = false;
@@ -142,29 +143,30 @@
 
 void amb_lease_proxy_apply_key(struct amb_node *node, const char *member, const cbor_item_t *value,
                                uint64_t revision) {
-    struct amb_lease_proxy *proxy = &node->deputy;
+    struct amb_lease_proxy *proxy = &node->lease_proxy;
     uint32_t i = 0;
     while (i < proxy->known_count && strcmp(proxy->known[i].member, member)) i++;
     if (i == proxy->known_count) {
-        if (!value || proxy->known_count == AMB_PEERS + 1 || strlen(member) >= AMB_NAME) return;
+        if (!value || proxy->known_count == AMB_PEERS + 1 || strlen(member) >= AMB_NAME_SIZE) return;
         strcpy(proxy->known[proxy->known_count++].member, member);
     }
     proxy->known[i].seen = true;
     if (revision < proxy->known[i].stamp) return;
-    char zone[AMB_NAME] = "";
+    char zone[AMB_NAME_SIZE] = "";
     if (value) amb_cbor_str(amb_cbor_get(value, "zone"), zone, sizeof zone);
     /* What was known until this moment counts until this moment. */
     if (proxy->known[i].present && proxy->known[i].zone >= 0)
         proxy->zone_covered_at[proxy->known[i].zone] = amb_now();
     proxy->known[i].stamp = revision;
     proxy->known[i].present = value != NULL;
-    if (value) proxy->known[i].zone = amb_catalog_zone(&node->catalog, zone);
+    if (value) proxy->known[i].zone = amb_catalog_find_or_add_zone(&node->catalog, zone);
     if (value && proxy->known[i].zone >= 0) proxy->zone_covered_at[proxy->known[i].zone] = amb_now();
     amb_info("deputy: %s %s for zone %s", member, value ? "stands in" : "has stopped", zone);
 }
 
 bool amb_lease_proxy_is_active_in_zone(const struct amb_node *node, int zone) {
-    for (uint32_t i = 0; i < node->deputy.known_count; i++)
-        if (node->deputy.known[i].present && node->deputy.known[i].zone == zone && zone >= 0) return true;
+    for (uint32_t i = 0; i < node->lease_proxy.known_count; i++)
+        if (node->lease_proxy.known[i].present && node->lease_proxy.known[i].zone == zone && zone >= 0)
+            return true;
     return false;
 }
--- a/lib/election/peer_confirmation.c
+++ b/lib/election/peer_confirmation.c
@@ -2,7 +2,7 @@
 #include "amberpin/node/node.h"
 
 static amb_ms heartbeat_timeout(const struct amb_node *node) {
-    return (amb_ms)(node->set.report_s * 3000);
+    return (amb_ms)(node->settings.report_s * 3000);
 }
 
 bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now) {
@@ -25,7 +25,7 @@
 /* A node that knows our term and does not lead answers no report under an older one, nor can it ever again:
  * it would have to be elected, under a newer. */
 amb_ms amb_election_peers_fenced_at(const struct amb_node *node) {
-    amb_ms fenced_at = node->ctl.leading_since;
+    amb_ms fenced_at = node->controller.leader_since;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
         if (peer->quiet_term != node->election.term) return 0;
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -10,19 +10,19 @@
 
 /* ---- what is ordered ---- */
 
-void amb_orders_add(struct amb_orders *orders, enum amb_op op, const char *ref, uint32_t index,
-                    uint64_t attempt, double grace_s) {
+void amb_orders_add(struct amb_orders *orders, enum amb_agent_command_kind op, const char *ref,
+                    uint32_t index, uint64_t attempt, double grace_s) {
     if (orders->count == orders->capacity) return;
-    struct amb_order *command = &orders->list[orders->count++];
-    command->op = op;
-    strcpy(command->ref, ref);
+    struct amb_agent_command *command = &orders->list[orders->count++];
+    command->kind = op;
+    strcpy(command->job_ref, ref);
     command->index = index;
     command->attempt = attempt;
     command->grace_s = grace_s;
 }
 
 bool amb_gang_recorded(const struct amb_job *job) {
-    for (uint32_t i = 0; i < job->spec->tasks; i++) {
+    for (uint32_t i = 0; i < job->spec->task_count; i++) {
         const struct amb_task *task = &job->tasks[i];
         if (!task->done && (!task->machine || task->state == AMB_TASK_PLACED)) return false;
     }
@@ -32,13 +32,13 @@
 void amb_orders_add_start(struct amb_node *node, struct amb_task *task, struct amb_orders *orders) {
     struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
-    if (!amb_election_may_start_tasks(node) || !node->ctl.ready) return;
-    if (machine->release_wanted || machine->state == AMB_MACHINE_RELEASING) return;
-    if (job->spec->kind == AMB_GANG && !amb_gang_recorded(job)) return;
-    if (amb_cancel_is_pending(node, job)) return;
+    if (!amb_election_may_start_tasks(node) || !node->controller.ready) return;
+    if (machine->release_pending || machine->state == AMB_MACHINE_RELEASING) return;
+    if (job->spec->kind == AMB_JOB_KIND_GANG && !amb_gang_recorded(job)) return;
+    if (amb_cancellation_is_pending(node, job)) return;
     if (orders->count == orders->capacity) return; /* not sent: it goes out with the next report */
-    task->sent = true;
-    amb_orders_add(orders, AMB_OP_RUN, job->ref, task->index, task->attempt, 0);
+    task->start_sent = true;
+    amb_orders_add(orders, AMB_COMMAND_RUN, job->ref, task->index, task->attempt, 0);
 }
 
 /* ---- answers to reports ---- */
@@ -85,19 +85,20 @@
     amb_w_uint(&buffer, session);
     amb_w_str(&buffer, "orders");
     amb_codec_put_orders(&buffer, orders->list, orders->count);
-    amb_http_call(machine->addr, "POST", "/commands", "application/cbor", buffer.data, buffer.len,
-                  amb_secs(node->set.report_s), commanded, NULL);
+    amb_http_call(machine->address, "POST", "/commands", "application/cbor", buffer.data, buffer.len,
+                  amb_secs(node->settings.report_s), commanded, NULL);
     amb_buf_free(&buffer);
 }
 
 /* A late stop does no harm: it names an attempt that was to stop anyway. (Starts only ever go out in
  * answers.) */
 void amb_orders_push_halts(struct amb_node *node, struct amb_machine *machine) {
-    struct amb_orders orders = {(struct amb_order[ORDERS_PUSHED]){{0}}, ORDERS_PUSHED, 0};
-    machine->halts_due = false;
-    for (struct amb_task *task = machine->tasks; task; task = task->next)
-        if (task->halting && task->state == AMB_TASK_SEEN)
-            amb_orders_add(&orders, AMB_OP_HALT, task->job->ref, task->index, task->attempt, task->grace_s);
-    if (!orders.count || !machine->token_shown || !machine->addr[0]) return;
-    amb_orders_command(node, machine, machine->session, &orders);
+    struct amb_orders orders = {(struct amb_agent_command[ORDERS_PUSHED]){{0}}, ORDERS_PUSHED, 0};
+    machine->stops_due = false;
+    for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
+        if (task->stop_requested && task->state == AMB_TASK_SEEN)
+            amb_orders_add(&orders, AMB_COMMAND_STOP, task->job->ref, task->index, task->attempt,
+                           task->grace_s);
+    if (!orders.count || !machine->token_acknowledged || !machine->address[0]) return;
+    amb_orders_command(node, machine, machine->incarnation, &orders);
 }
--- a/lib/fleet/machine_probe.c
+++ b/lib/fleet/machine_probe.c
@@ -10,7 +10,7 @@
 struct seek_call {
     struct amb_node *node;
     uint64_t term;
-    char machine[AMB_NAME];
+    char machine[AMB_NAME_SIZE];
 };
 
 static void inspected(void *arg, int status, const char *body, size_t len) {
@@ -28,12 +28,12 @@
 }
 
 void amb_machine_seek(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
-    if (!machine->addr[0] || now - machine->seek_at < amb_secs(node->set.report_s * 2)) return;
-    machine->seek_at = now;
+    if (!machine->address[0] || now - machine->probe_at < amb_secs(node->settings.report_s * 2)) return;
+    machine->probe_at = now;
     struct seek_call *call = amb_alloc(sizeof *call);
     call->node = node;
     call->term = node->election.term;
     strcpy(call->machine, machine->name);
-    amb_http_call(machine->addr, "GET", "/inspect", NULL, NULL, 0, amb_secs(node->set.report_s), inspected,
-                  call);
+    amb_http_call(machine->address, "GET", "/inspect", NULL, NULL, 0, amb_secs(node->settings.report_s),
+                  inspected, call);
 }
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 struct amb_removed_machine {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     UT_hash_handle hh;
 };
 
@@ -24,28 +24,30 @@
 struct amb_machine *amb_machine_get(struct amb_node *node, const char *name, bool create) {
     struct amb_machine *machine;
     HASH_FIND_STR(node->fleet.all, name, machine);
-    if (machine || !create || amb_machine_was_removed(node, name) || strlen(name) >= AMB_NAME) return machine;
+    if (machine || !create || amb_machine_was_removed(node, name) || strlen(name) >= AMB_NAME_SIZE)
+        return machine;
     machine = amb_alloc(sizeof *machine);
     strcpy(machine->name, name);
     machine->number = node->fleet.numbered++;
     machine->state = AMB_MACHINE_UNPROVEN;
-    machine->type = machine->zone = machine->kept_for = -1;
-    machine->known_at = machine->first_at = machine->rented_at = machine->state_at = machine->idle_since =
-        amb_now();
+    machine->type_index = machine->zone_index = machine->reserved_priority = -1;
+    machine->exists_since = machine->first_known_at = machine->created_at = machine->state_since =
+        machine->idle_since = amb_now();
     HASH_ADD_STR(node->fleet.all, name, machine);
-    amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_MACHINE_KNOWN, .machine = machine});
+    amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_MACHINE_ADDED, .machine = machine});
     return machine;
 }
 
 static void free_machine(struct amb_machine *machine) {
     free(machine->images);
-    free(machine->image_gb);
+    free(machine->image_sizes_gb);
     free(machine);
 }
 
 size_t amb_machines_removed_most(const struct amb_node *node) {
     enum { TABLE_BYTES = 32 }; /* of an allocation and of a place in the table */
-    return amb_memory_removed_machines(&node->set) / (sizeof(struct amb_removed_machine) + TABLE_BYTES);
+    return amb_memory_removed_machines_bytes(&node->settings) /
+           (sizeof(struct amb_removed_machine) + TABLE_BYTES);
 }
 
 /* The longest gone is forgotten first. A late copy of its report would make it known again: as a machine that
@@ -99,40 +101,42 @@
     if (machine->state == AMB_MACHINE_RELEASING) return;
     amb_info("machine %s: %s -> %s: %s", machine->name, names[machine->state], names[to], cause);
     machine->state = to;
-    machine->state_at = amb_now();
+    machine->state_since = amb_now();
 }
 
 void amb_machine_returning(struct amb_machine *machine, const char *cause) {
-    machine->release_wanted = true;
+    machine->release_pending = true;
     amb_machine_state(machine, AMB_MACHINE_RELEASING, cause);
 }
 
 void amb_machine_learn_zone(struct amb_machine *machine, int zone) {
-    if (machine->zone >= 0 || zone < 0) return;
-    machine->zone = zone;
-    for (struct amb_task *task = machine->tasks; task; task = task->next) task->job->zone_used[zone]++;
+    if (machine->zone_index >= 0 || zone < 0) return;
+    machine->zone_index = zone;
+    for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
+        task->job->zone_task_counts[zone]++;
 }
 
 /* type: that is not in the catalogue; NULL: the zone is at fault. */
 static void say_beyond_bounds(struct amb_machine *machine, const char *type, const char *zone) {
-    if (machine->beyond_bounds) return;
-    machine->beyond_bounds = true;
+    if (machine->beyond_catalog) return;
+    machine->beyond_catalog = true;
     if (type)
-        amb_error(
-            "machine %s can't be used: type %s is not in the catalogue, which holds %d (AMB_TYPES) at most",
-            machine->name, type, AMB_TYPES);
+        amb_error("machine %s can't be used: type %s is not in the catalogue, which holds %d "
+                  "(AMB_MACHINE_TYPES_MAX) at most",
+                  machine->name, type, AMB_MACHINE_TYPES_MAX);
     else
-        amb_error("machine %s can't be used: zone %s is beyond the %d (AMB_ZONES) that are kept",
-                  machine->name, zone, AMB_ZONES);
+        amb_error("machine %s can't be used: zone %s is beyond the %d (AMB_ZONES_MAX) that are kept",
+                  machine->name, zone, AMB_ZONES_MAX);
 }
 
 void amb_machine_learn_place(struct amb_node *node, struct amb_machine *machine, const char *type,
                              const char *zone) {
-    if (machine->type < 0 && type[0]) machine->type = amb_catalog_type(&node->catalog, type);
-    if (machine->zone < 0) amb_machine_learn_zone(machine, amb_catalog_zone(&node->catalog, zone));
+    if (machine->type_index < 0 && type[0]) machine->type_index = amb_catalog_find_type(&node->catalog, type);
+    if (machine->zone_index < 0)
+        amb_machine_learn_zone(machine, amb_catalog_find_or_add_zone(&node->catalog, zone));
     /* (A leader that had just started called every machine it heard of unusable.) */
-    bool type_missing = machine->type < 0 && type[0] && node->rental.catalog_known;
-    bool zone_missing = machine->zone < 0 && zone[0];
+    bool type_missing = machine->type_index < 0 && type[0] && node->cloud.catalog_known;
+    bool zone_missing = machine->zone_index < 0 && zone[0];
     if (type_missing || zone_missing) say_beyond_bounds(machine, type_missing ? type : NULL, zone);
 }
 
@@ -143,36 +147,39 @@
 }
 
 bool amb_machine_usable(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
-    return machine->state == AMB_MACHINE_UP && !machine->release_wanted && !machine->drain &&
-           !machine->notice_until && now >= machine->avoid_until && machine->type >= 0 &&
-           machine->zone >= 0 && now - machine->reported_at < amb_secs(node->set.report_s * 3);
+    return machine->state == AMB_MACHINE_UP && !machine->release_pending && !machine->drain &&
+           !machine->reclaim_at && now >= machine->avoid_until && machine->type_index >= 0 &&
+           machine->zone_index >= 0 &&
+           now - machine->last_heartbeat_at < amb_secs(node->settings.report_s * 3);
 }
 
 void amb_machine_image_room(struct amb_machine *machine, uint32_t images) {
     enum { FIRST_ROOM = 4 };
-    if (images > AMB_IMAGES) images = AMB_IMAGES;
-    if (images <= machine->images_room) return;
-    uint32_t room = machine->images_room ? machine->images_room : FIRST_ROOM;
+    if (images > AMB_IMAGES_MAX) images = AMB_IMAGES_MAX;
+    if (images <= machine->image_capacity) return;
+    uint32_t room = machine->image_capacity ? machine->image_capacity : FIRST_ROOM;
     while (room < images) room *= 2;
-    machine->images_room = room < AMB_IMAGES ? room : AMB_IMAGES;
-    machine->images = amb_grow(machine->images, machine->images_room * sizeof *machine->images);
-    machine->image_gb = amb_grow(machine->image_gb, machine->images_room * sizeof *machine->image_gb);
+    machine->image_capacity = room < AMB_IMAGES_MAX ? room : AMB_IMAGES_MAX;
+    machine->images = amb_grow(machine->images, machine->image_capacity * sizeof *machine->images);
+    machine->image_sizes_gb =
+        amb_grow(machine->image_sizes_gb, machine->image_capacity * sizeof *machine->image_sizes_gb);
 }
 
 bool amb_machine_has_image(const struct amb_machine *machine, const char *image) {
-    for (uint32_t i = 0; i < machine->nimages; i++)
+    for (uint32_t i = 0; i < machine->image_count; i++)
         if (!strcmp(machine->images[i], image)) return true;
     return false;
 }
 
 /* What the machine's cache is thought to hold: the most recently used images that fit in it. */
 void amb_machine_use_image(struct amb_node *node, struct amb_machine *machine, const char *image, double gb) {
-    amb_machine_image_room(machine, machine->nimages + 1);
-    if (amb_latest_first(machine->images, machine->image_gb, &machine->nimages, AMB_IMAGES, image, gb))
+    amb_machine_image_room(machine, machine->image_count + 1);
+    if (amb_recent_names_add(machine->images, machine->image_sizes_gb, &machine->image_count, AMB_IMAGES_MAX,
+                             image, gb))
         machine->images_changed = true;
-    double room = machine->type >= 0 ? node->catalog.types[machine->type].cache_gb : 0;
-    for (uint32_t i = 0; room > 0 && i < machine->nimages; i++) {
-        room -= machine->image_gb[i];
-        if (room < 0 && i) machine->nimages = i;
+    double room = machine->type_index >= 0 ? node->catalog.types[machine->type_index].image_cache_gb : 0;
+    for (uint32_t i = 0; room > 0 && i < machine->image_count; i++) {
+        room -= machine->image_sizes_gb[i];
+        if (room < 0 && i) machine->image_count = i;
     }
 }
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -7,27 +7,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char PATH[] = "/peer/cancellation";
+static const char NOTICE_PATH[] = "/peer/cancellation";
 
 /* Whoever writes a cancellation gives its call up after one call timeout; it may have waited as long for its
  * turn to be sent. */
 enum { PENDING_CALL_TIMEOUTS = 2 };
 
 /* Nothing waits for it. */
-static void answered(void *arg, int status, const char *body, size_t len) {
+static void ignore_response(void *arg, int status, const char *body, size_t len) {
     (void)arg, (void)status, (void)body, (void)len;
 }
 
 static void send_to(struct amb_node *node, const struct amb_peer *peer, const char *text) {
-    amb_http_call(peer->addr, "POST", PATH, "application/json", text, strlen(text),
-                  (amb_ms)(node->set.report_s * 1000), answered, NULL);
+    amb_http_call(peer->addr, "POST", NOTICE_PATH, "application/json", text, strlen(text),
+                  (amb_ms)(node->settings.report_s * 1000), ignore_response, NULL);
 }
 
 /* To the leader; to all when nobody is known to lead. `stamp` 0: it is not written yet. */
-static void send_notice(struct amb_node *node, const struct amb_job *job, uint64_t stamp) {
+static void send_notice(struct amb_node *node, const struct amb_job *job, uint64_t revision) {
     if (amb_election_has_leader_role(node)) return;
-    json_t *notice = json_pack("{s:s, s:I, s:I}", "ref", job->ref, "wall", (json_int_t)job->cancelled_wall,
-                               "stamp", (json_int_t)stamp);
+    json_t *notice = json_pack("{s:s, s:I, s:I}", "ref", job->ref, "wall", (json_int_t)job->cancelled_wall_ms,
+                               "stamp", (json_int_t)revision);
     char *text = json_dumps(notice, JSON_COMPACT);
     json_decref(notice);
     const struct amb_peers *peers = &node->peers;
@@ -38,32 +38,33 @@
     free(text);
 }
 
-void amb_cancel_notice_pending(struct amb_node *node, struct amb_job *job) {
+void amb_cancellation_notice_send_pending(struct amb_node *node, struct amb_job *job) {
     job->cancel_pending_at = amb_now();
     send_notice(node, job, 0);
 }
 
-void amb_cancel_notice_told(struct amb_node *node, struct amb_job *job) {
-    if (job->cancel_noticed) return;
-    job->cancel_noticed = true;
-    send_notice(node, job, job->cancel_stamp);
+void amb_cancellation_notice_send_cancelled(struct amb_node *node, struct amb_job *job) {
+    if (job->leader_notified_of_cancel) return;
+    job->leader_notified_of_cancel = true;
+    send_notice(node, job, job->cancel_revision);
 }
 
-bool amb_cancel_notice_received(struct amb_node *node, const json_t *notice) {
+bool amb_cancellation_notice_receive(struct amb_node *node, const json_t *notice) {
     const char *ref = json_string_value(json_object_get(notice, "ref"));
-    const json_t *wall = json_object_get(notice, "wall"), *stamp = json_object_get(notice, "stamp");
-    if (!ref || !json_is_integer(wall) || !json_is_integer(stamp) || json_integer_value(stamp) < 0)
+    const json_t *wall_ms = json_object_get(notice, "wall"), *revision = json_object_get(notice, "stamp");
+    if (!ref || !json_is_integer(wall_ms) || !json_is_integer(revision) || json_integer_value(revision) < 0)
         return false;
     struct amb_job *job = amb_job_find(node, ref);
-    if (json_integer_value(stamp))
-        amb_job_cancel_hint(node, ref, json_integer_value(wall), (uint64_t)json_integer_value(stamp));
+    if (json_integer_value(revision))
+        amb_job_apply_cancel_hint(node, ref, json_integer_value(wall_ms),
+                                  (uint64_t)json_integer_value(revision));
     else if (job)
         job->cancel_pending_at = amb_now();
     return true;
 }
 
-bool amb_cancel_is_pending(const struct amb_node *node, const struct amb_job *job) {
+bool amb_cancellation_is_pending(const struct amb_node *node, const struct amb_job *job) {
     if (!job->cancel_pending_at) return false;
     amb_ms decided_at = job->cancel_pending_at + PENDING_CALL_TIMEOUTS * node->store.call_timeout;
-    return node->jobs.fresh_sent_at <= decided_at;
+    return node->jobs.last_read_sent_at <= decided_at;
 }
--- a/lib/job/cancellations.c
+++ b/lib/job/cancellations.c
@@ -10,7 +10,7 @@
 /* How long a cancelled job may have tasks, in times of `cancel_s`: once would do by the protocol's rule. */
 enum { TASKS_GONE_AFTER = 2 };
 
-size_t amb_cancellations_after(const struct amb_cancellation_list *list, int64_t key) {
+size_t amb_cancellations_find_after(const struct amb_cancellation_list *list, int64_t key) {
     size_t low = 0, high = list->count;
     while (low < high) {
         size_t middle = low + (high - low) / 2;
@@ -22,7 +22,7 @@
     return low;
 }
 
-static void make_room(struct amb_cancellation_list *list) {
+static void reserve_entry(struct amb_cancellation_list *list) {
     enum { FIRST_CAPACITY = 16 };
     if (list->count < list->capacity) return;
     list->capacity = list->capacity ? 2 * list->capacity : FIRST_CAPACITY;
@@ -30,8 +30,8 @@
 }
 
 static void insert(struct amb_cancellation_list *list, int64_t key, struct amb_job *job) {
-    make_room(list);
-    size_t at = amb_cancellations_after(list, key);
+    reserve_entry(list);
+    size_t at = amb_cancellations_find_after(list, key);
     memmove(&list->entries[at + 1], &list->entries[at], (list->count - at) * sizeof *list->entries);
     list->entries[at] = (struct amb_cancellation){key, job};
     list->count++;
@@ -51,41 +51,41 @@
     }
 }
 
-void amb_cancellation_note(struct amb_node *node, struct amb_job *job) {
+void amb_cancellations_update(struct amb_node *node, struct amb_job *job) {
     struct amb_cancellations *cancellations = &node->jobs.cancellations;
-    cancellations->changes++;
-    if (job->cancel_noted) {
-        remove_job(&cancellations->by_stamp, job);
-        remove_job(&cancellations->by_wall, job);
+    cancellations->change_count++;
+    if (job->cancellation_listed) {
+        remove_job(&cancellations->by_revision, job);
+        remove_job(&cancellations->by_wall_ms, job);
     } else {
-        insert(&cancellations->described, amb_now(), job);
+        insert(&cancellations->with_spec, amb_now(), job);
     }
-    job->cancel_noted = true;
-    insert(&cancellations->by_stamp, (int64_t)job->cancel_stamp, job);
-    insert(&cancellations->by_wall, job->cancelled_wall, job);
+    job->cancellation_listed = true;
+    insert(&cancellations->by_revision, (int64_t)job->cancel_revision, job);
+    insert(&cancellations->by_wall_ms, job->cancelled_wall_ms, job);
 }
 
-static void drop_description(struct amb_node *node, struct amb_job *job) {
+static void drop_spec(struct amb_node *node, struct amb_job *job) {
     amb_job_drop_spec(node, job);
     job->tasks_gone = true;
 }
 
 /* A job that is still in the leader's care is looked at again when as much time has passed. */
-void amb_cancellations_drop_descriptions(struct amb_node *node, amb_ms now) {
-    struct amb_cancellation_list *described = &node->jobs.cancellations.described;
-    amb_ms heard_by = now - amb_secs(TASKS_GONE_AFTER * node->set.cancel_s);
-    while (described->count && described->entries[0].key <= heard_by) {
-        struct amb_job *job = described->entries[0].job;
-        remove_at(described, 0);
-        if (job->live)
-            insert(described, now, job);
+void amb_cancellations_drop_specs(struct amb_node *node, amb_ms now) {
+    struct amb_cancellation_list *with_spec = &node->jobs.cancellations.with_spec;
+    amb_ms heard_by = now - amb_secs(TASKS_GONE_AFTER * node->settings.cancel_s);
+    while (with_spec->count && with_spec->entries[0].key <= heard_by) {
+        struct amb_job *job = with_spec->entries[0].job;
+        remove_at(with_spec, 0);
+        if (job->active)
+            insert(with_spec, now, job);
         else
-            drop_description(node, job);
+            drop_spec(node, job);
     }
 }
 
 void amb_cancellations_free(struct amb_cancellations *cancellations) {
-    free(cancellations->by_stamp.entries);
-    free(cancellations->by_wall.entries);
-    free(cancellations->described.entries);
+    free(cancellations->by_revision.entries);
+    free(cancellations->by_wall_ms.entries);
+    free(cancellations->with_spec.entries);
 }
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -4,109 +4,115 @@
 #include "amberpin/node/node.h"
 
 /* Estimates are often wrong by half. */
-static const double ESTIMATE_ERROR = 1.5;
+static const double ESTIMATE_ERROR_FACTOR = 1.5;
 
-static const struct amb_urgency_need NO_NEED = {AMB_BEST_EFFORT, AMB_NO_DUE};
+static const struct amb_effective_priority NO_INHERITED_PRIORITY = {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
 
-double amb_spec_work_s(const struct amb_spec *spec) {
-    return spec->estimate_s * ESTIMATE_ERROR;
+double amb_job_spec_work_s(const struct amb_job_spec *spec) {
+    return spec->estimated_runtime_s * ESTIMATE_ERROR_FACTOR;
 }
 
 /* ---- what the graph asks and tells ---- */
 
-static enum amb_outcome outcome(void *owner, const char *name) {
+static enum amb_job_outcome get_outcome(void *owner, const char *name) {
     const struct amb_job *job = amb_job_find(owner, name);
-    if (!job || job->state == AMB_JOB_QUEUED) return AMB_OUTCOME_OPEN;
-    return job->state == AMB_JOB_DONE ? AMB_OUTCOME_DONE : AMB_OUTCOME_CANCELLED;
+    if (!job || job->state == AMB_JOB_QUEUED) return AMB_JOB_OUTCOME_OPEN;
+    return job->state == AMB_JOB_DONE ? AMB_JOB_OUTCOME_DONE : AMB_JOB_OUTCOME_CANCELLED;
 }
 
-static void ready(void *owner, const char *name) {
+static void on_ready(void *owner, const char *name) {
     struct amb_node *node = owner;
     struct amb_job *job = amb_job_find(node, name);
-    job->awaiting = false;
+    job->dependencies_pending = false;
     /* When records are read for the first time it is not known when the last awaited job ended. */
-    if (node->jobs.loaded) job->ready_wall = amb_wall_ms();
+    if (node->jobs.loaded) job->ready_wall_ms = amb_wall_ms();
     amb_info("job %s: all jobs that it awaited are done", name);
-    amb_job_can_start(node, job);
+    amb_job_handle_ready(node, job);
 }
 
-static void cancelled(void *owner, const char *name, const char *cause) {
+static void on_cancelled(void *owner, const char *name, const char *cause) {
     struct amb_node *node = owner;
-    amb_job_cancelled_with(node, amb_job_find(node, name), amb_job_find(node, cause));
+    amb_job_cancel_with_dependency(node, amb_job_find(node, name), amb_job_find(node, cause));
 }
 
-static void needed(void *owner, const char *name, const struct amb_urgency_need *need) {
+static void on_priority_inherited(void *owner, const char *name,
+                                  const struct amb_effective_priority *priority) {
     struct amb_job *job = amb_job_find(owner, name);
     if (!job) return; /* not heard of yet */
-    job->needed = *need;
-    job->is_needed = need->priority != NO_NEED.priority || need->due_wall != NO_NEED.due_wall;
+    job->inherited_priority = *priority;
+    job->inherits_priority = priority->priority != NO_INHERITED_PRIORITY.priority ||
+                             priority->due_wall_ms != NO_INHERITED_PRIORITY.due_wall_ms;
 }
 
-static const struct amb_dependency_events events = {outcome, ready, cancelled, needed};
+static const struct amb_dependency_events events = {get_outcome, on_ready, on_cancelled,
+                                                    on_priority_inherited};
 
-static struct amb_dependencies *graph_of(struct amb_node *node) {
-    struct amb_dependencies *graph = &node->pipelines.graph;
-    if (!graph->events) amb_dependencies_init(graph, &events, node);
+static struct amb_dependency_graph *get_graph(struct amb_node *node) {
+    struct amb_dependency_graph *graph = &node->pipelines.graph;
+    if (!graph->events) amb_dependency_graph_init(graph, &events, node);
     return graph;
 }
 
 /* ---- news of jobs ---- */
 
-static struct amb_dependent dependent_of(const struct amb_job *job) {
-    const struct amb_spec *spec = job->spec;
-    int64_t due = spec->deadline_s > 0 ? job->accepted_wall + amb_secs(spec->deadline_s) : AMB_NO_DUE;
-    return (struct amb_dependent){{spec->priority, due}, amb_secs(amb_spec_work_s(spec))};
+static struct amb_dependent make_dependent(const struct amb_job *job) {
+    const struct amb_job_spec *spec = job->spec;
+    int64_t due_wall_ms =
+        spec->deadline_s > 0 ? job->accepted_wall_ms + amb_secs(spec->deadline_s) : AMB_NO_DUE;
+    return (struct amb_dependent){{spec->priority, due_wall_ms}, amb_secs(amb_job_spec_work_s(spec))};
 }
 
-void amb_pipeline_accepted(struct amb_node *node, struct amb_job *job) {
-    const struct amb_dependent dependent = dependent_of(job);
-    job->awaiting = true;
-    amb_dependencies_add(graph_of(node), job->ref, &dependent, (const char(*)[AMB_NAME])job->awaits->names,
-                         job->awaits->count);
-    if (job->state == AMB_JOB_QUEUED) job->awaiting = amb_dependencies_waits(graph_of(node), job->ref);
+void amb_pipeline_add_job(struct amb_node *node, struct amb_job *job) {
+    const struct amb_dependent dependent = make_dependent(job);
+    job->dependencies_pending = true;
+    amb_dependency_graph_add(get_graph(node), job->ref, &dependent,
+                             (const char(*)[AMB_NAME_SIZE])job->dependencies->names,
+                             job->dependencies->count);
+    if (job->state == AMB_JOB_QUEUED)
+        job->dependencies_pending = amb_dependency_graph_is_blocked(get_graph(node), job->ref);
 }
 
-void amb_pipeline_over(struct amb_node *node, const struct amb_job *job) {
+void amb_pipeline_remove_final(struct amb_node *node, const struct amb_job *job) {
     if (job->state == AMB_JOB_DONE)
-        amb_dependencies_done(graph_of(node), job->ref);
+        amb_dependency_graph_set_done(get_graph(node), job->ref);
     else
-        amb_dependencies_cancelled(graph_of(node), job->ref);
+        amb_dependency_graph_set_cancelled(get_graph(node), job->ref);
 }
 
 /* The latest time of day at which its tasks may start for the job to be in time. */
-static int64_t latest_start_wall(const struct amb_job *job) {
-    int64_t due = amb_job_due_wall(job);
-    return due == AMB_NO_DUE ? AMB_NO_DUE : due - amb_secs(amb_spec_work_s(job->spec));
+static int64_t latest_start_wall_ms(const struct amb_job *job) {
+    int64_t due = amb_job_due_wall_ms(job);
+    return due == AMB_NO_DUE ? AMB_NO_DUE : due - amb_secs(amb_job_spec_work_s(job->spec));
 }
 
-void amb_pipelines_reckon(struct amb_node *node) {
-    if (amb_dependencies_empty(graph_of(node)))
+void amb_pipelines_update_priorities(struct amb_node *node) {
+    if (amb_dependency_graph_is_empty(get_graph(node)))
         return; /* no job is needed: whether one is late tells nothing */
-    amb_dependencies_reckon(graph_of(node));
+    amb_dependency_graph_propagate_priorities(get_graph(node));
     int64_t now = amb_wall_ms();
-    for (struct amb_job *job = node->jobs.live; job; job = job->next_live) {
-        int64_t latest = job->is_needed ? latest_start_wall(job) : AMB_NO_DUE;
-        job->late = job->is_needed && (latest == AMB_NO_DUE || latest <= now);
+    for (struct amb_job *job = node->jobs.active; job; job = job->next_active) {
+        int64_t latest = job->inherits_priority ? latest_start_wall_ms(job) : AMB_NO_DUE;
+        job->pipeline_late = job->inherits_priority && (latest == AMB_NO_DUE || latest <= now);
     }
 }
 
 void amb_pipelines_clear(struct amb_node *node) {
-    amb_dependencies_clear(graph_of(node));
+    amb_dependency_graph_clear(get_graph(node));
 }
 
 /* ---- a job's place among others ---- */
 
-int64_t amb_job_ready_wall(const struct amb_job *job) {
-    return job->ready_wall ? job->ready_wall : job->accepted_wall;
+int64_t amb_job_ready_wall_ms(const struct amb_job *job) {
+    return job->ready_wall_ms ? job->ready_wall_ms : job->accepted_wall_ms;
 }
 
-int64_t amb_job_due_wall(const struct amb_job *job) {
-    int64_t own = dependent_of(job).need.due_wall;
-    return job->is_needed ? amb_earlier(own, job->needed.due_wall) : own;
+int64_t amb_job_due_wall_ms(const struct amb_job *job) {
+    int64_t own = make_dependent(job).own_priority.due_wall_ms;
+    return job->inherits_priority ? amb_earlier(own, job->inherited_priority.due_wall_ms) : own;
 }
 
-int64_t amb_job_order_wall(const struct amb_job *job) {
-    int64_t since = amb_job_ready_wall(job);
-    if (!job->is_needed && !job->awaits) return since;
-    return amb_earlier(since, latest_start_wall(job));
+int64_t amb_job_order_wall_ms(const struct amb_job *job) {
+    int64_t since = amb_job_ready_wall_ms(job);
+    if (!job->inherits_priority && !job->dependencies) return since;
+    return amb_earlier(since, latest_start_wall_ms(job));
 }
