--- a/lib/model/absence_proof.c
+++ b/lib/model/absence_proof.c
@@ -1,17 +1,17 @@
 #include "amberpin/model/absence_proof.h"
 
 /* Clocks drift apart by at most 0.05% (the protocol): a twentieth of this. */
-static const double LEASE_WIDER = 1.01;
-static const double LEASE_MARGIN_REPORTS = 0.25;
+static const double LEASE_DRIFT_FACTOR = 1.01;
+static const double LEASE_MARGIN_HEARTBEATS = 0.25;
 /* A list lags by up to twice the nominal time (the protocol). */
-static const double LIST_LAGS = 2.2;
-static const double LIST_MARGIN_REPORTS = 1;
+static const double LIST_LAG_FACTOR = 2.2;
+static const double LIST_MARGIN_HEARTBEATS = 1;
 
-static amb_ms later(amb_ms a, amb_ms b) {
-    return a > b ? a : b;
+static amb_ms later(amb_ms first, amb_ms second) {
+    return first > second ? first : second;
 }
 
-bool amb_absence_proven(enum amb_absence absence) {
+bool amb_absence_is_proven(enum amb_absence absence) {
     return absence > AMB_ABSENCE_READ_NEEDED;
 }
 
@@ -23,38 +23,43 @@
     return names[absence];
 }
 
-bool amb_report_newer(struct amb_report_order report, struct amb_report_order newest_seen) {
-    if (report.session != newest_seen.session) return report.session > newest_seen.session;
-    return report.seq > newest_seen.seq;
+bool amb_heartbeat_order_is_newer(struct amb_heartbeat_order heartbeat,
+                                  struct amb_heartbeat_order newest_seen) {
+    if (heartbeat.incarnation != newest_seen.incarnation)
+        return heartbeat.incarnation > newest_seen.incarnation;
+    return heartbeat.sequence > newest_seen.sequence;
 }
 
-enum amb_absence amb_absence_by_report(const struct amb_report_evidence *e) {
-    if (!amb_report_newer(e->report, e->newest_seen)) return AMB_ABSENCE_UNPROVEN;
-    if (e->report_term != e->our_term) return AMB_ABSENCE_UNPROVEN; /* an earlier leader may still order */
-    if (!e->recorded) return AMB_ABSENCE_UNPROVEN;
-    if (!e->listed) return AMB_ABSENCE_UNLISTED;
-    return e->exited ? AMB_ABSENCE_EXITED : AMB_ABSENCE_UNPROVEN;
+enum amb_absence amb_absence_by_heartbeat(const struct amb_heartbeat_evidence *evidence) {
+    if (!amb_heartbeat_order_is_newer(evidence->order, evidence->newest_seen)) return AMB_ABSENCE_UNPROVEN;
+    if (evidence->heartbeat_term != evidence->own_term)
+        return AMB_ABSENCE_UNPROVEN; /* an earlier leader may still order */
+    if (!evidence->placement_durable) return AMB_ABSENCE_UNPROVEN;
+    if (!evidence->listed) return AMB_ABSENCE_NOT_IN_HEARTBEAT;
+    return evidence->exited ? AMB_ABSENCE_EXITED : AMB_ABSENCE_UNPROVEN;
 }
 
-amb_ms amb_absence_lease_span(double lease_s, double report_s) {
-    return amb_secs(lease_s * LEASE_WIDER + report_s * LEASE_MARGIN_REPORTS);
+amb_ms amb_absence_lease_span(double lease_s, double heartbeat_interval_s) {
+    return amb_secs(lease_s * LEASE_DRIFT_FACTOR + heartbeat_interval_s * LEASE_MARGIN_HEARTBEATS);
 }
 
-enum amb_absence amb_absence_by_lease(const struct amb_lease_evidence *e) {
-    if (!e->follows_our_term && !e->fenced_at) return AMB_ABSENCE_UNPROVEN;
-    amb_ms renewed_at = later(e->answered_at, e->deputy_known_at); /* at the latest */
-    if (!e->follows_our_term) renewed_at = later(renewed_at, e->fenced_at);
-    if (e->now - renewed_at <= e->lease_span) return AMB_ABSENCE_UNPROVEN;
+enum amb_absence amb_absence_by_lease(const struct amb_lease_evidence *evidence) {
+    if (!evidence->follows_own_term && !evidence->fenced_at) return AMB_ABSENCE_UNPROVEN;
+    amb_ms renewed_at = later(evidence->last_response_at, evidence->lease_proxy_known_at); /* at the latest */
+    if (!evidence->follows_own_term) renewed_at = later(renewed_at, evidence->fenced_at);
+    if (evidence->now - renewed_at <= evidence->lease_span) return AMB_ABSENCE_UNPROVEN;
     /* A deputy that this read does not show came too late to renew the lease. */
-    if (e->last_read_asked_at <= renewed_at + e->lease_span) return AMB_ABSENCE_READ_NEEDED;
-    return e->follows_our_term ? AMB_ABSENCE_LEASE_EXPIRED : AMB_ABSENCE_FENCED;
+    if (evidence->last_read_sent_at <= renewed_at + evidence->lease_span) return AMB_ABSENCE_READ_NEEDED;
+    return evidence->follows_own_term ? AMB_ABSENCE_LEASE_EXPIRED : AMB_ABSENCE_FENCED;
 }
 
-amb_ms amb_absence_list_span(double list_lag_s, double report_s) {
-    return amb_secs(list_lag_s * LIST_LAGS + report_s * LIST_MARGIN_REPORTS);
+amb_ms amb_absence_list_span(double list_lag_s, double heartbeat_interval_s) {
+    return amb_secs(list_lag_s * LIST_LAG_FACTOR + heartbeat_interval_s * LIST_MARGIN_HEARTBEATS);
 }
 
-enum amb_absence amb_absence_by_list(const struct amb_list_evidence *e) {
-    amb_ms sign_at = later(e->known_at, later(e->reported_at, e->last_named_at));
-    return e->asked_at - sign_at > e->list_span ? AMB_ABSENCE_NOT_LISTED : AMB_ABSENCE_UNPROVEN;
+enum amb_absence amb_absence_by_list(const struct amb_list_evidence *evidence) {
+    amb_ms last_sign_at =
+        later(evidence->first_known_at, later(evidence->last_heartbeat_at, evidence->last_listed_at));
+    return evidence->list_sent_at - last_sign_at > evidence->list_span ? AMB_ABSENCE_NOT_IN_CLOUD_LIST
+                                                                       : AMB_ABSENCE_UNPROVEN;
 }
--- a/lib/model/failure_evidence.c
+++ b/lib/model/failure_evidence.c
@@ -6,19 +6,21 @@
     JOBS_AGAINST_MACHINE = 2,
 };
 
-void amb_failed_with_add(struct amb_failed_with *set, uint32_t id) {
+void amb_failure_set_add(struct amb_failure_set *set, uint32_t id) {
     for (uint32_t i = 0; i < set->count; i++)
         if (set->ids[i] == id) return;
-    if (set->count < AMB_FAILED_WITH) set->ids[set->count++] = id;
+    if (set->count < AMB_FAILURE_SET_MAX) set->ids[set->count++] = id;
 }
 
 /* A job with a mistake in it fails on every machine; a bad machine fails every job. */
-enum amb_fault amb_failure_fault(const struct amb_failure_evidence *evidence) {
-    uint32_t most = evidence->job_works ? MACHINES_AGAINST_WORKING_JOB : MACHINES_AGAINST_JOB;
-    bool of_job = evidence->machines >= most;
-    bool of_machine = evidence->jobs >= JOBS_AGAINST_MACHINE || (evidence->job_works && !of_job);
-    if (of_job) return of_machine ? AMB_FAULT_OF_BOTH : AMB_FAULT_OF_JOB;
-    return of_machine ? AMB_FAULT_OF_MACHINE : AMB_FAULT_UNKNOWN;
+enum amb_fault amb_failure_attribute(const struct amb_failure_evidence *evidence) {
+    uint32_t machine_threshold =
+        evidence->job_has_succeeded ? MACHINES_AGAINST_WORKING_JOB : MACHINES_AGAINST_JOB;
+    bool job_at_fault = evidence->failed_machines >= machine_threshold;
+    bool machine_at_fault =
+        evidence->failed_jobs >= JOBS_AGAINST_MACHINE || (evidence->job_has_succeeded && !job_at_fault);
+    if (job_at_fault) return machine_at_fault ? AMB_FAULT_BOTH : AMB_FAULT_JOB;
+    return machine_at_fault ? AMB_FAULT_MACHINE : AMB_FAULT_UNKNOWN;
 }
 
 const char *amb_fault_name(enum amb_fault fault) {
--- a/lib/model/resources.c
+++ b/lib/model/resources.c
@@ -1,13 +1,13 @@
 #include "amberpin/model/model.h"
 
-bool amb_res_fits(const struct amb_res *need, const struct amb_res *room) {
+bool amb_resources_fit(const struct amb_resources *need, const struct amb_resources *available) {
     const double slack = 1e-6;
-    return need->cpus <= room->cpus + slack && need->gpus <= room->gpus + slack &&
-           need->memory <= room->memory + slack;
+    return need->cpus <= available->cpus + slack && need->gpus <= available->gpus + slack &&
+           need->memory_gb <= available->memory_gb + slack;
 }
 
-void amb_res_add(struct amb_res *sum, const struct amb_res *part, double times) {
-    sum->cpus += part->cpus * times;
-    sum->gpus += part->gpus * times;
-    sum->memory += part->memory * times;
+void amb_resources_add(struct amb_resources *sum, const struct amb_resources *part, double factor) {
+    sum->cpus += part->cpus * factor;
+    sum->gpus += part->gpus * factor;
+    sum->memory_gb += part->memory_gb * factor;
 }
--- a/lib/node/fleet_capacity.c
+++ b/lib/node/fleet_capacity.c
@@ -13,11 +13,11 @@
 /* Connections for users and health checks, for each of a worker. */
 static const double USERS_PER_WORKER = 1.0 / 16;
 
-int amb_capacity_incoming(const struct amb_settings *settings) {
+int amb_capacity_max_incoming(const struct amb_settings *settings) {
     return (int)(settings->fd_limit * INCOMING_SHARE);
 }
 
-int amb_capacity_outgoing(const struct amb_settings *settings) {
+int amb_capacity_max_outgoing(const struct amb_settings *settings) {
     return (int)(settings->fd_limit * OUTGOING_SHARE);
 }
 
@@ -26,7 +26,7 @@
 }
 
 static double memory_mb_needed(const struct amb_settings *settings, double machines) {
-    return ceil(settings->memory_mb * machines / (double)amb_memory_machines(settings));
+    return ceil(settings->memory_mb * machines / (double)amb_memory_max_machines(settings));
 }
 
 bool amb_capacity_check(const struct amb_settings *settings, const struct amb_options *options,
@@ -38,10 +38,10 @@
                  settings->fd_limit, machines, sockets_needed(machines));
         return false;
     }
-    if ((double)amb_memory_machines(settings) < machines) {
+    if ((double)amb_memory_max_machines(settings) < machines) {
         snprintf(err, cap,
                  "%s: params.quota.memory_mb: %g MB hold %zu machines; fleet-machines %g needs %g MB", file,
-                 settings->memory_mb, amb_memory_machines(settings), machines,
+                 settings->memory_mb, amb_memory_max_machines(settings), machines,
                  memory_mb_needed(settings, machines));
         return false;
     }
--- a/lib/node/memory_budget.c
+++ b/lib/node/memory_budget.c
@@ -10,8 +10,8 @@
 static const double ONE_JOB_SHARE = 0.4; /* the largest job, when the leader cares for no other */
 static const double JOB_TABLE_SHARE = 1.0 / 3;
 static const double MACHINE_SHARE = 1.0 / 4;
-static const double REMOVED_SHARE = 1.0 / 64;
-static const double ANSWER_SHARE = 1.0 / 8;
+static const double REMOVED_MACHINES_SHARE = 1.0 / 64;
+static const double RESPONSE_SHARE = 1.0 / 8;
 static const double PEER_MESSAGE_SHARE = 1.0 / 256; /* of all peers' messages that are kept */
 
 enum { ALLOCATION_OVERHEAD = 16, HASH_BUCKET = 16 }; /* bytes: of each allocation; of each entry of a table */
@@ -20,31 +20,32 @@
     return (size_t)(settings->memory_mb * 1024 * 1024 * share);
 }
 
-size_t amb_memory_tasks(const struct amb_settings *settings) {
+size_t amb_memory_max_tasks(const struct amb_settings *settings) {
     return share_of(settings, TASK_SHARE) / sizeof(struct amb_task);
 }
 
-size_t amb_memory_tasks_of_one_job(const struct amb_settings *settings) {
+size_t amb_memory_max_tasks_of_one_job(const struct amb_settings *settings) {
     return share_of(settings, ONE_JOB_SHARE) / sizeof(struct amb_task);
 }
 
-size_t amb_memory_job_table(const struct amb_settings *settings) {
+size_t amb_memory_job_table_bytes(const struct amb_settings *settings) {
     return share_of(settings, JOB_TABLE_SHARE);
 }
 
 enum {
     JOB_BYTES = sizeof(struct amb_job) + ALLOCATION_OVERHEAD + HASH_BUCKET,
-    DESCRIPTION_BYTES = sizeof(struct amb_spec) + ALLOCATION_OVERHEAD,
+    DESCRIPTION_BYTES = sizeof(struct amb_job_spec) + ALLOCATION_OVERHEAD,
 };
 
-size_t amb_memory_job_table_used(const struct amb_node *node) {
-    return HASH_COUNT(node->jobs.all) * (size_t)JOB_BYTES + node->jobs.described * DESCRIPTION_BYTES;
+size_t amb_memory_job_table_used_bytes(const struct amb_node *node) {
+    return HASH_COUNT(node->jobs.all) * (size_t)JOB_BYTES + node->jobs.spec_count * DESCRIPTION_BYTES;
 }
 
-bool amb_memory_holds(const struct amb_node *node, const struct amb_spec *spec) {
-    const struct amb_settings *settings = &node->set;
-    size_t table = amb_memory_job_table_used(node) + JOB_BYTES + DESCRIPTION_BYTES;
-    return table <= amb_memory_job_table(settings) && spec->tasks <= amb_memory_tasks_of_one_job(settings);
+bool amb_memory_has_room_for_job(const struct amb_node *node, const struct amb_job_spec *spec) {
+    const struct amb_settings *settings = &node->settings;
+    size_t table_bytes = amb_memory_job_table_used_bytes(node) + JOB_BYTES + DESCRIPTION_BYTES;
+    return table_bytes <= amb_memory_job_table_bytes(settings) &&
+           spec->task_count <= amb_memory_max_tasks_of_one_job(settings);
 }
 
 /* ---- machines, messages ---- */
@@ -59,21 +60,21 @@
                     (size_t)TOLD_IMAGES * TOLD_IMAGE_BYTES,
 };
 
-size_t amb_memory_answer(const struct amb_settings *settings) {
-    const size_t least = (size_t)2 * PAGE_BYTES, share = share_of(settings, ANSWER_SHARE);
+size_t amb_memory_max_response_bytes(const struct amb_settings *settings) {
+    const size_t least = (size_t)2 * PAGE_BYTES, share = share_of(settings, RESPONSE_SHARE);
     return share > least ? share : least;
 }
 
-size_t amb_memory_peer_message(const struct amb_settings *settings) {
+size_t amb_memory_max_peer_message_bytes(const struct amb_settings *settings) {
     size_t peers = settings->npeers ? settings->npeers : 1;
     return share_of(settings, PEER_MESSAGE_SHARE) / (peers * (size_t)MESSAGES_OF_A_PEER);
 }
 
-size_t amb_memory_removed_machines(const struct amb_settings *settings) {
-    return share_of(settings, REMOVED_SHARE);
+size_t amb_memory_removed_machines_bytes(const struct amb_settings *settings) {
+    return share_of(settings, REMOVED_MACHINES_SHARE);
 }
 
-size_t amb_memory_machines(const struct amb_settings *settings) {
+size_t amb_memory_max_machines(const struct amb_settings *settings) {
     return share_of(settings, MACHINE_SHARE) / MACHINE_BYTES;
 }
 
@@ -81,12 +82,12 @@
 
 void amb_job_free_spec(struct amb_job *job) {
     free(job->spec);
-    free(job->awaits);
+    free(job->dependencies);
     job->spec = NULL;
-    job->awaits = NULL;
+    job->dependencies = NULL;
 }
 
 void amb_job_drop_spec(struct amb_node *node, struct amb_job *job) {
-    if (job->spec) node->jobs.described--;
+    if (job->spec) node->jobs.spec_count--;
     amb_job_free_spec(job);
 }
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -16,7 +16,8 @@
         const char *ref = json_string_value(json_array_get(row, 0));
         const json_t *wall = json_array_get(row, 1), *stamp = json_array_get(row, 2);
         if (ref && json_is_integer(wall) && json_is_integer(stamp))
-            amb_job_cancel_hint(node, ref, json_integer_value(wall), (uint64_t)json_integer_value(stamp));
+            amb_job_apply_cancel_hint(node, ref, json_integer_value(wall),
+                                      (uint64_t)json_integer_value(stamp));
     }
 }
 
@@ -66,8 +67,8 @@
         if (json_unpack(row, "[s,I,I]", &ref, &done, &running)) continue;
         struct amb_job *job = amb_job_find(node, ref);
         if (!job) continue;
-        job->shown_done = (uint32_t)done;
-        job->shown_running = (uint32_t)running;
+        job->progress_done = (uint32_t)done;
+        job->progress_running = (uint32_t)running;
     }
 }
 
@@ -100,7 +101,7 @@
  * tells of other machines each time. */
 static void keep_message(const struct amb_node *node, struct amb_peer_message *message, const char *text,
                          size_t len, json_t *parsed) {
-    if (len > amb_memory_peer_message(&node->set)) return;
+    if (len > amb_memory_max_peer_message_bytes(&node->settings)) return;
     json_decref(message->parsed);
     message->parsed = json_incref(parsed);
     message->text = amb_grow(message->text, len);
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -12,36 +12,36 @@
 enum {
     IMAGES_MOST = AMB_HEARTBEAT_MAX / 4,
     PROGRESS_MOST = AMB_HEARTBEAT_MAX / 4,
-    PROGRESS_BYTES = AMB_NAME + 24, /* of one job, at most */
+    PROGRESS_BYTES = AMB_NAME_SIZE + 24, /* of one job, at most */
     PROGRESS_ROWS = PROGRESS_MOST / PROGRESS_BYTES,
-    CANCELLATION_BYTES = AMB_NAME + 48, /* of one, at most */
+    CANCELLATION_BYTES = AMB_NAME_SIZE + 48, /* of one, at most */
     CANCELLATIONS_MOST = AMB_HEARTBEAT_MAX / 4 / CANCELLATION_BYTES,
 };
 
 static bool own_store_ok(const struct amb_node *node, amb_ms now) {
     return node->store.last_success_at > node->store.last_failure_at ||
-           now - node->store.last_failure_at > (amb_ms)(node->set.report_s * 3000);
+           now - node->store.last_failure_at > (amb_ms)(node->settings.report_s * 3000);
 }
 
 static amb_ms patience(const struct amb_node *node) {
-    return (amb_ms)(node->set.report_s * 3000);
+    return (amb_ms)(node->settings.report_s * 3000);
 }
 
 static void append_cancellation(json_t *list, const struct amb_job *job) {
     if (job->state != AMB_JOB_CANCELLED) return;
-    json_array_append_new(
-        list, json_pack("[s,I,I]", job->ref, (json_int_t)job->cancelled_wall, (json_int_t)job->cancel_stamp));
+    json_array_append_new(list, json_pack("[s,I,I]", job->ref, (json_int_t)job->cancelled_wall_ms,
+                                          (json_int_t)job->cancel_revision));
 }
 
 static int64_t recent_span(const struct amb_node *node) {
-    return (int64_t)(node->set.cancel_s * 2000);
+    return (int64_t)(node->settings.cancel_s * 2000);
 }
 
 /* Cancellations that are newer than `epoch`, up to which the asker knows all. */
 static json_t *cancellations_after_epoch(const struct amb_node *node, uint64_t epoch) {
-    const struct amb_cancellation_list *by_stamp = &node->jobs.cancellations.by_stamp;
+    const struct amb_cancellation_list *by_stamp = &node->jobs.cancellations.by_revision;
     json_t *list = json_array();
-    for (size_t i = amb_cancellations_after(by_stamp, (int64_t)epoch); i < by_stamp->count; i++)
+    for (size_t i = amb_cancellations_find_after(by_stamp, (int64_t)epoch); i < by_stamp->count; i++)
         append_cancellation(list, by_stamp->entries[i].job);
     return list;
 }
@@ -49,12 +49,12 @@
 /* For nodes that did not ask, so that they hear of it sooner than by news: the recent ones, without those up
  * to the epoch that they all know; of more than `most` the latest. */
 static json_t *recent_cancellations(const struct amb_node *node, uint64_t known_epoch, size_t most) {
-    const struct amb_cancellation_list *by_wall = &node->jobs.cancellations.by_wall;
+    const struct amb_cancellation_list *by_wall = &node->jobs.cancellations.by_wall_ms;
     json_t *list = json_array();
-    size_t first = amb_cancellations_after(by_wall, amb_wall_ms() - recent_span(node));
+    size_t first = amb_cancellations_find_after(by_wall, amb_wall_ms() - recent_span(node));
     if (by_wall->count - first > most) first = by_wall->count - most;
     for (size_t i = first; i < by_wall->count; i++)
-        if (by_wall->entries[i].job->cancel_stamp > known_epoch)
+        if (by_wall->entries[i].job->cancel_revision > known_epoch)
             append_cancellation(list, by_wall->entries[i].job);
     return list;
 }
@@ -83,7 +83,7 @@
  * earlier self of it can have told a user of. */
 static json_t *describe(struct amb_node *node) {
     struct amb_peer_facts facts = own_facts(node);
-    json_t *said = json_pack("{s:s, s:b, s:I, s:b, s:b, s:b}", "from", node->set.member, "loaded",
+    json_t *said = json_pack("{s:s, s:b, s:I, s:b, s:b, s:b}", "from", node->settings.member, "loaded",
                              facts.loaded, "term", (json_int_t)facts.term, "leading", facts.leading, "store",
                              facts.store_ok, "reports_arrive", facts.reports_arrive);
     /* The first format had no name. */
@@ -98,12 +98,12 @@
  * more. */
 static json_t *progress(struct amb_node *node) {
     json_t *list = json_array();
-    for (struct amb_job *job = node->jobs.live; job; job = job->next_live) {
-        if (!job->shown_changed || job->state != AMB_JOB_QUEUED) continue;
+    for (struct amb_job *job = node->jobs.active; job; job = job->next_active) {
+        if (!job->progress_changed || job->state != AMB_JOB_QUEUED) continue;
         if (json_array_size(list) == PROGRESS_ROWS) break;
-        json_array_append_new(
-            list, json_pack("[s,I,I]", job->ref, (json_int_t)job->ndone, (json_int_t)job->nrunning));
-        job->shown_in = node->peers.images.telling;
+        json_array_append_new(list, json_pack("[s,I,I]", job->ref, (json_int_t)job->done_count,
+                                              (json_int_t)job->running_count));
+        job->progress_sent_in = node->peers.images.telling;
     }
     return list;
 }
@@ -137,14 +137,14 @@
 static bool still_says(const struct amb_node *node, const struct amb_peer_saying *saying) {
     struct amb_peer_facts facts = own_facts(node);
     int64_t wall = amb_wall_ms();
-    return saying->text && saying->cancellations == node->jobs.cancellations.changes &&
+    return saying->text && saying->cancellations == node->jobs.cancellations.change_count &&
            wall >= saying->made_at && wall < saying->stale_at && same_facts(&saying->facts, &facts);
 }
 
 /* When the first of the cancellations that are recent now will not be so any more. */
 static int64_t recent_until(const struct amb_node *node) {
-    const struct amb_cancellation_list *by_wall = &node->jobs.cancellations.by_wall;
-    size_t first = amb_cancellations_after(by_wall, amb_wall_ms() - recent_span(node));
+    const struct amb_cancellation_list *by_wall = &node->jobs.cancellations.by_wall_ms;
+    size_t first = amb_cancellations_find_after(by_wall, amb_wall_ms() - recent_span(node));
     return first < by_wall->count ? by_wall->entries[first].key + recent_span(node) : INT64_MAX;
 }
 
@@ -152,7 +152,7 @@
     free(saying->text);
     saying->text = text;
     saying->facts = own_facts(node);
-    saying->cancellations = node->jobs.cancellations.changes;
+    saying->cancellations = node->jobs.cancellations.change_count;
     saying->made_at = amb_wall_ms();
     saying->stale_at = stale_at;
 }
@@ -173,7 +173,7 @@
 }
 
 static uint64_t newest_cancel_stamp(const struct amb_node *node) {
-    const struct amb_cancellation_list *by_stamp = &node->jobs.cancellations.by_stamp;
+    const struct amb_cancellation_list *by_stamp = &node->jobs.cancellations.by_revision;
     return by_stamp->count ? (uint64_t)by_stamp->entries[by_stamp->count - 1].key : 0;
 }
 
@@ -190,7 +190,7 @@
     json_t *message = describe(node);
     json_object_set_new(message, "cancelled",
                         recent_cancellations(node, known_to_all_peers(node), CANCELLATIONS_MOST));
-    json_object_set_new(message, "epoch", json_integer((json_int_t)node->jobs.epoch));
+    json_object_set_new(message, "epoch", json_integer((json_int_t)node->jobs.known_revision));
     if (amb_election_is_leader(node)) {
         json_object_set_new(message, "token_grant", json_real(amb_store_lend_tokens(&node->store)));
         json_object_set_new(message, "images", amb_peer_images_tell(node, IMAGES_MOST));
@@ -201,8 +201,8 @@
 
 void amb_peer_said(struct amb_node *node) {
     if (!amb_election_is_leader(node)) return;
-    for (struct amb_job *job = node->jobs.live; job; job = job->next_live)
-        if (job->shown_in == node->peers.images.telling) job->shown_changed = false;
+    for (struct amb_job *job = node->jobs.active; job; job = job->next_active)
+        if (job->progress_sent_in == node->peers.images.telling) job->progress_changed = false;
     amb_peer_images_sent(node);
 }
 
--- a/lib/peer/image_locations.c
+++ b/lib/peer/image_locations.c
@@ -19,16 +19,16 @@
 
 static size_t told_bytes(const struct amb_machine *machine) {
     size_t bytes = strlen(machine->name) + MACHINE_BYTES;
-    for (uint32_t i = 0; i < machine->nimages; i++) bytes += strlen(machine->images[i]) + IMAGE_BYTES;
+    for (uint32_t i = 0; i < machine->image_count; i++) bytes += strlen(machine->images[i]) + IMAGE_BYTES;
     return bytes;
 }
 
 static json_t *images_of(const struct amb_machine *machine) {
     json_t *list = json_array();
-    for (uint32_t i = 0; i < machine->nimages; i++) {
+    for (uint32_t i = 0; i < machine->image_count; i++) {
         json_t *image = json_array();
         json_array_append_new(image, json_string(machine->images[i]));
-        json_array_append_new(image, json_real(machine->image_gb[i]));
+        json_array_append_new(image, json_real(machine->image_sizes_gb[i]));
         json_array_append_new(list, image);
     }
     return list;
@@ -40,7 +40,7 @@
     if (bytes > *room) return false;
     *room -= bytes;
     json_object_set_new(told, machine->name, images_of(machine));
-    machine->images_told_in = node->peers.images.telling;
+    machine->images_sent_in = node->peers.images.telling;
     return true;
 }
 
@@ -68,7 +68,7 @@
 void amb_peer_images_sent(struct amb_node *node) {
     uint64_t latest = node->peers.images.telling;
     for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
-        if (machine->images_told_in == latest) machine->images_changed = false;
+        if (machine->images_sent_in == latest) machine->images_changed = false;
 }
 
 /* ---- the others keep it in mind ---- */
@@ -94,10 +94,12 @@
 static void recall_image(struct amb_machine *machine, const json_t *image) {
     const char *name = json_string_value(json_array_get(image, 0));
     const json_t *gb = json_array_get(image, 1);
-    if (!name || !json_is_number(gb) || strlen(name) >= AMB_NAME || machine->nimages == AMB_IMAGES) return;
-    amb_machine_image_room(machine, machine->nimages + 1);
-    strcpy(machine->images[machine->nimages], name);
-    machine->image_gb[machine->nimages++] = json_number_value(gb);
+    if (!name || !json_is_number(gb) || strlen(name) >= AMB_NAME_SIZE ||
+        machine->image_count == AMB_IMAGES_MAX)
+        return;
+    amb_machine_image_room(machine, machine->image_count + 1);
+    strcpy(machine->images[machine->image_count], name);
+    machine->image_sizes_gb[machine->image_count++] = json_number_value(gb);
 }
 
 void amb_peer_images_recall(struct amb_node *node, struct amb_machine *machine) {
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -20,7 +20,7 @@
 static void heartbeat(void *arg) {
     struct amb_node *node = arg;
     amb_ms now = amb_now();
-    amb_timer_in(&node->peers.timer, (amb_ms)(node->set.report_s * 500), heartbeat, node);
+    amb_timer_in(&node->peers.timer, (amb_ms)(node->settings.report_s * 500), heartbeat, node);
     char *text = amb_peer_say(node);
     size_t len = strlen(text);
     bool all = true;
@@ -34,7 +34,7 @@
         peer->busy = true;
         peer->sent_at = now;
         amb_http_call(peer->addr, "POST", "/peer/heartbeat", "application/json", text, len,
-                      (amb_ms)(node->set.report_s * 1000), heartbeat_answered, peer);
+                      (amb_ms)(node->settings.report_s * 1000), heartbeat_answered, peer);
     }
     if (all) amb_peer_said(node);
     free(text);
@@ -43,7 +43,7 @@
 static void receive_cancel_notice(struct amb_node *node, struct amb_http_req *request) {
     json_t *notice =
         strcmp(request->method, "POST") ? NULL : json_loadb(request->body, request->body_len, 0, NULL);
-    bool understood = amb_cancel_notice_received(node, notice);
+    bool understood = amb_cancellation_notice_receive(node, notice);
     json_decref(notice);
     amb_http_reply(request, understood ? 200 : 400, NULL, NULL, 0, 0);
 }
@@ -87,17 +87,18 @@
 }
 
 void amb_peer_init(struct amb_node *node) {
-    node->peers.count = node->set.npeers;
+    node->peers.count = node->settings.npeers;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         struct amb_peer *peer = &node->peers.list[i];
-        strcpy(peer->member, node->set.peers[i].member);
-        strcpy(peer->addr, node->set.peers[i].addr);
+        strcpy(peer->member, node->settings.peers[i].member);
+        strcpy(peer->addr, node->settings.peers[i].addr);
         peer->node = node;
     }
-    node->side = amb_server_open(node->set.peer_listen, 4 * (int)node->peers.count + 8, AMB_HEARTBEAT_MAX,
-                                 (amb_ms)(node->set.lease_s * 1000), request, node);
-    if (!node->side) {
-        amb_error("cluster_listen %s can't be opened", node->set.peer_listen);
+    node->peer_server =
+        amb_server_open(node->settings.peer_listen, 4 * (int)node->peers.count + 8, AMB_HEARTBEAT_MAX,
+                        (amb_ms)(node->settings.lease_s * 1000), request, node);
+    if (!node->peer_server) {
+        amb_error("cluster_listen %s can't be opened", node->settings.peer_listen);
         return;
     }
     heartbeat(node);
--- a/lib/placement/bin_packing.c
+++ b/lib/placement/bin_packing.c
@@ -10,9 +10,9 @@
 
 uint32_t amb_job_tasks_in_unknown_zones(const struct amb_job *job) {
     uint32_t known = 0;
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++) known += job->zone_used[zone];
-    return job->nbound > known ? job->nbound - known
-                               : 0; /* more: a plan counts tasks that are not placed yet */
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) known += job->zone_task_counts[zone];
+    return job->bound_count > known ? job->bound_count - known
+                                    : 0; /* more: a plan counts tasks that are not placed yet */
 }
 
 /* A start in time is what counts: of two machines that are both too slow, the faster one is hardly better,
@@ -36,9 +36,9 @@
     return request->opportunistic || (int)request->priority >= slot->kept_for;
 }
 
-struct amb_res amb_place_room(const struct amb_slot *slot, bool soon) {
-    struct amb_res room = slot->room;
-    if (soon) amb_res_add(&room, &slot->soon, 1);
+struct amb_resources amb_place_room(const struct amb_slot *slot, bool soon) {
+    struct amb_resources room = slot->room;
+    if (soon) amb_resources_add(&room, &slot->soon, 1);
     return room;
 }
 
@@ -62,9 +62,9 @@
 
 bool amb_place_fits(const struct amb_wish *request, const struct amb_slot *slot, bool soon) {
     if (!amb_place_allowed_in_any_zone(request, slot)) return false;
-    struct amb_res room = amb_place_room(slot, soon);
-    if (!request->lasting) amb_res_add(&room, &slot->reserved, -1);
-    return amb_res_fits(&request->need, &room);
+    struct amb_resources room = amb_place_room(slot, soon);
+    if (!request->lasting) amb_resources_add(&room, &slot->reserved, -1);
+    return amb_resources_fit(&request->need, &room);
 }
 
 /* A task without GPUs keeps clear of machines that have some free: what it takes of their cores is then
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -16,19 +16,19 @@
 };
 
 struct shape { /* all that a score depends on beside the slot; zones are chosen when it is asked for */
-    struct amb_res need;
+    struct amb_resources need;
     uint32_t type_mask;
     enum amb_priority priority;
     bool spot, lasting, patient, can_wait, opportunistic;
     bool soon, room_is_made; /* room that is about to come counts; other work makes way, on these terms */
     struct amb_slot_terms terms;
     struct amb_slot_marking marking;
-    char image[AMB_NAME];
+    char image[AMB_NAME_SIZE];
 };
 
 struct amb_slot_ranking {
     struct shape shape;
-    struct winner_tree zones[AMB_ZONES];
+    struct winner_tree zones[AMB_ZONES_MAX];
     uint32_t slots_seen, changes_seen;
     uint64_t last_asked;
 };
@@ -72,7 +72,7 @@
 
 static bool same_wish(const struct shape *shape, const struct amb_wish *request) {
     return shape->need.gpus == request->need.gpus && shape->need.cpus == request->need.cpus &&
-           shape->need.memory == request->need.memory && shape->type_mask == request->type_mask &&
+           shape->need.memory_gb == request->need.memory_gb && shape->type_mask == request->type_mask &&
            shape->priority == request->priority && shape->spot == request->spot &&
            shape->lasting == request->lasting && shape->patient == request->patient &&
            shape->can_wait == request->can_wait && shape->opportunistic == request->opportunistic;
@@ -172,7 +172,7 @@
 /* ---- the rankings that are kept ---- */
 
 static void ranking_free(struct amb_slot_ranking *ranking) {
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++) {
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
         free(ranking->zones[zone].scores);
         free(ranking->zones[zone].winners);
     }
@@ -218,7 +218,7 @@
 
 void amb_slot_rankings_free(struct amb_slot_rankings *rankings) {
     for (uint32_t i = 0; i < rankings->count; i++) ranking_free(rankings->kept[i]);
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++) free(rankings->zones[zone].slots);
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) free(rankings->zones[zone].slots);
     free(rankings->changed);
     free(rankings->latest_change);
     free(rankings->place);
@@ -235,7 +235,7 @@
     bring_up_to_date(rankings, ranking, list, question);
     int best = -1;
     double best_score = CAN_NOT;
-    for (int zone = 0; zone < AMB_ZONES; zone++) {
+    for (int zone = 0; zone < AMB_ZONES_MAX; zone++) {
         const struct winner_tree *tree = &ranking->zones[zone];
         if (!tree->capacity || !amb_place_zone_allowed(question->wish, zone)) continue;
         uint32_t winner = tree->winners[1];
--- a/lib/placement/wdrr.c
+++ b/lib/placement/wdrr.c
@@ -5,7 +5,7 @@
 /* Both kinds of deployment we know guarantee GPUs and no cores. In cores every team would weigh one and a
  * CPU-heavy task would cost more turns than a GPU-heavy one, so size and weight are counted in the resource
  * that the guarantees name (see docs/design.md). */
-double amb_wdrr_size(const struct amb_res *need, bool by_gpus) {
+double amb_wdrr_size(const struct amb_resources *need, bool by_gpus) {
     double size = by_gpus ? need->gpus : need->cpus;
     return size > 0 ? size : 1;
 }
@@ -34,8 +34,8 @@
         double limit = by_gpus ? team->limit.gpus : team->limit.cpus;
         team->weight = fmax(1, guarantee);
         team->opportunistic = some_are_guaranteed && !has_guarantee(team);
-        team->bucket_max = limit > 0 ? 60 * limit : INFINITY;
-        team->bucket = team->bucket_max;
+        team->bucket_capacity = limit > 0 ? 60 * limit : INFINITY;
+        team->bucket_tokens = team->bucket_capacity;
         team->deficit = 0;
     }
 }
@@ -43,19 +43,20 @@
 void amb_wdrr_refill(struct amb_team *teams, uint32_t n, double seconds) {
     for (uint32_t i = 0; i < n; i++) {
         struct amb_team *team = &teams[i];
-        if (isinf(team->bucket_max)) continue;
-        team->bucket = fmin(team->bucket_max, team->bucket + seconds * team->bucket_max / 60);
+        if (isinf(team->bucket_capacity)) continue;
+        team->bucket_tokens =
+            fmin(team->bucket_capacity, team->bucket_tokens + seconds * team->bucket_capacity / 60);
     }
 }
 
-bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_res *need, double times) {
+bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_resources *need, double times) {
     const double slack = 1e-6;
     if (team->limit.cpus > 0 && team->used.cpus + need->cpus * times > team->limit.cpus + slack) return false;
     if (team->limit.gpus > 0 && team->used.gpus + need->gpus * times > team->limit.gpus + slack) return false;
     return true;
 }
 
-bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_res *need) {
+bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_resources *need) {
     const double slack = 1e-6;
     if (!has_guarantee(team)) return false;
     if (team->guarantee.cpus > 0 && team->used.cpus + need->cpus > team->guarantee.cpus + slack) return false;
@@ -84,13 +85,13 @@
                     more = true; /* saves up for it */
                     break;
                 }
-                if (team->bucket + 1e-9 < item.size || !amb_wdrr_within_limit(team, &item.need, 1) ||
+                if (team->bucket_tokens + 1e-9 < item.size || !amb_wdrr_within_limit(team, &item.need, 1) ||
                     ops->admit(ops->arg, i, &item) == AMB_TRY_NO_FIT) {
                     ops->skip(ops->arg, i, &item);
                     continue;
                 }
                 team->deficit -= item.size;
-                team->bucket -= item.size;
+                team->bucket_tokens -= item.size;
                 admitted++;
                 more = true;
             } while (ops->next(ops->arg, i, &item));
--- a/lib/placement_log/block_value.c
+++ b/lib/placement_log/block_value.c
@@ -3,21 +3,21 @@
 
 #include <string.h>
 
-void amb_record_encode(struct amb_node *node, const struct amb_block *block, struct amb_buf *out) {
+void amb_record_encode(struct amb_node *node, const struct amb_placement_block *block, struct amb_buf *out) {
     struct amb_block_text text = {0};
     const struct amb_task *tasks = block->job->tasks;
-    for (uint32_t i = block->tasks.first; i < block->tasks.end; i++) {
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         const struct amb_task *task = &tasks[i];
-        if (task->done && (i == block->tasks.first || !tasks[i - 1].done)) {
+        if (task->done && (i == block->task_range.first || !tasks[i - 1].done)) {
             uint32_t last = i;
-            while (last + 1 < block->tasks.end && tasks[last + 1].done) last++;
+            while (last + 1 < block->task_range.end && tasks[last + 1].done) last++;
             amb_layout_add_done(&text, (struct amb_task_range){i, last + 1});
         }
         if (!task->machine || task->done) continue;
         struct amb_placement placement = {.task = i,
                                           .attempt = task->attempt,
-                                          .type = task->machine->type,
-                                          .zone = task->machine->zone,
+                                          .type = task->machine->type_index,
+                                          .zone = task->machine->zone_index,
                                           .spot = task->machine->spot};
         strcpy(placement.machine, task->machine->name);
         amb_layout_add_placement(&text, &placement);
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -10,27 +10,27 @@
 #include <stdio.h>
 
 /* What was sent is now known to stand there. */
-static void landed(struct amb_node *node, struct amb_block *block, uint64_t stamp) {
-    block->stamp = stamp;
-    block->in_flight = false;
+static void landed(struct amb_node *node, struct amb_placement_block *block, uint64_t stamp) {
+    block->revision = stamp;
+    block->write_in_flight = false;
     block->retry_at = 0;
     amb_buf_free(&block->value);
-    for (uint32_t i = block->tasks.first; i < block->tasks.end; i++) {
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
-        if (task->in_flight && task->state == AMB_TASK_PLACED) {
-            amb_task_state(node, task, AMB_TASK_BOUND, "recorded");
-            amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_TASK_RECORDED, .task = task});
+        if (task->write_in_flight && task->state == AMB_TASK_PLACED) {
+            amb_task_set_state(node, task, AMB_TASK_BOUND, "recorded");
+            amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_PLACEMENT_DURABLE, .task = task});
         }
-        task->in_flight = false;
-        if (task->done_sent) task->done_saved = true;
+        task->write_in_flight = false;
+        if (task->done_write_pending) task->done_durable = true;
     }
 }
 
-void amb_record_not_written(struct amb_node *node, struct amb_block *block) {
-    amb_record_give_up_write(block); /* it may have been written before the job changed */
+void amb_record_not_written(struct amb_node *node, struct amb_placement_block *block) {
+    amb_placement_block_abandon_write(block); /* it may have been written before the job changed */
     block->retry_at = 0;
     block->dirty = true;
-    for (uint32_t i = block->tasks.first; i < block->tasks.end; i++) {
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
         if (task->machine && task->state == AMB_TASK_PLACED && block->job->state != AMB_JOB_QUEUED)
             amb_task_unbind(node, task, "its job is over, and no order went out");
@@ -39,17 +39,17 @@
 
 static void block_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_block *block = amb_record_call_block(arg, &node);
+    struct amb_placement_block *block = amb_record_call_block(arg, &node);
     uint64_t stamp = 0;
-    if (!block || block->replaced || !block->in_flight) return;
+    if (!block || block->superseded || !block->write_in_flight) return;
     if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &stamp)) {
         if (amb_cbor_eq(amb_cbor_get(amb_cbor_get(body, "value"), "w"), block->write_id)) {
             landed(node, block, stamp);
             return;
         }
-        if (stamp != block->stamp) { /* cannot be: only one leader at a time writes here */
+        if (stamp != block->revision) { /* cannot be: only one leader at a time writes here */
             amb_error("block %s/%u: changed by another", block->job->ref, block->id.index);
-            block->stamp = stamp;
+            block->revision = stamp;
         }
     }
     /* The very same content is sent again, under the same guards: whichever copy comes first makes every
@@ -59,9 +59,9 @@
 
 /* A value that the limits of now allow and the lowered ones don't is refused only once they are lowered,
  * which happens after the upgrade. The block keeps its content until it is replaced by smaller ones. */
-static void refused_as_bad(struct amb_node *node, struct amb_block *block) {
+static void refused_as_bad(struct amb_node *node, struct amb_placement_block *block) {
     double size = (double)amb_cbor_json_size(block->value.data, block->value.len);
-    if (size > amb_record_lowered_value_kb(node) * 1024 && size <= node->set.value_kb * 1024) {
+    if (size > amb_placement_blocks_lowered_value_kb(node) * 1024 && size <= node->settings.value_kb * 1024) {
         amb_store_lower_limits(&node->store, "a value was refused for its size");
         amb_format_complete_upgrade(node, "a value was refused for its size");
         block->retry_at += node->store.call_timeout;
@@ -73,9 +73,9 @@
 
 static void block_written(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_block *block = amb_record_call_block(arg, &node);
+    struct amb_placement_block *block = amb_record_call_block(arg, &node);
     uint64_t stamp;
-    if (!block || block->replaced) return;
+    if (!block || block->superseded) return;
     if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &stamp)) {
         landed(node, block, stamp);
         return;
@@ -87,7 +87,7 @@
     }
     if (status == 0 || status == 409) {
         char key[AMB_BLOCK_KEY];
-        amb_record_block_key(key, block);
+        amb_placement_block_get_key(key, block);
         block->retry_at += node->store.call_timeout;
         amb_store_get(&node->store, key, AMB_STORE_PRIORITY_PLACEMENT, block_read,
                       amb_record_call_new(node, block));
@@ -96,14 +96,14 @@
     }
 }
 
-void amb_record_send_block(struct amb_node *node, struct amb_block *block) {
-    char key[AMB_BLOCK_KEY], job_key[AMB_NAME + 16];
+void amb_record_send_block(struct amb_node *node, struct amb_placement_block *block) {
+    char key[AMB_BLOCK_KEY], job_key[AMB_NAME_SIZE + 16];
     struct amb_txn transaction = {0};
-    amb_record_block_key(key, block);
-    amb_job_key(job_key, sizeof job_key, block->job->ref);
+    amb_placement_block_get_key(key, block);
+    amb_job_format_key(job_key, sizeof job_key, block->job->ref);
     amb_txn_require_leadership(&transaction, node);
-    amb_txn_compare(&transaction, job_key, block->job_stamp);
-    amb_txn_compare(&transaction, key, block->stamp);
+    amb_txn_compare(&transaction, job_key, block->job_revision);
+    amb_txn_compare(&transaction, key, block->revision);
     amb_txn_put(&transaction, key, &block->value, 0);
     block->retry_at = INT64_MAX; /* set when the call ends */
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, block_written,
@@ -111,29 +111,29 @@
 }
 
 /* Blocks of the first format keep their size: an older process must be able to read them. */
-static bool too_large(const struct amb_node *node, const struct amb_block *block) {
+static bool too_large(const struct amb_node *node, const struct amb_placement_block *block) {
     return block->id.layout == AMB_LAYOUT_BY_KEY && block->id.tasks_per_block > 1 &&
            (double)amb_cbor_json_size(block->value.data, block->value.len) >
-               amb_record_lowered_value_kb(node) * 1024;
+               amb_placement_blocks_lowered_value_kb(node) * 1024;
 }
 
-void amb_record_write_block(struct amb_node *node, struct amb_block *block) {
+void amb_record_write_block(struct amb_node *node, struct amb_placement_block *block) {
     static uint64_t counter;
     snprintf(block->write_id, sizeof block->write_id, "%llu-%llu", (unsigned long long)node->election.term,
              (unsigned long long)++counter);
     amb_record_encode(node, block, &block->value);
     if (too_large(node, block)) {
         amb_buf_free(&block->value);
-        block->job->fitting_tasks = block->id.tasks_per_block / 2;
+        block->job->max_tasks_per_block = block->id.tasks_per_block / 2;
         return;
     }
-    for (uint32_t i = block->tasks.first; i < block->tasks.end; i++) {
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
-        if (task->state == AMB_TASK_PLACED) task->in_flight = true;
-        if (task->done) task->done_sent = true;
+        if (task->state == AMB_TASK_PLACED) task->write_in_flight = true;
+        if (task->done) task->done_write_pending = true;
     }
-    block->job_stamp = block->job->stamp;
+    block->job_revision = block->job->revision;
     block->dirty = block->urgent = false;
-    block->in_flight = true;
+    block->write_in_flight = true;
     amb_record_send_block(node, block);
 }
--- a/lib/placement_log/job_end.c
+++ b/lib/placement_log/job_end.c
@@ -7,46 +7,46 @@
 
 static void stamp_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_block *block = amb_record_call_block(arg, &node);
+    struct amb_placement_block *block = amb_record_call_block(arg, &node);
     if (!block) return;
-    block->in_flight = false;
+    block->write_in_flight = false;
     if (status == 404) {
-        block->stamp = 0;
-        block->stamp_unsure = false;
-    } else if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &block->stamp)) {
-        block->stamp_unsure = false;
+        block->revision = 0;
+        block->revision_uncertain = false;
+    } else if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &block->revision)) {
+        block->revision_uncertain = false;
     }
     block->retry_at = amb_now() + node->store.call_timeout / 4;
 }
 
 static void removed(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_block *block = amb_record_call_block(arg, &node);
+    struct amb_placement_block *block = amb_record_call_block(arg, &node);
     if (!block) return;
-    block->in_flight = false;
+    block->write_in_flight = false;
     block->retry_at = amb_now() + node->store.call_timeout / 4;
     if (status == 200)
-        block->stamp = 0;
+        block->revision = 0;
     else if (status == 0 || status == 409)
-        block->stamp_unsure = true;
+        block->revision_uncertain = true;
     if (status == 409) amb_record_write_refused(node, body);
 }
 
 /* Only once nothing of the job is on any machine. */
-static void block_remove(struct amb_node *node, struct amb_block *block) {
+static void block_remove(struct amb_node *node, struct amb_placement_block *block) {
     char key[AMB_BLOCK_KEY];
-    amb_record_block_key(key, block);
-    block->in_flight = true;
+    amb_placement_block_get_key(key, block);
+    block->write_in_flight = true;
     block->retry_at = INT64_MAX;
     amb_buf_free(&block->value);
-    if (block->stamp_unsure) {
+    if (block->revision_uncertain) {
         amb_store_get(&node->store, key, AMB_STORE_PRIORITY_READ, stamp_read,
                       amb_record_call_new(node, block));
         return;
     }
     struct amb_txn transaction = {0};
     amb_txn_require_leadership(&transaction, node);
-    amb_txn_compare(&transaction, key, block->stamp);
+    amb_txn_compare(&transaction, key, block->revision);
     amb_txn_remove(&transaction, key);
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, removed,
                      amb_record_call_new(node, block));
@@ -56,11 +56,11 @@
     struct amb_node *node;
     struct amb_job *job = amb_record_call_job(arg, &node);
     if (!job) return;
-    job->finishing = false;
-    job->finish_retry_at = amb_now() + node->store.call_timeout / 5;
+    job->completion_in_flight = false;
+    job->completion_retry_at = amb_now() + node->store.call_timeout / 5;
     uint64_t stamp;
     if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &stamp)) {
-        amb_job_written(node, job, AMB_JOB_DONE, stamp);
+        amb_job_apply_own_write(node, job, AMB_JOB_DONE, stamp);
     } else if (status == 409) {
         /* If it was not the term, the job was cancelled, or an earlier try went through: news tells. */
         amb_record_write_refused(node, body);
@@ -68,23 +68,23 @@
 }
 
 void amb_record_finish_job(struct amb_node *node, struct amb_job *job) {
-    char key[AMB_NAME + 32];
+    char key[AMB_NAME_SIZE + 32];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_txn_require_leadership(&transaction, node);
-    amb_job_key(key, sizeof key, job->ref);
-    amb_txn_compare(&transaction, key, job->stamp);
-    amb_job_value(&value, job, AMB_JOB_DONE);
+    amb_job_format_key(key, sizeof key, job->ref);
+    amb_txn_compare(&transaction, key, job->revision);
+    amb_job_encode_record(&value, job, AMB_JOB_DONE);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    job->finishing = true;
+    job->completion_in_flight = true;
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, finished,
                      amb_record_call_of_job(node, job));
 }
 
-bool amb_record_remove_block(struct amb_node *node, struct amb_block *block, amb_ms now) {
-    if (block->in_flight) return true;
-    bool there = block->stamp || block->stamp_unsure;
-    if (there && !block->job->nbound && now >= block->retry_at) block_remove(node, block);
+bool amb_record_remove_block(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
+    if (block->write_in_flight) return true;
+    bool there = block->revision || block->revision_uncertain;
+    if (there && !block->job->bound_count && now >= block->retry_at) block_remove(node, block);
     return there;
 }
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -9,8 +9,8 @@
 struct amb_record_call {
     struct amb_node *node;
     uint64_t term;
-    char ref[AMB_NAME];
-    struct amb_block_id id; /* of the block, if it is about one */
+    char ref[AMB_NAME_SIZE];
+    struct amb_placement_block_id id; /* of the block, if it is about one */
 };
 
 struct amb_record_call *amb_record_call_of_job(struct amb_node *node, const struct amb_job *job) {
@@ -21,7 +21,7 @@
     return call;
 }
 
-struct amb_record_call *amb_record_call_new(struct amb_node *node, const struct amb_block *block) {
+struct amb_record_call *amb_record_call_new(struct amb_node *node, const struct amb_placement_block *block) {
     struct amb_record_call *call = amb_record_call_of_job(node, block->job);
     call->id = block->id;
     return call;
@@ -31,7 +31,7 @@
     const struct amb_election *election = &call->node->election;
     if (election->role < AMB_ROLE_LEADER || election->term != call->term) return NULL;
     struct amb_job *job = amb_job_find(call->node, call->ref);
-    return job && job->live ? job : NULL;
+    return job && job->active ? job : NULL;
 }
 
 struct amb_job *amb_record_call_job(struct amb_record_call *call, struct amb_node **node) {
@@ -41,9 +41,9 @@
     return job;
 }
 
-struct amb_block *amb_record_call_block(struct amb_record_call *call, struct amb_node **node) {
+struct amb_placement_block *amb_record_call_block(struct amb_record_call *call, struct amb_node **node) {
     struct amb_job *job = find_job(call);
-    struct amb_block *block = job ? amb_record_find_block(job, call->id) : NULL;
+    struct amb_placement_block *block = job ? amb_placement_blocks_find(job, call->id) : NULL;
     *node = call->node;
     free(call);
     return block;
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -19,30 +19,30 @@
 struct plan {
     struct amb_round *r;
     uint32_t tasks_at_a_time;
-    uint32_t rent[AMB_TYPES][AMB_ZONES][2], rented;
+    uint32_t rent[AMB_MACHINE_TYPES_MAX][AMB_ZONES_MAX][2], rented;
     uint32_t nkinds;
     struct kind {
         int type, zone;
         bool spot;
         enum amb_priority priority; /* of the first that wanted it */
         double boot_s;
-    } kinds[AMB_TYPES * AMB_ZONES * 2]; /* of those to be rented */
-    uint32_t nzones;                    /* counted for tasks of the job at hand that are only planned */
+    } kinds[AMB_MACHINE_TYPES_MAX * AMB_ZONES_MAX * 2]; /* of those to be rented */
+    uint32_t nzones; /* counted for tasks of the job at hand that are only planned */
     int *zones;
-    struct amb_res extra[AMB_TEAMS]; /* planned for each team on top of what it uses */
+    struct amb_resources extra[AMB_TEAMS]; /* planned for each team on top of what it uses */
 };
 
-static double fits_times(const struct amb_res *need, const struct amb_res *size) {
+static double fits_times(const struct amb_resources *need, const struct amb_resources *size) {
     double n = 1e6;
     if (need->cpus > 0) n = fmin(n, floor(size->cpus / need->cpus + 1e-6));
     if (need->gpus > 0) n = fmin(n, floor(size->gpus / need->gpus + 1e-6));
-    if (need->memory > 0) n = fmin(n, floor(size->memory / need->memory + 1e-6));
+    if (need->memory_gb > 0) n = fmin(n, floor(size->memory_gb / need->memory_gb + 1e-6));
     return n;
 }
 
 static double longest_boot(const struct amb_node *node) {
     double boot = 0;
-    for (uint32_t t = 0; t < node->catalog.ntypes; t++) boot = fmax(boot, node->catalog.types[t].boot_s);
+    for (uint32_t t = 0; t < node->catalog.type_count; t++) boot = fmax(boot, node->catalog.types[t].boot_s);
     return boot;
 }
 
@@ -53,19 +53,20 @@
     struct amb_node *node = cycle->n;
     double least = INFINITY;
     int bt = -1, bz = -1, bs = 0;
-    for (uint32_t t = 0; t < node->catalog.ntypes; t++) {
-        const struct amb_type *type = &node->catalog.types[t];
-        double times = fits_times(&request->need, &type->size);
+    for (uint32_t t = 0; t < node->catalog.type_count; t++) {
+        const struct amb_machine_type *type = &node->catalog.types[t];
+        double times = fits_times(&request->need, &type->resources);
         if (times < 1 || !(request->type_mask >> t & 1)) continue;
-        for (uint32_t k = 0; k < type->nzones; k++) {
-            int z = amb_catalog_zone(&node->catalog, type->zones[k]);
+        for (uint32_t k = 0; k < type->zone_count; k++) {
+            int z = amb_catalog_find_or_add_zone(&node->catalog, type->zones[k]);
             for (int spot = 0; spot <= (int)request->spot; spot++) {
                 struct amb_slot slot = {
                     .type = (int)t, .zone = z, .spot = spot, .usable = true, .kept_for = -1};
                 if (z < 0 || !amb_place_allowed(request, &slot) || amb_zone_unreachable(node, z) ||
                     amb_rental_refused(node, (int)t, z, spot, cycle->now))
                     continue;
-                double cost = (spot ? type->spot_price : type->price) / fmin(times, most ? most : 1);
+                double cost =
+                    (spot ? type->hourly_spot_price : type->hourly_price) / fmin(times, most ? most : 1);
                 if (spread_even) cost += 1e-3 * p->rent[t][z][spot];
                 if (cost < least) {
                     least = cost;
@@ -94,10 +95,10 @@
 }
 
 static bool within_plan(const struct plan *p, const struct amb_job *job, double times) {
-    uint32_t team = (uint32_t)(job->team - p->r->n->set.teams);
+    uint32_t team = (uint32_t)(job->team - p->r->n->settings.teams);
     struct amb_team t = *job->team;
-    amb_res_add(&t.used, &p->extra[team], 1);
-    return amb_wdrr_within_limit(&t, &job->spec->each, times);
+    amb_resources_add(&t.used, &p->extra[team], 1);
+    return amb_wdrr_within_limit(&t, &job->spec->task_resources, times);
 }
 
 static void plan_task(struct plan *p, struct amb_job *job, struct amb_wish *request, uint32_t most,
@@ -115,12 +116,12 @@
             *done = true;
             return;
         }
-        amb_res_add(&slot->room, &request->need, -1);
+        amb_resources_add(&slot->room, &request->need, -1);
         amb_round_slot_changed(cycle, slot);
         slot->planned++;
         if (amb_job_recovers(cycle->n, job)) amb_round_reserve(slot, job->spec);
     }
-    job->zone_used[slot->zone]++;
+    job->zone_task_counts[slot->zone]++;
     p->zones[p->nzones++] = slot->zone;
 }
 
@@ -128,32 +129,33 @@
     struct amb_round *cycle = p->r;
     struct amb_wish request;
     bool done = false, patient = amb_start_can_wait(cycle->n, job);
-    uint32_t left = amb_job_waiting(job), team = (uint32_t)(job->team - cycle->n->set.teams);
+    uint32_t left = amb_job_count_waiting_tasks(job), team = (uint32_t)(job->team - cycle->n->settings.teams);
     amb_round_mark(cycle, job->spec, job->spec->image);
     amb_round_wish(cycle, job, &request);
-    if (job->spec->kind == AMB_GANG) {
-        if (!within_plan(p, job, job->spec->tasks)) return;
-        int *where = p->zones = amb_alloc(job->spec->tasks * sizeof *where);
+    if (job->spec->kind == AMB_JOB_KIND_GANG) {
+        if (!within_plan(p, job, job->spec->task_count)) return;
+        int *where = p->zones = amb_alloc(job->spec->task_count * sizeof *where);
         p->nzones = 0;
-        amb_res_add(&p->extra[team], &job->spec->each, job->spec->tasks);
+        amb_resources_add(&p->extra[team], &job->spec->task_resources, job->spec->task_count);
         /* A place that has to boot is taken only when no running work can make way. */
         if (amb_round_make_room_gang(cycle, job)) {
             free(where);
             return;
         }
         if (amb_round_place_gang(cycle, job, where, true)) {
-            for (uint32_t i = 0; i < job->spec->tasks; i++) {
+            for (uint32_t i = 0; i < job->spec->task_count; i++) {
                 struct amb_slot *slot = &cycle->slots[where[i]];
-                if (slot->machine) slot->machine->kept_for = (int)amb_job_priority(job);
+                if (slot->machine)
+                    slot->machine->reserved_priority = (int)amb_job_get_effective_priority(job);
                 slot->planned++;
-                job->zone_used[cycle->slots[where[i]].zone]--;
+                job->zone_task_counts[cycle->slots[where[i]].zone]--;
             }
             free(where);
             return;
         }
         /* In one zone: all of it goes where the first machine can be had. */
-        for (uint32_t i = 0; i < job->spec->tasks && !done; i++) {
-            plan_task(p, job, &request, job->spec->tasks, false, &done);
+        for (uint32_t i = 0; i < job->spec->task_count && !done; i++) {
+            plan_task(p, job, &request, job->spec->task_count, false, &done);
             if (job->spec->one_zone && p->nzones) request.zone = p->zones[0];
         }
     } else {
@@ -164,10 +166,10 @@
         for (; left && !done && within_plan(p, job, 1); left--) {
             plan_task(p, job, &request, left, patient, &done);
             if (job->spec->one_zone && p->nzones) request.zone = p->zones[0];
-            amb_res_add(&p->extra[team], &job->spec->each, 1);
+            amb_resources_add(&p->extra[team], &job->spec->task_resources, 1);
         }
     }
-    while (p->nzones) job->zone_used[p->zones[--p->nzones]]--;
+    while (p->nzones) job->zone_task_counts[p->zones[--p->nzones]]--;
     free(p->zones);
 }
 
@@ -177,48 +179,53 @@
 static void plan_lost_soon(struct plan *p) {
     struct amb_round *cycle = p->r;
     struct amb_node *node = cycle->n;
-    amb_ms most = amb_secs(node->set.lease_s * 0.65); /* longer than a worker takes to find another node */
+    amb_ms most =
+        amb_secs(node->settings.lease_s * 0.65); /* longer than a worker takes to find another node */
     amb_ms latest = 0;
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
-        if (machine->reported_at > latest) latest = machine->reported_at;
+        if (machine->last_heartbeat_at > latest) latest = machine->last_heartbeat_at;
     /* Nobody heard at all: it is this node that is out of reach. (A new leader in that place once rented
      * twice its fleet anew within 14 s.) */
-    if (cycle->now - latest > amb_secs(node->set.report_s * 3)) return;
+    if (cycle->now - latest > amb_secs(node->settings.report_s * 3)) return;
     amb_round_mark_any(cycle);
     for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
-        amb_ms heard =
-            machine->reported_at > node->ctl.leading_since ? machine->reported_at : node->ctl.leading_since;
-        if (machine->zone < 0 || machine->type < 0 || machine->release_wanted || cycle->now - heard < most)
+        amb_ms heard = machine->last_heartbeat_at > node->controller.leader_since
+                           ? machine->last_heartbeat_at
+                           : node->controller.leader_since;
+        if (machine->zone_index < 0 || machine->type_index < 0 || machine->release_pending ||
+            cycle->now - heard < most)
             continue;
-        if (amb_lease_proxy_is_active_in_zone(node, machine->zone))
+        if (amb_lease_proxy_is_active_in_zone(node, machine->zone_index))
             continue; /* kept alive by a node that reaches it */
-        for (struct amb_task *task = machine->tasks; task; task = task->next) {
+        for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine) {
             struct amb_job *job = task->job;
-            if (task->halting || task->done || job->state != AMB_JOB_QUEUED) continue;
+            if (task->stop_requested || task->done || job->state != AMB_JOB_QUEUED) continue;
             struct amb_wish request;
             amb_round_wish(cycle, job, &request);
-            job->zone_used[machine->zone]--;
+            job->zone_task_counts[machine->zone_index]--;
             int at = amb_round_pick(cycle, &request, true);
             struct amb_slot *slot =
                 at >= 0 ? &cycle->slots[at] : rent_for(p, &request, p->tasks_at_a_time, true);
-            job->zone_used[machine->zone]++;
+            job->zone_task_counts[machine->zone_index]++;
             if (!slot) continue;
-            amb_res_add(&slot->room, &request.need, -1);
+            amb_resources_add(&slot->room, &request.need, -1);
             amb_round_slot_changed(cycle, slot);
             slot->planned++;
-            if (slot->machine) slot->machine->kept_for = (int)amb_job_priority(job);
+            if (slot->machine) slot->machine->reserved_priority = (int)amb_job_get_effective_priority(job);
         }
     }
 }
 
 /* The machine types that a job of this kind may run on, as a mask, and the longest time one of them takes to
  * boot. */
-static uint32_t allowed_types(const struct amb_node *node, const struct amb_spec *spec, double *boot_s) {
+static uint32_t allowed_types(const struct amb_node *node, const struct amb_job_spec *spec, double *boot_s) {
     uint32_t mask = 0;
     *boot_s = 0;
-    for (uint32_t t = 0; t < node->catalog.ntypes; t++) {
-        const struct amb_type *type = &node->catalog.types[t];
-        if (!amb_spec_allows(spec, type->name) || fits_times(&spec->each, &type->size) < 1) continue;
+    for (uint32_t t = 0; t < node->catalog.type_count; t++) {
+        const struct amb_machine_type *type = &node->catalog.types[t];
+        if (!amb_job_spec_allows_type(spec, type->name) ||
+            fits_times(&spec->task_resources, &type->resources) < 1)
+            continue;
         mask |= 1u << t;
         *boot_s = fmax(*boot_s, type->boot_s);
     }
@@ -229,32 +236,38 @@
 static void plan_headroom(struct plan *p) {
     struct amb_round *cycle = p->r;
     struct amb_node *node = cycle->n;
-    uint32_t none[AMB_ZONES] = {0};
-    for (uint32_t i = 0; i < node->ctl.ndemands; i++) {
-        struct amb_demand *d = &node->ctl.demands[i];
-        if (d->rate <= 0) continue;
+    uint32_t none[AMB_ZONES_MAX] = {0};
+    for (uint32_t i = 0; i < node->controller.demand_count; i++) {
+        struct amb_demand *d = &node->controller.demands[i];
+        if (d->tasks_per_s <= 0) continue;
         double boot;
-        uint32_t mask = allowed_types(node, &d->last, &boot);
-        double age = (double)(cycle->now - d->at) / 1000, fade = exp(-age / (4 * boot));
+        uint32_t mask = allowed_types(node, &d->last_spec, &boot);
+        double age = (double)(cycle->now - d->updated_at) / 1000, fade = exp(-age / (4 * boot));
         /* Arrivals come and tasks end about as often: what is left to cover is their spread. Of gangs some
          * surely end meanwhile; services run until somebody says so. */
-        double part = d->last.kind == AMB_GANG ? 2.0 / 3 : 1;
-        double count = node->opt.headroom * part * sqrt(d->rate * fade * boot * d->size2);
-        const struct amb_claim claim = amb_round_claim(&d->last, amb_settings_team(&node->set, d->last.team));
-        struct amb_wish request = {
-            .need = d->last.each, .type_mask = mask, .zone = -1, .spot = d->last.spot, .zone_used = none};
+        double part = d->last_spec.kind == AMB_JOB_KIND_GANG ? 2.0 / 3 : 1;
+        double count =
+            node->options.headroom * part * sqrt(d->tasks_per_s * fade * boot * d->mean_square_tasks);
+        const struct amb_claim claim =
+            amb_round_claim(&d->last_spec, amb_settings_team(&node->settings, d->last_spec.team));
+        struct amb_wish request = {.need = d->last_spec.task_resources,
+                                   .type_mask = mask,
+                                   .zone = -1,
+                                   .spot = d->last_spec.spot_allowed,
+                                   .zone_used = none};
         /* Rented after what urgent work waits for, before what batch work does. */
-        request.priority = d->last.priority < AMB_NORMAL ? d->last.priority : AMB_NORMAL;
+        request.priority =
+            d->last_spec.priority < AMB_PRIORITY_NORMAL ? d->last_spec.priority : AMB_PRIORITY_NORMAL;
         for (uint32_t k = 0; k < (uint32_t)ceil(count) && k < p->tasks_at_a_time; k++) {
-            uint32_t image = k % d->nimages; /* a share of the room for each image asked for */
-            amb_round_mark(cycle, &d->last, d->images[image]);
+            uint32_t image = k % d->image_count; /* a share of the room for each image asked for */
+            amb_round_mark(cycle, &d->last_spec, d->images[image]);
             struct amb_slot *slot = amb_round_headroom(cycle, &request, &claim);
             if (!slot) slot = rent_for(p, &request, (uint32_t)ceil(count) - k, false);
             if (!slot) break;
-            amb_res_add(&slot->room, &request.need, -1);
+            amb_resources_add(&slot->room, &request.need, -1);
             amb_round_slot_changed(cycle, slot);
             slot->planned++;
-            if (slot->machine) slot->machine->kept_for = (int)d->last.priority;
+            if (slot->machine) slot->machine->reserved_priority = (int)d->last_spec.priority;
         }
     }
 }
@@ -263,7 +276,7 @@
  * its last task had ended; the end could not be recorded in an outage, and the next leader ran the task
  * again.) */
 static bool is_empty(const struct amb_machine *machine) {
-    return !machine->ntasks && !machine->keeps_result;
+    return !machine->task_count && !machine->has_unrecorded_result;
 }
 
 static void plan_returns(struct plan *p) {
@@ -275,10 +288,10 @@
         machine = slot->machine;
         if (!machine || slot->planned || !is_empty(machine) || machine->state != AMB_MACHINE_UP) continue;
         /* Idle since batch work may not start there yet, for a bounded time. */
-        if (cycle->zones_without_batch >> machine->zone & 1) continue;
-        const struct amb_type *type = &node->catalog.types[machine->type];
-        amb_ms idle = amb_secs(type->boot_s * node->opt.idle_return);
-        amb_ms lead = cycle->now - node->ctl.leading_since;
+        if (cycle->zones_without_batch >> machine->zone_index & 1) continue;
+        const struct amb_machine_type *type = &node->catalog.types[machine->type_index];
+        amb_ms idle = amb_secs(type->boot_s * node->options.idle_return);
+        amb_ms lead = cycle->now - node->controller.leader_since;
         if (cycle->now - machine->idle_since > idle && lead > idle)
             amb_rental_give_back(node, machine, "idle");
     }
@@ -293,19 +306,20 @@
 static bool movable(struct amb_round *cycle, struct amb_task *task) {
     struct amb_job *job = task->job;
     struct amb_wish request;
-    if (task->halting || task->state != AMB_TASK_SEEN || !task->running_at || job->state != AMB_JOB_QUEUED)
+    if (task->stop_requested || task->state != AMB_TASK_SEEN || !task->running_at ||
+        job->state != AMB_JOB_QUEUED)
         return false;
-    if (cycle->now - task->running_at < amb_secs(cycle->n->set.lease_s * 4)) return false;
+    if (cycle->now - task->running_at < amb_secs(cycle->n->settings.lease_s * 4)) return false;
     amb_round_mark(cycle, job->spec, job->spec->image);
     amb_round_wish(cycle, job, &request);
-    int zone = task->machine->zone;
-    job->zone_used[zone]--;
+    int zone = task->machine->zone_index;
+    job->zone_task_counts[zone]--;
     int at = amb_round_pick(cycle, &request, false);
-    job->zone_used[zone]++;
+    job->zone_task_counts[zone]++;
     if (at < 0 || !cycle->slots[at].has_image || !cycle->slots[at].machine ||
         cycle->slots[at].machine->state != AMB_MACHINE_UP || cycle->slots[at].machine == task->machine)
         return false;
-    amb_res_add(&cycle->slots[at].room, &job->spec->each, -1);
+    amb_resources_add(&cycle->slots[at].room, &job->spec->task_resources, -1);
     amb_round_slot_changed(cycle, &cycle->slots[at]);
     return true;
 }
@@ -314,13 +328,13 @@
 static bool can_empty(struct amb_round *cycle, struct amb_slot *slot) {
     bool could = true;
     uint32_t first_change = cycle->rankings.changes;
-    struct amb_res *rooms = amb_alloc(cycle->nslots * sizeof *rooms);
+    struct amb_resources *rooms = amb_alloc(cycle->nslots * sizeof *rooms);
     for (uint32_t i = 0; i < cycle->nslots; i++) rooms[i] = cycle->slots[i].room;
     slot->usable = false;
     amb_round_slot_changed(cycle, slot);
-    for (struct amb_task *task = slot->machine->tasks; task && could; task = task->next) {
-        if (task->job->spec->kind == AMB_GANG || task->halting) could = false;
-        if (task->job->spec->kind == AMB_SERVICE) could = movable(cycle, task);
+    for (struct amb_task *task = slot->machine->tasks; task && could; task = task->next_on_machine) {
+        if (task->job->spec->kind == AMB_JOB_KIND_GANG || task->stop_requested) could = false;
+        if (task->job->spec->kind == AMB_JOB_KIND_SERVICE) could = movable(cycle, task);
     }
     slot->usable = true;
     uint32_t last_change = cycle->rankings.changes;
@@ -341,31 +355,32 @@
 static void note_demand(struct plan *p) {
     struct amb_round *cycle = p->r;
     struct amb_node *node = cycle->n;
-    struct amb_controller *c = &node->ctl;
-    struct amb_res now = {0, 0, 0};
-    for (uint32_t i = 0; i < node->set.nteams; i++) {
-        amb_res_add(&now, &node->set.teams[i].used, 1);
-        amb_res_add(&now, &p->extra[i], 1); /* what waits and may start */
+    struct amb_controller *c = &node->controller;
+    struct amb_resources now = {0, 0, 0};
+    for (uint32_t i = 0; i < node->settings.nteams; i++) {
+        amb_resources_add(&now, &node->settings.teams[i].used, 1);
+        amb_resources_add(&now, &p->extra[i], 1); /* what waits and may start */
     }
     double keep =
         c->peak_at ? exp(-(double)(cycle->now - c->peak_at) / 1000 / (1.5 * longest_boot(node) + 1)) : 0;
-    c->peak.cpus = fade(c->peak.cpus, now.cpus, keep);
-    c->peak.gpus = fade(c->peak.gpus, now.gpus, keep);
-    c->peak.memory = fade(c->peak.memory, now.memory, keep);
+    c->peak_usage.cpus = fade(c->peak_usage.cpus, now.cpus, keep);
+    c->peak_usage.gpus = fade(c->peak_usage.gpus, now.gpus, keep);
+    c->peak_usage.memory_gb = fade(c->peak_usage.memory_gb, now.memory_gb, keep);
     c->peak_at = cycle->now;
 }
 
 /* Would the fleet without this machine still have held the latest peak? */
 static bool spare(const struct amb_round *cycle, const struct amb_machine *one) {
-    struct amb_res rest = {0, 0, 0};
-    const struct amb_res *peak = &cycle->n->ctl.peak;
+    struct amb_resources rest = {0, 0, 0};
+    const struct amb_resources *peak = &cycle->n->controller.peak_usage;
     for (uint32_t i = 0; i < cycle->nslots; i++) {
         const struct amb_machine *machine = cycle->slots[i].machine;
         if (!machine || machine == one || machine->state != AMB_MACHINE_UP || machine->drain) continue;
-        const struct amb_res *size = &cycle->n->catalog.types[machine->type].size;
+        const struct amb_resources *size = &cycle->n->catalog.types[machine->type_index].resources;
         /* Only as much of a machine counts as tasks of the usual shape can use. */
         double share = 1;
-        if (peak->memory > 0) share = fmin(share, size->memory / peak->memory * peak->gpus / size->gpus);
+        if (peak->memory_gb > 0)
+            share = fmin(share, size->memory_gb / peak->memory_gb * peak->gpus / size->gpus);
         if (peak->cpus > 0) share = fmin(share, size->cpus / peak->cpus * peak->gpus / size->gpus);
         rest.gpus += size->gpus * share;
     }
@@ -384,15 +399,15 @@
     /* Demand is back: better keep what boots already. */
     if (p->rented) {
         HASH_ITER(hh, node->fleet.all, machine, next)
-        if (machine->drain && !machine->release_wanted) machine->drain = false;
+        if (machine->drain && !machine->release_pending) machine->drain = false;
         return;
     }
     uint32_t moves = 0;
     HASH_ITER(hh, node->fleet.all, machine, next) {
         if (!machine->drain || machine->state != AMB_MACHINE_UP) continue;
-        for (struct amb_task *task = machine->tasks; task && moves < 2; task = task->next)
-            if (task->job->spec->kind == AMB_SERVICE && movable(cycle, task)) {
-                amb_task_halt(node, task, 0, "moves, so that its machine can be returned");
+        for (struct amb_task *task = machine->tasks; task && moves < 2; task = task->next_on_machine)
+            if (task->job->spec->kind == AMB_JOB_KIND_SERVICE && movable(cycle, task)) {
+                amb_task_request_stop(node, task, 0, "moves, so that its machine can be returned");
                 moves++;
             }
     }
@@ -400,7 +415,7 @@
     struct amb_slot *best = NULL;
     for (uint32_t i = 0; i < cycle->nslots; i++) {
         struct amb_slot *slot = &cycle->slots[i];
-        if (!slot->machine || slot->machine->state != AMB_MACHINE_UP || !slot->machine->ntasks ||
+        if (!slot->machine || slot->machine->state != AMB_MACHINE_UP || !slot->machine->task_count ||
             slot->planned)
             continue;
         if (slot->machine->used.gpus * 2 > slot->size_gpus) continue;
@@ -409,21 +424,21 @@
     }
     if (!best) return;
     amb_info("machine %s: to be emptied: the rest of the fleet has room for its %u tasks",
-             best->machine->name, best->machine->ntasks);
+             best->machine->name, best->machine->task_count);
     best->machine->drain = true;
 }
 
 static void drop_dead_boots(struct amb_node *node, amb_ms now) {
     struct amb_machine *machine, *next;
     HASH_ITER(hh, node->fleet.all, machine, next) {
-        if (machine->state != AMB_MACHINE_BOOTING || machine->type < 0) continue;
-        if (now - machine->rented_at > amb_secs(node->catalog.types[machine->type].boot_s * 4))
+        if (machine->state != AMB_MACHINE_BOOTING || machine->type_index < 0) continue;
+        if (now - machine->created_at > amb_secs(node->catalog.types[machine->type_index].boot_s * 4))
             amb_rental_release(node, machine, "it does not come up");
     }
 }
 
 void amb_plan(struct amb_round *cycle) {
-    static const struct amb_res no_room = {0, 0, 0};
+    static const struct amb_resources no_room = {0, 0, 0};
     struct amb_node *node = cycle->n;
     struct plan *p = amb_alloc(sizeof *p);
     p->r = cycle;
@@ -431,8 +446,8 @@
     amb_round_add_coming(cycle);
     for (uint32_t i = 0; i < cycle->nslots; i++)
         if (cycle->slots[i].machine) {
-            cycle->slots[i].machine->kept_for = -1;
-            cycle->slots[i].machine->claimed = false;
+            cycle->slots[i].machine->reserved_priority = -1;
+            cycle->slots[i].machine->claimed_by_gang = false;
             cycle->slots[i].machine->reserved = cycle->slots[i].reserved = no_room;
         }
     for (uint32_t i = 0; i < cycle->njobs; i++)
@@ -458,44 +473,44 @@
 /* The class that nobody has asked for longest makes way. */
 static struct amb_demand *longest_unasked(struct amb_controller *controller) {
     struct amb_demand *oldest = &controller->demands[0];
-    for (uint32_t i = 1; i < controller->ndemands; i++)
-        if (controller->demands[i].at < oldest->at) oldest = &controller->demands[i];
+    for (uint32_t i = 1; i < controller->demand_count; i++)
+        if (controller->demands[i].updated_at < oldest->updated_at) oldest = &controller->demands[i];
     amb_debug("class %s is no longer expected: more than %d classes are asked for", oldest->class_name,
-              AMB_DEMANDS);
+              AMB_DEMANDS_MAX);
     return oldest;
 }
 
 void amb_plan_demand(struct amb_node *node, struct amb_job *job) {
-    struct amb_controller *c = &node->ctl;
-    const struct amb_spec *spec = job->spec;
+    struct amb_controller *c = &node->controller;
+    const struct amb_job_spec *spec = job->spec;
     struct amb_demand *d = NULL;
     /* Noted once, by followers too: a leader that knew only what came since it led would return what its
      * predecessor had kept, and rent it again. */
-    if (job->demand_noted || job->awaiting || !spec || !node->rental.catalog_known) return;
-    job->demand_noted = true;
+    if (job->demand_recorded || job->dependencies_pending || !spec || !node->cloud.catalog_known) return;
+    job->demand_recorded = true;
     /* Work that starts late is missed, and a machine takes longer to boot than it may wait. */
-    if (spec->priority < AMB_HIGH && !amb_start_objective(node, spec)) return;
-    if (spec->kind == AMB_ARRAY) return;
-    int64_t age = amb_wall_ms() - amb_job_ready_wall(job);
+    if (spec->priority < AMB_PRIORITY_HIGH && !amb_start_objective(node, spec)) return;
+    if (spec->kind == AMB_JOB_KIND_ARRAY) return;
+    int64_t age = amb_wall_ms() - amb_job_ready_wall_ms(job);
     amb_ms at = amb_now() - (age > 0 ? age : 0);
-    for (uint32_t i = 0; i < c->ndemands && !d; i++)
+    for (uint32_t i = 0; i < c->demand_count && !d; i++)
         if (!strcmp(c->demands[i].class_name, spec->class_name)) d = &c->demands[i];
     if (!d) {
-        d = c->ndemands < AMB_DEMANDS ? &c->demands[c->ndemands++] : longest_unasked(c);
+        d = c->demand_count < AMB_DEMANDS_MAX ? &c->demands[c->demand_count++] : longest_unasked(c);
         memset(d, 0, sizeof *d);
         strcpy(d->class_name, spec->class_name);
-        d->at = at;
+        d->updated_at = at;
     }
-    double tau = fmax(4 * longest_boot(node), node->set.lease_s);
-    double since = (double)(at - d->at) / 1000; /* negative: an earlier job that was heard of later */
+    double tau = fmax(4 * longest_boot(node), node->settings.lease_s);
+    double since = (double)(at - d->updated_at) / 1000; /* negative: an earlier job that was heard of later */
     if (since >= 0) {
-        d->rate = d->rate * exp(-since / tau) + 1 / tau; /* jobs a second */
-        d->at = at;
-        d->last = *spec;
+        d->tasks_per_s = d->tasks_per_s * exp(-since / tau) + 1 / tau; /* jobs a second */
+        d->updated_at = at;
+        d->last_spec = *spec;
     } else {
-        d->rate += exp(since / tau) / tau;
+        d->tasks_per_s += exp(since / tau) / tau;
     }
-    double square = (double)spec->tasks * spec->tasks;
-    d->size2 = d->size2 > 0 ? d->size2 * 0.9 + square * 0.1 : square;
-    amb_latest_first(d->images, NULL, &d->nimages, AMB_DEMAND_IMAGES, spec->image, 0);
+    double square = (double)spec->task_count * spec->task_count;
+    d->mean_square_tasks = d->mean_square_tasks > 0 ? d->mean_square_tasks * 0.9 + square * 0.1 : square;
+    amb_recent_names_add(d->images, NULL, &d->image_count, AMB_DEMAND_IMAGES_MAX, spec->image, 0);
 }
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -26,7 +26,7 @@
     slot->type = type;
     slot->zone = zone;
     slot->spot = spot;
-    slot->room = cycle->n->catalog.types[type].size;
+    slot->room = cycle->n->catalog.types[type].resources;
     slot->size_gpus = slot->room.gpus;
     slot->usable = true;
     slot->kept_for = -1;
@@ -35,13 +35,13 @@
 
 static bool fetches(const struct amb_task *task) {
     return task->state == AMB_TASK_PLACED || task->state == AMB_TASK_BOUND ||
-           (task->state == AMB_TASK_SEEN && task->on == AMB_ON_FETCHING);
+           (task->state == AMB_TASK_SEEN && task->agent_state == AMB_AGENT_TASK_FETCHING);
 }
 
 /* Is its image at hand, or counted with another task of the machine that needs it too? */
 static bool fetch_shared(const struct amb_task *task) {
     bool before = true;
-    for (const struct amb_task *o = task->machine->tasks; o; o = o->next) {
+    for (const struct amb_task *o = task->machine->tasks; o; o = o->next_on_machine) {
         if (o == task)
             before = false;
         else if ((before || !fetches(o)) && !strcmp(o->job->spec->image, task->job->spec->image))
@@ -51,23 +51,27 @@
 }
 
 static double fetch_left(const struct amb_round *cycle, const struct amb_task *task) {
-    double gb = task->job->spec->image_gb, rate = cycle->n->catalog.types[task->machine->type].fetch_gb_s;
+    double gb = task->job->spec->image_gb,
+           rate = cycle->n->catalog.types[task->machine->type_index].image_fetch_gb_per_s;
     if (task->state != AMB_TASK_SEEN) return gb;
-    return fmax(gb * 0.1, gb - rate * (double)(cycle->now - task->since) / 1000);
+    return fmax(gb * 0.1, gb - rate * (double)(cycle->now - task->state_since) / 1000);
 }
 
 static void add_machine(struct amb_round *cycle, struct amb_machine *machine, bool usable) {
-    struct amb_slot *slot = amb_round_add_type(cycle, machine->type, machine->zone, machine->spot);
-    amb_res_add(&slot->room, &machine->used, -1);
+    struct amb_slot *slot =
+        amb_round_add_type(cycle, machine->type_index, machine->zone_index, machine->spot);
+    amb_resources_add(&slot->room, &machine->used, -1);
     slot->usable = usable;
     slot->machine = machine;
-    slot->kept_for = machine->kept_for;
-    slot->claimed = machine->claimed;
+    slot->kept_for = machine->reserved_priority;
+    slot->claimed = machine->claimed_by_gang;
     slot->reserved = machine->reserved;
-    for (struct amb_task *task = machine->tasks; task; task = task->next) {
-        if (task->halting) amb_res_add(&slot->soon, &task->job->spec->each, 1);
-        if (task->job->spec->kind == AMB_SERVICE) slot->lasting += task->job->spec->each.gpus;
-        if (task->job->spec->kind == AMB_ARRAY) amb_res_add(&slot->batch, &task->job->spec->each, 1);
+    for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine) {
+        if (task->stop_requested) amb_resources_add(&slot->soon, &task->job->spec->task_resources, 1);
+        if (task->job->spec->kind == AMB_JOB_KIND_SERVICE)
+            slot->lasting += task->job->spec->task_resources.gpus;
+        if (task->job->spec->kind == AMB_JOB_KIND_ARRAY)
+            amb_resources_add(&slot->batch, &task->job->spec->task_resources, 1);
         if (fetches(task) && !fetch_shared(task)) slot->fetching_gb += fetch_left(cycle, task);
     }
 }
@@ -75,64 +79,67 @@
 static void look_at_machines(struct amb_round *cycle, bool booting) {
     struct amb_machine *machine, *next;
     HASH_ITER(hh, cycle->n->fleet.all, machine, next) {
-        if (machine->type < 0 || machine->zone < 0 || machine->release_wanted) continue;
+        if (machine->type_index < 0 || machine->zone_index < 0 || machine->release_pending) continue;
         if (!booting) {
             if (amb_machine_usable(cycle->n, machine, cycle->now)) add_machine(cycle, machine, true);
             continue;
         }
         /* Counted on while it may still come up in time; after that another is rented in its place. */
-        double boot = cycle->n->catalog.types[machine->type].boot_s;
+        double boot = cycle->n->catalog.types[machine->type_index].boot_s;
         bool soon =
-            machine->state == AMB_MACHINE_BOOTING && cycle->now - machine->rented_at < amb_secs(boot * 2);
+            machine->state == AMB_MACHINE_BOOTING && cycle->now - machine->created_at < amb_secs(boot * 2);
         bool fresh = machine->state == AMB_MACHINE_UNPROVEN &&
-                     cycle->now - machine->reported_at < amb_secs(cycle->n->set.report_s * 3);
+                     cycle->now - machine->last_heartbeat_at < amb_secs(cycle->n->settings.report_s * 3);
         /* Nor does what boots where nothing can be reached. (In a cut of 105 s work waited for machines that
          * had been rented beyond it, for two boot times each.) */
-        if ((soon || fresh) && !amb_zone_unreachable(cycle->n, machine->zone))
+        if ((soon || fresh) && !amb_zone_unreachable(cycle->n, machine->zone_index))
             add_machine(cycle, machine, true);
     }
     if (!booting) return;
-    for (struct amb_rental_request *c = cycle->n->rental.requests; c; c = c->next)
+    for (struct amb_rental_request *c = cycle->n->cloud.requests; c; c = c->next)
         if ((c->state == AMB_REQUEST_RECORDING || c->state == AMB_REQUEST_ASKING) &&
             !amb_zone_unreachable(cycle->n, c->zone))
             for (uint32_t i = 0; i < c->count; i++) amb_round_add_type(cycle, c->type, c->zone, c->spot);
 }
 
 static bool lost_before(const struct amb_job *job) {
-    return job->spec->kind == AMB_SERVICE && job->ndone + job->nbound > 0;
+    return job->spec->kind == AMB_JOB_KIND_SERVICE && job->done_count + job->bound_count > 0;
 }
 
 static int by_urgency(const void *a, const void *b) {
     const struct amb_job *x = *(struct amb_job *const *)a, *y = *(struct amb_job *const *)b;
     if (x->recovery_step != y->recovery_step) return x->recovery_step < y->recovery_step ? -1 : 1;
-    enum amb_priority priority_x = amb_job_priority(x), priority_y = amb_job_priority(y);
+    enum amb_priority priority_x = amb_job_get_effective_priority(x),
+                      priority_y = amb_job_get_effective_priority(y);
     if (priority_x != priority_y) return priority_x > priority_y ? -1 : 1;
     if (lost_before(x) != lost_before(y)) return lost_before(x) ? -1 : 1;
-    int64_t order_x = amb_job_order_wall(x), order_y = amb_job_order_wall(y);
+    int64_t order_x = amb_job_order_wall_ms(x), order_y = amb_job_order_wall_ms(y);
     if (order_x != order_y) return order_x < order_y ? -1 : 1;
     return strcmp(x->ref, y->ref);
 }
 
 bool amb_round_wants_start(const struct amb_round *cycle, const struct amb_job *job) {
-    if (job->state != AMB_JOB_QUEUED || job->awaiting || !amb_job_waiting(job)) return false;
-    if (job->spec->kind == AMB_GANG && (job->gang != AMB_GANG_IDLE || job->nbound)) return false;
-    if (amb_job_broken(job) && job->nbound) return false; /* one task is tried at a time */
-    return cycle->now >= job->hold_until;
+    if (job->state != AMB_JOB_QUEUED || job->dependencies_pending || !amb_job_count_waiting_tasks(job))
+        return false;
+    if (job->spec->kind == AMB_JOB_KIND_GANG && (job->gang_state != AMB_GANG_IDLE || job->bound_count))
+        return false;
+    if (amb_job_broken(job) && job->bound_count) return false; /* one task is tried at a time */
+    return cycle->now >= job->backoff_until;
 }
 
 static void look_at_jobs(struct amb_round *cycle) {
     uint32_t count = 0;
-    for (struct amb_job *job = cycle->n->jobs.live; job; job = job->next_live)
+    for (struct amb_job *job = cycle->n->jobs.active; job; job = job->next_active)
         count += amb_round_wants_start(cycle, job);
     cycle->jobs = amb_alloc((count + 1) * sizeof *cycle->jobs);
-    for (struct amb_job *job = cycle->n->jobs.live; job; job = job->next_live)
+    for (struct amb_job *job = cycle->n->jobs.active; job; job = job->next_active)
         if (amb_round_wants_start(cycle, job)) {
             job->recovery_step = amb_zone_recovery_step(cycle->n, job);
             cycle->jobs[cycle->njobs++] = job;
         }
     qsort(cycle->jobs, cycle->njobs, sizeof *cycle->jobs, by_urgency);
     for (uint32_t i = 0; i < cycle->njobs; i++) {
-        struct amb_line *l = &cycle->lines[cycle->jobs[i]->team - cycle->n->set.teams];
+        struct amb_line *l = &cycle->lines[cycle->jobs[i]->team - cycle->n->settings.teams];
         if (!l->jobs) l->jobs = amb_alloc(cycle->njobs * sizeof *l->jobs);
         l->jobs[l->n++] = cycle->jobs[i];
     }
@@ -147,15 +154,15 @@
     cycle->n = node;
     cycle->now = now;
     cycle->zones_without_batch = amb_zones_without_batch(node);
-    cycle->by_gpus = amb_wdrr_by_gpus(node->set.teams, node->set.nteams);
-    amb_pipelines_reckon(node);
+    cycle->by_gpus = amb_wdrr_by_gpus(node->settings.teams, node->settings.nteams);
+    amb_pipelines_update_priorities(node);
     look_at_machines(cycle, false);
     look_at_jobs(cycle);
     return cycle;
 }
 
 void amb_round_free(struct amb_round *cycle) {
-    for (uint32_t i = 0; i < cycle->n->set.nteams; i++) free(cycle->lines[i].jobs);
+    for (uint32_t i = 0; i < cycle->n->settings.nteams; i++) free(cycle->lines[i].jobs);
     free(cycle->jobs);
     free(cycle->slots);
     amb_slot_rankings_free(&cycle->rankings);
@@ -172,15 +179,15 @@
  * anew when its tasks are gone. Which of them are there only their machines can tell. */
 static void limit_zones(const struct amb_round *cycle, const struct amb_job *job, struct amb_wish *request) {
     uint32_t unknown = amb_job_tasks_in_unknown_zones(job);
-    if (job->spec->spread) {
+    if (job->spec->spread_zones) {
         if (unknown >= request->zone_most) allow_nothing(request);
         request->zone_most -= unknown < request->zone_most ? unknown : 0;
     }
-    if (!job->spec->one_zone || job->spec->kind == AMB_GANG)
+    if (!job->spec->one_zone || job->spec->kind == AMB_JOB_KIND_GANG)
         return; /* a gang starts with nothing on record */
     uint32_t zones = 0;
-    for (uint32_t z = 0; z < cycle->n->catalog.nzones; z++) {
-        if (!job->zone_used[z]) continue;
+    for (uint32_t z = 0; z < cycle->n->catalog.zone_count; z++) {
+        if (!job->zone_task_counts[z]) continue;
         request->zone = (int)z;
         zones++;
     }
@@ -190,25 +197,25 @@
 void amb_round_wish(struct amb_round *cycle, struct amb_job *job, struct amb_wish *request) {
     memset(request, 0, sizeof *request);
     amb_job_allows_type(cycle->n, job, 0);
-    request->need = job->spec->each;
-    request->type_mask = job->type_mask;
-    request->zone = amb_catalog_zone(&cycle->n->catalog, job->spec->zone);
-    request->spot = job->spec->spot;
-    request->lasting = job->spec->kind == AMB_SERVICE;
-    request->priority = amb_job_priority(job);
-    request->patient = job->spec->kind == AMB_ARRAY && !amb_start_objective(cycle->n, job->spec);
+    request->need = job->spec->task_resources;
+    request->type_mask = job->allowed_type_mask;
+    request->zone = amb_catalog_find_or_add_zone(&cycle->n->catalog, job->spec->zone);
+    request->spot = job->spec->spot_allowed;
+    request->lasting = job->spec->kind == AMB_JOB_KIND_SERVICE;
+    request->priority = amb_job_get_effective_priority(job);
+    request->patient = job->spec->kind == AMB_JOB_KIND_ARRAY && !amb_start_objective(cycle->n, job->spec);
     request->can_wait = amb_start_can_wait(cycle->n, job);
     request->opportunistic = amb_job_opportunistic(job);
-    request->zone_used = job->zone_used;
-    request->zone_most = job->spec->spread ? amb_place_spread_most(job->spec->tasks) : 0;
+    request->zone_used = job->zone_task_counts;
+    request->zone_most = job->spec->spread_zones ? amb_place_spread_most(job->spec->task_count) : 0;
     /* A zone that has just come back may go again: replicas of the order return there at once, batch work
      * that would lose what it has done waits until the zone is steady. */
-    request->zones_barred = job->spec->kind == AMB_SERVICE ? 0 : cycle->zones_without_batch;
+    request->zones_barred = job->spec->kind == AMB_JOB_KIND_SERVICE ? 0 : cycle->zones_without_batch;
     limit_zones(cycle, job, request);
 }
 
 static bool on_its_way(const struct amb_machine *machine, const char *image) {
-    for (const struct amb_task *task = machine->tasks; task; task = task->next)
+    for (const struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
         if (!strcmp(task->job->spec->image, image)) return fetches(task) && !fetch_shared(task);
     return false;
 }
@@ -219,11 +226,13 @@
     double within_s, slack_s;
 };
 
-static struct start_time start_time(const struct amb_round *cycle, const struct amb_spec *spec) {
+static struct start_time start_time(const struct amb_round *cycle, const struct amb_job_spec *spec) {
     const struct amb_objective *o = amb_start_objective(cycle->n, spec);
-    double within = o ? o->within_s : spec->estimate_s > 0 ? spec->estimate_s : cycle->n->set.lease_s;
+    double within = o                               ? o->within_s
+                    : spec->estimated_runtime_s > 0 ? spec->estimated_runtime_s
+                                                    : cycle->n->settings.lease_s;
     /* Where reports are slow, no more than they do on the average. */
-    return (struct start_time){within, o ? fmin(cycle->n->set.report_s * 1.2, within * 0.2) : -1};
+    return (struct start_time){within, o ? fmin(cycle->n->settings.report_s * 1.2, within * 0.2) : -1};
 }
 
 static void mark_slot(const struct amb_round *cycle, struct amb_slot *slot) {
@@ -231,7 +240,7 @@
     slot->marked_in = cycle->marking_serial;
     slot->late = 0;
     if (marking->any_room_will_do) return;
-    double rate = cycle->n->catalog.types[slot->type].fetch_gb_s;
+    double rate = cycle->n->catalog.types[slot->type].image_fetch_gb_per_s;
     slot->has_image = slot->machine && amb_machine_has_image(slot->machine, marking->image);
     double gb = slot->fetching_gb + marking->image_gb;
     if (slot->has_image)
@@ -239,7 +248,7 @@
     if (rate > 0) slot->late = amb_place_late(gb / rate, marking->within_s, marking->slack_s);
 }
 
-void amb_round_mark(struct amb_round *cycle, const struct amb_spec *spec, const char *image) {
+void amb_round_mark(struct amb_round *cycle, const struct amb_job_spec *spec, const char *image) {
     struct start_time start = start_time(cycle, spec);
     cycle->marking = (struct amb_slot_marking){
         .image = image, .image_gb = spec->image_gb, .within_s = start.within_s, .slack_s = start.slack_s};
@@ -285,7 +294,7 @@
 
 /* Has the job its turn in the pass under way? */
 static bool has_turn(const struct amb_round *cycle, const struct amb_job *job) {
-    if (cycle->urgent_pass && amb_job_priority(job) < AMB_HIGH) return false;
+    if (cycle->urgent_pass && amb_job_get_effective_priority(job) < AMB_PRIORITY_HIGH) return false;
     return job->recovery_step <= cycle->recovery_pass;
 }
 
@@ -296,9 +305,9 @@
         struct amb_job *job = l->jobs[l->at];
         if (!has_turn(cycle, job)) return false;
         if (amb_round_wants_start(cycle, job)) {
-            double times = job->spec->kind == AMB_GANG ? job->spec->tasks : 1;
+            double times = job->spec->kind == AMB_JOB_KIND_GANG ? job->spec->task_count : 1;
             memset(out, 0, sizeof *out);
-            amb_res_add(&out->need, &job->spec->each, times);
+            amb_resources_add(&out->need, &job->spec->task_resources, times);
             out->size = amb_wdrr_size(&out->need, cycle->by_gpus);
             out->what = job;
             return true;
@@ -319,19 +328,19 @@
     cycle->lines[team].at++;
 }
 
-void amb_round_reserve(struct amb_slot *slot, const struct amb_spec *spec) {
-    if (slot->machine) amb_res_add(&slot->machine->reserved, &spec->each, 1);
+void amb_round_reserve(struct amb_slot *slot, const struct amb_job_spec *spec) {
+    if (slot->machine) amb_resources_add(&slot->machine->reserved, &spec->task_resources, 1);
 }
 
 static double at_least_nothing(double amount) {
     return fmax(amount, 0);
 }
 
-static void use_reserved(struct amb_slot *slot, const struct amb_spec *spec) {
-    amb_res_add(&slot->reserved, &spec->each, -1);
+static void use_reserved(struct amb_slot *slot, const struct amb_job_spec *spec) {
+    amb_resources_add(&slot->reserved, &spec->task_resources, -1);
     slot->reserved =
-        (struct amb_res){at_least_nothing(slot->reserved.cpus), at_least_nothing(slot->reserved.gpus),
-                         at_least_nothing(slot->reserved.memory)};
+        (struct amb_resources){at_least_nothing(slot->reserved.cpus), at_least_nothing(slot->reserved.gpus),
+                               at_least_nothing(slot->reserved.memory_gb)};
     slot->machine->reserved = slot->reserved;
 }
 
@@ -342,35 +351,35 @@
     amb_round_slot(cycle, (uint32_t)(slot - cycle->slots));
     amb_round_slot_changed(cycle, slot);
     cycle->placed_tasks++;
-    amb_res_add(&slot->room, &job->spec->each, -1);
-    if (job->spec->kind == AMB_SERVICE) slot->lasting += job->spec->each.gpus;
+    amb_resources_add(&slot->room, &job->spec->task_resources, -1);
+    if (job->spec->kind == AMB_JOB_KIND_SERVICE) slot->lasting += job->spec->task_resources.gpus;
     if (!slot->has_image) slot->fetching_gb += job->spec->image_gb;
     amb_info("task %s/%u try %llu: placed on %s%s", job->ref, task->index, (unsigned long long)attempt,
              slot->machine->name, slot->has_image ? ", image at hand" : "");
     amb_task_bind(cycle->n, task, slot->machine, attempt, AMB_TASK_PLACED);
     amb_machine_use_image(cycle->n, slot->machine, job->spec->image, job->spec->image_gb);
-    amb_record_dirty(cycle->n, task, true);
+    amb_placement_block_mark_dirty(cycle->n, task, true);
 }
 
 static struct amb_task *first_waiting(struct amb_job *job) {
-    while (job->first_waiting < job->spec->tasks) {
-        struct amb_task *task = &job->tasks[job->first_waiting];
+    while (job->first_waiting_task < job->spec->task_count) {
+        struct amb_task *task = &job->tasks[job->first_waiting_task];
         if (!task->machine && !task->done) return task;
-        job->first_waiting++;
+        job->first_waiting_task++;
     }
     return NULL;
 }
 
-struct amb_claim amb_round_claim(const struct amb_spec *spec, const struct amb_team *team) {
-    struct amb_res need = {0, 0, 0};
-    amb_res_add(&need, &spec->each, spec->kind == AMB_GANG ? spec->tasks : 1);
-    bool guaranteed = spec->kind != AMB_ARRAY && team && amb_wdrr_within_guarantee(team, &need);
+struct amb_claim amb_round_claim(const struct amb_job_spec *spec, const struct amb_team *team) {
+    struct amb_resources need = {0, 0, 0};
+    amb_resources_add(&need, &spec->task_resources, spec->kind == AMB_JOB_KIND_GANG ? spec->task_count : 1);
+    bool guaranteed = spec->kind != AMB_JOB_KIND_ARRAY && team && amb_wdrr_within_guarantee(team, &need);
     return (struct amb_claim){spec->priority, team, guaranteed};
 }
 
 static struct amb_claim claim_of(const struct amb_job *job) {
     struct amb_claim claim = amb_round_claim(job->spec, job->team);
-    claim.priority = amb_job_priority(job);
+    claim.priority = amb_job_get_effective_priority(job);
     return claim;
 }
 
@@ -382,9 +391,9 @@
 
 /* Is there work that might be stopped on these grounds? A quick look that never says no wrongly. */
 static bool may_stop_work(const struct amb_round *cycle, const struct amb_claim *claim) {
-    if (cycle->n->opt.preempt < 0.5) return false;
-    if (claim->priority >= AMB_HIGH || claim->guaranteed) return true;
-    return claim->priority > AMB_BEST_EFFORT && any_opportunistic(&cycle->n->set);
+    if (cycle->n->options.preempt < 0.5) return false;
+    if (claim->priority >= AMB_PRIORITY_HIGH || claim->guaranteed) return true;
+    return claim->priority > AMB_PRIORITY_BEST_EFFORT && any_opportunistic(&cycle->n->settings);
 }
 
 static bool beyond_guarantee(const struct amb_team *team) {
@@ -399,44 +408,45 @@
  * that is higher: when it did so for guaranteed work only, 70 machines were rented beside 80 that it had
  * filled.) */
 bool amb_round_makes_way(const struct amb_task *task, const struct amb_claim *c) {
-    const struct amb_spec *spec = task->job->spec;
-    if (spec->kind != AMB_ARRAY || task->halting || task->state == AMB_TASK_PLACED || task->done)
+    const struct amb_job_spec *spec = task->job->spec;
+    if (spec->kind != AMB_JOB_KIND_ARRAY || task->stop_requested || task->state == AMB_TASK_PLACED ||
+        task->done)
         return false;
-    bool may_stop_lower = c->priority >= AMB_HIGH || c->guaranteed || task->job->team->opportunistic;
-    if (may_stop_lower && amb_job_priority(task->job) < c->priority) return true;
-    return c->guaranteed && spec->checkpoint_s > 0 && task->job->team != c->team &&
+    bool may_stop_lower = c->priority >= AMB_PRIORITY_HIGH || c->guaranteed || task->job->team->opportunistic;
+    if (may_stop_lower && amb_job_get_effective_priority(task->job) < c->priority) return true;
+    return c->guaranteed && spec->checkpoint_interval_s > 0 && task->job->team != c->team &&
            beyond_guarantee(task->job->team);
 }
 
 /* Could the slot have the room if all batch work on it made way? A quick look that never says no wrongly. */
 static bool may_make_room(const struct amb_slot *slot, const struct amb_wish *request) {
-    struct amb_res room = amb_place_room(slot, true);
-    amb_res_add(&room, &slot->batch, 1);
-    return amb_res_fits(&request->need, &room);
+    struct amb_resources room = amb_place_room(slot, true);
+    amb_resources_add(&room, &slot->batch, 1);
+    return amb_resources_fit(&request->need, &room);
 }
 
 /* Seconds of work that is lost when work makes way for the wish, more where the image is not. */
 static bool cost_in_work(struct amb_round *cycle, const struct amb_slot *slot, const struct amb_wish *request,
                          const struct amb_claim *claim, double *cost) {
-    struct amb_res room = amb_place_room(slot, true);
+    struct amb_resources room = amb_place_room(slot, true);
     *cost = slot->has_image ? 0 : 1000;
-    for (const struct amb_task *task = slot->machine->tasks; task && !amb_res_fits(&request->need, &room);
-         task = task->next) {
+    for (const struct amb_task *task = slot->machine->tasks;
+         task && !amb_resources_fit(&request->need, &room); task = task->next_on_machine) {
         if (!amb_round_makes_way(task, claim)) continue;
-        amb_res_add(&room, &task->job->spec->each, 1);
+        amb_resources_add(&room, &task->job->spec->task_resources, 1);
         *cost += task->running_at ? (double)(cycle->now - task->running_at) / 1000 : 0;
     }
-    return amb_res_fits(&request->need, &room);
+    return amb_resources_fit(&request->need, &room);
 }
 
 /* Room is had when all that may make way does; it is better where the image is. */
 static bool cost_in_images(const struct amb_slot *slot, const struct amb_wish *request,
                            const struct amb_claim *claim, double *cost) {
-    struct amb_res room = amb_place_room(slot, true);
-    for (const struct amb_task *task = slot->machine->tasks; task; task = task->next)
-        if (amb_round_makes_way(task, claim)) amb_res_add(&room, &task->job->spec->each, 1);
+    struct amb_resources room = amb_place_room(slot, true);
+    for (const struct amb_task *task = slot->machine->tasks; task; task = task->next_on_machine)
+        if (amb_round_makes_way(task, claim)) amb_resources_add(&room, &task->job->spec->task_resources, 1);
     *cost = slot->has_image ? 0 : 1;
-    return amb_res_fits(&request->need, &room);
+    return amb_resources_fit(&request->need, &room);
 }
 
 /* Of the slot, as struct amb_slot_list has it. */
@@ -486,21 +496,21 @@
 static uint32_t place_all(struct amb_round *cycle, struct amb_job *job, struct amb_wish *request, int *where,
                           bool soon, const struct amb_claim *claim) {
     uint32_t i = 0;
-    for (; i < job->spec->tasks; i++) {
+    for (; i < job->spec->task_count; i++) {
         where[i] = claim ? least_lost(cycle, request, claim, false) : amb_round_pick(cycle, request, soon);
         if (where[i] < 0) break;
-        amb_res_add(&cycle->slots[where[i]].room, &job->spec->each, -1);
+        amb_resources_add(&cycle->slots[where[i]].room, &job->spec->task_resources, -1);
         amb_round_slot_changed(cycle, &cycle->slots[where[i]]);
-        job->zone_used[cycle->slots[where[i]].zone]++;
+        job->zone_task_counts[cycle->slots[where[i]].zone]++;
     }
     return i;
 }
 
 static void place_undo(struct amb_round *cycle, struct amb_job *job, const int *where, uint32_t count) {
     for (uint32_t i = 0; i < count; i++) {
-        amb_res_add(&cycle->slots[where[i]].room, &job->spec->each, 1);
+        amb_resources_add(&cycle->slots[where[i]].room, &job->spec->task_resources, 1);
         amb_round_slot_changed(cycle, &cycle->slots[where[i]]);
-        job->zone_used[cycle->slots[where[i]].zone]--;
+        job->zone_task_counts[cycle->slots[where[i]].zone]--;
     }
 }
 
@@ -510,11 +520,11 @@
     struct amb_wish request;
     amb_round_wish(cycle, job, &request);
     bool any_one = job->spec->one_zone && request.zone < 0;
-    uint32_t tries = any_one ? cycle->n->catalog.nzones : 1;
+    uint32_t tries = any_one ? cycle->n->catalog.zone_count : 1;
     for (uint32_t z = 0; z < tries; z++) {
         if (any_one) request.zone = (int)z;
         uint32_t got = place_all(cycle, job, &request, where, soon, claim);
-        if (got == job->spec->tasks) return true;
+        if (got == job->spec->task_count) return true;
         place_undo(cycle, job, where, got);
     }
     return false;
@@ -525,14 +535,14 @@
 }
 
 static bool admit_gang(struct amb_round *cycle, struct amb_job *job) {
-    int *where = amb_alloc(job->spec->tasks * sizeof *where);
+    int *where = amb_alloc(job->spec->task_count * sizeof *where);
     bool fits = amb_round_place_gang(cycle, job, where, false);
     if (fits) {
-        place_undo(cycle, job, where, job->spec->tasks); /* binding counts them again */
+        place_undo(cycle, job, where, job->spec->task_count); /* binding counts them again */
         uint64_t attempt = job->next_attempt++;
-        for (uint32_t i = 0; i < job->spec->tasks; i++)
+        for (uint32_t i = 0; i < job->spec->task_count; i++)
             start_task(cycle, &job->tasks[i], &cycle->slots[where[i]], attempt);
-        amb_gang_state(job, AMB_GANG_STARTING, "placed");
+        amb_gang_set_state(job, AMB_GANG_STARTING, "placed");
     }
     free(where);
     return fits;
@@ -542,38 +552,41 @@
  * last checkpoint (half an interval, on the average) is worth little more than the time that saving takes, or
  * is opportunistic work's. */
 static double grace_for(const struct amb_round *cycle, const struct amb_job *stopped,
-                        const struct amb_spec *waits) {
-    const struct amb_spec *spec = stopped->spec;
-    if (spec->checkpoint_s <= 0) return 0;
+                        const struct amb_job_spec *waits) {
+    const struct amb_job_spec *spec = stopped->spec;
+    if (spec->checkpoint_interval_s <= 0) return 0;
     bool hurry = amb_start_objective(cycle->n, waits) != NULL;
-    bool cheap = spec->checkpoint_s / 2 < spec->save_s * 2 || amb_job_opportunistic(stopped);
-    return hurry && cheap ? 0 : spec->save_s;
+    bool cheap =
+        spec->checkpoint_interval_s / 2 < spec->checkpoint_save_s * 2 || amb_job_opportunistic(stopped);
+    return hurry && cheap ? 0 : spec->checkpoint_save_s;
 }
 
 /* More was promised of the machine than it has: work of at most this priority is told to stop until it has
  * it. */
 static void clear_way_of(struct amb_round *cycle, struct amb_slot *slot, const struct amb_claim *claim,
-                         const struct amb_spec *waits, enum amb_priority highest) {
-    static const struct amb_res nothing = {0, 0, 0};
-    struct amb_res room = amb_place_room(slot, true);
+                         const struct amb_job_spec *waits, enum amb_priority highest) {
+    static const struct amb_resources nothing = {0, 0, 0};
+    struct amb_resources room = amb_place_room(slot, true);
     amb_round_slot_changed(cycle, slot);
-    for (struct amb_task *task = slot->machine->tasks; task && !amb_res_fits(&nothing, &room);
-         task = task->next) {
-        if (!amb_round_makes_way(task, claim) || amb_job_priority(task->job) > highest) continue;
-        amb_res_add(&room, &task->job->spec->each, 1);
-        amb_res_add(&slot->soon, &task->job->spec->each, 1);
+    for (struct amb_task *task = slot->machine->tasks; task && !amb_resources_fit(&nothing, &room);
+         task = task->next_on_machine) {
+        if (!amb_round_makes_way(task, claim) || amb_job_get_effective_priority(task->job) > highest)
+            continue;
+        amb_resources_add(&room, &task->job->spec->task_resources, 1);
+        amb_resources_add(&slot->soon, &task->job->spec->task_resources, 1);
         amb_debug("room on %s: %s/%u makes way for %s", slot->machine->name, task->job->ref, task->index,
                   waits->ref);
-        amb_task_halt(cycle->n, task, grace_for(cycle, task->job, waits),
-                      "room for a job that goes before it");
+        amb_task_request_stop(cycle->n, task, grace_for(cycle, task->job, waits),
+                              "room for a job that goes before it");
     }
 }
 
 /* Says that the slot has changed. For replicas that recover the lowest priority stops first, since they may
  * need room on many machines at once. */
 static void clear_way(struct amb_round *cycle, struct amb_slot *slot, const struct amb_claim *claim,
-                      const struct amb_spec *waits, bool lowest_first) {
-    for (int highest = lowest_first ? AMB_BEST_EFFORT : AMB_PROD; highest <= AMB_PROD; highest++)
+                      const struct amb_job_spec *waits, bool lowest_first) {
+    for (int highest = lowest_first ? AMB_PRIORITY_BEST_EFFORT : AMB_PRIORITY_PRODUCTION;
+         highest <= AMB_PRIORITY_PRODUCTION; highest++)
         clear_way_of(cycle, slot, claim, waits, (enum amb_priority)highest);
 }
 
@@ -584,12 +597,12 @@
     int best = least_lost(cycle, request, &claim, image_only);
     if (best < 0) return NULL;
     struct amb_slot *slot = &cycle->slots[best];
-    amb_res_add(&slot->room, &request->need, -1);
+    amb_resources_add(&slot->room, &request->need, -1);
     bool recovers = amb_job_recovers(cycle->n, job);
     clear_way(cycle, slot, &claim, job->spec, recovers);
     slot->planned++;
     /* Until it has come, no batch work goes there. */
-    if (job->spec->kind == AMB_GANG) slot->machine->kept_for = (int)claim.priority;
+    if (job->spec->kind == AMB_JOB_KIND_GANG) slot->machine->reserved_priority = (int)claim.priority;
     if (recovers) amb_round_reserve(slot, job->spec);
     return slot;
 }
@@ -599,15 +612,15 @@
 bool amb_round_make_room_gang(struct amb_round *cycle, struct amb_job *job) {
     const struct amb_claim claim = claim_of(job);
     if (!may_stop_work(cycle, &claim)) return false;
-    int *where = amb_alloc(job->spec->tasks * sizeof *where);
+    int *where = amb_alloc(job->spec->task_count * sizeof *where);
     bool all = place_gang(cycle, job, where, true, &claim);
-    for (uint32_t i = 0; all && i < job->spec->tasks; i++) {
+    for (uint32_t i = 0; all && i < job->spec->task_count; i++) {
         struct amb_slot *slot = &cycle->slots[where[i]];
-        job->zone_used[slot->zone]--;
+        job->zone_task_counts[slot->zone]--;
         clear_way(cycle, slot, &claim, job->spec, false);
         slot->planned++;
-        slot->machine->kept_for = (int)claim.priority;
-        slot->machine->claimed = true;
+        slot->machine->reserved_priority = (int)claim.priority;
+        slot->machine->claimed_by_gang = true;
     }
     free(where);
     return all;
@@ -617,9 +630,9 @@
 static bool fetch_too_long(const struct amb_round *cycle, const struct amb_job *job,
                            const struct amb_slot *slot) {
     const struct amb_objective *o = amb_start_objective(cycle->n, job->spec);
-    double rate = cycle->n->catalog.types[slot->type].fetch_gb_s;
+    double rate = cycle->n->catalog.types[slot->type].image_fetch_gb_per_s;
     const struct amb_claim claim = claim_of(job);
-    if (!o || rate <= 0 || (claim.priority < AMB_HIGH && !claim.guaranteed)) return false;
+    if (!o || rate <= 0 || (claim.priority < AMB_PRIORITY_HIGH && !claim.guaranteed)) return false;
     return job->spec->image_gb / rate > o->within_s * 0.7;
 }
 
@@ -639,10 +652,11 @@
     double save = 0;
     for (uint32_t i = 0; i < cycle->nslots; i++) {
         const struct amb_machine *machine = cycle->slots[i].machine;
-        for (const struct amb_task *task = machine ? machine->tasks : NULL; task; task = task->next)
-            if (task->halting && amb_round_slot(cycle, i)->has_image) save = fmax(save, task->grace_s);
+        for (const struct amb_task *task = machine ? machine->tasks : NULL; task;
+             task = task->next_on_machine)
+            if (task->stop_requested && amb_round_slot(cycle, i)->has_image) save = fmax(save, task->grace_s);
     }
-    return amb_secs(save + cycle->n->set.report_s * 4);
+    return amb_secs(save + cycle->n->settings.report_s * 4);
 }
 
 static enum amb_wdrr_try admit(void *arg, uint32_t team, const struct amb_wdrr_item *item) {
@@ -650,7 +664,7 @@
     struct amb_job *job = item->what;
     (void)team;
     amb_round_mark(cycle, job->spec, job->spec->image);
-    if (job->spec->kind == AMB_GANG && job->spec->tasks > 1)
+    if (job->spec->kind == AMB_JOB_KIND_GANG && job->spec->task_count > 1)
         return admit_gang(cycle, job) ? AMB_TRY_ADMITTED : AMB_TRY_NO_FIT;
     struct amb_wish request;
     amb_round_wish(cycle, job, &request);
@@ -660,20 +674,21 @@
     /* A user waits for it, and fetching the image would take too long: better the room of other work on a
      * machine that holds it. */
     if (!cycle->slots[at].has_image && fetch_too_long(cycle, job, &cycle->slots[at])) {
-        if (!job->image_since) job->image_since = cycle->now;
-        if (cycle->now - job->image_since < room_takes(cycle) &&
+        if (!job->image_wait_since) job->image_wait_since = cycle->now;
+        if (cycle->now - job->image_wait_since < room_takes(cycle) &&
             (promised(cycle, &request) || amb_round_make_room(cycle, job, &request, true)))
             return AMB_TRY_NO_FIT;
     }
-    job->image_since = 0;
-    if (job->spec->kind == AMB_GANG) return admit_gang(cycle, job) ? AMB_TRY_ADMITTED : AMB_TRY_NO_FIT;
+    job->image_wait_since = 0;
+    if (job->spec->kind == AMB_JOB_KIND_GANG)
+        return admit_gang(cycle, job) ? AMB_TRY_ADMITTED : AMB_TRY_NO_FIT;
     start_task(cycle, task, &cycle->slots[at], job->next_attempt++);
     return AMB_TRY_ADMITTED;
 }
 
 /* A pass whose jobs have no further turn, placed or not. */
 static uint32_t admit_pass(struct amb_round *cycle, const struct amb_wdrr_ops *ops, uint32_t first) {
-    struct amb_settings *settings = &cycle->n->set;
+    struct amb_settings *settings = &cycle->n->settings;
     uint32_t count = amb_wdrr_round(settings->teams, settings->nteams, first, ops);
     for (uint32_t i = 0; i < settings->nteams; i++) {
         struct amb_line *l = &cycle->lines[i];
@@ -685,7 +700,8 @@
 uint32_t amb_round_admit(struct amb_round *cycle) {
     struct amb_node *node = cycle->n;
     const struct amb_wdrr_ops ops = {next_item, admit, skip_item, is_idle, cycle};
-    uint32_t first = node->set.nteams ? node->ctl.turn++ % node->set.nteams : 0, count = 0;
+    uint32_t first = node->settings.nteams ? node->controller.team_cursor++ % node->settings.nteams : 0,
+             count = 0;
     /* What was lost with a zone comes back class by class (docs/design.md, exceptions). */
     for (uint32_t step = 0; step < node->zone_recovery.order.count; step++) {
         cycle->recovery_pass = (uint8_t)step;
@@ -696,5 +712,5 @@
     cycle->urgent_pass = true;
     count += admit_pass(cycle, &ops, first);
     cycle->urgent_pass = false;
-    return count + amb_wdrr_round(node->set.teams, node->set.nteams, first, &ops);
+    return count + amb_wdrr_round(node->settings.teams, node->settings.nteams, first, &ops);
 }
--- a/lib/watch/change_feed.c
+++ b/lib/watch/change_feed.c
@@ -24,11 +24,11 @@
     else if (!strncmp(key, DEPUTY_PREFIX, sizeof DEPUTY_PREFIX - 1))
         amb_lease_proxy_apply_key(node, key + sizeof DEPUTY_PREFIX - 1, value, stamp);
     else if (!strncmp(key, JOB_PREFIX, sizeof JOB_PREFIX - 1))
-        amb_jobs_apply(node, key + sizeof JOB_PREFIX - 1, value, stamp);
+        amb_jobs_apply_item(node, key + sizeof JOB_PREFIX - 1, value, stamp);
     else if (!strncmp(key, DUTY_PREFIX, sizeof DUTY_PREFIX - 1) ||
              !strncmp(key, ORDER_PREFIX, sizeof ORDER_PREFIX - 1))
         amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_DUTY_KEY_CHANGED,
-                                                 .change = {.key = key, .value = value, .stamp = stamp}});
+                                                 .change = {.key = key, .value = value, .revision = stamp}});
 }
 
 /* One whose value is not parsed yet. */
@@ -70,9 +70,9 @@
     if (!amb_change_page_read(page, len, &epoch, apply_change, node) &&
         !apply_parsed_page(node, page, len, &epoch))
         return false;
-    if (epoch > node->jobs.epoch) node->jobs.epoch = epoch;
-    node->jobs.fresh_at = amb_now();
-    if (sent_at > node->jobs.fresh_sent_at) node->jobs.fresh_sent_at = sent_at;
+    if (epoch > node->jobs.known_revision) node->jobs.known_revision = epoch;
+    node->jobs.last_read_at = amb_now();
+    if (sent_at > node->jobs.last_read_sent_at) node->jobs.last_read_sent_at = sent_at;
     return true;
 }
 
@@ -82,11 +82,11 @@
 /* One listing at a time: a second one would move the first one's place and epoch, and what changed between
  * the two beginnings would be missed. */
 static void relist(struct amb_node *node) {
-    if (node->jobs.listing) return;
-    node->jobs.listing = true;
-    node->jobs.list_after[0] = 0;
-    node->jobs.list_epoch = 0;
-    node->jobs.leader_listed = false;
+    if (node->jobs.list_in_flight) return;
+    node->jobs.list_in_flight = true;
+    node->jobs.list_cursor[0] = 0;
+    node->jobs.list_revision = 0;
+    node->jobs.leader_key_listed = false;
     amb_lease_proxy_mark_listing(node, false);
     list_next(node);
 }
@@ -99,24 +99,25 @@
 
 static void followed(void *arg, int status, const void *page, size_t len) {
     struct amb_node *node = arg;
-    node->jobs.following = false;
-    if (status == 200 && apply_news(node, page, len, node->jobs.follow_sent_at)) {
+    node->jobs.watch_in_flight = false;
+    if (status == 200 && apply_news(node, page, len, node->jobs.watch_sent_at)) {
         follow(node);
     } else if (must_relist(status)) {
         relist(node);
     } else {
-        amb_timer_in(&node->jobs.follow_timer, node->store.call_timeout / 4, follow, node);
+        amb_timer_in(&node->jobs.watch_timer, node->store.call_timeout / 4, follow, node);
     }
 }
 
 static void follow(void *arg) {
     struct amb_node *node = arg;
-    if (node->jobs.following) return;
-    node->jobs.following = true;
-    node->jobs.follow_sent_at = amb_now();
+    if (node->jobs.watch_in_flight) return;
+    node->jobs.watch_in_flight = true;
+    node->jobs.watch_sent_at = amb_now();
     /* Back within two thirds of the leadership lease, before news would count as old (amb_lease_proxy_tick).
      */
-    amb_store_watch(&node->store, PREFIX, node->jobs.epoch, node->store.call_timeout * 2, followed, node);
+    amb_store_watch(&node->store, PREFIX, node->jobs.known_revision, node->store.call_timeout * 2, followed,
+                    node);
 }
 
 static void listed(void *arg, int status, const cbor_item_t *body) {
@@ -124,10 +125,11 @@
     struct amb_jobs *jobs = &node->jobs;
     uint64_t epoch;
     if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &epoch)) {
-        amb_timer_in(&jobs->follow_timer, node->store.call_timeout / 5, list_next, node);
+        amb_timer_in(&jobs->watch_timer, node->store.call_timeout / 5, list_next, node);
         return;
     }
-    if (!jobs->list_epoch) jobs->list_epoch = epoch; /* what changes while pages come is followed from here */
+    if (!jobs->list_revision)
+        jobs->list_revision = epoch; /* what changes while pages come is followed from here */
     const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
     for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
         const cbor_item_t *pair = amb_cbor_at(pairs, i);
@@ -137,8 +139,8 @@
             !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &stamp))
             continue;
         apply_item(node, key, amb_cbor_get(pair, "value"), stamp);
-        if (!strcmp(key, AMB_LEADER_KEY)) jobs->leader_listed = true;
-        snprintf(jobs->list_after, sizeof jobs->list_after, "%s", key);
+        if (!strcmp(key, AMB_LEADER_KEY)) jobs->leader_key_listed = true;
+        snprintf(jobs->list_cursor, sizeof jobs->list_cursor, "%s", key);
     }
     bool more = false;
     amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
@@ -147,11 +149,11 @@
         return;
     }
     /* On whichever page: orders sort after it. */
-    if (!jobs->leader_listed) amb_election_apply_key(node, NULL, epoch);
+    if (!jobs->leader_key_listed) amb_election_apply_key(node, NULL, epoch);
     amb_lease_proxy_mark_listing(node, true);
     amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_STORE_LISTED});
-    jobs->listing = false;
-    jobs->epoch = jobs->list_epoch;
+    jobs->list_in_flight = false;
+    jobs->known_revision = jobs->list_revision;
     jobs->loaded = true;
     amb_election_start(node);
     follow(node);
@@ -159,7 +161,7 @@
 
 static void list_next(void *arg) {
     struct amb_node *node = arg;
-    amb_store_list(&node->store, PREFIX, node->jobs.list_after, listed, node);
+    amb_store_list(&node->store, PREFIX, node->jobs.list_cursor, listed, node);
 }
 
 /* ---- fresh reads: one read of all changes answers every question that came before it was sent ---- */
@@ -171,16 +173,16 @@
     struct amb_jobs *jobs = &node->jobs;
     bool ok = status == 200 && apply_news(node, page, len, jobs->sync_sent_at);
     if (must_relist(status)) relist(node);
-    struct amb_sync *read = jobs->asked;
-    jobs->asked = NULL;
-    jobs->syncing = false;
+    struct amb_sync *read = jobs->sent_syncs;
+    jobs->sent_syncs = NULL;
+    jobs->sync_in_flight = false;
     while (read) {
         struct amb_sync *next = read->next;
         read->fn(read->arg, ok);
         free(read);
         read = next;
     }
-    if (jobs->waiting && !jobs->sync_timer.slot) {
+    if (jobs->queued_syncs && !jobs->sync_timer.slot) {
         /* Spaced out, so that questions share a read when they come faster than reads may be made. */
         amb_ms gap = (amb_ms)(4000.0 / node->store.request_bucket.tokens_per_second);
         amb_timer_in(&jobs->sync_timer, gap, sync_send, node);
@@ -190,21 +192,21 @@
 static void sync_send(void *arg) {
     struct amb_node *node = arg;
     struct amb_jobs *jobs = &node->jobs;
-    if (jobs->syncing || !jobs->waiting) return;
-    jobs->asked = jobs->waiting;
-    jobs->waiting = NULL;
-    jobs->syncing = true;
+    if (jobs->sync_in_flight || !jobs->queued_syncs) return;
+    jobs->sent_syncs = jobs->queued_syncs;
+    jobs->queued_syncs = NULL;
+    jobs->sync_in_flight = true;
     jobs->sync_sent_at = amb_now();
-    amb_store_watch(&node->store, PREFIX, jobs->epoch, 0, synced, node);
+    amb_store_watch(&node->store, PREFIX, jobs->known_revision, 0, synced, node);
 }
 
 void amb_jobs_sync(struct amb_node *node, void (*fn)(void *arg, bool ok), void *arg) {
     struct amb_sync *read = amb_alloc(sizeof *read);
     read->fn = fn;
     read->arg = arg;
-    read->next = node->jobs.waiting;
-    node->jobs.waiting = read;
-    if (!node->jobs.syncing && !node->jobs.sync_timer.slot) sync_send(node);
+    read->next = node->jobs.queued_syncs;
+    node->jobs.queued_syncs = read;
+    if (!node->jobs.sync_in_flight && !node->jobs.sync_timer.slot) sync_send(node);
 }
 
 void amb_jobs_init(struct amb_node *node) {
--- a/lib/zone_recovery/activation.c
+++ b/lib/zone_recovery/activation.c
@@ -22,7 +22,7 @@
 
 /* Names in the list up to the place `end`. */
 static bool is_named_before(const char *list, const char *end, const char *name) {
-    char other[AMB_NAME];
+    char other[AMB_NAME_SIZE];
     while (list < end && amb_zone_settings_next_class(&list, other, sizeof other))
         if (list < end && !strcmp(other, name)) return true;
     return false;
@@ -30,7 +30,7 @@
 
 static bool check_order(const struct amb_settings *settings, const char *order, const char *file, char *err,
                         size_t cap) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     const char *at = order;
     while (amb_zone_settings_next_class(&at, name, sizeof name)) {
         if (!is_class(settings, name)) {
@@ -45,7 +45,7 @@
     }
     if (amb_zone_settings_list_ends(at)) return true;
     snprintf(err, cap, "%s: zone-recovery-order: a name is longer than the %d bytes of a class", file,
-             AMB_NAME - 1);
+             AMB_NAME_SIZE - 1);
     return false;
 }
 
@@ -63,9 +63,10 @@
 }
 
 bool amb_zone_recovery_on(const struct amb_node *node) {
-    return node->opt.zone_recovery != 0;
+    return node->options.zone_recovery != 0;
 }
 
 void amb_zone_recovery_init(struct amb_node *node) {
-    if (amb_zone_recovery_on(node)) node->zone_recovery.settings = settings_of(&node->set, &node->opt);
+    if (amb_zone_recovery_on(node))
+        node->zone_recovery.settings = settings_of(&node->settings, &node->options);
 }
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -52,14 +52,14 @@
 static void put_value(struct amb_buf *out, const struct amb_node *node) {
     const struct amb_zone_recovery *recovery = &node->zone_recovery;
     uint32_t count = 0;
-    for (uint32_t zone = 0; zone < node->catalog.nzones; zone++)
+    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
         count += is_on_record(&recovery->zones[zone]);
     amb_w_map(out, 3);
     amb_w_str(out, "form");
     amb_w_uint(out, FORM);
     amb_w_str(out, "zones");
     amb_w_list(out, count);
-    for (uint32_t zone = 0; zone < node->catalog.nzones; zone++)
+    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
         if (is_on_record(&recovery->zones[zone])) put_zone(out, node, zone);
     amb_w_str(out, "steps");
     amb_w_list(out, recovery->order.count);
@@ -134,14 +134,14 @@
 /* ---- taking over ---- */
 
 static void load_zone(struct amb_node *node, const cbor_item_t *item) {
-    char name[AMB_NAME], said[AMB_NAME];
+    char name[AMB_NAME_SIZE], said[AMB_NAME_SIZE];
     enum amb_zone_verdict verdict;
     uint64_t losses;
     if (!amb_cbor_str(amb_cbor_get(item, "zone"), name, sizeof name) ||
         !amb_cbor_str(amb_cbor_get(item, "verdict"), said, sizeof said) ||
         !amb_zone_verdict_parse(said, &verdict) || !amb_cbor_uint(amb_cbor_get(item, "losses"), &losses))
         return;
-    int zone = amb_catalog_zone(&node->catalog, name);
+    int zone = amb_catalog_find_or_add_zone(&node->catalog, name);
     if (zone < 0) return;
     amb_zone_health_restore(&node->zone_recovery.zones[zone], verdict,
                             losses < UINT32_MAX ? (uint32_t)losses : UINT32_MAX, amb_now());
@@ -158,7 +158,7 @@
     *step = (struct amb_recovery_step){
         .wait = AMB_RECOVERY_FOR_PROOF, .opened_at = amb_now(), .lost.listed = AMB_RECOVERY_UNLISTED};
     if (!amb_cbor_str(amb_cbor_get(item, "class"), step->lost.name, sizeof step->lost.name) ||
-        !amb_cbor_uint(amb_cbor_get(item, "priority"), &priority) || priority > AMB_PROD)
+        !amb_cbor_uint(amb_cbor_get(item, "priority"), &priority) || priority > AMB_PRIORITY_PRODUCTION)
         return;
     step->lost.priority = (enum amb_priority)priority;
     order->count++;
--- a/lib/zone_recovery/return_order.c
+++ b/lib/zone_recovery/return_order.c
@@ -37,32 +37,32 @@
 }
 
 static bool is_replica(const struct amb_task *task) {
-    return task->job->spec->kind == AMB_SERVICE && task->job->state == AMB_JOB_QUEUED;
+    return task->job->spec->kind == AMB_JOB_KIND_SERVICE && task->job->state == AMB_JOB_QUEUED;
 }
 
 static void count_lost(const struct amb_node *node, int zone, struct class_counts *counts) {
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
-        if (machine->zone != zone) continue;
-        for (const struct amb_task *task = machine->tasks; task; task = task->next) {
+        if (machine->zone_index != zone) continue;
+        for (const struct amb_task *task = machine->tasks; task; task = task->next_on_machine) {
             struct class_count *count = is_replica(task) ? count_of(counts, task->job, true) : NULL;
             if (!count) continue;
             count->lost++;
-            if (task->job->accepted_wall < count->oldest->accepted_wall) count->oldest = task->job;
+            if (task->job->accepted_wall_ms < count->oldest->accepted_wall_ms) count->oldest = task->job;
         }
     }
 }
 
 static void count_all(const struct amb_node *node, struct class_counts *counts) {
-    for (const struct amb_job *job = node->jobs.live; job; job = job->next_live) {
-        if (job->spec->kind != AMB_SERVICE || job->state != AMB_JOB_QUEUED) continue;
+    for (const struct amb_job *job = node->jobs.active; job; job = job->next_active) {
+        if (job->spec->kind != AMB_JOB_KIND_SERVICE || job->state != AMB_JOB_QUEUED) continue;
         struct class_count *count = count_of(counts, job, false);
-        if (count) count->all += job->nbound;
+        if (count) count->all += job->bound_count;
     }
 }
 
 static uint32_t listed_place(const struct amb_node *node, const char *class_name) {
-    const char *list = node->opt.zone_recovery_order;
-    char name[AMB_NAME];
+    const char *list = node->options.zone_recovery_order;
+    char name[AMB_NAME_SIZE];
     for (uint32_t place = 0; amb_zone_settings_next_class(&list, name, sizeof name); place++)
         if (!strcmp(name, class_name)) return place;
     return AMB_RECOVERY_UNLISTED;
@@ -73,7 +73,7 @@
 }
 
 static struct amb_recovery_class class_of(const struct amb_node *node, const struct class_count *count) {
-    static const struct amb_res nothing = {0, 0, 0};
+    static const struct amb_resources nothing = {0, 0, 0};
     const struct amb_job *job = count->oldest;
     const struct amb_team *team = job->team;
     struct amb_recovery_class lost = {
@@ -83,7 +83,7 @@
         .guaranteed = amb_wdrr_within_guarantee(team, &nothing),
         .guarantee_used =
             fmax(share(team->used.gpus, team->guarantee.gpus), share(team->used.cpus, team->guarantee.cpus)),
-        .accepted_wall = job->accepted_wall,
+        .accepted_wall = job->accepted_wall_ms,
     };
     strcpy(lost.name, job->spec->class_name);
     return lost;
@@ -117,7 +117,7 @@
 }
 
 static int step_of_class(const struct amb_node *node, const struct amb_job *job) {
-    if (job->spec->kind != AMB_SERVICE) return -1;
+    if (job->spec->kind != AMB_JOB_KIND_SERVICE) return -1;
     return amb_recovery_order_find(&node->zone_recovery.order, job->spec->class_name);
 }
 
@@ -128,9 +128,9 @@
 /* Replicas on machines that don't answer, of zones that are not healthy. */
 static void count_away(const struct amb_node *node, amb_ms now, struct missing missing[AMB_RECOVERY_STEPS]) {
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
-        if (machine->zone < 0 || amb_zone_machine_answers(node, machine, now)) continue;
-        if (node->zone_recovery.zones[machine->zone].verdict == AMB_ZONE_HEALTHY) continue;
-        for (const struct amb_task *task = machine->tasks; task; task = task->next) {
+        if (machine->zone_index < 0 || amb_zone_machine_answers(node, machine, now)) continue;
+        if (node->zone_recovery.zones[machine->zone_index].verdict == AMB_ZONE_HEALTHY) continue;
+        for (const struct amb_task *task = machine->tasks; task; task = task->next_on_machine) {
             int step = is_replica(task) ? step_of_class(node, task->job) : -1;
             if (step >= 0) missing[step].replicas++;
         }
@@ -138,9 +138,9 @@
 }
 
 static void count_waiting(const struct amb_node *node, struct missing missing[AMB_RECOVERY_STEPS]) {
-    for (const struct amb_job *job = node->jobs.live; job; job = job->next_live) {
+    for (const struct amb_job *job = node->jobs.active; job; job = job->next_active) {
         int step = job->state == AMB_JOB_QUEUED && was_placed(job) ? step_of_class(node, job) : -1;
-        uint32_t waiting = step >= 0 ? amb_job_waiting(job) : 0;
+        uint32_t waiting = step >= 0 ? amb_job_count_waiting_tasks(job) : 0;
         if (!waiting) continue;
         missing[step].replicas += waiting;
         if (!missing[step].waits) missing[step].waits = job;
@@ -149,10 +149,10 @@
 
 /* Does a zone that is not lost leave the job's spread a place? */
 static bool spread_allows(const struct amb_node *node, const struct amb_job *job) {
-    uint32_t most = amb_place_spread_most(job->spec->tasks);
-    for (uint32_t zone = 0; zone < node->catalog.nzones; zone++) {
+    uint32_t most = amb_place_spread_most(job->spec->task_count);
+    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) {
         if (node->zone_recovery.zones[zone].verdict == AMB_ZONE_LOST) continue;
-        if (!job->spec->spread || job->zone_used[zone] < most) return true;
+        if (!job->spec->spread_zones || job->zone_task_counts[zone] < most) return true;
     }
     return false;
 }
@@ -162,9 +162,9 @@
     if (!missing->replicas) return AMB_RECOVERY_SERVED;
     if (!job) return AMB_RECOVERY_FOR_PROOF;
     if (!amb_election_may_act(node)) return AMB_RECOVERY_FOR_STATE;
-    if (!amb_wdrr_within_limit(job->team, &job->spec->each, 1)) return AMB_RECOVERY_FOR_LIMIT;
+    if (!amb_wdrr_within_limit(job->team, &job->spec->task_resources, 1)) return AMB_RECOVERY_FOR_LIMIT;
     if (!spread_allows(node, job)) return AMB_RECOVERY_FOR_SPREAD;
-    return job->image_since ? AMB_RECOVERY_FOR_IMAGE : AMB_RECOVERY_FOR_ROOM;
+    return job->image_wait_since ? AMB_RECOVERY_FOR_IMAGE : AMB_RECOVERY_FOR_ROOM;
 }
 
 static void step_changed(const struct amb_recovery_step *step, amb_ms now) {
@@ -180,7 +180,7 @@
     struct amb_zone_recovery *recovery = &node->zone_recovery;
     struct missing missing[AMB_RECOVERY_STEPS] = {{0}};
     if (!recovery->order.count) return;
-    if (now - recovery->order_looked_at < amb_secs(node->ctl.turn_s / LOOKS_PER_TURN)) return;
+    if (now - recovery->order_looked_at < amb_secs(node->controller.tick_interval_s / LOOKS_PER_TURN)) return;
     recovery->order_looked_at = now;
     count_away(node, now, missing);
     count_waiting(node, missing);
@@ -204,7 +204,7 @@
 
 uint8_t amb_zone_recovery_step(const struct amb_node *node, const struct amb_job *job) {
     const struct amb_recovery_order *order = &node->zone_recovery.order;
-    if (!order->count || job->spec->kind != AMB_SERVICE) return AMB_NO_STEP;
+    if (!order->count || job->spec->kind != AMB_JOB_KIND_SERVICE) return AMB_NO_STEP;
     int step = was_placed(job) ? step_of_class(node, job) : -1;
     return step >= 0 ? (uint8_t)step : step_by_priority(order, job);
 }
--- a/lib/zone_recovery/state.c
+++ b/lib/zone_recovery/state.c
@@ -8,7 +8,7 @@
 
 uint32_t amb_zones_away(const struct amb_node *node) {
     uint32_t mask = 0;
-    for (uint32_t zone = 0; zone < node->catalog.nzones; zone++)
+    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
         if (!amb_zone_verdict_admits_batch(node->zone_recovery.zones[zone].verdict)) mask |= 1u << zone;
     return mask;
 }
--- a/lib/zone_recovery/verdicts.c
+++ b/lib/zone_recovery/verdicts.c
@@ -9,18 +9,18 @@
 
 struct survey {
     uint32_t count;
-    struct zone_sets zones[AMB_ZONES];
+    struct zone_sets zones[AMB_ZONES_MAX];
 };
 
 /* ---- evidence ---- */
 
 static void survey_take(const struct amb_node *node, amb_ms now, struct survey *survey) {
-    survey->count = node->catalog.nzones;
+    survey->count = node->catalog.zone_count;
     for (uint32_t zone = 0; zone < survey->count; zone++)
         survey->zones[zone] = (struct zone_sets){roaring_bitmap_create(), roaring_bitmap_create()};
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
         if (!amb_zone_machine_expected(node, machine, now)) continue;
-        const struct zone_sets *sets = &survey->zones[machine->zone];
+        const struct zone_sets *sets = &survey->zones[machine->zone_index];
         roaring_bitmap_add(sets->expected, machine->number);
         if (amb_zone_machine_answers(node, machine, now))
             roaring_bitmap_add(sets->answering, machine->number);
@@ -96,12 +96,12 @@
 
 void amb_zone_verdicts_tick(struct amb_node *node, amb_ms now) {
     if (!amb_zone_learning(node, now)) judge_zones(node, now);
-    for (uint32_t zone = 0; zone < node->catalog.nzones; zone++) show_reach(node, zone, now);
+    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) show_reach(node, zone, now);
 }
 
 void amb_zone_recovery_clear(struct amb_node *node) {
     struct amb_zone_recovery *recovery = &node->zone_recovery;
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++) amb_zone_health_free(&recovery->zones[zone]);
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) amb_zone_health_free(&recovery->zones[zone]);
     recovery->order.count = 0;
     recovery->order_looked_at = 0;
     recovery->record = (struct amb_zone_record){.state = AMB_ZONE_RECORD_CURRENT};
--- a/lib/zone_recovery/zone_silence.c
+++ b/lib/zone_recovery/zone_silence.c
@@ -18,11 +18,11 @@
     *reach = to;
 }
 
-static void count_machines(const struct amb_node *node, amb_ms now, struct zone_count counts[AMB_ZONES]) {
+static void count_machines(const struct amb_node *node, amb_ms now, struct zone_count counts[AMB_ZONES_MAX]) {
     for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
         if (!amb_zone_machine_expected(node, machine, now)) continue;
-        counts[machine->zone].all++;
-        counts[machine->zone].silent += !amb_zone_machine_answers(node, machine, now);
+        counts[machine->zone_index].all++;
+        counts[machine->zone_index].silent += !amb_zone_machine_answers(node, machine, now);
     }
 }
 
@@ -42,19 +42,19 @@
         amb_zone_record_tick(node, now);
         return;
     }
-    struct zone_count counts[AMB_ZONES] = {{0}};
-    enum amb_zone_reach reach[AMB_ZONES];
+    struct zone_count counts[AMB_ZONES_MAX] = {{0}};
+    enum amb_zone_reach reach[AMB_ZONES_MAX];
     uint32_t unreachable = 0;
     count_machines(node, now, counts);
     bool learning = amb_zone_learning(node, now);
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++) {
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
         reach[zone] = learning ? AMB_ZONE_REACHED : reach_by_count(counts[zone]);
         unreachable += reach[zone] == AMB_ZONE_UNREACHABLE;
     }
-    for (uint32_t zone = 0; zone < AMB_ZONES; zone++) {
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
         /* Nobody heard from anywhere shows nothing of any zone; and one with a deputy is at work. */
         bool at_work =
-            unreachable == node->catalog.nzones || amb_lease_proxy_is_active_in_zone(node, (int)zone);
+            unreachable == node->catalog.zone_count || amb_lease_proxy_is_active_in_zone(node, (int)zone);
         if (at_work && reach[zone] == AMB_ZONE_UNREACHABLE) reach[zone] = AMB_ZONE_DEGRADED;
         set_reach(node, zone, reach[zone], counts[zone]);
         if (reach[zone] != AMB_ZONE_REACHED) node->fleet.out_of_reach_at[zone] = now;
--- a/src/main.c
+++ b/src/main.c
@@ -13,12 +13,12 @@
     char err[512];
     amb_cli_parse(argc, argv, &cli);
     amb_log_init(getenv("LOG_LEVEL"));
-    amb_options_default(&node.opt);
-    if (!amb_settings_load(cli.config, &node.set, err, sizeof err) ||
-        (cli.options && !amb_options_load(cli.options, &node.opt, err, sizeof err)) ||
-        !amb_duties_check(&node.set, &node.opt, cli.options, err, sizeof err) ||
-        !amb_zone_recovery_check(&node.set, &node.opt, cli.options, err, sizeof err) ||
-        !amb_capacity_check(&node.set, &node.opt, cli.config, err, sizeof err)) {
+    amb_options_default(&node.options);
+    if (!amb_settings_load(cli.config, &node.settings, err, sizeof err) ||
+        (cli.options && !amb_options_load(cli.options, &node.options, err, sizeof err)) ||
+        !amb_duties_check(&node.settings, &node.options, cli.options, err, sizeof err) ||
+        !amb_zone_recovery_check(&node.settings, &node.options, cli.options, err, sizeof err) ||
+        !amb_capacity_check(&node.settings, &node.options, cli.config, err, sizeof err)) {
         fprintf(stderr, "amberpin: %s\n", err);
         return 2;
     }
@@ -32,7 +32,7 @@
         fprintf(stderr, "amberpin: %s\n", err);
         return 1;
     }
-    amb_info("amberpin %s: node %s serves at %s", AMB_VERSION, node.set.member, node.set.front);
+    amb_info("amberpin %s: node %s serves at %s", AMB_VERSION, node.settings.member, node.settings.front);
     amb_loop_run();
     return 0;
 }
--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -21,22 +21,22 @@
     } report;
     struct {
         enum listed listed;
-        enum amb_on on;
-        enum amb_why why;
+        enum amb_agent_task_state on;
+        enum amb_exit_reason why;
     } task;
     struct orders_due orders; /* in the answer */
-    enum amb_task_state want;
+    enum amb_task_set_state want;
 };
 
 static bool orders_are(const struct orders_due *due) {
-    return count_orders(AMB_OP_RUN) == due->runs && count_orders(AMB_OP_HALT) == due->halts &&
-           count_orders(AMB_OP_CLEAR) == due->clears;
+    return count_orders(AMB_COMMAND_RUN) == due->runs && count_orders(AMB_COMMAND_STOP) == due->halts &&
+           count_orders(AMB_COMMAND_CLEAR) == due->clears;
 }
 
 /* False: a report of a higher term. */
 static bool report_step(const struct step *step) {
     uint64_t attempt = step->task.listed == OTHER_ATTEMPT ? ANOTHER : OURS;
-    struct amb_seen seen = listing("wk-1", 0, attempt, step->task.on, step->task.why);
+    struct amb_agent_task seen = listing("wk-1", 0, attempt, step->task.on, step->task.why);
     return report("m-1", step->report.session, step->report.seq, step->report.token, amb_now(), &seen,
                   step->task.listed != NOT_LISTED);
 }
@@ -45,7 +45,7 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_task_state begin;
+        enum amb_task_set_state begin;
         bool cancelled, foreign;
         struct step steps[6];
     } rows[] = {
@@ -59,13 +59,13 @@
          .steps = {{{1, 5, TERM - 1}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND},
                    {{1, 6, TERM - 1}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND}}},
         {"seen, then gone with our token: absent", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_ON_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
+         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
                    {{1, 2, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
         {"seen, then a new session without it: absent", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 9, TERM}, {OUR_ATTEMPT, AMB_ON_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
+         .steps = {{{1, 9, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
                    {{2, 1, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
         {"a late copy neither orders nor undoes", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 5, TERM}, {OUR_ATTEMPT, AMB_ON_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
+         .steps = {{{1, 5, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
                    {{1, 4, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_SEEN},
                    {{1, 5, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_SEEN}}},
         {"a late copy does not get a run order again", .begin = AMB_TASK_BOUND,
@@ -76,43 +76,51 @@
                    {{1, 2, TERM}, {NOT_LISTED}, {.runs = 1}, AMB_TASK_BOUND},
                    {{1, 3, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
         {"a result is not cleared before it is on record", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_ON_EXITED, AMB_WHY_DONE}, NO_ORDERS, AMB_TASK_DONE},
-                   {{1, 2, TERM}, {OUR_ATTEMPT, AMB_ON_EXITED, AMB_WHY_DONE}, NO_ORDERS, AMB_TASK_DONE}}},
-        {"a failed start is cleared", .begin = AMB_TASK_BOUND,
          .steps =
-             {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_ON_EXITED, AMB_WHY_ERROR}, {.clears = 1}, AMB_TASK_WAITING}}},
+             {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_ORDERS, AMB_TASK_DONE},
+              {{1, 2, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_ORDERS, AMB_TASK_DONE}}},
+        {"a failed start is cleared", .begin = AMB_TASK_BOUND,
+         .steps = {{{1, 1, TERM},
+                    {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_ERROR},
+                    {.clears = 1},
+                    AMB_TASK_WAITING}}},
         {"an exit under an old token is not concluded from", .begin = AMB_TASK_BOUND, .foreign = true,
-         .steps =
-             {{{1, 1, TERM - 1}, {OUR_ATTEMPT, AMB_ON_EXITED, AMB_WHY_DONE}, NO_ORDERS, AMB_TASK_BOUND}}},
+         .steps = {{{1, 1, TERM - 1},
+                    {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
+                    NO_ORDERS,
+                    AMB_TASK_BOUND}}},
         {"cancelled: told to stop until it is gone", .begin = AMB_TASK_BOUND, .cancelled = true,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_ON_RUNNING}, {.halts = 1}, AMB_TASK_SEEN},
-                   {{1, 2, TERM}, {OUR_ATTEMPT, AMB_ON_RUNNING}, {.halts = 1}, AMB_TASK_SEEN},
+         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.halts = 1}, AMB_TASK_SEEN},
+                   {{1, 2, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.halts = 1}, AMB_TASK_SEEN},
                    {{1, 3, TERM},
-                    {OUR_ATTEMPT, AMB_ON_EXITED, AMB_WHY_STOPPED},
+                    {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_STOPPED},
                     {.clears = 1},
                     AMB_TASK_WAITING}}},
         {"cancelled and not there: never started", .begin = AMB_TASK_BOUND, .cancelled = true,
          .foreign = true, .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
         {"another attempt of ours on the machine is stopped", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, TERM}, {OTHER_ATTEMPT, AMB_ON_RUNNING}, {.runs = 1, .halts = 1}, AMB_TASK_BOUND}}},
+         .steps = {{{1, 1, TERM},
+                    {OTHER_ATTEMPT, AMB_AGENT_TASK_RUNNING},
+                    {.runs = 1, .halts = 1},
+                    AMB_TASK_BOUND}}},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         setup(NULL);
-        struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
         struct amb_task *task = bound(job, 0, "m-1", OURS);
         task->state = rows[i].begin;
-        task->foreign = rows[i].foreign;
+        task->inherited = rows[i].foreign;
         if (rows[i].cancelled) {
             job->state = AMB_JOB_CANCELLED;
-            amb_task_halt(node, task, 0, "cancelled");
+            amb_task_request_stop(node, task, 0, "cancelled");
         }
         for (size_t k = 0; k < ROWS(rows[i].steps) && rows[i].steps[k].report.session; k++) {
             const struct step *step = &rows[i].steps[k];
             assert_true(report_step(step));
             if (!orders_are(&step->orders) || task->state != step->want)
                 fail_msg("%s, step %zu: %zu runs, %zu halts, %zu clears, state %d", rows[i].what, k,
-                         count_orders(AMB_OP_RUN), count_orders(AMB_OP_HALT), count_orders(AMB_OP_CLEAR),
-                         task->state);
+                         count_orders(AMB_COMMAND_RUN), count_orders(AMB_COMMAND_STOP),
+                         count_orders(AMB_COMMAND_CLEAR), task->state);
         }
         end(NULL);
     }
@@ -121,11 +129,11 @@
 /* /commands may be carried out minutes late: what stops a task may go there, what starts one may not. */
 static void commands_start_nothing(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 2);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
     machine_up("m-1", 0);
     bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     bound(job, 1, "m-1", 2);
-    amb_task_halt(node, &job->tasks[0], 0, "test");
+    amb_task_request_stop(node, &job->tasks[0], 0, "test");
     amb_fleet_tick(node, amb_now());
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
@@ -152,19 +160,19 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         end(NULL);
         setup(NULL);
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 3);
-        job->spec->spread = rows[i].spread;
-        node->set.teams[0].limit.gpus = rows[i].limit;
-        int zone = amb_catalog_zone(&node->catalog, "a");
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
+        job->spec->spread_zones = rows[i].spread;
+        node->settings.teams[0].limit.gpus = rows[i].limit;
+        int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
         const char *names[] = {"m-0", "m-1", "m-2"};
         for (uint32_t k = 0; k <= rows[i].others; k++) {
             struct amb_machine *machine = amb_machine_get(node, names[k], true);
-            machine->zone = zone;
-            machine->type = 0;
-            bound(job, k, names[k], 1)->foreign = true;
+            machine->zone_index = zone;
+            machine->type_index = 0;
+            bound(job, k, names[k], 1)->inherited = true;
         }
         report("m-0", 1, 1, TERM, amb_now(), NULL, 0);
-        if ((count_orders(AMB_OP_RUN) == 1) != rows[i].starts ||
+        if ((count_orders(AMB_COMMAND_RUN) == 1) != rows[i].starts ||
             (job->tasks[0].machine != NULL) != rows[i].starts)
             fail_msg("%s", rows[i].what);
     }
@@ -186,20 +194,21 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 2), *other = add_job("wk-2", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2),
+                       *other = add_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
         job->spec->one_zone = rows[i].one_zone;
-        other->spec->each.gpus = rows[i].others_gpus;
+        other->spec->task_resources.gpus = rows[i].others_gpus;
         machine_in("m-1", 0);
         machine_in("m-2", 1);
-        bound(job, 0, "m-1", 1)->foreign = true;
-        if (rows[i].elsewhere) bound(job, 1, "m-2", 2)->foreign = true;
+        bound(job, 0, "m-1", 1)->inherited = true;
+        if (rows[i].elsewhere) bound(job, 1, "m-2", 2)->inherited = true;
         if (rows[i].others_gpus > 0) {
             bound(other, 0, "m-1", 1);
             other->tasks[0].state = AMB_TASK_PLACED;
         }
         report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-        if (count_orders(AMB_OP_RUN) != (rows[i].starts ? 1 : 0))
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_OP_RUN));
+        if (count_orders(AMB_COMMAND_RUN) != (rows[i].starts ? 1 : 0))
+            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
     }
 }
 
@@ -222,7 +231,7 @@
     enum meanwhile { NOTHING, CANCELLED, SENT_BEFORE, FOREIGN, FENCED, HUNG_UP };
     static const struct {
         const char *what;
-        enum amb_task_state state;
+        enum amb_task_set_state state;
         enum meanwhile meanwhile;
         int status;
         size_t starts;
@@ -239,18 +248,18 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         struct amb_http_req *request = hold_answer();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_task *task = bound(job, 0, "m-1", 1);
         task->state = rows[i].state;
-        task->sent = rows[i].meanwhile == SENT_BEFORE;
-        task->foreign = rows[i].meanwhile == FOREIGN;
-        if (rows[i].meanwhile == CANCELLED) amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
+        task->start_sent = rows[i].meanwhile == SENT_BEFORE;
+        task->inherited = rows[i].meanwhile == FOREIGN;
+        if (rows[i].meanwhile == CANCELLED) amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
         if (rows[i].meanwhile == FENCED) node->election.role = AMB_ROLE_FENCED;
         if (rows[i].meanwhile == HUNG_UP) request->conn = NULL;
         fake_clock_advance(400);
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
-        if (replied_orders("run") != rows[i].starts || task->sent != rows[i].sent)
-            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_orders("run"), task->sent);
+        if (replied_orders("run") != rows[i].starts || task->start_sent != rows[i].sent)
+            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_orders("run"), task->start_sent);
     }
 }
 
@@ -262,16 +271,16 @@
     } rows[] = {{1, 400}, {4, 1600}, {12, 1600}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        node->set.report_s = rows[i].report_s;
+        node->settings.report_s = rows[i].report_s;
         hold_answer();
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         fake_clock_advance(rows[i].waits - 1);
         assert_int_equal(answers(), 1);
         fake_clock_advance(1);
         if (answers() != 2) fail_msg("reports every %g s: not answered in time", rows[i].report_s);
-        if (machine->answered_at != amb_now())
+        if (machine->last_response_at != amb_now())
             fail_msg("the machine's lease counts from %lld ms before the answer",
-                     (long long)(amb_now() - machine->answered_at));
+                     (long long)(amb_now() - machine->last_response_at));
     }
 }
 
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -10,7 +10,10 @@
 }
 
 static void submit(const char *ref, const char *team) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
     struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
@@ -21,7 +24,7 @@
 }
 
 static const char *replied_state(void) {
-    static char text[AMB_NAME];
+    static char text[AMB_NAME_SIZE];
     if (!amb_cbor_str(amb_cbor_get(latest_map(), "stance"), text, sizeof text)) text[0] = 0;
     return text;
 }
@@ -60,8 +63,8 @@
                 {"refused", 503, 503, AMB_JOB_QUEUED}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-000001", AMB_SERVICE, 1);
-        job->stamp = 20;
+        struct amb_job *job = add_job("wk-000001", AMB_JOB_KIND_SERVICE, 1);
+        job->revision = 20;
         ask("POST", "/v1/jobs/wk-000001/cancel", NULL);
         answer_news(open_call("GET", "/follow"), 20, NULL, 0, 0);
         struct fake_call *commit = open_call("POST", "/commit");
@@ -112,8 +115,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        if (rows[i].known != UNKNOWN) add_job("wk-000001", AMB_SERVICE, 1)->stamp = 20;
-        if (rows[i].known == CANCELLED) amb_job_cancel_hint(node, "wk-000001", amb_wall_ms(), 61);
+        if (rows[i].known != UNKNOWN) add_job("wk-000001", AMB_JOB_KIND_SERVICE, 1)->revision = 20;
+        if (rows[i].known == CANCELLED) amb_job_apply_cancel_hint(node, "wk-000001", amb_wall_ms(), 61);
         if (rows[i].question == SUBMIT_IMPOSSIBLE)
             submit("wk-000001", "no-such-team");
         else
--- a/tests/api/test_user_cancellations.c
+++ b/tests/api/test_user_cancellations.c
@@ -63,7 +63,7 @@
     (void)state;
     struct amb_buf value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":{\"ref\":\"" JOB "\"}}");
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply(node, JOB, item, ACCEPTED);
+    amb_jobs_apply_item(node, JOB, item, ACCEPTED);
     cbor_decref(&item);
     amb_buf_free(&value);
     cancel(0);
--- a/tests/api/test_user_questions.c
+++ b/tests/api/test_user_questions.c
@@ -76,7 +76,7 @@
     anew();
     hear(ACCEPTED, "queued");
     poll_job(0);
-    amb_job_cancel_hint(node, JOB, amb_wall_ms(), CHANGED);
+    amb_job_apply_cancel_hint(node, JOB, amb_wall_ms(), CHANGED);
     fake_answer(open_call(SYNC), 0, NULL);
     expect("by a peer's word", 0, 200, "cancelled");
     hear(CHANGED, "cancelled");
@@ -94,10 +94,10 @@
     hear(CHANGED, "done");
     poll_job(1);
     expect("after another of the same stamp", 1, 200, "cancelled");
-    node->jobs.epoch = CHANGED;
+    node->jobs.known_revision = CHANGED;
     submit(2, "{\"ref\":\"wk-7\"}");
     answer_sync(ACCEPTED, "queued"); /* a read that lags */
-    assert_int_equal(node->jobs.epoch, CHANGED);
+    assert_int_equal(node->jobs.known_revision, CHANGED);
     poll_job(3);
     expect("after a read that lags", 3, 200, "cancelled");
 }
@@ -114,7 +114,7 @@
     static const char queued[] =
         "{\"path\":\"a/job/" JOB "\",\"stamp\":5,\"value\":{\"s\":\"queued\",\"a\":1}}";
     hear(5, "queued");
-    node->jobs.epoch = 5;
+    node->jobs.known_revision = 5;
     for (int user = 0; user < 3; user++) {
         if (node->jobs.sync_timer.slot) fire(&node->jobs.sync_timer);
         poll_job(user);
@@ -125,7 +125,7 @@
     assert_int_equal(fake_calls_sent("/store?"), 2);
     /* The job is cancelled between the pages, at 20010. */
     answer_list(20020, "{\"path\":\"a/leader\",\"stamp\":7,\"value\":{\"member\":\"n\",\"nonce\":1}}", false);
-    assert_int_equal(node->jobs.epoch, 20000);
+    assert_int_equal(node->jobs.known_revision, 20000);
     assert_string_equal(open_call(SYNC)->path, "/follow?prefix=a/&after=20000&wait_ms=2000");
 }
 
--- a/tests/api/test_users.c
+++ b/tests/api/test_users.c
@@ -167,7 +167,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        node->rental.catalog_known = rows[i].catalog;
+        node->cloud.catalog_known = rows[i].catalog;
         json_t *job = json_loads(GOOD, 0, NULL), *changes = json_loads(rows[i].changes, 0, NULL);
         json_object_update(job, changes);
         struct amb_buf body = {0};
@@ -180,7 +180,7 @@
         assert_int_equal(fake_calls_sent(COMMIT), rows[i].runs);
     }
     anew();
-    node->rental.catalog_known = false;
+    node->cloud.catalog_known = false;
     submit(0, GOOD);
     expect("types unknown: it can't be decided yet", 0, 503, NULL);
 }
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -20,7 +20,7 @@
 
 static void machines_that_hear_badly_rest(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     bound(job, 0, "m-1", 1);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     for (uint64_t seq = 1; seq <= 3; seq++) report("m-1", 1, seq, TERM, amb_now(), NULL, 0);
@@ -50,14 +50,14 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
         bound(job, 0, "m-1", 1);
         machine->state = rows[i].state;
-        machine->release_wanted = rows[i].wanted;
+        machine->release_pending = rows[i].wanted;
         report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-        if (count_orders(AMB_OP_RUN) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_OP_RUN));
+        if (count_orders(AMB_COMMAND_RUN) != rows[i].starts)
+            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
         if (machine->state != rows[i].state)
             fail_msg("%s: state %d by a report", rows[i].what, machine->state);
     }
@@ -65,9 +65,9 @@
 
 static void returned_machines_never_come_back(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     bound(job, 0, "m-1", 1);
-    amb_machine_gone(node, amb_machine_get(node, "m-1", false), AMB_ABSENCE_RETURNED);
+    amb_machine_gone(node, amb_machine_get(node, "m-1", false), AMB_ABSENCE_RELEASED);
     assert_null(job->tasks[0].machine);
     assert_true(report("m-1", 1, 9, TERM, amb_now(), NULL, 0));
     assert_null(amb_machine_get(node, "m-1", false));
@@ -92,12 +92,13 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         uint32_t total = rows[i].up + rows[i].unproven + rows[i].booting + rows[i].failed;
         for (uint32_t k = 0; k < total; k++) {
-            char name[AMB_NAME];
+            char name[AMB_NAME_SIZE];
             snprintf(name, sizeof name, "m-%zu-%u", i, k);
             struct amb_machine *machine = amb_machine_get(node, name, true);
-            machine->token_shown = k < rows[i].up;
+            machine->token_acknowledged = k < rows[i].up;
             if (k >= rows[i].up + rows[i].unproven) machine->state = AMB_MACHINE_BOOTING;
-            if (k >= total - rows[i].failed) machine->state = AMB_MACHINE_UNPROVEN, machine->failed = true;
+            if (k >= total - rows[i].failed)
+                machine->state = AMB_MACHINE_UNPROVEN, machine->failed_by_cloud = true;
         }
         if (amb_fleet_learned(node) != rows[i].want) fail_msg("%s", rows[i].what);
         amb_fleet_clear(node);
@@ -126,24 +127,24 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
-        amb_catalog_zone(&node->catalog, "a");
-        amb_catalog_zone(&node->catalog, "b");
-        node->ctl.leading_since = now - rows[i].leading;
+        amb_catalog_find_or_add_zone(&node->catalog, "a");
+        amb_catalog_find_or_add_zone(&node->catalog, "b");
+        node->controller.leader_since = now - rows[i].leading;
         const uint32_t counts[] = {rows[i].heard_a, rows[i].silent_a, rows[i].heard_b, rows[i].silent_b};
         for (int k = 0; k < 4; k++)
             for (uint32_t c = 0; c < counts[k]; c++) {
-                char name[AMB_NAME];
+                char name[AMB_NAME_SIZE];
                 snprintf(name, sizeof name, "m-%d-%u", k, c);
                 struct amb_machine *machine = amb_machine_get(node, name, true);
-                machine->type = 0;
-                machine->zone = k / 2;
+                machine->type_index = 0;
+                machine->zone_index = k / 2;
                 machine->state = AMB_MACHINE_UP;
-                machine->token_shown = true;
-                machine->reported_at = machine->answered_at = now - (k % 2 ? 5000 : 500);
+                machine->token_acknowledged = true;
+                machine->last_heartbeat_at = machine->last_response_at = now - (k % 2 ? 5000 : 500);
             }
-        node->deputy.known_count = 1;
-        node->deputy.known[0].zone = 1;
-        node->deputy.known[0].present = rows[i].deputy;
+        node->lease_proxy.known_count = 1;
+        node->lease_proxy.known[0].zone = 1;
+        node->lease_proxy.known[0].present = rows[i].deputy;
         amb_fleet_tick(node, now);
         if (amb_zone_unreachable(node, 1) != rows[i].unreachable || amb_zone_unreachable(node, 0))
             fail_msg("%s", rows[i].what);
@@ -171,34 +172,35 @@
         struct amb_machine *list[MACHINES];
         amb_ms now = amb_now() + 1000000;
         node->election.renewed_at = now;
-        node->ctl.leading_since = now - 60000;
+        node->controller.leader_since = now - 60000;
         for (int k = 0; k < MACHINES; k++) {
-            char name[AMB_NAME];
+            char name[AMB_NAME_SIZE];
             snprintf(name, sizeof name, "m-%d", k);
             list[k] = machine_up(name, 1);
-            list[k]->type = 0;
+            list[k]->type_index = 0;
             list[k]->state = AMB_MACHINE_SILENT;
-            list[k]->reported_at = list[k]->answered_at = list[k]->known_at = now - SILENT_MS;
+            list[k]->last_heartbeat_at = list[k]->last_response_at = list[k]->exists_since = now - SILENT_MS;
         }
         struct amb_machine *last = list[MACHINES - 1];
         if (rows[i].unproven) {
             last->state = AMB_MACHINE_UNPROVEN;
-            last->token_shown = false;
-            last->known_at = node->ctl.leading_since = now - 31000;
+            last->token_acknowledged = false;
+            last->exists_since = node->controller.leader_since = now - 31000;
         }
-        machine_up("m-a", 0)->reported_at = now;
+        machine_up("m-a", 0)->last_heartbeat_at = now;
         amb_fleet_tick(node, now);
         assert_true(amb_zone_unreachable(node, 1));
-        assert_false(last->release_wanted);
+        assert_false(last->release_pending);
         now += rows[i].since;
         fake_clock_advance(now - amb_now());
         node->election.renewed_at = now;
         for (int k = 0; k < MACHINES - 1; k++) {
             list[k]->state = AMB_MACHINE_UP;
-            list[k]->reported_at = list[k]->answered_at = now;
+            list[k]->last_heartbeat_at = list[k]->last_response_at = now;
         }
         amb_fleet_tick(node, now);
-        if (last->release_wanted != rows[i].returned) fail_msg("%s: %d", rows[i].what, last->release_wanted);
+        if (last->release_pending != rows[i].returned)
+            fail_msg("%s: %d", rows[i].what, last->release_pending);
     }
 }
 
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -12,14 +12,14 @@
     (void)state;
     amb_rental_want(node, 0, 0, false, 1);
     amb_rental_want(node, 0, 0, false, 1);
-    struct amb_rental_request *first = node->rental.requests, *second = first->next;
+    struct amb_rental_request *first = node->cloud.requests, *second = first->next;
     if (!strcmp(first->id, second->id)) fail_msg("%s twice under one term", first->id);
     char id[sizeof first->id];
     strcpy(id, first->id);
     begin_anew();
     node->election.term = TERM + 1;
     amb_rental_want(node, 0, 0, false, 1);
-    if (!strcmp(node->rental.requests->id, id)) fail_msg("%s under two terms", id);
+    if (!strcmp(node->cloud.requests->id, id)) fail_msg("%s under two terms", id);
 }
 
 static void rentals_are_recorded_until_they_must_be_listed(void **state) {
@@ -72,7 +72,7 @@
 
 static uint32_t requests(int *type) {
     uint32_t n = 0;
-    for (const struct amb_rental_request *c = node->rental.requests; c; c = c->next, n++) *type = c->type;
+    for (const struct amb_rental_request *c = node->cloud.requests; c; c = c->next, n++) *type = c->type;
     return n;
 }
 
@@ -81,10 +81,10 @@
     end(NULL);
     setup(NULL);
     strcpy(node->catalog.types[0].zones[0], "a");
-    node->catalog.types[0].nzones = 1;
+    node->catalog.types[0].zone_count = 1;
     node->catalog.types[0].boot_s = 50;
-    amb_catalog_zone(&node->catalog, "a");
-    node->rental.calls.tokens = 9;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    node->cloud.calls.tokens = 9;
 }
 
 static void plan_now(void) {
@@ -103,8 +103,8 @@
         uint32_t calls;
     } rows[] = {{0, 0, 0, 0, 1},   {3.5, 0, 0, 0, 3}, {3.5, 1, 1, 0, 1},
                 {3.5, 0, 0, 2, 3}, {0, 1, 0, 0, 0},   {2, 3, 3, 0, 0}};
-    struct amb_rental *r = &node->rental;
-    node->set.cloud_rps = 3;
+    struct amb_rental *r = &node->cloud;
+    node->settings.cloud_rps = 3;
     for (size_t i = 0; i < ROWS(rows); i++) {
         r->calls = (struct amb_token_bucket){.tokens = rows[i].tokens};
         for (int k = 0; k < rows[i].recording + rows[i].asking + rows[i].asked; k++) {
@@ -118,19 +118,21 @@
         amb_rental_clear(node);
         if (calls != rows[i].calls) fail_msg("row %zu: %u calls", i, calls);
     }
-    node->catalog.ntypes = 2;
+    node->catalog.type_count = 2;
     for (int t = 0; t < 2; t++) {
-        struct amb_type *y = &node->catalog.types[t];
-        *y = (struct amb_type){.size = {96, 8, 576}, .price = 10, .boot_s = 50, .nzones = 1, .zones = {"a"}};
+        struct amb_machine_type *y = &node->catalog.types[t];
+        *y = (struct amb_machine_type){
+            .resources = {96, 8, 576}, .hourly_price = 10, .boot_s = 50, .zone_count = 1, .zones = {"a"}};
         strcpy(y->name, t ? "g8" : "g4");
     }
-    amb_catalog_zone(&node->catalog, "a");
-    struct amb_job *surge = add_job("wk-1", AMB_SERVICE, 9), *draft = add_job("wk-2", AMB_SERVICE, 1);
-    surge->spec->priority = AMB_HIGH;
-    draft->spec->priority = AMB_PROD;
-    surge->spec->ntypes = draft->spec->ntypes = 1;
-    strcpy(surge->spec->types[0], "g4");
-    strcpy(draft->spec->types[0], "g8");
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    struct amb_job *surge = add_job("wk-1", AMB_JOB_KIND_SERVICE, 9),
+                   *draft = add_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
+    surge->spec->priority = AMB_PRIORITY_HIGH;
+    draft->spec->priority = AMB_PRIORITY_PRODUCTION;
+    surge->spec->allowed_type_count = draft->spec->allowed_type_count = 1;
+    strcpy(surge->spec->allowed_types[0], "g4");
+    strcpy(draft->spec->allowed_types[0], "g8");
     int type = -1;
     r->calls = (struct amb_token_bucket){.tokens = 1};
     plan_now();
@@ -145,7 +147,7 @@
     /* Gangs of any size are planned: those of more than 256 tasks once never got a machine. */
     amb_rental_clear(node);
     surge->state = draft->state = AMB_JOB_CANCELLED;
-    add_job("wk-3", AMB_GANG, 300);
+    add_job("wk-3", AMB_JOB_KIND_GANG, 300);
     plan_now();
     assert_int_equal(requests(&type), 1);
     assert_int_equal(r->requests->count, 19); /* half of 38: the other type costs the same */
@@ -169,21 +171,24 @@
     node->catalog.types[0].boot_s = 50;
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job jobs[4];
-        struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_PROD, .tasks = 2, .class_name = "help"};
-        node->ctl.ndemands = 0;
+        struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                    .priority = AMB_PRIORITY_PRODUCTION,
+                                    .task_count = 2,
+                                    .class_name = "help"};
+        node->controller.demand_count = 0;
         memset(jobs, 0, sizeof jobs);
         for (int k = 0; k < 4; k++) {
             jobs[k].spec = &spec;
-            jobs[k].accepted_wall = amb_wall_ms() - rows[i].ages[k] * 1000L;
+            jobs[k].accepted_wall_ms = amb_wall_ms() - rows[i].ages[k] * 1000L;
             if (k == 2 && rows[i].lead_between) amb_controller_lead(node);
             amb_plan_demand(node, &jobs[k]);
         }
         for (int k = 0; k < 4 && rows[i].twice; k++) amb_plan_demand(node, &jobs[k]);
-        assert_int_equal(node->ctl.ndemands, 1);
-        struct amb_demand *d = &node->ctl.demands[0];
+        assert_int_equal(node->controller.demand_count, 1);
+        struct amb_demand *d = &node->controller.demands[0];
         /* The rate holds at the latest arrival that was noted, a moment ago at most. */
-        if (fabs(d->rate - rows[i].rate) > rows[i].rate * 0.01 || d->size2 != 4)
-            fail_msg("%s: %g a second, squares %g", rows[i].what, d->rate, d->size2);
+        if (fabs(d->tasks_per_s - rows[i].rate) > rows[i].rate * 0.01 || d->mean_square_tasks != 4)
+            fail_msg("%s: %g a second, squares %g", rows[i].what, d->tasks_per_s, d->mean_square_tasks);
     }
 }
 
@@ -207,26 +212,26 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew_with_a_cloud();
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
         if (rows[i].over) job->state = AMB_JOB_CANCELLED;
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-        machine->type = machine->zone = 0;
+        machine->type_index = machine->zone_index = 0;
         machine->state = AMB_MACHINE_UP;
-        machine->token_shown = true;
-        machine->reported_at = now - rows[i].silent;
+        machine->token_acknowledged = true;
+        machine->last_heartbeat_at = now - rows[i].silent;
         if (!rows[i].alone) {
             struct amb_machine *other = amb_machine_get(node, "m-2", true);
-            other->reported_at = now - 500;
-            other->release_wanted = true; /* no room there */
+            other->last_heartbeat_at = now - 500;
+            other->release_pending = true; /* no room there */
         }
-        node->deputy.known_count = 1;
-        node->deputy.known[0].present = rows[i].deputy;
+        node->lease_proxy.known_count = 1;
+        node->lease_proxy.known[0].present = rows[i].deputy;
         struct amb_round *cycle = amb_round_new(node, now);
         amb_plan(cycle);
         amb_round_free(cycle);
         uint32_t wants = 0;
-        for (struct amb_rental_request *c = node->rental.requests; c; c = c->next) wants += c->count;
+        for (struct amb_rental_request *c = node->cloud.requests; c; c = c->next) wants += c->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
     }
 }
@@ -247,7 +252,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew_with_a_cloud();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 3);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
         if (rows[i].bound) bound(job, 0, "m-1", 1);
         job->failures.broken = rows[i].broken;
         struct amb_round *cycle = amb_round_new(node, amb_now());
@@ -284,7 +289,7 @@
         amb_w_str(&body, "truncated"), amb_w_bool(&body, false);
         fake_answer(open_call("GET", "/machines?"), 200, &body);
         plan_now();
-        if (machine->release_wanted != rows[i].returned) fail_msg("%s", rows[i].what);
+        if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -292,16 +297,16 @@
 
 /* One task of the job ends on m-1, which is then idle or being emptied, and the machine reports it. */
 static struct amb_machine *machine_with_an_end(uint32_t tasks, bool drain, amb_ms now) {
-    static struct amb_seen ended;
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, tasks);
+    static struct amb_agent_task ended;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, tasks);
     struct amb_machine *machine = machine_up("m-1", 0);
     machine->drain = drain;
-    job->stamp = 20;
-    job->hold_until = now + 1000000; /* no demand for room */
+    job->revision = 20;
+    job->backoff_until = now + 1000000; /* no demand for room */
     bound(job, 0, "m-1", 1);
-    ended = listing("wk-1", 0, 1, AMB_ON_EXITED, AMB_WHY_DONE);
+    ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
     report("m-1", 1, 1, TERM, now, &ended, 1);
-    machine->idle_since = node->ctl.leading_since = now - 1000000;
+    machine->idle_since = node->controller.leader_since = now - 1000000;
     return machine;
 }
 
@@ -321,10 +326,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        const struct amb_seen ended = listing("wk-1", 0, 1, AMB_ON_EXITED, AMB_WHY_DONE);
+        const struct amb_agent_task ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
         struct amb_machine *machine = machine_with_an_end(rows[i].tasks, rows[i].drain, amb_now());
         plan_now();
-        if (machine->release_wanted) fail_msg("%s: returned before the end is written", rows[i].what);
+        if (machine->release_pending) fail_msg("%s: returned before the end is written", rows[i].what);
         /* Results of a job that goes on wait for more to write, but not those of a machine being emptied. */
         fake_clock_advance(rows[i].drain ? 0 : 2500);
         node->election.renewed_at = amb_now();
@@ -332,12 +337,12 @@
         struct fake_call *commit = open_call("POST", "/commit");
         report("m-1", 1, 2, TERM, amb_now(), &ended, 1);
         plan_now();
-        if (machine->release_wanted) fail_msg("%s: returned while the end is being written", rows[i].what);
+        if (machine->release_pending) fail_msg("%s: returned while the end is being written", rows[i].what);
         answer_epoch(commit, 60);
         report("m-1", 1, 3, TERM, amb_now(), &ended, 1);
         plan_now();
-        if (count_orders(AMB_OP_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
-        if (!machine->release_wanted) fail_msg("%s: not returned once the end is on record", rows[i].what);
+        if (count_orders(AMB_COMMAND_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
+        if (!machine->release_pending) fail_msg("%s: not returned once the end is on record", rows[i].what);
     }
 }
 
--- a/tests/cloud/test_return_record.c
+++ b/tests/cloud/test_return_record.c
@@ -13,7 +13,7 @@
 
 static void turn(void) {
     fake_clock_advance(1000);
-    node->election.renewed_at = node->rental.list_at = amb_now();
+    node->election.renewed_at = node->cloud.list_at = amb_now();
     amb_rental_tick(node, amb_now());
 }
 
@@ -156,7 +156,7 @@
         if (rows[i].known_after) machine_up("m-1", 0)->state = AMB_MACHINE_UP;
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         if (machine && amb_machine_usable(node, machine, amb_now())) fail_msg("%s: used", rows[i].what);
-        if (machine && !machine->release_wanted) fail_msg("%s: not known to be returned", rows[i].what);
+        if (machine && !machine->release_pending) fail_msg("%s: not known to be returned", rows[i].what);
         turn();
         assert_null(find_call("POST", "/commit")); /* it is on record */
         fake_answer(open_call("POST", "/machines/release"), 0, NULL);
@@ -177,7 +177,7 @@
     load_record("m-1");
     turn();
     assert_false(cloud_is_called());
-    assert_int_equal(node->rental.return_record.stamp, FIRST_STAMP);
+    assert_int_equal(node->cloud.return_record.stamp, FIRST_STAMP);
 }
 
 static void answers_of_an_earlier_term_mean_nothing(void **state) {
@@ -186,9 +186,9 @@
     struct fake_call *commit = expect_write("m-1", 0);
     node->election.term = TERM + 1;
     answer_epoch(commit, FIRST_STAMP);
-    assert_int_equal(node->rental.return_record.state, AMB_RETURN_WRITING);
+    assert_int_equal(node->cloud.return_record.state, AMB_RETURN_WRITING);
     amb_rental_clear(node);
-    assert_int_equal(node->rental.return_record.state, AMB_RETURN_UNRECORDED);
+    assert_int_equal(node->cloud.return_record.state, AMB_RETURN_UNRECORDED);
 }
 
 int main(void) {
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -17,12 +17,13 @@
 /* ---- drawn pages ---- */
 
 static void put_description(struct amb_buf *out, const char *ref) {
-    struct amb_spec spec = {.kind = AMB_ARRAY, .priority = AMB_NORMAL, .tasks = 1 + (uint32_t)draw(9)};
+    struct amb_job_spec spec = {
+        .kind = AMB_JOB_KIND_ARRAY, .priority = AMB_PRIORITY_NORMAL, .task_count = 1 + (uint32_t)draw(9)};
     snprintf(spec.ref, sizeof spec.ref, "%s", ref);
     strcpy(spec.class_name, "sweep");
     strcpy(spec.team, "t");
     strcpy(spec.image, draw(20) ? "img" : "im\xc3\xa1gen"); /* a text that only libcbor reads */
-    spec.each.cpus = 1;
+    spec.task_resources.cpus = 1;
     amb_codec_put_spec(out, &spec);
 }
 
@@ -59,7 +60,7 @@
 }
 
 static void put_change(struct amb_buf *out) {
-    char key[AMB_NAME];
+    char key[AMB_NAME_SIZE];
     snprintf(key, sizeof key, "a/job/wk-%llu", (unsigned long long)draw(JOBS));
     bool removes = !draw(15), stamped = draw(60) != 0, valued = !removes && draw(60);
     amb_w_map(out, 1u + stamped + valued);
@@ -99,7 +100,7 @@
         if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &stamp)) continue;
         if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key) || strncmp(key, "a/job/", 6))
             continue;
-        amb_jobs_apply(to, key + strlen("a/job/"), amb_cbor_get(change, "value"), stamp);
+        amb_jobs_apply_item(to, key + strlen("a/job/"), amb_cbor_get(change, "value"), stamp);
     }
     if (body) cbor_decref(&body);
     return understood;
@@ -107,16 +108,16 @@
 
 static void assert_same_jobs(struct amb_node *a, struct amb_node *b) {
     assert_int_equal(HASH_COUNT(a->jobs.all), HASH_COUNT(b->jobs.all));
-    assert_int_equal(a->jobs.described, b->jobs.described);
+    assert_int_equal(a->jobs.spec_count, b->jobs.spec_count);
     for (const struct amb_job *job = a->jobs.all; job; job = job->hh.next) {
         const struct amb_job *same = amb_job_find(b, job->ref);
         assert_non_null(same);
         assert_int_equal(job->state, same->state);
-        assert_int_equal(job->stamp, same->stamp);
-        assert_int_equal(job->cancel_stamp, same->cancel_stamp);
-        assert_int_equal(job->accepted_wall, same->accepted_wall);
-        assert_int_equal(job->cancelled_wall, same->cancelled_wall);
-        assert_int_equal(job->shown_done, same->shown_done);
+        assert_int_equal(job->revision, same->revision);
+        assert_int_equal(job->cancel_revision, same->cancel_revision);
+        assert_int_equal(job->accepted_wall_ms, same->accepted_wall_ms);
+        assert_int_equal(job->cancelled_wall_ms, same->cancelled_wall_ms);
+        assert_int_equal(job->progress_done, same->progress_done);
         assert_int_equal(job->spec != NULL, same->spec != NULL);
         if (job->spec) assert_memory_equal(job->spec, same->spec, sizeof *job->spec);
     }
@@ -125,10 +126,10 @@
 static int begin(void **state) {
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
-    strcpy(node->set.state, "S:1");
-    node->set.state_rps = node->set.state_write_rps = 1e9;
-    strcpy(node->set.teams[0].name, "t");
-    amb_store_init(&node->store, &node->set, 1000);
+    strcpy(node->settings.state, "S:1");
+    node->settings.state_rps = node->settings.state_write_rps = 1e9;
+    strcpy(node->settings.teams[0].name, "t");
+    amb_store_init(&node->store, &node->settings, 1000);
     node->jobs.loaded = true;
     return 0;
 }
@@ -137,7 +138,7 @@
     fake_answer_all_lost();
     fake_http_reset();
     amb_timer_stop(&node->jobs.sync_timer);
-    amb_timer_stop(&node->jobs.follow_timer);
+    amb_timer_stop(&node->jobs.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
--- a/tests/codec/test_codec.c
+++ b/tests/codec/test_codec.c
@@ -38,7 +38,7 @@
 }
 
 /* The good job with one field changed, or left out when the change has no key. */
-static enum amb_parse parse_with(const char *key, const struct field *change, struct amb_spec *out) {
+static enum amb_parse parse_with(const char *key, const struct field *change, struct amb_job_spec *out) {
     struct amb_buf buffer = {0};
     amb_w_map(&buffer, ROWS(good) - (change == NULL && key ? 1 : 0));
     for (size_t i = 0; i < ROWS(good); i++) {
@@ -58,13 +58,13 @@
 
 static void job_is_read_and_written_back(void **state) {
     (void)state;
-    struct amb_spec spec, again;
+    struct amb_job_spec spec, again;
     assert_int_equal(parse_with(NULL, NULL, &spec), AMB_PARSE_OK);
-    assert_int_equal(spec.kind, AMB_GANG);
-    assert_int_equal(spec.priority, AMB_HIGH);
-    assert_int_equal(spec.tasks, 16);
-    assert_true(spec.one_zone && !spec.spread && spec.spot);
-    assert_string_equal(spec.types[0], "g8");
+    assert_int_equal(spec.kind, AMB_JOB_KIND_GANG);
+    assert_int_equal(spec.priority, AMB_PRIORITY_HIGH);
+    assert_int_equal(spec.task_count, 16);
+    assert_true(spec.one_zone && !spec.spread_zones && spec.spot_allowed);
+    assert_string_equal(spec.allowed_types[0], "g8");
     struct amb_buf buffer = {0};
     amb_codec_put_spec(&buffer, &spec);
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
@@ -87,14 +87,14 @@
         {"one_zone", K_NUM, "", 1},    {"scatter", K_NUM, "", 0.5},    {"driftwood", K_TEXT, "no", 0},
         {"due_s", K_TEXT, "soon", 0},  {"mark_s", K_NUM, "", -0.5},
     };
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     for (size_t i = 0; i < ROWS(bad); i++)
         if (parse_with(bad[i].key, &bad[i], &spec) != AMB_PARSE_BAD) fail_msg("row %zu: %s", i, bad[i].key);
 }
 
 static void only_nullable_fields_may_be_missing(void **state) {
     (void)state;
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     for (size_t i = 0; i < ROWS(good); i++) {
         const char *k = good[i].key;
         bool may = !strcmp(k, "hulls") || !strcmp(k, "yard") || !strcmp(k, "due_s");
@@ -115,7 +115,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         cbor_item_t *item = amb_cbor_parse(rows[i].bytes, rows[i].len);
-        struct amb_spec spec;
+        struct amb_job_spec spec;
         if ((item != NULL) != rows[i].cbor) fail_msg("row %zu", i);
         assert_int_equal(amb_codec_spec(item, &spec), AMB_PARSE_BAD);
         if (item) cbor_decref(&item);
@@ -169,13 +169,13 @@
     amb_w_str(&buffer, "cause");
     amb_w_str(&buffer, "done");
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    struct amb_report heartbeat;
+    struct amb_agent_heartbeat heartbeat;
     assert_int_equal(amb_codec_report(item, &heartbeat), AMB_PARSE_OK);
-    assert_int_equal(heartbeat.ntasks, 1);
-    assert_string_equal(heartbeat.tasks[0].ref, "wk-1");
+    assert_int_equal(heartbeat.task_count, 1);
+    assert_string_equal(heartbeat.tasks[0].job_ref, "wk-1");
     assert_int_equal(heartbeat.tasks[0].index, 3);
-    assert_int_equal(heartbeat.tasks[0].why, AMB_WHY_DONE);
-    assert_true(heartbeat.notice_s < 0);
+    assert_int_equal(heartbeat.tasks[0].exit_reason, AMB_EXIT_DONE);
+    assert_true(heartbeat.reclaim_notice_s < 0);
     amb_report_free(&heartbeat);
     cbor_decref(&item);
     size_t read = 0;
@@ -312,26 +312,28 @@
     amb_buf_free(&buffer);
 }
 
-static void same_report(const struct amb_report *a, const struct amb_report *b) {
+static void same_report(const struct amb_agent_heartbeat *a, const struct amb_agent_heartbeat *b) {
     assert_string_equal(a->machine, b->machine);
-    assert_string_equal(a->addr, b->addr);
+    assert_string_equal(a->address, b->address);
     assert_string_equal(a->type, b->type);
     assert_string_equal(a->zone, b->zone);
     assert_int_equal(a->spot, b->spot);
-    assert_true(a->session == b->session && a->seq == b->seq && a->token == b->token);
-    assert_true(a->notice_s == b->notice_s);
-    assert_int_equal(a->ntasks, b->ntasks);
-    for (size_t i = 0; i < a->ntasks; i++) {
-        const struct amb_seen *x = &a->tasks[i], *y = &b->tasks[i];
-        assert_string_equal(x->ref, y->ref);
+    assert_true(a->incarnation == b->incarnation && a->sequence == b->sequence &&
+                a->fencing_token == b->fencing_token);
+    assert_true(a->reclaim_notice_s == b->reclaim_notice_s);
+    assert_int_equal(a->task_count, b->task_count);
+    for (size_t i = 0; i < a->task_count; i++) {
+        const struct amb_agent_task *x = &a->tasks[i], *y = &b->tasks[i];
+        assert_string_equal(x->job_ref, y->job_ref);
         assert_true(x->index == y->index && x->attempt == y->attempt);
-        assert_true(x->on == y->on && x->why == y->why && x->saved == y->saved);
+        assert_true(x->state == y->state && x->exit_reason == y->exit_reason &&
+                    x->checkpoint_saved == y->checkpoint_saved);
     }
 }
 
 /* Whether the quick reading took it. */
 static bool compare_readings(const char *data, size_t len, enum amb_parse *result) {
-    struct amb_report quick, full;
+    struct amb_agent_heartbeat quick, full;
     char *copy = malloc(len ? len : 1); /* of just this size, so that the sanitizer sees any read beyond */
     memcpy(copy, data, len);
     cbor_item_t *item = amb_cbor_parse(copy, len);
@@ -342,7 +344,7 @@
         same_report(&quick, &full);
         amb_report_free(&quick);
     }
-    struct amb_report either;
+    struct amb_agent_heartbeat either;
     assert_int_equal(amb_codec_read_report(copy, len, &either), *result);
     if (*result == AMB_PARSE_OK) {
         same_report(&either, &full);
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -12,14 +12,14 @@
 static void begin(void) {
     fake_http_reset();
     setup(NULL);
-    strcpy(node->set.member, "n-0");
-    strcpy(node->set.state, "state:1");
-    node->set.state_rps = node->set.state_write_rps = 1000;
-    node->set.npeers = PEERS;
-    amb_store_init(&node->store, &node->set, 1000);
+    strcpy(node->settings.member, "n-0");
+    strcpy(node->settings.state, "state:1");
+    node->settings.state_rps = node->settings.state_write_rps = 1000;
+    node->settings.npeers = PEERS;
+    amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
     node->peers.count = PEERS;
-    for (uint32_t i = 0; i < PEERS; i++) snprintf(node->peers.list[i].member, AMB_NAME, "n-%u", i + 1);
+    for (uint32_t i = 0; i < PEERS; i++) snprintf(node->peers.list[i].member, AMB_NAME_SIZE, "n-%u", i + 1);
 }
 
 static void end(void) {
@@ -137,7 +137,7 @@
         if (rows[i].upgrade_over) amb_format_complete_upgrade(node, "test");
         if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWER;
         if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
-        if (rows[i].loading) node->ctl.loaded_at = 0;
+        if (rows[i].loading) node->controller.restored_at = 0;
         if (amb_format_has_older_peer(node) != rows[i].known_old) fail_msg("%s: known_old", rows[i].what);
         amb_format_tick(node, amb_now());
         amb_format_tick(node, amb_now());
@@ -234,7 +234,7 @@
     assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
     fake_answer(list, 200, &body);
     assert_int_equal(amb_format_active(node), AMB_FORMAT_2);
-    amb_timer_stop(&node->jobs.follow_timer);
+    amb_timer_stop(&node->jobs.watch_timer);
     end();
 }
 
@@ -252,8 +252,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        node->set.state_next.write_rps = rows[i].announced ? 600 : 0;
-        amb_store_init(&node->store, &node->set, 1000);
+        node->settings.state_next.write_rps = rows[i].announced ? 600 : 0;
+        amb_store_init(&node->store, &node->settings, 1000);
         amb_store_set_leadership(&node->store, rows[i].leads);
         json_t *before = amb_peer_answer(node, NULL);
         assert_null(json_object_get(before, "limits_lowered"));
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -12,7 +12,7 @@
 static void sizes(void **state) {
     (void)state;
     static const struct {
-        enum amb_layout layout;
+        enum amb_block_layout layout;
         double value_kb;
         uint32_t want;
     } rows[] = {
@@ -28,7 +28,7 @@
 static void ranges(void **state) {
     (void)state;
     static const struct {
-        struct amb_block_id id;
+        struct amb_placement_block_id id;
         uint32_t tasks, first, end;
     } rows[] = {
         {{OLD, 327, 0}, 500, 0, 327},
@@ -50,7 +50,7 @@
     (void)state;
     static const struct {
         const char *key, *ref; /* NULL: not a block's key */
-        struct amb_block_id id;
+        struct amb_placement_block_id id;
     } rows[] = {
         {"b/p/wk-000001/00003", "wk-000001", {OLD, 0, 3}},
         {"b/n/wk-000001/000058/000003", "wk-000001", {NEW, 58, 3}},
@@ -71,8 +71,8 @@
         {"", NULL, {0}},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        char ref[AMB_NAME] = "", key[AMB_BLOCK_KEY];
-        struct amb_block_id id;
+        char ref[AMB_NAME_SIZE] = "", key[AMB_BLOCK_KEY];
+        struct amb_placement_block_id id;
         bool ok = amb_layout_parse_key(rows[i].key, ref, &id);
         if (ok != (rows[i].ref != NULL)) fail_msg("%s: %s", rows[i].key, ok ? "taken" : "refused");
         if (!ok) continue;
@@ -88,7 +88,7 @@
 static void precedence(void **state) {
     (void)state;
     static const struct {
-        struct amb_block_id a, b;
+        struct amb_placement_block_id a, b;
         bool precedes;
     } rows[] = {
         {{NEW, 58, 0}, {OLD, 327, 0}, true},   {{OLD, 327, 0}, {NEW, 58, 0}, false},
@@ -164,7 +164,7 @@
 
 static struct amb_catalog *catalog(void) {
     static struct amb_catalog names;
-    names = (struct amb_catalog){.ntypes = 2, .nzones = 2};
+    names = (struct amb_catalog){.type_count = 2, .zone_count = 2};
     strcpy(names.types[0].name, "g8");
     strcpy(names.types[1].name, "anboto-large");
     strcpy(names.zones[0], "a");
@@ -203,7 +203,7 @@
 static void full_blocks_fit(void **state) {
     (void)state;
     static const struct {
-        enum amb_layout layout;
+        enum amb_block_layout layout;
         double value_kb;
         const char *machine;
         uint64_t attempt;
