--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -11,29 +11,29 @@
 /* A node that leads, with a team that has its turn, and two zones. */
 static void begin(void) {
     setup(NULL);
-    amb_wdrr_prepare(node->set.teams, node->set.nteams, true);
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
+    amb_wdrr_prepare(node->settings.teams, node->settings.nteams, true);
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
 }
 
 /* A machine that has shown our token, in this zone. */
 static struct amb_machine *machine_in(const char *name, int zone) {
     report(name, 1, 1, TERM, amb_now(), NULL, 0);
     struct amb_machine *machine = amb_machine_get(node, name, false);
-    machine->zone = zone;
+    machine->zone_index = zone;
     return machine;
 }
 
-static struct amb_job *job_on(enum amb_kind kind, bool one_zone, bool spread, uint32_t tasks,
+static struct amb_job *job_on(enum amb_job_kind kind, bool one_zone, bool spread, uint32_t tasks,
                               const int *zones, uint32_t count) {
     struct amb_job *job = add_job("wk-1", kind, tasks);
     job->spec->one_zone = one_zone;
-    job->spec->spread = spread;
+    job->spec->spread_zones = spread;
     for (uint32_t i = 0; i < count; i++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-old-%u", i);
-        amb_machine_get(node, name, true)->zone = zones[i];
-        bound(job, i, name, 1)->foreign = true;
+        amb_machine_get(node, name, true)->zone_index = zones[i];
+        bound(job, i, name, 1)->inherited = true;
     }
     return job;
 }
@@ -42,7 +42,7 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_kind kind;
+        enum amb_job_kind kind;
         bool one_zone, spread;
         uint32_t tasks;
         int on_record[3];
@@ -50,11 +50,20 @@
         uint32_t want_a, want_b; /* tasks in each zone then, of those whose zone is known */
         bool either;             /* or the other way round */
     } rows[] = {
-        {"array bound to one zone, nothing placed yet", AMB_ARRAY, true, false, 4, {0}, 0, 4, 0, true},
-        {"array with a task in a", AMB_ARRAY, true, false, 4, {A}, 1, 4, 0, false},
-        {"array with a task in b", AMB_ARRAY, true, false, 4, {B}, 1, 0, 4, false},
+        {"array bound to one zone, nothing placed yet",
+         AMB_JOB_KIND_ARRAY,
+         true,
+         false,
+         4,
+         {0},
+         0,
+         4,
+         0,
+         true},
+        {"array with a task in a", AMB_JOB_KIND_ARRAY, true, false, 4, {A}, 1, 4, 0, false},
+        {"array with a task in b", AMB_JOB_KIND_ARRAY, true, false, 4, {B}, 1, 0, 4, false},
         {"array on record in both: a block names tasks long gone",
-         AMB_ARRAY,
+         AMB_JOB_KIND_ARRAY,
          true,
          false,
          4,
@@ -63,9 +72,18 @@
          1,
          1,
          false},
-        {"array with a task nobody knows where", AMB_ARRAY, true, false, 4, {UNKNOWN}, 1, 0, 0, false},
+        {"array with a task nobody knows where",
+         AMB_JOB_KIND_ARRAY,
+         true,
+         false,
+         4,
+         {UNKNOWN},
+         1,
+         0,
+         0,
+         false},
         {"array with one in a and one nobody knows where",
-         AMB_ARRAY,
+         AMB_JOB_KIND_ARRAY,
          true,
          false,
          4,
@@ -74,12 +92,30 @@
          1,
          0,
          false},
-        {"service bound to one zone, on record in both", AMB_SERVICE, true, false, 3, {B, A}, 2, 1, 1, false},
-        {"spread: half in each", AMB_SERVICE, false, true, 4, {A}, 1, 2, 2, false},
-        {"spread: one may be in either", AMB_SERVICE, false, true, 4, {A, UNKNOWN}, 2, 1, 1, false},
-        {"spread: two may be in either", AMB_SERVICE, false, true, 4, {UNKNOWN, UNKNOWN}, 2, 0, 0, false},
+        {"service bound to one zone, on record in both",
+         AMB_JOB_KIND_SERVICE,
+         true,
+         false,
+         3,
+         {B, A},
+         2,
+         1,
+         1,
+         false},
+        {"spread: half in each", AMB_JOB_KIND_SERVICE, false, true, 4, {A}, 1, 2, 2, false},
+        {"spread: one may be in either", AMB_JOB_KIND_SERVICE, false, true, 4, {A, UNKNOWN}, 2, 1, 1, false},
+        {"spread: two may be in either",
+         AMB_JOB_KIND_SERVICE,
+         false,
+         true,
+         4,
+         {UNKNOWN, UNKNOWN},
+         2,
+         0,
+         0,
+         false},
         {"spread of five: two may be in either",
-         AMB_SERVICE,
+         AMB_JOB_KIND_SERVICE,
          false,
          true,
          5,
@@ -88,7 +124,7 @@
          1,
          1,
          false},
-        {"neither: anywhere", AMB_ARRAY, false, false, 4, {UNKNOWN}, 1, 3, 0, true},
+        {"neither: anywhere", AMB_JOB_KIND_ARRAY, false, false, 4, {UNKNOWN}, 1, 3, 0, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
@@ -99,7 +135,7 @@
         struct amb_round *cycle = amb_round_new(node, amb_now());
         amb_round_admit(cycle);
         amb_round_free(cycle);
-        uint32_t a = job->zone_used[A], b = job->zone_used[B];
+        uint32_t a = job->zone_task_counts[A], b = job->zone_task_counts[B];
         bool same = a == rows[i].want_a && b == rows[i].want_b;
         if (!same && !(rows[i].either && a == rows[i].want_b && b == rows[i].want_a))
             fail_msg("%s: %u in a, %u in b", rows[i].what, a, b);
@@ -130,13 +166,14 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        struct amb_job *job = job_on(rows[i].spread ? AMB_SERVICE : AMB_ARRAY, rows[i].one_zone,
-                                     rows[i].spread, rows[i].tasks, rows[i].others, rows[i].count);
+        struct amb_job *job =
+            job_on(rows[i].spread ? AMB_JOB_KIND_SERVICE : AMB_JOB_KIND_ARRAY, rows[i].one_zone,
+                   rows[i].spread, rows[i].tasks, rows[i].others, rows[i].count);
         machine_in("m-a", A);
-        bound(job, rows[i].count, "m-a", 1)->foreign = true;
+        bound(job, rows[i].count, "m-a", 1)->inherited = true;
         report("m-a", 1, 2, TERM, amb_now(), NULL, 0);
-        if ((count_orders(AMB_OP_RUN) == 1) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_OP_RUN));
+        if ((count_orders(AMB_COMMAND_RUN) == 1) != rows[i].starts)
+            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
         teardown(NULL);
     }
 }
@@ -146,18 +183,18 @@
     (void)state;
     begin();
     static const int unknown[] = {UNKNOWN};
-    struct amb_job *job = job_on(AMB_ARRAY, true, false, 4, unknown, ROWS(unknown));
+    struct amb_job *job = job_on(AMB_JOB_KIND_ARRAY, true, false, 4, unknown, ROWS(unknown));
     struct amb_machine *machine = job->tasks[0].machine;
     amb_machine_learn_zone(machine, UNKNOWN);
     assert_int_equal(amb_job_tasks_in_unknown_zones(job), 1);
     amb_machine_learn_zone(machine, B);
     amb_machine_learn_zone(machine, A);
-    assert_int_equal(machine->zone, B);
-    assert_int_equal(job->zone_used[A], 0);
-    assert_int_equal(job->zone_used[B], 1);
+    assert_int_equal(machine->zone_index, B);
+    assert_int_equal(job->zone_task_counts[A], 0);
+    assert_int_equal(job->zone_task_counts[B], 1);
     assert_int_equal(amb_job_tasks_in_unknown_zones(job), 0);
     amb_task_unbind(node, &job->tasks[0], "gone");
-    assert_int_equal(job->zone_used[B], 0);
+    assert_int_equal(job->zone_task_counts[B], 0);
     teardown(NULL);
 }
 
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -64,16 +64,19 @@
 /* ---- jobs as news tell of them ---- */
 
 static void news(const char *ref, enum amb_job_state state, uint64_t stamp, int64_t cancelled_wall) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_job draft = {.spec = &spec, .accepted_wall = 1, .cancelled_wall = cancelled_wall};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_job draft = {.spec = &spec, .accepted_wall_ms = 1, .cancelled_wall_ms = cancelled_wall};
     struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(&buffer, &draft, state);
+    amb_job_encode_record(&buffer, &draft, state);
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, stamp);
     cbor_decref(&item);
     amb_buf_free(&buffer);
 }
@@ -161,12 +164,12 @@
     amb_peer_heard(node, &node->peers.list[0], said, amb_now());
     json_decref(said);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
-    struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_OP_HALT), 1);
+    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
     news("wk-1", AMB_JOB_QUEUED, 30, 0);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
-    assert_false(amb_job_find(node, "wk-1")->live);
+    assert_false(amb_job_find(node, "wk-1")->active);
     news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
 }
@@ -175,15 +178,15 @@
  * knows to be cancelled. */
 static void reading_records_stops_cancelled_tasks(void **state) {
     (void)state;
-    node->ctl.loaded_at = 0;
+    node->controller.restored_at = 0;
     news("wk-1", AMB_JOB_QUEUED, 30, 0);
-    struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM - 1, amb_now(), &seen, 1);
     assert_int_equal(norders, 0);
     news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     report("m-1", 1, 2, TERM - 1, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_OP_HALT), 1);
-    seen.on = AMB_ON_EXITED;
+    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
+    seen.state = AMB_AGENT_TASK_EXITED;
     report("m-1", 1, 3, TERM, amb_now(), &seen, 1);
     assert_int_equal(norders, 0);
 }
@@ -195,10 +198,10 @@
     node->election.term = 0;
     node->election.highest_term = TERM;
     node->election.ttl = 3000;
-    strcpy(node->set.zone, "a");
-    node->deputy.state = AMB_LEASE_PROXY_ACTIVE;
-    node->deputy.term = TERM;
-    node->deputy.renewed_at = amb_now();
+    strcpy(node->settings.zone, "a");
+    node->lease_proxy.state = AMB_LEASE_PROXY_ACTIVE;
+    node->lease_proxy.term = TERM;
+    node->lease_proxy.renewed_at = amb_now();
     news("wk-1", AMB_JOB_QUEUED, 30, 0);
     hello(TERM, "wk-1/0");
     assert_int_equal(answer_status, 200);
@@ -229,7 +232,7 @@
         setup(NULL);
         amb_ms now = amb_now();
         node->election.ttl = 3000;
-        node->election.renewed_at = node->jobs.fresh_sent_at = now - rows[i].news_ago;
+        node->election.renewed_at = node->jobs.last_read_sent_at = now - rows[i].news_ago;
         node->peers.count = 1;
         node->peers.list[0].confirmed_at = now - rows[i].word_ago;
         hello(TERM, "wk-1/0");
@@ -245,8 +248,8 @@
         amb_ms fence_after;
     } rows[] = {{10, 30, 19000}, {22, 42, 19000}, {60, 120, 57000}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        node->set.lease_s = rows[i].lease_s;
-        node->set.cancel_s = rows[i].cancel_s;
+        node->settings.lease_s = rows[i].lease_s;
+        node->settings.cancel_s = rows[i].cancel_s;
         amb_election_init(node);
         if (node->election.fence_after != rows[i].fence_after)
             fail_msg("row %zu: %lld ms", i, (long long)node->election.fence_after);
--- a/tests/duty/test_duty_parts.c
+++ b/tests/duty/test_duty_parts.c
@@ -30,7 +30,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-        char wrong[AMB_NAME];
+        char wrong[AMB_NAME_SIZE];
         enum amb_duty_settings_error error =
             amb_duty_settings_names(&settings, rows[i].names, wrong, sizeof wrong);
         if (error != rows[i].error || strcmp(wrong, rows[i].wrong) != 0)
@@ -164,7 +164,7 @@
 static void fill(struct amb_duty_member *members) {
     memset(members, 0, sizeof *members * MEMBERS);
     for (int i = 0; i < MEMBERS; i++) {
-        snprintf(members[i].name, AMB_NAME, "n-%d", i);
+        snprintf(members[i].name, AMB_NAME_SIZE, "n-%d", i);
         members[i].alive = true;
     }
 }
@@ -215,7 +215,7 @@
     for (int fleet = 0; fleet < 500; fleet++) {
         struct amb_duty_member members[MEMBERS];
         fill(members);
-        for (int i = 0; i < MEMBERS; i++) snprintf(members[i].name, AMB_NAME, "c%d-n-%d", fleet, i);
+        for (int i = 0; i < MEMBERS; i++) snprintf(members[i].name, AMB_NAME_SIZE, "c%d-n-%d", fleet, i);
         for (int d = 0; d < AMB_DUTY_NAMES; d++) first[preferred(members, (enum amb_duty_name)d)]++;
     }
     for (int i = 0; i < MEMBERS; i++) /* 400 each on average */
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -69,7 +69,7 @@
 }
 
 static void use_duties(void) {
-    node->opt.duties = 1;
+    node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
     mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     take_part();
@@ -121,7 +121,7 @@
 
 static void heartbeats_say_whether_it_is_on(void **state) {
     (void)state;
-    node->opt.duties = 1;
+    node->options.duties = 1;
     char *text = amb_peer_say(node);
     json_t *said = json_loads(text, 0, NULL);
     assert_int_equal(json_integer_value(json_object_get(said, "duties")), 1);
@@ -157,16 +157,16 @@
         begin_duties_anew();
         if (rows[i].renting) {
             amb_rental_want(node, 0, 0, false, 1);
-            node->rental.requests->state = AMB_REQUEST_ASKING;
+            node->cloud.requests->state = AMB_REQUEST_ASKING;
         }
-        node->rental.nrelease = rows[i].returning;
-        node->opt.duties = rows[i].own;
+        node->cloud.nrelease = rows[i].returning;
+        node->options.duties = rows[i].own;
         set_peers(rows[i].first, rows[i].second);
         if (rows[i].unsure) node->election.renewed_at -= TTL;
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].written) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
-        node->rental.nrelease = 0;
+        node->cloud.nrelease = 0;
         if (!commit) continue;
         assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
         assert_int_equal(fake_txn_guard(commit, MODE_KEY), 0);
@@ -179,7 +179,7 @@
     static const int statuses[] = {200, 409, 503, 0};
     for (size_t i = 0; i < ROWS(statuses); i++) {
         begin_duties_anew();
-        node->opt.duties = 1;
+        node->options.duties = 1;
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
         assert_int_equal(amb_rental_calls(node, amb_now()), 0);
         struct amb_machine *machine = machine_up("m-1", 0);
@@ -192,7 +192,7 @@
             fake_answer(commit, statuses[i], NULL);
         assert_int_equal(amb_duties_path(node), AMB_RENTAL_PAUSED);
         assert_int_equal(amb_rental_calls(node, amb_now()), 0);
-        node->rental.list_at = amb_now();
+        node->cloud.list_at = amb_now();
         amb_rental_tick(node, amb_now());
         assert_null(find_call("POST", "/machines"));
         fake_clock_advance(2000);
@@ -210,7 +210,7 @@
 static void a_mode_of_a_newer_form_is_not_acted_on(void **state) {
     (void)state;
     struct amb_buf value = {0};
-    node->opt.duties = 1;
+    node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
     amb_w_map(&value, 2);
     amb_w_str(&value, "form"), amb_w_uint(&value, AMB_DUTY_FORM + 1);
@@ -239,7 +239,7 @@
         use_duties();
         order_news(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
         fake_answer_all_lost();
-        node->opt.duties = rows[i].own;
+        node->options.duties = rows[i].own;
         set_peers(AMB_PEER_DUTIES_ON, rows[i].peer);
         amb_duties_tick(node, amb_now());
         if (find_commit(MODE_KEY)) fail_msg("%s: written while an order is open", rows[i].what);
@@ -291,18 +291,18 @@
     assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
     assert_int_equal(fake_txn_guard(commit, "a/order/rent/r-50-1"), 0);
     answer_epoch(commit, 70);
-    node->rental.list_at = amb_now();
+    node->cloud.list_at = amb_now();
     for (int i = 0; i < 5; i++) {
         fake_clock_advance(500);
-        node->election.renewed_at = node->rental.list_at = amb_now();
+        node->election.renewed_at = node->cloud.list_at = amb_now();
         take_turn();
     }
     assert_null(find_call("POST", "/machines"));
-    assert_int_equal(node->rental.requests->state, AMB_REQUEST_ASKING); /* what is coming counts in plans */
+    assert_int_equal(node->cloud.requests->state, AMB_REQUEST_ASKING); /* what is coming counts in plans */
     order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
-    assert_non_null(node->rental.requests);
+    assert_non_null(node->cloud.requests);
     order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 72);
-    assert_null(node->rental.requests);
+    assert_null(node->cloud.requests);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     assert_non_null(machine);
     assert_int_equal(machine->state, AMB_MACHINE_BOOTING);
@@ -313,7 +313,7 @@
     use_duties();
     amb_rental_want(node, 0, 0, false, 1);
     order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_REFUSED, NULL, 72);
-    assert_null(node->rental.requests);
+    assert_null(node->cloud.requests);
     assert_true(amb_rental_refused(node, 0, 0, false, amb_now()));
 }
 
@@ -323,9 +323,9 @@
     use_duties();
     amb_rental_want(node, 0, 0, false, 1);
     order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
-    assert_non_null(node->rental.requests);
+    assert_non_null(node->cloud.requests);
     news("a/order/rent/r-50-1", NULL, 72);
-    assert_null(node->rental.requests);
+    assert_null(node->cloud.requests);
 }
 
 /* A write without an answer is repeated under the same name. */
@@ -402,12 +402,12 @@
         for (size_t s = 0; s < ROWS(states); s++) {
             begin_duties_anew();
             use_duties();
-            node->ctl.loaded_at = 0;
+            node->controller.restored_at = 0;
             order_news(duties[d], "t-40-1", states[s], AMB_DUTY_RESULT_NONE, "m-1", 61);
             order_news(duties[d], "t-40-2", states[s], AMB_DUTY_RESULT_NONE, "m-2", 62);
             struct amb_machine *machine = machine_up("m-1", 0); /* from the records */
             amb_duties_take_over(node);
-            node->ctl.loaded_at = amb_now();
+            node->controller.restored_at = amb_now();
             struct amb_machine *later = amb_machine_get(node, "m-2", true); /* from a report */
             assert_false(amb_machine_usable(node, machine, amb_now()));
             amb_machine_state(machine, AMB_MACHINE_UP, "it reports");
@@ -428,10 +428,10 @@
 static void returned_machines_do_not_come_back(void **state) {
     (void)state;
     use_duties();
-    node->ctl.loaded_at = 0;
+    node->controller.restored_at = 0;
     order_news(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 61);
     amb_duties_take_over(node);
-    node->ctl.loaded_at = amb_now();
+    node->controller.restored_at = amb_now();
     struct amb_machine *machine = amb_machine_get(node, "m-1", true);
     amb_machine_state(machine, AMB_MACHINE_UP, "it reports");
     assert_int_equal(machine->state, AMB_MACHINE_RELEASING);
@@ -439,7 +439,7 @@
 
 static void new_leaders_wait_until_they_know(void **state) {
     (void)state;
-    node->opt.duties = 1;
+    node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
     mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     amb_duties_listed(node);
@@ -453,7 +453,7 @@
 static void new_leaders_take_over_rentals(void **state) {
     (void)state;
     use_duties();
-    node->ctl.loaded_at = 0;
+    node->controller.restored_at = 0;
     order_news(AMB_DUTY_RENT, "r-40-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
     order_news(AMB_DUTY_RENT, "r-40-2", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-7", 62);
     amb_duties_take_over(node);
@@ -476,7 +476,7 @@
     amb_rental_load(node, "b/r/r-40-7", value);
     cbor_decref(&value);
     amb_buf_free(&buffer);
-    node->rental.list_at = amb_now();
+    node->cloud.list_at = amb_now();
     amb_rental_tick(node, amb_now());
     assert_null(find_call("POST", "/machines"));
 }
@@ -486,12 +486,12 @@
     (void)state;
     char err[128];
     use_duties();
-    node->ctl.loaded_at = 0;
+    node->controller.restored_at = 0;
     order_news(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
     fake_answer_all_lost();
     amb_controller_lead(node);
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
-    assert_int_equal(node->ctl.loaded_at, 0);
+    assert_int_equal(node->controller.restored_at, 0);
     answer_news(open_call("GET", "/follow"), 90, NULL, AMB_JOB_QUEUED, 0);
     assert_null(amb_machine_get(node, "m-1", false));
     struct amb_buf body = {0};
@@ -499,7 +499,7 @@
     amb_w_str(&body, "epoch"), amb_w_uint(&body, 90);
     amb_w_str(&body, "pairs"), amb_w_list(&body, 0);
     fake_answer(open_call("GET", "/store?prefix=b/"), 200, &body);
-    assert_int_not_equal(node->ctl.loaded_at, 0);
+    assert_int_not_equal(node->controller.restored_at, 0);
     const struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     if (!machine || machine->state != AMB_MACHINE_RELEASING) fail_msg("not known to be on its way back");
 }
@@ -545,7 +545,7 @@
 /* The cloud's list is read, from now: one page that names this machine (NULL: none). */
 static void read_list(const char *machine, const char *stance, bool more) {
     struct amb_buf body = {0};
-    node->rental.list_at = 0;
+    node->cloud.list_at = 0;
     amb_machine_list_tick(node, amb_now());
     amb_w_map(&body, 2);
     amb_w_str(&body, "truncated"), amb_w_bool(&body, more);
@@ -587,7 +587,7 @@
             amb_duty_work_add_machine(&work, "m-2");
             order_news(AMB_DUTY_RETURN, "t-50-2", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, "m-2", 62);
         }
-        amb_ms span = amb_absence_list_span(node->set.list_lag_s, node->set.report_s);
+        amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.report_s);
         fake_clock_advance(rows[i].early ? span : span + 1);
         fake_answer_all_lost();
         if (!rows[i].no_list) read_list(rows[i].listed, rows[i].stance, rows[i].more);
@@ -760,9 +760,9 @@
     } rows[] = {{1, 0.3, true}, {1, 0.05, true}, {1, 0.02, false}, {0, 0.02, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         char err[256] = "";
-        node->opt.duties = rows[i].on;
-        node->opt.duty_lease = rows[i].lease;
-        bool good = amb_duties_check(&node->set, &node->opt, "options.xml", err, sizeof err);
+        node->options.duties = rows[i].on;
+        node->options.duty_lease = rows[i].lease;
+        bool good = amb_duties_check(&node->settings, &node->options, "options.xml", err, sizeof err);
         if (good != rows[i].good) fail_msg("row %zu: %s", i, err);
         if (!good && (!strstr(err, "options.xml: duty-lease: ") || !strstr(err, "must be")))
             fail_msg("row %zu: %s", i, err);
--- a/tests/duty_model/world.c
+++ b/tests/duty_model/world.c
@@ -22,7 +22,7 @@
 }
 
 static void member_name(uint32_t member, char *name) {
-    snprintf(name, AMB_NAME, "n-%u", member);
+    snprintf(name, AMB_NAME_SIZE, "n-%u", member);
 }
 
 static uint32_t member_index(const char *name) {
@@ -38,7 +38,7 @@
 void world_start(struct world *world, uint32_t member, const struct amb_duty_settings *settings,
                  uint64_t seed) {
     struct world_member *m = &world->members[member];
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     member_name(member, name);
     m->running = true;
     m->incarnation++;
@@ -386,7 +386,7 @@
 static bool put_record(struct world *world, uint32_t member, const struct amb_duty_action *action) {
     struct world_service *service = &world->service;
     struct amb_duty_record *record = &service->duties[action->duty];
-    char self[AMB_NAME];
+    char self[AMB_NAME_SIZE];
     member_name(member, self);
     if ((record->present ? record->stamp : 0) != action->guard_stamp) return false;
     if (action->guard_self && member_stamp(world, self) != action->guard_self) return false;
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -54,7 +54,7 @@
         begin_anew();
         answer_epoch(begin_lease_proxy(), 60);
         node->election.highest_term = rows[i].highest;
-        node->deputy.renewed_at = amb_now() - rows[i].renewed;
+        node->lease_proxy.renewed_at = amb_now() - rows[i].renewed;
         send_report((struct sent_report){"m-1", rows[i].zone, 1, 1, rows[i].token, NULL, 0, NULL});
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
     }
@@ -92,21 +92,21 @@
 /* As long as the deputy's key stands its workers may be alive, however long they are silent here. */
 static void known_proxies_keep_their_zone_alive(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
     struct amb_task *task = bound(job, 0, "m-1", 1);
     task->state = AMB_TASK_SEEN;
     proxy_key_appears();
     for (int i = 0; i < 30; i++) {
         fake_clock_advance(1000);
-        node->jobs.fresh_at = node->jobs.fresh_sent_at = amb_now();
+        node->jobs.last_read_at = node->jobs.last_read_sent_at = amb_now();
         amb_lease_proxy_tick(node, amb_now());
         amb_fleet_tick(node, amb_now());
         if (!task->machine) fail_msg("lost after %d s, while the deputy's key stands", i + 1);
     }
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(11000);
-    node->jobs.fresh_sent_at = amb_now();
+    node->jobs.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     assert_null(task->machine);
 }
@@ -114,18 +114,18 @@
 /* A deputy that came and went within a moment may have answered its zone's workers. */
 static void short_lived_proxies_count(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
     bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
     proxy_key_appears();
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(9000);
-    node->jobs.fresh_sent_at = amb_now();
+    node->jobs.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
     fake_clock_advance(2000);
-    node->jobs.fresh_sent_at = amb_now();
+    node->jobs.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     assert_null(job->tasks[0].machine);
 }
@@ -133,13 +133,13 @@
 /* Nor is it known, of a machine whose zone is not, whether a deputy answers it. */
 static void proxies_of_any_zone_count_for_unknown_ones(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", -1);
     bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
     proxy_key_appears();
     fake_clock_advance(9000);
-    node->jobs.fresh_sent_at = amb_now();
+    node->jobs.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
 }
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -154,9 +154,9 @@
         {1, 10, 9, 3000, 1000}, /* no time left by a cancellation: the lease alone decides */
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        node->set.report_s = rows[i].report;
-        node->set.lease_s = rows[i].lease;
-        node->set.cancel_s = rows[i].cancel;
+        node->settings.report_s = rows[i].report;
+        node->settings.lease_s = rows[i].lease;
+        node->settings.cancel_s = rows[i].cancel;
         amb_election_init(node);
         if (node->election.ttl != rows[i].ttl || amb_election_call_timeout(node) != rows[i].patience)
             fail_msg("row %zu: %lld, %lld", i, (long long)node->election.ttl,
@@ -184,10 +184,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
         amb_rental_want(node, 0, 0, false, 1);
-        node->rental.requests->state = AMB_REQUEST_ASKING;
+        node->cloud.requests->state = AMB_REQUEST_ASKING;
         node->election.role = rows[i].role;
         node->election.renewed_at = amb_now() - rows[i].renewed;
         node->peers.count = 1; /* whose word has never come */
@@ -205,7 +205,7 @@
     (void)state;
     amb_ms now = amb_now() + 100000;
     node->election.renewal_pending = true;
-    node->jobs.fresh_sent_at = now - 500;
+    node->jobs.last_read_sent_at = now - 500;
     node->election.renewed_at = now - 50000;
     node->fleet.last_report_at = now;
     node->peers.count = 1; /* whose word has never come */
@@ -238,7 +238,7 @@
         node->election.ttl = 3000;
         node->election.renewal_pending = true;
         node->election.renewed_at = node->election.renewal_sent_at = now - rows[i].renewed;
-        node->jobs.fresh_sent_at = now - rows[i].news;
+        node->jobs.last_read_sent_at = now - rows[i].news;
         node->peers.count = 1;
         node->peers.list[0].heard_at = node->peers.list[0].confirmed_at = now - rows[i].word;
         node->fleet.last_report_at = now;
@@ -266,12 +266,12 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 100000;
-        node->election.renewed_at = node->election.renewal_sent_at = node->jobs.fresh_sent_at = now;
+        node->election.renewed_at = node->election.renewal_sent_at = node->jobs.last_read_sent_at = now;
         node->peers.count = 1;
         node->peers.list[0].heard_at = now - rows[i].heard;
         node->peers.list[0].reports_arrive = rows[i].peer_reports;
         node->fleet.last_report_at = now - rows[i].reported;
-        node->ctl.leading_since = now - 50000;
+        node->controller.leader_since = now - 50000;
         if (rows[i].machines) amb_machine_get(node, "m-1", true)->state = AMB_MACHINE_UP;
         amb_election_tick(node, now);
         if (amb_election_is_leader(node) != rows[i].leads) fail_msg("%s", rows[i].what);
--- a/tests/job/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -27,22 +27,22 @@
     fake_http_reset();
     fake_clock_reset();
     setup(state);
-    strcpy(node->set.member, "n-0");
-    strcpy(node->set.peer_listen, PEER_LISTEN);
-    node->set.npeers = PEERS;
+    strcpy(node->settings.member, "n-0");
+    strcpy(node->settings.peer_listen, PEER_LISTEN);
+    node->settings.npeers = PEERS;
     for (int i = 0; i < PEERS; i++) {
-        snprintf(node->set.peers[i].member, AMB_NAME, "n-%d", i + 1);
-        snprintf(node->set.peers[i].addr, AMB_NAME, "n-%d:1", i + 1);
+        snprintf(node->settings.peers[i].member, AMB_NAME_SIZE, "n-%d", i + 1);
+        snprintf(node->settings.peers[i].addr, AMB_NAME_SIZE, "n-%d:1", i + 1);
     }
-    node->set.state_rps = node->set.state_write_rps = 1000;
-    amb_store_init(&node->store, &node->set, CALL_TIMEOUT);
-    amb_catalog_zone(&node->catalog, "a");
+    node->settings.state_rps = node->settings.state_write_rps = 1000;
+    amb_store_init(&node->store, &node->settings, CALL_TIMEOUT);
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
     node->jobs.loaded = true;
-    node->jobs.epoch = EPOCH;
-    node->jobs.fresh_sent_at = amb_now();
+    node->jobs.known_revision = EPOCH;
+    node->jobs.last_read_sent_at = amb_now();
     amb_peer_init(node);
-    job = add_job(JOB, AMB_ARRAY, 1);
-    job->stamp = EPOCH;
+    job = add_job(JOB, AMB_JOB_KIND_ARRAY, 1);
+    job->revision = EPOCH;
     return 0;
 }
 
@@ -133,7 +133,7 @@
     (void)state;
     anew(false);
     node->peers.list[0].leading = true;
-    amb_job_cancel_hint(node, JOB, amb_wall_ms(), WRITTEN);
+    amb_job_apply_cancel_hint(node, JOB, amb_wall_ms(), WRITTEN);
     assert_int_equal(fake_calls_sent(NOTICE), 0);
     user_request("GET", "/v1/jobs/" JOB);
     assert_int_equal(reply.status, 200);
@@ -156,11 +156,11 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew(rows[i].leads);
-        for (int p = 0; p < PEERS; p++) node->peers.list[p].leading = rows[i].peer_leads[p];
-        amb_cancel_notice_pending(node, job);
+        for (int peer = 0; peer < PEERS; peer++) node->peers.list[peer].leading = rows[i].peer_leads[peer];
+        amb_cancellation_notice_send_pending(node, job);
         if (!open_notice("n-1:1") != !rows[i].told[0] || !open_notice("n-2:1") != !rows[i].told[1])
             fail_msg("%s", rows[i].what);
-        if (!amb_cancel_is_pending(node, job)) fail_msg("%s: this node itself heeds it", rows[i].what);
+        if (!amb_cancellation_is_pending(node, job)) fail_msg("%s: this node itself heeds it", rows[i].what);
     }
 }
 
@@ -189,10 +189,10 @@
         report("m-1", 1, 1, TERM - 1, amb_now(), NULL, 0); /* meets our token in the answer */
         if (rows[i].notice != NONE)
             assert_int_equal(receive_stamp(rows[i].notice == WRITTEN_ONE ? WRITTEN : 0), 200);
-        if (rows[i].news_after) node->jobs.fresh_sent_at = amb_now() + rows[i].news_after;
+        if (rows[i].news_after) node->jobs.last_read_sent_at = amb_now() + rows[i].news_after;
         report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
-        if (count_orders(AMB_OP_RUN) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_OP_RUN));
+        if (count_orders(AMB_COMMAND_RUN) != rows[i].starts)
+            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
         bool cancelled = job->state == AMB_JOB_CANCELLED;
         if (cancelled != (rows[i].notice == WRITTEN_ONE)) fail_msg("%s: state", rows[i].what);
     }
--- a/tests/job/test_cancellation.c
+++ b/tests/job/test_cancellation.c
@@ -11,26 +11,26 @@
     } rows[] = {{17900, false}, {18100, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
         bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
-        amb_job_cancel_hint(node, "wk-1", amb_wall_ms() - rows[i].cancelled, 61);
+        amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - rows[i].cancelled, 61);
         amb_fleet_tick(node, amb_now());
-        if (machine->release_wanted != rows[i].returned)
+        if (machine->release_pending != rows[i].returned)
             fail_msg("cancelled %lld ms ago: returned %d", (long long)rows[i].cancelled,
-                     machine->release_wanted);
+                     machine->release_pending);
     }
 }
 
 static void new_leaders_stop_what_was_cancelled(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
     bound(job, 0, "m-1", 1);
     struct amb_buf buffer = {0};
     amb_record_encode(node, &job->blocks[0], &buffer);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_job_leave(node, job);
+    amb_job_deactivate(node, job);
     amb_fleet_clear(node);
     job->state = AMB_JOB_CANCELLED;
     amb_record_load(node, BLOCK_KEY, value, 61);
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -21,8 +21,8 @@
     json_t *row;
     json_array_foreach(list, i, row) {
         if (strcmp(json_string_value(json_array_get(row, 0)), job->ref)) continue;
-        assert_int_equal(json_integer_value(json_array_get(row, 1)), job->cancelled_wall);
-        assert_int_equal(json_integer_value(json_array_get(row, 2)), job->cancel_stamp);
+        assert_int_equal(json_integer_value(json_array_get(row, 1)), job->cancelled_wall_ms);
+        assert_int_equal(json_integer_value(json_array_get(row, 2)), job->cancel_revision);
         return true;
     }
     return false;
@@ -34,7 +34,7 @@
     const json_t *list = json_object_get(answer, "cancelled");
     size_t expected = 0;
     for (const struct amb_job *job = node->jobs.all; job; job = job->hh.next) {
-        bool newer = epoch ? job->cancel_stamp > epoch : job->cancelled_wall > recent_since;
+        bool newer = epoch ? job->cancel_revision > epoch : job->cancelled_wall_ms > recent_since;
         bool due = job->state == AMB_JOB_CANCELLED && newer;
         expected += due;
         assert_int_equal(is_listed(list, job), due);
@@ -54,15 +54,15 @@
         seed = round * 0x9e3779b97f4a7c15u;
         int64_t start = amb_wall_ms() - STEP_MS / 2;
         for (int step = 0; step < STEPS; step++) {
-            char ref[AMB_NAME];
+            char ref[AMB_NAME_SIZE];
             snprintf(ref, sizeof ref, "wk-%llu", (unsigned long long)draw(JOBS));
             int64_t wall = start - (int64_t)draw(2 * SPAN_MS / STEP_MS) * STEP_MS;
             struct amb_job *job = amb_job_find(node, ref);
             if (job && job->state == AMB_JOB_CANCELLED && draw(2)) {
-                job->stamp = 0; /* so that news of it count */
-                amb_job_cancelled(node, job, 1 + draw(STAMPS));
+                job->revision = 0; /* so that news of it count */
+                amb_job_apply_own_cancellation(node, job, 1 + draw(STAMPS));
             } else {
-                amb_job_cancel_hint(node, ref, wall, 1 + draw(STAMPS));
+                amb_job_apply_cancel_hint(node, ref, wall, 1 + draw(STAMPS));
             }
             compare(draw(STAMPS), amb_wall_ms() - SPAN_MS);
         }
@@ -90,7 +90,7 @@
     char *text = amb_peer_say(node);
     json_t *heartbeat = json_loads(text, 0, NULL);
     size_t count = json_array_size(json_object_get(heartbeat, "cancelled"));
-    assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->jobs.epoch);
+    assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->jobs.known_revision);
     json_decref(heartbeat);
     free(text);
     return count;
@@ -119,14 +119,14 @@
             teardown(NULL);
             setup(NULL);
             if (!leads) node->election.role = AMB_ROLE_FOLLOWER;
-            strcpy(node->set.peer_listen, "P:1");
-            node->set.npeers = 2;
-            strcpy(node->set.peers[0].member, "n1");
-            strcpy(node->set.peers[1].member, "n2");
+            strcpy(node->settings.peer_listen, "P:1");
+            node->settings.npeers = 2;
+            strcpy(node->settings.peers[0].member, "n1");
+            strcpy(node->settings.peers[1].member, "n2");
             amb_peer_init(node);
-            node->jobs.epoch = 60;
+            node->jobs.known_revision = 60;
             int64_t ago = rows[i].asked_for == RECENT ? 1000 : 600000;
-            amb_job_cancel_hint(node, "wk-1", amb_wall_ms() - ago, 40);
+            amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - ago, 40);
             heartbeat_from("n1", 70); /* the last word counts */
             heartbeat_from("n1", rows[i].epochs[0]);
             heartbeat_from("n2", rows[i].epochs[1]);
@@ -154,14 +154,13 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         teardown(NULL);
         setup(NULL);
-        struct amb_job *job = add_job("wk-1", AMB_ARRAY, 1);
-        if (!rows[i].live) amb_job_leave(node, job);
-        amb_job_cancelled(node, job, 5);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
+        if (!rows[i].live) amb_job_deactivate(node, job);
+        amb_job_apply_own_cancellation(node, job, 5);
         amb_ms heard = amb_now();
-        amb_cancellations_drop_descriptions(node,
-                                            heard + amb_secs(rows[i].after_cancel * node->set.cancel_s));
+        amb_cancellations_drop_specs(node, heard + amb_secs(rows[i].after_cancel * node->settings.cancel_s));
         if ((job->spec != NULL) != rows[i].kept || job->tasks_gone == rows[i].kept ||
-            node->jobs.described != rows[i].kept)
+            node->jobs.spec_count != rows[i].kept)
             fail_msg("%s", rows[i].what);
         assert_int_equal(job->state, AMB_JOB_CANCELLED);
     }
@@ -170,15 +169,15 @@
 /* Once the leader has let go of it, its description ends at the next look. */
 static void descriptions_end_after_the_leaders_care(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 1);
-    amb_job_cancelled(node, job, 5);
-    amb_ms span = amb_secs(2.1 * node->set.cancel_s), now = amb_now() + span;
-    amb_cancellations_drop_descriptions(node, now);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
+    amb_job_apply_own_cancellation(node, job, 5);
+    amb_ms span = amb_secs(2.1 * node->settings.cancel_s), now = amb_now() + span;
+    amb_cancellations_drop_specs(node, now);
     assert_non_null(job->spec);
-    amb_job_leave(node, job);
-    amb_cancellations_drop_descriptions(node, now + span);
+    amb_job_deactivate(node, job);
+    amb_cancellations_drop_specs(node, now + span);
     assert_null(job->spec);
-    assert_int_equal(node->jobs.described, 0);
+    assert_int_equal(node->jobs.spec_count, 0);
 }
 
 /* A new leader removes what is on record of a job whose tasks are gone, and leaves what it knows nothing of.
@@ -188,11 +187,11 @@
     for (int gone = 0; gone < 2; gone++) {
         teardown(NULL);
         setup(NULL);
-        strcpy(node->set.state, "S:1");
-        node->set.state_rps = node->set.state_write_rps = 1000;
-        amb_store_init(&node->store, &node->set, 1000);
-        amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 5); /* known by another node's word alone */
-        if (gone) amb_cancellations_drop_descriptions(node, amb_now() + amb_secs(2.1 * node->set.cancel_s));
+        strcpy(node->settings.state, "S:1");
+        node->settings.state_rps = node->settings.state_write_rps = 1000;
+        amb_store_init(&node->store, &node->settings, 1000);
+        amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 5); /* known by another node's word alone */
+        if (gone) amb_cancellations_drop_specs(node, amb_now() + amb_secs(2.1 * node->settings.cancel_s));
         amb_record_load(node, "b/p/wk-1/0", NULL, 7);
         assert_int_equal(fake_calls_open("POST", "/commit"), gone);
         if (gone) {
--- a/tests/job/test_dependencies.c
+++ b/tests/job/test_dependencies.c
@@ -9,19 +9,19 @@
 enum { JOBS_MOST = 20000 };
 
 static struct world {
-    struct amb_dependencies graph;
-    enum amb_outcome outcome[JOBS_MOST];
+    struct amb_dependency_graph graph;
+    enum amb_job_outcome outcome[JOBS_MOST];
     uint32_t ready[JOBS_MOST]; /* times told */
-    uint32_t nready, ncancelled;
+    uint32_t ready_count, cancelled_count;
     uint32_t cause[JOBS_MOST]; /* of its cancellation, as told */
-    struct amb_urgency_need need[JOBS_MOST];
+    struct amb_effective_priority need[JOBS_MOST];
 } * world;
 
 static const char *name_of(uint32_t job) {
-    static char names[4][AMB_NAME];
+    static char names[4][AMB_NAME_SIZE];
     static uint32_t at;
     char *name = names[at++ % ROWS(names)];
-    snprintf(name, AMB_NAME, "wk-%u", job);
+    snprintf(name, AMB_NAME_SIZE, "wk-%u", job);
     return name;
 }
 
@@ -29,42 +29,43 @@
     return (uint32_t)strtoul(name + 3, NULL, 10);
 }
 
-static enum amb_outcome outcome_of(void *owner, const char *name) {
+static enum amb_job_outcome outcome_of(void *owner, const char *name) {
     return ((struct world *)owner)->outcome[job_of(name)];
 }
 
 static void told_ready(void *owner, const char *name) {
-    struct world *w = owner;
-    w->ready[job_of(name)]++;
-    w->nready++;
+    struct world *told = owner;
+    told->ready[job_of(name)]++;
+    told->ready_count++;
 }
 
 static void told_cancelled(void *owner, const char *name, const char *cause) {
-    struct world *w = owner;
-    if (w->outcome[job_of(name)] != AMB_OUTCOME_OPEN) fail_msg("%s: cancelled though it is over", name);
-    w->outcome[job_of(name)] = AMB_OUTCOME_CANCELLED;
-    w->cause[job_of(name)] = job_of(cause);
-    w->ncancelled++;
+    struct world *told = owner;
+    if (told->outcome[job_of(name)] != AMB_JOB_OUTCOME_OPEN)
+        fail_msg("%s: cancelled though it is over", name);
+    told->outcome[job_of(name)] = AMB_JOB_OUTCOME_CANCELLED;
+    told->cause[job_of(name)] = job_of(cause);
+    told->cancelled_count++;
 }
 
-static void told_needed(void *owner, const char *name, const struct amb_urgency_need *need) {
+static void told_priority(void *owner, const char *name, const struct amb_effective_priority *need) {
     ((struct world *)owner)->need[job_of(name)] = *need;
 }
 
-static const struct amb_dependency_events events = {outcome_of, told_ready, told_cancelled, told_needed};
+static const struct amb_dependency_events events = {outcome_of, told_ready, told_cancelled, told_priority};
 
 static int begin(void **state) {
     (void)state;
     world = amb_alloc(sizeof *world);
     for (uint32_t i = 0; i < JOBS_MOST; i++)
-        world->need[i] = (struct amb_urgency_need){AMB_BEST_EFFORT, AMB_NO_DUE};
-    amb_dependencies_init(&world->graph, &events, world);
+        world->need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
+    amb_dependency_graph_init(&world->graph, &events, world);
     return 0;
 }
 
 static int end(void **state) {
     (void)state;
-    amb_dependencies_clear(&world->graph);
+    amb_dependency_graph_clear(&world->graph);
     free(world);
     return 0;
 }
@@ -76,30 +77,31 @@
 
 static void add_urgent(uint32_t job, const uint32_t *awaited, uint32_t count, enum amb_priority priority,
                        int64_t due, int64_t work) {
-    char(*names)[AMB_NAME] = amb_alloc((count + 1) * sizeof *names);
+    char(*names)[AMB_NAME_SIZE] = amb_alloc((count + 1) * sizeof *names);
     for (uint32_t i = 0; i < count; i++) strcpy(names[i], name_of(awaited[i]));
     const struct amb_dependent dependent = {{priority, due}, work};
-    amb_dependencies_add(&world->graph, name_of(job), &dependent, (const char(*)[AMB_NAME])names, count);
+    amb_dependency_graph_add(&world->graph, name_of(job), &dependent, (const char(*)[AMB_NAME_SIZE])names,
+                             count);
     free(names);
 }
 
 static void add(uint32_t job, const uint32_t *awaited, uint32_t count) {
-    add_urgent(job, awaited, count, AMB_NORMAL, AMB_NO_DUE, 0);
+    add_urgent(job, awaited, count, AMB_PRIORITY_NORMAL, AMB_NO_DUE, 0);
 }
 
 static void done(uint32_t job) {
-    world->outcome[job] = AMB_OUTCOME_DONE;
-    amb_dependencies_done(&world->graph, name_of(job));
+    world->outcome[job] = AMB_JOB_OUTCOME_DONE;
+    amb_dependency_graph_set_done(&world->graph, name_of(job));
 }
 
 static void cancel(uint32_t job) {
-    if (world->outcome[job] != AMB_OUTCOME_OPEN) return;
-    world->outcome[job] = AMB_OUTCOME_CANCELLED;
-    amb_dependencies_cancelled(&world->graph, name_of(job));
+    if (world->outcome[job] != AMB_JOB_OUTCOME_OPEN) return;
+    world->outcome[job] = AMB_JOB_OUTCOME_CANCELLED;
+    amb_dependency_graph_set_cancelled(&world->graph, name_of(job));
 }
 
 static bool waits(uint32_t job) {
-    return amb_dependencies_waits(&world->graph, name_of(job));
+    return amb_dependency_graph_is_blocked(&world->graph, name_of(job));
 }
 
 /* ---- small pipelines ---- */
@@ -126,8 +128,8 @@
 }
 
 static char fate_of(uint32_t job) {
-    if (world->outcome[job] == AMB_OUTCOME_CANCELLED) return 'c';
-    if (world->outcome[job] == AMB_OUTCOME_DONE) return 'd';
+    if (world->outcome[job] == AMB_JOB_OUTCOME_CANCELLED) return 'c';
+    if (world->outcome[job] == AMB_JOB_OUTCOME_DONE) return 'd';
     if (waits(job)) return 'w';
     if (world->ready[job] > 1) return '!';
     return world->ready[job] ? 'r' : '-';
@@ -206,40 +208,43 @@
 
 /* ---- needs ---- */
 
-static void needs(void **state) {
+static void priorities_are_inherited(void **state) {
     (void)state;
     static const uint32_t on0[] = {0}, on1[] = {1}, on12[] = {1, 2};
     /* 0 <- 1 <- 3, 0 <- 2 <- 3; 0 <- 4 */
-    add_urgent(1, on0, 1, AMB_NORMAL, AMB_NO_DUE, 20);
-    add_urgent(2, on0, 1, AMB_BEST_EFFORT, 500, 30);
-    add_urgent(3, on12, 2, AMB_HIGH, 1000, 7);
-    add_urgent(4, on0, 1, AMB_BEST_EFFORT, AMB_NO_DUE, 5);
-    amb_dependencies_reckon(&world->graph);
+    add_urgent(1, on0, 1, AMB_PRIORITY_NORMAL, AMB_NO_DUE, 20);
+    add_urgent(2, on0, 1, AMB_PRIORITY_BEST_EFFORT, 500, 30);
+    add_urgent(3, on12, 2, AMB_PRIORITY_HIGH, 1000, 7);
+    add_urgent(4, on0, 1, AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE, 5);
+    amb_dependency_graph_propagate_priorities(&world->graph);
     static const struct {
         enum amb_priority priority;
         int64_t due;
-    } due[] = {{AMB_HIGH, 470}, {AMB_HIGH, 993}, {AMB_HIGH, 993}, {AMB_BEST_EFFORT, AMB_NO_DUE}};
+    } due[] = {{AMB_PRIORITY_HIGH, 470},
+               {AMB_PRIORITY_HIGH, 993},
+               {AMB_PRIORITY_HIGH, 993},
+               {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE}};
     for (uint32_t i = 0; i < ROWS(due); i++) {
         assert_int_equal(world->need[i].priority, due[i].priority);
-        assert_int_equal(world->need[i].due_wall, due[i].due);
+        assert_int_equal(world->need[i].due_wall_ms, due[i].due);
     }
     cancel(2); /* and 3 with it */
-    amb_dependencies_reckon(&world->graph);
-    assert_int_equal(world->need[0].priority, AMB_NORMAL);
-    assert_int_equal(world->need[0].due_wall, AMB_NO_DUE);
-    assert_int_equal(world->need[1].priority, AMB_BEST_EFFORT);
-    assert_int_equal(world->need[1].due_wall, AMB_NO_DUE);
-    add_urgent(5, on1, 1, AMB_PROD, 90, 1); /* a later stage is submitted */
-    amb_dependencies_reckon(&world->graph);
-    assert_int_equal(world->need[1].priority, AMB_PROD);
-    assert_int_equal(world->need[1].due_wall, 89);
-    assert_int_equal(world->need[0].priority, AMB_PROD);
-    assert_int_equal(world->need[0].due_wall, 69);
+    amb_dependency_graph_propagate_priorities(&world->graph);
+    assert_int_equal(world->need[0].priority, AMB_PRIORITY_NORMAL);
+    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE);
+    assert_int_equal(world->need[1].priority, AMB_PRIORITY_BEST_EFFORT);
+    assert_int_equal(world->need[1].due_wall_ms, AMB_NO_DUE);
+    add_urgent(5, on1, 1, AMB_PRIORITY_PRODUCTION, 90, 1); /* a later stage is submitted */
+    amb_dependency_graph_propagate_priorities(&world->graph);
+    assert_int_equal(world->need[1].priority, AMB_PRIORITY_PRODUCTION);
+    assert_int_equal(world->need[1].due_wall_ms, 89);
+    assert_int_equal(world->need[0].priority, AMB_PRIORITY_PRODUCTION);
+    assert_int_equal(world->need[0].due_wall_ms, 69);
     cancel(1); /* nobody but 4 needs 0 */
-    amb_dependencies_reckon(&world->graph);
-    assert_int_equal(world->need[0].priority, AMB_BEST_EFFORT);
+    amb_dependency_graph_propagate_priorities(&world->graph);
+    assert_int_equal(world->need[0].priority, AMB_PRIORITY_BEST_EFFORT);
     cancel(4);
-    assert_int_equal(world->need[0].due_wall, AMB_NO_DUE);
+    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE);
     assert_null(world->graph.by_name); /* nothing is kept of what is over */
 }
 
@@ -263,7 +268,7 @@
 /* What has to be known now, worked out anew from all that was heard. Awaited jobs have lower numbers. */
 static struct oracle {
     bool cancelled[DRAWN], waits[DRAWN];
-    struct amb_urgency_need need[DRAWN];
+    struct amb_effective_priority need[DRAWN];
 } oracle;
 
 static void ask_outcomes(void) {
@@ -278,22 +283,23 @@
     }
 }
 
-static void add_need(struct amb_urgency_need *need, struct amb_urgency_need other, int64_t work) {
+static void inherit_priority(struct amb_effective_priority *need, struct amb_effective_priority other,
+                             int64_t work) {
     if (other.priority > need->priority) need->priority = other.priority;
-    if (other.due_wall == AMB_NO_DUE) return;
-    if (other.due_wall - work < need->due_wall) need->due_wall = other.due_wall - work;
+    if (other.due_wall_ms == AMB_NO_DUE) return;
+    if (other.due_wall_ms - work < need->due_wall_ms) need->due_wall_ms = other.due_wall_ms - work;
 }
 
-static void ask_needs(void) {
+static void ask_priorities(void) {
     for (uint32_t i = 0; i < DRAWN; i++)
-        oracle.need[i] = (struct amb_urgency_need){AMB_BEST_EFFORT, AMB_NO_DUE};
+        oracle.need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
     for (uint32_t later = DRAWN; later-- > 0;) {
         if (!drawn.accepted[later] || drawn.done[later] || oracle.cancelled[later]) continue;
         const struct amb_dependent *dependent = &drawn.dependent[later];
         for (uint32_t k = 0; k < drawn.count[later]; k++) {
-            struct amb_urgency_need *need = &oracle.need[drawn.awaited[later][k]];
-            add_need(need, dependent->need, dependent->work_ms);
-            add_need(need, oracle.need[later], dependent->work_ms);
+            struct amb_effective_priority *need = &oracle.need[drawn.awaited[later][k]];
+            inherit_priority(need, dependent->own_priority, dependent->work_ms);
+            inherit_priority(need, oracle.need[later], dependent->work_ms);
         }
     }
 }
@@ -304,9 +310,9 @@
         drawn.count[i] = i ? draw(AWAITED_MOST + 1) : 0;
         for (uint32_t k = 0; k < drawn.count[i]; k++) drawn.awaited[i][k] = draw(i);
         bool due = draw(3) == 0;
-        drawn.dependent[i] = (struct amb_dependent){
-            {(enum amb_priority)draw(AMB_PROD + 1), due ? 1000 + (int64_t)draw(1000) : AMB_NO_DUE},
-            (int64_t)draw(50)};
+        drawn.dependent[i] = (struct amb_dependent){{(enum amb_priority)draw(AMB_PRIORITY_PRODUCTION + 1),
+                                                     due ? 1000 + (int64_t)draw(1000) : AMB_NO_DUE},
+                                                    (int64_t)draw(50)};
     }
 }
 
@@ -317,9 +323,9 @@
     bool over = drawn.done[job] || drawn.cancelled[job];
     if (!drawn.accepted[job] && !over && draw(3)) {
         drawn.accepted[job] = true;
-        if (world->outcome[job] == AMB_OUTCOME_OPEN)
-            add_urgent(job, drawn.awaited[job], drawn.count[job], drawn.dependent[job].need.priority,
-                       drawn.dependent[job].need.due_wall, drawn.dependent[job].work_ms);
+        if (world->outcome[job] == AMB_JOB_OUTCOME_OPEN)
+            add_urgent(job, drawn.awaited[job], drawn.count[job], drawn.dependent[job].own_priority.priority,
+                       drawn.dependent[job].own_priority.due_wall_ms, drawn.dependent[job].work_ms);
     } else if (!over && ended[job]) {
         drawn.done[job] = true;
         done(job);
@@ -331,19 +337,19 @@
 
 static void compare(uint32_t graph, uint32_t step, const uint32_t *ready) {
     for (uint32_t i = 0; i < DRAWN; i++) {
-        enum amb_outcome outcome = drawn.done[i]         ? AMB_OUTCOME_DONE
-                                   : oracle.cancelled[i] ? AMB_OUTCOME_CANCELLED
-                                                         : AMB_OUTCOME_OPEN;
+        enum amb_job_outcome outcome = drawn.done[i]         ? AMB_JOB_OUTCOME_DONE
+                                       : oracle.cancelled[i] ? AMB_JOB_OUTCOME_CANCELLED
+                                                             : AMB_JOB_OUTCOME_OPEN;
         if (world->outcome[i] != outcome)
             fail_msg("graph %u step %u job %u: outcome %d", graph, step, i, world->outcome[i]);
         if (waits(i) != oracle.waits[i]) fail_msg("graph %u step %u job %u: waits", graph, step, i);
         if (world->ready[i] != ready[i]) fail_msg("graph %u step %u job %u: ready", graph, step, i);
     }
-    amb_dependencies_reckon(&world->graph);
+    amb_dependency_graph_propagate_priorities(&world->graph);
     for (uint32_t i = 0; i < DRAWN; i++) {
-        if (world->outcome[i] != AMB_OUTCOME_OPEN) continue;
-        struct amb_urgency_need need = oracle.need[i];
-        if (world->need[i].priority != need.priority || world->need[i].due_wall != need.due_wall)
+        if (world->outcome[i] != AMB_JOB_OUTCOME_OPEN) continue;
+        struct amb_effective_priority need = oracle.need[i];
+        if (world->need[i].priority != need.priority || world->need[i].due_wall_ms != need.due_wall_ms)
             fail_msg("graph %u step %u job %u: need", graph, step, i);
     }
 }
@@ -370,7 +376,7 @@
             struct oracle before = oracle;
             hear_something(ended);
             ask_outcomes();
-            ask_needs();
+            ask_priorities();
             for (uint32_t i = 0; i < DRAWN; i++)
                 ready[i] += before.waits[i] && !oracle.waits[i] && !drawn.done[i] && !oracle.cancelled[i];
             compare(graph, step, ready);
@@ -394,7 +400,7 @@
 static void add_chain(bool backwards) {
     for (uint32_t i = 1; i < DEEP; i++) {
         uint32_t job = backwards ? DEEP - i : i, before = job - 1;
-        add_urgent(job, &before, 1, AMB_NORMAL, job == DEEP - 1 ? 1000000 : AMB_NO_DUE, 1);
+        add_urgent(job, &before, 1, AMB_PRIORITY_NORMAL, job == DEEP - 1 ? 1000000 : AMB_NO_DUE, 1);
     }
 }
 
@@ -405,19 +411,19 @@
     for (int backwards = 0; backwards < 2; backwards++) {
         anew();
         add_chain(backwards);
-        amb_dependencies_reckon(&world->graph);
-        assert_int_equal(world->need[0].due_wall, 1000000 - (DEEP - 1));
+        amb_dependency_graph_propagate_priorities(&world->graph);
+        assert_int_equal(world->need[0].due_wall_ms, 1000000 - (DEEP - 1));
         cancel(0);
-        assert_int_equal(world->ncancelled, DEEP - 1);
+        assert_int_equal(world->cancelled_count, DEEP - 1);
         assert_null(world->graph.by_name);
         anew();
         add_chain(backwards);
         for (uint32_t i = 0; i < DEEP; i++) done(i);
-        assert_int_equal(world->nready, DEEP - 1);
+        assert_int_equal(world->ready_count, DEEP - 1);
         assert_null(world->graph.by_name);
         anew();
         add_chain(backwards);
-        amb_dependencies_clear(&world->graph);
+        amb_dependency_graph_clear(&world->graph);
     }
     assert_int_equal(setrlimit(RLIMIT_STACK, &was), 0);
 }
@@ -432,15 +438,15 @@
     for (int cancelled = 0; cancelled < 2; cancelled++) {
         anew();
         for (uint32_t i = 0; i < WIDE; i++) add(all[i], &head, 1);
-        add_urgent(WIDE + 1, all, WIDE, AMB_HIGH, 100, 1);
-        amb_dependencies_reckon(&world->graph);
-        assert_int_equal(world->need[0].priority, AMB_HIGH);
+        add_urgent(WIDE + 1, all, WIDE, AMB_PRIORITY_HIGH, 100, 1);
+        amb_dependency_graph_propagate_priorities(&world->graph);
+        assert_int_equal(world->need[0].priority, AMB_PRIORITY_HIGH);
         if (cancelled) {
             cancel(head);
-            assert_int_equal(world->ncancelled, WIDE + 1);
+            assert_int_equal(world->cancelled_count, WIDE + 1);
         } else {
             done(head);
-            assert_int_equal(world->nready, WIDE);
+            assert_int_equal(world->ready_count, WIDE);
             for (uint32_t i = 0; i < WIDE; i++) done(all[i]);
             assert_int_equal(world->ready[WIDE + 1], 1);
         }
@@ -453,7 +459,7 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(small_pipelines), TEST(causes),      TEST(needs),
+        TEST(small_pipelines), TEST(causes),      TEST(priorities_are_inherited),
         TEST(drawn_graphs),    TEST(deep_chains), TEST(wide_graphs),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -8,76 +8,76 @@
 
 static void gangs(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_GANG, 2);
-    struct amb_task *a = bound(job, 0, "m-1", 1), *b = bound(job, 1, "m-2", 1);
-    amb_gang_state(job, AMB_GANG_STARTING, "placed");
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
+    struct amb_task *first = bound(job, 0, "m-1", 1), *second = bound(job, 1, "m-2", 1);
+    amb_gang_set_state(job, AMB_GANG_STARTING, "placed");
     /* All or none: one record not durable yet keeps the other task waiting too. */
-    b->state = AMB_TASK_PLACED;
+    second->state = AMB_TASK_PLACED;
     report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-    assert_int_equal(count_orders(AMB_OP_RUN), 0);
-    b->state = AMB_TASK_BOUND;
+    assert_int_equal(count_orders(AMB_COMMAND_RUN), 0);
+    second->state = AMB_TASK_BOUND;
     report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
-    assert_int_equal(count_orders(AMB_OP_RUN), 1);
-    struct amb_seen sa = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
-    struct amb_seen sb = listing("wk-1", 1, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
-    report("m-1", 1, 3, TERM, amb_now(), &sa, 1);
-    report("m-2", 1, 3, TERM, amb_now(), &sb, 1);
-    assert_int_equal(job->gang, AMB_GANG_RUNNING);
+    assert_int_equal(count_orders(AMB_COMMAND_RUN), 1);
+    struct amb_agent_task first_listing = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    struct amb_agent_task second_listing = listing("wk-1", 1, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    report("m-1", 1, 3, TERM, amb_now(), &first_listing, 1);
+    report("m-2", 1, 3, TERM, amb_now(), &second_listing, 1);
+    assert_int_equal(job->gang_state, AMB_GANG_RUNNING);
     /* One task is lost: the other is told to stop, and nothing starts before it is gone. */
     report("m-2", 2, 1, TERM, amb_now(), NULL, 0);
-    assert_int_equal(job->gang, AMB_GANG_TEARING);
-    assert_null(b->machine);
-    assert_non_null(a->machine);
-    report("m-1", 1, 4, TERM, amb_now(), &sa, 1);
-    assert_int_equal(count_orders(AMB_OP_HALT), 1);
-    sa.on = AMB_ON_EXITED;
-    sa.why = AMB_WHY_PEERS;
-    report("m-1", 1, 5, TERM, amb_now(), &sa, 1);
-    assert_int_equal(job->gang, AMB_GANG_IDLE);
-    assert_int_equal(job->nbound, 0);
+    assert_int_equal(job->gang_state, AMB_GANG_TEARING);
+    assert_null(second->machine);
+    assert_non_null(first->machine);
+    report("m-1", 1, 4, TERM, amb_now(), &first_listing, 1);
+    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
+    first_listing.state = AMB_AGENT_TASK_EXITED;
+    first_listing.exit_reason = AMB_EXIT_GANG_PEER_GONE;
+    report("m-1", 1, 5, TERM, amb_now(), &first_listing, 1);
+    assert_int_equal(job->gang_state, AMB_GANG_IDLE);
+    assert_int_equal(job->bound_count, 0);
 }
 
 /* A gang's tasks on one machine all go when one of them tears the attempt down in mid-report. */
 static void gang_on_one_machine(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_GANG, 3);
-    struct amb_seen s[3];
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 3);
+    struct amb_agent_task listings[3];
     for (uint32_t i = 0; i < 3; i++) {
         bound(job, i, "m-1", 1);
-        s[i] = listing("wk-1", i, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+        listings[i] = listing("wk-1", i, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     }
-    amb_gang_state(job, AMB_GANG_STARTING, "placed");
-    report("m-1", 1, 1, TERM, amb_now(), s, 3);
-    assert_int_equal(job->gang, AMB_GANG_RUNNING);
+    amb_gang_set_state(job, AMB_GANG_STARTING, "placed");
+    report("m-1", 1, 1, TERM, amb_now(), listings, 3);
+    assert_int_equal(job->gang_state, AMB_GANG_RUNNING);
     report("m-1", 2, 1, TERM, amb_now(), NULL, 0);
-    assert_int_equal(job->nbound, 0);
-    assert_int_equal(job->gang, AMB_GANG_IDLE);
+    assert_int_equal(job->bound_count, 0);
+    assert_int_equal(job->gang_state, AMB_GANG_IDLE);
 }
 
 static void gangs_have_one_attempt(void **state) {
     (void)state;
-    amb_wdrr_prepare(node->set.teams, 1, true);
-    amb_wdrr_refill(node->set.teams, 1, 1000);
+    amb_wdrr_prepare(node->settings.teams, 1, true);
+    amb_wdrr_refill(node->settings.teams, 1, 1000);
     machine_up("m-1", 0);
     machine_up("m-2", 0);
-    struct amb_job *job = add_job("wk-1", AMB_GANG, 2);
-    job->spec->each.gpus = 8;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
+    job->spec->task_resources.gpus = 8;
     struct amb_round *cycle = amb_round_new(node, amb_now());
     amb_round_admit(cycle);
     amb_round_free(cycle);
-    assert_int_equal(job->nbound, 2);
+    assert_int_equal(job->bound_count, 2);
     if (job->tasks[0].attempt != job->tasks[1].attempt)
         fail_msg("attempts %llu and %llu", (unsigned long long)job->tasks[0].attempt,
                  (unsigned long long)job->tasks[1].attempt);
     assert_true(job->next_attempt > job->tasks[0].attempt);
-    assert_true(node->set.teams[0].used.gpus == 16); /* debited, though no record is written yet */
+    assert_true(node->settings.teams[0].used.gpus == 16); /* debited, though no record is written yet */
 }
 
 static void gangs_start_anew_when_all_are_gone(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        enum amb_gang_state gang;
+        enum amb_gang_set_state gang;
         bool one_left, starts;
     } rows[] = {
         {"all are gone", AMB_GANG_IDLE, false, true},
@@ -87,10 +87,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_GANG, 2);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
         machine_up("m-1", 0);
         if (rows[i].one_left) bound(job, 0, "m-1", 1);
-        job->gang = rows[i].gang;
+        job->gang_state = rows[i].gang;
         struct amb_round *cycle = amb_round_new(node, amb_now());
         bool starts = amb_round_wants_start(cycle, job);
         amb_round_free(cycle);
@@ -100,7 +100,7 @@
 
 static void old_tasks_bind_the_zone(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 2);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
     job->spec->one_zone = true;
     machine_up("m-1", 1);
     bound(job, 0, "m-1", 1);
@@ -126,42 +126,43 @@
         double save_s, grace;
         enum amb_priority sweep_priority; /* the gang's is normal */
     } rows[] = {
-        {"one machine's worth", 1, 16, 10, true, true, 8, false, 3, 3, AMB_NORMAL},
-        {"all that there is", 2, 16, 10, true, true, 16, false, 3, 3, AMB_NORMAL},
-        {"more than there is", 3, 32, 10, true, false, 0, false, 3, 0, AMB_NORMAL},
-        {"not guaranteed", 2, 8, 10, true, false, 0, false, 3, 0, AMB_NORMAL},
-        {"what would lose its work", 2, 16, 0, true, false, 0, false, 3, 0, AMB_NORMAL},
-        {"by the operators' wish", 2, 16, 10, false, false, 0, false, 3, 0, AMB_NORMAL},
+        {"one machine's worth", 1, 16, 10, true, true, 8, false, 3, 3, AMB_PRIORITY_NORMAL},
+        {"all that there is", 2, 16, 10, true, true, 16, false, 3, 3, AMB_PRIORITY_NORMAL},
+        {"more than there is", 3, 32, 10, true, false, 0, false, 3, 0, AMB_PRIORITY_NORMAL},
+        {"not guaranteed", 2, 8, 10, true, false, 0, false, 3, 0, AMB_PRIORITY_NORMAL},
+        {"what would lose its work", 2, 16, 0, true, false, 0, false, 3, 0, AMB_PRIORITY_NORMAL},
+        {"by the operators' wish", 2, 16, 10, false, false, 0, false, 3, 0, AMB_PRIORITY_NORMAL},
         {"a start that counts does not wait for little to be saved", 2, 16, 10, true, true, 16, true, 3, 0,
-         AMB_NORMAL},
-        {"but for much", 2, 16, 20, true, true, 16, true, 3, 3, AMB_NORMAL},
-        {"lower work, that would lose its own", 2, 16, 0, true, true, 16, false, 3, 0, AMB_BEST_EFFORT},
-        {"lower work, but not guaranteed", 2, 8, 0, true, false, 0, false, 3, 0, AMB_BEST_EFFORT},
-        {"higher work", 2, 16, 0, true, false, 0, false, 3, 0, AMB_HIGH},
+         AMB_PRIORITY_NORMAL},
+        {"but for much", 2, 16, 20, true, true, 16, true, 3, 3, AMB_PRIORITY_NORMAL},
+        {"lower work, that would lose its own", 2, 16, 0, true, true, 16, false, 3, 0,
+         AMB_PRIORITY_BEST_EFFORT},
+        {"lower work, but not guaranteed", 2, 8, 0, true, false, 0, false, 3, 0, AMB_PRIORITY_BEST_EFFORT},
+        {"higher work", 2, 16, 0, true, false, 0, false, 3, 0, AMB_PRIORITY_HIGH},
     };
     for (size_t k = 0; k < ROWS(rows); k++) {
-        node->set.nteams = 2;
-        node->set.teams[0].guarantee.gpus = 4;
-        node->set.teams[1].guarantee.gpus = rows[k].guaranteed;
-        node->opt.preempt = rows[k].preempt;
-        node->set.nobjectives = rows[k].starts_count;
-        strcpy(node->set.objectives[0].kind, "wait");
-        strcpy(node->set.objectives[0].class_name, "tune");
-        node->set.objectives[0].within_s = 25;
-        struct amb_job *sweep = add_job("wk-1", AMB_ARRAY, 16),
-                       *gang = add_job("wk-2", AMB_GANG, rows[k].tasks);
+        node->settings.nteams = 2;
+        node->settings.teams[0].guarantee.gpus = 4;
+        node->settings.teams[1].guarantee.gpus = rows[k].guaranteed;
+        node->options.preempt = rows[k].preempt;
+        node->settings.nobjectives = rows[k].starts_count;
+        strcpy(node->settings.objectives[0].kind, "wait");
+        strcpy(node->settings.objectives[0].class_name, "tune");
+        node->settings.objectives[0].within_s = 25;
+        struct amb_job *sweep = add_job("wk-1", AMB_JOB_KIND_ARRAY, 16),
+                       *gang = add_job("wk-2", AMB_JOB_KIND_GANG, rows[k].tasks);
         sweep->spec->priority = rows[k].sweep_priority;
-        gang->spec->priority = AMB_NORMAL;
-        sweep->spec->checkpoint_s = rows[k].checkpoint_s;
-        sweep->spec->save_s = rows[k].save_s;
+        gang->spec->priority = AMB_PRIORITY_NORMAL;
+        sweep->spec->checkpoint_interval_s = rows[k].checkpoint_s;
+        sweep->spec->checkpoint_save_s = rows[k].save_s;
         strcpy(gang->spec->class_name, "tune");
-        sweep->spec->spot = gang->spec->spot = true;
-        gang->spec->each = (struct amb_res){80, 8, 500};
-        gang->team = &node->set.teams[1];
+        sweep->spec->spot_allowed = gang->spec->spot_allowed = true;
+        gang->spec->task_resources = (struct amb_resources){80, 8, 500};
+        gang->team = &node->settings.teams[1];
         for (uint32_t i = 0; i < 16; i++) {
             struct amb_task *task = bound(sweep, i, i < 8 ? "m-1" : "m-2", 1);
             task->state = AMB_TASK_SEEN;
-            task->on = AMB_ON_RUNNING;
+            task->agent_state = AMB_AGENT_TASK_RUNNING;
         }
         report("m-1", k + 1, 1, TERM, amb_now(), NULL, 0);
         report("m-2", k + 1, 1, TERM, amb_now(), NULL, 0);
@@ -173,24 +174,24 @@
         amb_round_mark(cycle, gang->spec, gang->spec->image);
         uint32_t stopped = 0, claimed = 0;
         bool room = amb_round_make_room_gang(cycle, gang);
-        for (uint32_t i = 0; i < cycle->nslots; i++) claimed += cycle->slots[i].machine->claimed;
+        for (uint32_t i = 0; i < cycle->nslots; i++) claimed += cycle->slots[i].machine->claimed_by_gang;
         amb_round_free(cycle);
-        for (uint32_t i = 0; i < 16; i++) stopped += sweep->tasks[i].halting;
+        for (uint32_t i = 0; i < 16; i++) stopped += sweep->tasks[i].stop_requested;
         for (uint32_t i = 0; i < 16; i++)
-            if (sweep->tasks[i].halting && sweep->tasks[i].grace_s != rows[k].grace)
+            if (sweep->tasks[i].stop_requested && sweep->tasks[i].grace_s != rows[k].grace)
                 fail_msg("%s: stopped with grace %g", rows[k].what, sweep->tasks[i].grace_s);
         if (room != rows[k].room || stopped != rows[k].stopped || claimed != rows[k].stopped / 8)
             fail_msg("%s: room %d, %u stopped, %u machines claimed", rows[k].what, room, stopped, claimed);
         for (uint32_t i = 0; i < 16; i++) amb_task_unbind(node, &sweep->tasks[i], "end of row");
         struct amb_job *jobs[] = {sweep, gang};
         for (size_t i = 0; i < ROWS(jobs); i++) {
-            amb_job_leave(node, jobs[i]);
+            amb_job_deactivate(node, jobs[i]);
             HASH_DEL(node->jobs.all, jobs[i]);
             free(jobs[i]->spec);
             free(jobs[i]);
         }
         struct amb_machine *machine, *next;
-        HASH_ITER(hh, node->fleet.all, machine, next) machine->claimed = false;
+        HASH_ITER(hh, node->fleet.all, machine, next) machine->claimed_by_gang = false;
     }
 }
 
@@ -200,28 +201,28 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_kind kind;
+        enum amb_job_kind kind;
         double within[3], want; /* seconds; want 0: in no hurry */
     } rows[] = {
-        {"no aim", AMB_ARRAY, {0}, 0},
-        {"sweeps that may start after a boot and a fetch", AMB_ARRAY, {120}, 0},
-        {"sweeps that may not", AMB_ARRAY, {30}, 30},
-        {"gangs, by the soonest of their aims", AMB_GANG, {70, 25, 50}, 25},
-        {"services, however late", AMB_SERVICE, {120}, 120},
+        {"no aim", AMB_JOB_KIND_ARRAY, {0}, 0},
+        {"sweeps that may start after a boot and a fetch", AMB_JOB_KIND_ARRAY, {120}, 0},
+        {"sweeps that may not", AMB_JOB_KIND_ARRAY, {30}, 30},
+        {"gangs, by the soonest of their aims", AMB_JOB_KIND_GANG, {70, 25, 50}, 25},
+        {"services, however late", AMB_JOB_KIND_SERVICE, {120}, 120},
     };
     node->catalog.types[0].boot_s = 50;
-    node->catalog.types[0].fetch_gb_s = 1.7;
+    node->catalog.types[0].image_fetch_gb_per_s = 1.7;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_spec spec = {.kind = rows[i].kind, .class_name = "class", .image_gb = 16};
-        node->set.nobjectives = 0;
+        struct amb_job_spec spec = {.kind = rows[i].kind, .class_name = "class", .image_gb = 16};
+        node->settings.nobjectives = 0;
         for (size_t k = 0; k < 3 && rows[i].within[k] > 0; k++) {
-            struct amb_objective *o = &node->set.objectives[node->set.nobjectives++];
-            strcpy(o->kind, "wait");
-            strcpy(o->class_name, "class");
-            o->within_s = rows[i].within[k];
+            struct amb_objective *objective = &node->settings.objectives[node->settings.nobjectives++];
+            strcpy(objective->kind, "wait");
+            strcpy(objective->class_name, "class");
+            objective->within_s = rows[i].within[k];
         }
-        const struct amb_objective *o = amb_start_objective(node, &spec);
-        if ((o ? o->within_s : 0) != rows[i].want) fail_msg("%s", rows[i].what);
+        const struct amb_objective *objective = amb_start_objective(node, &spec);
+        if ((objective ? objective->within_s : 0) != rows[i].want) fail_msg("%s", rows[i].what);
     }
 }
 
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -16,7 +16,7 @@
         "\"reckon_s\":%f,\"mark_s\":0.0,\"stow_s\":0.0,\"due_s\":%f,\"awaits\":[%s]}}",
         (long long)amb_wall_ms() - age_s * 1000LL, ref, rank, reckon_s, due_s, awaits);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply(node, ref, value, stamp);
+    amb_jobs_apply_item(node, ref, value, stamp);
     cbor_decref(&value);
     amb_buf_free(&buffer);
     return amb_job_find(node, ref);
@@ -67,19 +67,19 @@
     lead();
     play("setup", "+a +b:a +c");
     struct amb_job *stage = amb_job_find(node, "wk-b"), *other = amb_job_find(node, "wk-c");
-    int64_t submitted = stage->accepted_wall;
+    int64_t submitted = stage->accepted_wall_ms;
     fake_clock_advance(20000);
     play("the first is done", "!a live=bc");
-    assert_true(amb_job_ready_wall(stage) >= submitted + 20000);
-    assert_true(amb_job_order_wall(stage) >= submitted + 20000);
-    assert_int_equal(amb_job_ready_wall(other), other->accepted_wall);
+    assert_true(amb_job_ready_wall_ms(stage) >= submitted + 20000);
+    assert_true(amb_job_order_wall_ms(stage) >= submitted + 20000);
+    assert_int_equal(amb_job_ready_wall_ms(other), other->accepted_wall_ms);
     stage->spec->deadline_s = 100;
-    assert_int_equal(amb_job_due_wall(stage), submitted + 100000);
+    assert_int_equal(amb_job_due_wall_ms(stage), submitted + 100000);
     /* In time: from the end of the first for an aim, from the submission for a due time. */
-    node->set.nobjectives = 1;
-    strcpy(node->set.objectives[0].kind, "finished");
-    strcpy(node->set.objectives[0].class_name, "stage");
-    node->set.objectives[0].within_s = 45; /* its work is reckoned as 30 */
+    node->settings.nobjectives = 1;
+    strcpy(node->settings.objectives[0].kind, "finished");
+    strcpy(node->settings.objectives[0].class_name, "stage");
+    node->settings.objectives[0].within_s = 45; /* its work is reckoned as 30 */
     node->catalog.types[0].boot_s = 0;
     stage->spec->deadline_s = 0;
     assert_true(amb_start_can_wait(node, stage));
@@ -107,7 +107,7 @@
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
         job_from("wk-last", "high", rows[i].due_s, rows[i].reckon_s, 0, "\"wk-first\"", 202);
         node->catalog.types[0].boot_s = 30;
-        amb_pipelines_reckon(node);
+        amb_pipelines_update_priorities(node);
         if (amb_start_can_wait(node, first) != rows[i].can_wait) fail_msg("%s", rows[i].what);
     }
 }
@@ -135,7 +135,7 @@
         struct amb_job *job = job_from("wk-first", rows[i].priority, rows[i].due_s, 20, 0, "", 201);
         node->catalog.types[0].boot_s = 30;
         job->team->opportunistic = rows[i].opportunistic;
-        job->accepted_wall -= amb_secs(rows[i].waited_s);
+        job->accepted_wall_ms -= amb_secs(rows[i].waited_s);
         if (amb_start_can_wait(node, job) != rows[i].can_wait) fail_msg("%s", rows[i].what);
         job->team->opportunistic = false;
     }
@@ -152,29 +152,35 @@
         enum amb_priority own_claim;
         bool opportunistic;
     } rows[] = {
-        {"of a high pipeline, for high work", "high", 0, AMB_HIGH, false, AMB_HIGH, false},
-        {"of a high pipeline, for prod work", "high", 0, AMB_PROD, true, AMB_HIGH, false},
-        {"of a normal pipeline, for high work", "normal", 0, AMB_HIGH, true, AMB_NORMAL, false},
-        {"of a prod pipeline, for prod work", "prod", 0, AMB_PROD, false, AMB_PROD, false},
-        {"of a high pipeline that has time", "high", 60, AMB_HIGH, true, AMB_BEST_EFFORT, false},
-        {"of a high pipeline that is late", "high", 44, AMB_HIGH, false, AMB_HIGH, false},
-        {"lower work, for normal work without a guarantee", "best_effort", 0, AMB_NORMAL, false,
-         AMB_BEST_EFFORT, false},
-        {"opportunistic work, for the same", "best_effort", 0, AMB_NORMAL, true, AMB_BEST_EFFORT, true},
-        {"opportunistic work, for its like", "best_effort", 0, AMB_BEST_EFFORT, false, AMB_BEST_EFFORT, true},
+        {"of a high pipeline, for high work", "high", 0, AMB_PRIORITY_HIGH, false, AMB_PRIORITY_HIGH, false},
+        {"of a high pipeline, for prod work", "high", 0, AMB_PRIORITY_PRODUCTION, true, AMB_PRIORITY_HIGH,
+         false},
+        {"of a normal pipeline, for high work", "normal", 0, AMB_PRIORITY_HIGH, true, AMB_PRIORITY_NORMAL,
+         false},
+        {"of a prod pipeline, for prod work", "prod", 0, AMB_PRIORITY_PRODUCTION, false,
+         AMB_PRIORITY_PRODUCTION, false},
+        {"of a high pipeline that has time", "high", 60, AMB_PRIORITY_HIGH, true, AMB_PRIORITY_BEST_EFFORT,
+         false},
+        {"of a high pipeline that is late", "high", 44, AMB_PRIORITY_HIGH, false, AMB_PRIORITY_HIGH, false},
+        {"lower work, for normal work without a guarantee", "best_effort", 0, AMB_PRIORITY_NORMAL, false,
+         AMB_PRIORITY_BEST_EFFORT, false},
+        {"opportunistic work, for the same", "best_effort", 0, AMB_PRIORITY_NORMAL, true,
+         AMB_PRIORITY_BEST_EFFORT, true},
+        {"opportunistic work, for its like", "best_effort", 0, AMB_PRIORITY_BEST_EFFORT, false,
+         AMB_PRIORITY_BEST_EFFORT, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
         lead();
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
         job_from("wk-last", rows[i].last_rank, rows[i].due_s, 10, 0, "\"wk-first\"", 202);
-        amb_pipelines_reckon(node);
+        amb_pipelines_update_priorities(node);
         struct amb_task *task = bound(first, 0, "m-1", 1);
         task->state = AMB_TASK_SEEN;
         const struct amb_claim claim = {rows[i].claim, NULL, false};
         first->team->opportunistic = rows[i].opportunistic;
         if (amb_round_makes_way(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
-        assert_int_equal(amb_job_priority(first), rows[i].own_claim);
+        assert_int_equal(amb_job_get_effective_priority(first), rows[i].own_claim);
         struct amb_round *cycle = amb_round_new(node, amb_now());
         struct amb_wish request;
         amb_round_wish(cycle, first, &request);
@@ -191,33 +197,33 @@
     lead();
     struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
     struct amb_job *last = job_from("wk-last", "high", 30, 10, 0, "\"wk-first\"", 202);
-    amb_pipelines_reckon(node);
-    assert_int_equal(amb_job_priority(first), AMB_HIGH);
-    amb_job_cancel_hint(node, last->ref, amb_wall_ms(), 203);
-    amb_pipelines_reckon(node);
-    assert_int_equal(amb_job_priority(first), AMB_BEST_EFFORT);
-    assert_int_equal(amb_job_due_wall(first), AMB_NO_DUE);
+    amb_pipelines_update_priorities(node);
+    assert_int_equal(amb_job_get_effective_priority(first), AMB_PRIORITY_HIGH);
+    amb_job_apply_cancel_hint(node, last->ref, amb_wall_ms(), 203);
+    amb_pipelines_update_priorities(node);
+    assert_int_equal(amb_job_get_effective_priority(first), AMB_PRIORITY_BEST_EFFORT);
+    assert_int_equal(amb_job_due_wall_ms(first), AMB_NO_DUE);
 }
 
 /* What a class asks for is noted when its jobs can run. */
 static void demand_is_noted_when_it_can_run(void **state) {
     (void)state;
     lead();
-    strcpy(node->set.objectives[0].kind, "wait");
-    strcpy(node->set.objectives[0].class_name, "gangs");
-    node->set.objectives[0].within_s = 10;
-    node->set.nobjectives = 1;
+    strcpy(node->settings.objectives[0].kind, "wait");
+    strcpy(node->settings.objectives[0].class_name, "gangs");
+    node->settings.objectives[0].within_s = 10;
+    node->settings.nobjectives = 1;
     play("setup", "+a");
     json_t *job = json_loads(describe('b', "a", "ensemble"), 0, NULL);
     json_object_set_new(job, "berth", json_string("gangs"));
     submit_json(job);
     assert_string_equal(answer(), "201q");
-    assert_int_equal(node->ctl.ndemands, 0);
+    assert_int_equal(node->controller.demand_count, 0);
     stop();
     lead(); /* who takes the lead notes what it finds */
-    assert_int_equal(node->ctl.ndemands, 0);
+    assert_int_equal(node->controller.demand_count, 0);
     finish_tasks('a');
-    assert_int_equal(node->ctl.ndemands, 1);
+    assert_int_equal(node->controller.demand_count, 1);
 }
 
 int main(void) {
--- a/tests/job/test_pipeline_submissions.c
+++ b/tests/job/test_pipeline_submissions.c
@@ -45,7 +45,7 @@
             json_object_set_new(job, "awaits", json_loads(rows[i].awaits, JSON_DECODE_ANY, NULL));
         submit_json(job);
         const struct amb_job *known = amb_job_find(node, "wk-b");
-        uint32_t count = known && known->awaits ? known->awaits->count : 0;
+        uint32_t count = known && known->dependencies ? known->dependencies->count : 0;
         if (answer_status() != rows[i].status || count != rows[i].count)
             fail_msg("%s: %s, %u names", rows[i].awaits ? rows[i].awaits : "left out", answer(), count);
     }
@@ -55,7 +55,7 @@
 static void know_done(const char *name, uint64_t stamp) {
     struct amb_buf value = cbor_from_text("{\"s\":\"done\",\"n\":1}");
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply(node, name, item, stamp);
+    amb_jobs_apply_item(node, name, item, stamp);
     cbor_decref(&item);
     amb_buf_free(&value);
 }
@@ -72,12 +72,12 @@
                 {8, 2, 86, 422}, {2, 8, 85, 201}, {2, 8, 86, 422},  {8, 0, 4000, 422}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        node->set.value_kb = rows[i].value_kb;
-        node->set.state_next.value_kb = rows[i].next_kb;
-        double least_kb = amb_settings_lowered_limits(&node->set).value_kb;
+        node->settings.value_kb = rows[i].value_kb;
+        node->settings.state_next.value_kb = rows[i].next_kb;
+        double least_kb = amb_settings_lowered_limits(&node->settings).value_kb;
         json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL), *list = json_array();
         for (uint32_t k = 0; k < rows[i].names; k++) {
-            char name[AMB_NAME];
+            char name[AMB_NAME_SIZE];
             snprintf(name, sizeof name, "wk-%06u", k);
             know_done(name, 10 + k);
             json_array_append_new(list, json_string(name));
@@ -104,15 +104,15 @@
                 {16, 0, 16, 60, 201}, {16, 2, 16, 60, 422}, {16, 2, 16, 16, 201}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        node->set.value_kb = rows[i].value_kb;
-        node->set.state_next.value_kb = rows[i].next_kb;
+        node->settings.value_kb = rows[i].value_kb;
+        node->settings.state_next.value_kb = rows[i].next_kb;
         json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL);
         json_t *types = json_array(), *names = json_array();
         json_array_append_new(types, json_string(node->catalog.types[0].name));
         for (uint32_t k = 1; k < rows[i].types; k++)
             json_array_append_new(types, json_sprintf("%058u-%04u", 0, k));
         for (uint32_t k = 0; k < rows[i].names; k++) {
-            char name[AMB_NAME];
+            char name[AMB_NAME_SIZE];
             snprintf(name, sizeof name, "wk-%06u", k);
             know_done(name, 10 + k);
             json_array_append_new(names, json_string(name));
@@ -181,7 +181,7 @@
         const struct record *record = &records['b' - 'a'];
         cbor_item_t *value = amb_cbor_parse(record->value.data, record->value.len);
         const cbor_item_t *described = amb_cbor_get(value, "d");
-        struct amb_spec spec;
+        struct amb_job_spec spec;
         if ((described != NULL) != rows[i].described) fail_msg("%s: described", rows[i].script);
         if (described) assert_int_equal(amb_codec_spec(described, &spec), AMB_PARSE_OK);
         if (amb_cbor_len(amb_cbor_get(described, "awaits")) != rows[i].names)
@@ -210,8 +210,8 @@
     (void)state;
     play("setup", "@+a @+b:a @+c:b @-a ~");
     const struct amb_job *head = amb_job_find(node, "wk-a"), *last = amb_job_find(node, "wk-c");
-    assert_int_equal(last->cancel_stamp, records[0].stamp);
-    assert_int_equal(last->cancelled_wall, head->cancelled_wall);
+    assert_int_equal(last->cancel_revision, records[0].stamp);
+    assert_int_equal(last->cancelled_wall_ms, head->cancelled_wall_ms);
     json_t *question = json_pack("{s:I}", "epoch", (json_int_t)(records[0].stamp - 1));
     json_t *told = amb_peer_answer(node, question);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 3);
--- a/tests/job/test_pipelines.c
+++ b/tests/job/test_pipelines.c
@@ -109,31 +109,31 @@
     (void)state;
     lead();
     play("setup", "+a +b:a hold !a live=a");
-    node->ctl.round_wanted = false;
+    node->controller.cycle_requested = false;
     service.held = false;
     while (serve_one()) {}
     assert_string_equal(live_jobs(), "b");
-    assert_true(node->ctl.round_wanted);
+    assert_true(node->controller.cycle_requested);
 }
 
 /* Jobs are taken up when room comes for them: not those that wait for others. */
 static void jobs_left_out_wait_too(void **state) {
     (void)state;
     lead();
-    uint32_t bound = (uint32_t)(node->set.memory_mb * 1024 * 1024 / 3 / sizeof(struct amb_task));
+    uint32_t bound = (uint32_t)(node->settings.memory_mb * 1024 * 1024 / 3 / sizeof(struct amb_task));
     play("room", "+a +b:a +c live=ac");
-    amb_job_find(node, "wk-c")->spec->tasks = bound;
-    amb_job_leave(node, amb_job_find(node, "wk-c"));
-    amb_job_leave(node, amb_job_find(node, "wk-a"));
-    node->jobs.task_count = 0;
-    amb_job_take(node, amb_job_find(node, "wk-c"));
+    amb_job_find(node, "wk-c")->spec->task_count = bound;
+    amb_job_deactivate(node, amb_job_find(node, "wk-c"));
+    amb_job_deactivate(node, amb_job_find(node, "wk-a"));
+    node->jobs.active_task_count = 0;
+    amb_job_activate(node, amb_job_find(node, "wk-c"));
     play("no room", "+d live=c");
-    assert_true(node->jobs.left_out);
-    amb_job_leave(node, amb_job_find(node, "wk-c"));
-    amb_jobs_take_left_out(node);
-    amb_job_find(node, "wk-c")->spec->tasks = TASKS;
-    if (amb_job_find(node, "wk-b")->live) fail_msg("a job that awaits another is taken up");
-    assert_true(amb_job_find(node, "wk-a")->live || amb_job_find(node, "wk-d")->live);
+    assert_true(node->jobs.has_unadmitted);
+    amb_job_deactivate(node, amb_job_find(node, "wk-c"));
+    amb_jobs_activate_unadmitted(node);
+    amb_job_find(node, "wk-c")->spec->task_count = TASKS;
+    if (amb_job_find(node, "wk-b")->active) fail_msg("a job that awaits another is taken up");
+    assert_true(amb_job_find(node, "wk-a")->active || amb_job_find(node, "wk-d")->active);
 }
 
 /* Records of placements of a job that waits (an old leader's, which knows nothing of waiting) keep their
@@ -149,8 +149,8 @@
     amb_record_load(node, "b/p/wk-b/00000", value, 60);
     cbor_decref(&value);
     amb_buf_free(&buffer);
-    assert_true(job->live);
-    assert_int_equal(job->nbound, 1);
+    assert_true(job->active);
+    assert_int_equal(job->bound_count, 1);
     struct amb_round *cycle = amb_round_new(node, amb_now());
     if (amb_round_wants_start(cycle, job)) fail_msg("it is started while it waits");
     amb_round_free(cycle);
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -6,16 +6,19 @@
 
 /* What news say of a job, as a node that is not asked for it hears it. */
 static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t stamp) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_job draft = {.spec = &spec, .accepted_wall = 1};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_job draft = {.spec = &spec, .accepted_wall_ms = 1};
     struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(&buffer, &draft, state);
+    amb_job_encode_record(&buffer, &draft, state);
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, stamp);
     cbor_decref(&item);
     amb_buf_free(&buffer);
 }
@@ -45,12 +48,12 @@
         setup(NULL);
         node->election.role = AMB_ROLE_FOLLOWER;
         node->jobs.loaded = true;
-        node->set.npeers = 6;
-        node->set.state_rps = 200;
-        node->set.state_write_rps = 20;
-        amb_store_init(&node->store, &node->set, 1000);
+        node->settings.npeers = 6;
+        node->settings.state_rps = 200;
+        node->settings.state_write_rps = 20;
+        amb_store_init(&node->store, &node->settings, 1000);
         node->store.user_write_bucket.refilled_at = amb_now() + 3600000; /* no refill meanwhile */
-        char ref[AMB_NAME];
+        char ref[AMB_NAME_SIZE];
         uint64_t stamp = 1;
         for (uint32_t k = 0; k < rows[i].submitted; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
@@ -77,12 +80,12 @@
     static const struct {
         double own, users, lends;
     } rows[] = {{10, 0, 5}, {10, 8, 2}, {10, 10, 0}, {5, 0, 0}, {5.5, 0, 0}, {8, 3, 3}};
-    node->set.npeers = 6;
-    node->set.state_rps = 200;
-    node->set.state_write_rps = 20;
+    node->settings.npeers = 6;
+    node->settings.state_rps = 200;
+    node->settings.state_write_rps = 20;
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_store *store = &node->store;
-        amb_store_init(store, &node->set, 1000);
+        amb_store_init(store, &node->settings, 1000);
         amb_store_set_leadership(store, true);
         store->write_bucket.refilled_at = store->user_write_bucket.refilled_at = amb_now() + 3600000;
         store->write_bucket.tokens = rows[i].own;
@@ -117,10 +120,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_store *store = &node->store;
-        node->set.npeers = rows[i].peers;
-        node->set.state_rps = 200;
-        node->set.state_write_rps = 28;
-        amb_store_init(store, &node->set, 1000);
+        node->settings.npeers = rows[i].peers;
+        node->settings.state_rps = 200;
+        node->settings.state_write_rps = 28;
+        amb_store_init(store, &node->settings, 1000);
         amb_store_set_duty_share(store, rows[i].in_use, rows[i].part);
         amb_store_set_leadership(store, rows[i].leading);
         if (fabs(store->write_bucket.tokens_per_second - rows[i].writes) > 1e-9)
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -225,10 +225,10 @@
     carry_out(call);
 }
 
-void sim_machine_address(int index, char out[AMB_NAME]) {
+void sim_machine_address(int index, char out[AMB_NAME_SIZE]) {
     char *address = machine_address[index];
     if (!address[0]) proof_serve(address, on_worker, machine_address + index);
-    snprintf(out, AMB_NAME, "%s", address);
+    snprintf(out, AMB_NAME_SIZE, "%s", address);
 }
 
 /* A transaction was carried out, and is not answered yet. */
--- a/tests/loopback/workload.c
+++ b/tests/loopback/workload.c
@@ -20,15 +20,15 @@
 
 static void submit_job(void) {
     struct sim_job *job = sim_job_new();
-    struct amb_spec *spec = &job->spec;
+    struct amb_job_spec *spec = &job->spec;
     sim_draw_spec(spec);
-    spec->kind = AMB_ARRAY;
-    spec->priority = AMB_NORMAL;
-    spec->one_zone = spec->spread = false;
-    spec->spot = sim_random() % 2;
-    spec->tasks = (uint32_t)sim_between(1, TASKS_MOST);
-    spec->each = (struct amb_res){8, SIM_MACHINE_GPUS, 40}; /* a machine each */
-    spec->estimate_s = (double)sim_between(RUN_LEAST_MS, RUN_MOST_MS) / 1000;
+    spec->kind = AMB_JOB_KIND_ARRAY;
+    spec->priority = AMB_PRIORITY_NORMAL;
+    spec->one_zone = spec->spread_zones = false;
+    spec->spot_allowed = sim_random() % 2;
+    spec->task_count = (uint32_t)sim_between(1, TASKS_MOST);
+    spec->task_resources = (struct amb_resources){8, SIM_MACHINE_GPUS, 40}; /* a machine each */
+    spec->estimated_runtime_s = (double)sim_between(RUN_LEAST_MS, RUN_MOST_MS) / 1000;
     job->brief = true;
     job->at = world.now;
     sim_user_comes(job, world.now);
--- a/tests/model/test_absence.c
+++ b/tests/model/test_absence.c
@@ -13,7 +13,7 @@
     (void)state;
     static const struct {
         const char *what;
-        struct amb_report_order report, newest_seen;
+        struct amb_heartbeat_order report, newest_seen;
         bool newer;
     } rows[] = {
         {"the first of all", {1, 1}, {0, 0}, true},
@@ -24,7 +24,7 @@
         {"of an earlier session, however high its number", {1, 99}, {2, 7}, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        if (amb_report_newer(rows[i].report, rows[i].newest_seen) != rows[i].newer)
+        if (amb_heartbeat_order_is_newer(rows[i].report, rows[i].newest_seen) != rows[i].newer)
             fail_msg("%s: should %sbe newer", rows[i].what, rows[i].newer ? "" : "not ");
 }
 
@@ -32,13 +32,13 @@
     (void)state;
     static const struct {
         const char *what;
-        struct amb_report_evidence
+        struct amb_heartbeat_evidence
             evidence; /* report, newest seen, its term, ours, recorded, listed, exited */
         enum amb_absence want;
     } rows[] = {
         {"our token, newer, does not list it",
          {{1, 8}, {1, 7}, TERM, TERM, true, false, false},
-         AMB_ABSENCE_UNLISTED},
+         AMB_ABSENCE_NOT_IN_HEARTBEAT},
         {"our token, newer, lists it as exited",
          {{1, 8}, {1, 7}, TERM, TERM, true, true, true},
          AMB_ABSENCE_EXITED},
@@ -60,13 +60,13 @@
         {"of an earlier session", {{1, 99}, {2, 1}, TERM, TERM, true, false, false}, AMB_ABSENCE_UNPROVEN},
         {"of a new session, with our token",
          {{2, 1}, {1, 99}, TERM, TERM, true, false, false},
-         AMB_ABSENCE_UNLISTED},
+         AMB_ABSENCE_NOT_IN_HEARTBEAT},
         {"its record is still being written: nothing was ordered, and nothing is concluded",
          {{1, 8}, {1, 7}, TERM, TERM, false, false, false},
          AMB_ABSENCE_UNPROVEN},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        must_be(rows[i].what, amb_absence_by_report(&rows[i].evidence), rows[i].want);
+        must_be(rows[i].what, amb_absence_by_heartbeat(&rows[i].evidence), rows[i].want);
 }
 
 static void lease_span(void **state) {
@@ -124,11 +124,11 @@
         const struct amb_lease_evidence evidence = {
             .now = NOW,
             .lease_span = SPAN,
-            .answered_at = rows[i].answered < 0 ? 0 : NOW - rows[i].answered,
-            .follows_our_term = rows[i].follows,
+            .last_response_at = rows[i].answered < 0 ? 0 : NOW - rows[i].answered,
+            .follows_own_term = rows[i].follows,
             .fenced_at = rows[i].fenced < 0 ? 0 : NOW - rows[i].fenced,
-            .deputy_known_at = rows[i].deputy < 0 ? 0 : NOW - rows[i].deputy,
-            .last_read_asked_at = rows[i].read < 0 ? 0 : NOW - rows[i].read,
+            .lease_proxy_known_at = rows[i].deputy < 0 ? 0 : NOW - rows[i].deputy,
+            .last_read_sent_at = rows[i].read < 0 ? 0 : NOW - rows[i].read,
         };
         must_be(rows[i].what, amb_absence_by_lease(&evidence), rows[i].want);
     }
@@ -143,23 +143,23 @@
         amb_ms known, reported, named; /* how long before the list was asked for; -1: never */
         enum amb_absence want;
     } rows[] = {
-        {"known for long enough, never heard of since", SPAN + 1, -1, -1, AMB_ABSENCE_NOT_LISTED},
+        {"known for long enough, never heard of since", SPAN + 1, -1, -1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
         {"known for just not long enough: new machines are missing at first", SPAN, -1, -1,
          AMB_ABSENCE_UNPROVEN},
         {"it reported since", SPAN * 9, SPAN, -1, AMB_ABSENCE_UNPROVEN},
-        {"it reported long before", SPAN * 9, SPAN + 1, -1, AMB_ABSENCE_NOT_LISTED},
+        {"it reported long before", SPAN * 9, SPAN + 1, -1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
         {"an earlier list names it, and this one may be older", SPAN * 9, SPAN * 9, SPAN,
          AMB_ABSENCE_UNPROVEN},
-        {"a list of long before names it", SPAN * 9, SPAN * 9, SPAN + 1, AMB_ABSENCE_NOT_LISTED},
+        {"a list of long before names it", SPAN * 9, SPAN * 9, SPAN + 1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
         {"it reported after the list was asked for", SPAN * 9, 0, -1, AMB_ABSENCE_UNPROVEN},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct amb_list_evidence evidence = {
             .list_span = SPAN,
-            .asked_at = ASKED,
-            .known_at = ASKED - rows[i].known,
-            .reported_at = rows[i].reported < 0 ? 0 : ASKED - rows[i].reported,
-            .last_named_at = rows[i].named < 0 ? 0 : ASKED - rows[i].named,
+            .list_sent_at = ASKED,
+            .first_known_at = ASKED - rows[i].known,
+            .last_heartbeat_at = rows[i].reported < 0 ? 0 : ASKED - rows[i].reported,
+            .last_listed_at = rows[i].named < 0 ? 0 : ASKED - rows[i].named,
         };
         must_be(rows[i].what, amb_absence_by_list(&evidence), rows[i].want);
     }
@@ -172,12 +172,14 @@
         enum amb_absence absence;
         bool proven;
     } rows[] = {
-        {AMB_ABSENCE_UNPROVEN, false}, {AMB_ABSENCE_READ_NEEDED, false},  {AMB_ABSENCE_UNLISTED, true},
-        {AMB_ABSENCE_EXITED, true},    {AMB_ABSENCE_LEASE_EXPIRED, true}, {AMB_ABSENCE_FENCED, true},
-        {AMB_ABSENCE_RETURNED, true},  {AMB_ABSENCE_FAILED, true},        {AMB_ABSENCE_NOT_LISTED, true},
+        {AMB_ABSENCE_UNPROVEN, false},         {AMB_ABSENCE_READ_NEEDED, false},
+        {AMB_ABSENCE_NOT_IN_HEARTBEAT, true},  {AMB_ABSENCE_EXITED, true},
+        {AMB_ABSENCE_LEASE_EXPIRED, true},     {AMB_ABSENCE_FENCED, true},
+        {AMB_ABSENCE_RELEASED, true},          {AMB_ABSENCE_FAILED, true},
+        {AMB_ABSENCE_NOT_IN_CLOUD_LIST, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        assert_int_equal(amb_absence_proven(rows[i].absence), rows[i].proven);
+        assert_int_equal(amb_absence_is_proven(rows[i].absence), rows[i].proven);
 }
 
 int main(void) {
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -7,13 +7,13 @@
 
 static void usage_counts_until_absence(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
-    struct amb_team *team = &node->set.teams[0];
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+    struct amb_team *team = &node->settings.teams[0];
     bound(job, 0, "m-1", 1);
     bound(job, 1, "m-1", 2);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     assert_true(team->used.gpus == 2 && machine->used.gpus == 2);
-    amb_task_halt(node, &job->tasks[0], 0, "test");
+    amb_task_request_stop(node, &job->tasks[0], 0, "test");
     assert_true(team->used.gpus == 2);
     amb_task_unbind(node, &job->tasks[0], "test");
     assert_true(team->used.gpus == 1 && machine->used.gpus == 1);
@@ -38,18 +38,18 @@
     node->peers.count = 1; /* which has not heeded our term: it may answer whoever has not shown our token */
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job *job =
-            add_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_SERVICE, 1);
+            add_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_JOB_KIND_SERVICE, 1);
         char name[16];
         snprintf(name, sizeof name, "m-%zu", i);
         struct amb_task *task = bound(job, 0, name, 1);
-        struct amb_seen seen = listing(job->ref, 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+        struct amb_agent_task seen = listing(job->ref, 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
         amb_ms now = amb_now();
-        node->ctl.leading_since = now;
+        node->controller.leader_since = now;
         assert_true(report(name, 1, 1, rows[i].token, now, &seen, 1));
-        node->jobs.fresh_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
-        node->jobs.syncing = true; /* the read that would be asked for is not under test */
-        int zone = amb_catalog_zone(&node->catalog, "a");
-        node->deputy.zone_covered_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
+        node->jobs.last_read_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
+        node->jobs.sync_in_flight = true; /* the read that would be asked for is not under test */
+        int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
+        node->lease_proxy.zone_covered_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
         amb_fleet_tick(node, now + rows[i].silent);
         if ((task->machine == NULL) != rows[i].absent) fail_msg("row %zu", i);
     }
@@ -58,13 +58,13 @@
 /* Any 200 may be taken as a renewal, also one that answers what turns out to be a late copy. */
 static void answering_a_copy_counts_as_renewal(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_task *task = bound(job, 0, "m-1", 1);
-    struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     amb_ms now = amb_now();
     assert_true(report("m-1", 1, 2, TERM, now, &seen, 1));
     assert_true(report("m-1", 1, 1, TERM, now + 6000, &seen, 1));
-    node->jobs.fresh_sent_at = now + 20000;
+    node->jobs.last_read_sent_at = now + 20000;
     amb_fleet_tick(node, now + 11000);
     assert_non_null(task->machine);
     amb_fleet_tick(node, now + 17000);
@@ -80,11 +80,11 @@
     } rows[] = {{10050, false}, {10300, false}, {10400, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         machine_up("m-1", 0);
         bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
         fake_clock_advance(rows[i].silent);
-        node->jobs.fresh_sent_at = amb_now();
+        node->jobs.last_read_sent_at = amb_now();
         amb_fleet_tick(node, amb_now());
         if ((job->tasks[0].machine == NULL) != rows[i].absent)
             fail_msg("after %lld ms: %s", (long long)rows[i].silent,
@@ -112,15 +112,15 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_task *task = bound(job, 0, "m-1", 1);
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-        machine->type = machine->zone = 0;
-        machine->known_at = machine->first_at = now - 20000;
-        machine->answered_at = now - rows[i].answered;
-        node->ctl.leading_since = now - 20000;
-        node->jobs.fresh_sent_at = now - rows[i].news;
-        node->jobs.syncing = true; /* no call goes out */
+        machine->type_index = machine->zone_index = 0;
+        machine->exists_since = machine->first_known_at = now - 20000;
+        machine->last_response_at = now - rows[i].answered;
+        node->controller.leader_since = now - 20000;
+        node->jobs.last_read_sent_at = now - rows[i].news;
+        node->jobs.sync_in_flight = true; /* no call goes out */
         node->peers.count = 1;
         node->peers.list[0].quiet_term = rows[i].heeds;
         node->peers.list[0].quiet_at = now - rows[i].quiet;
@@ -133,7 +133,7 @@
 
 static void returns_count_once_they_are_answered(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_up("m-1", 0);
     bound(job, 0, "m-1", 1);
     amb_rental_release(node, machine, "test");
@@ -182,13 +182,13 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
         bound(job, 0, "m-1", 1);
         amb_ms now = amb_now();
-        machine->known_at = machine->first_at = now - rows[i].known;
-        machine->reported_at = rows[i].reported == NEVER ? 0 : now - rows[i].reported;
-        machine->listed_at = rows[i].listed == NEVER ? 0 : now - rows[i].listed;
+        machine->exists_since = machine->first_known_at = now - rows[i].known;
+        machine->last_heartbeat_at = rows[i].reported == NEVER ? 0 : now - rows[i].reported;
+        machine->last_listed_at = rows[i].listed == NEVER ? 0 : now - rows[i].listed;
         amb_rental_tick(node, now);
         fake_clock_advance(rows[i].takes);
         answer_list(open_call("GET", "/machines"), rows[i].stance ? "m-1" : NULL, rows[i].stance, false);
@@ -209,10 +209,10 @@
         {"all pages come", 200, true}, {"the last page is refused", 503, false}, {"no answer", 0, false}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
         bound(job, 0, "m-1", 1);
-        machine->known_at = machine->first_at = machine->reported_at = amb_now() - 60000;
+        machine->exists_since = machine->first_known_at = machine->last_heartbeat_at = amb_now() - 60000;
         amb_rental_tick(node, amb_now());
         answer_list(open_call("GET", "/machines"), "m-0", "running", true);
         if (!job->tasks[0].machine) fail_msg("taken as absent though more of the list is to come");
@@ -231,7 +231,7 @@
 /* What is on a machine may be on record, and the record not read yet. */
 static void nothing_is_concluded_before_the_records_are_read(void **state) {
     (void)state;
-    node->ctl.loaded_at = 0;
+    node->controller.restored_at = 0;
     struct sent_report r = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
     send_report(r);
     assert_int_equal(latest()->status, 200);
@@ -244,9 +244,9 @@
 
 static void unproven_machines_are_sought_with_the_token_alone(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_in("m-1", 0);
-    strcpy(machine->addr, "worker:1");
+    strcpy(machine->address, "worker:1");
     bound(job, 0, "m-1", 1);
     node->peers.count = 1; /* which may still answer it */
     fake_clock_advance(2500);
@@ -257,20 +257,20 @@
     fake_answer(open_call("GET", "/inspect"), 200, &buffer);
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
-    uint64_t token = 0, session = 0;
+    uint64_t token = 0, incarnation = 0;
     amb_cbor_uint(amb_cbor_get(commands->map, "baton"), &token);
-    amb_cbor_uint(amb_cbor_get(commands->map, "watch"), &session);
+    amb_cbor_uint(amb_cbor_get(commands->map, "watch"), &incarnation);
     assert_int_equal(token, TERM);
-    assert_int_equal(session, 3);
+    assert_int_equal(incarnation, 3);
     assert_int_equal(amb_cbor_len(amb_cbor_get(commands->map, "orders")), 0);
     fake_clock_advance(12000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    assert_false(machine->release_wanted);
+    assert_false(machine->release_pending);
     fake_clock_advance(1000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!machine->release_wanted) fail_msg("not returned after more than 1.5 leases");
+    if (!machine->release_pending) fail_msg("not returned after more than 1.5 leases");
 }
 
 /* A machine whose reports come, but which never takes our token: deaf since before we led. */
@@ -296,20 +296,21 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
-        node->election.renewed_at = node->ctl.leading_since = now; /* silent machines are not under test */
-        node->peers.count = 1;                                     /* which has not heeded our term */
-        node->deputy.known_count = 1;
-        node->deputy.known[0].present = rows[i].deputy;
-        node->deputy.known[0].zone = amb_catalog_zone(&node->catalog, "a");
-        if (rows[i].has_task) bound(add_job("wk-1", AMB_SERVICE, 1), 0, "m-1", 1);
-        node->ctl.ready = false; /* nothing is ordered */
+        node->election.renewed_at = node->controller.leader_since =
+            now;               /* silent machines are not under test */
+        node->peers.count = 1; /* which has not heeded our term */
+        node->lease_proxy.known_count = 1;
+        node->lease_proxy.known[0].present = rows[i].deputy;
+        node->lease_proxy.known[0].zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
+        if (rows[i].has_task) bound(add_job("wk-1", AMB_JOB_KIND_SERVICE, 1), 0, "m-1", 1);
+        node->controller.ready = false; /* nothing is ordered */
         assert_true(report("m-1", 1, 1, rows[i].token, now - rows[i].reported, NULL, 0));
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-        machine->state_at = now - rows[i].since;
-        node->ctl.loaded_at = now - rows[i].loaded;
-        node->jobs.syncing = true;
+        machine->state_since = now - rows[i].since;
+        node->controller.restored_at = now - rows[i].loaded;
+        node->jobs.sync_in_flight = true;
         amb_fleet_tick(node, now);
-        if (machine->release_wanted != rows[i].returned) fail_msg("%s", rows[i].what);
+        if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
     }
 }
 
--- a/tests/model/test_failure_evidence.c
+++ b/tests/model/test_failure_evidence.c
@@ -13,7 +13,7 @@
 };
 
 static enum amb_fault play(const struct event *events, size_t count) {
-    struct amb_failed_with of_job[JOBS] = {{{0}, 0}}, of_machine[MACHINES] = {{{0}, 0}};
+    struct amb_failure_set of_job[JOBS] = {{{0}, 0}}, of_machine[MACHINES] = {{{0}, 0}};
     bool works[JOBS] = {false};
     enum amb_fault fault = AMB_FAULT_UNKNOWN;
     for (size_t i = 0; i < count; i++) {
@@ -23,14 +23,14 @@
             works[event->job] = true;
             continue;
         }
-        amb_failed_with_add(&of_job[event->job], event->machine);
-        amb_failed_with_add(&of_machine[event->machine], event->job);
+        amb_failure_set_add(&of_job[event->job], event->machine);
+        amb_failure_set_add(&of_machine[event->machine], event->job);
         const struct amb_failure_evidence evidence = {
-            .machines = of_job[event->job].count,
-            .jobs = of_machine[event->machine].count,
-            .job_works = works[event->job],
+            .failed_machines = of_job[event->job].count,
+            .failed_jobs = of_machine[event->machine].count,
+            .job_has_succeeded = works[event->job],
         };
-        fault = amb_failure_fault(&evidence);
+        fault = amb_failure_attribute(&evidence);
     }
     return fault;
 }
@@ -48,17 +48,14 @@
          4,
          {{0, 0, false}, {0, 0, false}, {0, 0, false}, {0, 0, false}},
          AMB_FAULT_UNKNOWN},
-        {"a broken job", 2, {{0, 0, false}, {0, 1, false}}, AMB_FAULT_OF_JOB},
+        {"a broken job", 2, {{0, 0, false}, {0, 1, false}}, AMB_FAULT_JOB},
         {"a broken job where others succeed",
          4,
          {{1, 0, true}, {0, 0, false}, {1, 1, true}, {0, 1, false}},
-         AMB_FAULT_OF_JOB},
-        {"a bad machine", 2, {{0, 0, false}, {1, 0, false}}, AMB_FAULT_OF_MACHINE},
-        {"a bad machine, for a job that works", 2, {{0, 1, true}, {0, 0, false}}, AMB_FAULT_OF_MACHINE},
-        {"a broken job on a bad machine",
-         3,
-         {{0, 1, false}, {1, 0, false}, {0, 0, false}},
-         AMB_FAULT_OF_BOTH},
+         AMB_FAULT_JOB},
+        {"a bad machine", 2, {{0, 0, false}, {1, 0, false}}, AMB_FAULT_MACHINE},
+        {"a bad machine, for a job that works", 2, {{0, 1, true}, {0, 0, false}}, AMB_FAULT_MACHINE},
+        {"a broken job on a bad machine", 3, {{0, 1, false}, {1, 0, false}, {0, 0, false}}, AMB_FAULT_BOTH},
         {"a flaky machine: a success in between",
          3,
          {{0, 0, false}, {1, 0, true}, {2, 0, false}},
@@ -66,19 +63,19 @@
         {"a flaky machine, for a job that works",
          3,
          {{0, 0, true}, {0, 0, true}, {0, 0, false}},
-         AMB_FAULT_OF_MACHINE},
+         AMB_FAULT_MACHINE},
         {"two bad machines in turn, for a job that works",
          3,
          {{0, 2, true}, {0, 0, false}, {0, 1, false}},
-         AMB_FAULT_OF_MACHINE},
+         AMB_FAULT_MACHINE},
         {"a job that worked, now everywhere",
          4,
          {{0, 2, true}, {0, 0, false}, {0, 1, false}, {0, 3, false}},
-         AMB_FAULT_OF_JOB},
+         AMB_FAULT_JOB},
         {"a success clears the job",
          4,
          {{0, 0, false}, {0, 1, true}, {0, 2, false}, {0, 3, false}},
-         AMB_FAULT_OF_MACHINE},
+         AMB_FAULT_MACHINE},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         enum amb_fault got = play(rows[i].events, rows[i].count);
@@ -88,9 +85,9 @@
 
 static void sets_are_bounded(void **state) {
     (void)state;
-    struct amb_failed_with set = {{0}, 0};
-    for (uint32_t i = 0; i < 100; i++) amb_failed_with_add(&set, i % 10);
-    assert_int_equal(set.count, AMB_FAILED_WITH);
+    struct amb_failure_set set = {{0}, 0};
+    for (uint32_t i = 0; i < 100; i++) amb_failure_set_add(&set, i % 10);
+    assert_int_equal(set.count, AMB_FAILURE_SET_MAX);
 }
 
 int main(void) {
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -11,20 +11,20 @@
 
 enum { LARGE_FLEET = 8000 };
 
-static void fleet_name(char out[AMB_NAME], uint32_t number) {
-    snprintf(out, AMB_NAME, "m-%06u", number);
+static void fleet_name(char out[AMB_NAME_SIZE], uint32_t number) {
+    snprintf(out, AMB_NAME_SIZE, "m-%06u", number);
 }
 
 static void add_machines(uint32_t first, uint32_t count, uint32_t images) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     for (uint32_t i = first; i < first + count; i++) {
         fleet_name(name, i);
         struct amb_machine *machine = amb_machine_get(node, name, true);
         machine->images_changed = true;
         amb_machine_image_room(machine, images);
-        for (machine->nimages = 0; machine->nimages < images; machine->nimages++) {
-            snprintf(machine->images[machine->nimages], AMB_NAME, "img-%02u", machine->nimages);
-            machine->image_gb[machine->nimages] = 65.5;
+        for (machine->image_count = 0; machine->image_count < images; machine->image_count++) {
+            snprintf(machine->images[machine->image_count], AMB_NAME_SIZE, "img-%02u", machine->image_count);
+            machine->image_sizes_gb[machine->image_count] = 65.5;
         }
     }
 }
@@ -44,7 +44,7 @@
 }
 
 static bool is_known(uint32_t number) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     fleet_name(name, number);
     return json_object_get(node->peers.images.told, name) ||
            json_object_get(node->peers.images.told_before, name);
@@ -55,7 +55,7 @@
     (void)state;
     static const struct {
         uint32_t machines, images, heartbeats;
-    } rows[] = {{1000, 4, 2}, {4000, 4, 4}, {LARGE_FLEET, 4, 8}, {LARGE_FLEET, AMB_IMAGES, 60}};
+    } rows[] = {{1000, 4, 2}, {4000, 4, 4}, {LARGE_FLEET, 4, 8}, {LARGE_FLEET, AMB_IMAGES_MAX, 60}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         add_machines(0, rows[i].machines, rows[i].images);
@@ -78,9 +78,9 @@
         add_machines(KEPT + spike * SPIKE, SPIKE, 2);
         for (uint32_t i = 0; i < HEARTBEATS; i++) exchange_heartbeat();
         for (uint32_t i = 0; i < SPIKE; i++) {
-            char name[AMB_NAME];
+            char name[AMB_NAME_SIZE];
             fleet_name(name, KEPT + spike * SPIKE + i);
-            amb_machine_gone(node, amb_machine_get(node, name, false), AMB_ABSENCE_RETURNED);
+            amb_machine_gone(node, amb_machine_get(node, name, false), AMB_ABSENCE_RELEASED);
         }
         for (uint32_t i = 0; i < KEPT; i++)
             if (!is_known(i)) fail_msg("spike %u: machine %u is forgotten", spike, i);
@@ -94,14 +94,14 @@
 static void progress_of_many_jobs_is_told_in_parts(void **state) {
     (void)state;
     enum { JOBS = 12000 };
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     for (uint32_t i = 0; i < JOBS; i++) {
         snprintf(ref, sizeof ref, "wk-%06u", i);
-        add_job(ref, AMB_ARRAY, 1)->shown_changed = true;
+        add_job(ref, AMB_JOB_KIND_ARRAY, 1)->progress_changed = true;
     }
     for (uint32_t i = 0; i < 8; i++) assert_in_range(exchange_heartbeat(), 1, AMB_HEARTBEAT_MAX);
-    for (const struct amb_job *job = node->jobs.live; job; job = job->next_live)
-        if (job->shown_changed) fail_msg("%s is not told of", job->ref);
+    for (const struct amb_job *job = node->jobs.active; job; job = job->next_active)
+        if (job->progress_changed) fail_msg("%s is not told of", job->ref);
 }
 
 /* ---- names of machines that are gone ---- */
@@ -109,11 +109,11 @@
 static void the_longest_gone_are_forgotten(void **state) {
     (void)state;
     size_t most = amb_machines_removed_most(node);
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     assert_in_range(most, 1000, 100000);
     for (uint32_t i = 0; i < most + 10; i++) {
         fleet_name(name, i);
-        amb_machine_gone(node, amb_machine_get(node, name, true), AMB_ABSENCE_RETURNED);
+        amb_machine_gone(node, amb_machine_get(node, name, true), AMB_ABSENCE_RELEASED);
     }
     size_t kept = 0;
     for (uint32_t i = 0; i < most + 10; i++) {
@@ -137,20 +137,20 @@
     } rows[] = {{"known", "g8", "a", true},
                 {"of no known type", "g9", "a", false},
                 {"in the seventeenth zone", "g8", "one more", false}};
-    char zone[AMB_NAME];
-    for (uint32_t i = node->catalog.nzones; i < AMB_ZONES; i++) {
+    char zone[AMB_NAME_SIZE];
+    for (uint32_t i = node->catalog.zone_count; i < AMB_ZONES_MAX; i++) {
         snprintf(zone, sizeof zone, "zone-%u", i);
-        amb_catalog_zone(&node->catalog, i ? zone : "a");
+        amb_catalog_find_or_add_zone(&node->catalog, i ? zone : "a");
     }
     strcpy(node->catalog.types[0].name, "g8");
-    node->catalog.ntypes = 1;
+    node->catalog.type_count = 1;
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_machine *machine = amb_machine_get(node, rows[i].what, true);
         machine->state = AMB_MACHINE_UP;
-        machine->reported_at = amb_now();
+        machine->last_heartbeat_at = amb_now();
         amb_machine_learn_place(node, machine, rows[i].type, rows[i].zone);
         if (amb_machine_usable(node, machine, amb_now()) != rows[i].used) fail_msg("%s", rows[i].what);
-        if (machine->beyond_bounds == rows[i].used) fail_msg("%s: said %d", rows[i].what, !rows[i].used);
+        if (machine->beyond_catalog == rows[i].used) fail_msg("%s: said %d", rows[i].what, !rows[i].used);
     }
 }
 
@@ -160,15 +160,15 @@
     (void)state;
     struct amb_machine *machine = amb_machine_get(node, "m-1", true);
     machine->state = AMB_MACHINE_UP;
-    machine->reported_at = amb_now();
-    node->rental.catalog_known = false;
-    node->catalog.ntypes = 0;
+    machine->last_heartbeat_at = amb_now();
+    node->cloud.catalog_known = false;
+    node->catalog.type_count = 0;
     amb_machine_learn_place(node, machine, "g8", "a");
     assert_false(amb_machine_usable(node, machine, amb_now()));
-    assert_false(machine->beyond_bounds);
+    assert_false(machine->beyond_catalog);
     strcpy(node->catalog.types[0].name, "g8");
-    node->catalog.ntypes = 1;
-    node->rental.catalog_known = true;
+    node->catalog.type_count = 1;
+    node->cloud.catalog_known = true;
     amb_machine_learn_place(node, machine, "g8", "a");
     assert_true(amb_machine_usable(node, machine, amb_now()));
 }
@@ -177,7 +177,7 @@
 
 static void answer_list_page(uint32_t first, uint32_t count, bool more) {
     struct amb_buf body = {0};
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     amb_w_map(&body, 2);
     amb_w_str(&body, "rigs"), amb_w_list(&body, count);
     for (uint32_t i = first; i < first + count; i++) {
@@ -201,8 +201,8 @@
 static void long_lists_keep_to_the_calls_allowed(void **state) {
     (void)state;
     enum { PAGES = 8, PAGE = 500 };
-    node->set.cloud_rps = 1;
-    node->rental.calls.tokens = 1;
+    node->settings.cloud_rps = 1;
+    node->cloud.calls.tokens = 1;
     amb_rental_tick(node, amb_now());
     for (uint32_t page = 0; page < PAGES; page++) {
         if (page == 4) {
@@ -215,14 +215,14 @@
         open_call("GET", path);
         answer_list_page(page * PAGE, PAGE, page < PAGES - 1);
         if (find_call("GET", "/machines?")) fail_msg("page %u without a call left for it", page + 1);
-        assert_int_equal(node->rental.listed, page == PAGES - 1);
+        assert_int_equal(node->cloud.listed, page == PAGES - 1);
         let_time_pass(2500);
     }
     assert_int_equal(HASH_COUNT(node->fleet.all), PAGES * PAGE);
     /* The next one leaves most calls to others. */
-    amb_ms began = node->rental.list_at;
-    while (node->rental.list_at == began) let_time_pass(500);
-    assert_in_range(node->rental.list_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
+    amb_ms began = node->cloud.list_at;
+    while (node->cloud.list_at == began) let_time_pass(500);
+    assert_in_range(node->cloud.list_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
 }
 
 /* ---- answers to reports ---- */
@@ -232,18 +232,18 @@
 static void starts_beyond_an_answer_go_out_next(void **state) {
     (void)state;
     enum { TASKS = 3, ROOM = 2 };
-    struct amb_order list[ROOM];
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, TASKS);
+    struct amb_agent_command list[ROOM];
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, TASKS);
     machine_up("m-1", 0);
     for (uint32_t i = 0; i < TASKS; i++) bound(job, i, "m-1", i + 1);
     struct amb_orders first = {list, ROOM, 0};
     for (uint32_t i = 0; i < TASKS; i++) amb_orders_add_start(node, &job->tasks[i], &first);
     assert_int_equal(first.count, ROOM);
-    for (uint32_t i = 0; i < TASKS; i++) assert_int_equal(job->tasks[i].sent, i < ROOM);
+    for (uint32_t i = 0; i < TASKS; i++) assert_int_equal(job->tasks[i].start_sent, i < ROOM);
     struct amb_orders next = {list, ROOM, 0};
     amb_orders_add_start(node, &job->tasks[ROOM], &next);
     assert_int_equal(next.count, 1);
-    assert_true(job->tasks[ROOM].sent);
+    assert_true(job->tasks[ROOM].start_sent);
 }
 
 /* ---- the fleet that operators name ---- */
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -24,9 +24,9 @@
     assert_int_equal(sizeof(struct amb_task), 96);
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct amb_settings settings = {.memory_mb = rows[i].memory_mb};
-        assert_int_equal(amb_memory_tasks(&settings), rows[i].tasks);
-        assert_int_equal(amb_memory_tasks_of_one_job(&settings), rows[i].one_job);
-        assert_int_equal(amb_memory_job_table(&settings), rows[i].table);
+        assert_int_equal(amb_memory_max_tasks(&settings), rows[i].tasks);
+        assert_int_equal(amb_memory_max_tasks_of_one_job(&settings), rows[i].one_job);
+        assert_int_equal(amb_memory_job_table_bytes(&settings), rows[i].table);
     }
 }
 
@@ -57,7 +57,10 @@
 /* ---- submissions ---- */
 
 static void put_submission(struct amb_buf *body, const char *ref, uint32_t tasks) {
-    struct amb_spec spec = {.kind = AMB_ARRAY, .priority = AMB_PROD, .tasks = tasks, .each = {8, 1, 40}};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_ARRAY,
+                                .priority = AMB_PRIORITY_PRODUCTION,
+                                .task_count = tasks,
+                                .task_resources = {8, 1, 40}};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
@@ -79,15 +82,15 @@
 static void begin(void) {
     teardown(NULL);
     setup(NULL);
-    strcpy(node->set.teams[0].name, "t");
-    strcpy(node->set.state, "S:1");
-    node->set.state_rps = node->set.state_write_rps = 1000;
+    strcpy(node->settings.teams[0].name, "t");
+    strcpy(node->settings.state, "S:1");
+    node->settings.state_rps = node->settings.state_write_rps = 1000;
     node->jobs.loaded = true;
-    amb_store_init(&node->store, &node->set, 1000);
+    amb_store_init(&node->store, &node->settings, 1000);
 }
 
 static size_t bytes_of(size_t jobs, size_t described) {
-    return jobs * (sizeof(struct amb_job) + 32) + described * (sizeof(struct amb_spec) + 16);
+    return jobs * (sizeof(struct amb_job) + 32) + described * (sizeof(struct amb_job_spec) + 16);
 }
 
 static void full_tables_refuse(void **state) {
@@ -111,21 +114,21 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
         size_t taken = bytes_of(rows[i].described + rows[i].over + 1, rows[i].described + 1);
-        node->set.memory_mb = 3 * ((double)taken + rows[i].spare) / MIB;
-        uint32_t most = (uint32_t)amb_memory_tasks_of_one_job(&node->set);
+        node->settings.memory_mb = 3 * ((double)taken + rows[i].spare) / MIB;
+        uint32_t most = (uint32_t)amb_memory_max_tasks_of_one_job(&node->settings);
         uint32_t tasks = rows[i].tasks == TOO_MANY ? most + 1
                          : rows[i].tasks           ? (uint32_t)rows[i].tasks
                                                    : most;
         for (uint32_t k = 0; k < rows[i].described + rows[i].over; k++) {
-            char ref[AMB_NAME];
+            char ref[AMB_NAME_SIZE];
             snprintf(ref, sizeof ref, "wk-%u", k);
-            struct amb_job *job = add_job(ref, AMB_ARRAY, 1);
+            struct amb_job *job = add_job(ref, AMB_JOB_KIND_ARRAY, 1);
             if (k < rows[i].described) continue;
-            amb_job_leave(node, job);
+            amb_job_deactivate(node, job);
             job->state = AMB_JOB_DONE;
             amb_job_drop_spec(node, job);
         }
-        assert_int_equal(amb_memory_job_table_used(node),
+        assert_int_equal(amb_memory_job_table_used_bytes(node),
                          bytes_of(rows[i].described + rows[i].over, rows[i].described));
         struct fake_reply reply = submit("wk-new", tasks);
         if (reply.status != rows[i].status) fail_msg("%s: %d", rows[i].what, reply.status);
@@ -140,10 +143,10 @@
 static void known_jobs_are_not_refused(void **state) {
     (void)state;
     begin();
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 1);
-    amb_job_leave(node, job);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
+    amb_job_deactivate(node, job);
     job->state = AMB_JOB_DONE;
-    node->set.memory_mb = 0;
+    node->settings.memory_mb = 0;
     assert_int_equal(submit("wk-1", 1).status, 200);
     fake_http_reset();
 }
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -56,7 +56,7 @@
     for (int speaks_first = 0; speaks_first <= 1; speaks_first++) {
         begin_anew();
         ask_peers();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
         struct sent_report r = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
         send_report(r);
@@ -73,10 +73,10 @@
 
 static void cancellations_are_told_to_peers(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
-    amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
     assert_int_equal(job->state, AMB_JOB_CANCELLED);
-    node->jobs.epoch = 1234;
+    node->jobs.known_revision = 1234;
     ask_peers();
     struct fake_call *heartbeat = open_call("POST", "/peer/heartbeat");
     amb_buf_add(&heartbeat->body, "", 1);
@@ -93,14 +93,14 @@
 /* A peer's word of a cancellation stops the tasks of a leader that the news can't reach. */
 static void cancellation_by_hint(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_task *task = bound(job, 0, "m-1", 1);
-    struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
-    amb_job_cancel_hint(node, "wk-1", amb_wall_ms(), 2);
-    assert_true(task->halting);
+    amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 2);
+    assert_true(task->stop_requested);
     report("m-1", 1, 2, TERM, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_OP_HALT), 1);
+    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
 }
 
 /* What a leader of a large fleet tells the others fits in a message, at its worst and all the more as a rule.
@@ -114,13 +114,13 @@
     } rows[] = {{"everything has changed", true, AMB_HEARTBEAT_MAX},
                 {"nothing has", false, AMB_HEARTBEAT_MAX / 8}};
     for (uint32_t i = 0; i < 1300; i++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%06u", i);
         struct amb_machine *machine = amb_machine_get(node, name, true);
-        amb_machine_image_room(machine, AMB_IMAGES);
-        for (machine->nimages = 0; machine->nimages < AMB_IMAGES; machine->nimages++) {
-            snprintf(machine->images[machine->nimages], AMB_NAME, "img-%02u", machine->nimages);
-            machine->image_gb[machine->nimages] = 65.5;
+        amb_machine_image_room(machine, AMB_IMAGES_MAX);
+        for (machine->image_count = 0; machine->image_count < AMB_IMAGES_MAX; machine->image_count++) {
+            snprintf(machine->images[machine->image_count], AMB_NAME_SIZE, "img-%02u", machine->image_count);
+            machine->image_sizes_gb[machine->image_count] = 65.5;
         }
     }
     for (size_t i = 0; i < ROWS(rows); i++) {
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -71,14 +71,14 @@
     ncalls = 0;
     amb_loop_init();
     node = bare_node_new();
-    strcpy(node->set.member, "n0");
-    node->set.npeers = 2;
-    strcpy(node->set.peers[0].member, "n1");
-    strcpy(node->set.peers[1].member, "n2");
-    node->set.report_s = 1;
-    node->set.lease_s = 10;
-    node->set.cancel_s = 30;
-    node->set.memory_mb = 40;
+    strcpy(node->settings.member, "n0");
+    node->settings.npeers = 2;
+    strcpy(node->settings.peers[0].member, "n1");
+    strcpy(node->settings.peers[1].member, "n2");
+    node->settings.report_s = 1;
+    node->settings.lease_s = 10;
+    node->settings.cancel_s = 30;
+    node->settings.memory_mb = 40;
     amb_peer_init(node);
     return 0;
 }
@@ -101,7 +101,7 @@
 
 /* A job as the state service has it, accepted and not over. */
 static void job_comes(const char *ref, uint64_t stamp) {
-    struct amb_spec spec = {.kind = AMB_ARRAY, .tasks = 1};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_ARRAY, .task_count = 1};
     struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "train");
@@ -113,7 +113,7 @@
     amb_w_str(&buffer, "d");
     amb_codec_put_spec(&buffer, &spec);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply(node, ref, value, stamp);
+    amb_jobs_apply_item(node, ref, value, stamp);
     cbor_decref(&value);
     amb_buf_free(&buffer);
 }
@@ -199,14 +199,15 @@
 
 /* Something happens to the node that its word may or may not tell of. */
 static void drawn_change(uint64_t *stamp) {
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     now_ms += draw(4) ? draw(700) : draw(30000);
     snprintf(ref, sizeof ref, "wk-%06u", draw(200));
     switch (draw(9)) {
     case 0: job_comes(ref, ++*stamp); break;
     case 1: /* another node's word, at times of long ago */
         ++*stamp;
-        amb_job_cancel_hint(node, ref, amb_wall_ms() - draw(2) * draw(80000), *stamp - draw(2) * draw(20));
+        amb_job_apply_cancel_hint(node, ref, amb_wall_ms() - draw(2) * draw(80000),
+                                  *stamp - draw(2) * draw(20));
         break;
     case 2: node->jobs.loaded = draw(2); break;
     case 3: node->fleet.last_report_at = now_ms; break;
--- a/tests/placement/test_place.c
+++ b/tests/placement/test_place.c
@@ -20,37 +20,55 @@
         {{8, 1, 60}, {8, 1, 60}, 8, 1, B, false, true, true, 0, NULL, 7, -1, 0, 0, .claimed = false},
         {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, false, 0, NULL, 0, -1, 0, 0, .claimed = false},
     };
-    static const uint32_t none[AMB_ZONES] = {0}, two_in_a[AMB_ZONES] = {2, 0};
+    static const uint32_t none[AMB_ZONES_MAX] = {0}, two_in_a[AMB_ZONES_MAX] = {2, 0};
     static const struct {
         const char *what;
         struct amb_wish wish;
         bool soon;
         int want;
     } rows[] = {
-        {"the image at hand", {{8, 1, 40}, 3, -1, false, none, 0, false, .priority = AMB_HIGH}, false, 3},
+        {"the image at hand",
+         {{8, 1, 40}, 3, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         3},
         {"the fullest that takes it",
-         {{8, 2, 40}, 3, -1, false, none, 0, false, .priority = AMB_HIGH},
+         {{8, 2, 40}, 3, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          1},
-        {"spot for those who may", {{8, 2, 40}, 3, -1, true, none, 0, false, .priority = AMB_HIGH}, false, 2},
+        {"spot for those who may",
+         {{8, 2, 40}, 3, -1, true, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         2},
         {"too large for the half full",
-         {{8, 5, 40}, 3, -1, false, none, 0, false, .priority = AMB_HIGH},
+         {{8, 5, 40}, 3, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          0},
-        {"only in B, no spot", {{8, 2, 40}, 3, B, false, none, 0, false, .priority = AMB_HIGH}, false, -1},
-        {"room that comes", {{16, 2, 80}, 3, B, false, none, 0, false, .priority = AMB_HIGH}, true, 3},
-        {"another type", {{8, 1, 40}, 1, -1, false, none, 0, false, .priority = AMB_HIGH}, false, 1},
-        {"no such type", {{8, 1, 40}, 4, -1, false, none, 0, false, .priority = AMB_HIGH}, false, -1},
+        {"only in B, no spot",
+         {{8, 2, 40}, 3, B, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         -1},
+        {"room that comes",
+         {{16, 2, 80}, 3, B, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         true,
+         3},
+        {"another type", {{8, 1, 40}, 1, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH}, false, 1},
+        {"no such type",
+         {{8, 1, 40}, 4, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         -1},
         {"spread: A has its half",
-         {{8, 1, 40}, 1, -1, true, two_in_a, 2, false, .priority = AMB_HIGH},
+         {{8, 1, 40}, 1, -1, true, two_in_a, 2, false, .priority = AMB_PRIORITY_HIGH},
          false,
          2},
         {"spread: nowhere else",
-         {{8, 2, 40}, 1, -1, false, two_in_a, 2, false, .priority = AMB_HIGH},
+         {{8, 2, 40}, 1, -1, false, two_in_a, 2, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         -1},
+        {"memory counts",
+         {{8, 1, 501}, 3, -1, true, none, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          -1},
-        {"memory counts", {{8, 1, 501}, 3, -1, true, none, 0, false, .priority = AMB_HIGH}, false, -1},
-        {"cores count", {{65, 1, 10}, 3, -1, true, none, 0, false, .priority = AMB_HIGH}, false, -1},
+        {"cores count", {{65, 1, 10}, 3, -1, true, none, 0, false, .priority = AMB_PRIORITY_HIGH}, false, -1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         check_pick(rows[i].what, &rows[i].wish, slots, ROWS(slots), rows[i].soon, rows[i].want);
@@ -61,7 +79,7 @@
  */
 static void tasks_without_gpus_leave_them_free(void **state) {
     (void)state;
-    static const uint32_t none[AMB_ZONES] = {0};
+    static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
         {{64, 8, 500}, {0, 0, 0}, 8, 0, A, true, true, true, 0, NULL, 0, -1, 0, 0, .claimed = false},
         {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 0, -1, 0, 0, .claimed = false},
@@ -72,7 +90,7 @@
     };
     static const struct {
         const char *what;
-        struct amb_res need;
+        struct amb_resources need;
         int zone, want;
     } rows[] = {
         {"where all GPUs are in use", {2, 0, 10}, A, 3},
@@ -84,7 +102,8 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         for (int patient = 0; patient < 2; patient++) {
             struct amb_wish request = {
-                rows[i].need, 1, rows[i].zone, true, none, 0, false, AMB_BEST_EFFORT, .patient = patient};
+                rows[i].need,      1, rows[i].zone, true, none, 0, false, AMB_PRIORITY_BEST_EFFORT,
+                .patient = patient};
             check_pick(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
         }
     }
@@ -93,12 +112,12 @@
 /* Replicas gather where replicas are, also when another machine is fuller with batch work. */
 static void lasting_tasks_gather(void **state) {
     (void)state;
-    static const uint32_t none[AMB_ZONES] = {0};
+    static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
         {{64, 2, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 6, -1, 0, 0, .claimed = false},
         {{64, 4, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 2, -1, 4, 0, .claimed = false},
     };
-    struct amb_wish request = {{8, 2, 40}, 1, -1, false, none, 0, true, .priority = AMB_HIGH};
+    struct amb_wish request = {{8, 2, 40}, 1, -1, false, none, 0, true, .priority = AMB_PRIORITY_HIGH};
     assert_int_equal(amb_place_pick(&request, slots, ROWS(slots), false), 1);
     request.lasting = false;
     assert_int_equal(amb_place_pick(&request, slots, ROWS(slots), false), 0);
@@ -108,9 +127,23 @@
  * can't, and open to work that would make way. */
 static void kept_machines(void **state) {
     (void)state;
-    static const uint32_t none[AMB_ZONES] = {0};
+    static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 0, AMB_NORMAL, 0, 0, .claimed = false},
+        {{64, 8, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         true,
+         true,
+         0,
+         NULL,
+         0,
+         AMB_PRIORITY_NORMAL,
+         0,
+         0,
+         .claimed = false},
         {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 0, -1, 0, 0, .claimed = false},
     };
     static const struct {
@@ -119,11 +152,15 @@
         uint32_t slots;
         int want;
     } rows[] = {
-        {AMB_NORMAL, false, false, false, 2, 0},     {AMB_NORMAL, true, false, false, 2, 1},
-        {AMB_NORMAL, true, false, false, 1, 0},      {AMB_NORMAL, true, true, false, 1, -1},
-        {AMB_BEST_EFFORT, true, true, false, 1, 0},  {AMB_BEST_EFFORT, true, true, true, 1, -1},
-        {AMB_BEST_EFFORT, true, false, true, 1, 0},  {AMB_BEST_EFFORT, true, false, true, 2, 1},
-        {AMB_BEST_EFFORT, false, false, true, 1, 0},
+        {AMB_PRIORITY_NORMAL, false, false, false, 2, 0},
+        {AMB_PRIORITY_NORMAL, true, false, false, 2, 1},
+        {AMB_PRIORITY_NORMAL, true, false, false, 1, 0},
+        {AMB_PRIORITY_NORMAL, true, true, false, 1, -1},
+        {AMB_PRIORITY_BEST_EFFORT, true, true, false, 1, 0},
+        {AMB_PRIORITY_BEST_EFFORT, true, true, true, 1, -1},
+        {AMB_PRIORITY_BEST_EFFORT, true, false, true, 1, 0},
+        {AMB_PRIORITY_BEST_EFFORT, true, false, true, 2, 1},
+        {AMB_PRIORITY_BEST_EFFORT, false, false, true, 1, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_wish request = {.need = {8, 1, 40}, .type_mask = 1, .zone = -1, .zone_used = none};
@@ -137,7 +174,8 @@
     /* What a gang has claimed is not for batch work at all, or the room made would be taken as it comes. */
     struct amb_slot claimed = slots[0];
     claimed.claimed = true;
-    struct amb_wish request = {{8, 1, 40}, 1, -1, false, none, 0, false, AMB_NORMAL, true, .can_wait = false};
+    struct amb_wish request = {{8, 1, 40},       1, -1, false, none, 0, false, AMB_PRIORITY_NORMAL, true,
+                               .can_wait = false};
     assert_int_equal(amb_place_pick(&request, &claimed, 1, false), -1);
     request.patient = false;
     assert_int_equal(amb_place_pick(&request, &claimed, 1, false), 0);
@@ -173,27 +211,41 @@
 
 static void zones_and_types_are_numbered(void **state) {
     (void)state;
-    struct amb_catalog c = {.ntypes = 1, .types = {{.name = "g8"}}};
-    assert_int_equal(amb_catalog_type(&c, "g8"), 0);
-    assert_int_equal(amb_catalog_type(&c, "g9"), -1);
-    assert_int_equal(amb_catalog_zone(&c, ""), -1);
-    assert_int_equal(amb_catalog_zone(&c, "a"), 0);
-    assert_int_equal(amb_catalog_zone(&c, "b"), 1);
-    assert_int_equal(amb_catalog_zone(&c, "a"), 0);
+    struct amb_catalog c = {.type_count = 1, .types = {{.name = "g8"}}};
+    assert_int_equal(amb_catalog_find_type(&c, "g8"), 0);
+    assert_int_equal(amb_catalog_find_type(&c, "g9"), -1);
+    assert_int_equal(amb_catalog_find_or_add_zone(&c, ""), -1);
+    assert_int_equal(amb_catalog_find_or_add_zone(&c, "a"), 0);
+    assert_int_equal(amb_catalog_find_or_add_zone(&c, "b"), 1);
+    assert_int_equal(amb_catalog_find_or_add_zone(&c, "a"), 0);
     char name[16];
-    for (int i = 0; i < 2 * AMB_ZONES; i++) {
+    for (int i = 0; i < 2 * AMB_ZONES_MAX; i++) {
         snprintf(name, sizeof name, "z%d", i);
-        amb_catalog_zone(&c, name);
+        amb_catalog_find_or_add_zone(&c, name);
     }
-    assert_int_equal(c.nzones, AMB_ZONES);
+    assert_int_equal(c.zone_count, AMB_ZONES_MAX);
 }
 
 /* A gang has had work stopped for it on the first: what would be stopped again stays away meanwhile. */
 static void claimed_machines(void **state) {
     (void)state;
-    static const uint32_t none[AMB_ZONES] = {0};
+    static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 0, AMB_NORMAL, 0, 0, .claimed = true},
+        {{64, 8, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         true,
+         true,
+         0,
+         NULL,
+         0,
+         AMB_PRIORITY_NORMAL,
+         0,
+         0,
+         .claimed = true},
     };
     static const struct {
         const char *what;
@@ -201,10 +253,10 @@
         bool patient;
         int want;
     } rows[] = {
-        {"batch work that nobody waits for", AMB_NORMAL, true, -1},
-        {"the gang", AMB_NORMAL, false, 0},
-        {"lower work, though its start counts", AMB_BEST_EFFORT, false, -1},
-        {"higher work", AMB_HIGH, false, 0},
+        {"batch work that nobody waits for", AMB_PRIORITY_NORMAL, true, -1},
+        {"the gang", AMB_PRIORITY_NORMAL, false, 0},
+        {"lower work, though its start counts", AMB_PRIORITY_BEST_EFFORT, false, -1},
+        {"higher work", AMB_PRIORITY_HIGH, false, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_wish request = {.need = {2, 0, 10}, .type_mask = 1, .zone = -1, .zone_used = none};
--- a/tests/placement/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -13,14 +13,14 @@
     return below ? seed % below : 0;
 }
 
-static void image_name(char out[AMB_NAME], uint64_t number) {
-    snprintf(out, AMB_NAME, "img-%u", (unsigned)number);
+static void image_name(char out[AMB_NAME_SIZE], uint64_t number) {
+    snprintf(out, AMB_NAME_SIZE, "img-%u", (unsigned)number);
 }
 
 /* Machines with some of the images; on some a task fetches one. */
 static void add_machines(void) {
     for (int i = 0; i < MACHINES; i++) {
-        char name[AMB_NAME], image[AMB_NAME];
+        char name[AMB_NAME_SIZE], image[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%d", i);
         report(name, 1, 1, TERM, amb_now(), NULL, 0);
         struct amb_machine *machine = amb_machine_get(node, name, false);
@@ -29,9 +29,9 @@
             if (draw(2)) amb_machine_use_image(node, machine, image, 5);
         }
         if (draw(3)) continue;
-        char ref[AMB_NAME];
+        char ref[AMB_NAME_SIZE];
         snprintf(ref, sizeof ref, "wk-%d", i);
-        struct amb_job *job = add_job(ref, AMB_ARRAY, 1);
+        struct amb_job *job = add_job(ref, AMB_JOB_KIND_ARRAY, 1);
         image_name(job->spec->image, draw(IMAGES));
         job->spec->image_gb = 10;
         bound(job, 0, name, 1);
@@ -42,9 +42,9 @@
     teardown(NULL);
     setup(NULL);
     seed = number * 0x9e3779b97f4a7c15u;
-    node->catalog.types[0].fetch_gb_s = 1;
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
+    node->catalog.types[0].image_fetch_gb_per_s = 1;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
 }
 
 /* ---- marks ---- */
@@ -62,11 +62,11 @@
     for (uint64_t i = 1; i <= 10; i++) {
         prepare(i);
         add_machines();
-        struct amb_spec spec = {.estimate_s = 60, .image_gb = 10};
+        struct amb_job_spec spec = {.estimated_runtime_s = 60, .image_gb = 10};
         struct amb_round *cycle = amb_round_new(node, amb_now());
         assert_int_equal(cycle->nslots, MACHINES);
         for (int turn = 0; turn < TURNS; turn++) {
-            char image[AMB_NAME];
+            char image[AMB_NAME_SIZE];
             image_name(image, draw(IMAGES));
             amb_round_mark(cycle, &spec, image);
             struct amb_round *fresh = amb_round_new(node, amb_now());
@@ -92,7 +92,7 @@
 
 struct shape {
     struct amb_wish wish;
-    char image[AMB_NAME];
+    char image[AMB_NAME_SIZE];
     bool soon;
 };
 
@@ -110,8 +110,8 @@
 }
 
 static void draw_slot(struct amb_slot *slot) {
-    slot->room = (struct amb_res){(double)draw(9) * 8, (double)draw(9), (double)draw(9) * 40};
-    slot->soon = (struct amb_res){(double)draw(2) * 8, (double)draw(2), (double)draw(2) * 40};
+    slot->room = (struct amb_resources){(double)draw(9) * 8, (double)draw(9), (double)draw(9) * 40};
+    slot->soon = (struct amb_resources){(double)draw(2) * 8, (double)draw(2), (double)draw(2) * 40};
     slot->size_gpus = draw(8) ? 8 : 0;
     slot->kept_for = (int)draw(5) - 1;
     slot->usable = draw(10) != 0;
@@ -137,8 +137,8 @@
     uint32_t found = 0, nothing = 0;
     for (uint64_t i = 1; i <= 8; i++) {
         prepare(i);
-        node->catalog.ntypes = 2;
-        node->catalog.types[1].fetch_gb_s = 2;
+        node->catalog.type_count = 2;
+        node->catalog.types[1].image_fetch_gb_per_s = 2;
         add_machines();
         struct shape shapes[SHAPES];
         for (int k = 0; k < SHAPES; k++) draw_shape(&shapes[k]);
@@ -146,8 +146,8 @@
         for (int step = 0; step < STEPS; step++) {
             change_something(cycle);
             struct shape *shape = &shapes[draw(draw(2) ? 5 : SHAPES)];
-            uint32_t used[AMB_ZONES] = {(uint32_t)draw(3), (uint32_t)draw(3)};
-            struct amb_spec spec = {.estimate_s = 60, .image_gb = 10};
+            uint32_t used[AMB_ZONES_MAX] = {(uint32_t)draw(3), (uint32_t)draw(3)};
+            struct amb_job_spec spec = {.estimated_runtime_s = 60, .image_gb = 10};
             shape->wish.zone_used = used;
             shape->wish.zone_most = (uint32_t)draw(3);
             if (draw(8))
--- a/tests/placement/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -14,7 +14,7 @@
 static bool next(void *arg, uint32_t team, struct amb_wdrr_item *out) {
     struct queue *q = arg;
     if (!q->left[team] || q->skipped[team]) return false;
-    out->need = (struct amb_res){0, q->size[team], 0};
+    out->need = (struct amb_resources){0, q->size[team], 0};
     out->size = amb_wdrr_size(&out->need, true);
     out->what = q;
     return true;
@@ -88,7 +88,7 @@
 static void limits_and_guarantees(void **state) {
     (void)state;
     static const struct {
-        struct amb_res limit, guarantee, used, need;
+        struct amb_resources limit, guarantee, used, need;
         double times;
         bool within_limit, within_guarantee;
     } rows[] = {
@@ -110,16 +110,16 @@
     (void)state;
     struct amb_team team = {.limit = {0, 2, 0}, .guarantee = {0, 1, 0}};
     amb_wdrr_prepare(&team, 1, true);
-    assert_true(team.bucket == 120);
-    team.bucket = 0;
+    assert_true(team.bucket_tokens == 120);
+    team.bucket_tokens = 0;
     amb_wdrr_refill(&team, 1, 10);
-    assert_true(team.bucket > 19.9 && team.bucket < 20.1);
+    assert_true(team.bucket_tokens > 19.9 && team.bucket_tokens < 20.1);
     amb_wdrr_refill(&team, 1, 1000);
-    assert_true(team.bucket == 120);
+    assert_true(team.bucket_tokens == 120);
     /* An empty bucket admits nothing. */
     struct queue q = {{5, 0, 0}, {1, 1, 1}, {0}, 100, {0}, NULL};
     struct amb_wdrr_ops ops = {next, admit, skip_it, idle, &q};
-    team.bucket = 0.5;
+    team.bucket_tokens = 0.5;
     assert_int_equal(amb_wdrr_round(&team, 1, 0, &ops), 0);
 }
 
@@ -127,7 +127,7 @@
 static void teams_without_guarantee(void **state) {
     (void)state;
     static const struct {
-        struct amb_res first, second;
+        struct amb_resources first, second;
         bool opportunistic; /* the second team */
     } rows[] = {
         {{0, 8, 0}, {0, 0, 0}, true},  {{8, 0, 0}, {0, 0, 0}, true},  {{0, 8, 0}, {0, 8, 0}, false},
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -6,38 +6,38 @@
 static void come(const char *ref, uint32_t tasks, uint64_t stamp) {
     struct amb_buf value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":%s}", GOOD);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, stamp);
     cbor_decref(&item);
     amb_buf_free(&value);
     struct amb_job *job = amb_job_find(node, ref);
     assert_non_null(job);
-    assert_int_equal(job->spec->tasks, tasks);
+    assert_int_equal(job->spec->task_count, tasks);
 }
 
 /* Jobs beyond what memory holds are taken up as soon as others have ended, not by the next leader. */
 static void jobs_left_out_are_taken_up(void **state) {
     (void)state;
     node->election.role = AMB_ROLE_LEADER;
-    node->set.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
+    node->settings.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
     static const char *const refs[] = {"wk-1", "wk-2", "wk-3", "wk-4"};
     for (uint64_t i = 0; i < ROWS(refs); i++) come(refs[i], 16, ACCEPTED + i);
     const bool taken[] = {true, true, false, false};
-    for (size_t i = 0; i < ROWS(refs); i++) assert_int_equal(amb_job_find(node, refs[i])->live, taken[i]);
-    amb_jobs_take_left_out(node);
-    assert_false(amb_job_find(node, "wk-3")->live);
-    amb_job_leave(node, amb_job_find(node, "wk-1"));
+    for (size_t i = 0; i < ROWS(refs); i++) assert_int_equal(amb_job_find(node, refs[i])->active, taken[i]);
+    amb_jobs_activate_unadmitted(node);
+    assert_false(amb_job_find(node, "wk-3")->active);
+    amb_job_deactivate(node, amb_job_find(node, "wk-1"));
     amb_job_find(node, "wk-1")->state = AMB_JOB_CANCELLED;
-    amb_jobs_take_left_out(node);
-    assert_true(amb_job_find(node, "wk-3")->live);
-    assert_false(amb_job_find(node, "wk-4")->live);
-    amb_job_leave(node, amb_job_find(node, "wk-2"));
+    amb_jobs_activate_unadmitted(node);
+    assert_true(amb_job_find(node, "wk-3")->active);
+    assert_false(amb_job_find(node, "wk-4")->active);
+    amb_job_deactivate(node, amb_job_find(node, "wk-2"));
     amb_job_find(node, "wk-2")->state = AMB_JOB_CANCELLED;
-    node->ctl.loaded_at = 0; /* a new lead: records first */
-    amb_jobs_take_left_out(node);
-    assert_false(amb_job_find(node, "wk-4")->live);
-    node->ctl.loaded_at = 1;
-    amb_jobs_take_left_out(node);
-    assert_true(amb_job_find(node, "wk-4")->live);
+    node->controller.restored_at = 0; /* a new lead: records first */
+    amb_jobs_activate_unadmitted(node);
+    assert_false(amb_job_find(node, "wk-4")->active);
+    node->controller.restored_at = 1;
+    amb_jobs_activate_unadmitted(node);
+    assert_true(amb_job_find(node, "wk-4")->active);
 }
 
 static void commit_ops(enum amb_store_priority urgency, uint32_t ops) {
@@ -142,10 +142,10 @@
 static void the_end_is_one_write(void **state) {
     (void)state;
     node->election.role = AMB_ROLE_LEADER;
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
-    job->stamp = ACCEPTED;
-    job->blocks[0].stamp = ACCEPTED + 1;
-    for (uint32_t i = 0; i < 2; i++) amb_task_finish(node, &job->tasks[i]);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+    job->revision = ACCEPTED;
+    job->blocks[0].revision = ACCEPTED + 1;
+    for (uint32_t i = 0; i < 2; i++) amb_task_mark_done(node, &job->tasks[i]);
     job->blocks[0].dirty = false;
     amb_record_pump(node);
     struct fake_call *call = open_call(COMMIT);
@@ -155,11 +155,11 @@
     cbor_decref(&body);
     answer_commit(200, CHANGED);
     assert_int_equal(job->state, AMB_JOB_DONE);
-    assert_true(job->live);
+    assert_true(job->active);
     amb_record_pump(node);
     answer_commit(200, CHANGED + 1);
     amb_record_pump(node);
-    assert_false(job->live);
+    assert_false(job->active);
     assert_int_equal(fake_calls_sent(COMMIT), 2);
     struct amb_buf empty = cbor_from_text("{}");
     cbor_item_t *item = amb_cbor_parse(empty.data, empty.len);
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -8,19 +8,19 @@
 /* ---- guards ---- */
 
 static struct fake_call *begin_block_removal(void) {
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
-    job->stamp = 20;
-    job->blocks[0].stamp = 33;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    job->revision = 20;
+    job->blocks[0].revision = 33;
     job->state = AMB_JOB_CANCELLED;
     amb_record_pump(node);
     return open_call("POST", "/commit");
 }
 
 static struct fake_call *begin_job_end(void) {
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
-    job->stamp = 20;
-    job->blocks[0].stamp = 33;
-    amb_task_finish(node, &job->tasks[0]);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    job->revision = 20;
+    job->blocks[0].revision = 33;
+    amb_task_mark_done(node, &job->tasks[0]);
     amb_record_pump(node);
     return open_call("POST", "/commit");
 }
@@ -40,7 +40,7 @@
 
 static struct fake_call *begin_rental_removal(void) {
     amb_rental_want(node, 0, 0, false, 1);
-    node->rental.requests->state = AMB_REQUEST_REMOVING;
+    node->cloud.requests->state = AMB_REQUEST_REMOVING;
     amb_rental_tick(node, amb_now());
     return open_call("POST", "/commit");
 }
@@ -87,7 +87,7 @@
         enum read read;
         bool job_changed; /* meanwhile */
         bool sent_again;
-        enum amb_task_state state;
+        enum amb_task_set_state state;
     } rows[] = {
         {"it stands there", OURS, false, false, AMB_TASK_BOUND},
         {"it does not", MISSING, false, true, AMB_TASK_PLACED},
@@ -99,7 +99,7 @@
         begin_anew();
         struct fake_call *commit = begin_block();
         struct amb_job *job = amb_job_find(node, "wk-1");
-        char id[AMB_NAME];
+        char id[AMB_NAME_SIZE];
         struct amb_buf first = {0};
         amb_buf_add(&first, commit->body.data, commit->body.len);
         assert_true(amb_cbor_str(amb_cbor_get(fake_txn_put(commit, BLOCK_KEY, NULL), "w"), id, sizeof id));
@@ -112,7 +112,7 @@
         if (rows[i].read == OURS) answer_value(read, "w", id, 0, 61);
         if (rows[i].job_changed) {
             job->state = AMB_JOB_CANCELLED;
-            job->stamp = 21;
+            job->revision = 21;
         }
         fake_clock_advance(2500);
         node->election.renewed_at = amb_now();
@@ -151,7 +151,7 @@
     (void)state;
     struct fake_call *block = begin_block();
     struct amb_job *job = amb_job_find(node, "wk-1");
-    amb_task_finish(node, &job->tasks[0]);
+    amb_task_mark_done(node, &job->tasks[0]);
     amb_task_unbind(node, &job->tasks[0], "done");
     amb_record_pump(node);
     if (fake_calls_open("POST", "/commit") != 1) fail_msg("the job ends while its block is being written");
@@ -178,45 +178,46 @@
 /* What is recorded is what a new leader reads. */
 static void records_are_read_back(void **state) {
     (void)state;
-    uint32_t per = amb_record_tasks_per_block(&node->set);
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, per + 10);
-    assert_int_equal(job->nblocks, 2);
-    amb_catalog_zone(&node->catalog, "a");
+    uint32_t per = amb_placement_blocks_first_format_size(&node->settings);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, per + 10);
+    assert_int_equal(job->block_count, 2);
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
     for (uint32_t i = 0; i < per; i++) {
         char name[16];
         snprintf(name, sizeof name, "m-%06u", i);
         bound(job, i, name, 100000 + i);
-        job->tasks[i].machine->type = 0;
-        job->tasks[i].machine->zone = 0;
+        job->tasks[i].machine->type_index = 0;
+        job->tasks[i].machine->zone_index = 0;
     }
     struct amb_task *task = &job->tasks[3];
-    amb_task_finish(node, task);
+    amb_task_mark_done(node, task);
     amb_task_unbind(node, task, "done");
     struct amb_buf buffer = {0};
     strcpy(job->blocks[0].write_id, "50-1");
     amb_record_encode(node, &job->blocks[0], &buffer);
-    assert_true(buffer.len < (size_t)(node->set.value_kb * 1024)); /* the limit holds for the fullest block */
+    assert_true(buffer.len <
+                (size_t)(node->settings.value_kb * 1024)); /* the limit holds for the fullest block */
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    amb_job_leave(node, job);
+    amb_job_deactivate(node, job);
     amb_fleet_clear(node);
     cbor_item_t *at = (cbor_item_t *)amb_cbor_get(item, "at");
     cbor_set_uint64(at, (uint64_t)amb_wall_ms() - 30000); /* as if written half a minute ago */
     amb_record_load(node, "b/p/wk-1/00000", item, 77);
     cbor_decref(&item);
-    amb_ms known = amb_now() - amb_machine_get(node, "m-000000", false)->first_at;
+    amb_ms known = amb_now() - amb_machine_get(node, "m-000000", false)->first_known_at;
     assert_true(known >= 30000 && known < 60000);
     amb_buf_free(&buffer);
-    assert_true(job->live);
-    assert_int_equal(job->blocks[0].stamp, 77);
-    assert_int_equal(job->nbound, per - 1);
-    assert_int_equal(job->ndone, 1);
-    assert_true(job->tasks[3].done && job->tasks[3].done_saved);
+    assert_true(job->active);
+    assert_int_equal(job->blocks[0].revision, 77);
+    assert_int_equal(job->bound_count, per - 1);
+    assert_int_equal(job->done_count, 1);
+    assert_true(job->tasks[3].done && job->tasks[3].done_durable);
     assert_string_equal(job->tasks[per - 1].machine->name,
                         amb_machine_get(node, job->tasks[per - 1].machine->name, false)->name);
     assert_int_equal(job->tasks[5].attempt, 100005);
-    assert_int_equal(job->tasks[5].machine->type, 0);
-    assert_true(job->tasks[5].foreign);
-    assert_int_equal(job->zone_used[0], per - 1);
+    assert_int_equal(job->tasks[5].machine->type_index, 0);
+    assert_true(job->tasks[5].inherited);
+    assert_int_equal(job->zone_task_counts[0], per - 1);
 }
 
 static void damaged_records_do_no_harm(void **state) {
@@ -224,7 +225,7 @@
     static const char *const texts[] = {
         "",      ";", "0", "0,1", "0,1,m-1,0,0", "9999,1,m-1,0,0,0;", "-1,1,m,0,0,0;", "0,1,m-1,99,99,0;",
         "x,y,z;"};
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
     for (size_t i = 0; i < ROWS(texts); i++) {
         struct amb_buf buffer = {0};
         amb_w_map(&buffer, 2);
@@ -239,7 +240,7 @@
         cbor_decref(&item);
         amb_buf_free(&buffer);
     }
-    assert_true(job->nbound <= 1 && job->ndone <= 2);
+    assert_true(job->bound_count <= 1 && job->done_count <= 2);
 }
 
 int main(void) {
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -37,19 +37,19 @@
     node->election.term = fake_state_stamp("a/leader");
     node->election.ttl = 3600000000;
     node->election.renewed_at = amb_now();
-    strcpy(node->set.member, "n-0");
-    strcpy(node->set.state, "state:1");
-    node->set.value_kb = value_kb;
-    node->set.state_next.value_kb = lowered_kb;
-    node->set.state_rps = node->set.state_write_rps = 3000;
-    node->set.state_next.write_rps = 2000;
-    node->peers.count = 1;   /* never heard of */
-    node->ctl.ready = false; /* the test places tasks, not the round */
-    amb_store_init(&node->store, &node->set, 1000);
+    strcpy(node->settings.member, "n-0");
+    strcpy(node->settings.state, "state:1");
+    node->settings.value_kb = value_kb;
+    node->settings.state_next.value_kb = lowered_kb;
+    node->settings.state_rps = node->settings.state_write_rps = 3000;
+    node->settings.state_next.write_rps = 2000;
+    node->peers.count = 1;          /* never heard of */
+    node->controller.ready = false; /* the test places tasks, not the round */
+    amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
     if (fake_state_value(FORMAT_KEY)) amb_format_apply_key(node, fake_state_value(FORMAT_KEY));
-    job = add_job("wk-1", AMB_ARRAY, TASKS);
-    job->stamp = fake_state_stamp(JOB_KEY);
+    job = add_job("wk-1", AMB_JOB_KIND_ARRAY, TASKS);
+    job->revision = fake_state_stamp(JOB_KEY);
     fake_state_load_records(node);
 }
 
@@ -76,7 +76,7 @@
 }
 
 static struct amb_machine *machine(uint32_t i) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     snprintf(name, sizeof name, machine_names, i % MACHINES); /* NOLINT: one of the formats above */
     return amb_machine_get(node, name, true);
 }
@@ -86,7 +86,7 @@
         struct amb_task *task = &job->tasks[i];
         if (task->machine || task->done) continue;
         amb_task_bind(node, task, machine(i + shift), job->next_attempt++, AMB_TASK_PLACED);
-        amb_record_dirty(node, task, true);
+        amb_placement_block_mark_dirty(node, task, true);
     }
 }
 
@@ -94,7 +94,7 @@
     for (uint32_t i = first; i < end; i++) {
         struct amb_task *task = &job->tasks[i];
         if (!task->machine || task->state == AMB_TASK_PLACED) continue;
-        amb_task_finish(node, task);
+        amb_task_mark_done(node, task);
         amb_task_unbind(node, task, "done");
     }
 }
@@ -116,10 +116,10 @@
 /* ---- what a successor must know ---- */
 
 struct known {
-    enum amb_task_state state;
+    enum amb_task_set_state state;
     bool done, done_saved;
     uint64_t attempt;
-    char machine[AMB_NAME];
+    char machine[AMB_NAME_SIZE];
 };
 
 static struct known known[TASKS];
@@ -129,7 +129,7 @@
     bound_attempts = 0;
     for (uint32_t i = 0; i < TASKS; i++) {
         const struct amb_task *task = &job->tasks[i];
-        known[i] = (struct known){task->state, task->done, task->done_saved, task->attempt, ""};
+        known[i] = (struct known){task->state, task->done, task->done_durable, task->attempt, ""};
         if (task->machine) strcpy(known[i].machine, task->machine->name);
         if (task->state >= AMB_TASK_BOUND && task->machine && task->attempt >= bound_attempts)
             bound_attempts = task->attempt + 1;
@@ -158,7 +158,7 @@
 /* Everything runs to its end, and nothing is left of it. */
 static void run_to_the_end(const char *what, size_t when) {
     uint32_t round = 0;
-    for (; job->live && round < ROUNDS; round++) {
+    for (; job->active && round < ROUNDS; round++) {
         if (job->state == AMB_JOB_QUEUED) {
             finish(0, TASKS);
             place(0, TASKS, 1);
@@ -168,7 +168,7 @@
         fake_clock_advance(2500);
         fake_state_refill();
     }
-    if (job->live || job->state != AMB_JOB_DONE) fail_msg("%s, end %zu: the job does not end", what, when);
+    if (job->active || job->state != AMB_JOB_DONE) fail_msg("%s, end %zu: the job does not end", what, when);
     if (fake_state_count("b/")) fail_msg("%s, end %zu: %s is left", what, when, fake_state_key("b/", 0));
 }
 
@@ -518,14 +518,14 @@
     end_leader(FAKE_REQUEST_LOST);
     lead(VALUE_KB, LOWERED_KB);
     uint64_t moved = job->tasks[60].attempt;
-    amb_job_leave(node, job);
+    amb_job_deactivate(node, job);
     amb_fleet_clear(node);
     node->formats.test_override = AMB_FORMAT_1;
     fake_state_load_records(node);
-    assert_true(job->live);
-    assert_int_equal(job->layout, AMB_LAYOUT_BY_SETTINGS);
-    assert_int_equal(job->tasks_per_block, amb_record_tasks_per_block(&node->set));
-    assert_int_equal(job->nreplaced, 0);
+    assert_true(job->active);
+    assert_int_equal(job->block_layout, AMB_LAYOUT_BY_SETTINGS);
+    assert_int_equal(job->tasks_per_block, amb_placement_blocks_first_format_size(&node->settings));
+    assert_int_equal(job->superseded_count, 0);
     assert_int_equal(job->tasks[60].attempt, 61); /* as the old block says */
     assert_true(moved > 61);
     place(161, 163, 0);
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -63,7 +63,7 @@
 
 /* ---- each sample is read ---- */
 
-static void check_spec(const struct amb_spec *spec, const json_t *said) {
+static void check_spec(const struct amb_job_spec *spec, const json_t *said) {
     static const char *const shapes[] = {"batch", "ensemble", "daemon"};
     static const char *const ranks[] = {"best_effort", "normal", "high", "prod"};
     const char *zone = text(said, "yard");
@@ -73,22 +73,22 @@
     assert_string_equal(spec->image, text(said, "cask"));
     assert_string_equal(shapes[spec->kind], text(said, "shape"));
     assert_string_equal(ranks[spec->priority], text(said, "rank"));
-    assert_int_equal(spec->tasks, whole(said, "legs"));
+    assert_int_equal(spec->task_count, whole(said, "legs"));
     assert_string_equal(spec->zone, zone ? zone : "");
-    assert_true(spec->each.cpus == json_number_value(json_object_get(said, "vcpus")));
-    assert_true(spec->each.gpus == json_number_value(json_object_get(said, "accelerators")));
-    assert_true(spec->each.memory == json_number_value(json_object_get(said, "ram_gb")));
+    assert_true(spec->task_resources.cpus == json_number_value(json_object_get(said, "vcpus")));
+    assert_true(spec->task_resources.gpus == json_number_value(json_object_get(said, "accelerators")));
+    assert_true(spec->task_resources.memory_gb == json_number_value(json_object_get(said, "ram_gb")));
     assert_true(spec->image_gb == json_number_value(json_object_get(said, "size_gb")));
-    assert_true(spec->estimate_s == json_number_value(json_object_get(said, "reckon_s")));
-    assert_true(spec->checkpoint_s == json_number_value(json_object_get(said, "mark_s")));
-    assert_true(spec->save_s == json_number_value(json_object_get(said, "stow_s")));
+    assert_true(spec->estimated_runtime_s == json_number_value(json_object_get(said, "reckon_s")));
+    assert_true(spec->checkpoint_interval_s == json_number_value(json_object_get(said, "mark_s")));
+    assert_true(spec->checkpoint_save_s == json_number_value(json_object_get(said, "stow_s")));
     assert_true(spec->deadline_s == json_number_value(json_object_get(said, "due_s")));
     assert_int_equal(spec->one_zone, json_is_true(json_object_get(said, "one_zone")));
-    assert_int_equal(spec->spread, json_is_true(json_object_get(said, "scatter")));
-    assert_int_equal(spec->spot, json_is_true(json_object_get(said, "driftwood")));
-    assert_int_equal(spec->ntypes, json_array_size(json_object_get(said, "hulls")));
-    for (uint32_t i = 0; i < spec->ntypes; i++)
-        assert_string_equal(spec->types[i],
+    assert_int_equal(spec->spread_zones, json_is_true(json_object_get(said, "scatter")));
+    assert_int_equal(spec->spot_allowed, json_is_true(json_object_get(said, "driftwood")));
+    assert_int_equal(spec->allowed_type_count, json_array_size(json_object_get(said, "hulls")));
+    for (uint32_t i = 0; i < spec->allowed_type_count; i++)
+        assert_string_equal(spec->allowed_types[i],
                             json_string_value(json_array_get(json_object_get(said, "hulls"), i)));
 }
 
@@ -98,15 +98,15 @@
     assert_non_null(job);
     assert_string_equal(states[job->state], text(said, "s"));
     if (job->state == AMB_JOB_DONE) {
-        assert_int_equal(job->shown_done, whole(said, "n"));
+        assert_int_equal(job->progress_done, whole(said, "n"));
         return;
     }
-    assert_int_equal(job->accepted_wall, whole(said, "a"));
-    if (job->state == AMB_JOB_CANCELLED) assert_int_equal(job->cancelled_wall, whole(said, "c"));
+    assert_int_equal(job->accepted_wall_ms, whole(said, "a"));
+    if (job->state == AMB_JOB_CANCELLED) assert_int_equal(job->cancelled_wall_ms, whole(said, "c"));
     assert_non_null(job->spec);
     check_spec(job->spec, json_object_get(said, "d"));
     struct amb_buf written = {0};
-    amb_job_value(&written, job, job->state);
+    amb_job_encode_record(&written, job, job->state);
     json_t *again = json_of(&written);
     must_equal(ref, again, said);
     json_decref(again);
@@ -121,10 +121,10 @@
         cbor_item_t *value = value_of(sample);
         const char *ref = key_of(sample) + strlen("a/job/");
         /* Some name the same job, of different days: each is read as news of its own. */
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "wk-sample-%zu", i);
         json_t *spec = json_object_get(json_object_get(sample, "value"), "d");
-        amb_jobs_apply(node, name, value, 100 + i);
+        amb_jobs_apply_item(node, name, value, 100 + i);
         if (spec) assert_string_equal(text(spec, "ref"), ref);
         check_job(name, json_object_get(sample, "value"));
         cbor_decref(&value);
@@ -136,7 +136,7 @@
 static void check_placed(const struct amb_job *job, const char *placed) {
     unsigned index, attempt;
     int type, zone, spot, used;
-    char machine[AMB_NAME];
+    char machine[AMB_NAME_SIZE];
     for (; *placed; placed += used) {
         assert_int_equal(sscanf(placed, "%u,%u,%63[^,],%d,%d,%d;%n", &index, &attempt, machine, &type, &zone,
                                 &spot, &used),
@@ -145,8 +145,8 @@
         assert_non_null(task->machine);
         assert_string_equal(task->machine->name, machine);
         assert_int_equal(task->attempt, attempt);
-        assert_int_equal(task->machine->type, type);
-        assert_int_equal(task->machine->zone, zone);
+        assert_int_equal(task->machine->type_index, type);
+        assert_int_equal(task->machine->zone_index, zone);
         assert_int_equal(task->machine->spot, spot);
         assert_int_equal(task->state, AMB_TASK_BOUND);
     }
@@ -166,14 +166,14 @@
 
 static void check_block(const char *key, const json_t *said) {
     unsigned index;
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     assert_int_equal(sscanf(key, "b/p/%63[^/]/%u", ref, &index), 2);
     const struct amb_job *job = amb_job_find(node, ref);
     check_placed(job, text(said, "p"));
-    assert_int_equal(check_done(job, text(said, "d")), job->ndone);
+    assert_int_equal(check_done(job, text(said, "d")), job->done_count);
     assert_int_equal(job->next_attempt, whole(said, "n"));
     uint32_t placed = 0;
-    for (uint32_t i = 0; i < job->spec->tasks; i++) placed += job->tasks[i].machine != NULL;
+    for (uint32_t i = 0; i < job->spec->task_count; i++) placed += job->tasks[i].machine != NULL;
     uint32_t parts = 0;
     for (const char *at = text(said, "p"); (at = strchr(at, ';')); at++) parts++;
     assert_int_equal(placed, parts);
@@ -190,16 +190,16 @@
 }
 
 static void know_types_and_zones(void) {
-    node->set.value_kb = RECORDED_VALUE_BYTES / 1024.0;
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
+    node->settings.value_kb = RECORDED_VALUE_BYTES / 1024.0;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
 }
 
 static void placement_block(const json_t *sample) {
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     assert_int_equal(sscanf(key_of(sample), "b/p/%63[^/]/", ref), 1);
     know_types_and_zones();
-    add_job(ref, AMB_ARRAY, JOB_TASKS);
+    add_job(ref, AMB_JOB_KIND_ARRAY, JOB_TASKS);
     cbor_item_t *value = value_of(sample);
     amb_record_load(node, key_of(sample), value, 50);
     check_block(key_of(sample), json_object_get(sample, "value"));
@@ -226,7 +226,7 @@
         const json_t *said = json_object_get(sample, "value");
         cbor_item_t *value = value_of(sample);
         amb_rental_load(node, key_of(sample), value);
-        const struct amb_rental_request *request = node->rental.requests;
+        const struct amb_rental_request *request = node->cloud.requests;
         while (request && request->next) request = request->next;
         if (!request) {
             fail_msg("%s: not taken up", key_of(sample));
@@ -246,7 +246,7 @@
     (void)state;
     json_t *list = load_samples(SIM_LEADER_KEYS), *sample;
     size_t i;
-    strcpy(node->set.member, "other");
+    strcpy(node->settings.member, "other");
     node->election.role = AMB_ROLE_FOLLOWER;
     json_array_foreach(list, i, sample) {
         cbor_item_t *value = value_of(sample);
@@ -268,7 +268,8 @@
         const char *zone = text(json_object_get(sample, "value"), "zone");
         cbor_item_t *value = value_of(sample);
         amb_lease_proxy_apply_key(node, key_of(sample) + strlen("a/deputy/"), value, 60 + i);
-        assert_true(amb_lease_proxy_is_active_in_zone(node, amb_catalog_zone(&node->catalog, zone)));
+        assert_true(
+            amb_lease_proxy_is_active_in_zone(node, amb_catalog_find_or_add_zone(&node->catalog, zone)));
         cbor_decref(&value);
     }
     json_decref(list);
--- a/tests/scenarios/test_small_memory.c
+++ b/tests/scenarios/test_small_memory.c
@@ -31,7 +31,7 @@
     const struct amb_settings small = {.memory_mb = QUARTER_OF_LEAN_MB};
     struct sim_result r = play(1, AMPLE_MB, NULL, 0);
     assert_int_equal(r.refused_for_memory, 0);
-    assert_true(r.job_table_most > amb_memory_job_table(&small));
+    assert_true(r.job_table_most > amb_memory_job_table_bytes(&small));
     assert_true(r.accepted > FLOOD_JOBS);
     assert_int_equal(r.open, 0);
 }
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -49,7 +49,7 @@
     for (int i = 0; i < world.machine_count; i++) {
         struct sim_machine *machine = &world.machines[i];
         if (machine->created > then || (!machine->exists && machine->gone_at <= then)) continue;
-        char text[AMB_NAME];
+        char text[AMB_NAME_SIZE];
         n++;
         amb_w_map(&list, 7);
         amb_w_str(&list, "ref"), amb_w_str(&list, machine->name);
@@ -95,7 +95,7 @@
     amb_cbor_str(amb_cbor_get(body, "charter"), id, sizeof id);
     amb_cbor_uint(amb_cbor_get(body, "count"), &count);
     amb_cbor_bool(amb_cbor_get(body, "driftwood"), &spot);
-    char zone_name[AMB_NAME] = "";
+    char zone_name[AMB_NAME_SIZE] = "";
     amb_cbor_str(amb_cbor_get(body, "yard"), zone_name, sizeof zone_name);
     int zone = sim_zone_of_name(zone_name);
     cbor_decref(&body);
@@ -157,7 +157,7 @@
 static bool in_use(const struct sim_machine *machine) {
     if (!machine->exists || machine->dead) return false;
     for (uint32_t i = 0; i < machine->task_count; i++)
-        if (machine->tasks[i].on != AMB_ON_EXITED) return true;
+        if (machine->tasks[i].on != AMB_AGENT_TASK_EXITED) return true;
     return false;
 }
 
@@ -165,7 +165,7 @@
 static bool in_use_by_later_leader(const struct sim_machine *machine, const struct sim_call *call) {
     if (!in_use(machine) || !call->returns_on_record) return false;
     for (uint32_t i = 0; i < machine->task_count; i++)
-        if (machine->tasks[i].on != AMB_ON_EXITED && machine->tasks[i].token > call->sent_at_revision)
+        if (machine->tasks[i].on != AMB_AGENT_TASK_EXITED && machine->tasks[i].token > call->sent_at_revision)
             return true;
     return false;
 }
@@ -174,7 +174,7 @@
     const cbor_item_t *rigs = amb_cbor_get(body, "rigs");
     bool by_duty = amb_cbor_get(body, "duty") != NULL,
          planned = amb_cbor_eq(amb_cbor_get(body, "duty"), "return");
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     for (size_t i = 0; i < amb_cbor_len(rigs); i++) {
         if (!amb_cbor_str(amb_cbor_at(rigs, i), name, sizeof name)) continue;
         for (int k = 0; k < world.machine_count; k++) {
--- a/tests/standin/day.c
+++ b/tests/standin/day.c
@@ -68,7 +68,8 @@
         }
     }
     for (int i = 0; i < world.job_count; i++)
-        if (world.jobs[i].spec.kind == AMB_GANG && world.jobs[i].first_task) sim_gang_advance(&world.jobs[i]);
+        if (world.jobs[i].spec.kind == AMB_JOB_KIND_GANG && world.jobs[i].first_task)
+            sim_gang_advance(&world.jobs[i]);
 }
 
 static void play_tick(amb_ms end) {
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -223,8 +223,8 @@
     sim_switch_to(keep);
 }
 
-void sim_machine_address(int index, char out[AMB_NAME]) {
-    snprintf(out, AMB_NAME, "W%d:1", index);
+void sim_machine_address(int index, char out[AMB_NAME_SIZE]) {
+    snprintf(out, AMB_NAME_SIZE, "W%d:1", index);
 }
 
 static enum sim_place place_of(const char *address) { /* as nodes.c and the machines name them */
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -31,8 +31,8 @@
     strcpy(settings->cloud, "C:1");
     for (int k = 0; k < from->nodes; k++) {
         if (k == from->index) continue;
-        snprintf(settings->peers[settings->npeers].member, AMB_NAME, "n%d", k);
-        snprintf(settings->peers[settings->npeers++].addr, AMB_NAME, "P%d:1", k);
+        snprintf(settings->peers[settings->npeers].member, AMB_NAME_SIZE, "n%d", k);
+        snprintf(settings->peers[settings->npeers++].addr, AMB_NAME_SIZE, "P%d:1", k);
     }
     settings->nzones = (uint32_t)from->zone_count;
     for (int i = 0; i < from->zone_count; i++) strcpy(settings->zones[i], from->zone_names[i]);
@@ -42,7 +42,7 @@
     int guarantee = from->team_limit / 3;
     settings->nteams = (uint32_t)from->teams;
     for (uint32_t t = 0; t < settings->nteams; t++) {
-        snprintf(settings->teams[t].name, AMB_NAME, "team-%u", t);
+        snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
         settings->teams[t].guarantee.gpus = guarantee;
         settings->teams[t].limit.gpus = from->team_limit;
     }
@@ -74,16 +74,16 @@
     struct amb_node *node = amb_alloc(sizeof *node);
     char error[128];
     amb_log_init(getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error");
-    amb_options_default(&node->opt);
+    amb_options_default(&node->options);
 #ifndef AMB_PRODUCTION_SIDE
-    node->opt.duties = settings->duties;
-    if (settings->keep_idle) node->opt.idle_return = 100;
-    node->opt.zone_recovery = settings->zone_recovery;
-    if (settings->recovery_order) strcpy(node->opt.zone_recovery_order, settings->recovery_order);
+    node->options.duties = settings->duties;
+    if (settings->keep_idle) node->options.idle_return = 100;
+    node->options.zone_recovery = settings->zone_recovery;
+    if (settings->recovery_order) strcpy(node->options.zone_recovery_order, settings->recovery_order);
 #endif
-    set_names(&node->set, settings);
-    set_teams(&node->set, settings);
-    set_limits(&node->set, settings);
+    set_names(&node->settings, settings);
+    set_teams(&node->settings, settings);
+    set_limits(&node->settings, settings);
     if (amb_node_start(node, error, sizeof error) < 0) abort();
     return node;
 }
@@ -109,16 +109,16 @@
 }
 #else
 static size_t job_table_used(const void *node) {
-    return amb_memory_job_table_used(node);
+    return amb_memory_job_table_used_bytes(node);
 }
 
 static size_t job_table_most(const void *node) {
-    return amb_memory_job_table(&((const struct amb_node *)node)->set);
+    return amb_memory_job_table_bytes(&((const struct amb_node *)node)->settings);
 }
 
 static bool job_table_has_room(const void *node) {
-    static const struct amb_spec small = {.tasks = 1};
-    return amb_memory_holds(node, &small);
+    static const struct amb_job_spec small = {.task_count = 1};
+    return amb_memory_has_room_for_job(node, &small);
 }
 #endif
 
--- a/tests/standin/nodes.c
+++ b/tests/standin/nodes.c
@@ -161,7 +161,7 @@
     const struct sim_node *leader = &world.nodes[sim_leader()];
     if (!leads(leader) || leader->old) return NULL;
     const struct amb_node *node = leader->node;
-    return node->ctl.ready && world.now - node->ctl.loaded_at > before ? node : NULL;
+    return node->controller.ready && world.now - node->controller.restored_at > before ? node : NULL;
 }
 
 bool sim_leader_began(void) {
--- a/tests/standin/pipelines.c
+++ b/tests/standin/pipelines.c
@@ -89,7 +89,8 @@
     for (int i = 0; i < world.job_count; i++) {
         int index = (first + i) % world.job_count;
         const struct sim_job *earlier = &world.jobs[index];
-        if (earlier->accepted && earlier->spec.kind != AMB_SERVICE && earlier->pipeline != job->pipeline)
+        if (earlier->accepted && earlier->spec.kind != AMB_JOB_KIND_SERVICE &&
+            earlier->pipeline != job->pipeline)
             return index;
     }
     return -1;
@@ -125,7 +126,7 @@
 }
 
 static void put_unknown(struct amb_buf *body, int index) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     snprintf(name, sizeof name, "wk-%06d", NEVER_ACCEPTED + index);
     amb_w_list(body, 1);
     amb_w_str(body, name);
@@ -158,21 +159,21 @@
 
 /* ---- the day's pipelines ---- */
 
-static void draw_stage_spec(struct amb_spec *spec) {
+static void draw_stage_spec(struct amb_job_spec *spec) {
     sim_draw_spec(spec);
-    spec->kind = sim_random() % 4 ? AMB_ARRAY : AMB_GANG;
-    spec->spread = false;
+    spec->kind = sim_random() % 4 ? AMB_JOB_KIND_ARRAY : AMB_JOB_KIND_GANG;
+    spec->spread_zones = false;
     spec->one_zone = false;
-    spec->spot = true;
-    spec->tasks = (uint32_t)sim_between(1, spec->kind == AMB_GANG ? 3 : 6);
-    spec->each.gpus = 1;
-    spec->estimate_s = (double)sim_between(2, 10);
-    spec->priority = AMB_BEST_EFFORT;
+    spec->spot_allowed = true;
+    spec->task_count = (uint32_t)sim_between(1, spec->kind == AMB_JOB_KIND_GANG ? 3 : 6);
+    spec->task_resources.gpus = 1;
+    spec->estimated_runtime_s = (double)sim_between(2, 10);
+    spec->priority = AMB_PRIORITY_BEST_EFFORT;
 }
 
 /* Users set deadline and priority on the last job only. */
 static void make_last(struct sim_job *job) {
-    job->spec.priority = AMB_HIGH;
+    job->spec.priority = AMB_PRIORITY_HIGH;
     job->spec.deadline_s = 120;
     if (sim_random() % 4 == 0) job->moment = SIM_WHEN_OVER;
 }
@@ -219,9 +220,9 @@
 static void draw_big_job(amb_ms at) {
     struct sim_job *job = sim_job_new();
     draw_stage_spec(&job->spec);
-    job->spec.kind = AMB_ARRAY;
-    job->spec.tasks = SIM_JOB_TASKS;
-    job->spec.estimate_s = (double)sim_between(5, 20);
+    job->spec.kind = AMB_JOB_KIND_ARRAY;
+    job->spec.task_count = SIM_JOB_TASKS;
+    job->spec.estimated_runtime_s = (double)sim_between(5, 20);
     job->at = at;
     sim_user_comes(job, at);
 }
--- a/tests/standin/recovery.c
+++ b/tests/standin/recovery.c
@@ -26,13 +26,13 @@
 
 /* Replicas of zonal days. */
 static bool is_watched(const struct sim_job *job) {
-    return job->spec.kind == AMB_SERVICE && class_of(job) != SIM_CLASSES;
+    return job->spec.kind == AMB_JOB_KIND_SERVICE && class_of(job) != SIM_CLASSES;
 }
 
 /* ---- losses ---- */
 
 static bool is_serving(const struct sim_machine *machine, const struct sim_task *task) {
-    return machine->exists && !machine->dead && task->on == AMB_ON_RUNNING &&
+    return machine->exists && !machine->dead && task->on == AMB_AGENT_TASK_RUNNING &&
            !sim_fault_active(SIM_CUT_ZONE, machine->zone);
 }
 
@@ -46,7 +46,7 @@
         if (!machine->exists || machine->dead || machine->zone != zone) continue;
         for (uint32_t k = 0; k < machine->task_count; k++) {
             const struct sim_task *task = &machine->tasks[k];
-            if (task->on != AMB_ON_RUNNING || !is_watched(task->job)) continue;
+            if (task->on != AMB_AGENT_TASK_RUNNING || !is_watched(task->job)) continue;
             uint64_t *lost = &recovery()->lost[task->job - world.jobs];
             if (!(*lost & bit_of(task))) world.result.lost_replicas[class_of(task->job)]++;
             *lost |= bit_of(task);
@@ -117,8 +117,8 @@
 static double free_gpus(const struct sim_machine *machine, const struct sim_task *without) {
     double room = SIM_MACHINE_GPUS;
     for (uint32_t k = 0; k < machine->task_count; k++)
-        if (&machine->tasks[k] != without && machine->tasks[k].on != AMB_ON_EXITED)
-            room -= machine->tasks[k].job->spec.each.gpus;
+        if (&machine->tasks[k] != without && machine->tasks[k].on != AMB_AGENT_TASK_EXITED)
+            room -= machine->tasks[k].job->spec.task_resources.gpus;
     return room;
 }
 
@@ -126,14 +126,15 @@
  */
 static bool waits_for_zone(const struct amb_job *job, uint32_t index, int zone) {
     const struct amb_task *task = &job->tasks[index];
-    if (task->state != AMB_TASK_WAITING || world.now - task->since < ORDER_SLACK_MS) return false;
-    return !job->spec->spread || job->zone_used[zone] < amb_place_spread_most(job->spec->tasks);
+    if (task->state != AMB_TASK_WAITING || world.now - task->state_since < ORDER_SLACK_MS) return false;
+    return !job->spec->spread_zones ||
+           job->zone_task_counts[zone] < amb_place_spread_most(job->spec->task_count);
 }
 
 static bool any_waits(const struct amb_node *leader, const struct sim_job *lost, int zone) {
     struct amb_job *job = amb_job_find((struct amb_node *)leader, lost->spec.ref);
-    if (!job || !job->live || job->state != AMB_JOB_QUEUED || world.now < job->hold_until) return false;
-    for (uint32_t i = 0; i < job->spec->tasks; i++)
+    if (!job || !job->active || job->state != AMB_JOB_QUEUED || world.now < job->backoff_until) return false;
+    for (uint32_t i = 0; i < job->spec->task_count; i++)
         if ((recovery()->lost[lost - world.jobs] >> i & 1) && waits_for_zone(job, i, zone)) return true;
     return false;
 }
@@ -145,7 +146,7 @@
     for (int i = 0; leader && !machine->spot && i < world.job_count; i++) {
         const struct sim_job *lost = &world.jobs[i];
         if (!recovery()->lost[i] || class_of(lost) >= class_of(task->job)) continue;
-        if (lost->spec.each.gpus <= room && any_waits(leader, lost, machine->zone))
+        if (lost->spec.task_resources.gpus <= room && any_waits(leader, lost, machine->zone))
             sim_broken("order: %s of %s starts on %s before %s of %s", task->ref, task->job->spec.class_name,
                        machine->name, lost->spec.ref, lost->spec.class_name);
     }
@@ -153,7 +154,7 @@
 
 /* No batch work in a zone that has only just come back. */
 static void check_steady(const struct sim_machine *machine, const struct sim_task *task) {
-    if (task->job->spec.kind == AMB_SERVICE) return;
+    if (task->job->spec.kind == AMB_JOB_KIND_SERVICE) return;
     amb_ms steady = world.size->lease / SIM_LEASES_PER_STEADY;
     for (size_t i = 0; i < world.fault_count; i++) {
         const struct sim_fault *cut = &world.faults[i];
@@ -169,7 +170,7 @@
 static bool is_of_earlier_leader(const struct sim_task *task) {
     const struct amb_node *leader = sim_leader_since(0);
     const struct amb_job *job = leader ? amb_job_find((struct amb_node *)leader, task->ref) : NULL;
-    return !job || !job->live || job->tasks[task->index].foreign;
+    return !job || !job->active || job->tasks[task->index].inherited;
 }
 
 void sim_check_recovery(const struct sim_machine *machine, const struct sim_task *task) {
