--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -39,7 +39,7 @@
     size_t used = node->side->job_table_used(node->node);
     size_t most = node->side->job_table_most(node->node);
     size_t accepted_at_once =
-        (size_t)world.size->writes / 10 * (sizeof(struct amb_job) + sizeof(struct amb_spec));
+        (size_t)world.size->writes / 10 * (sizeof(struct amb_job) + sizeof(struct amb_job_spec));
     if (used > world.result.job_table_most) world.result.job_table_most = used;
     if (used > accepted_at_once && used - accepted_at_once > most)
         sim_broken("memory: n%d holds %zu bytes of jobs", (int)(node - world.nodes), used);
@@ -66,7 +66,8 @@
         if (other->index == task->index) sim_broken("ran_twice: %s on %s too", task->ref, machine->name);
     }
     const struct sim_job *other_job = other->job;
-    if (!strcmp(other_job->spec.team, job->spec.team)) crowd->team_gpus += other_job->spec.each.gpus;
+    if (!strcmp(other_job->spec.team, job->spec.team))
+        crowd->team_gpus += other_job->spec.task_resources.gpus;
 }
 
 static struct crowd count_tasks(const struct sim_task *task) {
@@ -102,16 +103,18 @@
 
 void sim_check_start(const struct sim_machine *machine, const struct sim_task *task) {
     const struct sim_job *job = task->job;
-    const struct amb_spec *spec = &job->spec;
+    const struct amb_job_spec *spec = &job->spec;
     world.result.starts++;
     struct crowd crowd = count_tasks(task);
     crowd.in_zone[machine->zone]++;
-    if (crowd.team_gpus + spec->each.gpus > sim_team_limit()) sim_broken("quota: team of %s", task->ref);
+    if (crowd.team_gpus + spec->task_resources.gpus > sim_team_limit())
+        sim_broken("quota: team of %s", task->ref);
     if (job->cancel_told) world.result.starts_after_cancel++;
     if (spec->zone[0] && machine->zone != sim_zone_of_name(spec->zone))
         sim_broken("wrong_place: %s on %s of another zone", task->ref, machine->name);
-    if (machine->spot && !spec->spot) sim_broken("wrong_place: %s on spot %s", task->ref, machine->name);
-    if (spec->spread && crowd.in_zone[machine->zone] > amb_place_spread_most(spec->tasks))
+    if (machine->spot && !spec->spot_allowed)
+        sim_broken("wrong_place: %s on spot %s", task->ref, machine->name);
+    if (spec->spread_zones && crowd.in_zone[machine->zone] > amb_place_spread_most(spec->task_count))
         sim_broken("wrong_place: spread of %s on %s", task->ref, machine->name);
     if (spec->one_zone && in_other_zones(crowd.in_zone, machine->zone))
         sim_broken("wrong_place: %s not in one zone, %s", task->ref, machine->name);
@@ -254,11 +257,11 @@
 static void survey_task(struct survey *survey, int machine, const struct sim_task *task) {
     const struct sim_job *job = task->job;
     ptrdiff_t index = job - world.jobs;
-    if (task->on == AMB_ON_EXITED) return;
+    if (task->on == AMB_AGENT_TASK_EXITED) return;
     survey->placed[index] |= (uint64_t)1 << task->index;
     survey->in_zone[index][world.machines[machine].zone]++;
-    survey->room[machine] -= job->spec.each.gpus;
-    survey->team_gpus[team_of(job)] += job->spec.each.gpus;
+    survey->room[machine] -= job->spec.task_resources.gpus;
+    survey->team_gpus[team_of(job)] += job->spec.task_resources.gpus;
 }
 
 static void survey_take(struct survey *survey) {
@@ -272,28 +275,29 @@
 }
 
 static bool may_use(const struct survey *survey, const struct sim_job *job, int machine) {
-    const struct amb_spec *spec = &job->spec;
+    const struct amb_job_spec *spec = &job->spec;
     const uint32_t *in_zone = survey->in_zone[job - world.jobs];
     int zone = world.machines[machine].zone;
-    if (world.machines[machine].spot && !spec->spot) return false;
+    if (world.machines[machine].spot && !spec->spot_allowed) return false;
     if (spec->zone[0] && zone != sim_zone_of_name(spec->zone)) return false;
     if (spec->one_zone && in_other_zones(in_zone, zone)) return false;
-    return !spec->spread || in_zone[zone] < amb_place_spread_most(spec->tasks);
+    return !spec->spread_zones || in_zone[zone] < amb_place_spread_most(spec->task_count);
 }
 
 /* Tasks of the job that fit in a zone's machines as they are. */
 static uint32_t fitting(const struct survey *survey, const struct sim_job *job, int zone) {
     uint32_t count = 0;
     for (int i = 0; i < world.machine_count; i++)
-        if (world.machines[i].zone == zone && survey->room[i] >= job->spec.each.gpus &&
+        if (world.machines[i].zone == zone && survey->room[i] >= job->spec.task_resources.gpus &&
             may_use(survey, job, i))
-            count += (uint32_t)(survey->room[i] / job->spec.each.gpus);
+            count += (uint32_t)(survey->room[i] / job->spec.task_resources.gpus);
     return count;
 }
 
 static bool has_room(const struct survey *survey, const struct sim_job *job) {
-    uint32_t together = job->spec.kind == AMB_GANG ? job->spec.tasks : 1;
-    if (survey->team_gpus[team_of(job)] + together * job->spec.each.gpus > sim_team_limit()) return false;
+    uint32_t together = job->spec.kind == AMB_JOB_KIND_GANG ? job->spec.task_count : 1;
+    if (survey->team_gpus[team_of(job)] + together * job->spec.task_resources.gpus > sim_team_limit())
+        return false;
     uint32_t all = 0, most = 0;
     for (int zone = 0; zone < sim_zones(); zone++) {
         uint32_t here = fitting(survey, job, zone);
@@ -305,8 +309,8 @@
 
 static bool has_waiting_task(const struct survey *survey, const struct sim_job *job) {
     uint64_t placed = survey->placed[job - world.jobs];
-    if (job->spec.kind == AMB_GANG && placed) return false;
-    for (uint32_t i = 0; i < job->spec.tasks; i++)
+    if (job->spec.kind == AMB_JOB_KIND_GANG && placed) return false;
+    for (uint32_t i = 0; i < job->spec.task_count; i++)
         if (!job->done[i] && !(placed >> i & 1)) return true;
     return false;
 }
@@ -319,7 +323,7 @@
     if (!waits || world.now < world.troubles_over) job->waits_from = world.now;
     if (world.now - job->waits_from > LONGEST_WAIT_MS)
         sim_broken("left_waiting: %s, kind %d, %u tasks", job->spec.ref, (int)job->spec.kind,
-                   job->spec.tasks);
+                   job->spec.task_count);
 }
 
 static void check_answered(const struct sim_job *job) {
@@ -339,7 +343,8 @@
 }
 
 static bool is_open(const struct sim_job *job) {
-    return job->accepted && job->spec.kind != AMB_SERVICE && !sim_cancel_wanted(job) && !job->done_told;
+    return job->accepted && job->spec.kind != AMB_JOB_KIND_SERVICE && !sim_cancel_wanted(job) &&
+           !job->done_told;
 }
 
 uint32_t sim_open_jobs(void) {
@@ -356,6 +361,6 @@
             if (all_must_be_done) sim_broken("unfinished: %s", job->spec.ref);
         }
         if (getenv("SIM_TRACE") && job->accepted && !job->done_told && !job->cancel_told)
-            printf("open: %s kind %d tasks %u\n", job->spec.ref, (int)job->spec.kind, job->spec.tasks);
+            printf("open: %s kind %d tasks %u\n", job->spec.ref, (int)job->spec.kind, job->spec.task_count);
     }
 }
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -29,7 +29,7 @@
 }
 
 bool sim_all_done(const struct sim_job *job) {
-    for (uint32_t i = 0; i < job->spec.tasks; i++)
+    for (uint32_t i = 0; i < job->spec.task_count; i++)
         if (!job->done[i]) return false;
     return true;
 }
@@ -172,7 +172,7 @@
         struct sim_machine *machine = &world.machines[i];
         for (uint32_t k = 0; machine->exists && !machine->dead && k < machine->task_count; k++) {
             const struct sim_task *task = &machine->tasks[k];
-            if (task->on != AMB_ON_RUNNING || strcmp(task->ref, job->spec.ref)) continue;
+            if (task->on != AMB_AGENT_TASK_RUNNING || strcmp(task->ref, job->spec.ref)) continue;
             if (end && end <= task->end_at) continue;
             end = task->end_at;
             *where = machine;
@@ -228,16 +228,16 @@
 static void odd_job(void) {
     if (world.job_count == SIM_JOBS) return;
     struct sim_job *job = sim_job_new();
-    struct amb_spec *spec = &job->spec;
+    struct amb_job_spec *spec = &job->spec;
     sim_draw_spec(spec);
     bool of_pipelines = world.load & SIM_LOAD_PIPELINES;
     job->oddity =
         (enum sim_oddity)sim_between(SIM_TOO_LARGE, of_pipelines ? SIM_ODDITIES - 1 : SIM_LACKS_FIELD);
-    if (job->oddity == SIM_TOO_LARGE) spec->each.gpus = 2 * SIM_MACHINE_GPUS;
+    if (job->oddity == SIM_TOO_LARGE) spec->task_resources.gpus = 2 * SIM_MACHINE_GPUS;
     if (job->oddity == SIM_UNKNOWN_TEAM) strcpy(spec->team, "team-none");
     if (job->oddity == SIM_OVER_LIMIT) {
-        spec->kind = AMB_GANG;
-        spec->tasks = (uint32_t)(sim_team_limit() / (int)spec->each.gpus) + 1;
+        spec->kind = AMB_JOB_KIND_GANG;
+        spec->task_count = (uint32_t)(sim_team_limit() / (int)spec->task_resources.gpus) + 1;
     }
     job->at = world.now;
     amb_timer_in(&job->timer, 0, user_acts, job);
@@ -263,50 +263,52 @@
 
 /* ---- the day's jobs ---- */
 
-void sim_draw_spec(struct amb_spec *spec) {
+void sim_draw_spec(struct amb_job_spec *spec) {
     strcpy(spec->class_name, "train");
     snprintf(spec->team, sizeof spec->team, "team-%d", (int)(sim_random() % 2));
     snprintf(spec->image, sizeof spec->image, "img-%d", (int)(sim_random() % (uint64_t)world.size->images));
     spec->image_gb = 10;
-    spec->kind = (enum amb_kind)(sim_random() % 3);
-    spec->priority = spec->kind == AMB_SERVICE ? AMB_PROD : (enum amb_priority)(sim_random() % 3);
-    spec->tasks = (uint32_t)sim_between(1, spec->kind == AMB_ARRAY ? (amb_ms)world.size->tasks : 4);
-    spec->each = (struct amb_res){8, (double)sim_between(1, 2), 40};
-    spec->estimate_s = spec->kind == AMB_SERVICE ? 0 : (double)sim_between(5, 30);
-    spec->one_zone = spec->kind == AMB_GANG && sim_random() % 2;
-    spec->spread = spec->kind == AMB_SERVICE;
-    spec->spot = spec->kind != AMB_SERVICE;
-}
-
-static void bind_to_zone(struct amb_spec *spec) {
-    if (spec->kind == AMB_SERVICE) return;
+    spec->kind = (enum amb_job_kind)(sim_random() % 3);
+    spec->priority =
+        spec->kind == AMB_JOB_KIND_SERVICE ? AMB_PRIORITY_PRODUCTION : (enum amb_priority)(sim_random() % 3);
+    spec->task_count =
+        (uint32_t)sim_between(1, spec->kind == AMB_JOB_KIND_ARRAY ? (amb_ms)world.size->tasks : 4);
+    spec->task_resources = (struct amb_resources){8, (double)sim_between(1, 2), 40};
+    spec->estimated_runtime_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_between(5, 30);
+    spec->one_zone = spec->kind == AMB_JOB_KIND_GANG && sim_random() % 2;
+    spec->spread_zones = spec->kind == AMB_JOB_KIND_SERVICE;
+    spec->spot_allowed = spec->kind != AMB_JOB_KIND_SERVICE;
+}
+
+static void bind_to_zone(struct amb_job_spec *spec) {
+    if (spec->kind == AMB_JOB_KIND_SERVICE) return;
     if (sim_random() % 2)
         strcpy(spec->zone, sim_random() % 2 ? "b" : "a");
     else
         spec->one_zone = true;
 }
 
-static void draw_other_fields(struct amb_spec *spec) {
+static void draw_other_fields(struct amb_job_spec *spec) {
     spec->deadline_s = sim_random() % 2 ? (double)sim_between(60, 600) + 0.5 : 0;
-    spec->checkpoint_s = spec->kind == AMB_SERVICE ? 0 : (double)sim_between(0, 3) * 10;
-    spec->save_s = spec->checkpoint_s > 0 ? 2.5 : 0;
+    spec->checkpoint_interval_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_between(0, 3) * 10;
+    spec->checkpoint_save_s = spec->checkpoint_interval_s > 0 ? 2.5 : 0;
     if (sim_random() % 2) {
-        strcpy(spec->types[0], "g8");
-        strcpy(spec->types[1], "g16");
-        spec->ntypes = 2;
+        strcpy(spec->allowed_types[0], "g8");
+        strcpy(spec->allowed_types[1], "g16");
+        spec->allowed_type_count = 2;
     }
 }
 
 /* What the second team brings where it is guaranteed nothing. */
-static void make_guest_job(struct amb_spec *spec) {
+static void make_guest_job(struct amb_job_spec *spec) {
     if (strcmp(spec->team, "team-1")) return;
-    spec->kind = AMB_ARRAY;
-    spec->priority = AMB_BEST_EFFORT;
-    spec->tasks = sim_random() % 2 ? 1 : SIM_JOB_TASKS;
-    spec->each = (struct amb_res){0.25, 0, 1.35};
-    spec->estimate_s = GUEST_RUN_S;
-    spec->one_zone = spec->spread = false;
-    spec->spot = true;
+    spec->kind = AMB_JOB_KIND_ARRAY;
+    spec->priority = AMB_PRIORITY_BEST_EFFORT;
+    spec->task_count = sim_random() % 2 ? 1 : SIM_JOB_TASKS;
+    spec->task_resources = (struct amb_resources){0.25, 0, 1.35};
+    spec->estimated_runtime_s = GUEST_RUN_S;
+    spec->one_zone = spec->spread_zones = false;
+    spec->spot_allowed = true;
 }
 
 static void draw_job(amb_ms length) {
@@ -314,11 +316,11 @@
     sim_draw_spec(&job->spec);
     if (world.load & SIM_LOAD_GUEST) make_guest_job(&job->spec);
     job->broken = world.load & SIM_LOAD_BROKEN && sim_random() % BROKEN_OF == 0;
-    if (world.load & SIM_LOAD_LONG) job->spec.estimate_s *= 10;
+    if (world.load & SIM_LOAD_LONG) job->spec.estimated_runtime_s *= 10;
     if (world.load & SIM_LOAD_ALL_FIELDS) draw_other_fields(&job->spec);
     if (world.load & SIM_LOAD_ZONE_BOUND) bind_to_zone(&job->spec);
     job->at = world.now + sim_between(2000, length / 2);
-    if (job->spec.kind == AMB_SERVICE || job->broken || sim_random() % 5 == 0)
+    if (job->spec.kind == AMB_JOB_KIND_SERVICE || job->broken || sim_random() % 5 == 0)
         job->cancel_at = job->at + sim_between(5000, length / 3);
     bool asks_before = sim_random() % 2 == 0;
     amb_timer_set(&job->timer, asks_before ? world.now + ASK_EARLY_MS : job->at, user_acts, job);
@@ -328,18 +330,20 @@
 static void draw_zonal_job(int number, amb_ms length) {
     enum { LAST_SERVICE_MS = 20000 };
     struct sim_job *job = sim_job_new();
-    struct amb_spec *spec = &job->spec;
+    struct amb_job_spec *spec = &job->spec;
     enum sim_class class = number % 4 < SIM_SWEEP ? (enum sim_class)(number % 4) : SIM_SWEEP;
     sim_draw_spec(spec);
     strcpy(spec->class_name, sim_class_names[class]);
-    spec->kind = class == SIM_SWEEP ? AMB_ARRAY : AMB_SERVICE;
-    spec->priority = class == SIM_ASSISTANT ? AMB_PROD : class == SIM_DRAFTS ? AMB_HIGH : AMB_BEST_EFFORT;
-    spec->tasks = (uint32_t)sim_between(2, class == SIM_SWEEP ? (amb_ms)world.size->tasks : 4);
-    spec->each.gpus = class == SIM_SWEEP ? 1 : 2;
-    spec->estimate_s = class == SIM_SWEEP ? (double)sim_between(10, 40) : 0;
+    spec->kind = class == SIM_SWEEP ? AMB_JOB_KIND_ARRAY : AMB_JOB_KIND_SERVICE;
+    spec->priority = class == SIM_ASSISTANT ? AMB_PRIORITY_PRODUCTION
+                     : class == SIM_DRAFTS  ? AMB_PRIORITY_HIGH
+                                            : AMB_PRIORITY_BEST_EFFORT;
+    spec->task_count = (uint32_t)sim_between(2, class == SIM_SWEEP ? (amb_ms)world.size->tasks : 4);
+    spec->task_resources.gpus = class == SIM_SWEEP ? 1 : 2;
+    spec->estimated_runtime_s = class == SIM_SWEEP ? (double)sim_between(10, 40) : 0;
     spec->one_zone = false;
-    spec->spread = class == SIM_ASSISTANT;
-    spec->spot = false; /* spot machines would take the cloud's room from replicas */
+    spec->spread_zones = class == SIM_ASSISTANT;
+    spec->spot_allowed = false; /* spot machines would take the cloud's room from replicas */
     job->at = world.now + sim_between(2000, class == SIM_SWEEP ? length * 3 / 4 : LAST_SERVICE_MS);
     amb_timer_set(&job->timer, job->at, user_acts, job);
 }
@@ -347,11 +351,11 @@
 static struct sim_job *array_new(amb_ms at, uint32_t tasks, double seconds) {
     struct sim_job *job = sim_job_new();
     sim_draw_spec(&job->spec);
-    job->spec.kind = AMB_ARRAY;
-    job->spec.one_zone = job->spec.spread = false;
-    job->spec.spot = true;
-    job->spec.tasks = tasks;
-    job->spec.estimate_s = seconds;
+    job->spec.kind = AMB_JOB_KIND_ARRAY;
+    job->spec.one_zone = job->spec.spread_zones = false;
+    job->spec.spot_allowed = true;
+    job->spec.task_count = tasks;
+    job->spec.estimated_runtime_s = seconds;
     job->at = at;
     amb_timer_set(&job->timer, at, user_acts, job);
     return job;
@@ -361,7 +365,7 @@
 static void draw_stream(amb_ms length) {
     for (amb_ms at = 10000; at < 10000 + length / 2; at += 250) {
         struct sim_job *job = array_new(world.now + at, 1, (double)sim_between(2, 8));
-        job->spec.each.gpus = 1;
+        job->spec.task_resources.gpus = 1;
         job->brief = true;
         if (sim_random() % 4 == 0) job->cancel_at = job->at + sim_between(500, 8000);
     }
@@ -370,7 +374,7 @@
 static void draw_flood(amb_ms length) {
     enum { JOBS = 2000, RUN_S = 1 };
     for (int i = 0; i < JOBS; i++)
-        array_new(world.now + sim_between(10000, 10000 + length / 8), 1, RUN_S)->spec.each.gpus = 1;
+        array_new(world.now + sim_between(10000, 10000 + length / 8), 1, RUN_S)->spec.task_resources.gpus = 1;
 }
 
 static void draw_uneven(amb_ms length) {
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -16,7 +16,7 @@
 };
 
 bool sim_has_started(const struct sim_task *task) {
-    return task->has_image && task->on != AMB_ON_EXITED;
+    return task->has_image && task->on != AMB_AGENT_TASK_EXITED;
 }
 
 static struct sim_task *task_find(struct sim_machine *machine, const char *ref, uint32_t index) {
@@ -32,16 +32,16 @@
     if (!before && sim_all_done(job)) sim_job_ended(job);
 }
 
-static void exit_task(struct sim_machine *machine, struct sim_task *task, enum amb_why why) {
-    task->on = AMB_ON_EXITED;
+static void exit_task(struct sim_machine *machine, struct sim_task *task, enum amb_exit_reason why) {
+    task->on = AMB_AGENT_TASK_EXITED;
     task->why = why;
     machine->changed = true;
-    if (why == AMB_WHY_DONE) task_done(sim_job_of(task->ref), task->index);
+    if (why == AMB_EXIT_DONE) task_done(sim_job_of(task->ref), task->index);
 }
 
 static bool takes_part(const struct sim_job *job, const struct sim_machine *machine,
                        const struct sim_task *task) {
-    return !strcmp(task->ref, job->spec.ref) && task->on != AMB_ON_EXITED && !machine->dead &&
+    return !strcmp(task->ref, job->spec.ref) && task->on != AMB_AGENT_TASK_EXITED && !machine->dead &&
            machine->exists;
 }
 
@@ -61,8 +61,8 @@
     }
     gang->tasks[task->index] = task;
     gang->machines[task->index] = machine;
-    gang->waiting += task->on == AMB_ON_WAITING;
-    gang->running += task->on == AMB_ON_RUNNING;
+    gang->waiting += task->on == AMB_AGENT_TASK_WAITING;
+    gang->running += task->on == AMB_AGENT_TASK_RUNNING;
 }
 
 static void gang_find(struct gang *gang, const struct sim_job *job) {
@@ -72,29 +72,29 @@
 }
 
 static void gang_start(struct gang *gang, const struct sim_job *job) {
-    for (uint32_t i = 0; i < job->spec.tasks; i++) {
-        gang->tasks[i]->on = AMB_ON_RUNNING;
-        gang->tasks[i]->end_at = world.now + (amb_ms)(job->spec.estimate_s * 1000);
+    for (uint32_t i = 0; i < job->spec.task_count; i++) {
+        gang->tasks[i]->on = AMB_AGENT_TASK_RUNNING;
+        gang->tasks[i]->end_at = world.now + (amb_ms)(job->spec.estimated_runtime_s * 1000);
         gang->machines[i]->changed = true;
     }
 }
 
 static void all_tasks_done(struct sim_job *job) {
-    for (uint32_t i = 0; i < job->spec.tasks; i++) task_done(job, i);
+    for (uint32_t i = 0; i < job->spec.task_count; i++) task_done(job, i);
 }
 
 static void gang_task_advance(struct gang *gang, struct sim_job *job, uint32_t index, bool done) {
     struct sim_task *task = gang->tasks[index];
     struct sim_machine *machine = gang->machines[index];
-    uint32_t all = job->spec.tasks;
+    uint32_t all = job->spec.task_count;
     if (!task || !sim_has_started(task)) return;
-    if (task->on == AMB_ON_RUNNING && (done || (gang->running == all && task->end_at <= world.now))) {
+    if (task->on == AMB_AGENT_TASK_RUNNING && (done || (gang->running == all && task->end_at <= world.now))) {
         all_tasks_done(job);
-        exit_task(machine, task, AMB_WHY_DONE);
-    } else if (task->on == AMB_ON_RUNNING && gang->running < all && gang->waiting < all) {
-        exit_task(machine, task, AMB_WHY_PEERS);
-    } else if (task->on == AMB_ON_WAITING && world.now - task->waits_from > SIM_GANG_WAIT_MS) {
-        exit_task(machine, task, AMB_WHY_ALONE);
+        exit_task(machine, task, AMB_EXIT_DONE);
+    } else if (task->on == AMB_AGENT_TASK_RUNNING && gang->running < all && gang->waiting < all) {
+        exit_task(machine, task, AMB_EXIT_GANG_PEER_GONE);
+    } else if (task->on == AMB_AGENT_TASK_WAITING && world.now - task->waits_from > SIM_GANG_WAIT_MS) {
+        exit_task(machine, task, AMB_EXIT_GANG_INCOMPLETE);
     }
 }
 
@@ -102,17 +102,17 @@
     struct gang gang;
     bool done = false;
     gang_find(&gang, job);
-    if (gang.waiting == job->spec.tasks) gang_start(&gang, job);
-    for (uint32_t i = 0; i < job->spec.tasks; i++) done |= job->done[i];
-    for (uint32_t i = 0; i < job->spec.tasks; i++) gang_task_advance(&gang, job, i, done);
+    if (gang.waiting == job->spec.task_count) gang_start(&gang, job);
+    for (uint32_t i = 0; i < job->spec.task_count; i++) done |= job->done[i];
+    for (uint32_t i = 0; i < job->spec.task_count; i++) gang_task_advance(&gang, job, i, done);
 }
 
 static void expire_lease(struct sim_machine *machine) { /* kills all its tasks and forgets them */
     if (world.now - machine->lease_from <= world.size->lease) return;
     for (uint32_t i = 0; i < machine->task_count; i++) {
-        if (machine->tasks[i].on == AMB_ON_EXITED) continue;
+        if (machine->tasks[i].on == AMB_AGENT_TASK_EXITED) continue;
         world.result.killed++;
-        world.result.killed_batch += machine->tasks[i].job->spec.kind != AMB_SERVICE;
+        world.result.killed_batch += machine->tasks[i].job->spec.kind != AMB_JOB_KIND_SERVICE;
     }
     machine->task_count = 0;
     machine->session++;
@@ -123,28 +123,29 @@
 
 static amb_ms run_time(const struct sim_job *job, const struct sim_task *task) {
     if (job->done[task->index]) return 0;
-    if (job->spec.kind == AMB_SERVICE) return FOREVER_MS;
+    if (job->spec.kind == AMB_JOB_KIND_SERVICE) return FOREVER_MS;
     double times = job->uneven ? 1 + 4.0 * task->index : 1;
-    return (amb_ms)(job->spec.estimate_s * times * 1000);
+    return (amb_ms)(job->spec.estimated_runtime_s * times * 1000);
 }
 
 static void start_task(struct sim_machine *machine, struct sim_task *task) {
     const struct sim_job *job = task->job;
     task->has_image = true;
-    task->on = job->spec.kind == AMB_GANG ? AMB_ON_WAITING : AMB_ON_RUNNING;
+    task->on = job->spec.kind == AMB_JOB_KIND_GANG ? AMB_AGENT_TASK_WAITING : AMB_AGENT_TASK_RUNNING;
     task->waits_from = world.now;
     task->end_at = world.now + run_time(job, task);
     machine->changed = true;
     sim_check_start(machine, task);
     if (job->broken || sim_fault_active(SIM_BAD_MACHINE, (int)(machine - world.machines)))
-        exit_task(machine, task, AMB_WHY_ERROR);
+        exit_task(machine, task, AMB_EXIT_ERROR);
 }
 
 static void advance_task(struct sim_machine *machine, struct sim_task *task) {
-    if (task->on == AMB_ON_FETCHING && world.now >= task->image_at)
+    if (task->on == AMB_AGENT_TASK_FETCHING && world.now >= task->image_at)
         start_task(machine, task);
-    else if (task->on == AMB_ON_RUNNING && task->job->spec.kind != AMB_GANG && world.now >= task->end_at)
-        exit_task(machine, task, AMB_WHY_DONE);
+    else if (task->on == AMB_AGENT_TASK_RUNNING && task->job->spec.kind != AMB_JOB_KIND_GANG &&
+             world.now >= task->end_at)
+        exit_task(machine, task, AMB_EXIT_DONE);
     sim_check_task(machine, task);
 }
 
@@ -158,12 +159,13 @@
 static double used_gpus(const struct sim_machine *machine) {
     double gpus = 0;
     for (uint32_t k = 0; k < machine->task_count; k++)
-        if (machine->tasks[k].on != AMB_ON_EXITED) gpus += machine->tasks[k].job->spec.each.gpus;
+        if (machine->tasks[k].on != AMB_AGENT_TASK_EXITED)
+            gpus += machine->tasks[k].job->spec.task_resources.gpus;
     return gpus;
 }
 
 struct order {
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     uint32_t index;
     uint64_t attempt;
 };
@@ -190,35 +192,35 @@
 static void run_task(struct sim_machine *machine, const struct order *order, amb_ms issued) {
     const struct sim_task *known = task_find(machine, order->ref, order->index);
     if (known && known->attempt == order->attempt) return;
-    bool busy = known && known->on != AMB_ON_EXITED;
-    bool full = used_gpus(machine) + sim_job_of(order->ref)->spec.each.gpus > SIM_MACHINE_GPUS;
+    bool busy = known && known->on != AMB_AGENT_TASK_EXITED;
+    bool full = used_gpus(machine) + sim_job_of(order->ref)->spec.task_resources.gpus > SIM_MACHINE_GPUS;
     struct sim_task *task = task_add(machine);
     task->job = sim_job_of(order->ref);
     memcpy(task->ref, order->ref, sizeof task->ref);
     task->index = order->index;
     task->attempt = order->attempt;
     task->token = machine->token;
-    task->on = AMB_ON_FETCHING;
+    task->on = AMB_AGENT_TASK_FETCHING;
     task->image_at = world.now + sim_pace.fetch;
     world.result.ordered++;
     sim_check_order(sim_job_of(order->ref), issued);
     sim_check_recovery(machine, task);
     if (busy)
-        exit_task(machine, task, AMB_WHY_BUSY);
+        exit_task(machine, task, AMB_EXIT_ATTEMPT_CONFLICT);
     else if (full)
-        exit_task(machine, task, AMB_WHY_NO_ROOM);
+        exit_task(machine, task, AMB_EXIT_MACHINE_FULL);
     machine->changed = true;
 }
 
 static void halt_task(struct sim_machine *machine, const struct order *order) {
     struct sim_task *task = task_find(machine, order->ref, order->index);
-    if (task && task->attempt == order->attempt && task->on != AMB_ON_EXITED)
-        exit_task(machine, task, AMB_WHY_STOPPED);
+    if (task && task->attempt == order->attempt && task->on != AMB_AGENT_TASK_EXITED)
+        exit_task(machine, task, AMB_EXIT_STOPPED);
 }
 
 static void clear_task(struct sim_machine *machine, const struct order *order) {
     struct sim_task *task = task_find(machine, order->ref, order->index);
-    if (!task || task->attempt != order->attempt || task->on != AMB_ON_EXITED) return;
+    if (!task || task->attempt != order->attempt || task->on != AMB_AGENT_TASK_EXITED) return;
     *task = machine->tasks[--machine->task_count];
     machine->changed = true;
 }
@@ -241,7 +243,7 @@
     static const char *const on[] = {"fetching", "waiting", "running", "saving", "exited"};
     static const char *const why[] = {"?",     "done", "stopped", "peers",  "incomplete",
                                       "error", "full", "busy",    "unknown"};
-    char text[AMB_NAME + 16];
+    char text[AMB_NAME_SIZE + 16];
     machine->seq++;
     amb_w_map(buffer, 9);
     amb_w_str(buffer, "rig"), amb_w_str(buffer, machine->name);
@@ -299,7 +301,7 @@
 static amb_ms take_answer(struct sim_machine *machine, const struct sent *sent, const struct sim_call *call) {
     cbor_item_t *body = call->answer.len ? amb_cbor_parse(call->answer.data, call->answer.len) : NULL;
     uint64_t token = 0;
-    char name[AMB_NAME] = "";
+    char name[AMB_NAME_SIZE] = "";
     amb_ms next = RETRY_MS;
     if (renews(machine, sent, call, body, &token)) {
         next = take_renewal(machine, sent, body, token, call->answered_at);
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -109,18 +109,18 @@
     struct sim_job *job;
     struct sim_machine *machine;  /* as of the last look at gangs */
     struct sim_task *next_of_job; /* likewise */
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     uint32_t index;
     uint64_t attempt;
     uint64_t token; /* of the leader that ordered its start */
-    enum amb_on on;
-    enum amb_why why;
+    enum amb_agent_task_state on;
+    enum amb_exit_reason why;
     amb_ms image_at, end_at, waits_from;
     bool has_image;
 };
 
 struct sim_machine {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     int zone;
     bool spot, exists, up, dead, reporting;
     amb_ms created, gone_at, died_at, lease_from, hang_until;
@@ -150,7 +150,7 @@
 };
 
 struct sim_job {
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     enum sim_oddity oddity;
     enum sim_known known;
     bool submitted, refused, accepted, cancel_wanted, cancel_told, done_told;
@@ -308,7 +308,7 @@
 void sim_machine_new(int zone, bool spot, amb_ms boots);
 
 /* workers.c */
-void sim_machine_address(int index, char out[AMB_NAME]); /* where it takes commands; network.c */
+void sim_machine_address(int index, char out[AMB_NAME_SIZE]); /* where it takes commands; network.c */
 void sim_serve_worker(struct sim_call *call);
 void sim_machine_advance(int index);
 void sim_report(void *arg);
@@ -327,7 +327,7 @@
 void sim_cancel_burst(int count, amb_ms hang);
 void sim_begin_odd_requests(void);
 struct sim_job *sim_job_new(void);
-void sim_draw_spec(struct amb_spec *spec);
+void sim_draw_spec(struct amb_job_spec *spec);
 void sim_user_comes(struct sim_job *job, amb_ms at);
 
 /* pipelines.c */
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -41,7 +41,7 @@
     enum member_call kind;
     struct amb_duty_order_record order;
     uint32_t count, machine_count;
-    char machines[AMB_DUTY_MACHINES][AMB_NAME];
+    char machines[AMB_DUTY_MACHINES][AMB_NAME_SIZE];
     amb_store_callback done;
     amb_duty_cloud_done cloud_done;
     void *arg;
@@ -253,7 +253,7 @@
     }
     call->reply.answer = AMB_DUTY_CLOUD_DONE;
     for (uint32_t k = 0; k < call->count; k++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%u-%u", i, k);
         amb_duty_work_add_machine(&call->reply.rented, name);
     }
--- a/tests/support/duty_members.h
+++ b/tests/support/duty_members.h
@@ -33,7 +33,7 @@
 
 struct member {
     struct amb_duty_service service;
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     bool alive, stopped;
     bool cut;          /* from the state service */
     bool news_held;    /* it hears no news until this ends */
--- a/tests/support/fake_http.c
+++ b/tests/support/fake_http.c
@@ -10,7 +10,7 @@
 enum { SERVERS = 4 };
 
 struct amb_server {
-    char addr[AMB_NAME];
+    char addr[AMB_NAME_SIZE];
     amb_http_handler handler;
     void *arg;
 };
--- a/tests/support/fake_http.h
+++ b/tests/support/fake_http.h
@@ -10,7 +10,7 @@
 enum { FAKE_CALLS = 1024 };
 
 struct fake_call { /* a request that the node has sent */
-    char addr[AMB_NAME], method[8], path[400];
+    char addr[AMB_NAME_SIZE], method[8], path[400];
     struct amb_buf body;
     cbor_item_t *map; /* the body, if it is CBOR */
     amb_http_done fn;
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -61,31 +61,31 @@
     forget_replies();
     setup(state);
     amb_ms now = amb_now();
-    strcpy(node->set.member, "n-0");
+    strcpy(node->settings.member, "n-0");
     strcpy(node->election.member, "n-0");
-    strcpy(node->set.zone, "a");
-    strcpy(node->set.state, "state:1");
-    strcpy(node->set.cloud, "cloud:1");
-    strcpy(node->set.peer_listen, PEER_LISTEN);
-    strcpy(node->set.teams[0].name, "t");
-    node->set.npeers = PEERS;
+    strcpy(node->settings.zone, "a");
+    strcpy(node->settings.state, "state:1");
+    strcpy(node->settings.cloud, "cloud:1");
+    strcpy(node->settings.peer_listen, PEER_LISTEN);
+    strcpy(node->settings.teams[0].name, "t");
+    node->settings.npeers = PEERS;
     for (int i = 0; i < PEERS; i++) {
-        snprintf(node->set.peers[i].member, AMB_NAME, "n-%d", i + 1);
-        snprintf(node->set.peers[i].addr, AMB_NAME, "n-%d:1", i + 1);
+        snprintf(node->settings.peers[i].member, AMB_NAME_SIZE, "n-%d", i + 1);
+        snprintf(node->settings.peers[i].addr, AMB_NAME_SIZE, "n-%d:1", i + 1);
     }
-    node->set.state_rps = node->set.state_write_rps = 3000;
-    node->set.cloud_rps = 100;
-    node->set.list_lag_s = 5;
-    amb_store_init(&node->store, &node->set, 1000);
+    node->settings.state_rps = node->settings.state_write_rps = 3000;
+    node->settings.cloud_rps = 100;
+    node->settings.list_lag_s = 5;
+    amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
-    node->rental.calls.tokens = 100;
-    node->rental.catalog_at = now;
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
-    node->ctl.turn_s = 1;
-    node->ctl.leading_since = node->ctl.loaded_at = now;
+    node->cloud.calls.tokens = 100;
+    node->cloud.catalog_at = now;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
+    node->controller.tick_interval_s = 1;
+    node->controller.leader_since = node->controller.restored_at = now;
     node->jobs.loaded = true;
-    node->jobs.fresh_at = node->jobs.fresh_sent_at = now;
+    node->jobs.last_read_at = node->jobs.last_read_sent_at = now;
     struct amb_election *election = &node->election;
     election->ttl = TTL;
     election->renewed_at = election->renewal_sent_at = now;
@@ -160,26 +160,29 @@
 }
 
 static void put_job_value(struct amb_buf *buffer, const char *ref, enum amb_job_state state) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_job draft = {.spec = &spec, .accepted_wall = 1, .cancelled_wall = amb_wall_ms()};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_job draft = {.spec = &spec, .accepted_wall_ms = 1, .cancelled_wall_ms = amb_wall_ms()};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(buffer, &draft, state);
+    amb_job_encode_record(buffer, &draft, state);
 }
 
 void answer_news(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
                  uint64_t stamp) {
     struct amb_buf buffer = {0};
-    char key[AMB_NAME + 16];
+    char key[AMB_NAME_SIZE + 16];
     amb_w_map(&buffer, 2);
     amb_w_str(&buffer, "epoch");
     amb_w_uint(&buffer, epoch);
     amb_w_str(&buffer, "news");
     amb_w_list(&buffer, ref ? 1 : 0);
     if (ref) {
-        amb_job_key(key, sizeof key, ref);
+        amb_job_format_key(key, sizeof key, ref);
         amb_w_map(&buffer, 3);
         amb_w_str(&buffer, "put");
         amb_w_str(&buffer, key);
@@ -238,17 +241,17 @@
 
 struct amb_machine *machine_in(const char *name, int zone) {
     struct amb_machine *machine = amb_machine_get(node, name, true);
-    machine->type = 0;
-    machine->zone = zone;
+    machine->type_index = 0;
+    machine->zone_index = zone;
     return machine;
 }
 
 struct amb_machine *machine_up(const char *name, int zone) {
     struct amb_machine *machine = machine_in(name, zone);
     machine->state = AMB_MACHINE_UP;
-    machine->token_shown = true;
-    machine->reported_at = machine->answered_at = amb_now();
-    strcpy(machine->addr, "worker:1");
+    machine->token_acknowledged = true;
+    machine->last_heartbeat_at = machine->last_response_at = amb_now();
+    strcpy(machine->address, "worker:1");
     return machine;
 }
 
@@ -266,7 +269,7 @@
 
 void peer_answers(int peer, struct said said) {
     struct amb_buf buffer = said_text(peer, said);
-    fake_answer(fake_call_find(node->set.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &buffer);
+    fake_answer(fake_call_find(node->settings.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &buffer);
 }
 
 void peer_speaks(int peer, struct said said) {
@@ -281,13 +284,13 @@
 /* ---- records ---- */
 
 struct fake_call *begin_block(void) {
-    struct amb_job *job = add_job("wk-1", AMB_SERVICE, 1);
-    job->stamp = 20;
-    job->blocks[0].stamp = 33;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    job->revision = 20;
+    job->blocks[0].revision = 33;
     machine_up("m-1", 0);
     struct amb_task *task = bound(job, 0, "m-1", 1);
     task->state = AMB_TASK_PLACED;
-    amb_record_dirty(node, task, true);
+    amb_placement_block_mark_dirty(node, task, true);
     amb_record_pump(node);
     return open_call("POST", "/commit");
 }
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -3,24 +3,24 @@
 #include "check.h"
 
 struct amb_node *node;
-struct amb_order orders[FIXTURE_ORDERS];
+struct amb_agent_command orders[FIXTURE_ORDERS];
 size_t norders;
 
-struct amb_job *add_job(const char *ref, enum amb_kind kind, uint32_t tasks) {
+struct amb_job *add_job(const char *ref, enum amb_job_kind kind, uint32_t tasks) {
     struct amb_job *job = amb_alloc(sizeof *job);
     strcpy(job->ref, ref);
     job->spec = amb_alloc(sizeof *job->spec);
-    node->jobs.described++;
+    node->jobs.spec_count++;
     strcpy(job->spec->ref, ref);
     strcpy(job->spec->image, "img");
     job->spec->kind = kind;
-    job->spec->tasks = tasks;
-    job->spec->each = (struct amb_res){8, 1, 40};
-    job->spec->checkpoint_s = 10;
-    job->spec->save_s = 2;
-    job->team = &node->set.teams[0];
+    job->spec->task_count = tasks;
+    job->spec->task_resources = (struct amb_resources){8, 1, 40};
+    job->spec->checkpoint_interval_s = 10;
+    job->spec->checkpoint_save_s = 2;
+    job->team = &node->settings.teams[0];
     HASH_ADD_STR(node->jobs.all, ref, job);
-    amb_job_take(node, job);
+    amb_job_activate(node, job);
     return job;
 }
 
@@ -28,25 +28,25 @@
     (void)state;
     amb_loop_init();
     node = bare_node_new();
-    node->set.nteams = 1;
-    node->set.report_s = 1;
-    node->set.lease_s = 10;
-    node->set.cancel_s = 30;
-    node->set.value_kb = 8;
-    node->set.memory_mb = 40;
-    node->set.txn_ops = 8;
-    node->catalog.ntypes = 1;
+    node->settings.nteams = 1;
+    node->settings.report_s = 1;
+    node->settings.lease_s = 10;
+    node->settings.cancel_s = 30;
+    node->settings.value_kb = 8;
+    node->settings.memory_mb = 40;
+    node->settings.txn_ops = 8;
+    node->catalog.type_count = 1;
     strcpy(node->catalog.types[0].name, "g8");
-    node->catalog.types[0].size = (struct amb_res){96, 8, 576};
-    node->rental.catalog_known = true;
+    node->catalog.types[0].resources = (struct amb_resources){96, 8, 576};
+    node->cloud.catalog_known = true;
     node->election.role = AMB_ROLE_LEADER;
     node->election.term = TERM;
     node->election.ttl = 3600000;
     node->election.fence_after = 19000;
     node->election.yield_for = 10000;
     node->election.renewed_at = amb_now();
-    node->ctl.loaded_at = 1;
-    node->ctl.ready = true;
+    node->controller.restored_at = 1;
+    node->controller.ready = true;
     return 0;
 }
 
@@ -59,20 +59,23 @@
 }
 
 bool report(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
-            const struct amb_seen *tasks, size_t ntasks) {
-    struct amb_report heartbeat = {
-        .session = session, .seq = seq, .token = token, .notice_s = -1, .ntasks = ntasks};
+            const struct amb_agent_task *tasks, size_t ntasks) {
+    struct amb_agent_heartbeat heartbeat = {.incarnation = session,
+                                            .sequence = seq,
+                                            .fencing_token = token,
+                                            .reclaim_notice_s = -1,
+                                            .task_count = ntasks};
     strcpy(heartbeat.machine, machine);
-    strcpy(heartbeat.addr, "127.0.0.1:1");
+    strcpy(heartbeat.address, "127.0.0.1:1");
     strcpy(heartbeat.type, "g8");
     strcpy(heartbeat.zone, "a");
-    heartbeat.tasks = (struct amb_seen *)tasks;
+    heartbeat.tasks = (struct amb_agent_task *)tasks;
     return amb_fleet_report(node, &heartbeat, now, orders, ROWS(orders), &norders);
 }
 
-size_t count_orders(enum amb_op op) {
+size_t count_orders(enum amb_agent_command_kind op) {
     size_t n = 0;
-    for (size_t i = 0; i < norders; i++) n += orders[i].op == op;
+    for (size_t i = 0; i < norders; i++) n += orders[i].kind == op;
     return n;
 }
 
@@ -81,8 +84,9 @@
     return &job->tasks[i];
 }
 
-struct amb_seen listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_on on, enum amb_why why) {
-    struct amb_seen s = {.index = index, .attempt = attempt, .on = on, .why = why};
-    strcpy(s.ref, ref);
+struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_agent_task_state on,
+                              enum amb_exit_reason why) {
+    struct amb_agent_task s = {.index = index, .attempt = attempt, .state = on, .exit_reason = why};
+    strcpy(s.job_ref, ref);
     return s;
 }
--- a/tests/support/node_fixture.h
+++ b/tests/support/node_fixture.h
@@ -9,7 +9,7 @@
 
 extern struct amb_node *node;
 /* The orders in the answer to the latest report. */
-extern struct amb_order orders[FIXTURE_ORDERS];
+extern struct amb_agent_command orders[FIXTURE_ORDERS];
 extern size_t norders;
 
 /* As cmocka wants them; a test may call them itself to begin anew with a fresh node. */
@@ -17,19 +17,20 @@
 int teardown(void **state);
 
 /* A job of the node's first team, in the leader's care. */
-struct amb_job *add_job(const char *ref, enum amb_kind kind, uint32_t tasks);
+struct amb_job *add_job(const char *ref, enum amb_job_kind kind, uint32_t tasks);
 
 /* Task i of the job, recorded as placed on the machine (which is made up if need be). */
 struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt);
 
 /* A task as a report lists it. */
-struct amb_seen listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_on on, enum amb_why why);
+struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_agent_task_state on,
+                              enum amb_exit_reason why);
 
 /* The machine reports: false if the report shows a higher term than ours. */
 bool report(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
-            const struct amb_seen *tasks, size_t ntasks);
+            const struct amb_agent_task *tasks, size_t ntasks);
 
 /* How many orders of this kind the latest answer holds. */
-size_t count_orders(enum amb_op op);
+size_t count_orders(enum amb_agent_command_kind op);
 
 #endif
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -22,10 +22,10 @@
 }
 
 static const char *job_name(char letter) {
-    static char names[4][AMB_NAME];
+    static char names[4][AMB_NAME_SIZE];
     static size_t at;
     char *name = names[at++ % ROWS(names)];
-    snprintf(name, AMB_NAME, "wk-%c", letter);
+    snprintf(name, AMB_NAME_SIZE, "wk-%c", letter);
     return name;
 }
 
@@ -41,8 +41,8 @@
 }
 
 static void put_change(struct amb_buf *buffer, const struct record *record, const char *key_field) {
-    char key[AMB_NAME + 16];
-    amb_job_key(key, sizeof key, job_name(letter_of(record)));
+    char key[AMB_NAME_SIZE + 16];
+    amb_job_format_key(key, sizeof key, job_name(letter_of(record)));
     amb_w_map(buffer, 3);
     amb_w_str(buffer, key_field);
     amb_w_str(buffer, key);
@@ -223,7 +223,7 @@
 }
 
 static void ask(char letter, bool cancel) {
-    char path[AMB_NAME + 32];
+    char path[AMB_NAME_SIZE + 32];
     snprintf(path, sizeof path, "/v1/jobs/%s%s", job_name(letter), cancel ? "/cancel" : "");
     request(cancel ? "POST" : "GET", path, NULL);
 }
@@ -264,7 +264,7 @@
 }
 
 static void hear_hint(char letter) {
-    amb_job_cancel_hint(node, job_name(letter), amb_wall_ms(), records[letter - 'a'].stamp);
+    amb_job_apply_cancel_hint(node, job_name(letter), amb_wall_ms(), records[letter - 'a'].stamp);
 }
 
 /* ---- the node ---- */
@@ -275,18 +275,18 @@
     forget_records();
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
-    node->ctl.ready = false;
-    node->ctl.loaded_at = 0;
-    strcpy(node->set.member, "n-0");
-    strcpy(node->set.state, "state:1");
-    strcpy(node->set.front, "front:1");
-    strcpy(node->set.peer_listen, "peers:1");
-    strcpy(node->set.teams[0].name, "vision");
-    node->set.state_rps = node->set.state_write_rps = 3000;
-    node->set.cloud_rps = 100;
-    node->catalog.types[0].nzones = 1;
+    node->controller.ready = false;
+    node->controller.restored_at = 0;
+    strcpy(node->settings.member, "n-0");
+    strcpy(node->settings.state, "state:1");
+    strcpy(node->settings.front, "front:1");
+    strcpy(node->settings.peer_listen, "peers:1");
+    strcpy(node->settings.teams[0].name, "vision");
+    node->settings.state_rps = node->settings.state_write_rps = 3000;
+    node->settings.cloud_rps = 100;
+    node->catalog.types[0].zone_count = 1;
     strcpy(node->catalog.types[0].zones[0], "a");
-    amb_catalog_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
     char err[128];
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
     settle();
@@ -317,7 +317,7 @@
     node->election.renewed_at = amb_now();
     amb_controller_lead(node);
     settle();
-    if (!service.out && !node->ctl.loaded_at) fail_msg("the records are not read");
+    if (!service.out && !node->controller.restored_at) fail_msg("the records are not read");
 }
 
 void stop(void) {
@@ -327,8 +327,8 @@
 
 void finish_tasks(char letter) {
     struct amb_job *job = amb_job_find(node, job_name(letter));
-    assert_true(job && job->live);
-    for (uint32_t i = 0; i < job->spec->tasks; i++) amb_task_finish(node, &job->tasks[i]);
+    assert_true(job && job->active);
+    for (uint32_t i = 0; i < job->spec->task_count; i++) amb_task_mark_done(node, &job->tasks[i]);
     amb_record_pump(node);
     settle();
 }
@@ -339,7 +339,7 @@
     for (size_t i = 0; i < LETTERS; i++) {
         char letter = letter_of(&records[i]);
         const struct amb_job *job = amb_job_find(node, job_name(letter));
-        if (job && job->live && job->state == AMB_JOB_QUEUED) text[len++] = letter;
+        if (job && job->active && job->state == AMB_JOB_QUEUED) text[len++] = letter;
     }
     text[len] = 0;
     return text;
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -15,24 +15,24 @@
 int begin(void **state) {
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
-    node->set.state_rps = 1000;
-    node->set.state_write_rps = 1000;
-    strcpy(node->set.teams[0].name, "vision");
-    node->set.teams[0].limit.gpus = 16;
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
-    node->catalog.ntypes = 2;
+    node->settings.state_rps = 1000;
+    node->settings.state_write_rps = 1000;
+    strcpy(node->settings.teams[0].name, "vision");
+    node->settings.teams[0].limit.gpus = 16;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
+    node->catalog.type_count = 2;
     for (uint32_t i = 0; i < 2; i++) {
-        struct amb_type *type = &node->catalog.types[i];
-        type->nzones = 2 - i; /* g8 in a and b, c4 in a alone */
+        struct amb_machine_type *type = &node->catalog.types[i];
+        type->zone_count = 2 - i; /* g8 in a and b, c4 in a alone */
         strcpy(type->zones[0], "a");
         strcpy(type->zones[1], "b");
     }
     strcpy(node->catalog.types[1].name, "c4");
-    node->catalog.types[1].size = (struct amb_res){64, 0, 128};
-    amb_store_init(&node->store, &node->set, 1000);
+    node->catalog.types[1].resources = (struct amb_resources){64, 0, 128};
+    amb_store_init(&node->store, &node->settings, 1000);
     node->jobs.loaded = true;
-    node->jobs.epoch = EPOCH;
+    node->jobs.known_revision = EPOCH;
     return 0;
 }
 
@@ -48,7 +48,7 @@
     fake_http_reset();
     forget_replies();
     amb_timer_stop(&node->jobs.sync_timer);
-    amb_timer_stop(&node->jobs.follow_timer);
+    amb_timer_stop(&node->jobs.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
@@ -122,7 +122,7 @@
 void hear(uint64_t stamp, const char *state) {
     struct amb_buf value = cbor_from_text("{\"s\":\"%s\",\"a\":1,\"c\":1,\"n\":16,\"d\":%s}", state, GOOD);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply(node, JOB, item, stamp);
+    amb_jobs_apply_item(node, JOB, item, stamp);
     cbor_decref(&item);
     amb_buf_free(&value);
 }
--- a/tests/zone_recovery/test_recovery_order.c
+++ b/tests/zone_recovery/test_recovery_order.c
@@ -6,15 +6,15 @@
 
 /* Each row goes before the next, by the one thing in which they differ. */
 static const struct amb_recovery_class rows[] = {
-    {"listed first", 0, AMB_HIGH, 0.1, false, 2, 9},
-    {"listed second", 1, AMB_PROD, 1.0, true, 0, 1},
-    {"more urgent", AMB_RECOVERY_UNLISTED, AMB_PROD, 0.1, false, 2, 9},
-    {"more missing", AMB_RECOVERY_UNLISTED, AMB_HIGH, 0.5, false, 2, 9},
-    {"guaranteed", AMB_RECOVERY_UNLISTED, AMB_HIGH, 0.4, true, 0.9, 9},
-    {"less used", AMB_RECOVERY_UNLISTED, AMB_HIGH, 0.4, false, 1.5, 9},
-    {"older", AMB_RECOVERY_UNLISTED, AMB_HIGH, 0.4, false, 2, 8},
-    {"name a", AMB_RECOVERY_UNLISTED, AMB_HIGH, 0.4, false, 2, 9},
-    {"name b", AMB_RECOVERY_UNLISTED, AMB_HIGH, 0.4, false, 2, 9},
+    {"listed first", 0, AMB_PRIORITY_HIGH, 0.1, false, 2, 9},
+    {"listed second", 1, AMB_PRIORITY_PRODUCTION, 1.0, true, 0, 1},
+    {"more urgent", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_PRODUCTION, 0.1, false, 2, 9},
+    {"more missing", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_HIGH, 0.5, false, 2, 9},
+    {"guaranteed", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_HIGH, 0.4, true, 0.9, 9},
+    {"less used", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_HIGH, 0.4, false, 1.5, 9},
+    {"older", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_HIGH, 0.4, false, 2, 8},
+    {"name a", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_HIGH, 0.4, false, 2, 9},
+    {"name b", AMB_RECOVERY_UNLISTED, AMB_PRIORITY_HIGH, 0.4, false, 2, 9},
 };
 
 static void precedence(void **state) {
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -29,9 +29,9 @@
         {"train, sort", 0.5, 2, 10, "o.xml: zone-recovery-order: 'sort' is no class that objectives name"},
         {"train serve,train", 0.5, 2, 10, "o.xml: zone-recovery-order: 'train' stands there twice"},
     };
-    node->set.nobjectives = 2;
-    strcpy(node->set.objectives[0].class_name, "train");
-    strcpy(node->set.objectives[1].class_name, "serve");
+    node->settings.nobjectives = 2;
+    strcpy(node->settings.objectives[0].class_name, "train");
+    strcpy(node->settings.objectives[1].class_name, "serve");
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_options options = {.zone_recovery = 1,
                                       .zone_steady = rows[i].steady,
@@ -39,26 +39,26 @@
                                       .zone_loss_forgotten = rows[i].forgotten};
         char err[256] = "";
         strcpy(options.zone_recovery_order, rows[i].order);
-        bool good = amb_zone_recovery_check(&node->set, &options, "o.xml", err, sizeof err);
+        bool good = amb_zone_recovery_check(&node->settings, &options, "o.xml", err, sizeof err);
         if (good != !rows[i].complaint || (!good && !strstr(err, rows[i].complaint)))
             fail_msg("row %zu: '%s'", i, err);
         options.zone_recovery = 0;
-        assert_true(amb_zone_recovery_check(&node->set, &options, "o.xml", err, sizeof err));
+        assert_true(amb_zone_recovery_check(&node->settings, &options, "o.xml", err, sizeof err));
     }
 }
 
 /* ---- a leader with two zones ---- */
 
 static void switch_on(void) {
-    amb_options_default(&node->opt);
-    node->opt.zone_recovery = 1;
+    amb_options_default(&node->options);
+    node->options.zone_recovery = 1;
     node->formats.recorded = AMB_FORMAT_2;
     amb_zone_recovery_init(node);
-    amb_wdrr_prepare(node->set.teams, node->set.nteams, true);
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
+    amb_wdrr_prepare(node->settings.teams, node->settings.nteams, true);
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
     for (int i = 0; i < 2 * MACHINES; i++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%d", i);
         machine_up(name, i % 2);
     }
@@ -68,9 +68,9 @@
 /* Machines of the other zones have just reported. */
 static void silent_zone(int silent) {
     for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
-        if (machine->zone != silent) machine->reported_at = machine->answered_at = amb_now();
+        if (machine->zone_index != silent) machine->last_heartbeat_at = machine->last_response_at = amb_now();
     node->election.renewed_at = amb_now();
-    node->rental.list_at = amb_now();
+    node->cloud.list_at = amb_now();
     amb_zones_tick(node, amb_now());
 }
 
@@ -98,7 +98,7 @@
 }
 
 static uint32_t placed_in(const struct amb_job *job, int zone) {
-    return job->zone_used[zone];
+    return job->zone_task_counts[zone];
 }
 
 static void admit(void) {
@@ -110,7 +110,7 @@
 static void off_judges_nothing(void **state) {
     (void)state;
     switch_on();
-    node->opt.zone_recovery = 0;
+    node->options.zone_recovery = 0;
     silent_zone(ZONE_B);
     assert_int_equal(verdict(ZONE_B), AMB_ZONE_HEALTHY);
     assert_true(amb_zone_unreachable(node, ZONE_B));
@@ -133,12 +133,13 @@
             stay_steady(node->zone_recovery.settings.steady);
             answer_epoch(open_call("POST", "/commit"), FIRST_STAMP + 2);
         }
-        struct amb_job *batch = add_job("wk-1", AMB_ARRAY, 40), *replicas = add_job("wk-2", AMB_SERVICE, 2);
-        replicas->spec->priority = AMB_PROD;
-        replicas->spec->spread = true;
+        struct amb_job *batch = add_job("wk-1", AMB_JOB_KIND_ARRAY, 40),
+                       *replicas = add_job("wk-2", AMB_JOB_KIND_SERVICE, 2);
+        replicas->spec->priority = AMB_PRIORITY_PRODUCTION;
+        replicas->spec->spread_zones = true;
         strcpy(replicas->spec->zone, "b");
         strcpy(batch->spec->zone, "b");
-        replicas->type_mask_known = batch->type_mask_known = false;
+        replicas->allowed_type_mask_known = batch->allowed_type_mask_known = false;
         admit();
         assert_int_equal(placed_in(replicas, ZONE_B), 1);
         assert_int_equal(placed_in(batch, ZONE_B) > 0, steady);
@@ -152,24 +153,24 @@
     lose_and_return();
     struct amb_machine *idle = amb_machine_get(node, "m-1", false),
                        *other = amb_machine_get(node, "m-0", false);
-    idle->idle_since = other->idle_since = node->ctl.leading_since = amb_now() - 1000000;
+    idle->idle_since = other->idle_since = node->controller.leader_since = amb_now() - 1000000;
     struct amb_machine *unproven = machine_in("m-9", ZONE_B);
     unproven->state = AMB_MACHINE_UNPROVEN;
-    unproven->state_at = node->ctl.loaded_at = node->ctl.leading_since;
-    unproven->reported_at = amb_now();
+    unproven->state_since = node->controller.restored_at = node->controller.leader_since;
+    unproven->last_heartbeat_at = amb_now();
     struct amb_round *cycle = amb_round_new(node, amb_now());
     amb_plan(cycle);
     amb_round_free(cycle);
     amb_fleet_tick(node, amb_now());
-    assert_true(other->release_wanted);
-    assert_false(idle->release_wanted);
-    assert_false(unproven->release_wanted);
+    assert_true(other->release_pending);
+    assert_false(idle->release_pending);
+    assert_false(unproven->release_pending);
 }
 
 /* ---- the order ---- */
 
 static struct amb_job *lost_replica(const char *ref, const char *class_name, enum amb_priority priority) {
-    struct amb_job *job = add_job(ref, AMB_SERVICE, 1);
+    struct amb_job *job = add_job(ref, AMB_JOB_KIND_SERVICE, 1);
     strcpy(job->spec->class_name, class_name);
     job->spec->priority = priority;
     struct amb_task *task = bound(job, 0, "m-1", 1);
@@ -185,13 +186,14 @@
 static void classes_get_their_turns_in_order(void **state) {
     (void)state;
     switch_on();
-    node->ctl.ready = false; /* nothing is placed meanwhile */
-    struct amb_job *drafts = lost_replica("wk-1", "drafts", AMB_HIGH);
-    struct amb_job *assistant = lost_replica("wk-2", "assistant", AMB_PROD);
-    struct amb_job *sweep = add_job("wk-3", AMB_ARRAY, 4), *new_prod = add_job("wk-4", AMB_SERVICE, 1);
-    struct amb_job *new_high = add_job("wk-5", AMB_SERVICE, 1);
-    new_prod->spec->priority = AMB_PROD;
-    new_high->spec->priority = AMB_HIGH;
+    node->controller.ready = false; /* nothing is placed meanwhile */
+    struct amb_job *drafts = lost_replica("wk-1", "drafts", AMB_PRIORITY_HIGH);
+    struct amb_job *assistant = lost_replica("wk-2", "assistant", AMB_PRIORITY_PRODUCTION);
+    struct amb_job *sweep = add_job("wk-3", AMB_JOB_KIND_ARRAY, 4),
+                   *new_prod = add_job("wk-4", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *new_high = add_job("wk-5", AMB_JOB_KIND_SERVICE, 1);
+    new_prod->spec->priority = AMB_PRIORITY_PRODUCTION;
+    new_high->spec->priority = AMB_PRIORITY_HIGH;
     assert_int_equal(amb_zone_recovery_step(node, assistant), AMB_NO_STEP);
     silent_zone(ZONE_B);
     expect_step(0, "assistant");
@@ -215,14 +217,14 @@
     (void)state;
     switch_on();
     silent_zone(-1);
-    struct amb_job *batch = add_job("wk-1", AMB_ARRAY, 100);
+    struct amb_job *batch = add_job("wk-1", AMB_JOB_KIND_ARRAY, 100);
     for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
         machine->reserved.gpus = 7;
-    batch->spec->each = (struct amb_res){1, 1, 1};
+    batch->spec->task_resources = (struct amb_resources){1, 1, 1};
     admit();
     uint32_t machines = HASH_COUNT(node->fleet.all);
-    if (batch->nbound != machines)
-        fail_msg("%u tasks on %u machines with room for one each", batch->nbound, machines);
+    if (batch->bound_count != machines)
+        fail_msg("%u tasks on %u machines with room for one each", batch->bound_count, machines);
 }
 
 /* ---- the record ---- */
@@ -279,7 +281,7 @@
     for (uint64_t i = 0; i < 2; i++) {
         amb_w_map(&buffer, 2);
         amb_w_str(&buffer, "class"), amb_w_str(&buffer, classes[i]);
-        amb_w_str(&buffer, "priority"), amb_w_uint(&buffer, AMB_HIGH + i);
+        amb_w_str(&buffer, "priority"), amb_w_uint(&buffer, AMB_PRIORITY_HIGH + i);
     }
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_buf_free(&buffer);
@@ -301,7 +303,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         switch_on();
-        node->opt.zone_recovery = rows[i].on;
+        node->options.zone_recovery = rows[i].on;
         cbor_item_t *value = record_value(rows[i].form);
         amb_zone_record_load(node, rows[i].key, value, FIRST_STAMP);
         cbor_decref(&value);
