--- a/bench/case_follow.c
+++ b/bench/case_follow.c
@@ -84,7 +84,7 @@
 static void follow(void *input) {
     struct news *news = input;
     news->node->store.request_bucket.tokens = 1; /* the clock stands still */
-    amb_jobs_sync(news->node, check, NULL);
+    amb_watch_read_fresh(news->node, check, NULL);
     struct world_call call = world_last_call();
     call.done(call.arg, 200, news->page.data, news->page.len);
 }
--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -26,7 +26,7 @@
 }
 
 static void build(void *input) {
-    free(amb_peer_say(input));
+    free(amb_peer_encode_heartbeat(input));
 }
 
 static void finish(void *input) {
@@ -46,9 +46,9 @@
 static struct receiving *receiver(const struct world_size *size, struct amb_node *sender) {
     struct receiving *r = amb_alloc(sizeof *r);
     r->node = follower(size, 2);
-    amb_peer_init(r->node);
+    amb_peer_start(r->node);
     r->server = world_last_server();
-    for (int i = 0; i < MESSAGES; i++) r->messages[i] = amb_peer_say(sender);
+    for (int i = 0; i < MESSAGES; i++) r->messages[i] = amb_peer_encode_heartbeat(sender);
     world_free(sender);
     return r;
 }
@@ -93,7 +93,7 @@
 
 static void answer(void *input) {
     struct asking *a = input;
-    json_decref(amb_peer_answer(a->node, a->question));
+    json_decref(amb_peer_encode_reply(a->node, a->question));
 }
 
 static void finish_asking(void *input) {
--- a/bench/case_tick.c
+++ b/bench/case_tick.c
@@ -27,7 +27,7 @@
 }
 
 static void pump_records(void *input) {
-    amb_record_pump(input);
+    amb_placement_log_flush(input);
 }
 
 static const struct bench_case cases[] = {
--- a/bench/world.c
+++ b/bench/world.c
@@ -269,7 +269,7 @@
         amb_cbor_str(amb_cbor_get(pair, "path"), key, sizeof key);
         amb_cbor_uint(amb_cbor_get(pair, "stamp"), &stamp);
         if (placements)
-            amb_record_load(node, key, amb_cbor_get(pair, "value"), stamp);
+            amb_placement_log_restore(node, key, amb_cbor_get(pair, "value"), stamp);
         else
             amb_jobs_apply_item(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_get(pair, "value"), stamp);
     }
--- a/include/amberpin/codec/change_page.h
+++ b/include/amberpin/codec/change_page.h
@@ -8,19 +8,20 @@
 #include <stddef.h>
 #include <stdint.h>
 
-enum { AMB_STORE_KEY = 256 };
+enum { AMB_STORE_KEY_SIZE = 256 };
 
 struct amb_change {
-    char key[AMB_STORE_KEY];
-    uint64_t stamp;
+    char key[AMB_STORE_KEY_SIZE];
+    uint64_t revision;
     const void *value; /* CBOR, points into the page; NULL: the key is removed */
     size_t value_len;
 };
 
-typedef void (*amb_change_fn)(void *context, const struct amb_change *change);
+typedef void (*amb_change_visitor)(void *context, const struct amb_change *change);
 
 /* Calls `visit` for each change in order. False, and nothing visited, when any part of the page is not in the
  * plain encodings. */
-bool amb_change_page_read(const void *page, size_t len, uint64_t *epoch, amb_change_fn visit, void *context);
+bool amb_change_page_decode(const void *page, size_t len, uint64_t *store_revision, amb_change_visitor visit,
+                            void *context);
 
 #endif
--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -9,7 +9,7 @@
 #include "amberpin/job/cancellations.h"
 
 struct amb_node;
-struct amb_sync;
+struct amb_fresh_read;
 
 struct amb_jobs {
     struct amb_job *all;      /* by ref */
@@ -25,7 +25,7 @@
     amb_ms last_read_at;      /* when news last came */
     amb_ms last_read_sent_at; /* when the question was sent whose answer came last */
     amb_ms sync_sent_at, watch_sent_at;
-    struct amb_sync *queued_syncs, *sent_syncs;
+    struct amb_fresh_read *queued_syncs, *sent_syncs;
     bool sync_in_flight, watch_in_flight, list_in_flight;
     struct amb_timer watch_timer, sync_timer;
     char list_cursor[256];
--- a/include/amberpin/job/placement_blocks.h
+++ b/include/amberpin/job/placement_blocks.h
@@ -23,7 +23,7 @@
 /* The write under way counts no longer as one; what was sent may be carried out still. */
 void amb_placement_block_abandon_write(struct amb_placement_block *block);
 
-void amb_placement_block_get_key(char out[AMB_BLOCK_KEY], const struct amb_placement_block *block);
+void amb_placement_block_get_key(char out[AMB_BLOCK_KEY_SIZE], const struct amb_placement_block *block);
 /* NULL: the job has none of this id. */
 struct amb_placement_block *amb_placement_blocks_find(struct amb_job *job, struct amb_placement_block_id id);
 /* Room for one more block of another size than the present one. */
--- a/include/amberpin/peer/image_locations.h
+++ b/include/amberpin/peer/image_locations.h
@@ -12,24 +12,24 @@
 struct amb_node;
 struct json_t;
 
-struct amb_peer_images {
+struct amb_image_locations {
     /* What a leader has told lately, by machine: in the present span of heartbeats, and in the one before. A
      * machine that is told of in neither is gone, and forgotten with the older span. */
-    struct json_t *told, *told_before;
-    uint32_t heartbeats; /* heard in the present span */
-    uint32_t first;      /* the leader's: the place in its table at which it begins to tell */
-    uint64_t telling;    /* the leader's: counts its heartbeats */
+    struct json_t *current, *previous;
+    uint32_t heartbeats_in_span; /* heard in the present span */
+    uint32_t first_machine;      /* the leader's: the place in its table at which it begins to tell */
+    uint64_t heartbeat_number;   /* the leader's: counts its heartbeats */
 };
 
 /* What the leader tells in its next heartbeat, in about `most` bytes: an object by machine, to be released.
  * What finds no room is told in one of the next. */
-struct json_t *amb_peer_images_tell(struct amb_node *node, size_t most);
+struct json_t *amb_image_locations_encode(struct amb_node *node, size_t max_bytes);
 /* Every other node has been sent the latest heartbeat: its changes need not be told again. */
-void amb_peer_images_sent(struct amb_node *node);
+void amb_image_locations_mark_sent(struct amb_node *node);
 /* A heartbeat of the leader tells this; NULL: nothing. */
-void amb_peer_images_heard(struct amb_node *node, const struct json_t *told);
+void amb_image_locations_apply(struct amb_node *node, const struct json_t *encoded);
 /* A machine is new to this node's table: it may be one that an earlier leader has told of. */
-void amb_peer_images_recall(struct amb_node *node, struct amb_machine *machine);
-void amb_peer_images_forget(struct amb_node *node);
+void amb_image_locations_restore(struct amb_node *node, struct amb_machine *machine);
+void amb_image_locations_clear(struct amb_node *node);
 
 #endif
--- a/include/amberpin/peer/messages.h
+++ b/include/amberpin/peer/messages.h
@@ -7,8 +7,8 @@
 /* ---- ours (heartbeat_sent.c), made once as long as they would say the same ---- */
 
 /* The answer to a heartbeat. If it was made for this question alone it is also in *made, to be freed. */
-const char *amb_peer_answer_text(struct amb_node *node, const struct json_t *question, char **made);
-void amb_peer_forget_said(struct amb_node *node);
+const char *amb_peer_get_reply_text(struct amb_node *node, const struct json_t *heartbeat, char **owned_text);
+void amb_peer_clear_sent_messages(struct amb_node *node);
 
 /* ---- theirs (heartbeat_received.c), parsed once as long as they repeat themselves ----
  * What a node that does not lead says is the same for seconds, while every other node reads it twice a report
@@ -16,11 +16,11 @@
 
 struct amb_peer *amb_peer_find(struct amb_node *node, const char *member); /* NULL: no such peer */
 /* The caller's own reference, as of json_loadb; NULL when it is not JSON. */
-struct json_t *amb_peer_read_answer(struct amb_peer *peer, const char *text, size_t len);
+struct json_t *amb_peer_parse_reply(struct amb_peer *peer, const char *text, size_t len);
 /* Likewise, of a peer that names itself in the message. */
-struct json_t *amb_peer_read_heartbeat(struct amb_node *node, const char *text, size_t len);
+struct json_t *amb_peer_parse_heartbeat(struct amb_node *node, const char *text, size_t len);
 /* Takes in all that a heartbeat says; peer: who sent it, NULL if it is none that we know. */
-void amb_peer_learn(struct amb_node *node, struct amb_peer *peer, const struct json_t *heartbeat);
-void amb_peer_forget_read(struct amb_node *node);
+void amb_peer_apply_heartbeat(struct amb_node *node, struct amb_peer *peer, const struct json_t *heartbeat);
+void amb_peer_clear_received_messages(struct amb_node *node);
 
 #endif
--- a/include/amberpin/placement_log/placement_log.h
+++ b/include/amberpin/placement_log/placement_log.h
@@ -8,10 +8,12 @@
 #include "amberpin/job/placement_blocks.h"
 
 /* Writes what is due, of all jobs in the leader's care. */
-void amb_record_pump(struct amb_node *node);
+void amb_placement_log_flush(struct amb_node *node);
 /* Takes over what an earlier leader has written under this key. */
-void amb_record_load(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t stamp);
+void amb_placement_log_restore(struct amb_node *node, const char *key, const cbor_item_t *value,
+                               uint64_t revision);
 /* The block's value as its tasks are now. */
-void amb_record_encode(struct amb_node *node, const struct amb_placement_block *block, struct amb_buf *out);
+void amb_placement_log_encode_block(struct amb_node *node, const struct amb_placement_block *block,
+                                    struct amb_buf *out);
 
 #endif
--- a/include/amberpin/placement_log/store_call.h
+++ b/include/amberpin/placement_log/store_call.h
@@ -7,17 +7,20 @@
 #include "amberpin/model/model.h"
 
 struct amb_node;
-struct amb_record_call;
+struct amb_placement_log_call;
 
 /* The argument of a call about this block, or about the job as a whole. */
-struct amb_record_call *amb_record_call_new(struct amb_node *node, const struct amb_placement_block *block);
-struct amb_record_call *amb_record_call_of_job(struct amb_node *node, const struct amb_job *job);
+struct amb_placement_log_call *amb_placement_log_call_new(struct amb_node *node,
+                                                          const struct amb_placement_block *block);
+struct amb_placement_log_call *amb_placement_log_call_new_for_job(struct amb_node *node,
+                                                                  const struct amb_job *job);
 /* What the call was about, if this node still leads under the term of the call and has it; else NULL. Frees
  * the call's memory. */
-struct amb_placement_block *amb_record_call_block(struct amb_record_call *call, struct amb_node **node);
-struct amb_job *amb_record_call_job(struct amb_record_call *call, struct amb_node **node);
+struct amb_placement_block *amb_placement_log_call_take_block(struct amb_placement_log_call *call,
+                                                              struct amb_node **node);
+struct amb_job *amb_placement_log_call_take_job(struct amb_placement_log_call *call, struct amb_node **node);
 
 /* A guard did not hold: resigns if it was that one. */
-void amb_record_write_refused(struct amb_node *node, const cbor_item_t *body);
+void amb_placement_log_handle_conflict(struct amb_node *node, const cbor_item_t *body);
 
 #endif
--- a/include/amberpin/watch/change_feed.h
+++ b/include/amberpin/watch/change_feed.h
@@ -7,15 +7,15 @@
 
 struct amb_node;
 
-struct amb_sync { /* somebody who waits for a fresh read */
+struct amb_fresh_read { /* somebody who waits for a fresh read */
     void (*fn)(void *arg, bool ok);
     void *arg;
-    struct amb_sync *next;
+    struct amb_fresh_read *next;
 };
 
-void amb_jobs_init(struct amb_node *node);
+void amb_watch_start(struct amb_node *node);
 /* Calls fn once all changes up to some moment after this call have been applied; ok false: they could not be
  * read. One read answers everybody who asked before it was sent. */
-void amb_jobs_sync(struct amb_node *node, void (*fn)(void *arg, bool ok), void *arg);
+void amb_watch_read_fresh(struct amb_node *node, void (*fn)(void *arg, bool ok), void *arg);
 
 #endif
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -63,7 +63,7 @@
     };
     enum amb_absence absence = amb_absence_by_lease(&evidence);
     if (absence == AMB_ABSENCE_READ_NEEDED && !node->jobs.queued_syncs && !node->jobs.sync_in_flight)
-        amb_jobs_sync(node, noted, NULL);
+        amb_watch_read_fresh(node, noted, NULL);
     return absence;
 }
 
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -60,7 +60,7 @@
 static void after_fresh_read(void *arg, bool ok);
 
 static void wait_for_fresh_read(struct user_request *request) {
-    amb_jobs_sync(request->node, after_fresh_read, request);
+    amb_watch_read_fresh(request->node, after_fresh_read, request);
 }
 
 static void submitted(void *arg, int status, const cbor_item_t *body) {
--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -6,24 +6,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char SETTINGS_PREFIX[] = "b/p/";
-static const char KEY_PREFIX[] = "b/n/";
+static const char SETTINGS_LAYOUT_PREFIX[] = "b/p/";
+static const char KEY_LAYOUT_PREFIX[] = "b/n/";
 
 /* Bytes of one placement: the longest that there is, by which blocks of the first format are measured for
  * good; and a long one of a large fleet. A block of the later format that comes out larger all the same is
  * split (record.c). */
-enum { LONGEST_ENTRY = 40, USUAL_ENTRY = 28 };
+enum { LONGEST_ENTRY_BYTES = 40, USUAL_ENTRY_BYTES = 28 };
 
 /* The rest of a value: its head, and the names of types and zones. */
 static const double ENTRIES_SHARE = 0.8;
 
-uint32_t amb_layout_tasks_per_block(enum amb_block_layout layout, double value_kb) {
-    int entry = layout == AMB_LAYOUT_BY_SETTINGS ? LONGEST_ENTRY : USUAL_ENTRY;
+uint32_t amb_placement_block_capacity(enum amb_block_layout layout, double value_kb) {
+    int entry = layout == AMB_LAYOUT_BY_SETTINGS ? LONGEST_ENTRY_BYTES : USUAL_ENTRY_BYTES;
     uint32_t tasks = (uint32_t)(value_kb * 1024 * ENTRIES_SHARE / entry);
     return tasks ? tasks : 1;
 }
 
-struct amb_task_range amb_layout_range(struct amb_placement_block_id id, uint32_t tasks) {
+struct amb_task_range amb_placement_block_task_range(struct amb_placement_block_id id, uint32_t tasks) {
     uint64_t first = (uint64_t)id.tasks_per_block * id.index, end = first + id.tasks_per_block;
     return (struct amb_task_range){first < tasks ? (uint32_t)first : tasks,
                                    end < tasks ? (uint32_t)end : tasks};
@@ -31,11 +31,13 @@
 
 /* ---- keys ---- */
 
-void amb_layout_key(char out[AMB_BLOCK_KEY], const char *ref, struct amb_placement_block_id id) {
+void amb_placement_key_format(char out[AMB_BLOCK_KEY_SIZE], const char *ref,
+                              struct amb_placement_block_id id) {
     if (id.layout == AMB_LAYOUT_BY_SETTINGS)
-        snprintf(out, AMB_BLOCK_KEY, "%s%s/%05u", SETTINGS_PREFIX, ref, id.index);
+        snprintf(out, AMB_BLOCK_KEY_SIZE, "%s%s/%05u", SETTINGS_LAYOUT_PREFIX, ref, id.index);
     else
-        snprintf(out, AMB_BLOCK_KEY, "%s%s/%06u/%06u", KEY_PREFIX, ref, id.tasks_per_block, id.index);
+        snprintf(out, AMB_BLOCK_KEY_SIZE, "%s%s/%06u/%06u", KEY_LAYOUT_PREFIX, ref, id.tasks_per_block,
+                 id.index);
 }
 
 static bool starts_with(const char *text, const char *prefix) {
@@ -43,7 +45,7 @@
 }
 
 /* Reads "/NUMBER" and moves behind it. */
-static bool next_number(const char **at, uint32_t *out) {
+static bool parse_number(const char **at, uint32_t *out) {
     char *end;
     if (**at != '/' || (*at)[1] < '0' || (*at)[1] > '9') return false;
     unsigned long number = strtoul(*at + 1, &end, 10);
@@ -53,57 +55,59 @@
     return true;
 }
 
-bool amb_layout_parse_key(const char *key, char ref[AMB_NAME_SIZE], struct amb_placement_block_id *id) {
+bool amb_placement_key_parse(const char *key, char ref[AMB_NAME_SIZE], struct amb_placement_block_id *id) {
     memset(id, 0, sizeof *id);
-    if (starts_with(key, KEY_PREFIX))
+    if (starts_with(key, KEY_LAYOUT_PREFIX))
         id->layout = AMB_LAYOUT_BY_KEY;
-    else if (!starts_with(key, SETTINGS_PREFIX))
+    else if (!starts_with(key, SETTINGS_LAYOUT_PREFIX))
         return false;
-    const char *name = key + sizeof KEY_PREFIX - 1, *at = strchr(name, '/');
+    const char *name = key + sizeof KEY_LAYOUT_PREFIX - 1, *at = strchr(name, '/');
     if (!at || at == name || at - name >= AMB_NAME_SIZE) return false;
     memcpy(ref, name, (size_t)(at - name));
     ref[at - name] = 0;
-    if (id->layout == AMB_LAYOUT_BY_KEY && (!next_number(&at, &id->tasks_per_block) || !id->tasks_per_block))
+    if (id->layout == AMB_LAYOUT_BY_KEY && (!parse_number(&at, &id->tasks_per_block) || !id->tasks_per_block))
         return false;
-    return next_number(&at, &id->index) && !*at;
+    return parse_number(&at, &id->index) && !*at;
 }
 
-bool amb_layout_precedes(struct amb_placement_block_id a, struct amb_placement_block_id b) {
-    if (a.layout != b.layout) return a.layout == AMB_LAYOUT_BY_KEY;
-    return a.layout == AMB_LAYOUT_BY_KEY && a.tasks_per_block < b.tasks_per_block;
+bool amb_placement_block_precedes(struct amb_placement_block_id id, struct amb_placement_block_id other) {
+    if (id.layout != other.layout) return id.layout == AMB_LAYOUT_BY_KEY;
+    return id.layout == AMB_LAYOUT_BY_KEY && id.tasks_per_block < other.tasks_per_block;
 }
 
 /* ---- values ---- */
 
-void amb_layout_add_placement(struct amb_block_text *text, const struct amb_placement *placement) {
+void amb_placement_block_add_placement(struct amb_placement_block_text *text,
+                                       const struct amb_placement *placement) {
     amb_buf_fmt(&text->placed, "%u,%llu,%s,%d,%d,%d;", placement->task,
                 (unsigned long long)placement->attempt, placement->machine, placement->type, placement->zone,
                 placement->spot);
 }
 
-void amb_layout_add_done(struct amb_block_text *text, struct amb_task_range done) {
-    amb_buf_fmt(&text->done, "%u-%u;", done.first, done.end - 1);
+void amb_placement_block_add_completed(struct amb_placement_block_text *text,
+                                       struct amb_task_range completed) {
+    amb_buf_fmt(&text->completed, "%u-%u;", completed.first, completed.end - 1);
 }
 
-bool amb_layout_next_placement(const char **at, struct amb_placement *out) {
+bool amb_placement_block_next_placement(const char **at, struct amb_placement *out) {
     unsigned long task, attempt;
     long type, zone, spot;
-    int used = 0;
+    int length = 0;
     /* NOLINTNEXTLINE(cert-err34-c): numbers out of range come out at the limit, out of bounds */
     if (sscanf(*at, "%lu,%lu,%63[^,],%ld,%ld,%ld;%n", &task, &attempt, out->machine, &type, &zone, &spot,
-               &used) != 6 ||
-        !used || task >= AMB_TASKS_MAX)
+               &length) != 6 ||
+        !length || task >= AMB_TASKS_MAX)
         return false;
     out->task = (uint32_t)task;
     out->attempt = attempt;
     out->type = type >= 0 && type < AMB_MACHINE_TYPES_MAX ? (int)type : -1;
     out->zone = zone >= 0 && zone < AMB_ZONES_MAX ? (int)zone : -1;
     out->spot = spot;
-    *at += used;
+    *at += length;
     return true;
 }
 
-bool amb_layout_next_done(const char **at, struct amb_task_range *out) {
+bool amb_placement_block_next_completed(const char **at, struct amb_task_range *out) {
     char *end;
     if (**at < '0' || **at > '9') return false;
     unsigned long first = strtoul(*at, &end, 10), last = first;
@@ -115,23 +119,24 @@
     return true;
 }
 
-static void put_text(struct amb_buf *out, const struct amb_buf *text) {
+static void write_text(struct amb_buf *out, const struct amb_buf *text) {
     amb_w_strn(out, text->data ? text->data : "", text->len);
 }
 
-void amb_layout_value(struct amb_buf *out, const struct amb_block_head *head, struct amb_block_text *text) {
-    const struct amb_catalog *catalog = head->catalog;
+void amb_placement_block_encode(struct amb_buf *out, const struct amb_placement_block_header *header,
+                                struct amb_placement_block_text *text) {
+    const struct amb_catalog *catalog = header->catalog;
     amb_w_map(out, 7);
     amb_w_str(out, "at");
-    amb_w_uint(out, (uint64_t)head->wall_ms);
+    amb_w_uint(out, (uint64_t)header->written_wall_ms);
     amb_w_str(out, "w");
-    amb_w_str(out, head->write_id);
+    amb_w_str(out, header->write_id);
     amb_w_str(out, "n");
-    amb_w_uint(out, head->next_attempt);
+    amb_w_uint(out, header->next_attempt);
     amb_w_str(out, "p");
-    put_text(out, &text->placed);
+    write_text(out, &text->placed);
     amb_w_str(out, "d");
-    put_text(out, &text->done);
+    write_text(out, &text->completed);
     amb_w_str(out, "t"); /* the names that the numbers of types and zones stand for */
     amb_w_list(out, catalog->type_count);
     for (uint32_t i = 0; i < catalog->type_count; i++) amb_w_str(out, catalog->types[i].name);
@@ -139,5 +144,5 @@
     amb_w_list(out, catalog->zone_count);
     for (uint32_t i = 0; i < catalog->zone_count; i++) amb_w_str(out, catalog->zones[i]);
     amb_buf_free(&text->placed);
-    amb_buf_free(&text->done);
+    amb_buf_free(&text->completed);
 }
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -35,7 +35,7 @@
                   planned ? " with a plan" : "");
     }
     amb_round_free(cycle);
-    if (started) amb_record_pump(node);
+    if (started) amb_placement_log_flush(node);
 }
 
 static void want_round(struct amb_node *node) {
@@ -84,7 +84,7 @@
         if (!amb_cbor_str(amb_cbor_get(p, "path"), key, sizeof key) ||
             !amb_cbor_uint(amb_cbor_get(p, "stamp"), &stamp))
             continue;
-        amb_record_load(node, key, amb_cbor_get(p, "value"), stamp);
+        amb_placement_log_restore(node, key, amb_cbor_get(p, "value"), stamp);
         amb_rental_load(node, key, amb_cbor_get(p, "value"));
         amb_return_record_load(node, key, amb_cbor_get(p, "value"), stamp);
         amb_zone_record_load(node, key, amb_cbor_get(p, "value"), stamp);
@@ -122,7 +122,7 @@
     c->restore_sent_at = now;
     c->restore_in_flight = true;
     if (!c->restore_synced)
-        amb_jobs_sync(node, load_synced, node);
+        amb_watch_read_fresh(node, load_synced, node);
     else
         load_next(node);
 }
@@ -173,7 +173,7 @@
     case AMB_EVENT_MACHINE_ADDED:
         amb_duties_machine_known(node, event->machine);
         amb_return_record_machine_known(node, event->machine);
-        amb_peer_images_recall(node, event->machine);
+        amb_image_locations_restore(node, event->machine);
         break;
     case AMB_EVENT_MACHINE_REMOVED: amb_machine_gone(node, event->machine, event->proof); break;
     case AMB_EVENT_DUTY_KEY_CHANGED:
@@ -231,7 +231,7 @@
     if (c->ready &&
         (c->cycle_requested || now - c->cycle_at > amb_secs(node->controller.tick_interval_s * 0.5)))
         want_round(node);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
 }
 
 /* ---- the front ---- */
@@ -276,8 +276,8 @@
         snprintf(err, cap, "front %s can't be opened", node->settings.front);
         return -1;
     }
-    amb_peer_init(node);
-    amb_jobs_init(node);
+    amb_peer_start(node);
+    amb_watch_start(node);
     tick(node);
     return 0;
 }
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -38,7 +38,7 @@
     amb_ms patience = (amb_ms)(node->settings.report_s * 2500);
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (!strcmp(node->peers.list[i].member, member))
-            return amb_now() - node->peers.list[i].heard_at < patience;
+            return amb_now() - node->peers.list[i].last_heard_at < patience;
     return false;
 }
 
@@ -49,7 +49,7 @@
     uint64_t term = election->holder_revision;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
-        if (peer->leading && peer->term > term) {
+        if (peer->is_leader && peer->term > term) {
             name = peer->member;
             term = peer->term;
         }
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -81,7 +81,7 @@
 static bool was_leader_heard(const struct amb_node *node, amb_ms now, amb_ms within) {
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (!strcmp(node->peers.list[i].member, node->election.holder))
-            return now - node->peers.list[i].heard_at < within;
+            return now - node->peers.list[i].last_heard_at < within;
     return true; /* nobody we know of: nothing to stand in for */
 }
 
--- a/lib/election/peer_confirmation.c
+++ b/lib/election/peer_confirmation.c
@@ -8,7 +8,7 @@
 bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now) {
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
-        if (peer->store_ok && now - peer->heard_at < heartbeat_timeout(node)) return true;
+        if (peer->store_reachable && now - peer->last_heard_at < heartbeat_timeout(node)) return true;
     }
     return false;
 }
@@ -28,8 +28,8 @@
     amb_ms fenced_at = node->controller.leader_since;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
-        if (peer->quiet_term != node->election.term) return 0;
-        if (peer->quiet_at > fenced_at) fenced_at = peer->quiet_at;
+        if (peer->fenced_term != node->election.term) return 0;
+        if (peer->fenced_at > fenced_at) fenced_at = peer->fenced_at;
     }
     return fenced_at;
 }
@@ -38,9 +38,9 @@
     bool any_heard = false;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
-        if (now - peer->heard_at > heartbeat_timeout(node)) continue;
+        if (now - peer->last_heard_at > heartbeat_timeout(node)) continue;
         any_heard = true;
-        if (peer->reports_arrive) return true;
+        if (peer->receives_agent_heartbeats) return true;
     }
     return node->peers.count && !any_heard;
 }
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -32,9 +32,9 @@
     json_decref(notice);
     const struct amb_peers *peers = &node->peers;
     bool leader_known = false;
-    for (uint32_t i = 0; i < peers->count; i++) leader_known |= peers->list[i].leading;
+    for (uint32_t i = 0; i < peers->count; i++) leader_known |= peers->list[i].is_leader;
     for (uint32_t i = 0; i < peers->count; i++)
-        if (peers->list[i].leading || !leader_known) send_to(node, &peers->list[i], text);
+        if (peers->list[i].is_leader || !leader_known) send_to(node, &peers->list[i], text);
     free(text);
 }
 
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -6,12 +6,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-void amb_placement_block_get_key(char out[AMB_BLOCK_KEY], const struct amb_placement_block *block) {
-    amb_layout_key(out, block->job->ref, block->id);
+void amb_placement_block_get_key(char out[AMB_BLOCK_KEY_SIZE], const struct amb_placement_block *block) {
+    amb_placement_key_format(out, block->job->ref, block->id);
 }
 
 uint32_t amb_placement_blocks_first_format_size(const struct amb_settings *settings) {
-    return amb_layout_tasks_per_block(AMB_LAYOUT_BY_SETTINGS, settings->value_kb);
+    return amb_placement_block_capacity(AMB_LAYOUT_BY_SETTINGS, settings->value_kb);
 }
 
 /* What is written from now on. Before the second format is in use, exactly what a process of the first one
@@ -28,7 +28,7 @@
     if (layout_in_use(node) == AMB_LAYOUT_BY_SETTINGS)
         return amb_placement_blocks_first_format_size(&node->settings);
     uint32_t tasks =
-        amb_layout_tasks_per_block(AMB_LAYOUT_BY_KEY, amb_placement_blocks_lowered_value_kb(node));
+        amb_placement_block_capacity(AMB_LAYOUT_BY_KEY, amb_placement_blocks_lowered_value_kb(node));
     return job->max_tasks_per_block && job->max_tasks_per_block < tasks ? job->max_tasks_per_block : tasks;
 }
 
@@ -40,7 +40,7 @@
     for (uint32_t i = 0; i < job->block_count; i++) {
         job->blocks[i].job = job;
         job->blocks[i].id = (struct amb_placement_block_id){layout, tasks_per_block, i};
-        job->blocks[i].task_range = amb_layout_range(job->blocks[i].id, job->spec->task_count);
+        job->blocks[i].task_range = amb_placement_block_task_range(job->blocks[i].id, job->spec->task_count);
     }
 }
 
@@ -141,5 +141,6 @@
     uint32_t tasks_per_block = wanted_tasks_per_block(node, job);
     const struct amb_placement_block_id wanted = {layout, tasks_per_block, 0},
                                         present = {job->block_layout, job->tasks_per_block, 0};
-    if (amb_layout_precedes(wanted, present)) amb_placement_blocks_replace(job, layout, tasks_per_block);
+    if (amb_placement_block_precedes(wanted, present))
+        amb_placement_blocks_replace(job, layout, tasks_per_block);
 }
--- a/lib/placement_log/block_value.c
+++ b/lib/placement_log/block_value.c
@@ -3,15 +3,16 @@
 
 #include <string.h>
 
-void amb_record_encode(struct amb_node *node, const struct amb_placement_block *block, struct amb_buf *out) {
-    struct amb_block_text text = {0};
+void amb_placement_log_encode_block(struct amb_node *node, const struct amb_placement_block *block,
+                                    struct amb_buf *out) {
+    struct amb_placement_block_text text = {0};
     const struct amb_task *tasks = block->job->tasks;
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         const struct amb_task *task = &tasks[i];
         if (task->done && (i == block->task_range.first || !tasks[i - 1].done)) {
             uint32_t last = i;
             while (last + 1 < block->task_range.end && tasks[last + 1].done) last++;
-            amb_layout_add_done(&text, (struct amb_task_range){i, last + 1});
+            amb_placement_block_add_completed(&text, (struct amb_task_range){i, last + 1});
         }
         if (!task->machine || task->done) continue;
         struct amb_placement placement = {.task = i,
@@ -20,11 +21,11 @@
                                           .zone = task->machine->zone_index,
                                           .spot = task->machine->spot};
         strcpy(placement.machine, task->machine->name);
-        amb_layout_add_placement(&text, &placement);
+        amb_placement_block_add_placement(&text, &placement);
     }
-    const struct amb_block_head block_head = {.wall_ms = amb_wall_ms(),
-                                              .write_id = block->write_id,
-                                              .next_attempt = block->job->next_attempt,
-                                              .catalog = &node->catalog};
-    amb_layout_value(out, &block_head, &text);
+    const struct amb_placement_block_header block_head = {.written_wall_ms = amb_wall_ms(),
+                                                          .write_id = block->write_id,
+                                                          .next_attempt = block->job->next_attempt,
+                                                          .catalog = &node->catalog};
+    amb_placement_block_encode(out, &block_head, &text);
 }
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -10,8 +10,8 @@
 #include <stdio.h>
 
 /* What was sent is now known to stand there. */
-static void landed(struct amb_node *node, struct amb_placement_block *block, uint64_t stamp) {
-    block->revision = stamp;
+static void complete_write(struct amb_node *node, struct amb_placement_block *block, uint64_t revision) {
+    block->revision = revision;
     block->write_in_flight = false;
     block->retry_at = 0;
     amb_buf_free(&block->value);
@@ -26,7 +26,7 @@
     }
 }
 
-void amb_record_not_written(struct amb_node *node, struct amb_placement_block *block) {
+void amb_placement_log_abandon_write(struct amb_node *node, struct amb_placement_block *block) {
     amb_placement_block_abandon_write(block); /* it may have been written before the job changed */
     block->retry_at = 0;
     block->dirty = true;
@@ -37,19 +37,19 @@
     }
 }
 
-static void block_read(void *arg, int status, const cbor_item_t *body) {
+static void handle_block_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_placement_block *block = amb_record_call_block(arg, &node);
-    uint64_t stamp = 0;
+    struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
+    uint64_t revision = 0;
     if (!block || block->superseded || !block->write_in_flight) return;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &stamp)) {
+    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &revision)) {
         if (amb_cbor_eq(amb_cbor_get(amb_cbor_get(body, "value"), "w"), block->write_id)) {
-            landed(node, block, stamp);
+            complete_write(node, block, revision);
             return;
         }
-        if (stamp != block->revision) { /* cannot be: only one leader at a time writes here */
+        if (revision != block->revision) { /* cannot be: only one leader at a time writes here */
             amb_error("block %s/%u: changed by another", block->job->ref, block->id.index);
-            block->revision = stamp;
+            block->revision = revision;
         }
     }
     /* The very same content is sent again, under the same guards: whichever copy comes first makes every
@@ -59,7 +59,7 @@
 
 /* A value that the limits of now allow and the lowered ones don't is refused only once they are lowered,
  * which happens after the upgrade. The block keeps its content until it is replaced by smaller ones. */
-static void refused_as_bad(struct amb_node *node, struct amb_placement_block *block) {
+static void handle_refused_value(struct amb_node *node, struct amb_placement_block *block) {
     double size = (double)amb_cbor_json_size(block->value.data, block->value.len);
     if (size > amb_placement_blocks_lowered_value_kb(node) * 1024 && size <= node->settings.value_kb * 1024) {
         amb_store_lower_limits(&node->store, "a value was refused for its size");
@@ -71,33 +71,33 @@
     }
 }
 
-static void block_written(void *arg, int status, const cbor_item_t *body) {
+static void handle_block_written(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_placement_block *block = amb_record_call_block(arg, &node);
-    uint64_t stamp;
+    struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
+    uint64_t revision;
     if (!block || block->superseded) return;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &stamp)) {
-        landed(node, block, stamp);
+    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) {
+        complete_write(node, block, revision);
         return;
     }
     block->retry_at = amb_now() + node->store.call_timeout / 5;
     if (status == 409) {
-        amb_record_write_refused(node, body);
+        amb_placement_log_handle_conflict(node, body);
         if (node->election.role < AMB_ROLE_LEADER) return;
     }
     if (status == 0 || status == 409) {
-        char key[AMB_BLOCK_KEY];
+        char key[AMB_BLOCK_KEY_SIZE];
         amb_placement_block_get_key(key, block);
         block->retry_at += node->store.call_timeout;
-        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_PLACEMENT, block_read,
-                      amb_record_call_new(node, block));
+        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_PLACEMENT, handle_block_read,
+                      amb_placement_log_call_new(node, block));
     } else if (status == 400) {
-        refused_as_bad(node, block);
+        handle_refused_value(node, block);
     }
 }
 
-void amb_record_send_block(struct amb_node *node, struct amb_placement_block *block) {
-    char key[AMB_BLOCK_KEY], job_key[AMB_NAME_SIZE + 16];
+void amb_placement_log_send_block(struct amb_node *node, struct amb_placement_block *block) {
+    char key[AMB_BLOCK_KEY_SIZE], job_key[AMB_NAME_SIZE + 16];
     struct amb_txn transaction = {0};
     amb_placement_block_get_key(key, block);
     amb_job_format_key(job_key, sizeof job_key, block->job->ref);
@@ -106,23 +106,23 @@
     amb_txn_compare(&transaction, key, block->revision);
     amb_txn_put(&transaction, key, &block->value, 0);
     block->retry_at = INT64_MAX; /* set when the call ends */
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, block_written,
-                     amb_record_call_new(node, block));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, handle_block_written,
+                     amb_placement_log_call_new(node, block));
 }
 
 /* Blocks of the first format keep their size: an older process must be able to read them. */
-static bool too_large(const struct amb_node *node, const struct amb_placement_block *block) {
+static bool is_too_large(const struct amb_node *node, const struct amb_placement_block *block) {
     return block->id.layout == AMB_LAYOUT_BY_KEY && block->id.tasks_per_block > 1 &&
            (double)amb_cbor_json_size(block->value.data, block->value.len) >
                amb_placement_blocks_lowered_value_kb(node) * 1024;
 }
 
-void amb_record_write_block(struct amb_node *node, struct amb_placement_block *block) {
+void amb_placement_log_write_block(struct amb_node *node, struct amb_placement_block *block) {
     static uint64_t counter;
     snprintf(block->write_id, sizeof block->write_id, "%llu-%llu", (unsigned long long)node->election.term,
              (unsigned long long)++counter);
-    amb_record_encode(node, block, &block->value);
-    if (too_large(node, block)) {
+    amb_placement_log_encode_block(node, block, &block->value);
+    if (is_too_large(node, block)) {
         amb_buf_free(&block->value);
         block->job->max_tasks_per_block = block->id.tasks_per_block / 2;
         return;
@@ -135,5 +135,5 @@
     block->job_revision = block->job->revision;
     block->dirty = block->urgent = false;
     block->write_in_flight = true;
-    amb_record_send_block(node, block);
+    amb_placement_log_send_block(node, block);
 }
--- a/lib/placement_log/job_end.c
+++ b/lib/placement_log/job_end.c
@@ -5,9 +5,9 @@
 #include "amberpin/node/node.h"
 #include "amberpin/placement_log/store_call.h"
 
-static void stamp_read(void *arg, int status, const cbor_item_t *body) {
+static void handle_revision_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_placement_block *block = amb_record_call_block(arg, &node);
+    struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
     if (!block) return;
     block->write_in_flight = false;
     if (status == 404) {
@@ -19,9 +19,9 @@
     block->retry_at = amb_now() + node->store.call_timeout / 4;
 }
 
-static void removed(void *arg, int status, const cbor_item_t *body) {
+static void handle_block_removed(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_placement_block *block = amb_record_call_block(arg, &node);
+    struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
     if (!block) return;
     block->write_in_flight = false;
     block->retry_at = amb_now() + node->store.call_timeout / 4;
@@ -29,45 +29,45 @@
         block->revision = 0;
     else if (status == 0 || status == 409)
         block->revision_uncertain = true;
-    if (status == 409) amb_record_write_refused(node, body);
+    if (status == 409) amb_placement_log_handle_conflict(node, body);
 }
 
 /* Only once nothing of the job is on any machine. */
-static void block_remove(struct amb_node *node, struct amb_placement_block *block) {
-    char key[AMB_BLOCK_KEY];
+static void send_block_removal(struct amb_node *node, struct amb_placement_block *block) {
+    char key[AMB_BLOCK_KEY_SIZE];
     amb_placement_block_get_key(key, block);
     block->write_in_flight = true;
     block->retry_at = INT64_MAX;
     amb_buf_free(&block->value);
     if (block->revision_uncertain) {
-        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_READ, stamp_read,
-                      amb_record_call_new(node, block));
+        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_READ, handle_revision_read,
+                      amb_placement_log_call_new(node, block));
         return;
     }
     struct amb_txn transaction = {0};
     amb_txn_require_leadership(&transaction, node);
     amb_txn_compare(&transaction, key, block->revision);
     amb_txn_remove(&transaction, key);
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, removed,
-                     amb_record_call_new(node, block));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, handle_block_removed,
+                     amb_placement_log_call_new(node, block));
 }
 
-static void finished(void *arg, int status, const cbor_item_t *body) {
+static void handle_job_finished(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
-    struct amb_job *job = amb_record_call_job(arg, &node);
+    struct amb_job *job = amb_placement_log_call_take_job(arg, &node);
     if (!job) return;
     job->completion_in_flight = false;
     job->completion_retry_at = amb_now() + node->store.call_timeout / 5;
-    uint64_t stamp;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &stamp)) {
-        amb_job_apply_own_write(node, job, AMB_JOB_DONE, stamp);
+    uint64_t revision;
+    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) {
+        amb_job_apply_own_write(node, job, AMB_JOB_DONE, revision);
     } else if (status == 409) {
         /* If it was not the term, the job was cancelled, or an earlier try went through: news tells. */
-        amb_record_write_refused(node, body);
+        amb_placement_log_handle_conflict(node, body);
     }
 }
 
-void amb_record_finish_job(struct amb_node *node, struct amb_job *job) {
+void amb_placement_log_finish_job(struct amb_node *node, struct amb_job *job) {
     char key[AMB_NAME_SIZE + 32];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
@@ -78,13 +78,13 @@
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
     job->completion_in_flight = true;
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, finished,
-                     amb_record_call_of_job(node, job));
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, handle_job_finished,
+                     amb_placement_log_call_new_for_job(node, job));
 }
 
-bool amb_record_remove_block(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
+bool amb_placement_log_remove_block(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
     if (block->write_in_flight) return true;
-    bool there = block->revision || block->revision_uncertain;
-    if (there && !block->job->bound_count && now >= block->retry_at) block_remove(node, block);
-    return there;
+    bool may_exist = block->revision || block->revision_uncertain;
+    if (may_exist && !block->job->bound_count && now >= block->retry_at) send_block_removal(node, block);
+    return may_exist;
 }
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -6,50 +6,53 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct amb_record_call {
+struct amb_placement_log_call {
     struct amb_node *node;
     uint64_t term;
     char ref[AMB_NAME_SIZE];
     struct amb_placement_block_id id; /* of the block, if it is about one */
 };
 
-struct amb_record_call *amb_record_call_of_job(struct amb_node *node, const struct amb_job *job) {
-    struct amb_record_call *call = amb_alloc(sizeof *call);
+struct amb_placement_log_call *amb_placement_log_call_new_for_job(struct amb_node *node,
+                                                                  const struct amb_job *job) {
+    struct amb_placement_log_call *call = amb_alloc(sizeof *call);
     call->node = node;
     call->term = node->election.term;
     strcpy(call->ref, job->ref);
     return call;
 }
 
-struct amb_record_call *amb_record_call_new(struct amb_node *node, const struct amb_placement_block *block) {
-    struct amb_record_call *call = amb_record_call_of_job(node, block->job);
+struct amb_placement_log_call *amb_placement_log_call_new(struct amb_node *node,
+                                                          const struct amb_placement_block *block) {
+    struct amb_placement_log_call *call = amb_placement_log_call_new_for_job(node, block->job);
     call->id = block->id;
     return call;
 }
 
-static struct amb_job *find_job(const struct amb_record_call *call) {
+static struct amb_job *find_led_job(const struct amb_placement_log_call *call) {
     const struct amb_election *election = &call->node->election;
     if (election->role < AMB_ROLE_LEADER || election->term != call->term) return NULL;
     struct amb_job *job = amb_job_find(call->node, call->ref);
     return job && job->active ? job : NULL;
 }
 
-struct amb_job *amb_record_call_job(struct amb_record_call *call, struct amb_node **node) {
-    struct amb_job *job = find_job(call);
+struct amb_job *amb_placement_log_call_take_job(struct amb_placement_log_call *call, struct amb_node **node) {
+    struct amb_job *job = find_led_job(call);
     *node = call->node;
     free(call);
     return job;
 }
 
-struct amb_placement_block *amb_record_call_block(struct amb_record_call *call, struct amb_node **node) {
-    struct amb_job *job = find_job(call);
+struct amb_placement_block *amb_placement_log_call_take_block(struct amb_placement_log_call *call,
+                                                              struct amb_node **node) {
+    struct amb_job *job = find_led_job(call);
     struct amb_placement_block *block = job ? amb_placement_blocks_find(job, call->id) : NULL;
     *node = call->node;
     free(call);
     return block;
 }
 
-void amb_record_write_refused(struct amb_node *node, const cbor_item_t *body) {
+void amb_placement_log_handle_conflict(struct amb_node *node, const cbor_item_t *body) {
     const cbor_item_t *failed = amb_cbor_get(body, "failed");
     for (size_t i = 0; i < amb_cbor_len(failed); i++)
         if (amb_cbor_eq(amb_cbor_at(failed, i), AMB_LEADER_KEY))
--- a/lib/watch/change_feed.c
+++ b/lib/watch/change_feed.c
@@ -9,26 +9,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char PREFIX[] = "a/";
+static const char WATCHED_PREFIX[] = "a/";
 static const char JOB_PREFIX[] = "a/job/";
 static const char FORMAT_KEY[] = "a/format";
 static const char DEPUTY_PREFIX[] = "a/deputy/";
 static const char DUTY_PREFIX[] = "a/duty";
 static const char ORDER_PREFIX[] = "a/order/";
 
-static void apply_item(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t stamp) {
+static void apply_key(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t revision) {
     if (!strcmp(key, AMB_LEADER_KEY))
-        amb_election_apply_key(node, value, stamp);
+        amb_election_apply_key(node, value, revision);
     else if (!strcmp(key, FORMAT_KEY))
         amb_format_apply_key(node, value);
     else if (!strncmp(key, DEPUTY_PREFIX, sizeof DEPUTY_PREFIX - 1))
-        amb_lease_proxy_apply_key(node, key + sizeof DEPUTY_PREFIX - 1, value, stamp);
+        amb_lease_proxy_apply_key(node, key + sizeof DEPUTY_PREFIX - 1, value, revision);
     else if (!strncmp(key, JOB_PREFIX, sizeof JOB_PREFIX - 1))
-        amb_jobs_apply_item(node, key + sizeof JOB_PREFIX - 1, value, stamp);
+        amb_jobs_apply_item(node, key + sizeof JOB_PREFIX - 1, value, revision);
     else if (!strncmp(key, DUTY_PREFIX, sizeof DUTY_PREFIX - 1) ||
              !strncmp(key, ORDER_PREFIX, sizeof ORDER_PREFIX - 1))
-        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_DUTY_KEY_CHANGED,
-                                                 .change = {.key = key, .value = value, .revision = stamp}});
+        amb_event_post(node,
+                       &(struct amb_event){.type = AMB_EVENT_DUTY_KEY_CHANGED,
+                                           .change = {.key = key, .value = value, .revision = revision}});
 }
 
 /* One whose value is not parsed yet. */
@@ -36,48 +37,48 @@
     struct amb_node *node = context;
     if (!strncmp(change->key, JOB_PREFIX, sizeof JOB_PREFIX - 1)) {
         const char *ref = change->key + sizeof JOB_PREFIX - 1;
-        amb_jobs_apply_bytes(node, ref, change->value, change->value_len, change->stamp);
+        amb_jobs_apply_bytes(node, ref, change->value, change->value_len, change->revision);
         return;
     }
     cbor_item_t *value = change->value ? amb_cbor_parse(change->value, change->value_len) : NULL;
-    apply_item(node, change->key, value, change->stamp);
+    apply_key(node, change->key, value, change->revision);
     if (value) cbor_decref(&value);
 }
 
 static void apply_parsed_change(struct amb_node *node, const cbor_item_t *change) {
-    char key[AMB_STORE_KEY];
-    uint64_t stamp;
-    if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &stamp)) return;
+    char key[AMB_STORE_KEY_SIZE];
+    uint64_t revision;
+    if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &revision)) return;
     if (amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key))
-        apply_item(node, key, amb_cbor_get(change, "value"), stamp);
+        apply_key(node, key, amb_cbor_get(change, "value"), revision);
     else if (amb_cbor_str(amb_cbor_get(change, "remove"), key, sizeof key))
-        apply_item(node, key, NULL, stamp);
+        apply_key(node, key, NULL, revision);
 }
 
-/* A page in encodings that amb_change_page_read does not know. */
-static bool apply_parsed_page(struct amb_node *node, const void *page, size_t len, uint64_t *epoch) {
+/* A page in encodings that amb_change_page_decode does not know. */
+static bool apply_parsed_page(struct amb_node *node, const void *page, size_t len, uint64_t *store_revision) {
     cbor_item_t *body = amb_cbor_parse(page, len);
-    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), epoch);
-    const cbor_item_t *news = understood ? amb_cbor_get(body, "news") : NULL;
+    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), store_revision);
+    const cbor_item_t *changes = understood ? amb_cbor_get(body, "news") : NULL;
     amb_debug("changes: %zu bytes are parsed in full", len);
-    for (size_t i = 0; i < amb_cbor_len(news); i++) apply_parsed_change(node, amb_cbor_at(news, i));
+    for (size_t i = 0; i < amb_cbor_len(changes); i++) apply_parsed_change(node, amb_cbor_at(changes, i));
     if (body) cbor_decref(&body);
     return understood;
 }
 
-static bool apply_news(struct amb_node *node, const void *page, size_t len, amb_ms sent_at) {
-    uint64_t epoch;
-    if (!amb_change_page_read(page, len, &epoch, apply_change, node) &&
-        !apply_parsed_page(node, page, len, &epoch))
+static bool apply_page(struct amb_node *node, const void *page, size_t len, amb_ms sent_at) {
+    uint64_t store_revision;
+    if (!amb_change_page_decode(page, len, &store_revision, apply_change, node) &&
+        !apply_parsed_page(node, page, len, &store_revision))
         return false;
-    if (epoch > node->jobs.known_revision) node->jobs.known_revision = epoch;
+    if (store_revision > node->jobs.known_revision) node->jobs.known_revision = store_revision;
     node->jobs.last_read_at = amb_now();
     if (sent_at > node->jobs.last_read_sent_at) node->jobs.last_read_sent_at = sent_at;
     return true;
 }
 
-static void follow(void *arg);
-static void list_next(void *arg);
+static void send_watch(void *arg);
+static void send_list(void *arg);
 
 /* One listing at a time: a second one would move the first one's place and epoch, and what changed between
  * the two beginnings would be missed. */
@@ -88,7 +89,7 @@
     node->jobs.list_revision = 0;
     node->jobs.leader_key_listed = false;
     amb_lease_proxy_mark_listing(node, false);
-    list_next(node);
+    send_list(node);
 }
 
 /* More has changed than the state service keeps, or than this node may read at a time: all is listed anew,
@@ -97,87 +98,87 @@
     return status == 410 || status == AMB_HTTP_ANSWER_TOO_LONG;
 }
 
-static void followed(void *arg, int status, const void *page, size_t len) {
+static void handle_watch_page(void *arg, int status, const void *page, size_t len) {
     struct amb_node *node = arg;
     node->jobs.watch_in_flight = false;
-    if (status == 200 && apply_news(node, page, len, node->jobs.watch_sent_at)) {
-        follow(node);
+    if (status == 200 && apply_page(node, page, len, node->jobs.watch_sent_at)) {
+        send_watch(node);
     } else if (must_relist(status)) {
         relist(node);
     } else {
-        amb_timer_in(&node->jobs.watch_timer, node->store.call_timeout / 4, follow, node);
+        amb_timer_in(&node->jobs.watch_timer, node->store.call_timeout / 4, send_watch, node);
     }
 }
 
-static void follow(void *arg) {
+static void send_watch(void *arg) {
     struct amb_node *node = arg;
     if (node->jobs.watch_in_flight) return;
     node->jobs.watch_in_flight = true;
     node->jobs.watch_sent_at = amb_now();
     /* Back within two thirds of the leadership lease, before news would count as old (amb_lease_proxy_tick).
      */
-    amb_store_watch(&node->store, PREFIX, node->jobs.known_revision, node->store.call_timeout * 2, followed,
-                    node);
+    amb_store_watch(&node->store, WATCHED_PREFIX, node->jobs.known_revision, node->store.call_timeout * 2,
+                    handle_watch_page, node);
 }
 
-static void listed(void *arg, int status, const cbor_item_t *body) {
+static void handle_list_page(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = arg;
     struct amb_jobs *jobs = &node->jobs;
-    uint64_t epoch;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &epoch)) {
-        amb_timer_in(&jobs->watch_timer, node->store.call_timeout / 5, list_next, node);
+    uint64_t store_revision;
+    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &store_revision)) {
+        amb_timer_in(&jobs->watch_timer, node->store.call_timeout / 5, send_list, node);
         return;
     }
     if (!jobs->list_revision)
-        jobs->list_revision = epoch; /* what changes while pages come is followed from here */
+        jobs->list_revision = store_revision; /* what changes while pages come is followed from here */
     const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
     for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
         const cbor_item_t *pair = amb_cbor_at(pairs, i);
-        char key[AMB_STORE_KEY];
-        uint64_t stamp;
+        char key[AMB_STORE_KEY_SIZE];
+        uint64_t revision;
         if (!amb_cbor_str(amb_cbor_get(pair, "path"), key, sizeof key) ||
-            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &stamp))
+            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &revision))
             continue;
-        apply_item(node, key, amb_cbor_get(pair, "value"), stamp);
+        apply_key(node, key, amb_cbor_get(pair, "value"), revision);
         if (!strcmp(key, AMB_LEADER_KEY)) jobs->leader_key_listed = true;
         snprintf(jobs->list_cursor, sizeof jobs->list_cursor, "%s", key);
     }
     bool more = false;
     amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
     if (more && amb_cbor_len(pairs)) {
-        list_next(node);
+        send_list(node);
         return;
     }
     /* On whichever page: orders sort after it. */
-    if (!jobs->leader_key_listed) amb_election_apply_key(node, NULL, epoch);
+    if (!jobs->leader_key_listed) amb_election_apply_key(node, NULL, store_revision);
     amb_lease_proxy_mark_listing(node, true);
     amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_STORE_LISTED});
     jobs->list_in_flight = false;
     jobs->known_revision = jobs->list_revision;
     jobs->loaded = true;
     amb_election_start(node);
-    follow(node);
+    send_watch(node);
 }
 
-static void list_next(void *arg) {
+static void send_list(void *arg) {
     struct amb_node *node = arg;
-    amb_store_list(&node->store, PREFIX, node->jobs.list_cursor, listed, node);
+    amb_store_list(&node->store, WATCHED_PREFIX, node->jobs.list_cursor, handle_list_page, node);
 }
 
 /* ---- fresh reads: one read of all changes answers every question that came before it was sent ---- */
 
-static void sync_send(void *arg);
+static void send_fresh_read(void *arg);
 
-static void synced(void *arg, int status, const void *page, size_t len) {
+static void handle_fresh_page(void *arg, int status, const void *page, size_t len) {
     struct amb_node *node = arg;
     struct amb_jobs *jobs = &node->jobs;
-    bool ok = status == 200 && apply_news(node, page, len, jobs->sync_sent_at);
+    bool ok = status == 200 && apply_page(node, page, len, jobs->sync_sent_at);
     if (must_relist(status)) relist(node);
-    struct amb_sync *read = jobs->sent_syncs;
+    struct amb_fresh_read *read = jobs->sent_syncs;
     jobs->sent_syncs = NULL;
     jobs->sync_in_flight = false;
     while (read) {
-        struct amb_sync *next = read->next;
+        struct amb_fresh_read *next = read->next;
         read->fn(read->arg, ok);
         free(read);
         read = next;
@@ -185,11 +186,11 @@
     if (jobs->queued_syncs && !jobs->sync_timer.slot) {
         /* Spaced out, so that questions share a read when they come faster than reads may be made. */
         amb_ms gap = (amb_ms)(4000.0 / node->store.request_bucket.tokens_per_second);
-        amb_timer_in(&jobs->sync_timer, gap, sync_send, node);
+        amb_timer_in(&jobs->sync_timer, gap, send_fresh_read, node);
     }
 }
 
-static void sync_send(void *arg) {
+static void send_fresh_read(void *arg) {
     struct amb_node *node = arg;
     struct amb_jobs *jobs = &node->jobs;
     if (jobs->sync_in_flight || !jobs->queued_syncs) return;
@@ -197,18 +198,18 @@
     jobs->queued_syncs = NULL;
     jobs->sync_in_flight = true;
     jobs->sync_sent_at = amb_now();
-    amb_store_watch(&node->store, PREFIX, jobs->known_revision, 0, synced, node);
+    amb_store_watch(&node->store, WATCHED_PREFIX, jobs->known_revision, 0, handle_fresh_page, node);
 }
 
-void amb_jobs_sync(struct amb_node *node, void (*fn)(void *arg, bool ok), void *arg) {
-    struct amb_sync *read = amb_alloc(sizeof *read);
+void amb_watch_read_fresh(struct amb_node *node, void (*fn)(void *arg, bool ok), void *arg) {
+    struct amb_fresh_read *read = amb_alloc(sizeof *read);
     read->fn = fn;
     read->arg = arg;
     read->next = node->jobs.queued_syncs;
     node->jobs.queued_syncs = read;
-    if (!node->jobs.sync_in_flight && !node->jobs.sync_timer.slot) sync_send(node);
+    if (!node->jobs.sync_in_flight && !node->jobs.sync_timer.slot) send_fresh_read(node);
 }
 
-void amb_jobs_init(struct amb_node *node) {
+void amb_watch_start(struct amb_node *node) {
     relist(node);
 }
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -333,7 +333,7 @@
         /* Results of a job that goes on wait for more to write, but not those of a machine being emptied. */
         fake_clock_advance(rows[i].drain ? 0 : 2500);
         node->election.renewed_at = amb_now();
-        amb_record_pump(node);
+        amb_placement_log_flush(node);
         struct fake_call *commit = open_call("POST", "/commit");
         report("m-1", 1, 2, TERM, amb_now(), &ended, 1);
         plan_now();
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -72,12 +72,12 @@
     put_record(out, key + strlen("a/job/"));
 }
 
-static struct amb_buf drawn_page(uint64_t epoch) {
+static struct amb_buf drawn_page(uint64_t store_revision) {
     struct amb_buf page = {0};
     size_t changes = draw(PAGE_CHANGES);
     amb_w_map(&page, 2);
     amb_w_str(&page, "epoch");
-    amb_w_uint(&page, epoch);
+    amb_w_uint(&page, store_revision);
     amb_w_str(&page, "news");
     amb_w_list(&page, changes);
     while (changes--) put_change(&page);
@@ -90,27 +90,27 @@
 
 /* The plain version, which knows every encoding. */
 static bool apply_items(struct amb_node *to, const struct amb_buf *page) {
-    uint64_t epoch, stamp;
+    uint64_t store_revision, revision;
     cbor_item_t *body = amb_cbor_parse(page->data, page->len);
-    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), &epoch);
-    const cbor_item_t *news = understood ? amb_cbor_get(body, "news") : NULL;
-    for (size_t i = 0; i < amb_cbor_len(news); i++) {
-        char key[AMB_STORE_KEY];
-        const cbor_item_t *change = amb_cbor_at(news, i);
-        if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &stamp)) continue;
+    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), &store_revision);
+    const cbor_item_t *changes = understood ? amb_cbor_get(body, "news") : NULL;
+    for (size_t i = 0; i < amb_cbor_len(changes); i++) {
+        char key[AMB_STORE_KEY_SIZE];
+        const cbor_item_t *change = amb_cbor_at(changes, i);
+        if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &revision)) continue;
         if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key) || strncmp(key, "a/job/", 6))
             continue;
-        amb_jobs_apply_item(to, key + strlen("a/job/"), amb_cbor_get(change, "value"), stamp);
+        amb_jobs_apply_item(to, key + strlen("a/job/"), amb_cbor_get(change, "value"), revision);
     }
     if (body) cbor_decref(&body);
     return understood;
 }
 
-static void assert_same_jobs(struct amb_node *a, struct amb_node *b) {
-    assert_int_equal(HASH_COUNT(a->jobs.all), HASH_COUNT(b->jobs.all));
-    assert_int_equal(a->jobs.spec_count, b->jobs.spec_count);
-    for (const struct amb_job *job = a->jobs.all; job; job = job->hh.next) {
-        const struct amb_job *same = amb_job_find(b, job->ref);
+static void assert_same_jobs(struct amb_node *expected, struct amb_node *actual) {
+    assert_int_equal(HASH_COUNT(expected->jobs.all), HASH_COUNT(actual->jobs.all));
+    assert_int_equal(expected->jobs.spec_count, actual->jobs.spec_count);
+    for (const struct amb_job *job = expected->jobs.all; job; job = job->hh.next) {
+        const struct amb_job *same = amb_job_find(actual, job->ref);
         assert_non_null(same);
         assert_int_equal(job->state, same->state);
         assert_int_equal(job->revision, same->revision);
@@ -144,7 +144,7 @@
     return teardown(state);
 }
 
-static void note_synced(void *arg, bool ok) {
+static void note_fresh_read(void *arg, bool ok) {
     *(bool *)arg = ok;
 }
 
@@ -152,7 +152,7 @@
 static bool feed(const struct amb_buf *page) {
     struct amb_buf copy = {0};
     bool understood = false;
-    amb_jobs_sync(node, note_synced, &understood);
+    amb_watch_read_fresh(node, note_fresh_read, &understood);
     if (page->len) amb_buf_add(&copy, page->data, page->len);
     fake_answer(fake_call_open("/follow"), 200, &copy);
     return understood;
@@ -163,8 +163,8 @@
 }
 
 static bool is_plain(const struct amb_buf *page) {
-    uint64_t epoch;
-    return amb_change_page_read(page->data, page->len, &epoch, visit_nothing, NULL);
+    uint64_t store_revision;
+    return amb_change_page_decode(page->data, page->len, &store_revision, visit_nothing, NULL);
 }
 
 static void pages_are_applied_as_if_parsed(void **state) {
@@ -206,8 +206,8 @@
 static void note_change(void *context, const struct amb_change *change) {
     struct visited *visited = context;
     size_t len = strlen(visited->text);
-    snprintf(visited->text + len, sizeof visited->text - len, "%s@%d:%zu ", change->key, (int)change->stamp,
-             change->value_len);
+    snprintf(visited->text + len, sizeof visited->text - len, "%s@%d:%zu ", change->key,
+             (int)change->revision, change->value_len);
 }
 
 static void pages_are_read_whole_or_not_at_all(void **state) {
@@ -247,7 +247,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_buf page = {0};
         struct visited visited = {0};
-        uint64_t epoch = 0;
+        uint64_t store_revision = 0;
         for (const char *at = rows[i].page; *at; at++) {
             if (*at == ' ') continue;
             const char digits[3] = {at[0], at[1], 0};
@@ -255,9 +255,9 @@
             amb_buf_add(&page, &byte, 1);
             at++;
         }
-        bool read = amb_change_page_read(page.data, page.len, &epoch, note_change, &visited);
+        bool read = amb_change_page_decode(page.data, page.len, &store_revision, note_change, &visited);
         if (read != (rows[i].visited != NULL) || strcmp(visited.text, read ? rows[i].visited : "") ||
-            (read && epoch != 7))
+            (read && store_revision != 7))
             fail_msg("%s: %d, visited %s", rows[i].what, read, visited.text);
         amb_buf_free(&page);
     }
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -20,7 +20,7 @@
         {NEW, 16, 468}, {NEW, 8, 234}, {NEW, 2, 58}, {NEW, 1, 29}, {NEW, 0.01, 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        uint32_t got = amb_layout_tasks_per_block(rows[i].layout, rows[i].value_kb);
+        uint32_t got = amb_placement_block_capacity(rows[i].layout, rows[i].value_kb);
         if (got != rows[i].want) fail_msg("row %zu: %u", i, got);
     }
 }
@@ -40,7 +40,7 @@
         {{NEW, 100000, 100000}, 100000, 100000, 100000},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_task_range got = amb_layout_range(rows[i].id, rows[i].tasks);
+        struct amb_task_range got = amb_placement_block_task_range(rows[i].id, rows[i].tasks);
         if (got.first != rows[i].first || got.end != rows[i].end)
             fail_msg("row %zu: %u to %u", i, got.first, got.end);
     }
@@ -71,14 +71,14 @@
         {"", NULL, {0}},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        char ref[AMB_NAME_SIZE] = "", key[AMB_BLOCK_KEY];
+        char ref[AMB_NAME_SIZE] = "", key[AMB_BLOCK_KEY_SIZE];
         struct amb_placement_block_id id;
-        bool ok = amb_layout_parse_key(rows[i].key, ref, &id);
+        bool ok = amb_placement_key_parse(rows[i].key, ref, &id);
         if (ok != (rows[i].ref != NULL)) fail_msg("%s: %s", rows[i].key, ok ? "taken" : "refused");
         if (!ok) continue;
         assert_string_equal(ref, rows[i].ref);
         assert_memory_equal(&id, &rows[i].id, sizeof id);
-        amb_layout_key(key, ref, id);
+        amb_placement_key_format(key, ref, id);
         assert_string_equal(key, rows[i].key);
     }
 }
@@ -99,11 +99,12 @@
         {{OLD, 163, 1}, {OLD, 327, 0}, false}, {{OLD, 327, 0}, {OLD, 163, 1}, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        if (amb_layout_precedes(rows[i].a, rows[i].b) != rows[i].precedes) fail_msg("row %zu", i);
-        char a[AMB_BLOCK_KEY], b[AMB_BLOCK_KEY];
-        amb_layout_key(a, "wk-000001", rows[i].a);
-        amb_layout_key(b, "wk-000001", rows[i].b);
-        if (rows[i].precedes && strcmp(a, b) >= 0) fail_msg("row %zu: %s is listed after %s", i, a, b);
+        if (amb_placement_block_precedes(rows[i].a, rows[i].b) != rows[i].precedes) fail_msg("row %zu", i);
+        char first_key[AMB_BLOCK_KEY_SIZE], second_key[AMB_BLOCK_KEY_SIZE];
+        amb_placement_key_format(first_key, "wk-000001", rows[i].a);
+        amb_placement_key_format(second_key, "wk-000001", rows[i].b);
+        if (rows[i].precedes && strcmp(first_key, second_key) >= 0)
+            fail_msg("row %zu: %s is listed after %s", i, first_key, second_key);
     }
 }
 
@@ -128,11 +129,12 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const char *at = rows[i].text;
-        struct amb_placement p;
+        struct amb_placement placement;
         struct amb_buf got = {0};
-        while (amb_layout_next_placement(&at, &p))
-            amb_buf_fmt(&got, "%u@%s/%llu:%d.%d.%d ", p.task, p.machine, (unsigned long long)p.attempt,
-                        p.type, p.zone, p.spot);
+        while (amb_placement_block_next_placement(&at, &placement))
+            amb_buf_fmt(&got, "%u@%s/%llu:%d.%d.%d ", placement.task, placement.machine,
+                        (unsigned long long)placement.attempt, placement.type, placement.zone,
+                        placement.spot);
         amb_buf_add(&got, "", 1);
         if (strcmp(got.data, rows[i].want)) fail_msg("'%s': %s", rows[i].text, got.data);
         amb_buf_free(&got);
@@ -153,9 +155,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const char *at = rows[i].text;
-        struct amb_task_range r;
+        struct amb_task_range range;
         struct amb_buf got = {0};
-        while (amb_layout_next_done(&at, &r)) amb_buf_fmt(&got, "%u-%u ", r.first, r.end);
+        while (amb_placement_block_next_completed(&at, &range))
+            amb_buf_fmt(&got, "%u-%u ", range.first, range.end);
         amb_buf_add(&got, "", 1);
         if (strcmp(got.data, rows[i].want)) fail_msg("'%s': %s", rows[i].text, got.data);
         amb_buf_free(&got);
@@ -172,11 +175,11 @@
     return &names;
 }
 
-static struct amb_buf value_of(struct amb_block_text *text) {
+static struct amb_buf value_of(struct amb_placement_block_text *text) {
     struct amb_buf value = {0};
-    const struct amb_block_head head = {
-        .wall_ms = 1700000000000, .write_id = "412-77", .next_attempt = 9, .catalog = catalog()};
-    amb_layout_value(&value, &head, text);
+    const struct amb_placement_block_header head = {
+        .written_wall_ms = 1700000000000, .write_id = "412-77", .next_attempt = 9, .catalog = catalog()};
+    amb_placement_block_encode(&value, &head, text);
     return value;
 }
 
@@ -186,11 +189,11 @@
     static const char want[] =
         "{\"at\":1700000000000,\"w\":\"412-77\",\"n\":9,\"p\":\"5,8,m-000231,1,0,1;7,2,m-1,0,1,0;\","
         "\"d\":\"0-4;6-6;\",\"t\":[\"g8\",\"anboto-large\"],\"z\":[\"a\",\"miribilla\"]}";
-    struct amb_block_text text = {0};
-    amb_layout_add_placement(&text, &(struct amb_placement){5, 8, "m-000231", 1, 0, true});
-    amb_layout_add_placement(&text, &(struct amb_placement){7, 2, "m-1", 0, 1, false});
-    amb_layout_add_done(&text, (struct amb_task_range){0, 5});
-    amb_layout_add_done(&text, (struct amb_task_range){6, 7});
+    struct amb_placement_block_text text = {0};
+    amb_placement_block_add_placement(&text, &(struct amb_placement){5, 8, "m-000231", 1, 0, true});
+    amb_placement_block_add_placement(&text, &(struct amb_placement){7, 2, "m-1", 0, 1, false});
+    amb_placement_block_add_completed(&text, (struct amb_task_range){0, 5});
+    amb_placement_block_add_completed(&text, (struct amb_task_range){6, 7});
     struct amb_buf got = value_of(&text), expected = cbor_from_text(want);
     assert_int_equal(got.len, expected.len);
     assert_memory_equal(got.data, expected.data, got.len);
@@ -217,12 +220,13 @@
         {NEW, 1, "m-000231", 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_block_text text = {0};
-        uint32_t tasks = amb_layout_tasks_per_block(rows[i].layout, rows[i].value_kb);
-        for (uint32_t t = 0; t < tasks; t++) {
-            struct amb_placement p = {.task = 98000 + t, .attempt = rows[i].attempt, .type = 1, .zone = 1};
-            strcpy(p.machine, rows[i].machine);
-            amb_layout_add_placement(&text, &p);
+        struct amb_placement_block_text text = {0};
+        uint32_t tasks = amb_placement_block_capacity(rows[i].layout, rows[i].value_kb);
+        for (uint32_t task_index = 0; task_index < tasks; task_index++) {
+            struct amb_placement placement = {
+                .task = 98000 + task_index, .attempt = rows[i].attempt, .type = 1, .zone = 1};
+            strcpy(placement.machine, rows[i].machine);
+            amb_placement_block_add_placement(&text, &placement);
         }
         struct amb_buf got = value_of(&text);
         size_t size = amb_cbor_json_size(got.data, got.len);
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -113,7 +113,7 @@
         news("wk-1", AMB_JOB_CANCELLED, rows[i].stamp, amb_wall_ms() - rows[i].ago_ms);
         json_t *question = json_object();
         if (rows[i].epoch) json_object_set_new(question, "epoch", json_integer(rows[i].epoch));
-        json_t *answer = amb_peer_answer(node, question);
+        json_t *answer = amb_peer_encode_reply(node, question);
         if (json_array_size(json_object_get(answer, "cancelled")) != rows[i].listed)
             fail_msg("%s", rows[i].what);
         json_decref(answer);
@@ -147,7 +147,7 @@
         strcpy(peer->member, "peer");
         json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term,
                                  "leading", rows[i].leading, "store", 1, "reports_arrive", 0);
-        amb_peer_heard(node, peer, said, rows[i].answer ? asked : 0);
+        amb_peer_apply_message(node, peer, said, rows[i].answer ? asked : 0);
         if (amb_election_peers_confirmed_at(node, amb_now()) != (rows[i].counts ? asked : 0))
             fail_msg("%s", rows[i].what);
         json_decref(said);
@@ -161,7 +161,7 @@
         json_pack("{s:b, s:i, s:b, s:b, s:b, s:[[s,I,I]]}", "loaded", 1, "term", TERM, "leading", 0, "store",
                   1, "reports_arrive", 0, "cancelled", "wk-1", (json_int_t)amb_wall_ms(), (json_int_t)40);
     node->peers.count = 1;
-    amb_peer_heard(node, &node->peers.list[0], said, amb_now());
+    amb_peer_apply_message(node, &node->peers.list[0], said, amb_now());
     json_decref(said);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
     struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -114,7 +114,7 @@
     assert_int_equal(fake_calls_sent(""), 0);
     assert_int_equal(amb_duties_path(node), AMB_RENTAL_BY_LEADER);
     assert_true(amb_duties_ready(node));
-    char *said = amb_peer_say(node);
+    char *said = amb_peer_encode_heartbeat(node);
     assert_null(strstr(said, "duties"));
     free(said);
 }
@@ -122,12 +122,12 @@
 static void heartbeats_say_whether_it_is_on(void **state) {
     (void)state;
     node->options.duties = 1;
-    char *text = amb_peer_say(node);
+    char *text = amb_peer_encode_heartbeat(node);
     json_t *said = json_loads(text, 0, NULL);
     assert_int_equal(json_integer_value(json_object_get(said, "duties")), 1);
     ask_peers();
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_UNKNOWN);
-    amb_peer_heard(node, &node->peers.list[0], said, 0);
+    amb_peer_apply_message(node, &node->peers.list[0], said, 0);
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_ON);
     peer_speaks(0, (struct said){.term = TERM}); /* of a version that does not know them */
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_OFF);
@@ -534,7 +534,7 @@
     amb_w_str(&leader, "member"), amb_w_str(&leader, "n-0");
     amb_w_str(&leader, "nonce"), amb_w_uint(&leader, 1);
     amb_duty_encode_order(&order, &record, &work);
-    amb_jobs_init(node);
+    amb_watch_start(node);
     answer_page(LEADER_KEY, TERM, &leader, true);
     answer_page("a/order/return/t-1-1", 61, &order, false);
     assert_true(amb_election_has_leader_role(node));
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -9,7 +9,7 @@
     follow("n-1", TERM);
     node->peers.count = 1;
     strcpy(node->peers.list[0].member, "n-1");
-    node->peers.list[0].heard_at = amb_now() - 10000;
+    node->peers.list[0].last_heard_at = amb_now() - 10000;
     amb_lease_proxy_tick(node, amb_now());
     answer_lease(open_call("POST", "/leases"), 9);
     return open_call("POST", "/commit");
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -240,7 +240,7 @@
         node->election.renewed_at = node->election.renewal_sent_at = now - rows[i].renewed;
         node->jobs.last_read_sent_at = now - rows[i].news;
         node->peers.count = 1;
-        node->peers.list[0].heard_at = node->peers.list[0].confirmed_at = now - rows[i].word;
+        node->peers.list[0].last_heard_at = node->peers.list[0].confirmed_at = now - rows[i].word;
         node->fleet.last_report_at = now;
         amb_election_tick(node, now);
         if (node->election.role != rows[i].want) fail_msg("%s: role %d", rows[i].what, node->election.role);
@@ -268,8 +268,8 @@
         amb_ms now = amb_now() + 100000;
         node->election.renewed_at = node->election.renewal_sent_at = node->jobs.last_read_sent_at = now;
         node->peers.count = 1;
-        node->peers.list[0].heard_at = now - rows[i].heard;
-        node->peers.list[0].reports_arrive = rows[i].peer_reports;
+        node->peers.list[0].last_heard_at = now - rows[i].heard;
+        node->peers.list[0].receives_agent_heartbeats = rows[i].peer_reports;
         node->fleet.last_report_at = now - rows[i].reported;
         node->controller.leader_since = now - 50000;
         if (rows[i].machines) amb_machine_get(node, "m-1", true)->state = AMB_MACHINE_UP;
--- a/tests/job/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -40,7 +40,7 @@
     node->jobs.loaded = true;
     node->jobs.known_revision = EPOCH;
     node->jobs.last_read_sent_at = amb_now();
-    amb_peer_init(node);
+    amb_peer_start(node);
     job = add_job(JOB, AMB_JOB_KIND_ARRAY, 1);
     job->revision = EPOCH;
     return 0;
@@ -111,7 +111,7 @@
 static void the_leader_is_told_before_the_user(void **state) {
     (void)state;
     anew(false);
-    node->peers.list[1].leading = true;
+    node->peers.list[1].is_leader = true;
     user_request("POST", "/v1/jobs/" JOB "/cancel");
     assert_null(open_notice(NULL)); /* it may be done: that is read first */
     answer_epoch(SYNC, EPOCH);
@@ -132,7 +132,7 @@
 static void told_when_a_user_first_is(void **state) {
     (void)state;
     anew(false);
-    node->peers.list[0].leading = true;
+    node->peers.list[0].is_leader = true;
     amb_job_apply_cancel_hint(node, JOB, amb_wall_ms(), WRITTEN);
     assert_int_equal(fake_calls_sent(NOTICE), 0);
     user_request("GET", "/v1/jobs/" JOB);
@@ -156,7 +156,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew(rows[i].leads);
-        for (int peer = 0; peer < PEERS; peer++) node->peers.list[peer].leading = rows[i].peer_leads[peer];
+        for (int peer = 0; peer < PEERS; peer++) node->peers.list[peer].is_leader = rows[i].peer_leads[peer];
         amb_cancellation_notice_send_pending(node, job);
         if (!open_notice("n-1:1") != !rows[i].told[0] || !open_notice("n-2:1") != !rows[i].told[1])
             fail_msg("%s", rows[i].what);
--- a/tests/job/test_cancellation.c
+++ b/tests/job/test_cancellation.c
@@ -28,12 +28,12 @@
     machine_up("m-1", 0);
     bound(job, 0, "m-1", 1);
     struct amb_buf buffer = {0};
-    amb_record_encode(node, &job->blocks[0], &buffer);
+    amb_placement_log_encode_block(node, &job->blocks[0], &buffer);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_job_deactivate(node, job);
     amb_fleet_clear(node);
     job->state = AMB_JOB_CANCELLED;
-    amb_record_load(node, BLOCK_KEY, value, 61);
+    amb_placement_log_restore(node, BLOCK_KEY, value, 61);
     cbor_decref(&value);
     amb_buf_free(&buffer);
     send_report((struct sent_report){"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"});
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -30,7 +30,7 @@
 
 static void compare(uint64_t epoch, int64_t recent_since) {
     json_t *question = json_pack("{s:I}", "epoch", (json_int_t)epoch);
-    json_t *answer = amb_peer_answer(node, question);
+    json_t *answer = amb_peer_encode_reply(node, question);
     const json_t *list = json_object_get(answer, "cancelled");
     size_t expected = 0;
     for (const struct amb_job *job = node->jobs.all; job; job = job->hh.next) {
@@ -87,7 +87,7 @@
 }
 
 static size_t cancellations_told(void) {
-    char *text = amb_peer_say(node);
+    char *text = amb_peer_encode_heartbeat(node);
     json_t *heartbeat = json_loads(text, 0, NULL);
     size_t count = json_array_size(json_object_get(heartbeat, "cancelled"));
     assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->jobs.known_revision);
@@ -123,7 +123,7 @@
             node->settings.npeers = 2;
             strcpy(node->settings.peers[0].member, "n1");
             strcpy(node->settings.peers[1].member, "n2");
-            amb_peer_init(node);
+            amb_peer_start(node);
             node->jobs.known_revision = 60;
             int64_t ago = rows[i].asked_for == RECENT ? 1000 : 600000;
             amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - ago, 40);
@@ -131,7 +131,7 @@
             heartbeat_from("n1", rows[i].epochs[0]);
             heartbeat_from("n2", rows[i].epochs[1]);
             if (cancellations_told() != rows[i].told) fail_msg("%s, leads %d", rows[i].what, leads);
-            amb_timer_stop(&node->peers.timer);
+            amb_timer_stop(&node->peers.heartbeat_timer);
             fake_answer_all_lost();
             fake_http_reset();
         }
@@ -192,7 +192,7 @@
         amb_store_init(&node->store, &node->settings, 1000);
         amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 5); /* known by another node's word alone */
         if (gone) amb_cancellations_drop_specs(node, amb_now() + amb_secs(2.1 * node->settings.cancel_s));
-        amb_record_load(node, "b/p/wk-1/0", NULL, 7);
+        amb_placement_log_restore(node, "b/p/wk-1/0", NULL, 7);
         assert_int_equal(fake_calls_open("POST", "/commit"), gone);
         if (gone) {
             struct fake_call *call = fake_call_open("/commit");
--- a/tests/job/test_pipeline_submissions.c
+++ b/tests/job/test_pipeline_submissions.c
@@ -213,11 +213,11 @@
     assert_int_equal(last->cancel_revision, records[0].stamp);
     assert_int_equal(last->cancelled_wall_ms, head->cancelled_wall_ms);
     json_t *question = json_pack("{s:I}", "epoch", (json_int_t)(records[0].stamp - 1));
-    json_t *told = amb_peer_answer(node, question);
+    json_t *told = amb_peer_encode_reply(node, question);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 3);
     json_decref(told);
     json_object_set_new(question, "epoch", json_integer((json_int_t)records[0].stamp));
-    told = amb_peer_answer(node, question);
+    told = amb_peer_encode_reply(node, question);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 0);
     json_decref(told);
     json_decref(question);
--- a/tests/job/test_pipelines.c
+++ b/tests/job/test_pipelines.c
@@ -146,7 +146,7 @@
     struct amb_buf buffer =
         cbor_from_text("{\"n\":2,\"p\":\"0,1,m-1,0,0,0;\",\"d\":\"\",\"t\":[\"g8\"],\"z\":[\"a\"]}");
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_record_load(node, "b/p/wk-b/00000", value, 60);
+    amb_placement_log_restore(node, "b/p/wk-b/00000", value, 60);
     cbor_decref(&value);
     amb_buf_free(&buffer);
     assert_true(job->active);
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -122,8 +122,8 @@
         node->jobs.last_read_sent_at = now - rows[i].news;
         node->jobs.sync_in_flight = true; /* no call goes out */
         node->peers.count = 1;
-        node->peers.list[0].quiet_term = rows[i].heeds;
-        node->peers.list[0].quiet_at = now - rows[i].quiet;
+        node->peers.list[0].fenced_term = rows[i].heeds;
+        node->peers.list[0].fenced_at = now - rows[i].quiet;
         amb_fleet_tick(node, now);
         if ((task->state == AMB_TASK_WAITING) != rows[i].lost) fail_msg("%s", rows[i].what);
     }
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -33,11 +33,11 @@
 
 /* One heartbeat to all other nodes; what it says of images is heard here as if by one of them. */
 static size_t exchange_heartbeat(void) {
-    char *text = amb_peer_say(node);
+    char *text = amb_peer_encode_heartbeat(node);
     size_t len = strlen(text);
     json_t *said = json_loads(text, 0, NULL);
-    amb_peer_said(node);
-    amb_peer_images_heard(node, json_object_get(said, "images"));
+    amb_peer_mark_heartbeat_sent(node);
+    amb_image_locations_apply(node, json_object_get(said, "images"));
     json_decref(said);
     free(text);
     return len;
@@ -46,8 +46,8 @@
 static bool is_known(uint32_t number) {
     char name[AMB_NAME_SIZE];
     fleet_name(name, number);
-    return json_object_get(node->peers.images.told, name) ||
-           json_object_get(node->peers.images.told_before, name);
+    return json_object_get(node->peers.image_locations.current, name) ||
+           json_object_get(node->peers.image_locations.previous, name);
 }
 
 /* All images have changed, as when a fleet comes up: each heartbeat fits, and all is told in time. */
@@ -60,7 +60,8 @@
         begin_anew();
         add_machines(0, rows[i].machines, rows[i].images);
         for (uint32_t k = 0; k < rows[i].heartbeats; k++)
-            if (exchange_heartbeat() > AMB_HEARTBEAT_MAX) fail_msg("row %zu: heartbeat %u is too long", i, k);
+            if (exchange_heartbeat() > AMB_HEARTBEAT_MAX_BYTES)
+                fail_msg("row %zu: heartbeat %u is too long", i, k);
         for (uint32_t k = 0; k < rows[i].machines; k++)
             if (!is_known(k)) fail_msg("row %zu: machine %u is not told of", i, k);
         for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
@@ -87,7 +88,7 @@
     }
     assert_true(is_known(KEPT + (SPIKES - 1) * SPIKE));
     assert_false(is_known(KEPT));
-    assert_in_range(json_object_size(node->peers.images.told_before), KEPT, KEPT + 3 * SPIKE);
+    assert_in_range(json_object_size(node->peers.image_locations.previous), KEPT, KEPT + 3 * SPIKE);
 }
 
 /* Counts of a job change faster than there is room to tell them: the rest is told next. */
@@ -99,7 +100,7 @@
         snprintf(ref, sizeof ref, "wk-%06u", i);
         add_job(ref, AMB_JOB_KIND_ARRAY, 1)->progress_changed = true;
     }
-    for (uint32_t i = 0; i < 8; i++) assert_in_range(exchange_heartbeat(), 1, AMB_HEARTBEAT_MAX);
+    for (uint32_t i = 0; i < 8; i++) assert_in_range(exchange_heartbeat(), 1, AMB_HEARTBEAT_MAX_BYTES);
     for (const struct amb_job *job = node->jobs.active; job; job = job->next_active)
         if (job->progress_changed) fail_msg("%s is not told of", job->ref);
 }
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -4,7 +4,7 @@
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-static void what_a_peers_word_confirms(void **state) {
+static void confirmations_by_peers(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -51,27 +51,27 @@
 
 /* The defence against a state service that refuses the leader alone, and then everybody, while users are told
  * of cancellations by another node. */
-static void peers_cancellations_are_heeded(void **state) {
+static void cancellations_of_peers_are_applied(void **state) {
     (void)state;
     for (int speaks_first = 0; speaks_first <= 1; speaks_first++) {
         begin_anew();
         ask_peers();
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
-        struct sent_report r = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
-        send_report(r);
+        struct sent_report sent = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
+        send_report(sent);
         char cancelled[64];
         snprintf(cancelled, sizeof cancelled, "[\"wk-1\",%lld,61]", (long long)amb_wall_ms());
         (speaks_first ? peer_speaks : peer_answers)(0, (struct said){.term = TERM, .cancelled = cancelled});
-        r.seq++;
-        send_report(r);
+        sent.seq++;
+        send_report(sent);
         if (replied_orders("halt") != 1)
             fail_msg("a peer %s of a cancellation, and the task is not told to stop",
                      speaks_first ? "speaks" : "answers");
     }
 }
 
-static void cancellations_are_told_to_peers(void **state) {
+static void cancellations_are_sent_to_peers(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
@@ -111,8 +111,8 @@
         const char *what;
         bool changed;
         size_t most;
-    } rows[] = {{"everything has changed", true, AMB_HEARTBEAT_MAX},
-                {"nothing has", false, AMB_HEARTBEAT_MAX / 8}};
+    } rows[] = {{"everything has changed", true, AMB_HEARTBEAT_MAX_BYTES},
+                {"nothing has", false, AMB_HEARTBEAT_MAX_BYTES / 8}};
     for (uint32_t i = 0; i < 1300; i++) {
         char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%06u", i);
@@ -126,7 +126,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
             machine->images_changed = rows[i].changed;
-        char *text = amb_peer_say(node);
+        char *text = amb_peer_encode_heartbeat(node);
         size_t len = strlen(text);
         free(text);
         if (len < 1000 || len > rows[i].most) fail_msg("%s: %zu bytes", rows[i].what, len);
@@ -135,9 +135,9 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(what_a_peers_word_confirms, begin, end),
-        cmocka_unit_test_setup_teardown(peers_cancellations_are_heeded, begin, end),
-        cmocka_unit_test_setup_teardown(cancellations_are_told_to_peers, begin, end),
+        cmocka_unit_test_setup_teardown(confirmations_by_peers, begin, end),
+        cmocka_unit_test_setup_teardown(cancellations_of_peers_are_applied, begin, end),
+        cmocka_unit_test_setup_teardown(cancellations_are_sent_to_peers, begin, end),
         cmocka_unit_test_setup_teardown(cancellation_by_hint, setup, end),
         cmocka_unit_test_setup_teardown(heartbeats_fit, setup, end),
     };
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -79,7 +79,7 @@
     node->settings.lease_s = 10;
     node->settings.cancel_s = 30;
     node->settings.memory_mb = 40;
-    amb_peer_init(node);
+    amb_peer_start(node);
     return 0;
 }
 
@@ -89,7 +89,7 @@
     return 0;
 }
 
-static void receive(const char *text) {
+static void receive_heartbeat(const char *text) {
     struct amb_http_req *request = amb_alloc(sizeof *request);
     strcpy(request->method, "POST");
     strcpy(request->path, "/peer/heartbeat");
@@ -100,7 +100,7 @@
 }
 
 /* A job as the state service has it, accepted and not over. */
-static void job_comes(const char *ref, uint64_t stamp) {
+static void accept_job(const char *ref, uint64_t revision) {
     struct amb_job_spec spec = {.kind = AMB_JOB_KIND_ARRAY, .task_count = 1};
     struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
@@ -113,29 +113,30 @@
     amb_w_str(&buffer, "d");
     amb_codec_put_spec(&buffer, &spec);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply_item(node, ref, value, stamp);
+    amb_jobs_apply_item(node, ref, value, revision);
     cbor_decref(&value);
     amb_buf_free(&buffer);
 }
 
-static const char WORD[] =
+static const char STATUS_FORMAT[] =
     "{\"from\":\"%s\",\"loaded\":true,\"born\":1,\"term\":%d,\"leading\":false,\"store\":%s,"
     "\"reports_arrive\":false,\"cancelled\":[%s]}";
 
-static void say(char out[512], const char *from, int term, const char *store, const char *cancelled) {
-    snprintf(out, 512, WORD, from, term, store, cancelled);
+static void format_status(char out[512], const char *from, int term, const char *store,
+                          const char *cancelled) {
+    snprintf(out, 512, STATUS_FORMAT, from, term, store, cancelled);
 }
 
 static void a_repeated_heartbeat_counts_as_heard(void **state) {
     (void)state;
     char text[512];
-    say(text, "n1", 5, "true", "");
+    format_status(text, "n1", 5, "true", "");
     for (int i = 0; i < 3; i++) {
         now_ms += 500;
-        receive(text);
+        receive_heartbeat(text);
         assert_int_equal(last_status, 200);
-        assert_int_equal(node->peers.list[0].heard_at, now_ms);
-        assert_int_equal(node->peers.list[1].heard_at, 0);
+        assert_int_equal(node->peers.list[0].last_heard_at, now_ms);
+        assert_int_equal(node->peers.list[1].last_heard_at, 0);
     }
     assert_int_equal(node->election.highest_term, 5);
 }
@@ -149,23 +150,24 @@
     } rows[] = {{"n1", "true", 5},  {"n1", "false", 5}, {"n2", "true", 5}, {"n1", "true", 5},
                 {"n2", "false", 5}, {"n1", "true", 6},  {"n1", "true", 5}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        say(text, rows[i].from, rows[i].term, rows[i].store, "");
-        receive(text);
+        format_status(text, rows[i].from, rows[i].term, rows[i].store, "");
+        receive_heartbeat(text);
         const struct amb_peer *peer = &node->peers.list[rows[i].from[1] - '1'];
-        if (peer->store_ok != !strcmp(rows[i].store, "true") || peer->term != (uint64_t)rows[i].term)
-            fail_msg("row %zu: store %d, term %llu", i, peer->store_ok, (unsigned long long)peer->term);
+        if (peer->store_reachable != !strcmp(rows[i].store, "true") || peer->term != (uint64_t)rows[i].term)
+            fail_msg("row %zu: store %d, term %llu", i, peer->store_reachable,
+                     (unsigned long long)peer->term);
     }
 }
 
 /* Our view of a job may lie behind, and the word that it is cancelled come before: the same word again finds
  * it, and takes it for cancelled. */
-static void a_repeated_cancellation_is_heeded(void **state) {
+static void a_repeated_cancellation_is_applied(void **state) {
     (void)state;
     char text[512];
-    say(text, "n1", 5, "true", "[\"wk-000001\",1700000990000,50]");
-    receive(text);
-    job_comes("wk-000001", 40);
-    receive(text);
+    format_status(text, "n1", 5, "true", "[\"wk-000001\",1700000990000,50]");
+    receive_heartbeat(text);
+    accept_job("wk-000001", 40);
+    receive_heartbeat(text);
     const struct amb_job *job = amb_job_find(node, "wk-000001");
     assert_non_null(job);
     assert_int_equal(job->state, AMB_JOB_CANCELLED);
@@ -179,14 +181,14 @@
     node->election.term = 7;
     node->election.ttl = 3600000;
     node->election.renewed_at = now_ms;
-    say(text, "n1", 7, "true", "");
+    format_status(text, "n1", 7, "true", "");
     for (int i = 0; i < 3; i++) {
         now_ms += 500;
-        node->peers.list[0].sent_at = now_ms - 3;
+        node->peers.list[0].heartbeat_sent_at = now_ms - 3;
         assert_ptr_equal(calls[0].arg, &node->peers.list[0]);
         calls[0].done(calls[0].arg, 200, text, strlen(text));
         assert_int_equal(node->peers.list[0].confirmed_at, now_ms - 3);
-        assert_int_equal(node->peers.list[0].heard_at, now_ms);
+        assert_int_equal(node->peers.list[0].last_heard_at, now_ms);
     }
     assert_int_equal(node->peers.list[1].confirmed_at, 0);
 }
@@ -198,16 +200,16 @@
 }
 
 /* Something happens to the node that its word may or may not tell of. */
-static void drawn_change(uint64_t *stamp) {
+static void apply_drawn_change(uint64_t *revision) {
     char ref[AMB_NAME_SIZE];
     now_ms += draw(4) ? draw(700) : draw(30000);
     snprintf(ref, sizeof ref, "wk-%06u", draw(200));
     switch (draw(9)) {
-    case 0: job_comes(ref, ++*stamp); break;
+    case 0: accept_job(ref, ++*revision); break;
     case 1: /* another node's word, at times of long ago */
-        ++*stamp;
+        ++*revision;
         amb_job_apply_cancel_hint(node, ref, amb_wall_ms() - draw(2) * draw(80000),
-                                  *stamp - draw(2) * draw(20));
+                                  *revision - draw(2) * draw(20));
         break;
     case 2: node->jobs.loaded = draw(2); break;
     case 3: node->fleet.last_report_at = now_ms; break;
@@ -220,19 +222,19 @@
 }
 
 /* Answers are kept as text while they would say the same: each must be what would be made anew. */
-static void kept_answers_equal_new_ones(void **state) {
+static void cached_replies_equal_new_ones(void **state) {
     (void)state;
     char text[256];
-    uint64_t stamp = 10;
+    uint64_t revision = 10;
     uint32_t listed = 0;
     for (int i = 0; i < 4000; i++) {
-        drawn_change(&stamp);
-        uint64_t epoch = draw(3) ? draw(3) ? stamp : stamp - draw(10) : 0;
-        snprintf(text, sizeof text, "{\"from\":\"n1\",\"epoch\":%llu}", (unsigned long long)epoch);
-        json_t *question = json_loads(text, 0, NULL), *answer = amb_peer_answer(node, question);
+        apply_drawn_change(&revision);
+        uint64_t known_revision = draw(3) ? draw(3) ? revision : revision - draw(10) : 0;
+        snprintf(text, sizeof text, "{\"from\":\"n1\",\"epoch\":%llu}", (unsigned long long)known_revision);
+        json_t *question = json_loads(text, 0, NULL), *answer = amb_peer_encode_reply(node, question);
         char *want = json_dumps(answer, JSON_COMPACT);
         listed += json_array_size(json_object_get(answer, "cancelled")) > 0;
-        receive(text);
+        receive_heartbeat(text);
         if (strcmp(last_answer, want)) fail_msg("step %d: %s, not %s", i, last_answer, want);
         free(want);
         json_decref(question);
@@ -245,7 +247,7 @@
     (void)state;
     static const char *const bad[] = {"", "{", "[1]", "{}", "{\"from\":1}", "{\"from\":\"n1\""};
     for (size_t i = 0; i < ROWS(bad); i++) {
-        receive(bad[i]);
+        receive_heartbeat(bad[i]);
         if (last_status != 400) fail_msg("row %zu: %d", i, last_status);
     }
 }
@@ -254,9 +256,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(a_repeated_heartbeat_counts_as_heard, setup, teardown),
         cmocka_unit_test_setup_teardown(a_changed_heartbeat_is_read_again, setup, teardown),
-        cmocka_unit_test_setup_teardown(a_repeated_cancellation_is_heeded, setup, teardown),
+        cmocka_unit_test_setup_teardown(a_repeated_cancellation_is_applied, setup, teardown),
         cmocka_unit_test_setup_teardown(a_repeated_answer_confirms_anew, setup, teardown),
-        cmocka_unit_test_setup_teardown(kept_answers_equal_new_ones, setup, teardown),
+        cmocka_unit_test_setup_teardown(cached_replies_equal_new_ones, setup, teardown),
         cmocka_unit_test_setup_teardown(what_is_no_heartbeat_is_refused, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -3,10 +3,10 @@
 #include "json_cbor.h"
 #include "user_fixture.h"
 
-static void come(const char *ref, uint32_t tasks, uint64_t stamp) {
+static void accept_job(const char *ref, uint32_t tasks, uint64_t revision) {
     struct amb_buf value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":%s}", GOOD);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply_item(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, revision);
     cbor_decref(&item);
     amb_buf_free(&value);
     struct amb_job *job = amb_job_find(node, ref);
@@ -20,7 +20,7 @@
     node->election.role = AMB_ROLE_LEADER;
     node->settings.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
     static const char *const refs[] = {"wk-1", "wk-2", "wk-3", "wk-4"};
-    for (uint64_t i = 0; i < ROWS(refs); i++) come(refs[i], 16, ACCEPTED + i);
+    for (uint64_t i = 0; i < ROWS(refs); i++) accept_job(refs[i], 16, ACCEPTED + i);
     const bool taken[] = {true, true, false, false};
     for (size_t i = 0; i < ROWS(refs); i++) assert_int_equal(amb_job_find(node, refs[i])->active, taken[i]);
     amb_jobs_activate_unadmitted(node);
@@ -71,7 +71,7 @@
 }
 
 /* Reads of changes wait while the last requests of a second are left, so that a submission finds one. */
-static void news_leave_requests_to_users(void **state) {
+static void watches_leave_requests_to_users(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -100,7 +100,7 @@
 }
 
 /* The leader's half takes what the users' has to spare, when something of it waits; all nodes are told. */
-static void leader_borrows(void **state) {
+static void leader_borrows_tokens(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -147,7 +147,7 @@
     job->blocks[0].revision = ACCEPTED + 1;
     for (uint32_t i = 0; i < 2; i++) amb_task_mark_done(node, &job->tasks[i]);
     job->blocks[0].dirty = false;
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     struct fake_call *call = open_call(COMMIT);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
     assert_int_equal(amb_cbor_len(amb_cbor_get(body, "then")), 1);
@@ -156,14 +156,14 @@
     answer_commit(200, CHANGED);
     assert_int_equal(job->state, AMB_JOB_DONE);
     assert_true(job->active);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     answer_commit(200, CHANGED + 1);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     assert_false(job->active);
     assert_int_equal(fake_calls_sent(COMMIT), 2);
     struct amb_buf empty = cbor_from_text("{}");
     cbor_item_t *item = amb_cbor_parse(empty.data, empty.len);
-    amb_record_load(node, "b/p/wk-1/00000", item, ACCEPTED + 1);
+    amb_placement_log_restore(node, "b/p/wk-1/00000", item, ACCEPTED + 1);
     cbor_decref(&item);
     amb_buf_free(&empty);
     assert_non_null(fake_call_open(COMMIT));
@@ -172,8 +172,10 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(jobs_left_out_are_taken_up),   TEST(small_writes_do_not_pass),
-        TEST(news_leave_requests_to_users), TEST(leader_borrows),
+        TEST(jobs_left_out_are_taken_up),
+        TEST(small_writes_do_not_pass),
+        TEST(watches_leave_requests_to_users),
+        TEST(leader_borrows_tokens),
         TEST(the_end_is_one_write),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -12,7 +12,7 @@
     job->revision = 20;
     job->blocks[0].revision = 33;
     job->state = AMB_JOB_CANCELLED;
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     return open_call("POST", "/commit");
 }
 
@@ -21,14 +21,14 @@
     job->revision = 20;
     job->blocks[0].revision = 33;
     amb_task_mark_done(node, &job->tasks[0]);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     return open_call("POST", "/commit");
 }
 
 static struct fake_call *begin_removal_after_end(void) {
     answer_epoch(begin_job_end(), 61);
     fake_clock_advance(1000);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     return open_call("POST", "/commit");
 }
 
@@ -116,7 +116,7 @@
         }
         fake_clock_advance(2500);
         node->election.renewed_at = amb_now();
-        amb_record_pump(node);
+        amb_placement_log_flush(node);
         if (job->tasks[0].state != rows[i].state) fail_msg("%s: state %d", rows[i].what, job->tasks[0].state);
         struct fake_call *again = find_call("POST", "/commit");
         bool puts = again && fake_txn_put(again, BLOCK_KEY, NULL);
@@ -153,20 +153,20 @@
     struct amb_job *job = amb_job_find(node, "wk-1");
     amb_task_mark_done(node, &job->tasks[0]);
     amb_task_unbind(node, &job->tasks[0], "done");
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     if (fake_calls_open("POST", "/commit") != 1) fail_msg("the job ends while its block is being written");
     answer_epoch(block, 61);
     fake_clock_advance(1000);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     struct fake_call *ended = open_call("POST", "/commit");
     assert_non_null(fake_txn_put(ended, "a/job/wk-1", NULL));
     assert_false(fake_txn_removes(ended, BLOCK_KEY));
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     if (fake_calls_open("POST", "/commit") != 1)
         fail_msg("a block is removed before its job's end is on record");
     answer_epoch(ended, 62);
     fake_clock_advance(1000);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     struct fake_call *removal = open_call("POST", "/commit");
     assert_true(fake_txn_removes(removal, BLOCK_KEY));
     assert_int_equal(fake_txn_guard(removal, BLOCK_KEY), 61);
@@ -178,11 +178,11 @@
 /* What is recorded is what a new leader reads. */
 static void records_are_read_back(void **state) {
     (void)state;
-    uint32_t per = amb_placement_blocks_first_format_size(&node->settings);
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, per + 10);
+    uint32_t tasks_per_block = amb_placement_blocks_first_format_size(&node->settings);
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, tasks_per_block + 10);
     assert_int_equal(job->block_count, 2);
     amb_catalog_find_or_add_zone(&node->catalog, "a");
-    for (uint32_t i = 0; i < per; i++) {
+    for (uint32_t i = 0; i < tasks_per_block; i++) {
         char name[16];
         snprintf(name, sizeof name, "m-%06u", i);
         bound(job, i, name, 100000 + i);
@@ -194,7 +194,7 @@
     amb_task_unbind(node, task, "done");
     struct amb_buf buffer = {0};
     strcpy(job->blocks[0].write_id, "50-1");
-    amb_record_encode(node, &job->blocks[0], &buffer);
+    amb_placement_log_encode_block(node, &job->blocks[0], &buffer);
     assert_true(buffer.len <
                 (size_t)(node->settings.value_kb * 1024)); /* the limit holds for the fullest block */
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
@@ -202,22 +202,22 @@
     amb_fleet_clear(node);
     cbor_item_t *at = (cbor_item_t *)amb_cbor_get(item, "at");
     cbor_set_uint64(at, (uint64_t)amb_wall_ms() - 30000); /* as if written half a minute ago */
-    amb_record_load(node, "b/p/wk-1/00000", item, 77);
+    amb_placement_log_restore(node, "b/p/wk-1/00000", item, 77);
     cbor_decref(&item);
     amb_ms known = amb_now() - amb_machine_get(node, "m-000000", false)->first_known_at;
     assert_true(known >= 30000 && known < 60000);
     amb_buf_free(&buffer);
     assert_true(job->active);
     assert_int_equal(job->blocks[0].revision, 77);
-    assert_int_equal(job->bound_count, per - 1);
+    assert_int_equal(job->bound_count, tasks_per_block - 1);
     assert_int_equal(job->done_count, 1);
     assert_true(job->tasks[3].done && job->tasks[3].done_durable);
-    assert_string_equal(job->tasks[per - 1].machine->name,
-                        amb_machine_get(node, job->tasks[per - 1].machine->name, false)->name);
+    assert_string_equal(job->tasks[tasks_per_block - 1].machine->name,
+                        amb_machine_get(node, job->tasks[tasks_per_block - 1].machine->name, false)->name);
     assert_int_equal(job->tasks[5].attempt, 100005);
     assert_int_equal(job->tasks[5].machine->type_index, 0);
     assert_true(job->tasks[5].inherited);
-    assert_int_equal(job->zone_task_counts[0], per - 1);
+    assert_int_equal(job->zone_task_counts[0], tasks_per_block - 1);
 }
 
 static void damaged_records_do_no_harm(void **state) {
@@ -234,9 +234,9 @@
         amb_w_str(&buffer, "d");
         amb_w_str(&buffer, texts[i]);
         cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-        amb_record_load(node, "b/p/wk-1/00000", item, i + 1);
-        amb_record_load(node, "b/p/wk-1/99999", item, i + 1);
-        amb_record_load(node, "b/p/wk-1", item, i + 1);
+        amb_placement_log_restore(node, "b/p/wk-1/00000", item, i + 1);
+        amb_placement_log_restore(node, "b/p/wk-1/99999", item, i + 1);
+        amb_placement_log_restore(node, "b/p/wk-1", item, i + 1);
         cbor_decref(&item);
         amb_buf_free(&buffer);
     }
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -20,7 +20,7 @@
 
 /* ---- a leader ---- */
 
-static void put_text(const char *key, const char *field, uint64_t number) {
+static void put_number(const char *key, const char *field, uint64_t number) {
     struct amb_buf value = {0};
     amb_w_map(&value, 1);
     amb_w_str(&value, field);
@@ -30,10 +30,10 @@
 }
 
 /* A fresh process has won the lead and read all there is. */
-static void lead(double value_kb, double lowered_kb) {
+static void start_leader(double value_kb, double lowered_kb) {
     fake_http_reset();
     setup(NULL);
-    put_text("a/leader", "nonce", 1);
+    put_number("a/leader", "nonce", 1);
     node->election.term = fake_state_stamp("a/leader");
     node->election.ttl = 3600000000;
     node->election.renewed_at = amb_now();
@@ -54,7 +54,7 @@
 }
 
 /* The process ends; calls that are open get this fate. */
-static void end_leader(enum fake_fate fate) {
+static void stop_leader(enum fake_fate fate) {
     node->election.role = AMB_ROLE_FOLLOWER;
     do {
         while (fake_state_serve(fate)) continue;
@@ -71,8 +71,8 @@
     fake_clock_reset();
     fake_state_reset();
     fake_state_limits((struct fake_state_limits){.value_kb = VALUE_KB});
-    put_text(JOB_KEY, "a", 1);
-    lead(VALUE_KB, LOWERED_KB);
+    put_number(JOB_KEY, "a", 1);
+    start_leader(VALUE_KB, LOWERED_KB);
 }
 
 static struct amb_machine *machine(uint32_t i) {
@@ -107,10 +107,10 @@
     place(i, i + 1, 3);
 }
 
-static void pump(void) {
+static void flush(void) {
     if (fake_state_value(FORMAT_KEY)) amb_format_apply_key(node, fake_state_value(FORMAT_KEY)); /* news */
     amb_format_tick(node, amb_now());
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
 }
 
 /* ---- what a successor must know ---- */
@@ -125,7 +125,7 @@
 static struct known known[TASKS];
 static uint64_t bound_attempts; /* higher than any that may have been ordered */
 
-static void remember(void) {
+static void remember_state(void) {
     bound_attempts = 0;
     for (uint32_t i = 0; i < TASKS; i++) {
         const struct amb_task *task = &job->tasks[i];
@@ -141,15 +141,17 @@
 static void check_known(const char *what, size_t when) {
     for (uint32_t i = 0; i < TASKS; i++) {
         const struct amb_task *task = &job->tasks[i];
-        const struct known *k = &known[i];
-        bool there = task->machine && !strcmp(task->machine->name, k->machine) && task->attempt == k->attempt;
-        if (k->done_saved && !task->done) fail_msg("%s, end %zu: task %u: its result is gone", what, when, i);
-        if (!k->done && task->done) fail_msg("%s, end %zu: task %u: never done", what, when, i);
-        if (k->state >= AMB_TASK_BOUND && k->machine[0] && !k->done && !there)
+        const struct known *expected = &known[i];
+        bool there = task->machine && !strcmp(task->machine->name, expected->machine) &&
+                     task->attempt == expected->attempt;
+        if (expected->done_saved && !task->done)
+            fail_msg("%s, end %zu: task %u: its result is gone", what, when, i);
+        if (!expected->done && task->done) fail_msg("%s, end %zu: task %u: never done", what, when, i);
+        if (expected->state >= AMB_TASK_BOUND && expected->machine[0] && !expected->done && !there)
             fail_msg("%s, end %zu: task %u: on %s by attempt %llu, known on %s by %llu", what, when, i,
-                     k->machine, (unsigned long long)k->attempt, task->machine ? task->machine->name : "none",
-                     (unsigned long long)task->attempt);
-        if (k->state == AMB_TASK_WAITING && !k->attempt && task->machine)
+                     expected->machine, (unsigned long long)expected->attempt,
+                     task->machine ? task->machine->name : "none", (unsigned long long)task->attempt);
+        if (expected->state == AMB_TASK_WAITING && !expected->attempt && task->machine)
             fail_msg("%s, end %zu: task %u: never placed", what, when, i);
     }
     if (job->next_attempt < bound_attempts) fail_msg("%s, end %zu: attempts would be used again", what, when);
@@ -163,7 +165,7 @@
             finish(0, TASKS);
             place(0, TASKS, 1);
         }
-        pump();
+        flush();
         while (fake_state_serve(FAKE_CARRIED_OUT)) continue;
         fake_clock_advance(2500);
         fake_state_refill();
@@ -184,11 +186,11 @@
     const char *machines;
 };
 
-static void phase_begins(const struct day *day, int phase) {
+static void begin_phase(const struct day *day, int phase) {
     switch (phase) {
     case 0: place(0, 150, 0); break;
     case 1:
-        if (day->written) put_text(FORMAT_KEY, "format", 2);
+        if (day->written) put_number(FORMAT_KEY, "format", 2);
         if (day->lowered)
             fake_state_limits((struct fake_state_limits){LOWERED_KB, .txn_ops = 4, .burst = day->burst});
         place(190, 192, 0);
@@ -209,28 +211,28 @@
     }
 }
 
-struct odd { /* transactions, and reads, that are not just carried out and answered */
+struct fault { /* transactions, and reads, that are not just carried out and answered */
     size_t at, count;
     enum fake_fate fate;
     size_t late_at; /* when what was kept is carried out */
 };
 
-static enum fake_fate fate_of(size_t served, const struct odd *odd) {
-    return odd && served >= odd->at && served - odd->at < odd->count ? odd->fate : FAKE_CARRIED_OUT;
+static enum fake_fate fate_of(size_t served, const struct fault *fault) {
+    return fault && served >= fault->at && served - fault->at < fault->count ? fault->fate : FAKE_CARRIED_OUT;
 }
 
 /* Until `stop` transactions and reads have been served; how many were. */
-static size_t play(const struct day *day, size_t stop, const struct odd *odd) {
+static size_t play(const struct day *day, size_t stop, const struct fault *fault) {
     size_t served = 0, refused, carried_out;
     for (int phase = 0; phase < PHASES; phase++) {
-        phase_begins(day, phase);
+        begin_phase(day, phase);
         for (int turn = 0; turn < TURNS; turn++) {
-            pump();
+            flush();
             while (fake_call_open("/")) {
                 if (served == stop) return served;
-                fake_state_serve(fate_of(served, odd));
+                fake_state_serve(fate_of(served, fault));
                 served++;
-                if (odd && served == odd->late_at) fake_state_late(&refused, &carried_out);
+                if (fault && served == fault->late_at) fake_state_late(&refused, &carried_out);
             }
             fake_clock_advance(2500);
             fake_state_refill();
@@ -258,26 +260,27 @@
 static void leader_ends_at_any_time(void **state) {
     (void)state;
     static const enum fake_fate fates[] = {FAKE_REQUEST_LOST, FAKE_ANSWER_LOST, FAKE_CARRIED_OUT_LATE};
-    for (size_t d = 0; d < ROWS(days); d++) {
-        machine_names = days[d].machines;
-        for (size_t f = 0; f < ROWS(fates); f++) {
+    for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
+        machine_names = days[day_index].machines;
+        for (size_t fate_index = 0; fate_index < ROWS(fates); fate_index++) {
             size_t stop = 0, served;
             do {
                 begin();
-                served = play(&days[d], stop, NULL);
-                remember();
-                end_leader(fates[f]);
-                lead(VALUE_KB, LOWERED_KB);
+                served = play(&days[day_index], stop, NULL);
+                remember_state();
+                stop_leader(fates[fate_index]);
+                start_leader(VALUE_KB, LOWERED_KB);
                 size_t refused, carried_out;
                 fake_state_late(&refused, &carried_out);
                 if (carried_out)
-                    fail_msg("%s, end %zu: a late transaction is carried out", days[d].what, stop);
-                check_known(days[d].what, stop);
-                if (days[d].written) node->peers.list[0].format = AMB_FORMAT_2; /* if it was not yet */
-                run_to_the_end(days[d].what, stop);
-                end_leader(FAKE_REQUEST_LOST);
+                    fail_msg("%s, end %zu: a late transaction is carried out", days[day_index].what, stop);
+                check_known(days[day_index].what, stop);
+                if (days[day_index].written)
+                    node->peers.list[0].format = AMB_FORMAT_2; /* if it was not yet */
+                run_to_the_end(days[day_index].what, stop);
+                stop_leader(FAKE_REQUEST_LOST);
             } while (served == stop++);
-            if (stop < 8) fail_msg("%s: over after %zu transactions", days[d].what, stop);
+            if (stop < 8) fail_msg("%s: over after %zu transactions", days[day_index].what, stop);
         }
     }
 }
@@ -296,25 +299,26 @@
         {FAKE_CARRIED_OUT_LATE, 12, 12},    {FAKE_CARRIED_OUT_LATE, 12, 16}, {FAKE_CARRIED_OUT_LATE, 12, 24},
         {FAKE_CARRIED_OUT_LATE, 12, NEVER},
     };
-    for (size_t d = 0; d < ROWS(days); d++) {
-        machine_names = days[d].machines;
-        for (size_t r = 0; r < ROWS(rows); r++) {
+    for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
+        machine_names = days[day_index].machines;
+        for (size_t row_index = 0; row_index < ROWS(rows); row_index++) {
             size_t served = NEVER;
             for (size_t at = 0; at < served; at++) {
-                const struct odd odd = {at, rows[r].count, rows[r].fate, at + rows[r].later};
+                const struct fault fault = {at, rows[row_index].count, rows[row_index].fate,
+                                            at + rows[row_index].later};
                 for (int stays = 0; stays < 2; stays++) {
                     begin();
-                    served = play(&days[d], NEVER, &odd);
+                    served = play(&days[day_index], NEVER, &fault);
                     size_t refused, carried_out;
                     fake_state_late(&refused, &carried_out);
                     if (!stays) {
-                        remember();
-                        end_leader(FAKE_REQUEST_LOST);
-                        lead(VALUE_KB, LOWERED_KB);
-                        check_known(days[d].what, at);
+                        remember_state();
+                        stop_leader(FAKE_REQUEST_LOST);
+                        start_leader(VALUE_KB, LOWERED_KB);
+                        check_known(days[day_index].what, at);
                     }
-                    run_to_the_end(days[d].what, at);
-                    end_leader(FAKE_REQUEST_LOST);
+                    run_to_the_end(days[day_index].what, at);
+                    stop_leader(FAKE_REQUEST_LOST);
                 }
             }
         }
@@ -333,36 +337,37 @@
         {2, 6, true, false, true},    {1, 6, false, true, true},   {2, 6, true, true, true},
         {1, 12, false, false, false}, {0, 32, true, false, false},
     };
-    for (size_t d = 0; d < ROWS(days); d++) {
-        machine_names = days[d].machines;
+    for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
+        machine_names = days[day_index].machines;
         begin();
-        play(&days[d], NEVER, NULL);
-        const char *what = days[d].what;
+        play(&days[day_index], NEVER, NULL);
+        const char *what = days[day_index].what;
         size_t old = fake_state_count("b/p/"), new = fake_state_count("b/n/");
-        if (old != want[d].old_blocks || new != want[d].new_blocks)
+        if (old != want[day_index].old_blocks || new != want[day_index].new_blocks)
             fail_msg("%s: %zu old blocks, %zu new ones", what, old, new);
-        if ((fake_state_answers(400) > 0) != want[d].sizes_refused)
+        if ((fake_state_answers(400) > 0) != want[day_index].sizes_refused)
             fail_msg("%s: %zu refused for their size", what, fake_state_answers(400));
-        if ((fake_state_answers(429) > 0) != want[d].rates_refused)
+        if ((fake_state_answers(429) > 0) != want[day_index].rates_refused)
             fail_msg("%s: %zu refused for their rate", what, fake_state_answers(429));
-        if (node->store.limits_lowered != want[d].lowered) fail_msg("%s: limits lowered", what);
-        if (node->store.writes_per_second != (want[d].lowered ? 2000 : 3000))
+        if (node->store.limits_lowered != want[day_index].lowered) fail_msg("%s: limits lowered", what);
+        if (node->store.writes_per_second != (want[day_index].lowered ? 2000 : 3000))
             fail_msg("%s: %g changes a second", what, node->store.writes_per_second);
         if (fake_state_answers(409)) fail_msg("%s: a guard failed", what);
         if (node->election.role != AMB_ROLE_LEADER) fail_msg("%s: the lead was given up", what);
         for (uint32_t i = 0; i < TASKS; i++)
             if (job->tasks[i].state == AMB_TASK_PLACED) fail_msg("%s: task %u is not recorded", what, i);
-        end_leader(FAKE_REQUEST_LOST);
+        stop_leader(FAKE_REQUEST_LOST);
     }
 }
 
 static void put_block(const char *key, const char *placed, const char *done) {
-    struct amb_block_text text = {0};
+    struct amb_placement_block_text text = {0};
     struct amb_buf value = {0};
     amb_buf_str(&text.placed, placed);
-    amb_buf_str(&text.done, done);
-    const struct amb_block_head head = {.write_id = "1-1", .next_attempt = 10, .catalog = &node->catalog};
-    amb_layout_value(&value, &head, &text);
+    amb_buf_str(&text.completed, done);
+    const struct amb_placement_block_header head = {
+        .write_id = "1-1", .next_attempt = 10, .catalog = &node->catalog};
+    amb_placement_block_encode(&value, &head, &text);
     fake_state_put(key, &value);
     amb_buf_free(&value);
 }
@@ -402,29 +407,32 @@
          "0@m-1/1 199@m-1/1 "},
     };
     begin();
-    end_leader(FAKE_REQUEST_LOST);
+    stop_leader(FAKE_REQUEST_LOST);
     for (size_t i = 0; i < ROWS(rows); i++) {
         fake_state_reset();
-        put_text(JOB_KEY, "a", 1);
-        put_text(FORMAT_KEY, "format", 2);
+        put_number(JOB_KEY, "a", 1);
+        put_number(FORMAT_KEY, "format", 2);
         setup(NULL);
-        for (size_t b = 0; b < ROWS(rows[i].blocks) && rows[i].blocks[b].key; b++)
-            put_block(rows[i].blocks[b].key, rows[i].blocks[b].placed, rows[i].blocks[b].done);
+        for (size_t block_index = 0; block_index < ROWS(rows[i].blocks) && rows[i].blocks[block_index].key;
+             block_index++)
+            put_block(rows[i].blocks[block_index].key, rows[i].blocks[block_index].placed,
+                      rows[i].blocks[block_index].done);
         teardown(NULL);
-        lead(VALUE_KB, LOWERED_KB);
+        start_leader(VALUE_KB, LOWERED_KB);
         struct amb_buf got = {0};
-        for (uint32_t t = 0; t < TASKS; t++) {
-            const struct amb_task *task = &job->tasks[t];
-            if (task->done) amb_buf_fmt(&got, "%u! ", t);
+        for (uint32_t task_index = 0; task_index < TASKS; task_index++) {
+            const struct amb_task *task = &job->tasks[task_index];
+            if (task->done) amb_buf_fmt(&got, "%u! ", task_index);
             if (task->machine)
-                amb_buf_fmt(&got, "%u@%s/%llu ", t, task->machine->name, (unsigned long long)task->attempt);
+                amb_buf_fmt(&got, "%u@%s/%llu ", task_index, task->machine->name,
+                            (unsigned long long)task->attempt);
         }
         amb_buf_add(&got, "", 1);
         if (strcmp(got.data, rows[i].want)) fail_msg("%s: %s", rows[i].what, got.data);
         assert_int_equal(job->next_attempt, 10);
         amb_buf_free(&got);
         run_to_the_end(rows[i].what, i);
-        end_leader(FAKE_REQUEST_LOST);
+        stop_leader(FAKE_REQUEST_LOST);
     }
 }
 
@@ -468,7 +476,7 @@
         if (status != rows[i].status) fail_msg("%s: told %d", rows[i].what, status);
         if (node->store.limits_lowered != rows[i].lowered) fail_msg("%s", rows[i].what);
         if (node->formats.upgrade_complete) fail_msg("%s: the upgrade is taken as over", rows[i].what);
-        end_leader(FAKE_REQUEST_LOST);
+        stop_leader(FAKE_REQUEST_LOST);
     }
 }
 
@@ -485,25 +493,26 @@
     machine_names = "m-%06u";
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        end_leader(FAKE_REQUEST_LOST);
+        stop_leader(FAKE_REQUEST_LOST);
         fake_state_limits((struct fake_state_limits){.value_kb = 16});
-        lead(rows[i].written_kb, 0);
+        start_leader(rows[i].written_kb, 0);
         place(0, TASKS, 0);
-        pump();
+        flush();
         while (fake_state_serve(FAKE_CARRIED_OUT)) continue;
-        uint32_t per = amb_layout_tasks_per_block(AMB_LAYOUT_BY_SETTINGS, rows[i].written_kb);
-        assert_int_equal(fake_state_count("b/p/"), (TASKS + per - 1) / per);
+        uint32_t tasks_per_block = amb_placement_block_capacity(AMB_LAYOUT_BY_SETTINGS, rows[i].written_kb);
+        assert_int_equal(fake_state_count("b/p/"), (TASKS + tasks_per_block - 1) / tasks_per_block);
         assert_int_equal(fake_state_count("b/n/"), 0);
-        remember();
-        end_leader(FAKE_REQUEST_LOST);
-        if (rows[i].second_format) put_text(FORMAT_KEY, "format", 2);
+        remember_state();
+        stop_leader(FAKE_REQUEST_LOST);
+        if (rows[i].second_format) put_number(FORMAT_KEY, "format", 2);
         fake_state_limits((struct fake_state_limits){.value_kb = rows[i].lowered_kb});
-        lead(rows[i].read_kb, rows[i].lowered_kb);
+        start_leader(rows[i].read_kb, rows[i].lowered_kb);
         check_known("old blocks", i);
-        for (uint32_t t = 0; t < TASKS; t++) assert_int_equal(job->tasks[t].state, AMB_TASK_BOUND);
+        for (uint32_t task_index = 0; task_index < TASKS; task_index++)
+            assert_int_equal(job->tasks[task_index].state, AMB_TASK_BOUND);
         run_to_the_end("old blocks", i);
         if (fake_state_answers(400)) fail_msg("row %zu: %zu refused", i, fake_state_answers(400));
-        end_leader(FAKE_REQUEST_LOST);
+        stop_leader(FAKE_REQUEST_LOST);
     }
 }
 
@@ -515,8 +524,8 @@
     play(&day, NEVER, NULL);
     assert_true(fake_state_count("b/n/") > 0);
     assert_int_equal(fake_state_count("b/p/"), 1);
-    end_leader(FAKE_REQUEST_LOST);
-    lead(VALUE_KB, LOWERED_KB);
+    stop_leader(FAKE_REQUEST_LOST);
+    start_leader(VALUE_KB, LOWERED_KB);
     uint64_t moved = job->tasks[60].attempt;
     amb_job_deactivate(node, job);
     amb_fleet_clear(node);
@@ -529,11 +538,11 @@
     assert_int_equal(job->tasks[60].attempt, 61); /* as the old block says */
     assert_true(moved > 61);
     place(161, 163, 0);
-    pump();
+    flush();
     struct fake_call *commit = fake_call_open("/commit");
     assert_non_null(commit);
     assert_non_null(fake_txn_put(commit, "b/p/wk-1/00000", NULL));
-    end_leader(FAKE_REQUEST_LOST);
+    stop_leader(FAKE_REQUEST_LOST);
 }
 
 int main(void) {
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -178,7 +178,7 @@
     for (const char *at = text(said, "p"); (at = strchr(at, ';')); at++) parts++;
     assert_int_equal(placed, parts);
     struct amb_buf written = {0};
-    amb_record_encode(node, &job->blocks[index], &written);
+    amb_placement_log_encode_block(node, &job->blocks[index], &written);
     json_t *again = json_of(&written);
     /* When, and which write it was. */
     json_object_set(again, "at", json_object_get(said, "at"));
@@ -201,7 +201,7 @@
     know_types_and_zones();
     add_job(ref, AMB_JOB_KIND_ARRAY, JOB_TASKS);
     cbor_item_t *value = value_of(sample);
-    amb_record_load(node, key_of(sample), value, 50);
+    amb_placement_log_restore(node, key_of(sample), value, 50);
     check_block(key_of(sample), json_object_get(sample, "value"));
     cbor_decref(&value);
 }
@@ -285,11 +285,12 @@
         size_t i, k;
         json_array_foreach(list, i, said) {
             peer->format = AMB_FORMAT_UNKNOWN;
-            amb_peer_heard(node, peer, said, 0);
+            amb_peer_apply_message(node, peer, said, 0);
             assert_int_equal(peer->term, whole(said, "term"));
-            assert_int_equal(peer->leading, json_is_true(json_object_get(said, "leading")));
-            assert_int_equal(peer->store_ok, json_is_true(json_object_get(said, "store")));
-            assert_int_equal(peer->reports_arrive, json_is_true(json_object_get(said, "reports_arrive")));
+            assert_int_equal(peer->is_leader, json_is_true(json_object_get(said, "leading")));
+            assert_int_equal(peer->store_reachable, json_is_true(json_object_get(said, "store")));
+            assert_int_equal(peer->receives_agent_heartbeats,
+                             json_is_true(json_object_get(said, "reports_arrive")));
             assert_int_equal(peer->format, AMB_FORMAT_1); /* it announces nothing */
             json_array_foreach(json_object_get(said, "cancelled"), k, row) {
                 const struct amb_job *job = amb_job_find(node, json_string_value(json_array_get(row, 0)));
--- a/tests/support/bare_node.c
+++ b/tests/support/bare_node.c
@@ -23,11 +23,11 @@
 
 void bare_node_free(struct amb_node *node) {
     free_jobs(node);
-    amb_timer_stop(&node->peers.timer);
+    amb_timer_stop(&node->peers.heartbeat_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_pipelines_clear(node);
     amb_machines_forget_removed(node);
-    amb_peer_forget(node);
+    amb_peer_clear_cached_messages(node);
     amb_cancellations_free(&node->jobs.cancellations);
     free(node);
 }
--- a/tests/support/fake_state.c
+++ b/tests/support/fake_state.c
@@ -265,6 +265,6 @@
     const char *name;
     for (size_t i = 0; (name = fake_state_key("b/", i)); i++) {
         const struct key *key = find(name);
-        amb_record_load(node, key->name, key->value, key->stamp);
+        amb_placement_log_restore(node, key->name, key->value, key->stamp);
     }
 }
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -278,7 +278,7 @@
 }
 
 void ask_peers(void) {
-    amb_peer_init(node);
+    amb_peer_start(node);
 }
 
 /* ---- records ---- */
@@ -291,6 +291,6 @@
     struct amb_task *task = bound(job, 0, "m-1", 1);
     task->state = AMB_TASK_PLACED;
     amb_placement_block_mark_dirty(node, task, true);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     return open_call("POST", "/commit");
 }
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -329,7 +329,7 @@
     struct amb_job *job = amb_job_find(node, job_name(letter));
     assert_true(job && job->active);
     for (uint32_t i = 0; i < job->spec->task_count; i++) amb_task_mark_done(node, &job->tasks[i]);
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     settle();
 }
 
