--- a/bench/case_round.c
+++ b/bench/case_round.c
@@ -13,10 +13,10 @@
 }
 
 static void play(struct amb_node *node, bool plan) {
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    amb_round_admit(cycle);
-    if (plan) amb_plan(cycle);
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    amb_cycle_admit(cycle);
+    if (plan) amb_capacity_plan_run(cycle);
+    amb_cycle_free(cycle);
 }
 
 static void round_only(void *input) {
@@ -28,7 +28,7 @@
 }
 
 static void look_only(void *input) { /* the round's view of the world, made and freed */
-    amb_round_free(amb_round_new(input, amb_now()));
+    amb_cycle_free(amb_cycle_new(input, amb_now()));
 }
 
 static const struct bench_case cases[] = {
--- a/bench/waits.c
+++ b/bench/waits.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum kind { REPORT_AT_ONCE, REPORT_KEPT, SUBMISSION, RENEWAL, KINDS };
+enum scale_out_choice { REPORT_AT_ONCE, REPORT_KEPT, SUBMISSION, RENEWAL, KINDS };
 static const char *const kind_names[KINDS] = {
     "report to answer, given at once",
     "report to answer, kept until there is something to say",
@@ -28,7 +28,7 @@
 };
 static struct minute minutes[KINDS][MINUTES];
 
-static void add(enum kind kind, double second, double wait_ms) {
+static void add(enum scale_out_choice kind, double second, double wait_ms) {
     size_t index = (size_t)(second / SECONDS_PER_MINUTE);
     if (second < 0 || index >= MINUTES) return;
     struct minute *minute = &minutes[kind][index];
@@ -63,7 +63,7 @@
         add(RENEWAL, second, wait_ms);
 }
 
-static const struct minute *worst_of(enum kind kind) {
+static const struct minute *worst_of(enum scale_out_choice kind) {
     const struct minute *worst = NULL;
     for (int i = 0; i < MINUTES; i++) {
         const struct minute *minute = &minutes[kind][i];
@@ -73,7 +73,7 @@
     return worst;
 }
 
-static void print_kind(enum kind kind) {
+static void print_kind(enum scale_out_choice kind) {
     const struct minute *worst = worst_of(kind);
     double all = 0, below = 0;
     for (int i = 0; i < MINUTES; i++) all += minutes[kind][i].count;
@@ -95,6 +95,6 @@
 int main(void) {
     char line[4096];
     while (fgets(line, sizeof line, stdin)) read_line(line);
-    for (int kind = 0; kind < KINDS; kind++) print_kind((enum kind)kind);
+    for (int kind = 0; kind < KINDS; kind++) print_kind((enum scale_out_choice)kind);
     return 0;
 }
--- a/bench/world.c
+++ b/bench/world.c
@@ -403,7 +403,7 @@
     node->election.term = node->election.highest_term = WORLD_TERM;
     node->election.ttl = node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
-    amb_controller_lead(node);
+    amb_controller_start_leading(node);
 }
 
 /* As after a heartbeat that told all other nodes. */
@@ -440,6 +440,6 @@
 }
 
 void world_free(struct amb_node *node) {
-    amb_controller_stop(node, "the benchmark is over");
+    amb_controller_stop_leading(node, "the benchmark is over");
     bare_node_free(node);
 }
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -60,8 +60,8 @@
 
 /* The events of the node's modules come to the controller: once, before anything else is done with it. */
 void amb_controller_attach(struct amb_node *node);
-void amb_controller_lead(struct amb_node *node);
-void amb_controller_stop(struct amb_node *node, const char *cause);
+void amb_controller_start_leading(struct amb_node *node);
+void amb_controller_stop_leading(struct amb_node *node, const char *cause);
 
 struct amb_node {
     struct amb_settings settings;
@@ -84,6 +84,6 @@
     amb_event_handler on_event;
 };
 
-int amb_node_start(struct amb_node *node, char *err, size_t cap);
+int amb_node_start(struct amb_node *node, char *err, size_t err_size);
 
 #endif
--- a/include/amberpin/scheduler/capacity_plan.h
+++ b/include/amberpin/scheduler/capacity_plan.h
@@ -5,7 +5,8 @@
 
 #include "amberpin/scheduler/cycle.h"
 
-void amb_plan(struct amb_round *cycle);
-void amb_plan_demand(struct amb_node *node, struct amb_job *job); /* a job of its class has come */
+void amb_capacity_plan_run(struct amb_cycle *cycle);
+void amb_capacity_plan_note_demand(struct amb_node *node,
+                                   struct amb_job *job); /* a job of its class has come */
 
 #endif
--- a/include/amberpin/scheduler/start_deadline.h
+++ b/include/amberpin/scheduler/start_deadline.h
@@ -5,11 +5,12 @@
 #include "amberpin/node/node.h"
 
 /* The soonest that the job's class is to start; NULL: nobody waits for its start. */
-const struct amb_objective *amb_start_objective(const struct amb_node *node, const struct amb_job_spec *spec);
+const struct amb_objective *amb_start_find_objective(const struct amb_node *node,
+                                                     const struct amb_job_spec *spec);
 /* Is it batch work of a team that is guaranteed nothing, while others are? It uses what they leave idle. */
-bool amb_job_opportunistic(const struct amb_job *job);
+bool amb_job_is_opportunistic(const struct amb_job *job);
 /* May it still wait for room that frees itself, and be done in time? Batch work ends all the time, while a
  * rented machine is paid for while it boots. */
-bool amb_start_can_wait(const struct amb_node *node, const struct amb_job *job);
+bool amb_start_can_wait_for_capacity(const struct amb_node *node, const struct amb_job *job);
 
 #endif
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -148,11 +148,12 @@
     const struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
     if (is_gang(job) || machine->type_index < 0 || machine->zone_index < 0) return false;
-    if (!amb_wdrr_within_limit(job->team, &job->spec->task_resources, 0)) return false;
+    if (!amb_wdrr_is_within_limit(job->team, &job->spec->task_resources, 0)) return false;
     if (!amb_resources_fit(&machine->used, &node->catalog.types[machine->type_index].resources)) return false;
-    uint32_t in_zone =
-        job->zone_task_counts[machine->zone_index] + amb_job_tasks_in_unknown_zones(job); /* at most */
-    if (job->spec->spread_zones && in_zone > amb_place_spread_most(job->spec->task_count)) return false;
+    uint32_t in_zone = job->zone_task_counts[machine->zone_index] +
+                       amb_placement_count_tasks_in_unknown_zones(job); /* at most */
+    if (job->spec->spread_zones && in_zone > amb_placement_max_tasks_per_zone(job->spec->task_count))
+        return false;
     return !job->spec->one_zone || job->zone_task_counts[machine->zone_index] == job->bound_count;
 }
 
--- a/lib/api/admission.c
+++ b/lib/api/admission.c
@@ -30,8 +30,8 @@
     if (!team) return AMB_NEVER_RUNS;
     struct amb_team empty = *team;
     memset(&empty.used, 0, sizeof empty.used);
-    if (!amb_wdrr_within_limit(&empty, &spec->task_resources,
-                               spec->kind == AMB_JOB_KIND_ARRAY ? 1 : spec->task_count))
+    if (!amb_wdrr_is_within_limit(&empty, &spec->task_resources,
+                                  spec->kind == AMB_JOB_KIND_ARRAY ? 1 : spec->task_count))
         return AMB_NEVER_RUNS;
     if (!node->cloud.catalog_known) return AMB_UNDECIDED;
     uint32_t zones = zones_that_fit(node, spec);
--- a/lib/placement/bin_packing.c
+++ b/lib/placement/bin_packing.c
@@ -4,11 +4,11 @@
 #include <math.h>
 #include <string.h>
 
-uint32_t amb_place_spread_most(uint32_t tasks) {
+uint32_t amb_placement_max_tasks_per_zone(uint32_t tasks) {
     return (tasks + 1) / 2;
 }
 
-uint32_t amb_job_tasks_in_unknown_zones(const struct amb_job *job) {
+uint32_t amb_placement_count_tasks_in_unknown_zones(const struct amb_job *job) {
     uint32_t known = 0;
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) known += job->zone_task_counts[zone];
     return job->bound_count > known ? job->bound_count - known
@@ -18,60 +18,65 @@
 /* A start in time is what counts: of two machines that are both too slow, the faster one is hardly better,
  * and of two that are both fast enough neither. (When only the share of the time was weighed, 9 s and 19 s of
  * 10 s came out alike, and services went to where they would surely start late.) */
-double amb_place_late(double fetch_s, double within_s, double slack_s) {
+double amb_placement_start_risk(double fetch_s, double within_s, double slack_s) {
     /* The protocol: give or take a third. */
-    const double spread = 1.0 / 3, chance_part = 0.85;
+    const double fetch_spread = 1.0 / 3, chance_weight = 0.85;
     if (fetch_s <= 0 || within_s <= 0) return 0;
     double share = fmin(1, fetch_s / within_s);
     if (slack_s < 0) return share;
-    double chance = ((within_s - slack_s) / fetch_s - (1 - spread)) / (2 * spread);
-    return chance_part * (1 - fmax(0, fmin(1, chance))) + (1 - chance_part) * share;
+    double chance_in_time = ((within_s - slack_s) / fetch_s - (1 - fetch_spread)) / (2 * fetch_spread);
+    return chance_weight * (1 - fmax(0, fmin(1, chance_in_time))) + (1 - chance_weight) * share;
 }
 
 /* Work of lower priority makes way when the expected work comes; other batch work stays clear of it. So does
  * opportunistic work, since making way takes time. (Gangs to be started within 25 s, 20 of which their image
  * took, were 4 s late on machines that a guest's idle-time work had filled.) */
-static bool kept_from(const struct amb_wish *request, const struct amb_slot *slot) {
-    if (!request->patient || slot->kept_for < 0) return false;
-    return request->opportunistic || (int)request->priority >= slot->kept_for;
+static bool is_reserved_against(const struct amb_placement_request *request, const struct amb_slot *slot) {
+    if (!request->deferrable || slot->reserved_priority < 0) return false;
+    return request->opportunistic || (int)request->priority >= slot->reserved_priority;
 }
 
-struct amb_resources amb_place_room(const struct amb_slot *slot, bool soon) {
-    struct amb_resources room = slot->room;
-    if (soon) amb_resources_add(&room, &slot->soon, 1);
-    return room;
+struct amb_resources amb_placement_available(const struct amb_slot *slot, bool include_releasing) {
+    struct amb_resources available = slot->available;
+    if (include_releasing) amb_resources_add(&available, &slot->releasing_soon, 1);
+    return available;
 }
 
-bool amb_place_zone_allowed(const struct amb_wish *request, int zone) {
+bool amb_placement_is_zone_allowed(const struct amb_placement_request *request, int zone) {
     if (request->zone >= 0 && request->zone != zone) return false;
-    if (request->zones_barred >> zone & 1) return false;
-    return !request->zone_most || request->zone_used[zone] < request->zone_most;
+    if (request->excluded_zones >> zone & 1) return false;
+    return !request->max_tasks_per_zone || request->tasks_by_zone[zone] < request->max_tasks_per_zone;
 }
 
-bool amb_place_allowed_in_any_zone(const struct amb_wish *request, const struct amb_slot *slot) {
+bool amb_placement_is_allowed_ignoring_zone(const struct amb_placement_request *request,
+                                            const struct amb_slot *slot) {
     if (!slot->usable || slot->type < 0 || slot->zone < 0) return false;
     if (!(request->type_mask >> slot->type & 1)) return false;
-    if (slot->spot && !request->spot) return false;
-    if (request->can_wait && kept_from(request, slot)) return false;
-    return !slot->claimed || (!request->patient && (int)request->priority >= slot->kept_for);
+    if (slot->spot && !request->spot_allowed) return false;
+    if (request->can_wait && is_reserved_against(request, slot)) return false;
+    return !slot->claimed_by_gang ||
+           (!request->deferrable && (int)request->priority >= slot->reserved_priority);
 }
 
-bool amb_place_allowed(const struct amb_wish *request, const struct amb_slot *slot) {
-    return amb_place_allowed_in_any_zone(request, slot) && amb_place_zone_allowed(request, slot->zone);
+bool amb_placement_is_allowed(const struct amb_placement_request *request, const struct amb_slot *slot) {
+    return amb_placement_is_allowed_ignoring_zone(request, slot) &&
+           amb_placement_is_zone_allowed(request, slot->zone);
 }
 
-bool amb_place_fits(const struct amb_wish *request, const struct amb_slot *slot, bool soon) {
-    if (!amb_place_allowed_in_any_zone(request, slot)) return false;
-    struct amb_resources room = amb_place_room(slot, soon);
-    if (!request->lasting) amb_resources_add(&room, &slot->reserved, -1);
-    return amb_resources_fit(&request->need, &room);
+bool amb_placement_is_feasible(const struct amb_placement_request *request, const struct amb_slot *slot,
+                               bool include_releasing) {
+    if (!amb_placement_is_allowed_ignoring_zone(request, slot)) return false;
+    struct amb_resources available = amb_placement_available(slot, include_releasing);
+    if (!request->long_running) amb_resources_add(&available, &slot->reserved, -1);
+    return amb_resources_fit(&request->need, &available);
 }
 
 /* A task without GPUs keeps clear of machines that have some free: what it takes of their cores is then
  * missing to work that needs both. That a machine is cheap says nothing for it, since GPUs are what is paid
  * for. (Gangs that need whole machines once waited for 50 s with 200 GPUs free, each machine with a few such
  * tasks.) */
-static double score_of_room(const struct amb_wish *request, const struct amb_slot *slot, double free_gpus) {
+static double compute_packing_score(const struct amb_placement_request *request, const struct amb_slot *slot,
+                                    double free_gpus) {
     static const double spot_weight = 2, beside_gpus_weight = 3;
     double spot_score = slot->spot ? spot_weight : 0;
     if (slot->size_gpus <= 0) return spot_score;
@@ -81,23 +86,29 @@
 
 /* An image at hand, or soon fetched, first: fetching takes longer than most tasks may wait. Then spot
  * machines, which only some jobs can use. Then the fullest, so that others empty and can be returned. */
-double amb_place_score(const struct amb_wish *request, const struct amb_slot *slot, bool soon) {
-    double free_gpus = amb_place_room(slot, soon).gpus;
-    double score = (request->patient ? 0.5 : 7) * (1 - slot->late) + score_of_room(request, slot, free_gpus);
-    if (kept_from(request, slot)) score -= 2;
+double amb_placement_score(const struct amb_placement_request *request, const struct amb_slot *slot,
+                           bool include_releasing) {
+    double free_gpus = amb_placement_available(slot, include_releasing).gpus;
+    double score = (request->deferrable ? 0.5 : 7) * (1 - slot->start_risk) +
+                   compute_packing_score(request, slot, free_gpus);
+    if (is_reserved_against(request, slot)) score -= 2;
     /* Tasks that last keep together: a machine with one of them can't be returned, and a machine with none
      * can as soon as its batch work ends. */
-    if (slot->size_gpus > 0 && request->lasting) score += 1.5 * slot->lasting / slot->size_gpus;
+    if (slot->size_gpus > 0 && request->long_running)
+        score += 1.5 * slot->long_running_gpus / slot->size_gpus;
     return score;
 }
 
-int amb_place_pick(const struct amb_wish *request, const struct amb_slot *slots, uint32_t count, bool soon) {
+int amb_placement_find_best(const struct amb_placement_request *request, const struct amb_slot *slots,
+                            uint32_t count, bool include_releasing) {
     int best = -1;
     double best_score = -DBL_MAX;
     for (uint32_t i = 0; i < count; i++) {
         const struct amb_slot *slot = &slots[i];
-        if (!amb_place_fits(request, slot, soon) || !amb_place_zone_allowed(request, slot->zone)) continue;
-        double score = amb_place_score(request, slot, soon);
+        if (!amb_placement_is_feasible(request, slot, include_releasing) ||
+            !amb_placement_is_zone_allowed(request, slot->zone))
+            continue;
+        double score = amb_placement_score(request, slot, include_releasing);
         if (score > best_score) {
             best_score = score;
             best = (int)i;
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { FIRST_CAPACITY = 64 };
-static const double CAN_NOT = -DBL_MAX;
+enum { INITIAL_CAPACITY = 64 };
+static const double SCORE_INFEASIBLE = -DBL_MAX;
 
 /* Scores of the slots of one zone. winners[1] is the place of the best, winners[i] the better of winners[2i]
  * and winners[2i + 1]; the leaves, one a place, are not stored. Of equals the earlier place wins. */
@@ -15,158 +15,168 @@
     uint32_t capacity; /* a power of two */
 };
 
-struct shape { /* all that a score depends on beside the slot; zones are chosen when it is asked for */
+struct ranking_key { /* all that a score depends on beside the slot; zones are chosen when it is asked for */
     struct amb_resources need;
     uint32_t type_mask;
     enum amb_priority priority;
-    bool spot, lasting, patient, can_wait, opportunistic;
-    bool soon, room_is_made; /* room that is about to come counts; other work makes way, on these terms */
-    struct amb_slot_terms terms;
-    struct amb_slot_marking marking;
+    bool spot_allowed, long_running, deferrable, can_wait, opportunistic;
+    bool include_releasing,
+        with_preemption; /* room that is about to come counts; other work makes way, on these terms */
+    struct amb_preemption_terms terms;
+    struct amb_slot_annotation annotation;
     char image[AMB_NAME_SIZE];
 };
 
 struct amb_slot_ranking {
-    struct shape shape;
+    struct ranking_key key;
     struct winner_tree zones[AMB_ZONES_MAX];
-    uint32_t slots_seen, changes_seen;
-    uint64_t last_asked;
+    uint32_t scored_slots, applied_changes;
+    uint64_t last_queried;
 };
 
 /* ---- winner trees ---- */
 
-static uint32_t winner_at(const struct winner_tree *tree, uint32_t node) {
-    return node >= tree->capacity ? node - tree->capacity : tree->winners[node];
+static uint32_t get_winner(const struct winner_tree *tree, uint32_t position) {
+    return position >= tree->capacity ? position - tree->capacity : tree->winners[position];
 }
 
-static void decide(struct winner_tree *tree, uint32_t node) {
-    uint32_t left = winner_at(tree, 2 * node), right = winner_at(tree, 2 * node + 1);
-    tree->winners[node] = tree->scores[right] > tree->scores[left] ? right : left;
+static void update_winner(struct winner_tree *tree, uint32_t position) {
+    uint32_t left = get_winner(tree, 2 * position), right = get_winner(tree, 2 * position + 1);
+    tree->winners[position] = tree->scores[right] > tree->scores[left] ? right : left;
 }
 
 static void tree_grow(struct winner_tree *tree) {
-    uint32_t capacity = tree->capacity ? 2 * tree->capacity : FIRST_CAPACITY;
+    uint32_t capacity = tree->capacity ? 2 * tree->capacity : INITIAL_CAPACITY;
     tree->scores = amb_grow(tree->scores, capacity * sizeof *tree->scores);
     tree->winners = amb_grow(tree->winners, capacity * sizeof *tree->winners);
-    for (uint32_t i = tree->capacity; i < capacity; i++) tree->scores[i] = CAN_NOT;
+    for (uint32_t i = tree->capacity; i < capacity; i++) tree->scores[i] = SCORE_INFEASIBLE;
     tree->capacity = capacity;
-    for (uint32_t node = capacity - 1; node >= 1; node--) decide(tree, node);
+    for (uint32_t position = capacity - 1; position >= 1; position--) update_winner(tree, position);
 }
 
 static void tree_set(struct winner_tree *tree, uint32_t place, double score) {
     while (place >= tree->capacity) tree_grow(tree);
     if (tree->scores[place] == score) return;
     tree->scores[place] = score;
-    for (uint32_t node = (tree->capacity + place) / 2; node >= 1; node /= 2) decide(tree, node);
+    for (uint32_t position = (tree->capacity + place) / 2; position >= 1; position /= 2)
+        update_winner(tree, position);
 }
 
 /* ---- shapes ---- */
 
-static bool same_marking(const struct shape *shape, const struct amb_slot_marking *marking) {
-    const struct amb_slot_marking *kept = &shape->marking;
-    if (kept->any_room_will_do != marking->any_room_will_do) return false;
-    if (marking->any_room_will_do) return true;
-    return kept->image_gb == marking->image_gb && kept->within_s == marking->within_s &&
-           kept->slack_s == marking->slack_s && !strcmp(shape->image, marking->image);
+static bool is_same_annotation(const struct ranking_key *key, const struct amb_slot_annotation *annotation) {
+    const struct amb_slot_annotation *cached = &key->annotation;
+    if (cached->ignores_image != annotation->ignores_image) return false;
+    if (annotation->ignores_image) return true;
+    return cached->image_gb == annotation->image_gb && cached->within_s == annotation->within_s &&
+           cached->slack_s == annotation->slack_s && !strcmp(key->image, annotation->image);
 }
 
-static bool same_wish(const struct shape *shape, const struct amb_wish *request) {
-    return shape->need.gpus == request->need.gpus && shape->need.cpus == request->need.cpus &&
-           shape->need.memory_gb == request->need.memory_gb && shape->type_mask == request->type_mask &&
-           shape->priority == request->priority && shape->spot == request->spot &&
-           shape->lasting == request->lasting && shape->patient == request->patient &&
-           shape->can_wait == request->can_wait && shape->opportunistic == request->opportunistic;
+static bool is_same_request(const struct ranking_key *key, const struct amb_placement_request *request) {
+    return key->need.gpus == request->need.gpus && key->need.cpus == request->need.cpus &&
+           key->need.memory_gb == request->need.memory_gb && key->type_mask == request->type_mask &&
+           key->priority == request->priority && key->spot_allowed == request->spot_allowed &&
+           key->long_running == request->long_running && key->deferrable == request->deferrable &&
+           key->can_wait == request->can_wait && key->opportunistic == request->opportunistic;
 }
 
-static bool same_terms(const struct amb_slot_terms *a, const struct amb_slot_terms *b) {
-    return a->cost == b->cost && a->priority == b->priority && a->team == b->team &&
-           a->guaranteed == b->guaranteed && a->image_only == b->image_only &&
-           a->placed_tasks == b->placed_tasks;
+static bool is_same_terms(const struct amb_preemption_terms *left, const struct amb_preemption_terms *right) {
+    return left->cost_kind == right->cost_kind && left->priority == right->priority &&
+           left->team == right->team && left->within_guarantee == right->within_guarantee &&
+           left->image_only == right->image_only && left->placed_tasks == right->placed_tasks;
 }
 
 /* What is asked for: the wish, the marks, and which room counts. */
-struct question {
-    const struct amb_wish *wish;
-    const struct amb_slot_marking *marking;
-    const struct amb_slot_terms *terms; /* NULL: no work makes way */
-    bool soon;
+struct ranking_query {
+    const struct amb_placement_request *request;
+    const struct amb_slot_annotation *annotation;
+    const struct amb_preemption_terms *terms; /* NULL: no work makes way */
+    bool include_releasing;
 };
 
-static bool same_shape(const struct shape *shape, const struct question *question) {
-    if (!same_wish(shape, question->wish) || shape->soon != question->soon) return false;
-    if (shape->room_is_made != (question->terms != NULL)) return false;
-    if (question->terms && !same_terms(&shape->terms, question->terms)) return false;
-    return same_marking(shape, question->marking);
+static bool is_key_of(const struct ranking_key *key, const struct ranking_query *query) {
+    if (!is_same_request(key, query->request) || key->include_releasing != query->include_releasing)
+        return false;
+    if (key->with_preemption != (query->terms != NULL)) return false;
+    if (query->terms && !is_same_terms(&key->terms, query->terms)) return false;
+    return is_same_annotation(key, query->annotation);
 }
 
-static void set_shape(struct shape *shape, const struct question *question) {
-    const struct amb_wish *request = question->wish;
-    *shape = (struct shape){.need = request->need,
-                            .type_mask = request->type_mask,
-                            .priority = request->priority,
-                            .spot = request->spot,
-                            .lasting = request->lasting,
-                            .patient = request->patient,
-                            .can_wait = request->can_wait,
-                            .opportunistic = request->opportunistic,
-                            .soon = question->soon,
-                            .room_is_made = question->terms != NULL,
-                            .marking = *question->marking};
-    if (question->terms) shape->terms = *question->terms;
-    if (!question->marking->any_room_will_do) strcpy(shape->image, question->marking->image);
-    shape->marking.image = NULL; /* the name is kept, not who gave it */
+static void init_key(struct ranking_key *key, const struct ranking_query *query) {
+    const struct amb_placement_request *request = query->request;
+    *key = (struct ranking_key){.need = request->need,
+                                .type_mask = request->type_mask,
+                                .priority = request->priority,
+                                .spot_allowed = request->spot_allowed,
+                                .long_running = request->long_running,
+                                .deferrable = request->deferrable,
+                                .can_wait = request->can_wait,
+                                .opportunistic = request->opportunistic,
+                                .include_releasing = query->include_releasing,
+                                .with_preemption = query->terms != NULL,
+                                .annotation = *query->annotation};
+    if (query->terms) key->terms = *query->terms;
+    if (!query->annotation->ignores_image) strcpy(key->image, query->annotation->image);
+    key->annotation.image = NULL; /* the name is kept, not who gave it */
 }
 
 /* ---- scores ---- */
 
-static double score_of(const struct question *question, const struct amb_slot_list *list, uint32_t i) {
-    const struct amb_slot *slot = &list->slots[i];
+static double compute_score(const struct ranking_query *query, const struct amb_slot_list *list,
+                            uint32_t slot_index) {
+    const struct amb_slot *slot = &list->slots[slot_index];
     double cost;
-    if (question->terms)
-        return list->cost(list->context, i, question->wish, question->terms, &cost) ? -cost : CAN_NOT;
-    if (!amb_place_fits(question->wish, slot, question->soon)) return CAN_NOT;
-    list->mark(list->context, i);
-    return amb_place_score(question->wish, slot, question->soon);
+    if (query->terms)
+        return list->compute_cost(list->context, slot_index, query->request, query->terms, &cost)
+                   ? -cost
+                   : SCORE_INFEASIBLE;
+    if (!amb_placement_is_feasible(query->request, slot, query->include_releasing)) return SCORE_INFEASIBLE;
+    list->annotate(list->context, slot_index);
+    return amb_placement_score(query->request, slot, query->include_releasing);
 }
 
-static void score_slot(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
-                       const struct amb_slot_list *list, const struct question *question, uint32_t i) {
-    int zone = list->slots[i].zone;
-    if (zone >= 0) tree_set(&ranking->zones[zone], rankings->place[i], score_of(question, list, i));
+static void update_slot_score(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
+                              const struct amb_slot_list *list, const struct ranking_query *query,
+                              uint32_t slot_index) {
+    int zone = list->slots[slot_index].zone;
+    if (zone >= 0)
+        tree_set(&ranking->zones[zone], rankings->place_in_zone[slot_index],
+                 compute_score(query, list, slot_index));
 }
 
 /* The places of slots that are new. */
-static void place_slots(struct amb_slot_rankings *rankings, const struct amb_slot_list *list) {
-    if (rankings->place_room < list->count) {
-        rankings->place_room = list->count + list->count / 2;
-        rankings->place = amb_grow(rankings->place, rankings->place_room * sizeof *rankings->place);
+static void index_new_slots(struct amb_slot_rankings *rankings, const struct amb_slot_list *list) {
+    if (rankings->place_capacity < list->count) {
+        rankings->place_capacity = list->count + list->count / 2;
+        rankings->place_in_zone =
+            amb_grow(rankings->place_in_zone, rankings->place_capacity * sizeof *rankings->place_in_zone);
     }
-    for (; rankings->placed < list->count; rankings->placed++) {
-        int at = list->slots[rankings->placed].zone;
-        if (at < 0) continue;
-        struct amb_zone_slots *zone = &rankings->zones[at];
-        if (zone->count == zone->room) {
-            zone->room = zone->room ? 2 * zone->room : FIRST_CAPACITY;
-            zone->slots = amb_grow(zone->slots, zone->room * sizeof *zone->slots);
+    for (; rankings->indexed_count < list->count; rankings->indexed_count++) {
+        int zone_index = list->slots[rankings->indexed_count].zone;
+        if (zone_index < 0) continue;
+        struct amb_zone_slots *zone = &rankings->zones[zone_index];
+        if (zone->count == zone->capacity) {
+            zone->capacity = zone->capacity ? 2 * zone->capacity : INITIAL_CAPACITY;
+            zone->slots = amb_grow(zone->slots, zone->capacity * sizeof *zone->slots);
         }
-        rankings->place[rankings->placed] = zone->count;
-        zone->slots[zone->count++] = rankings->placed;
+        rankings->place_in_zone[rankings->indexed_count] = zone->count;
+        zone->slots[zone->count++] = rankings->indexed_count;
     }
 }
 
 /* A slot that changed several times is scored once, as it is now: gangs that find no room take and give back
  * the same few again and again. */
-static void bring_up_to_date(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
-                             const struct amb_slot_list *list, const struct question *question) {
-    for (uint32_t k = ranking->changes_seen; k < rankings->changes; k++) {
-        uint32_t slot = rankings->changed[k];
-        if (rankings->latest_change[slot] == k && slot < ranking->slots_seen)
-            score_slot(rankings, ranking, list, question, slot);
+static void refresh_ranking(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
+                            const struct amb_slot_list *list, const struct ranking_query *query) {
+    for (uint32_t k = ranking->applied_changes; k < rankings->change_count; k++) {
+        uint32_t slot_index = rankings->changed_slots[k];
+        if (rankings->latest_change[slot_index] == k && slot_index < ranking->scored_slots)
+            update_slot_score(rankings, ranking, list, query, slot_index);
     }
-    for (uint32_t i = ranking->slots_seen; i < list->count; i++)
-        score_slot(rankings, ranking, list, question, i);
-    ranking->changes_seen = rankings->changes;
-    ranking->slots_seen = list->count;
+    for (uint32_t i = ranking->scored_slots; i < list->count; i++)
+        update_slot_score(rankings, ranking, list, query, i);
+    ranking->applied_changes = rankings->change_count;
+    ranking->scored_slots = list->count;
 }
 
 /* ---- the rankings that are kept ---- */
@@ -179,88 +189,94 @@
     free(ranking);
 }
 
-static struct amb_slot_ranking **longest_unused(struct amb_slot_rankings *rankings) {
-    struct amb_slot_ranking **oldest = &rankings->kept[0];
+static struct amb_slot_ranking **find_least_recently_used(struct amb_slot_rankings *rankings) {
+    struct amb_slot_ranking **oldest = &rankings->cached[0];
     for (uint32_t i = 1; i < rankings->count; i++)
-        if (rankings->kept[i]->last_asked < (*oldest)->last_asked) oldest = &rankings->kept[i];
+        if (rankings->cached[i]->last_queried < (*oldest)->last_queried) oldest = &rankings->cached[i];
     return oldest;
 }
 
-static struct amb_slot_ranking *ranking_of(struct amb_slot_rankings *rankings,
-                                           const struct question *question) {
+static struct amb_slot_ranking *get_ranking(struct amb_slot_rankings *rankings,
+                                            const struct ranking_query *query) {
     for (uint32_t i = 0; i < rankings->count; i++)
-        if (same_shape(&rankings->kept[i]->shape, question)) return rankings->kept[i];
-    struct amb_slot_ranking **free_place = &rankings->kept[rankings->count];
-    if (rankings->count < AMB_SLOT_RANKINGS) {
+        if (is_key_of(&rankings->cached[i]->key, query)) return rankings->cached[i];
+    struct amb_slot_ranking **free_place = &rankings->cached[rankings->count];
+    if (rankings->count < AMB_SLOT_RANKINGS_MAX) {
         rankings->count++;
     } else {
-        free_place = longest_unused(rankings);
+        free_place = find_least_recently_used(rankings);
         ranking_free(*free_place);
     }
     *free_place = amb_alloc(sizeof **free_place);
-    set_shape(&(*free_place)->shape, question);
+    init_key(&(*free_place)->key, query);
     return *free_place;
 }
 
-void amb_slot_rankings_changed(struct amb_slot_rankings *rankings, uint32_t slot) {
-    if (rankings->changes == rankings->room) {
-        rankings->room = rankings->room ? 2 * rankings->room : FIRST_CAPACITY;
-        rankings->changed = amb_grow(rankings->changed, rankings->room * sizeof *rankings->changed);
+void amb_slot_rankings_note_change(struct amb_slot_rankings *rankings, uint32_t slot_index) {
+    if (rankings->change_count == rankings->change_capacity) {
+        rankings->change_capacity =
+            rankings->change_capacity ? 2 * rankings->change_capacity : INITIAL_CAPACITY;
+        rankings->changed_slots =
+            amb_grow(rankings->changed_slots, rankings->change_capacity * sizeof *rankings->changed_slots);
     }
-    if (slot >= rankings->latest_room) {
-        rankings->latest_room = slot + slot / 2 + FIRST_CAPACITY;
-        rankings->latest_change =
-            amb_grow(rankings->latest_change, rankings->latest_room * sizeof *rankings->latest_change);
+    if (slot_index >= rankings->latest_change_capacity) {
+        rankings->latest_change_capacity = slot_index + slot_index / 2 + INITIAL_CAPACITY;
+        rankings->latest_change = amb_grow(rankings->latest_change, rankings->latest_change_capacity *
+                                                                        sizeof *rankings->latest_change);
     }
-    rankings->latest_change[slot] = rankings->changes;
-    rankings->changed[rankings->changes++] = slot;
+    rankings->latest_change[slot_index] = rankings->change_count;
+    rankings->changed_slots[rankings->change_count++] = slot_index;
 }
 
 void amb_slot_rankings_free(struct amb_slot_rankings *rankings) {
-    for (uint32_t i = 0; i < rankings->count; i++) ranking_free(rankings->kept[i]);
+    for (uint32_t i = 0; i < rankings->count; i++) ranking_free(rankings->cached[i]);
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) free(rankings->zones[zone].slots);
-    free(rankings->changed);
+    free(rankings->changed_slots);
     free(rankings->latest_change);
-    free(rankings->place);
+    free(rankings->place_in_zone);
     memset(rankings, 0, sizeof *rankings);
 }
 
 /* ---- the question ---- */
 
-static int answer(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                  const struct question *question) {
-    place_slots(rankings, list);
-    struct amb_slot_ranking *ranking = ranking_of(rankings, question);
-    ranking->last_asked = ++rankings->questions;
-    bring_up_to_date(rankings, ranking, list, question);
+static int find_best(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
+                     const struct ranking_query *query) {
+    index_new_slots(rankings, list);
+    struct amb_slot_ranking *ranking = get_ranking(rankings, query);
+    ranking->last_queried = ++rankings->query_count;
+    refresh_ranking(rankings, ranking, list, query);
     int best = -1;
-    double best_score = CAN_NOT;
+    double best_score = SCORE_INFEASIBLE;
     for (int zone = 0; zone < AMB_ZONES_MAX; zone++) {
         const struct winner_tree *tree = &ranking->zones[zone];
-        if (!tree->capacity || !amb_place_zone_allowed(question->wish, zone)) continue;
+        if (!tree->capacity || !amb_placement_is_zone_allowed(query->request, zone)) continue;
         uint32_t winner = tree->winners[1];
         double score = tree->scores[winner];
-        if (score == CAN_NOT) continue;
-        int slot = (int)rankings->zones[zone].slots[winner];
-        if (score > best_score || (score == best_score && slot < best)) {
-            best = slot;
+        if (score == SCORE_INFEASIBLE) continue;
+        int slot_index = (int)rankings->zones[zone].slots[winner];
+        if (score > best_score || (score == best_score && slot_index < best)) {
+            best = slot_index;
             best_score = score;
         }
     }
-    if (best >= 0) list->mark(list->context, (uint32_t)best);
+    if (best >= 0) list->annotate(list->context, (uint32_t)best);
     return best;
 }
 
-int amb_slot_rankings_pick(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                           const struct amb_slot_marking *marking, const struct amb_wish *request,
-                           bool soon) {
-    const struct question question = {.wish = request, .marking = marking, .soon = soon};
-    return answer(rankings, list, &question);
+int amb_slot_rankings_find_best(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
+                                const struct amb_slot_annotation *annotation,
+                                const struct amb_placement_request *request, bool include_releasing) {
+    const struct ranking_query query = {
+        .request = request, .annotation = annotation, .include_releasing = include_releasing};
+    return find_best(rankings, list, &query);
 }
 
-int amb_slot_rankings_cheapest(struct amb_slot_rankings *rankings, const struct amb_slot_list *list,
-                               const struct amb_slot_marking *marking, const struct amb_wish *request,
-                               const struct amb_slot_terms *terms) {
-    const struct question question = {.wish = request, .marking = marking, .terms = terms, .soon = true};
-    return answer(rankings, list, &question);
+int amb_slot_rankings_find_cheapest_preemption(struct amb_slot_rankings *rankings,
+                                               const struct amb_slot_list *list,
+                                               const struct amb_slot_annotation *annotation,
+                                               const struct amb_placement_request *request,
+                                               const struct amb_preemption_terms *terms) {
+    const struct ranking_query query = {
+        .request = request, .annotation = annotation, .terms = terms, .include_releasing = true};
+    return find_best(rankings, list, &query);
 }
--- a/lib/placement/wdrr.c
+++ b/lib/placement/wdrr.c
@@ -5,13 +5,13 @@
 /* Both kinds of deployment we know guarantee GPUs and no cores. In cores every team would weigh one and a
  * CPU-heavy task would cost more turns than a GPU-heavy one, so size and weight are counted in the resource
  * that the guarantees name (see docs/design.md). */
-double amb_wdrr_size(const struct amb_resources *need, bool by_gpus) {
-    double size = by_gpus ? need->gpus : need->cpus;
+double amb_wdrr_item_size(const struct amb_resources *need, bool sized_by_gpus) {
+    double size = sized_by_gpus ? need->gpus : need->cpus;
     return size > 0 ? size : 1;
 }
 
-bool amb_wdrr_by_gpus(const struct amb_team *teams, uint32_t n) {
-    for (uint32_t i = 0; i < n; i++)
+bool amb_wdrr_is_sized_by_gpus(const struct amb_team *teams, uint32_t team_count) {
+    for (uint32_t i = 0; i < team_count; i++)
         if (teams[i].guarantee.gpus > 0) return true;
     return false;
 }
@@ -20,28 +20,28 @@
     return team->guarantee.gpus > 0 || team->guarantee.cpus > 0;
 }
 
-static bool any_guarantee(const struct amb_team *teams, uint32_t n) {
-    for (uint32_t i = 0; i < n; i++)
+static bool has_any_guarantee(const struct amb_team *teams, uint32_t team_count) {
+    for (uint32_t i = 0; i < team_count; i++)
         if (has_guarantee(&teams[i])) return true;
     return false;
 }
 
-void amb_wdrr_prepare(struct amb_team *teams, uint32_t n, bool by_gpus) {
-    bool some_are_guaranteed = any_guarantee(teams, n);
-    for (uint32_t i = 0; i < n; i++) {
+void amb_wdrr_prepare(struct amb_team *teams, uint32_t team_count, bool sized_by_gpus) {
+    bool any_guaranteed = has_any_guarantee(teams, team_count);
+    for (uint32_t i = 0; i < team_count; i++) {
         struct amb_team *team = &teams[i];
-        double guarantee = by_gpus ? team->guarantee.gpus : team->guarantee.cpus;
-        double limit = by_gpus ? team->limit.gpus : team->limit.cpus;
+        double guarantee = sized_by_gpus ? team->guarantee.gpus : team->guarantee.cpus;
+        double limit = sized_by_gpus ? team->limit.gpus : team->limit.cpus;
         team->weight = fmax(1, guarantee);
-        team->opportunistic = some_are_guaranteed && !has_guarantee(team);
+        team->opportunistic = any_guaranteed && !has_guarantee(team);
         team->bucket_capacity = limit > 0 ? 60 * limit : INFINITY;
         team->bucket_tokens = team->bucket_capacity;
         team->deficit = 0;
     }
 }
 
-void amb_wdrr_refill(struct amb_team *teams, uint32_t n, double seconds) {
-    for (uint32_t i = 0; i < n; i++) {
+void amb_wdrr_refill(struct amb_team *teams, uint32_t team_count, double seconds) {
+    for (uint32_t i = 0; i < team_count; i++) {
         struct amb_team *team = &teams[i];
         if (isinf(team->bucket_capacity)) continue;
         team->bucket_tokens =
@@ -49,14 +49,14 @@
     }
 }
 
-bool amb_wdrr_within_limit(const struct amb_team *team, const struct amb_resources *need, double times) {
+bool amb_wdrr_is_within_limit(const struct amb_team *team, const struct amb_resources *need, double count) {
     const double slack = 1e-6;
-    if (team->limit.cpus > 0 && team->used.cpus + need->cpus * times > team->limit.cpus + slack) return false;
-    if (team->limit.gpus > 0 && team->used.gpus + need->gpus * times > team->limit.gpus + slack) return false;
+    if (team->limit.cpus > 0 && team->used.cpus + need->cpus * count > team->limit.cpus + slack) return false;
+    if (team->limit.gpus > 0 && team->used.gpus + need->gpus * count > team->limit.gpus + slack) return false;
     return true;
 }
 
-bool amb_wdrr_within_guarantee(const struct amb_team *team, const struct amb_resources *need) {
+bool amb_wdrr_is_within_guarantee(const struct amb_team *team, const struct amb_resources *need) {
     const double slack = 1e-6;
     if (!has_guarantee(team)) return false;
     if (team->guarantee.cpus > 0 && team->used.cpus + need->cpus > team->guarantee.cpus + slack) return false;
@@ -64,17 +64,18 @@
     return true;
 }
 
-uint32_t amb_wdrr_round(struct amb_team *teams, uint32_t n, uint32_t first, const struct amb_wdrr_ops *ops) {
+uint32_t amb_wdrr_run(struct amb_team *teams, uint32_t team_count, uint32_t first_team,
+                      const struct amb_wdrr_ops *ops) {
     uint32_t admitted = 0;
-    bool more = true;
-    while (more) {
-        more = false;
-        for (uint32_t k = 0; k < n; k++) {
-            uint32_t i = (first + k) % n;
-            struct amb_team *team = &teams[i];
+    bool may_admit_more = true;
+    while (may_admit_more) {
+        may_admit_more = false;
+        for (uint32_t turn = 0; turn < team_count; turn++) {
+            uint32_t team_index = (first_team + turn) % team_count;
+            struct amb_team *team = &teams[team_index];
             struct amb_wdrr_item item;
-            if (!ops->next(ops->arg, i, &item)) {
-                if (ops->idle(ops->arg, i)) team->deficit = 0; /* idle turns pass on */
+            if (!ops->next(ops->context, team_index, &item)) {
+                if (ops->is_idle(ops->context, team_index)) team->deficit = 0; /* idle turns pass on */
                 continue;
             }
             /* The cap keeps a shortage from piling up turns that would be taken all at once later; an item
@@ -82,19 +83,20 @@
             team->deficit = fmin(team->deficit + team->weight, fmax(team->weight, item.size));
             do {
                 if (team->deficit + 1e-9 < item.size) {
-                    more = true; /* saves up for it */
+                    may_admit_more = true; /* saves up for it */
                     break;
                 }
-                if (team->bucket_tokens + 1e-9 < item.size || !amb_wdrr_within_limit(team, &item.need, 1) ||
-                    ops->admit(ops->arg, i, &item) == AMB_TRY_NO_FIT) {
-                    ops->skip(ops->arg, i, &item);
+                if (team->bucket_tokens + 1e-9 < item.size ||
+                    !amb_wdrr_is_within_limit(team, &item.need, 1) ||
+                    ops->admit(ops->context, team_index, &item) == AMB_WDRR_NO_FIT) {
+                    ops->skip(ops->context, team_index, &item);
                     continue;
                 }
                 team->deficit -= item.size;
                 team->bucket_tokens -= item.size;
                 admitted++;
-                more = true;
-            } while (ops->next(ops->arg, i, &item));
+                may_admit_more = true;
+            } while (ops->next(ops->context, team_index, &item));
         }
     }
     return admitted;
--- a/lib/zone_recovery/return_order.c
+++ b/lib/zone_recovery/return_order.c
@@ -80,7 +80,7 @@
         .listed = listed_place(node, job->spec->class_name),
         .priority = job->spec->priority,
         .missing_share = share(count->lost, count->all),
-        .guaranteed = amb_wdrr_within_guarantee(team, &nothing),
+        .guaranteed = amb_wdrr_is_within_guarantee(team, &nothing),
         .guarantee_used =
             fmax(share(team->used.gpus, team->guarantee.gpus), share(team->used.cpus, team->guarantee.cpus)),
         .accepted_wall = job->accepted_wall_ms,
@@ -149,7 +149,7 @@
 
 /* Does a zone that is not lost leave the job's spread a place? */
 static bool spread_allows(const struct amb_node *node, const struct amb_job *job) {
-    uint32_t most = amb_place_spread_most(job->spec->task_count);
+    uint32_t most = amb_placement_max_tasks_per_zone(job->spec->task_count);
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) {
         if (node->zone_recovery.zones[zone].verdict == AMB_ZONE_LOST) continue;
         if (!job->spec->spread_zones || job->zone_task_counts[zone] < most) return true;
@@ -162,7 +162,7 @@
     if (!missing->replicas) return AMB_RECOVERY_SERVED;
     if (!job) return AMB_RECOVERY_FOR_PROOF;
     if (!amb_election_may_act(node)) return AMB_RECOVERY_FOR_STATE;
-    if (!amb_wdrr_within_limit(job->team, &job->spec->task_resources, 1)) return AMB_RECOVERY_FOR_LIMIT;
+    if (!amb_wdrr_is_within_limit(job->team, &job->spec->task_resources, 1)) return AMB_RECOVERY_FOR_LIMIT;
     if (!spread_allows(node, job)) return AMB_RECOVERY_FOR_SPREAD;
     return job->image_wait_since ? AMB_RECOVERY_FOR_IMAGE : AMB_RECOVERY_FOR_ROOM;
 }
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -84,12 +84,12 @@
 static void answers_come_from_fresh_reads(void **state) {
     (void)state;
     enum known { UNKNOWN, QUEUED, CANCELLED };
-    enum question { GET, CANCEL, SUBMIT_IMPOSSIBLE };
+    enum ranking_query { GET, CANCEL, SUBMIT_IMPOSSIBLE };
     enum { AT_ONCE = -1 };
     static const struct {
         const char *what;
         enum known known;
-        enum question question;
+        enum ranking_query question;
         int read; /* its status; AT_ONCE: none is needed */
         bool news;
         enum amb_job_state becomes; /* by the news */
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -88,9 +88,9 @@
 }
 
 static void plan_now(void) {
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    amb_plan(cycle);
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    amb_capacity_plan_run(cycle);
+    amb_cycle_free(cycle);
 }
 
 /* No more is asked for than there are calls for, the most urgent first; the rest adds up in the plan. (All of
@@ -180,10 +180,10 @@
         for (int k = 0; k < 4; k++) {
             jobs[k].spec = &spec;
             jobs[k].accepted_wall_ms = amb_wall_ms() - rows[i].ages[k] * 1000L;
-            if (k == 2 && rows[i].lead_between) amb_controller_lead(node);
-            amb_plan_demand(node, &jobs[k]);
+            if (k == 2 && rows[i].lead_between) amb_controller_start_leading(node);
+            amb_capacity_plan_note_demand(node, &jobs[k]);
         }
-        for (int k = 0; k < 4 && rows[i].twice; k++) amb_plan_demand(node, &jobs[k]);
+        for (int k = 0; k < 4 && rows[i].twice; k++) amb_capacity_plan_note_demand(node, &jobs[k]);
         assert_int_equal(node->controller.demand_count, 1);
         struct amb_demand *d = &node->controller.demands[0];
         /* The rate holds at the latest arrival that was noted, a moment ago at most. */
@@ -227,9 +227,9 @@
         }
         node->lease_proxy.known_count = 1;
         node->lease_proxy.known[0].present = rows[i].deputy;
-        struct amb_round *cycle = amb_round_new(node, now);
-        amb_plan(cycle);
-        amb_round_free(cycle);
+        struct amb_cycle *cycle = amb_cycle_new(node, now);
+        amb_capacity_plan_run(cycle);
+        amb_cycle_free(cycle);
         uint32_t wants = 0;
         for (struct amb_rental_request *c = node->cloud.requests; c; c = c->next) wants += c->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
@@ -255,10 +255,10 @@
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
         if (rows[i].bound) bound(job, 0, "m-1", 1);
         job->failures.broken = rows[i].broken;
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        if (amb_round_wants_start(cycle, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
-        amb_plan(cycle);
-        amb_round_free(cycle);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        if (amb_cycle_is_schedulable(cycle, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
+        amb_capacity_plan_run(cycle);
+        amb_cycle_free(cycle);
         int type = -1;
         if (requests(&type) != rows[i].rented) fail_msg("%s: %u rented", rows[i].what, requests(&type));
     }
--- a/tests/codec/test_codec.c
+++ b/tests/codec/test_codec.c
@@ -2,11 +2,11 @@
 #include "amberpin/codec/messages.h"
 #include "check.h"
 
-enum kind { K_TEXT, K_NUM, K_UINT, K_BOOL, K_NULL, K_LIST, K_NEG };
+enum scale_out_choice { K_TEXT, K_NUM, K_UINT, K_BOOL, K_NULL, K_LIST, K_NEG };
 
 struct field {
     const char *key;
-    enum kind kind;
+    enum scale_out_choice kind;
     const char *text;
     double num;
 };
--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -132,9 +132,9 @@
         machine_in("m-b", B);
         struct amb_job *job = job_on(rows[i].kind, rows[i].one_zone, rows[i].spread, rows[i].tasks,
                                      rows[i].on_record, rows[i].count);
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        amb_round_admit(cycle);
-        amb_round_free(cycle);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        amb_cycle_admit(cycle);
+        amb_cycle_free(cycle);
         uint32_t a = job->zone_task_counts[A], b = job->zone_task_counts[B];
         bool same = a == rows[i].want_a && b == rows[i].want_b;
         if (!same && !(rows[i].either && a == rows[i].want_b && b == rows[i].want_a))
@@ -186,13 +186,13 @@
     struct amb_job *job = job_on(AMB_JOB_KIND_ARRAY, true, false, 4, unknown, ROWS(unknown));
     struct amb_machine *machine = job->tasks[0].machine;
     amb_machine_learn_zone(machine, UNKNOWN);
-    assert_int_equal(amb_job_tasks_in_unknown_zones(job), 1);
+    assert_int_equal(amb_placement_count_tasks_in_unknown_zones(job), 1);
     amb_machine_learn_zone(machine, B);
     amb_machine_learn_zone(machine, A);
     assert_int_equal(machine->zone_index, B);
     assert_int_equal(job->zone_task_counts[A], 0);
     assert_int_equal(job->zone_task_counts[B], 1);
-    assert_int_equal(amb_job_tasks_in_unknown_zones(job), 0);
+    assert_int_equal(amb_placement_count_tasks_in_unknown_zones(job), 0);
     amb_task_unbind(node, &job->tasks[0], "gone");
     assert_int_equal(job->zone_task_counts[B], 0);
     teardown(NULL);
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -8,38 +8,38 @@
 
 /* ---- answers to workers ---- */
 
-static int answer_status;
-static uint64_t answer_token;
-static size_t answer_halts, answer_starts;
+static int response_status;
+static uint64_t response_token;
+static size_t response_halts, response_starts;
 
-static void read_answer(struct fake_reply *reply) {
-    answer_status = reply->status;
-    answer_token = answer_halts = answer_starts = 0;
+static void read_response(struct fake_reply *reply) {
+    response_status = reply->status;
+    response_token = response_halts = response_starts = 0;
     cbor_item_t *map = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
-    amb_cbor_uint(amb_cbor_get(map, "baton"), &answer_token);
+    amb_cbor_uint(amb_cbor_get(map, "baton"), &response_token);
     const cbor_item_t *list = amb_cbor_get(map, "orders");
     for (size_t i = 0; i < amb_cbor_len(list); i++) {
         const cbor_item_t *verb = amb_cbor_get(amb_cbor_at(list, i), "verb");
-        answer_halts += amb_cbor_eq(verb, "halt");
-        answer_starts += amb_cbor_eq(verb, "run");
+        response_halts += amb_cbor_eq(verb, "halt");
+        response_starts += amb_cbor_eq(verb, "run");
     }
     if (map) cbor_decref(&map);
     amb_buf_free(&reply->body);
 }
 
-static void w_pair(struct amb_buf *buffer, const char *name, const char *value) {
+static void write_pair(struct amb_buf *buffer, const char *name, const char *value) {
     amb_w_str(buffer, name);
     amb_w_str(buffer, value);
 }
 
 /* A worker of zone a reports one running task over HTTP. */
-static void hello(uint64_t token, const char *task) {
+static void post_heartbeat(uint64_t token, const char *task) {
     struct amb_buf buffer = {0};
     amb_w_map(&buffer, 9);
-    w_pair(&buffer, "rig", "m-1");
-    w_pair(&buffer, "address", "127.0.0.1:1");
-    w_pair(&buffer, "hull", "g8");
-    w_pair(&buffer, "yard", "a");
+    write_pair(&buffer, "rig", "m-1");
+    write_pair(&buffer, "address", "127.0.0.1:1");
+    write_pair(&buffer, "hull", "g8");
+    write_pair(&buffer, "yard", "a");
     amb_w_str(&buffer, "driftwood");
     amb_w_bool(&buffer, false);
     amb_w_str(&buffer, "watch");
@@ -51,19 +51,20 @@
     amb_w_str(&buffer, "legs");
     amb_w_list(&buffer, 1);
     amb_w_map(&buffer, 3);
-    w_pair(&buffer, "leg", task);
+    write_pair(&buffer, "leg", task);
     amb_w_str(&buffer, "try");
     amb_w_uint(&buffer, 1);
-    w_pair(&buffer, "stance", "running");
+    write_pair(&buffer, "stance", "running");
     struct fake_reply reply = {0};
     assert_true(amb_fleet_request(node, fake_request("POST", "/hello", &buffer, &reply)));
-    read_answer(&reply);
+    read_response(&reply);
     amb_buf_free(&buffer);
 }
 
 /* ---- jobs as news tell of them ---- */
 
-static void news(const char *ref, enum amb_job_state state, uint64_t stamp, int64_t cancelled_wall) {
+static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t revision,
+                             int64_t cancelled_wall) {
     struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
                                 .priority = AMB_PRIORITY_HIGH,
                                 .task_count = 1,
@@ -76,7 +77,7 @@
     strcpy(spec.image, "img");
     amb_job_encode_record(&buffer, &draft, state);
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply_item(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, revision);
     cbor_decref(&item);
     amb_buf_free(&buffer);
 }
@@ -90,7 +91,7 @@
 /* ---- the tests ---- */
 
 /* The answer to a leader's question lists every cancellation that the leader can't know, however old. */
-static void answers_list_what_the_asker_lacks(void **state) {
+static void responses_list_what_the_asker_lacks(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -108,9 +109,9 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         teardown(NULL);
         setup(NULL);
-        news("wk-1", AMB_JOB_QUEUED, 1, 0);
-        news("wk-2", AMB_JOB_QUEUED, 50, 0);
-        news("wk-1", AMB_JOB_CANCELLED, rows[i].stamp, amb_wall_ms() - rows[i].ago_ms);
+        apply_job_change("wk-1", AMB_JOB_QUEUED, 1, 0);
+        apply_job_change("wk-2", AMB_JOB_QUEUED, 50, 0);
+        apply_job_change("wk-1", AMB_JOB_CANCELLED, rows[i].stamp, amb_wall_ms() - rows[i].ago_ms);
         json_t *question = json_object();
         if (rows[i].epoch) json_object_set_new(question, "epoch", json_integer(rows[i].epoch));
         json_t *answer = amb_peer_encode_reply(node, question);
@@ -123,7 +124,7 @@
 
 /* A peer confirms a leader by its answer to a question, if it has read the state service since it began, does
  * not lead and knows no higher term. */
-static void whose_word_counts(void **state) {
+static void which_peers_confirm_the_leader(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -145,32 +146,33 @@
         struct amb_peer *peer = &node->peers.list[0];
         node->peers.count = 1;
         strcpy(peer->member, "peer");
-        json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term,
-                                 "leading", rows[i].leading, "store", 1, "reports_arrive", 0);
-        amb_peer_apply_message(node, peer, said, rows[i].answer ? asked : 0);
+        json_t *message =
+            json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term, "leading",
+                      rows[i].leading, "store", 1, "reports_arrive", 0);
+        amb_peer_apply_message(node, peer, message, rows[i].answer ? asked : 0);
         if (amb_election_peers_confirmed_at(node, amb_now()) != (rows[i].counts ? asked : 0))
             fail_msg("%s", rows[i].what);
-        json_decref(said);
+        json_decref(message);
     }
 }
 
 /* A peer tells of a cancellation whose job we may not know yet: news of before do not undo it. */
 static void cancellations_known_before_the_job(void **state) {
     (void)state;
-    json_t *said =
+    json_t *message =
         json_pack("{s:b, s:i, s:b, s:b, s:b, s:[[s,I,I]]}", "loaded", 1, "term", TERM, "leading", 0, "store",
                   1, "reports_arrive", 0, "cancelled", "wk-1", (json_int_t)amb_wall_ms(), (json_int_t)40);
     node->peers.count = 1;
-    amb_peer_apply_message(node, &node->peers.list[0], said, amb_now());
-    json_decref(said);
+    amb_peer_apply_message(node, &node->peers.list[0], message, amb_now());
+    json_decref(message);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
     struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
     assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
-    news("wk-1", AMB_JOB_QUEUED, 30, 0);
+    apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
     assert_false(amb_job_find(node, "wk-1")->active);
-    news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
+    apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
 }
 
@@ -179,11 +181,11 @@
 static void reading_records_stops_cancelled_tasks(void **state) {
     (void)state;
     node->controller.restored_at = 0;
-    news("wk-1", AMB_JOB_QUEUED, 30, 0);
+    apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
     struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM - 1, amb_now(), &seen, 1);
     assert_int_equal(norders, 0);
-    news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
+    apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     report("m-1", 1, 2, TERM - 1, amb_now(), &seen, 1);
     assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
     seen.state = AMB_AGENT_TASK_EXITED;
@@ -192,7 +194,7 @@
 }
 
 /* So does a deputy, which orders nothing else and answers nobody once it knows a newer term. */
-static void deputies_stop_cancelled_tasks(void **state) {
+static void lease_proxies_stop_cancelled_tasks(void **state) {
     (void)state;
     node->election.role = AMB_ROLE_FOLLOWER;
     node->election.term = 0;
@@ -202,21 +204,21 @@
     node->lease_proxy.state = AMB_LEASE_PROXY_ACTIVE;
     node->lease_proxy.term = TERM;
     node->lease_proxy.renewed_at = amb_now();
-    news("wk-1", AMB_JOB_QUEUED, 30, 0);
-    hello(TERM, "wk-1/0");
-    assert_int_equal(answer_status, 200);
-    assert_int_equal(answer_token, TERM);
-    assert_int_equal(answer_halts + answer_starts, 0);
-    news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
-    hello(TERM, "wk-1/0");
-    assert_int_equal(answer_status, 200);
-    assert_int_equal(answer_halts, 1);
-    hello(TERM + 1, "wk-1/0");
-    assert_int_equal(answer_status, 421);
+    apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
+    post_heartbeat(TERM, "wk-1/0");
+    assert_int_equal(response_status, 200);
+    assert_int_equal(response_token, TERM);
+    assert_int_equal(response_halts + response_starts, 0);
+    apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
+    post_heartbeat(TERM, "wk-1/0");
+    assert_int_equal(response_status, 200);
+    assert_int_equal(response_halts, 1);
+    post_heartbeat(TERM + 1, "wk-1/0");
+    assert_int_equal(response_status, 421);
 }
 
 /* A leader that stood still answers nothing that came meanwhile, though no tick has found it out yet. */
-static void no_answer_after_a_stall(void **state) {
+static void no_response_after_a_stall(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -235,8 +237,8 @@
         node->election.renewed_at = node->jobs.last_read_sent_at = now - rows[i].news_ago;
         node->peers.count = 1;
         node->peers.list[0].confirmed_at = now - rows[i].word_ago;
-        hello(TERM, "wk-1/0");
-        if (answer_status != rows[i].status) fail_msg("%s: %d", rows[i].what, answer_status);
+        post_heartbeat(TERM, "wk-1/0");
+        if (response_status != rows[i].status) fail_msg("%s: %d", rows[i].what, response_status);
     }
 }
 
@@ -258,13 +260,13 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(answers_list_what_the_asker_lacks, setup, teardown),
-        cmocka_unit_test_setup_teardown(whose_word_counts, setup, teardown),
+        cmocka_unit_test_setup_teardown(responses_list_what_the_asker_lacks, setup, teardown),
+        cmocka_unit_test_setup_teardown(which_peers_confirm_the_leader, setup, teardown),
         cmocka_unit_test_setup_teardown(cancellations_known_before_the_job, setup, teardown),
         cmocka_unit_test_setup_teardown(reading_records_stops_cancelled_tasks, setup, teardown),
-        cmocka_unit_test_setup_teardown(no_answer_after_a_stall, setup, teardown),
+        cmocka_unit_test_setup_teardown(no_response_after_a_stall, setup, teardown),
         cmocka_unit_test_setup_teardown(fenced_in_time_for_a_cancellation, setup, teardown),
-        cmocka_unit_test_setup_teardown(deputies_stop_cancelled_tasks, setup, teardown),
+        cmocka_unit_test_setup_teardown(lease_proxies_stop_cancelled_tasks, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -489,7 +489,7 @@
     node->controller.restored_at = 0;
     order_news(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
     fake_answer_all_lost();
-    amb_controller_lead(node);
+    amb_controller_start_leading(node);
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
     assert_int_equal(node->controller.restored_at, 0);
     answer_news(open_call("GET", "/follow"), 90, NULL, AMB_JOB_QUEUED, 0);
@@ -591,7 +591,7 @@
         fake_clock_advance(rows[i].early ? span : span + 1);
         fake_answer_all_lost();
         if (!rows[i].no_list) read_list(rows[i].listed, rows[i].stance, rows[i].more);
-        if (rows[i].stops_leading) amb_controller_stop(node, "a test");
+        if (rows[i].stops_leading) amb_controller_stop_leading(node, "a test");
         if (ports->proved_gone(node, &work) != rows[i].proved)
             fail_msg("%s: proved: %d", rows[i].what, !rows[i].proved);
         amb_duty_work_free(&work);
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -62,9 +62,9 @@
     machine_up("m-2", 0);
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
     job->spec->task_resources.gpus = 8;
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    amb_round_admit(cycle);
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    amb_cycle_admit(cycle);
+    amb_cycle_free(cycle);
     assert_int_equal(job->bound_count, 2);
     if (job->tasks[0].attempt != job->tasks[1].attempt)
         fail_msg("attempts %llu and %llu", (unsigned long long)job->tasks[0].attempt,
@@ -91,9 +91,9 @@
         machine_up("m-1", 0);
         if (rows[i].one_left) bound(job, 0, "m-1", 1);
         job->gang_state = rows[i].gang;
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        bool starts = amb_round_wants_start(cycle, job);
-        amb_round_free(cycle);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        bool starts = amb_cycle_is_schedulable(cycle, job);
+        amb_cycle_free(cycle);
         if (starts != rows[i].starts) fail_msg("%s: starts %d", rows[i].what, starts);
     }
 }
@@ -104,10 +104,10 @@
     job->spec->one_zone = true;
     machine_up("m-1", 1);
     bound(job, 0, "m-1", 1);
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    struct amb_wish request;
-    amb_round_wish(cycle, job, &request);
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    struct amb_placement_request request;
+    amb_cycle_init_request(cycle, job, &request);
+    amb_cycle_free(cycle);
     if (request.zone != 1) fail_msg("may start in zone %d", request.zone);
 }
 
@@ -170,12 +170,12 @@
             if (!sweep->tasks[i].machine) bound(sweep, i, i < 8 ? "m-1" : "m-2", 2);
             sweep->tasks[i].state = AMB_TASK_SEEN;
         }
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        amb_round_mark(cycle, gang->spec, gang->spec->image);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        amb_cycle_annotate_for_image(cycle, gang->spec, gang->spec->image);
         uint32_t stopped = 0, claimed = 0;
-        bool room = amb_round_make_room_gang(cycle, gang);
-        for (uint32_t i = 0; i < cycle->nslots; i++) claimed += cycle->slots[i].machine->claimed_by_gang;
-        amb_round_free(cycle);
+        bool room = amb_cycle_preempt_for_gang(cycle, gang);
+        for (uint32_t i = 0; i < cycle->slot_count; i++) claimed += cycle->slots[i].machine->claimed_by_gang;
+        amb_cycle_free(cycle);
         for (uint32_t i = 0; i < 16; i++) stopped += sweep->tasks[i].stop_requested;
         for (uint32_t i = 0; i < 16; i++)
             if (sweep->tasks[i].stop_requested && sweep->tasks[i].grace_s != rows[k].grace)
@@ -221,7 +221,7 @@
             strcpy(objective->class_name, "class");
             objective->within_s = rows[i].within[k];
         }
-        const struct amb_objective *objective = amb_start_objective(node, &spec);
+        const struct amb_objective *objective = amb_start_find_objective(node, &spec);
         if ((objective ? objective->within_s : 0) != rows[i].want) fail_msg("%s", rows[i].what);
     }
 }
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -54,10 +54,10 @@
         job_from("wk-third", rows[i].last_rank, rows[i].due_s, rows[i].reckon_s, rows[i].age_s,
                  "\"wk-second\"", 203);
         job_from("wk-other", rows[i].other_rank, 0, 10, rows[i].other_age_s, "", 204);
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        assert_int_equal(cycle->njobs, 2);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        assert_int_equal(cycle->job_count, 2);
         if ((cycle->jobs[0] == first) != rows[i].before) fail_msg("%s", rows[i].what);
-        amb_round_free(cycle);
+        amb_cycle_free(cycle);
     }
 }
 
@@ -82,10 +82,10 @@
     node->settings.objectives[0].within_s = 45; /* its work is reckoned as 30 */
     node->catalog.types[0].boot_s = 0;
     stage->spec->deadline_s = 0;
-    assert_true(amb_start_can_wait(node, stage));
-    assert_false(amb_start_can_wait(node, other));
+    assert_true(amb_start_can_wait_for_capacity(node, stage));
+    assert_false(amb_start_can_wait_for_capacity(node, other));
     stage->spec->deadline_s = 45;
-    assert_false(amb_start_can_wait(node, stage));
+    assert_false(amb_start_can_wait_for_capacity(node, stage));
 }
 
 /* Room is not rented for an early stage as long as the later ones still have their time. */
@@ -108,7 +108,7 @@
         job_from("wk-last", "high", rows[i].due_s, rows[i].reckon_s, 0, "\"wk-first\"", 202);
         node->catalog.types[0].boot_s = 30;
         amb_pipelines_update_priorities(node);
-        if (amb_start_can_wait(node, first) != rows[i].can_wait) fail_msg("%s", rows[i].what);
+        if (amb_start_can_wait_for_capacity(node, first) != rows[i].can_wait) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -136,7 +136,7 @@
         node->catalog.types[0].boot_s = 30;
         job->team->opportunistic = rows[i].opportunistic;
         job->accepted_wall_ms -= amb_secs(rows[i].waited_s);
-        if (amb_start_can_wait(node, job) != rows[i].can_wait) fail_msg("%s", rows[i].what);
+        if (amb_start_can_wait_for_capacity(node, job) != rows[i].can_wait) fail_msg("%s", rows[i].what);
         job->team->opportunistic = false;
     }
 }
@@ -177,15 +177,15 @@
         amb_pipelines_update_priorities(node);
         struct amb_task *task = bound(first, 0, "m-1", 1);
         task->state = AMB_TASK_SEEN;
-        const struct amb_claim claim = {rows[i].claim, NULL, false};
+        const struct amb_preemption_claim claim = {rows[i].claim, NULL, false};
         first->team->opportunistic = rows[i].opportunistic;
-        if (amb_round_makes_way(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
+        if (amb_cycle_is_preemptible_by(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
         assert_int_equal(amb_job_get_effective_priority(first), rows[i].own_claim);
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        struct amb_wish request;
-        amb_round_wish(cycle, first, &request);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        struct amb_placement_request request;
+        amb_cycle_init_request(cycle, first, &request);
         assert_int_equal(request.priority, rows[i].own_claim);
-        amb_round_free(cycle);
+        amb_cycle_free(cycle);
         amb_task_unbind(node, task, "end of row");
         first->team->opportunistic = false;
     }
--- a/tests/job/test_pipelines.c
+++ b/tests/job/test_pipelines.c
@@ -151,13 +151,13 @@
     amb_buf_free(&buffer);
     assert_true(job->active);
     assert_int_equal(job->bound_count, 1);
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    if (amb_round_wants_start(cycle, job)) fail_msg("it is started while it waits");
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    if (amb_cycle_is_schedulable(cycle, job)) fail_msg("it is started while it waits");
+    amb_cycle_free(cycle);
     finish_tasks('a');
-    cycle = amb_round_new(node, amb_now());
-    assert_true(amb_round_wants_start(cycle, job));
-    amb_round_free(cycle);
+    cycle = amb_cycle_new(node, amb_now());
+    assert_true(amb_cycle_is_schedulable(cycle, job));
+    amb_cycle_free(cycle);
 }
 
 int main(void) {
--- a/tests/placement/test_place.c
+++ b/tests/placement/test_place.c
@@ -4,56 +4,101 @@
 
 enum { A, B };
 
-static void check_pick(const char *what, const struct amb_wish *request, const struct amb_slot *slots,
-                       uint32_t count, bool soon, int want) {
-    int got = amb_place_pick(request, slots, count, soon);
+static void check_best_slot(const char *what, const struct amb_placement_request *request,
+                            const struct amb_slot *slots, uint32_t count, bool soon, int want) {
+    int got = amb_placement_find_best(request, slots, count, soon);
     if (got != want) fail_msg("%s: %d instead of %d", what, got, want);
 }
 
-static void picks(void **state) {
+static void finds_best_slot(void **state) {
     (void)state;
     /* type 0: 8 GPUs; machines: 0 empty in A, 1 half full in A, 2 spot in B, 3 in B with the image */
     static const struct amb_slot slots[] = {
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 0, -1, 0, 0, .claimed = false},
-        {{32, 4, 250}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 4, -1, 0, 0, .claimed = false},
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, B, true, false, true, 1, NULL, 0, -1, 0, 0, .claimed = false},
-        {{8, 1, 60}, {8, 1, 60}, 8, 1, B, false, true, true, 0, NULL, 7, -1, 0, 0, .claimed = false},
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, false, 0, NULL, 0, -1, 0, 0, .claimed = false},
+        {{64, 8, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         false,
+         true,
+         1,
+         NULL,
+         0,
+         -1,
+         0,
+         0,
+         .claimed_by_gang = false},
+        {{32, 4, 250},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         false,
+         true,
+         1,
+         NULL,
+         4,
+         -1,
+         0,
+         0,
+         .claimed_by_gang = false},
+        {{64, 8, 500}, {0, 0, 0}, 8, 0, B, true, false, true, 1, NULL, 0, -1, 0, 0, .claimed_by_gang = false},
+        {{8, 1, 60}, {8, 1, 60}, 8, 1, B, false, true, true, 0, NULL, 7, -1, 0, 0, .claimed_by_gang = false},
+        {{64, 8, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         true,
+         false,
+         0,
+         NULL,
+         0,
+         -1,
+         0,
+         0,
+         .claimed_by_gang = false},
     };
-    static const uint32_t none[AMB_ZONES_MAX] = {0}, two_in_a[AMB_ZONES_MAX] = {2, 0};
+    static const uint32_t no_tasks[AMB_ZONES_MAX] = {0}, two_in_a[AMB_ZONES_MAX] = {2, 0};
     static const struct {
         const char *what;
-        struct amb_wish wish;
+        struct amb_placement_request wish;
         bool soon;
         int want;
     } rows[] = {
         {"the image at hand",
-         {{8, 1, 40}, 3, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 1, 40}, 3, -1, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          3},
         {"the fullest that takes it",
-         {{8, 2, 40}, 3, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 2, 40}, 3, -1, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          1},
         {"spot for those who may",
-         {{8, 2, 40}, 3, -1, true, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 2, 40}, 3, -1, true, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          2},
         {"too large for the half full",
-         {{8, 5, 40}, 3, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 5, 40}, 3, -1, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          0},
         {"only in B, no spot",
-         {{8, 2, 40}, 3, B, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 2, 40}, 3, B, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          -1},
         {"room that comes",
-         {{16, 2, 80}, 3, B, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{16, 2, 80}, 3, B, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          true,
          3},
-        {"another type", {{8, 1, 40}, 1, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH}, false, 1},
+        {"another type",
+         {{8, 1, 40}, 1, -1, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         1},
         {"no such type",
-         {{8, 1, 40}, 4, -1, false, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 1, 40}, 4, -1, false, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          -1},
         {"spread: A has its half",
@@ -65,13 +110,16 @@
          false,
          -1},
         {"memory counts",
-         {{8, 1, 501}, 3, -1, true, none, 0, false, .priority = AMB_PRIORITY_HIGH},
+         {{8, 1, 501}, 3, -1, true, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
+         false,
+         -1},
+        {"cores count",
+         {{65, 1, 10}, 3, -1, true, no_tasks, 0, false, .priority = AMB_PRIORITY_HIGH},
          false,
          -1},
-        {"cores count", {{65, 1, 10}, 3, -1, true, none, 0, false, .priority = AMB_PRIORITY_HIGH}, false, -1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        check_pick(rows[i].what, &rows[i].wish, slots, ROWS(slots), rows[i].soon, rows[i].want);
+        check_best_slot(rows[i].what, &rows[i].wish, slots, ROWS(slots), rows[i].soon, rows[i].want);
     }
 }
 
@@ -81,12 +129,12 @@
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, true, true, true, 0, NULL, 0, -1, 0, 0, .claimed = false},
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 0, -1, 0, 0, .claimed = false},
-        {{16, 4, 250}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 4, -1, 0, 0, .claimed = false},
-        {{4, 0, 100}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 8, -1, 0, 0, .claimed = false},
-        {{64, 0, 500}, {0, 0, 0}, 0, 0, B, false, true, true, 0, NULL, 0, -1, 0, 0, .claimed = false},
-        {{64, 0, 500}, {0, 0, 0}, 0, 0, B, true, true, true, 0, NULL, 0, -1, 0, 0, .claimed = false},
+        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, true, true, true, 0, NULL, 0, -1, 0, 0, .claimed_by_gang = false},
+        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 0, -1, 0, 0, .claimed_by_gang = false},
+        {{16, 4, 250}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 4, -1, 0, 0, .claimed_by_gang = false},
+        {{4, 0, 100}, {0, 0, 0}, 8, 0, A, false, true, true, 0, NULL, 8, -1, 0, 0, .claimed_by_gang = false},
+        {{64, 0, 500}, {0, 0, 0}, 0, 0, B, false, true, true, 0, NULL, 0, -1, 0, 0, .claimed_by_gang = false},
+        {{64, 0, 500}, {0, 0, 0}, 0, 0, B, true, true, true, 0, NULL, 0, -1, 0, 0, .claimed_by_gang = false},
     };
     static const struct {
         const char *what;
@@ -101,31 +149,60 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         for (int patient = 0; patient < 2; patient++) {
-            struct amb_wish request = {
-                rows[i].need,      1, rows[i].zone, true, none, 0, false, AMB_PRIORITY_BEST_EFFORT,
-                .patient = patient};
-            check_pick(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
+            struct amb_placement_request request = {
+                rows[i].need,         1, rows[i].zone, true, none, 0, false, AMB_PRIORITY_BEST_EFFORT,
+                .deferrable = patient};
+            check_best_slot(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
         }
     }
 }
 
 /* Replicas gather where replicas are, also when another machine is fuller with batch work. */
-static void lasting_tasks_gather(void **state) {
+static void long_running_tasks_gather(void **state) {
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
-        {{64, 2, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 6, -1, 0, 0, .claimed = false},
-        {{64, 4, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 2, -1, 4, 0, .claimed = false},
+        {{64, 2, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         false,
+         true,
+         1,
+         NULL,
+         6,
+         -1,
+         0,
+         0,
+         .claimed_by_gang = false},
+        {{64, 4, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         false,
+         true,
+         1,
+         NULL,
+         2,
+         -1,
+         4,
+         0,
+         .claimed_by_gang = false},
     };
-    struct amb_wish request = {{8, 2, 40}, 1, -1, false, none, 0, true, .priority = AMB_PRIORITY_HIGH};
-    assert_int_equal(amb_place_pick(&request, slots, ROWS(slots), false), 1);
-    request.lasting = false;
-    assert_int_equal(amb_place_pick(&request, slots, ROWS(slots), false), 0);
+    struct amb_placement_request request = {{8, 2, 40}, 1, -1,   false,
+                                            none,       0, true, .priority = AMB_PRIORITY_HIGH};
+    assert_int_equal(amb_placement_find_best(&request, slots, ROWS(slots), false), 1);
+    request.long_running = false;
+    assert_int_equal(amb_placement_find_best(&request, slots, ROWS(slots), false), 0);
 }
 
 /* A machine kept for expected work is left alone by batch work that can wait, taken last by batch work that
  * can't, and open to work that would make way. */
-static void kept_machines(void **state) {
+static void reserved_machines(void **state) {
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
@@ -143,8 +220,22 @@
          AMB_PRIORITY_NORMAL,
          0,
          0,
-         .claimed = false},
-        {{64, 8, 500}, {0, 0, 0}, 8, 0, A, false, false, true, 1, NULL, 0, -1, 0, 0, .claimed = false},
+         .claimed_by_gang = false},
+        {{64, 8, 500},
+         {0, 0, 0},
+         8,
+         0,
+         A,
+         false,
+         false,
+         true,
+         1,
+         NULL,
+         0,
+         -1,
+         0,
+         0,
+         .claimed_by_gang = false},
     };
     static const struct {
         enum amb_priority priority;
@@ -163,26 +254,27 @@
         {AMB_PRIORITY_BEST_EFFORT, false, false, true, 1, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_wish request = {.need = {8, 1, 40}, .type_mask = 1, .zone = -1, .zone_used = none};
+        struct amb_placement_request request = {
+            .need = {8, 1, 40}, .type_mask = 1, .zone = -1, .tasks_by_zone = none};
         request.priority = rows[i].priority;
-        request.patient = rows[i].patient;
+        request.deferrable = rows[i].patient;
         request.can_wait = rows[i].can_wait;
         request.opportunistic = rows[i].opportunistic;
-        int got = amb_place_pick(&request, slots, rows[i].slots, false);
+        int got = amb_placement_find_best(&request, slots, rows[i].slots, false);
         if (got != rows[i].want) fail_msg("row %zu: %d", i, got);
     }
     /* What a gang has claimed is not for batch work at all, or the room made would be taken as it comes. */
     struct amb_slot claimed = slots[0];
-    claimed.claimed = true;
-    struct amb_wish request = {{8, 1, 40},       1, -1, false, none, 0, false, AMB_PRIORITY_NORMAL, true,
-                               .can_wait = false};
-    assert_int_equal(amb_place_pick(&request, &claimed, 1, false), -1);
-    request.patient = false;
-    assert_int_equal(amb_place_pick(&request, &claimed, 1, false), 0);
+    claimed.claimed_by_gang = true;
+    struct amb_placement_request request = {
+        {8, 1, 40}, 1, -1, false, none, 0, false, AMB_PRIORITY_NORMAL, true, .can_wait = false};
+    assert_int_equal(amb_placement_find_best(&request, &claimed, 1, false), -1);
+    request.deferrable = false;
+    assert_int_equal(amb_placement_find_best(&request, &claimed, 1, false), 0);
 }
 
 /* Only a start in time counts: what can't be in time is all about as bad, what surely is as good. */
-static void lateness_is_a_chance(void **state) {
+static void start_risk_is_a_chance(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -198,7 +290,7 @@
         {"no time is set", 10, 0, 1, 0, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        double got = amb_place_late(rows[i].fetch_s, rows[i].within_s, rows[i].slack_s);
+        double got = amb_placement_start_risk(rows[i].fetch_s, rows[i].within_s, rows[i].slack_s);
         if (got < rows[i].low || got > rows[i].high) fail_msg("%s: %g", rows[i].what, got);
     }
 }
@@ -206,24 +298,25 @@
 static void spread_is_half_rounded_up(void **state) {
     (void)state;
     static const uint32_t rows[][2] = {{1, 1}, {2, 1}, {3, 2}, {5, 3}, {9, 5}, {10, 5}};
-    for (size_t i = 0; i < ROWS(rows); i++) assert_int_equal(amb_place_spread_most(rows[i][0]), rows[i][1]);
+    for (size_t i = 0; i < ROWS(rows); i++)
+        assert_int_equal(amb_placement_max_tasks_per_zone(rows[i][0]), rows[i][1]);
 }
 
 static void zones_and_types_are_numbered(void **state) {
     (void)state;
-    struct amb_catalog c = {.type_count = 1, .types = {{.name = "g8"}}};
-    assert_int_equal(amb_catalog_find_type(&c, "g8"), 0);
-    assert_int_equal(amb_catalog_find_type(&c, "g9"), -1);
-    assert_int_equal(amb_catalog_find_or_add_zone(&c, ""), -1);
-    assert_int_equal(amb_catalog_find_or_add_zone(&c, "a"), 0);
-    assert_int_equal(amb_catalog_find_or_add_zone(&c, "b"), 1);
-    assert_int_equal(amb_catalog_find_or_add_zone(&c, "a"), 0);
+    struct amb_catalog catalog = {.type_count = 1, .types = {{.name = "g8"}}};
+    assert_int_equal(amb_catalog_find_type(&catalog, "g8"), 0);
+    assert_int_equal(amb_catalog_find_type(&catalog, "g9"), -1);
+    assert_int_equal(amb_catalog_find_or_add_zone(&catalog, ""), -1);
+    assert_int_equal(amb_catalog_find_or_add_zone(&catalog, "a"), 0);
+    assert_int_equal(amb_catalog_find_or_add_zone(&catalog, "b"), 1);
+    assert_int_equal(amb_catalog_find_or_add_zone(&catalog, "a"), 0);
     char name[16];
     for (int i = 0; i < 2 * AMB_ZONES_MAX; i++) {
         snprintf(name, sizeof name, "z%d", i);
-        amb_catalog_find_or_add_zone(&c, name);
+        amb_catalog_find_or_add_zone(&catalog, name);
     }
-    assert_int_equal(c.zone_count, AMB_ZONES_MAX);
+    assert_int_equal(catalog.zone_count, AMB_ZONES_MAX);
 }
 
 /* A gang has had work stopped for it on the first: what would be stopped again stays away meanwhile. */
@@ -245,7 +338,7 @@
          AMB_PRIORITY_NORMAL,
          0,
          0,
-         .claimed = true},
+         .claimed_by_gang = true},
     };
     static const struct {
         const char *what;
@@ -259,23 +352,20 @@
         {"higher work", AMB_PRIORITY_HIGH, false, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_wish request = {.need = {2, 0, 10}, .type_mask = 1, .zone = -1, .zone_used = none};
+        struct amb_placement_request request = {
+            .need = {2, 0, 10}, .type_mask = 1, .zone = -1, .tasks_by_zone = none};
         request.priority = rows[i].priority;
-        request.patient = rows[i].patient;
-        check_pick(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
+        request.deferrable = rows[i].patient;
+        check_best_slot(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
     }
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(picks),
-        cmocka_unit_test(tasks_without_gpus_leave_them_free),
-        cmocka_unit_test(lasting_tasks_gather),
-        cmocka_unit_test(claimed_machines),
-        cmocka_unit_test(kept_machines),
-        cmocka_unit_test(lateness_is_a_chance),
-        cmocka_unit_test(spread_is_half_rounded_up),
-        cmocka_unit_test(zones_and_types_are_numbered),
+        cmocka_unit_test(finds_best_slot),           cmocka_unit_test(tasks_without_gpus_leave_them_free),
+        cmocka_unit_test(long_running_tasks_gather), cmocka_unit_test(claimed_machines),
+        cmocka_unit_test(reserved_machines),         cmocka_unit_test(start_risk_is_a_chance),
+        cmocka_unit_test(spread_is_half_rounded_up), cmocka_unit_test(zones_and_types_are_numbered),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -4,7 +4,7 @@
 #include "check.h"
 #include "node_fixture.h"
 
-enum { MACHINES = 12, IMAGES = 3, TURNS = 20 };
+enum { MACHINES = 12, IMAGES = 3, QUERIES = 20 };
 
 static uint64_t seed;
 
@@ -49,39 +49,41 @@
 
 /* ---- marks ---- */
 
-static void expect_same_marks(struct amb_round *cycle, struct amb_round *fresh, uint32_t i) {
-    const struct amb_slot *slot = amb_round_slot(cycle, i), *plain = amb_round_slot(fresh, i);
-    assert_int_equal(slot->has_image, plain->has_image);
-    assert_true(slot->late == plain->late);
+static void expect_same_annotation(struct amb_cycle *cycle, struct amb_cycle *fresh_cycle,
+                                   uint32_t slot_index) {
+    const struct amb_slot *slot = amb_cycle_get_slot(cycle, slot_index),
+                          *fresh_slot = amb_cycle_get_slot(fresh_cycle, slot_index);
+    assert_int_equal(slot->has_image, fresh_slot->has_image);
+    assert_true(slot->start_risk == fresh_slot->start_risk);
 }
 
 /* Whatever a slot was marked for before, and whenever it is looked at. */
-static void marks_are_those_of_a_fresh_round(void **state) {
+static void annotations_are_those_of_a_fresh_cycle(void **state) {
     (void)state;
     uint32_t at_hand = 0, elsewhere = 0;
     for (uint64_t i = 1; i <= 10; i++) {
         prepare(i);
         add_machines();
         struct amb_job_spec spec = {.estimated_runtime_s = 60, .image_gb = 10};
-        struct amb_round *cycle = amb_round_new(node, amb_now());
-        assert_int_equal(cycle->nslots, MACHINES);
-        for (int turn = 0; turn < TURNS; turn++) {
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        assert_int_equal(cycle->slot_count, MACHINES);
+        for (int query = 0; query < QUERIES; query++) {
             char image[AMB_NAME_SIZE];
             image_name(image, draw(IMAGES));
-            amb_round_mark(cycle, &spec, image);
-            struct amb_round *fresh = amb_round_new(node, amb_now());
-            while (fresh->nslots < cycle->nslots) amb_round_add_type(fresh, 0, 0, false);
-            amb_round_mark(fresh, &spec, image);
-            for (uint32_t k = 0; k < cycle->nslots; k++) {
+            amb_cycle_annotate_for_image(cycle, &spec, image);
+            struct amb_cycle *fresh_cycle = amb_cycle_new(node, amb_now());
+            while (fresh_cycle->slot_count < cycle->slot_count) amb_cycle_add_slot(fresh_cycle, 0, 0, false);
+            amb_cycle_annotate_for_image(fresh_cycle, &spec, image);
+            for (uint32_t k = 0; k < cycle->slot_count; k++) {
                 if (!draw(4)) continue; /* not looked at this time */
-                expect_same_marks(cycle, fresh, k);
+                expect_same_annotation(cycle, fresh_cycle, k);
                 *(cycle->slots[k].has_image ? &at_hand : &elsewhere) += 1;
             }
-            amb_round_free(fresh);
-            cycle->slots[draw(cycle->nslots)].room.gpus -= 1;
-            if (draw(2)) amb_round_add_type(cycle, 0, 0, false);
+            amb_cycle_free(fresh_cycle);
+            cycle->slots[draw(cycle->slot_count)].available.gpus -= 1;
+            if (draw(2)) amb_cycle_add_slot(cycle, 0, 0, false);
         }
-        amb_round_free(cycle);
+        amb_cycle_free(cycle);
     }
     assert_true(at_hand > 100 && elsewhere > 100);
 }
@@ -91,48 +93,49 @@
 enum { SHAPES = 250, STEPS = 1500 }; /* more shapes than are kept */
 
 struct shape {
-    struct amb_wish wish;
+    struct amb_placement_request request;
     char image[AMB_NAME_SIZE];
-    bool soon;
+    bool include_releasing;
 };
 
 static void draw_shape(struct shape *shape) {
-    *shape = (struct shape){.soon = draw(2),
-                            .wish = {.need = {(double)draw(3) * 8, (double)draw(4), (double)draw(2) * 40},
-                                     .type_mask = (uint32_t)draw(3) + 1,
-                                     .zone = draw(4) ? -1 : (int)draw(2),
-                                     .spot = draw(2),
-                                     .lasting = draw(2),
-                                     .priority = (enum amb_priority)draw(4),
-                                     .patient = draw(2),
-                                     .can_wait = draw(2)}};
+    *shape = (struct shape){.include_releasing = draw(2),
+                            .request = {.need = {(double)draw(3) * 8, (double)draw(4), (double)draw(2) * 40},
+                                        .type_mask = (uint32_t)draw(3) + 1,
+                                        .zone = draw(4) ? -1 : (int)draw(2),
+                                        .spot_allowed = draw(2),
+                                        .long_running = draw(2),
+                                        .priority = (enum amb_priority)draw(4),
+                                        .deferrable = draw(2),
+                                        .can_wait = draw(2)}};
     image_name(shape->image, draw(IMAGES));
 }
 
 static void draw_slot(struct amb_slot *slot) {
-    slot->room = (struct amb_resources){(double)draw(9) * 8, (double)draw(9), (double)draw(9) * 40};
-    slot->soon = (struct amb_resources){(double)draw(2) * 8, (double)draw(2), (double)draw(2) * 40};
+    slot->available = (struct amb_resources){(double)draw(9) * 8, (double)draw(9), (double)draw(9) * 40};
+    slot->releasing_soon = (struct amb_resources){(double)draw(2) * 8, (double)draw(2), (double)draw(2) * 40};
     slot->size_gpus = draw(8) ? 8 : 0;
-    slot->kept_for = (int)draw(5) - 1;
+    slot->reserved_priority = (int)draw(5) - 1;
     slot->usable = draw(10) != 0;
-    slot->claimed = !draw(6);
-    slot->lasting = (double)draw(3);
+    slot->claimed_by_gang = !draw(6);
+    slot->long_running_gpus = (double)draw(3);
     slot->fetching_gb = (double)draw(2) * 20;
 }
 
-static void change_something(struct amb_round *cycle) {
-    uint64_t changes = draw(20) ? draw(3) : draw(4) * (uint64_t)cycle->nslots; /* now and then a great many */
+static void change_something(struct amb_cycle *cycle) {
+    uint64_t changes =
+        draw(20) ? draw(3) : draw(4) * (uint64_t)cycle->slot_count; /* now and then a great many */
     for (; changes; changes--) {
-        struct amb_slot *slot = &cycle->slots[draw(cycle->nslots)];
+        struct amb_slot *slot = &cycle->slots[draw(cycle->slot_count)];
         draw_slot(slot);
-        amb_round_slot_changed(cycle, slot);
+        amb_cycle_note_slot_change(cycle, slot);
     }
     if (draw(15)) return;
-    draw_slot(amb_round_add_type(cycle, (int)draw(2), (int)draw(2), draw(2)));
+    draw_slot(amb_cycle_add_slot(cycle, (int)draw(2), (int)draw(2), draw(2)));
 }
 
 /* Picks by the rankings, and among all slots, step by step through drawn changes. */
-static void rankings_pick_as_a_look_at_all_slots(void **state) {
+static void rankings_find_what_a_full_scan_finds(void **state) {
     (void)state;
     uint32_t found = 0, nothing = 0;
     for (uint64_t i = 1; i <= 8; i++) {
@@ -142,33 +145,34 @@
         add_machines();
         struct shape shapes[SHAPES];
         for (int k = 0; k < SHAPES; k++) draw_shape(&shapes[k]);
-        struct amb_round *cycle = amb_round_new(node, amb_now());
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
         for (int step = 0; step < STEPS; step++) {
             change_something(cycle);
             struct shape *shape = &shapes[draw(draw(2) ? 5 : SHAPES)];
             uint32_t used[AMB_ZONES_MAX] = {(uint32_t)draw(3), (uint32_t)draw(3)};
             struct amb_job_spec spec = {.estimated_runtime_s = 60, .image_gb = 10};
-            shape->wish.zone_used = used;
-            shape->wish.zone_most = (uint32_t)draw(3);
+            shape->request.tasks_by_zone = used;
+            shape->request.max_tasks_per_zone = (uint32_t)draw(3);
             if (draw(8))
-                amb_round_mark(cycle, &spec, shape->image);
+                amb_cycle_annotate_for_image(cycle, &spec, shape->image);
             else
-                amb_round_mark_any(cycle);
-            int picked = amb_round_pick(cycle, &shape->wish, shape->soon);
-            for (uint32_t k = 0; k < cycle->nslots; k++) amb_round_slot(cycle, k);
-            int want = amb_place_pick(&shape->wish, cycle->slots, cycle->nslots, shape->soon);
+                amb_cycle_annotate_ignoring_image(cycle);
+            int picked = amb_cycle_find_best_slot(cycle, &shape->request, shape->include_releasing);
+            for (uint32_t k = 0; k < cycle->slot_count; k++) amb_cycle_get_slot(cycle, k);
+            int want = amb_placement_find_best(&shape->request, cycle->slots, cycle->slot_count,
+                                               shape->include_releasing);
             if (picked != want) fail_msg("seed %d, step %d: slot %d, not %d", (int)i, step, picked, want);
             *(picked < 0 ? &nothing : &found) += 1;
         }
-        amb_round_free(cycle);
+        amb_cycle_free(cycle);
     }
     assert_true(found > 1000 && nothing > 1000);
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(marks_are_those_of_a_fresh_round, setup, teardown),
-        cmocka_unit_test_setup_teardown(rankings_pick_as_a_look_at_all_slots, setup, teardown),
+        cmocka_unit_test_setup_teardown(annotations_are_those_of_a_fresh_cycle, setup, teardown),
+        cmocka_unit_test_setup_teardown(rankings_find_what_a_full_scan_finds, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -11,35 +11,35 @@
     struct amb_team *teams; /* told what is used, when there */
 };
 
-static bool next(void *arg, uint32_t team, struct amb_wdrr_item *out) {
-    struct queue *q = arg;
-    if (!q->left[team] || q->skipped[team]) return false;
-    out->need = (struct amb_resources){0, q->size[team], 0};
-    out->size = amb_wdrr_size(&out->need, true);
-    out->what = q;
+static bool next(void *context, uint32_t team, struct amb_wdrr_item *item) {
+    struct queue *queue = context;
+    if (!queue->left[team] || queue->skipped[team]) return false;
+    item->need = (struct amb_resources){0, queue->size[team], 0};
+    item->size = amb_wdrr_item_size(&item->need, true);
+    item->payload = queue;
     return true;
 }
 
-static enum amb_wdrr_try admit(void *arg, uint32_t team, const struct amb_wdrr_item *item) {
-    struct queue *q = arg;
-    if (q->room < item->size) return AMB_TRY_NO_FIT;
-    q->room -= item->size;
-    q->left[team]--;
-    q->got[team]++;
-    if (q->teams) q->teams[team].used.gpus += item->size;
-    return AMB_TRY_ADMITTED;
+static enum amb_wdrr_result admit(void *context, uint32_t team, const struct amb_wdrr_item *item) {
+    struct queue *queue = context;
+    if (queue->room < item->size) return AMB_WDRR_NO_FIT;
+    queue->room -= item->size;
+    queue->left[team]--;
+    queue->got[team]++;
+    if (queue->teams) queue->teams[team].used.gpus += item->size;
+    return AMB_WDRR_ADMITTED;
 }
 
-static void skip_it(void *arg, uint32_t team, const struct amb_wdrr_item *item) {
+static void skip(void *context, uint32_t team, const struct amb_wdrr_item *item) {
     (void)item;
-    ((struct queue *)arg)->skipped[team] = true;
+    ((struct queue *)context)->skipped[team] = true;
 }
 
-static bool idle(void *arg, uint32_t team) {
-    return !((struct queue *)arg)->left[team];
+static bool is_idle(void *context, uint32_t team) {
+    return !((struct queue *)context)->left[team];
 }
 
-static void rounds(void **state) {
+static void admission_by_weight(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -66,22 +66,22 @@
          {{1, 5, 0}, {20, 1, 1}, {0}, 10, {0}, NULL},
          {0, 5, 0}},
     };
-    const struct amb_wdrr_ops proto = {next, admit, skip_it, idle, NULL};
+    const struct amb_wdrr_ops proto = {next, admit, skip, is_idle, NULL};
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team teams[3] = {0};
-        struct queue q = rows[i].q;
+        struct queue queue = rows[i].q;
         struct amb_wdrr_ops ops = proto;
-        ops.arg = &q;
+        ops.context = &queue;
         for (int t = 0; t < 3; t++) {
             teams[t].guarantee.gpus = rows[i].guarantee[t];
             teams[t].limit.gpus = rows[i].limit[t];
         }
         amb_wdrr_prepare(teams, 3, true);
-        q.teams = teams;
-        amb_wdrr_round(teams, 3, 0, &ops);
+        queue.teams = teams;
+        amb_wdrr_run(teams, 3, 0, &ops);
         for (int t = 0; t < 3; t++)
-            if (q.got[t] != rows[i].want[t])
-                fail_msg("%s: team %d got %u instead of %u", rows[i].what, t, q.got[t], rows[i].want[t]);
+            if (queue.got[t] != rows[i].want[t])
+                fail_msg("%s: team %d got %u instead of %u", rows[i].what, t, queue.got[t], rows[i].want[t]);
     }
 }
 
@@ -101,8 +101,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team team = {.limit = rows[i].limit, .guarantee = rows[i].guarantee, .used = rows[i].used};
-        assert_int_equal(amb_wdrr_within_limit(&team, &rows[i].need, rows[i].times), rows[i].within_limit);
-        assert_int_equal(amb_wdrr_within_guarantee(&team, &rows[i].need), rows[i].within_guarantee);
+        assert_int_equal(amb_wdrr_is_within_limit(&team, &rows[i].need, rows[i].times), rows[i].within_limit);
+        assert_int_equal(amb_wdrr_is_within_guarantee(&team, &rows[i].need), rows[i].within_guarantee);
     }
 }
 
@@ -117,10 +117,10 @@
     amb_wdrr_refill(&team, 1, 1000);
     assert_true(team.bucket_tokens == 120);
     /* An empty bucket admits nothing. */
-    struct queue q = {{5, 0, 0}, {1, 1, 1}, {0}, 100, {0}, NULL};
-    struct amb_wdrr_ops ops = {next, admit, skip_it, idle, &q};
+    struct queue queue = {{5, 0, 0}, {1, 1, 1}, {0}, 100, {0}, NULL};
+    struct amb_wdrr_ops ops = {next, admit, skip, is_idle, &queue};
     team.bucket_tokens = 0.5;
-    assert_int_equal(amb_wdrr_round(&team, 1, 0, &ops), 0);
+    assert_int_equal(amb_wdrr_run(&team, 1, 0, &ops), 0);
 }
 
 /* Where teams have guarantees, one that has none uses what they leave idle. */
@@ -135,7 +135,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team teams[2] = {{.guarantee = rows[i].first}, {.guarantee = rows[i].second}};
-        amb_wdrr_prepare(teams, 2, amb_wdrr_by_gpus(teams, 2));
+        amb_wdrr_prepare(teams, 2, amb_wdrr_is_sized_by_gpus(teams, 2));
         if (teams[1].opportunistic != rows[i].opportunistic) fail_msg("row %zu", i);
     }
 }
@@ -145,16 +145,16 @@
     struct amb_team teams[2] = {{.guarantee = {0, 8, 0}}, {.guarantee = {0, 8, 0}}};
     amb_wdrr_prepare(teams, 2, true);
     for (int i = 0; i < 100; i++) {
-        struct queue q = {{5, 5, 0}, {1, 1, 1}, {0}, 0, {0}, NULL};
-        struct amb_wdrr_ops ops = {next, admit, skip_it, idle, &q};
-        amb_wdrr_round(teams, 2, 0, &ops);
+        struct queue queue = {{5, 5, 0}, {1, 1, 1}, {0}, 0, {0}, NULL};
+        struct amb_wdrr_ops ops = {next, admit, skip, is_idle, &queue};
+        amb_wdrr_run(teams, 2, 0, &ops);
     }
     assert_true(teams[0].deficit <= 8);
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(rounds),
+        cmocka_unit_test(admission_by_weight),
         cmocka_unit_test(limits_and_guarantees),
         cmocka_unit_test(buckets_fill_and_empty),
         cmocka_unit_test(teams_without_guarantee),
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -132,7 +132,7 @@
     (void)state;
     char err[128];
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
-    amb_controller_lead(node);
+    amb_controller_start_leading(node);
     fake_clock_advance(200);
     struct fake_call *read = open_call("GET", "/follow");
     assert_non_null(read);
--- a/tests/standin/recovery.c
+++ b/tests/standin/recovery.c
@@ -128,7 +128,7 @@
     const struct amb_task *task = &job->tasks[index];
     if (task->state != AMB_TASK_WAITING || world.now - task->state_since < ORDER_SLACK_MS) return false;
     return !job->spec->spread_zones ||
-           job->zone_task_counts[zone] < amb_place_spread_most(job->spec->task_count);
+           job->zone_task_counts[zone] < amb_placement_max_tasks_per_zone(job->spec->task_count);
 }
 
 static bool any_waits(const struct amb_node *leader, const struct sim_job *lost, int zone) {
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -114,7 +114,8 @@
         sim_broken("wrong_place: %s on %s of another zone", task->ref, machine->name);
     if (machine->spot && !spec->spot_allowed)
         sim_broken("wrong_place: %s on spot %s", task->ref, machine->name);
-    if (spec->spread_zones && crowd.in_zone[machine->zone] > amb_place_spread_most(spec->task_count))
+    if (spec->spread_zones &&
+        crowd.in_zone[machine->zone] > amb_placement_max_tasks_per_zone(spec->task_count))
         sim_broken("wrong_place: spread of %s on %s", task->ref, machine->name);
     if (spec->one_zone && in_other_zones(crowd.in_zone, machine->zone))
         sim_broken("wrong_place: %s not in one zone, %s", task->ref, machine->name);
@@ -281,7 +282,7 @@
     if (world.machines[machine].spot && !spec->spot_allowed) return false;
     if (spec->zone[0] && zone != sim_zone_of_name(spec->zone)) return false;
     if (spec->one_zone && in_other_zones(in_zone, zone)) return false;
-    return !spec->spread_zones || in_zone[zone] < amb_place_spread_most(spec->task_count);
+    return !spec->spread_zones || in_zone[zone] < amb_placement_max_tasks_per_zone(spec->task_count);
 }
 
 /* Tasks of the job that fit in a zone's machines as they are. */
--- a/tests/support/bare_node.h
+++ b/tests/support/bare_node.h
@@ -7,7 +7,7 @@
 
 /* Its events go to the controller, its options are the usual ones. */
 struct amb_node *bare_node_new(void);
-/* With all that it holds. One that leads must have stopped (amb_controller_stop). */
+/* With all that it holds. One that leads must have stopped (amb_controller_stop_leading). */
 void bare_node_free(struct amb_node *node);
 
 #endif
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -53,7 +53,7 @@
 int teardown(void **state) {
     (void)state;
     /* The loop never runs, so no timer fires and no call goes out. */
-    amb_controller_stop(node, "end of test");
+    amb_controller_stop_leading(node, "end of test");
     bare_node_free(node);
     return 0;
 }
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -315,13 +315,13 @@
     node->election.ttl = 3600000;
     node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
-    amb_controller_lead(node);
+    amb_controller_start_leading(node);
     settle();
     if (!service.out && !node->controller.restored_at) fail_msg("the records are not read");
 }
 
 void stop(void) {
-    amb_controller_stop(node, "test");
+    amb_controller_stop_leading(node, "test");
     node->election.role = AMB_ROLE_FOLLOWER;
 }
 
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -102,9 +102,9 @@
 }
 
 static void admit(void) {
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    amb_round_admit(cycle);
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    amb_cycle_admit(cycle);
+    amb_cycle_free(cycle);
 }
 
 static void off_judges_nothing(void **state) {
@@ -158,9 +158,9 @@
     unproven->state = AMB_MACHINE_UNPROVEN;
     unproven->state_since = node->controller.restored_at = node->controller.leader_since;
     unproven->last_heartbeat_at = amb_now();
-    struct amb_round *cycle = amb_round_new(node, amb_now());
-    amb_plan(cycle);
-    amb_round_free(cycle);
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    amb_capacity_plan_run(cycle);
+    amb_cycle_free(cycle);
     amb_fleet_tick(node, amb_now());
     assert_true(other->release_pending);
     assert_false(idle->release_pending);
