--- a/include/amberpin/cloud/machine_list.h
+++ b/include/amberpin/cloud/machine_list.h
@@ -6,6 +6,6 @@
 
 struct amb_node;
 
-void amb_machine_list_tick(struct amb_node *node, amb_ms now);
+void amb_cloud_list_tick(struct amb_node *node, amb_ms now);
 
 #endif
--- a/include/amberpin/cloud/machine_release.h
+++ b/include/amberpin/cloud/machine_release.h
@@ -7,8 +7,8 @@
 struct amb_machine;
 struct amb_node;
 
-void amb_machine_returns_tick(struct amb_node *node, amb_ms now);
+void amb_cloud_release_tick(struct amb_node *node, amb_ms now);
 /* Tells those above that the machine is proven gone. It is freed. */
-void amb_machine_post_gone(struct amb_node *node, struct amb_machine *machine, enum amb_absence proof);
+void amb_cloud_post_machine_gone(struct amb_node *node, struct amb_machine *machine, enum amb_absence proof);
 
 #endif
--- a/include/amberpin/duty/assignment.h
+++ b/include/amberpin/duty/assignment.h
@@ -9,20 +9,20 @@
 struct amb_duty_member {
     char name[AMB_NAME_SIZE]; /* empty: the place is free */
     bool alive;
-    uint64_t session; /* stamp of its key; meaningful while alive */
+    uint64_t incarnation; /* stamp of its key; meaningful while alive */
     uint64_t nonce;
-    uint64_t seen; /* highest stamp or revision known of its key */
+    uint64_t seen_revision; /* highest stamp or revision known of its key */
     amb_ms alive_since;
-    uint32_t losses;    /* of its lease, counted up to two */
-    amb_ms lost_at;     /* last loss */
-    amb_ms lost_before; /* the loss before that */
+    uint32_t lease_losses;   /* of its lease, counted up to two */
+    amb_ms last_loss_at;     /* last loss */
+    amb_ms previous_loss_at; /* the loss before that */
 };
 
 /* Its lease was lost now. */
-void amb_duty_member_lost(struct amb_duty_member *member, amb_ms now);
+void amb_duty_member_note_loss(struct amb_duty_member *member, amb_ms now);
 
 /* Did it lose its lease twice within `decay`, and is the last loss less than `decay` ago? */
-bool amb_duty_member_flaps(const struct amb_duty_member *member, amb_ms decay, amb_ms now);
+bool amb_duty_member_is_flapping(const struct amb_duty_member *member, amb_ms decay, amb_ms now);
 
 /* Weight of a member for a duty (rendezvous hashing): the highest is preferred. The order of two members
  * never depends on the others, so that a change of members moves only the duties of those that come and go.
@@ -35,6 +35,6 @@
                        const char *name, amb_ms decay, amb_ms now);
 
 /* Most duties that one of `members` members keeps while others hold fewer. */
-uint32_t amb_duty_share(uint32_t duties, uint32_t members);
+uint32_t amb_duty_fair_share(uint32_t duties, uint32_t members);
 
 #endif
--- a/include/amberpin/duty/core.h
+++ b/include/amberpin/duty/core.h
@@ -17,12 +17,12 @@
 #include "amberpin/duty/order.h"
 
 enum amb_duty_state {
-    AMB_DUTY_IDLE,        /* another holds the duty, or its record is not known yet */
-    AMB_DUTY_CAMPAIGNING, /* nobody holds it: waiting for our turn, or a claim is under way */
-    AMB_DUTY_HELD,        /* ours, and the lease is surely alive */
-    AMB_DUTY_DRAINING,    /* ours; no new orders, then released */
-    AMB_DUTY_FENCED,      /* ours by the record, but the lease may have run out: sends nothing */
-    AMB_DUTY_LOST,        /* was ours; will be idle after a backoff */
+    AMB_DUTY_IDLE,      /* another holds the duty, or its record is not known yet */
+    AMB_DUTY_CANDIDATE, /* nobody holds it: waiting for our turn, or a claim is under way */
+    AMB_DUTY_HELD,      /* ours, and the lease is surely alive */
+    AMB_DUTY_DRAINING,  /* ours; no new orders, then released */
+    AMB_DUTY_FENCED,    /* ours by the record, but the lease may have run out: sends nothing */
+    AMB_DUTY_LOST,      /* was ours; will be idle after a backoff */
 };
 
 const char *amb_duty_state_text(enum amb_duty_state state);
@@ -30,72 +30,72 @@
 /* One duty as this member sees it. Read it freely. */
 struct amb_duty {
     enum amb_duty_state state;
-    amb_ms since; /* of the state */
+    amb_ms state_since; /* of the state */
     struct amb_duty_record record;
     bool record_known;
-    uint64_t token, stamp; /* of our claim; meaningful while held, draining or fenced */
+    uint64_t fencing_token, revision; /* of our claim; meaningful while held, draining or fenced */
     /* the claim or release under way, or the last */
     uint64_t call; /* 0: none under way */
-    amb_ms call_at;
+    amb_ms called_at;
     uint64_t nonce;
     uint32_t attempts;
-    amb_ms campaign_at, vacant_since;
+    amb_ms claim_at, vacant_since;
     bool vacant;
     /* planned handover */
-    amb_ms drain_by;
+    amb_ms drain_deadline;
     bool release_sent; /* the release may have been carried out: the cloud must not be called any more */
     char successor[AMB_NAME_SIZE];
     char cause[AMB_DUTY_CAUSE_LENGTH];
-    uint64_t handovers; /* changes of holder seen */
-    uint64_t stale;     /* calls that the cloud refused as stale */
+    uint64_t handovers;    /* changes of holder seen */
+    uint64_t fenced_calls; /* calls that the cloud refused as stale */
 };
 
 /* This member's own key at the state service. */
-enum amb_duty_session_state {
-    AMB_DUTY_SESSION_NONE,
-    AMB_DUTY_SESSION_GRANTING, /* a lease is asked for */
-    AMB_DUTY_SESSION_WRITING,  /* the member key is being written on it */
-    AMB_DUTY_SESSION_READING,  /* the write got no answer, or a guard failed: waiting to read the key */
-    AMB_DUTY_SESSION_LIVE,
+enum amb_duty_incarnation_state {
+    AMB_DUTY_INCARNATION_NONE,
+    AMB_DUTY_INCARNATION_GRANTING, /* a lease is asked for */
+    AMB_DUTY_INCARNATION_WRITING,  /* the member key is being written on it */
+    AMB_DUTY_INCARNATION_READING,  /* the write got no answer, or a guard failed: waiting to read the key */
+    AMB_DUTY_INCARNATION_LIVE,
 };
 
-struct amb_duty_session {
-    enum amb_duty_session_state state;
+struct amb_duty_incarnation {
+    enum amb_duty_incarnation_state state;
     struct amb_duty_lease lease;
-    uint64_t nonce, stamp; /* of our key; stamp is meaningful while live */
-    uint64_t call;         /* grant or write under way */
-    amb_ms call_at;
-    amb_ms granted_sent_at;
+    uint64_t nonce, revision; /* of our key; stamp is meaningful while live */
+    uint64_t call;            /* grant or write under way */
+    amb_ms called_at;
+    amb_ms grant_sent_at;
     uint64_t renewal; /* call number of the renewal under way; 0: none */
-    amb_ms renewal_at, renewed_try_at;
+    amb_ms renewal_sent_at, last_renewal_at;
     amb_ms retry_at;
 };
 
 struct amb_duty_core {
     struct amb_duty_settings settings;
     char member[AMB_NAME_SIZE];
-    uint64_t random; /* state of the generator for jitter and nonces */
-    uint64_t calls;  /* number of the last call */
-    struct amb_duty_session session;
+    uint64_t random_state; /* state of the generator for jitter and nonces */
+    uint64_t call_counter; /* number of the last call */
+    struct amb_duty_incarnation incarnation;
     struct amb_duty_member members[AMB_DUTY_MEMBERS];
     struct amb_duty duties[AMB_DUTY_NAMES];
-    struct amb_duty_ledger ledger;
+    struct amb_duty_intent_table intents;
     bool stopping; /* hands everything over, and claims nothing more */
 };
 
 enum amb_duty_event_type {
     AMB_DUTY_TICK, /* time has passed; at least every quarter of the backoff, and at once if `more` */
-    AMB_DUTY_LEASE_GRANTED,  /* answer to GRANT_LEASE: call, result, lease */
-    AMB_DUTY_LEASE_EXTENDED, /* to EXTEND_LEASE: call, result */
-    AMB_DUTY_COMMITTED,      /* to every PUT_, COMMIT_ and REMOVE_ action: call, result, stamp */
-    AMB_DUTY_MEMBER_CHANGED, /* news or a read of a member key: member */
-    AMB_DUTY_RECORD_CHANGED, /* of a duty's record: duty, record */
-    AMB_DUTY_ORDER_CHANGED,  /* of an order: order */
-    AMB_DUTY_ORDER_READ,     /* answer to READ_ORDER: order (not present: gone). It never adds an order */
-    AMB_DUTY_CLOUD_ANSWERED, /* to CALL_CLOUD: call, answer */
-    AMB_DUTY_PROVED_GONE,    /* the machines of a return are not there any more: duty, order.id */
-    AMB_DUTY_DRAIN_ASKED,    /* hand a duty over: duty, successor (or empty), cause */
-    AMB_DUTY_STOP_ASKED,     /* hand all over, and claim nothing more */
+    AMB_DUTY_LEASE_GRANTED,   /* answer to GRANT_LEASE: call, result, lease */
+    AMB_DUTY_LEASE_EXTENDED,  /* to EXTEND_LEASE: call, result */
+    AMB_DUTY_COMMITTED,       /* to every PUT_, COMMIT_ and REMOVE_ action: call, result, stamp */
+    AMB_DUTY_MEMBER_CHANGED,  /* news or a read of a member key: member */
+    AMB_DUTY_RECORD_CHANGED,  /* of a duty's record: duty, record */
+    AMB_DUTY_INTENT_CHANGED,  /* of an order: order */
+    AMB_DUTY_INTENT_READ,     /* answer to READ_ORDER: order (not present: gone). It never adds an order */
+    AMB_DUTY_CLOUD_ANSWERED,  /* to CALL_CLOUD: call, answer */
+    AMB_DUTY_PROVED_GONE,     /* the machines of a return are not there any more: duty, order.id */
+    AMB_DUTY_DRAIN_REQUESTED, /* hand a duty over: duty, successor (or empty), cause */
+    AMB_DUTY_STOP_REQUESTED,  /* hand all over, and claim nothing more */
 };
 
 struct amb_duty_event {
@@ -105,10 +105,10 @@
     uint64_t call;
     enum amb_call_result result;
     enum amb_duty_cloud_answer answer;
-    uint64_t lease, stamp;
+    uint64_t lease, revision;
     struct amb_duty_member_record member;
     struct amb_duty_record record;
-    struct amb_duty_order_record order;
+    struct amb_duty_intent_record intent;
     char successor[AMB_NAME_SIZE];
     const char *cause;
 };
@@ -116,16 +116,16 @@
 enum amb_duty_action_type {
     AMB_DUTY_GRANT_LEASE,   /* of settings.ttl: call */
     AMB_DUTY_EXTEND_LEASE,  /* call, lease */
-    AMB_DUTY_DROP_LEASE,    /* lease; no answer is needed */
+    AMB_DUTY_REVOKE_LEASE,  /* lease; no answer is needed */
     AMB_DUTY_PUT_MEMBER,    /* write a/duty-member/ME on `lease`: call, lease, member, guard_member */
     AMB_DUTY_READ_MEMBER,   /* read a/duty-member/NAME (guard_member.member), feed MEMBER_CHANGED */
     AMB_DUTY_READ_RECORD,   /* read a/duty/NAME, feed RECORD_CHANGED: duty */
-    AMB_DUTY_READ_ORDER,    /* read one order, feed ORDER_READ: duty, order.id */
-    AMB_DUTY_LIST_ORDERS,   /* read all orders, feed ORDER_CHANGED for each */
+    AMB_DUTY_READ_INTENT,   /* read one order, feed ORDER_READ: duty, order.id */
+    AMB_DUTY_LIST_INTENTS,  /* read all orders, feed ORDER_CHANGED for each */
     AMB_DUTY_COMMIT_RECORD, /* claim or release: call, duty, record; guards as below */
-    AMB_DUTY_COMMIT_ORDER,  /* call, duty, order, guard_stamp (of the duty's record), order.stamp (of the
-                               order) */
-    AMB_DUTY_REMOVE_ORDER,  /* the same guards; the duty guarded is cleanup, order.duty is the order's */
+    AMB_DUTY_COMMIT_INTENT, /* call, duty, order, guard_stamp (of the duty's record), order.stamp (of the
+                              order) */
+    AMB_DUTY_REMOVE_INTENT, /* the same guards; the duty guarded is cleanup, order.duty is the order's */
     AMB_DUTY_CALL_CLOUD,    /* call, duty, order (id is the request name), token */
     AMB_DUTY_STATE_CHANGED, /* to be logged: duty, from, to, cause */
 };
@@ -136,30 +136,31 @@
 struct amb_duty_action {
     enum amb_duty_action_type type;
     enum amb_duty_name duty;
-    uint64_t call, lease, token;
-    uint64_t guard_stamp, guard_self;
-    struct amb_duty_member_record member, guard_member;
+    uint64_t call, lease, fencing_token;
+    uint64_t expected_revision, expected_incarnation;
+    struct amb_duty_member_record member, expected_member;
     struct amb_duty_record record;
-    struct amb_duty_order_record order;
+    struct amb_duty_intent_record intent;
     enum amb_duty_state from, to;
     const char *cause;
 };
 
-enum { AMB_DUTY_ACTIONS = 24 };
+enum { AMB_DUTY_MAX_ACTIONS = 24 };
 
 struct amb_duty_output {
     uint32_t count;
     bool more; /* there was no room for all: tick again at once */
-    struct amb_duty_action actions[AMB_DUTY_ACTIONS];
+    struct amb_duty_action actions[AMB_DUTY_MAX_ACTIONS];
 };
 
 /* `orders` is the storage for `capacity` orders; it must live as long as the core. The seed must differ from
  * member to member and from start to start (the nonces are drawn from it). */
-void amb_duty_init(struct amb_duty_core *core, const struct amb_duty_settings *settings, const char *member,
-                   uint64_t seed, struct amb_duty_order *orders, uint32_t capacity);
+void amb_duty_core_init(struct amb_duty_core *core, const struct amb_duty_settings *settings,
+                        const char *member, uint64_t seed, struct amb_duty_intent *intents,
+                        uint32_t capacity);
 
-void amb_duty_step(struct amb_duty_core *core, const struct amb_duty_event *event,
-                   struct amb_duty_output *out);
+void amb_duty_core_step(struct amb_duty_core *core, const struct amb_duty_event *event,
+                        struct amb_duty_output *out);
 
 /* Has this member the right to this duty at this moment? */
 bool amb_duty_may_call(const struct amb_duty_core *core, enum amb_duty_name duty, amb_ms now);
--- a/include/amberpin/duty/lease.h
+++ b/include/amberpin/duty/lease.h
@@ -4,27 +4,27 @@
 
 #include "amberpin/duty/settings.h"
 
-enum { AMB_DUTY_RENEWALS = 4 }; /* renewals are tried this often within a ttl */
+enum { AMB_DUTY_RENEWALS_PER_TTL = 4 }; /* renewals are tried this often within a ttl */
 
 /* Length of the local right, from before the grant or renewal was sent: the ttl, less the drift of both
  * clocks (the member's may be slow while the state service's is fast), less the margin. */
-amb_ms amb_duty_lease_span(const struct amb_duty_settings *settings);
+amb_ms amb_duty_lease_local_ttl(const struct amb_duty_settings *settings);
 
 struct amb_duty_lease {
-    uint64_t id;         /* of the state service's lease; 0: none */
-    bool counted;        /* counted_from is meaningful */
-    amb_ms counted_from; /* when the request was sent that the latest positive answer belongs to */
+    uint64_t id;       /* of the state service's lease; 0: none */
+    bool is_granted;   /* counted_from is meaningful */
+    amb_ms valid_from; /* when the request was sent that the latest positive answer belongs to */
 };
 
 /* A positive answer to a request that was sent at sent_at. An answer to an older request changes nothing. */
-void amb_duty_lease_renewed(struct amb_duty_lease *lease, amb_ms sent_at);
+void amb_duty_lease_note_renewal(struct amb_duty_lease *lease, amb_ms sent_at);
 
 /* Is the lease surely alive now? */
-bool amb_duty_lease_sure(const struct amb_duty_lease *lease, const struct amb_duty_settings *settings,
-                         amb_ms now);
+bool amb_duty_lease_is_valid(const struct amb_duty_lease *lease, const struct amb_duty_settings *settings,
+                             amb_ms now);
 
 /* How long it will be; 0: no longer. */
-amb_ms amb_duty_lease_left(const struct amb_duty_lease *lease, const struct amb_duty_settings *settings,
-                           amb_ms now);
+amb_ms amb_duty_lease_remaining(const struct amb_duty_lease *lease, const struct amb_duty_settings *settings,
+                                amb_ms now);
 
 #endif
--- a/include/amberpin/duty/order.h
+++ b/include/amberpin/duty/order.h
@@ -5,7 +5,7 @@
 #include "amberpin/duty/settings.h"
 
 /* What this member is doing about an order at the moment. */
-enum amb_duty_order_phase {
+enum amb_duty_intent_phase {
     AMB_DUTY_PHASE_IDLE,
     AMB_DUTY_PHASE_MARKING,  /* its record is being written as sent, under our token */
     AMB_DUTY_PHASE_CALLING,  /* the cloud has been called */
@@ -13,21 +13,21 @@
     AMB_DUTY_PHASE_REMOVING, /* its record is being removed */
 };
 
-struct amb_duty_order {
-    struct amb_duty_order_record record; /* as last known; id empty: the place is free */
-    enum amb_duty_order_phase phase;
-    uint64_t call;   /* number of the call under way */
-    amb_ms call_at;  /* when it began */
-    amb_ms retry_at; /* nothing is tried before */
-    amb_ms known_at; /* when its present state was learnt: the age of evidence counts from here */
+struct amb_duty_intent {
+    struct amb_duty_intent_record record; /* as last known; id empty: the place is free */
+    enum amb_duty_intent_phase phase;
+    uint64_t call;         /* number of the call under way */
+    amb_ms called_at;      /* when it began */
+    amb_ms retry_at;       /* nothing is tried before */
+    amb_ms state_known_at; /* when its present state was learnt: the age of evidence counts from here */
     uint32_t tries, refusals, unanswered;
-    enum amb_duty_order_result result;   /* known from an answer, to be written */
-    enum amb_duty_order_result settling; /* being written */
-    bool proved_gone;                    /* a return: its machines are proved to be gone */
+    enum amb_duty_intent_result result;   /* known from an answer, to be written */
+    enum amb_duty_intent_result settling; /* being written */
+    bool proved_gone;                     /* a return: its machines are proved to be gone */
 };
 
 /* What the holder does next. */
-enum amb_duty_order_step {
+enum amb_duty_intent_step {
     AMB_DUTY_STEP_NONE,   /* nothing now */
     AMB_DUTY_STEP_MARK,   /* write it as sent under our token: a new one, or one left by an earlier holder */
     AMB_DUTY_STEP_CALL,   /* call the cloud, under the same name as ever: it is marked under our token */
@@ -36,43 +36,46 @@
 
 /* Decides for an order whose phase is idle. On AMB_DUTY_STEP_SETTLE, `result` is what to write. `fresh`: may
  * orders be begun that are not sent yet? */
-enum amb_duty_order_step amb_duty_order_next(const struct amb_duty_order *order, uint64_t token, bool fresh,
-                                             amb_ms now, enum amb_duty_order_result *result);
+enum amb_duty_intent_step amb_duty_intent_next_step(const struct amb_duty_intent *intent,
+                                                    uint64_t fencing_token, bool may_begin, amb_ms now,
+                                                    enum amb_duty_intent_result *result);
 
 /* May the record be removed? Its result must be known for long enough that no list shows what it ended, and
  * none fails to show what it began. */
-bool amb_duty_order_removable(const struct amb_duty_order *order, const struct amb_duty_settings *settings,
-                              amb_ms now);
+bool amb_duty_intent_is_removable(const struct amb_duty_intent *intent,
+                                  const struct amb_duty_settings *settings, amb_ms now);
 
 /* The record as it is to be written as sent under this token. A copy that an earlier holder may have sent
  * counts as unanswered. */
-struct amb_duty_order_record amb_duty_order_marked(const struct amb_duty_order *order, uint64_t token);
-struct amb_duty_order_record amb_duty_order_settled(const struct amb_duty_order *order, uint64_t token,
-                                                    enum amb_duty_order_result result);
+struct amb_duty_intent_record amb_duty_intent_as_sent(const struct amb_duty_intent *intent,
+                                                      uint64_t fencing_token);
+struct amb_duty_intent_record amb_duty_intent_as_settled(const struct amb_duty_intent *intent,
+                                                         uint64_t fencing_token,
+                                                         enum amb_duty_intent_result result);
 
 /* News of the record, or what a read found. Older than known: false, nothing changes. */
-bool amb_duty_order_learn(struct amb_duty_order *order, const struct amb_duty_order_record *record,
-                          amb_ms now);
+bool amb_duty_intent_apply_record(struct amb_duty_intent *intent, const struct amb_duty_intent_record *record,
+                                  amb_ms now);
 
 /* An answer of the cloud to the call under way. True: the result is known, and can be settled. */
-bool amb_duty_order_answered(struct amb_duty_order *order, enum amb_duty_cloud_answer answer,
-                             const struct amb_duty_settings *settings);
+bool amb_duty_intent_apply_answer(struct amb_duty_intent *intent, enum amb_duty_cloud_answer answer,
+                                  const struct amb_duty_settings *settings);
 
-struct amb_duty_ledger {
-    struct amb_duty_order *orders; /* storage of the owner */
+struct amb_duty_intent_table {
+    struct amb_duty_intent *entries; /* storage of the owner */
     uint32_t capacity;
-    bool missed;      /* a record found no place: all are to be read again when there is room */
-    amb_ms listed_at; /* when that was last asked for */
+    bool overflowed;          /* a record found no place: all are to be read again when there is room */
+    amb_ms list_requested_at; /* when that was last asked for */
 };
 
 /* NULL: unknown. */
-struct amb_duty_order *amb_duty_ledger_find(const struct amb_duty_ledger *ledger, enum amb_duty_name duty,
-                                            const char *id);
+struct amb_duty_intent *amb_duty_intent_table_find(const struct amb_duty_intent_table *table,
+                                                   enum amb_duty_name duty, const char *id);
 /* NULL: unknown, and no room for it. */
-struct amb_duty_order *amb_duty_ledger_add(struct amb_duty_ledger *ledger, enum amb_duty_name duty,
-                                           const char *id);
-void amb_duty_ledger_remove(struct amb_duty_order *order);
+struct amb_duty_intent *amb_duty_intent_table_add(struct amb_duty_intent_table *table,
+                                                  enum amb_duty_name duty, const char *id);
+void amb_duty_intent_table_remove(struct amb_duty_intent *intent);
 /* Orders of this duty that are not settled. */
-uint32_t amb_duty_ledger_open(const struct amb_duty_ledger *ledger, enum amb_duty_name duty);
+uint32_t amb_duty_intent_table_count_open(const struct amb_duty_intent_table *table, enum amb_duty_name duty);
 
 #endif
--- a/include/amberpin/duty/record_codec.h
+++ b/include/amberpin/duty/record_codec.h
@@ -6,38 +6,38 @@
 #include "amberpin/codec/messages.h"
 #include "amberpin/duty/types.h"
 
-enum { AMB_DUTY_FORM = 1 }; /* of every record that this version writes */
+enum { AMB_DUTY_RECORD_VERSION = 1 }; /* of every record that this version writes */
 
 enum {
-    AMB_DUTY_MACHINES = 50, /* most machines that one order names */
-    AMB_DUTY_REASON = 64,   /* bytes of an order's reason, with the terminating zero */
-    AMB_DUTY_KEY = 160      /* bytes of any key of these records, with the terminating zero */
+    AMB_DUTY_MAX_MACHINES = 50, /* most machines that one order names */
+    AMB_DUTY_REASON_SIZE = 64,  /* bytes of an order's reason, with the terminating zero */
+    AMB_DUTY_KEY_SIZE = 160     /* bytes of any key of these records, with the terminating zero */
 };
 
-enum amb_duty_decoded {
+enum amb_duty_decode_result {
     AMB_DUTY_DECODED,
-    AMB_DUTY_NEWER_FORM, /* of a later version: not to be acted on */
+    AMB_DUTY_NEWER_VERSION, /* of a later version: not to be acted on */
     AMB_DUTY_MALFORMED,
 };
 
 /* What an order asks for, and what came of it. */
-struct amb_duty_work {
+struct amb_duty_work_order {
     char type[AMB_NAME_SIZE], zone[AMB_NAME_SIZE]; /* rent */
     bool spot;
     uint32_t count;
-    char reason[AMB_DUTY_REASON]; /* return and reclaim */
-    int64_t ordered_wall;         /* time of day at which the leader wrote it */
+    char reason[AMB_DUTY_REASON_SIZE]; /* return and reclaim */
+    int64_t created_wall_ms;           /* time of day at which the leader wrote it */
     /* Return and reclaim: the machines to be returned. Rent: those rented, once it is settled. */
     uint32_t machine_count;
     char (*machines)[AMB_NAME_SIZE]; /* allocated; NULL: none */
 };
 
-void amb_duty_work_free(struct amb_duty_work *work);
+void amb_duty_work_order_free(struct amb_duty_work_order *work);
 /* Adds a machine's name. False: there is no room for more. */
-bool amb_duty_work_add_machine(struct amb_duty_work *work, const char *machine);
+bool amb_duty_work_order_add_machine(struct amb_duty_work_order *work, const char *machine);
 
 /* How many machines an order may name, so that its record keeps within values of this size. */
-uint32_t amb_duty_machines_most(double value_kb);
+uint32_t amb_duty_max_machines(double value_kb);
 
 /* Which of leader and holders rents and returns machines: `a/duty-mode`. */
 enum amb_duty_mode {
@@ -55,19 +55,21 @@
 
 void amb_duty_encode_member(struct amb_buf *out, const struct amb_duty_member_record *member);
 void amb_duty_encode_record(struct amb_buf *out, const struct amb_duty_record *record);
-void amb_duty_encode_order(struct amb_buf *out, const struct amb_duty_order_record *order,
-                           const struct amb_duty_work *work);
+void amb_duty_encode_intent(struct amb_buf *out, const struct amb_duty_intent_record *intent,
+                            const struct amb_duty_work_order *work);
 void amb_duty_encode_mode(struct amb_buf *out, enum amb_duty_mode mode);
 void amb_duty_encode_handover(struct amb_buf *out, const struct amb_duty_handover *handover);
 
 /* Each fills what the value holds; names and stamps, which stand in the key, are the caller's. */
-enum amb_duty_decoded amb_duty_decode_member(const cbor_item_t *value, struct amb_duty_member_record *out);
-enum amb_duty_decoded amb_duty_decode_record(const cbor_item_t *value, struct amb_duty_record *out);
+enum amb_duty_decode_result amb_duty_decode_member(const cbor_item_t *value,
+                                                   struct amb_duty_member_record *out);
+enum amb_duty_decode_result amb_duty_decode_record(const cbor_item_t *value, struct amb_duty_record *out);
 /* On success the caller frees `work`. */
-enum amb_duty_decoded amb_duty_decode_order(const cbor_item_t *value, struct amb_duty_order_record *out,
-                                            struct amb_duty_work *work);
-enum amb_duty_decoded amb_duty_decode_mode(const cbor_item_t *value, enum amb_duty_mode *out);
-enum amb_duty_decoded amb_duty_decode_handover(const cbor_item_t *value, struct amb_duty_handover *out);
+enum amb_duty_decode_result amb_duty_decode_intent(const cbor_item_t *value,
+                                                   struct amb_duty_intent_record *out,
+                                                   struct amb_duty_work_order *work);
+enum amb_duty_decode_result amb_duty_decode_mode(const cbor_item_t *value, enum amb_duty_mode *out);
+enum amb_duty_decode_result amb_duty_decode_handover(const cbor_item_t *value, struct amb_duty_handover *out);
 
 /* ---- keys ---- */
 
@@ -78,11 +80,11 @@
 #define AMB_DUTY_ORDER_KEYS "a/order/"
 #define AMB_DUTY_MODE_KEY "a/duty-mode"
 
-void amb_duty_member_key(char out[AMB_DUTY_KEY], const char *member);
-void amb_duty_record_key(char out[AMB_DUTY_KEY], enum amb_duty_name duty);
-void amb_duty_handover_key(char out[AMB_DUTY_KEY], enum amb_duty_name duty);
-void amb_duty_order_key(char out[AMB_DUTY_KEY], enum amb_duty_name duty, const char *id);
+void amb_duty_member_key(char out[AMB_DUTY_KEY_SIZE], const char *member);
+void amb_duty_record_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty);
+void amb_duty_handover_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty);
+void amb_duty_intent_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty, const char *id);
 /* Parts of an order's key. False: it is none. */
-bool amb_duty_parse_order_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_ORDER_ID]);
+bool amb_duty_parse_intent_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_INTENT_ID]);
 
 #endif
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -13,17 +13,18 @@
 /* What the cloud said to one call. */
 struct amb_duty_cloud_reply {
     enum amb_duty_cloud_answer answer;
-    struct amb_duty_work rented; /* of a rental that was carried out: `machines` only; the service frees it */
+    struct amb_duty_work_order
+        acquired; /* of a rental that was carried out: `machines` only; the service frees it */
 };
 
 typedef void (*amb_duty_cloud_done)(void *arg, struct amb_duty_cloud_reply *reply);
 
 /* The state service, as in client.h. `list` answers the keys with the prefix, a page at a time. */
-struct amb_duty_state_service {
+struct amb_duty_kvstore {
     void *context;
     void (*grant)(void *context, amb_ms ttl, amb_store_callback done, void *arg);
     void (*extend)(void *context, uint64_t lease, amb_store_callback done, void *arg);
-    void (*drop)(void *context, uint64_t lease);
+    void (*revoke)(void *context, uint64_t lease);
     void (*list)(void *context, const char *prefix, const char *after, amb_store_callback done, void *arg);
     void (*commit)(void *context, struct amb_txn *txn, enum amb_store_priority urgency,
                    amb_store_callback done, void *arg);
@@ -31,70 +32,72 @@
 
 /* The owner's functions. */
 struct amb_duty_ports {
-    struct amb_duty_state_service state;
+    struct amb_duty_kvstore kvstore;
     void *context;
     amb_ms (*now)(void *context); /* steady clock */
     /* False: it can't be called now, and `done` is not called. */
-    bool (*call_cloud)(void *context, const struct amb_duty_order_record *order,
-                       const struct amb_duty_work *work, uint64_t token, amb_duty_cloud_done done, void *arg);
+    bool (*call_cloud)(void *context, const struct amb_duty_intent_record *order,
+                       const struct amb_duty_work_order *work, uint64_t token, amb_duty_cloud_done done,
+                       void *arg);
     /* Are all machines of this return proved to be gone, by what the owner itself has seen? Only what stays
      * true for ever counts: a machine that is listed as failed is still there. */
-    bool (*proved_gone)(void *context, const struct amb_duty_work *work);
+    bool (*is_proved_gone)(void *context, const struct amb_duty_work_order *work);
     /* The record of an order has changed; work NULL: it is gone. */
-    void (*order_changed)(void *context, const struct amb_duty_order_record *order,
-                          const struct amb_duty_work *work);
+    void (*intent_changed)(void *context, const struct amb_duty_intent_record *order,
+                           const struct amb_duty_work_order *work);
     /* Every record has been read. */
     void (*loaded)(void *context);
     void (*log)(void *context, const char *line);
 };
 
 /* An order as it is on record. */
-struct amb_duty_order_entry {
-    char key[AMB_DUTY_KEY];
-    struct amb_duty_order_record record; /* not present: removed while all records are being read */
-    struct amb_duty_work work;
-    struct amb_duty_work rented; /* by the call of this member that was carried out last: to be recorded */
-    bool listed;                 /* by the reading of all records under way, or the last */
+struct amb_duty_intent_entry {
+    char key[AMB_DUTY_KEY_SIZE];
+    struct amb_duty_intent_record record; /* not present: removed while all records are being read */
+    struct amb_duty_work_order work;
+    struct amb_duty_work_order
+        acquired; /* by the call of this member that was carried out last: to be recorded */
+    bool listed;  /* by the reading of all records under way, or the last */
     UT_hash_handle hh;
 };
 
 /* A change of a duty's holder, as far as this member has heard. */
-struct amb_duty_handover_seen {
+struct amb_duty_holder_change {
     enum amb_duty_name duty;
     char from[AMB_NAME_SIZE], to[AMB_NAME_SIZE];
-    uint64_t token;
+    uint64_t fencing_token;
     char cause[AMB_DUTY_CAUSE_LENGTH];
     amb_ms at;
 };
 
 enum {
-    AMB_DUTY_HANDOVERS_KEPT = 16,
-    AMB_DUTY_ORDERS = 256, /* that the core works on at a time */
+    AMB_DUTY_HOLDER_HISTORY = 16,
+    AMB_DUTY_MAX_INTENTS = 256, /* that the core works on at a time */
 };
 
 /* Read it freely; only the functions below change it. */
 struct amb_duty_service {
     struct amb_duty_ports ports;
     bool active, stopping;
-    bool loaded;          /* every record has been read, and what changed since is followed */
-    uint64_t incarnation; /* tells the calls of one activity from those of an earlier one */
+    bool loaded;         /* every record has been read, and what changed since is followed */
+    uint64_t activation; /* tells the calls of one activity from those of an earlier one */
     struct amb_duty_core core;
     /* Carries out what the core decides. */
     void (*perform)(struct amb_duty_service *service, const struct amb_duty_action *action);
-    struct amb_duty_order *ledger;        /* the core's storage */
-    struct amb_duty_order_entry *entries; /* by key */
+    struct amb_duty_intent *intent_storage; /* the core's storage */
+    struct amb_duty_intent_entry *entries;  /* by key */
     /* Duties whose record is of a form that is not known: they are left alone. */
-    bool unknown_form[AMB_DUTY_NAMES];
+    bool unknown_version[AMB_DUTY_NAMES];
     /* Handovers asked for by operators: the stamp of the latest wish. */
-    uint64_t handover_stamp[AMB_DUTY_NAMES];
+    uint64_t handover_revision[AMB_DUTY_NAMES];
     struct amb_duty_handover handover[AMB_DUTY_NAMES];
-    struct amb_duty_handover_seen handovers[AMB_DUTY_HANDOVERS_KEPT]; /* a ring */
-    uint32_t handover_count;                                          /* ever seen */
+    struct amb_duty_holder_change holder_history[AMB_DUTY_HOLDER_HISTORY]; /* a ring */
+    uint32_t holder_changes;                                               /* ever seen */
     /* The reading of all records. */
     bool listing;
-    uint64_t listing_epoch;
+    uint64_t listing_revision;
     const char *listing_prefix;
-    char listing_after[256];
+    char listing_cursor[256];
     bool record_listed[AMB_DUTY_NAMES];
     char listed_members[AMB_DUTY_MEMBERS][AMB_NAME_SIZE];
     uint32_t listed_member_count;
@@ -102,7 +105,7 @@
     /* Events that wait while the core's output is being carried out. */
     struct amb_duty_event *queue;
     uint32_t queue_count, queue_capacity;
-    bool busy;
+    bool is_stepping;
 };
 
 /* The member takes part, once all records are read. The seed differs from start to start. */
@@ -111,17 +114,17 @@
 /* The member hands its duties over and, once it holds none, takes no part any more. */
 void amb_duty_service_stop(struct amb_duty_service *service);
 /* At once, without handing anything over; frees the memory. */
-void amb_duty_service_end(struct amb_duty_service *service);
+void amb_duty_service_abort(struct amb_duty_service *service);
 /* To be called at least every quarter of the backoff while active. */
 void amb_duty_service_tick(struct amb_duty_service *service);
 /* News of a key below a/; value NULL: it is gone. Keys of others are ignored. */
-void amb_duty_service_news(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
-                           uint64_t stamp);
+void amb_duty_service_apply_change(struct amb_duty_service *service, const char *key,
+                                   const cbor_item_t *value, uint64_t revision);
 /* Changes may have been missed: all records are read again. */
 void amb_duty_service_read_all(struct amb_duty_service *service);
 /* Does this member hold the duty, as far as it knows? */
-bool amb_duty_service_holds(const struct amb_duty_service *service, enum amb_duty_name duty);
+bool amb_duty_service_is_holder(const struct amb_duty_service *service, enum amb_duty_name duty);
 /* Orders that are not settled; of all duties. */
-uint32_t amb_duty_service_open_orders(const struct amb_duty_service *service);
+uint32_t amb_duty_service_count_open_intents(const struct amb_duty_service *service);
 
 #endif
--- a/include/amberpin/duty/settings.h
+++ b/include/amberpin/duty/settings.h
@@ -5,18 +5,18 @@
 #include "amberpin/duty/types.h"
 
 struct amb_duty_settings {
-    bool enabled[AMB_DUTY_NAMES]; /* duties that are filled; see amb_duty_settings_names */
+    bool enabled[AMB_DUTY_NAMES]; /* duties that are filled; see amb_duty_settings_parse_names */
     amb_ms ttl;                   /* of a member's lease at the state service */
     uint32_t drift_ppm;           /* most drift of one steady clock, in millionths */
-    amb_ms margin;                /* the local right ends this much before the lease can */
+    amb_ms safety_margin;         /* the local right ends this much before the lease can */
     amb_ms call_timeout;          /* a call without an answer for this long counts as lost */
-    amb_ms service_lateness;      /* the state service ends a lease at most this late */
+    amb_ms expiry_lateness;       /* the state service ends a lease at most this late */
     amb_ms backoff;               /* between the campaigns of neighbours in rank, and between retries */
     amb_ms flap_decay;            /* two losses of the lease within this time make a member flap */
     amb_ms drain_timeout;         /* open orders are waited for this long in a planned handover */
     amb_ms keep_settled;          /* age at which a settled order's record may be removed */
     amb_ms keep_uncertain;        /* the same, if a copy of the order was never answered */
-    uint32_t refusals;            /* a rental is settled as refused after so many refusals */
+    uint32_t max_refusals;        /* a rental is settled as refused after so many refusals */
 };
 
 enum amb_duty_settings_error {
@@ -39,8 +39,9 @@
 
 /* Reads a list of duty names separated by commas, spaces or both ("all": every duty). On failure, `wrong` (of
  * size cap) names the first name that is at fault. */
-enum amb_duty_settings_error amb_duty_settings_names(struct amb_duty_settings *settings, const char *names,
-                                                     char *wrong, size_t cap);
+enum amb_duty_settings_error amb_duty_settings_parse_names(struct amb_duty_settings *settings,
+                                                           const char *names, char *wrong_name,
+                                                           size_t wrong_name_size);
 
 enum amb_duty_settings_error amb_duty_settings_check(const struct amb_duty_settings *settings);
 
--- a/include/amberpin/duty/store_adapter.h
+++ b/include/amberpin/duty/store_adapter.h
@@ -6,6 +6,6 @@
 
 /* The functions that a duty service needs of the state service, by way of this store, which must live as long
  * as the service. */
-struct amb_duty_state_service amb_duty_state_service_by_store(struct amb_store *store);
+struct amb_duty_kvstore amb_duty_kvstore_from_client(struct amb_store *store);
 
 #endif
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -74,7 +74,7 @@
     struct amb_jobs jobs;
     struct amb_pipelines pipelines;
     struct amb_fleet fleet;
-    struct amb_rental cloud;
+    struct amb_cloud cloud;
     struct amb_peers peers;
     struct amb_format_negotiation formats;
     struct amb_duties duties;
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -112,7 +112,7 @@
     amb_ms since = machine->token_acknowledged ? machine->last_response_at : node->controller.leader_since;
     if (now - since >
         amb_secs(node->settings.lease_s * node->options.silent_release * patience(node, machine, now)))
-        amb_rental_release(node, machine, "silent for too long");
+        amb_cloud_release(node, machine, "silent for too long");
 }
 
 static void look_at_unproven(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
@@ -126,7 +126,7 @@
     /* Its silence proves nothing while it may hold another leader's token. */
     if (!covered && unknown > amb_secs(unproven_s(node, machine) * patience(node, machine, now)) &&
         amb_election_may_act(node))
-        amb_rental_release(node, machine, "it can't be reached");
+        amb_cloud_release(node, machine, "it can't be reached");
 }
 
 /* Its reports come, but our answers don't reach it: it would show our token in its next report but one. Its
@@ -152,7 +152,7 @@
         } else if (job->state == AMB_JOB_CANCELLED && machine->state != AMB_MACHINE_RELEASING &&
                    amb_wall_ms() - job->cancelled_wall_ms >
                        amb_secs(node->settings.cancel_s * RETURN_SHARE)) {
-            amb_rental_release(node, machine, "a cancelled task can't be proven gone in time");
+            amb_cloud_release(node, machine, "a cancelled task can't be proven gone in time");
         }
         if (machine->task_count != before) next = machine->tasks;
     }
@@ -167,7 +167,7 @@
     look_at_silent(node, machine, now);
     look_at_unproven(node, machine, now);
     if (!is_covered(node, machine) && does_not_hear_us(node, machine, now) && amb_election_may_act(node))
-        amb_rental_release(node, machine, "it reports, but does not take our token");
+        amb_cloud_release(node, machine, "it reports, but does not take our token");
     /* A machine of ours that reports to another node only. */
     if (machine->state == AMB_MACHINE_UP &&
         now - machine->last_heartbeat_at > amb_secs(node->settings.report_s * 4))
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -42,7 +42,7 @@
     machine->failure_count++;
     amb_machine_rest(machine, node->settings.lease_s * machine->failure_count, "a task failed on it");
     if (machine->failure_count >= FAULTS_MAX && !machine->success_count)
-        amb_rental_release(node, machine, "tasks keep failing on it");
+        amb_cloud_release(node, machine, "tasks keep failing on it");
 }
 
 /* The job is to be tried elsewhere: where it fails again the next time tells which of them it was. */
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -6,12 +6,12 @@
 
 #include <stdlib.h>
 
-static void catalog_done(void *arg, int status, const char *body, size_t len) {
+static void handle_catalog(void *arg, int status, const char *body, size_t body_size) {
     struct amb_cloud_call *call = arg;
     struct amb_node *node = call->node;
     free(call);
     amb_cloud_note_status(node, status);
-    cbor_item_t *item = status == 200 ? amb_cbor_parse(body, len) : NULL;
+    cbor_item_t *item = status == 200 ? amb_cbor_parse(body, body_size) : NULL;
     const cbor_item_t *types = amb_cbor_get(item, "hulls");
     for (size_t i = 0; i < amb_cbor_len(types); i++) {
         struct amb_machine_type type;
@@ -33,13 +33,14 @@
 }
 
 void amb_cloud_catalog_tick(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->cloud;
+    struct amb_cloud *cloud = &node->cloud;
     amb_ms stale =
-        rental->catalog_known ? amb_secs(node->settings.lease_s * 6) : amb_secs(node->settings.report_s / 2);
-    if ((!rental->catalog_known || amb_election_is_leader(node)) &&
-        (!rental->catalog_at || now - rental->catalog_at > stale) && amb_cloud_take_token(node, now)) {
-        rental->catalog_at = now;
+        cloud->catalog_known ? amb_secs(node->settings.lease_s * 6) : amb_secs(node->settings.report_s / 2);
+    if ((!cloud->catalog_known || amb_election_is_leader(node)) &&
+        (!cloud->catalog_requested_at || now - cloud->catalog_requested_at > stale) &&
+        amb_cloud_take_token(node, now)) {
+        cloud->catalog_requested_at = now;
         amb_http_call(node->settings.cloud, "GET", "/catalog", NULL, NULL, 0,
-                      amb_secs(node->settings.report_s * 3), catalog_done, amb_cloud_call_new(node));
+                      amb_secs(node->settings.report_s * 3), handle_catalog, amb_cloud_call_new(node));
     }
 }
--- a/lib/cloud/cloud.c
+++ b/lib/cloud/cloud.c
@@ -8,24 +8,24 @@
 
 #include <string.h>
 
-void amb_rental_tick(struct amb_node *node, amb_ms now) {
+void amb_cloud_tick(struct amb_node *node, amb_ms now) {
     amb_cloud_catalog_tick(node, now);
     if (!amb_election_is_leader(node) || !node->controller.restored_at) return;
-    amb_machine_returns_tick(node, now);
-    amb_rental_requests_tick(node, now);
-    amb_machine_list_tick(node, now);
+    amb_cloud_release_tick(node, now);
+    amb_scale_out_tick(node, now);
+    amb_cloud_list_tick(node, now);
 }
 
-void amb_rental_clear(struct amb_node *node) {
-    struct amb_rental *rental = &node->cloud;
-    amb_rental_requests_clear(node);
-    rental->listing = rental->list_page_due = rental->releasing = rental->listed = false;
-    rental->nrelease = 0;
-    amb_return_record_clear(node);
-    rental->list_at = 0;
-    memset(rental->refused, 0, sizeof rental->refused);
+void amb_cloud_reset(struct amb_node *node) {
+    struct amb_cloud *cloud = &node->cloud;
+    amb_scale_out_reset(node);
+    cloud->list_in_progress = cloud->list_page_due = cloud->release_in_flight = cloud->list_completed = false;
+    cloud->release_count = 0;
+    amb_scale_in_log_reset(node);
+    cloud->list_started_at = 0;
+    memset(cloud->capacity_backoff, 0, sizeof cloud->capacity_backoff);
 }
 
-void amb_rental_init(struct amb_node *node) {
-    node->cloud.calls.tokens = 1;
+void amb_cloud_init(struct amb_node *node) {
+    node->cloud.call_budget.tokens = 1;
 }
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -6,16 +6,16 @@
     struct amb_cloud_call *call = amb_alloc(sizeof *call);
     call->node = node;
     call->term = node->election.term;
-    call->began = amb_now();
+    call->started_at = amb_now();
     return call;
 }
 
-bool amb_cloud_call_current(const struct amb_cloud_call *call) {
+bool amb_cloud_call_is_current(const struct amb_cloud_call *call) {
     return amb_election_has_leader_role(call->node) && call->node->election.term == call->term;
 }
 
 struct amb_node *amb_cloud_call_take(struct amb_cloud_call *call) {
-    struct amb_node *node = amb_cloud_call_current(call) ? call->node : NULL;
+    struct amb_node *node = amb_cloud_call_is_current(call) ? call->node : NULL;
     free(call);
     return node;
 }
@@ -31,28 +31,28 @@
     const struct amb_duty_service *service = &node->duties.service;
     double share = 0.1 / (node->settings.npeers + 1);
     if (amb_election_is_leader(node)) share += 0.3;
-    if (amb_duty_service_holds(service, AMB_DUTY_RENT)) share += AMB_CLOUD_RENT_SHARE;
-    if (amb_duty_service_holds(service, AMB_DUTY_RETURN)) share += 0.1;
-    if (amb_duty_service_holds(service, AMB_DUTY_RECLAIM)) share += 0.1;
+    if (amb_duty_service_is_holder(service, AMB_DUTY_RENT)) share += AMB_CLOUD_RENT_SHARE;
+    if (amb_duty_service_is_holder(service, AMB_DUTY_RETURN)) share += 0.1;
+    if (amb_duty_service_is_holder(service, AMB_DUTY_RECLAIM)) share += 0.1;
     return share;
 }
 
-void amb_cloud_refill(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->cloud;
+void amb_cloud_refill_budget(struct amb_node *node, amb_ms now) {
+    struct amb_cloud *cloud = &node->cloud;
     double share = node->duties.mode == AMB_DUTY_MODE_DUTIES ? share_by_duties(node) : share_by_leader(node);
-    rental->calls.burst_seconds = 2; /* the protocol: bursts worth two seconds are permitted */
-    amb_token_bucket_set_rate(&rental->calls, node->settings.cloud_rps * share);
-    amb_token_bucket_refill(&rental->calls, now);
+    cloud->call_budget.burst_seconds = 2; /* the protocol: bursts worth two seconds are permitted */
+    amb_token_bucket_set_rate(&cloud->call_budget, node->settings.cloud_rps * share);
+    amb_token_bucket_refill(&cloud->call_budget, now);
 }
 
 bool amb_cloud_take_token(struct amb_node *node, amb_ms now) {
-    struct amb_rental *rental = &node->cloud;
-    amb_cloud_refill(node, now);
-    if (now < rental->held_until || amb_token_bucket_delay(&rental->calls, 1) > 0) return false;
-    rental->calls.tokens -= 1;
+    struct amb_cloud *cloud = &node->cloud;
+    amb_cloud_refill_budget(node, now);
+    if (now < cloud->throttled_until || amb_token_bucket_delay(&cloud->call_budget, 1) > 0) return false;
+    cloud->call_budget.tokens -= 1;
     return true;
 }
 
 void amb_cloud_note_status(struct amb_node *node, int status) {
-    if (status == 429) node->cloud.held_until = amb_now() + amb_secs(1.0 / node->settings.cloud_rps);
+    if (status == 429) node->cloud.throttled_until = amb_now() + amb_secs(1.0 / node->settings.cloud_rps);
 }
--- a/lib/config/options.c
+++ b/lib/config/options.c
@@ -68,7 +68,7 @@
         complain(r, DUTY_NAMES, "the list is too long");
         return;
     }
-    enum amb_duty_settings_error error = amb_duty_settings_names(&settings, names, wrong, sizeof wrong);
+    enum amb_duty_settings_error error = amb_duty_settings_parse_names(&settings, names, wrong, sizeof wrong);
     if (error == AMB_DUTY_SETTINGS_GOOD) {
         strcpy(r->o->duty_names, names);
         return;
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -53,11 +53,11 @@
 static void finish_loading(struct amb_node *node) {
     struct amb_job *job, *next;
     /* Heard of meanwhile: which machines are being returned must be known before anything is placed. */
-    if (!amb_duties_ready(node)) {
+    if (!amb_duties_is_ready(node)) {
         node->controller.restore_synced = false;
         return;
     }
-    amb_duties_take_over(node);
+    amb_duties_restore(node);
     HASH_ITER(hh, node->jobs.all, job, next) {
         amb_capacity_plan_note_demand(node, job);
         if (job->state == AMB_JOB_QUEUED) amb_job_activate_if_room(node, job);
@@ -85,8 +85,8 @@
             !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &revision))
             continue;
         amb_placement_log_restore(node, key, amb_cbor_get(pair, "value"), revision);
-        amb_rental_load(node, key, amb_cbor_get(pair, "value"));
-        amb_return_record_load(node, key, amb_cbor_get(pair, "value"), revision);
+        amb_scale_out_restore(node, key, amb_cbor_get(pair, "value"));
+        amb_scale_in_log_restore(node, key, amb_cbor_get(pair, "value"), revision);
         amb_zone_record_load(node, key, amb_cbor_get(pair, "value"), revision);
         snprintf(node->controller.restore_cursor, sizeof node->controller.restore_cursor, "%s", key);
     }
@@ -119,7 +119,7 @@
     if (controller->restore_in_flight && now - controller->restore_sent_at < node->store.call_timeout * 4)
         return;
     /* The catalogue first: records name types by its numbers. */
-    if (!node->cloud.catalog_known || !amb_duties_ready(node)) return;
+    if (!node->cloud.catalog_known || !amb_duties_is_ready(node)) return;
     controller->restore_sent_at = now;
     controller->restore_in_flight = true;
     if (!controller->restore_synced)
@@ -136,7 +136,7 @@
     controller->restoring = true;
     controller->restore_cursor[0] = 0;
     controller->restore_term = node->election.term;
-    amb_duties_clear(node);
+    amb_duties_reset(node);
     controller->cycle_at = controller->plan_at = controller->peak_at = 0;
     amb_wdrr_prepare(node->settings.teams, node->settings.nteams,
                      amb_wdrr_is_sized_by_gpus(node->settings.teams, node->settings.nteams));
@@ -156,8 +156,8 @@
         job->progress_running = job->running_count;
         amb_job_deactivate(node, job);
     }
-    amb_rental_clear(node);
-    amb_duties_clear(node);
+    amb_cloud_reset(node);
+    amb_duties_reset(node);
     amb_fleet_clear(node);
 }
 
@@ -172,15 +172,15 @@
     case AMB_EVENT_JOB_FINAL: amb_pipeline_remove_final(node, event->job); break;
     case AMB_EVENT_PLACEMENT_DURABLE: amb_answer_start(event->task); break;
     case AMB_EVENT_MACHINE_ADDED:
-        amb_duties_machine_known(node, event->machine);
-        amb_return_record_machine_known(node, event->machine);
+        amb_duties_note_machine(node, event->machine);
+        amb_scale_in_log_note_machine(node, event->machine);
         amb_image_locations_restore(node, event->machine);
         break;
     case AMB_EVENT_MACHINE_REMOVED: amb_machine_gone(node, event->machine, event->proof); break;
     case AMB_EVENT_DUTY_KEY_CHANGED:
-        amb_duties_key(node, event->change.key, event->change.value, event->change.revision);
+        amb_duties_apply_change(node, event->change.key, event->change.value, event->change.revision);
         break;
-    case AMB_EVENT_STORE_LISTED: amb_duties_listed(node); break;
+    case AMB_EVENT_STORE_LISTED: amb_duties_note_listed(node); break;
     case AMB_EVENT_CYCLE_REQUESTED: request_cycle(node); break;
     }
 }
@@ -209,7 +209,7 @@
     amb_ms now = amb_now();
     note_stall(node, now);
     amb_timer_in(&controller->timer, amb_secs(node->controller.tick_interval_s * 0.1), tick, node);
-    amb_rental_tick(node, now);
+    amb_cloud_tick(node, now);
     amb_lease_proxy_tick(node, now);
     amb_format_tick(node, now);
     amb_duties_tick(node, now);
@@ -224,7 +224,7 @@
      * node has died are here within a second or two. With reports every 4 s, waiting all the same cost 5 s of
      * the 10 s in which some work is to start, and of the first boots of a day. */
     if (controller->restored_at && !controller->ready &&
-        (has_waited || (node->cloud.listed && amb_fleet_learned(node)))) {
+        (has_waited || (node->cloud.list_completed && amb_fleet_learned(node)))) {
         amb_info("controller: ready to place, %lld ms after the lead was won",
                  (long long)(now - controller->leader_since));
         controller->ready = true;
@@ -267,7 +267,7 @@
     node->controller.tick_interval_s = amb_settings_beat(&node->settings);
     amb_election_init(node);
     amb_store_init(&node->store, &node->settings, amb_election_call_timeout(node));
-    amb_rental_init(node);
+    amb_cloud_init(node);
     amb_zone_recovery_init(node);
     for (uint32_t i = 0; i < node->settings.nzones; i++)
         amb_catalog_find_or_add_zone(&node->catalog, node->settings.zones[i]);
--- a/lib/duty/assignment.c
+++ b/lib/duty/assignment.c
@@ -2,15 +2,15 @@
 
 #include <string.h>
 
-void amb_duty_member_lost(struct amb_duty_member *member, amb_ms now) {
-    member->lost_before = member->lost_at;
-    member->lost_at = now;
-    if (member->losses < 2) member->losses++;
+void amb_duty_member_note_loss(struct amb_duty_member *member, amb_ms now) {
+    member->previous_loss_at = member->last_loss_at;
+    member->last_loss_at = now;
+    if (member->lease_losses < 2) member->lease_losses++;
 }
 
-bool amb_duty_member_flaps(const struct amb_duty_member *member, amb_ms decay, amb_ms now) {
-    return member->losses == 2 && member->lost_at - member->lost_before < decay &&
-           now - member->lost_at < decay;
+bool amb_duty_member_is_flapping(const struct amb_duty_member *member, amb_ms decay, amb_ms now) {
+    return member->lease_losses == 2 && member->last_loss_at - member->previous_loss_at < decay &&
+           now - member->last_loss_at < decay;
 }
 
 uint64_t amb_duty_weight(enum amb_duty_name duty, const char *member) {
@@ -27,8 +27,8 @@
 }
 
 /* Does `other` come before the member? Names decide between equal weights. */
-static bool preferred(enum amb_duty_name duty, const struct amb_duty_member *other, bool other_flaps,
-                      const char *name, bool flaps) {
+static bool is_preferred(enum amb_duty_name duty, const struct amb_duty_member *other, bool other_flaps,
+                         const char *name, bool flaps) {
     if (other_flaps != flaps) return flaps;
     uint64_t theirs = amb_duty_weight(duty, other->name), ours = amb_duty_weight(duty, name);
     return theirs != ours ? theirs > ours : strcmp(other->name, name) < 0;
@@ -43,16 +43,16 @@
         if (members[i].alive && !strcmp(members[i].name, name)) self = &members[i];
     }
     if (!self) return alive;
-    bool flaps = amb_duty_member_flaps(self, decay, now);
+    bool flaps = amb_duty_member_is_flapping(self, decay, now);
     for (uint32_t i = 0; i < count; i++) {
         const struct amb_duty_member *other = &members[i];
         if (!other->alive || other == self) continue;
-        rank += preferred(duty, other, amb_duty_member_flaps(other, decay, now), name, flaps);
+        rank += is_preferred(duty, other, amb_duty_member_is_flapping(other, decay, now), name, flaps);
     }
     return rank;
 }
 
-uint32_t amb_duty_share(uint32_t duties, uint32_t members) {
+uint32_t amb_duty_fair_share(uint32_t duties, uint32_t members) {
     if (!members) return duties;
     return (duties + members - 1) / members + 1;
 }
--- a/lib/duty/record_codec.c
+++ b/lib/duty/record_codec.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static const char *const record_states[] = {"held", "released"};
-static const char *const order_states[] = {"wanted", "sent", "settled"};
+static const char *const intent_states[] = {"wanted", "sent", "settled"};
 static const char *const results[] = {"none", "done", "refused", "malformed", "gone", "void"};
 static const char *const modes[] = {"leader", "duties"};
 
@@ -13,13 +13,13 @@
 
 /* ---- work ---- */
 
-void amb_duty_work_free(struct amb_duty_work *work) {
+void amb_duty_work_order_free(struct amb_duty_work_order *work) {
     free(work->machines);
     memset(work, 0, sizeof *work);
 }
 
-bool amb_duty_work_add_machine(struct amb_duty_work *work, const char *machine) {
-    if (work->machine_count == AMB_DUTY_MACHINES || strlen(machine) >= AMB_NAME_SIZE) return false;
+bool amb_duty_work_order_add_machine(struct amb_duty_work_order *work, const char *machine) {
+    if (work->machine_count == AMB_DUTY_MAX_MACHINES || strlen(machine) >= AMB_NAME_SIZE) return false;
     work->machines = amb_grow(work->machines, (work->machine_count + 1) * sizeof *work->machines);
     strcpy(work->machines[work->machine_count++], machine);
     return true;
@@ -27,11 +27,11 @@
 
 /* Sizes are counted in JSON form. The fixed part: names, numbers and up to four names of AMB_NAME_SIZE bytes.
  */
-uint32_t amb_duty_machines_most(double value_kb) {
+uint32_t amb_duty_max_machines(double value_kb) {
     enum { FIXED_BYTES = 480, BYTES_PER_MACHINE = 20, BYTES_PER_KB = 1024 };
     double room = (value_kb * BYTES_PER_KB - FIXED_BYTES) / BYTES_PER_MACHINE;
     if (room < 1) return 1;
-    return room > AMB_DUTY_MACHINES ? AMB_DUTY_MACHINES : (uint32_t)room;
+    return room > AMB_DUTY_MAX_MACHINES ? AMB_DUTY_MAX_MACHINES : (uint32_t)room;
 }
 
 const char *amb_duty_mode_text(enum amb_duty_mode mode) {
@@ -57,40 +57,40 @@
 
 void amb_duty_encode_member(struct amb_buf *out, const struct amb_duty_member_record *member) {
     amb_w_map(out, 2);
-    put_number(out, "form", AMB_DUTY_FORM);
+    put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_number(out, "nonce", member->nonce);
 }
 
 void amb_duty_encode_record(struct amb_buf *out, const struct amb_duty_record *record) {
     amb_w_map(out, 8);
-    put_number(out, "form", AMB_DUTY_FORM);
+    put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "state", record_states[record->state]);
     put_text(out, "holder", record->holder);
-    put_number(out, "session", record->holder_session);
-    put_number(out, "token", record->token);
+    put_number(out, "session", record->holder_incarnation);
+    put_number(out, "token", record->fencing_token);
     put_number(out, "nonce", record->nonce);
     put_text(out, "successor", record->successor);
     put_text(out, "cause", record->cause);
 }
 
-static void put_machines(struct amb_buf *out, const struct amb_duty_work *work) {
+static void put_machines(struct amb_buf *out, const struct amb_duty_work_order *work) {
     amb_w_str(out, "machines");
     amb_w_list(out, work->machine_count);
     for (uint32_t i = 0; i < work->machine_count; i++) amb_w_str(out, work->machines[i]);
 }
 
-void amb_duty_encode_order(struct amb_buf *out, const struct amb_duty_order_record *order,
-                           const struct amb_duty_work *work) {
+void amb_duty_encode_intent(struct amb_buf *out, const struct amb_duty_intent_record *intent,
+                            const struct amb_duty_work_order *work) {
     enum { COMMON = 8, OF_RENT = 4, OF_RETURN = 1 };
-    bool rents = order->duty == AMB_DUTY_RENT;
+    bool rents = intent->duty == AMB_DUTY_RENT;
     amb_w_map(out, COMMON + (rents ? OF_RENT : OF_RETURN));
-    put_number(out, "form", AMB_DUTY_FORM);
-    put_text(out, "state", order_states[order->state]);
-    put_text(out, "result", results[order->result]);
-    put_number(out, "token", order->token);
-    put_number(out, "unanswered", order->unanswered);
-    put_flag(out, "withdrawn", order->withdrawn);
-    put_number(out, "at", (uint64_t)work->ordered_wall);
+    put_number(out, "form", AMB_DUTY_RECORD_VERSION);
+    put_text(out, "state", intent_states[intent->state]);
+    put_text(out, "result", results[intent->result]);
+    put_number(out, "token", intent->fencing_token);
+    put_number(out, "unanswered", intent->unanswered);
+    put_flag(out, "withdrawn", intent->withdrawn);
+    put_number(out, "at", (uint64_t)work->created_wall_ms);
     put_machines(out, work);
     if (!rents) {
         put_text(out, "reason", work->reason);
@@ -104,22 +104,22 @@
 
 void amb_duty_encode_mode(struct amb_buf *out, enum amb_duty_mode mode) {
     amb_w_map(out, 2);
-    put_number(out, "form", AMB_DUTY_FORM);
+    put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "mode", modes[mode]);
 }
 
 void amb_duty_encode_handover(struct amb_buf *out, const struct amb_duty_handover *handover) {
     amb_w_map(out, 2);
-    put_number(out, "form", AMB_DUTY_FORM);
+    put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "to", handover->successor);
 }
 
 /* ---- reading ---- */
 
-static enum amb_duty_decoded check_form(const cbor_item_t *value) {
+static enum amb_duty_decode_result check_version(const cbor_item_t *value) {
     uint64_t form;
     if (!amb_cbor_uint(amb_cbor_get(value, "form"), &form) || !form) return AMB_DUTY_MALFORMED;
-    return form > AMB_DUTY_FORM ? AMB_DUTY_NEWER_FORM : AMB_DUTY_DECODED;
+    return form > AMB_DUTY_RECORD_VERSION ? AMB_DUTY_NEWER_VERSION : AMB_DUTY_DECODED;
 }
 
 /* Place of the text among the names; -1: it is none of them. */
@@ -144,21 +144,22 @@
     return true;
 }
 
-enum amb_duty_decoded amb_duty_decode_member(const cbor_item_t *value, struct amb_duty_member_record *out) {
-    enum amb_duty_decoded form = check_form(value);
+enum amb_duty_decode_result amb_duty_decode_member(const cbor_item_t *value,
+                                                   struct amb_duty_member_record *out) {
+    enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
     if (!read_number(value, "nonce", &out->nonce)) return AMB_DUTY_MALFORMED;
     out->present = true;
     return AMB_DUTY_DECODED;
 }
 
-enum amb_duty_decoded amb_duty_decode_record(const cbor_item_t *value, struct amb_duty_record *out) {
-    enum amb_duty_decoded form = check_form(value);
+enum amb_duty_decode_result amb_duty_decode_record(const cbor_item_t *value, struct amb_duty_record *out) {
+    enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
     int state = read_choice(amb_cbor_get(value, "state"), record_states, COUNT(record_states));
     if (state < 0 || !read_text(value, "holder", out->holder, sizeof out->holder) ||
-        !read_number(value, "session", &out->holder_session) || !read_number(value, "token", &out->token) ||
-        !read_number(value, "nonce", &out->nonce) ||
+        !read_number(value, "session", &out->holder_incarnation) ||
+        !read_number(value, "token", &out->fencing_token) || !read_number(value, "nonce", &out->nonce) ||
         !read_text(value, "successor", out->successor, sizeof out->successor) ||
         !read_text(value, "cause", out->cause, sizeof out->cause))
         return AMB_DUTY_MALFORMED;
@@ -167,20 +168,21 @@
     return AMB_DUTY_DECODED;
 }
 
-static bool read_machines(const cbor_item_t *value, struct amb_duty_work *work) {
+static bool read_machines(const cbor_item_t *value, struct amb_duty_work_order *work) {
     const cbor_item_t *list = amb_cbor_get(value, "machines");
     for (size_t i = 0; i < amb_cbor_len(list); i++) {
         char name[AMB_NAME_SIZE];
-        if (!amb_cbor_str(amb_cbor_at(list, i), name, sizeof name) || !amb_duty_work_add_machine(work, name))
+        if (!amb_cbor_str(amb_cbor_at(list, i), name, sizeof name) ||
+            !amb_duty_work_order_add_machine(work, name))
             return false;
     }
     return true;
 }
 
-static bool read_work(const cbor_item_t *value, enum amb_duty_name duty, struct amb_duty_work *work) {
+static bool read_work(const cbor_item_t *value, enum amb_duty_name duty, struct amb_duty_work_order *work) {
     uint64_t at;
     if (!read_number(value, "at", &at) || !read_machines(value, work)) return false;
-    work->ordered_wall = (int64_t)at;
+    work->created_wall_ms = (int64_t)at;
     if (duty != AMB_DUTY_RENT) return read_text(value, "reason", work->reason, sizeof work->reason);
     return read_text(value, "type", work->type, sizeof work->type) &&
            read_text(value, "zone", work->zone, sizeof work->zone) &&
@@ -188,28 +190,29 @@
            read_count(value, "count", &work->count);
 }
 
-enum amb_duty_decoded amb_duty_decode_order(const cbor_item_t *value, struct amb_duty_order_record *out,
-                                            struct amb_duty_work *work) {
+enum amb_duty_decode_result amb_duty_decode_intent(const cbor_item_t *value,
+                                                   struct amb_duty_intent_record *out,
+                                                   struct amb_duty_work_order *work) {
     memset(work, 0, sizeof *work);
-    enum amb_duty_decoded form = check_form(value);
+    enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
-    int state = read_choice(amb_cbor_get(value, "state"), order_states, COUNT(order_states));
+    int state = read_choice(amb_cbor_get(value, "state"), intent_states, COUNT(intent_states));
     int result = read_choice(amb_cbor_get(value, "result"), results, COUNT(results));
-    if (state < 0 || result < 0 || !read_number(value, "token", &out->token) ||
+    if (state < 0 || result < 0 || !read_number(value, "token", &out->fencing_token) ||
         !read_count(value, "unanswered", &out->unanswered) ||
         !amb_cbor_bool(amb_cbor_get(value, "withdrawn"), &out->withdrawn) ||
         !read_work(value, out->duty, work)) {
-        amb_duty_work_free(work);
+        amb_duty_work_order_free(work);
         return AMB_DUTY_MALFORMED;
     }
-    out->state = (enum amb_duty_order_state)state;
-    out->result = (enum amb_duty_order_result)result;
+    out->state = (enum amb_duty_intent_state)state;
+    out->result = (enum amb_duty_intent_result)result;
     out->present = true;
     return AMB_DUTY_DECODED;
 }
 
-enum amb_duty_decoded amb_duty_decode_mode(const cbor_item_t *value, enum amb_duty_mode *out) {
-    enum amb_duty_decoded form = check_form(value);
+enum amb_duty_decode_result amb_duty_decode_mode(const cbor_item_t *value, enum amb_duty_mode *out) {
+    enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
     int mode = read_choice(amb_cbor_get(value, "mode"), modes, COUNT(modes));
     if (mode < 0) return AMB_DUTY_MALFORMED;
@@ -217,8 +220,9 @@
     return AMB_DUTY_DECODED;
 }
 
-enum amb_duty_decoded amb_duty_decode_handover(const cbor_item_t *value, struct amb_duty_handover *out) {
-    enum amb_duty_decoded form = check_form(value);
+enum amb_duty_decode_result amb_duty_decode_handover(const cbor_item_t *value,
+                                                     struct amb_duty_handover *out) {
+    enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
     if (!read_text(value, "to", out->successor, sizeof out->successor)) return AMB_DUTY_MALFORMED;
     return AMB_DUTY_DECODED;
@@ -226,31 +230,31 @@
 
 /* ---- keys ---- */
 
-void amb_duty_member_key(char out[AMB_DUTY_KEY], const char *member) {
-    snprintf(out, AMB_DUTY_KEY, "%s%s", AMB_DUTY_MEMBER_KEYS, member);
+void amb_duty_member_key(char out[AMB_DUTY_KEY_SIZE], const char *member) {
+    snprintf(out, AMB_DUTY_KEY_SIZE, "%s%s", AMB_DUTY_MEMBER_KEYS, member);
 }
 
-void amb_duty_record_key(char out[AMB_DUTY_KEY], enum amb_duty_name duty) {
-    snprintf(out, AMB_DUTY_KEY, "%s%s", AMB_DUTY_RECORD_KEYS, amb_duty_name_text(duty));
+void amb_duty_record_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty) {
+    snprintf(out, AMB_DUTY_KEY_SIZE, "%s%s", AMB_DUTY_RECORD_KEYS, amb_duty_name_text(duty));
 }
 
-void amb_duty_handover_key(char out[AMB_DUTY_KEY], enum amb_duty_name duty) {
-    snprintf(out, AMB_DUTY_KEY, "%s%s", AMB_DUTY_HANDOVER_KEYS, amb_duty_name_text(duty));
+void amb_duty_handover_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty) {
+    snprintf(out, AMB_DUTY_KEY_SIZE, "%s%s", AMB_DUTY_HANDOVER_KEYS, amb_duty_name_text(duty));
 }
 
-void amb_duty_order_key(char out[AMB_DUTY_KEY], enum amb_duty_name duty, const char *id) {
-    snprintf(out, AMB_DUTY_KEY, "%s%s/%s", AMB_DUTY_ORDER_KEYS, amb_duty_name_text(duty), id);
+void amb_duty_intent_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty, const char *id) {
+    snprintf(out, AMB_DUTY_KEY_SIZE, "%s%s/%s", AMB_DUTY_ORDER_KEYS, amb_duty_name_text(duty), id);
 }
 
-bool amb_duty_parse_order_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_ORDER_ID]) {
+bool amb_duty_parse_intent_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_INTENT_ID]) {
     enum { PREFIX_LENGTH = sizeof AMB_DUTY_ORDER_KEYS - 1, NAME_MOST = 16 };
     if (strncmp(key, AMB_DUTY_ORDER_KEYS, PREFIX_LENGTH) != 0) return false;
     const char *name = key + PREFIX_LENGTH, *slash = strchr(name, '/');
     char text[NAME_MOST];
     if (!slash || (size_t)(slash - name) >= sizeof text || !slash[1] ||
-        strlen(slash + 1) >= AMB_DUTY_ORDER_ID)
+        strlen(slash + 1) >= AMB_DUTY_INTENT_ID)
         return false;
     snprintf(text, sizeof text, "%.*s", (int)(slash - name), name);
-    snprintf(id, AMB_DUTY_ORDER_ID, "%s", slash + 1);
+    snprintf(id, AMB_DUTY_INTENT_ID, "%s", slash + 1);
     return amb_duty_name_parse(text, duty);
 }
--- a/lib/duty/service_queue.c
+++ b/lib/duty/service_queue.c
@@ -12,7 +12,7 @@
 struct duty_call *duty_call_new(struct amb_duty_service *service, uint64_t number) {
     struct duty_call *call = amb_alloc(sizeof *call);
     call->service = service;
-    call->incarnation = service->incarnation;
+    call->activation = service->activation;
     call->number = number;
     return call;
 }
@@ -22,7 +22,7 @@
     *out = *call;
     free(call);
     struct amb_duty_service *service = out->service;
-    return service->active && service->incarnation == out->incarnation ? service : NULL;
+    return service->active && service->activation == out->activation ? service : NULL;
 }
 
 void duty_log(struct amb_duty_service *service, const char *fmt, ...) {
@@ -45,21 +45,21 @@
     service->queue[service->queue_count++] = *event;
 }
 
-static void step_first(struct amb_duty_service *service) {
+static void step_next(struct amb_duty_service *service) {
     struct amb_duty_event event = service->queue[0];
     struct amb_duty_output out;
     memmove(service->queue, service->queue + 1, --service->queue_count * sizeof *service->queue);
     event.now = service->ports.now(service->ports.context);
-    amb_duty_step(&service->core, &event, &out);
+    amb_duty_core_step(&service->core, &event, &out);
     for (uint32_t i = 0; i < out.count; i++) service->perform(service, &out.actions[i]);
     if (out.more) enqueue(service, &(struct amb_duty_event){.type = AMB_DUTY_TICK});
 }
 
 /* What the core decides may bring new events at once: they wait until all of it is carried out. */
-void duty_feed(struct amb_duty_service *service, const struct amb_duty_event *event) {
+void duty_feed_event(struct amb_duty_service *service, const struct amb_duty_event *event) {
     enqueue(service, event);
-    if (service->busy) return;
-    service->busy = true;
-    while (service->queue_count) step_first(service);
-    service->busy = false;
+    if (service->is_stepping) return;
+    service->is_stepping = true;
+    while (service->queue_count) step_next(service);
+    service->is_stepping = false;
 }
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -4,135 +4,137 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool begins(const char *key, const char *prefix) {
+static bool has_prefix(const char *key, const char *prefix) {
     return !strncmp(key, prefix, strlen(prefix));
 }
 
 /* ---- orders ---- */
 
-struct amb_duty_order_entry *duty_entry_find(const struct amb_duty_service *service, const char *key) {
-    struct amb_duty_order_entry *entry;
+struct amb_duty_intent_entry *duty_find_entry(const struct amb_duty_service *service, const char *key) {
+    struct amb_duty_intent_entry *entry;
     HASH_FIND_STR(service->entries, key, entry);
     return entry;
 }
 
-static struct amb_duty_order_entry *entry_add(struct amb_duty_service *service, const char *key) {
-    struct amb_duty_order_entry *entry = amb_alloc(sizeof *entry);
+static struct amb_duty_intent_entry *add_entry(struct amb_duty_service *service, const char *key) {
+    struct amb_duty_intent_entry *entry = amb_alloc(sizeof *entry);
     strcpy(entry->key, key);
     HASH_ADD_STR(service->entries, key, entry);
     return entry;
 }
 
-static void entry_free(struct amb_duty_service *service, struct amb_duty_order_entry *entry) {
+static void free_entry(struct amb_duty_service *service, struct amb_duty_intent_entry *entry) {
     HASH_DEL(service->entries, entry);
-    amb_duty_work_free(&entry->work);
-    amb_duty_work_free(&entry->rented);
+    amb_duty_work_order_free(&entry->work);
+    amb_duty_work_order_free(&entry->acquired);
     free(entry);
 }
 
-void duty_entries_free(struct amb_duty_service *service) {
-    struct amb_duty_order_entry *entry, *next;
-    HASH_ITER(hh, service->entries, entry, next) entry_free(service, entry);
+void duty_free_entries(struct amb_duty_service *service) {
+    struct amb_duty_intent_entry *entry, *next;
+    HASH_ITER(hh, service->entries, entry, next) free_entry(service, entry);
 }
 
 /* How what is known of an order was learnt: ORDER_CHANGED or ORDER_READ. */
-static void feed_order(struct amb_duty_service *service, enum amb_duty_event_type how,
-                       const struct amb_duty_order_record *record) {
-    struct amb_duty_event event = {.type = how, .duty = record->duty, .order = *record};
-    duty_feed(service, &event);
+static void feed_intent(struct amb_duty_service *service, enum amb_duty_event_type how,
+                        const struct amb_duty_intent_record *record) {
+    struct amb_duty_event event = {.type = how, .duty = record->duty, .intent = *record};
+    duty_feed_event(service, &event);
 }
 
-void duty_feed_orders(struct amb_duty_service *service) {
-    for (const struct amb_duty_order_entry *entry = service->entries; entry; entry = entry->hh.next)
-        if (entry->record.present) feed_order(service, AMB_DUTY_ORDER_CHANGED, &entry->record);
+void duty_feed_intents(struct amb_duty_service *service) {
+    for (const struct amb_duty_intent_entry *entry = service->entries; entry; entry = entry->hh.next)
+        if (entry->record.present) feed_intent(service, AMB_DUTY_INTENT_CHANGED, &entry->record);
 }
 
 /* While all records are being read, what is removed leaves its stamp behind: a page that was made before
  * would bring it back. */
-static void order_gone(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
-                       struct amb_duty_order_record *record) {
-    struct amb_duty_order_entry *entry = duty_entry_find(service, key);
-    if (entry && record->stamp <= entry->record.stamp) return;
-    if (!entry && service->listing) entry = entry_add(service, key);
+static void remove_intent(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
+                          struct amb_duty_intent_record *record) {
+    struct amb_duty_intent_entry *entry = duty_find_entry(service, key);
+    if (entry && record->revision <= entry->record.revision) return;
+    if (!entry && service->listing) entry = add_entry(service, key);
     if (entry) entry->record = *record;
-    feed_order(service, how, record);
-    service->ports.order_changed(service->ports.context, record, NULL);
-    if (entry && !service->listing) entry_free(service, entry);
+    feed_intent(service, how, record);
+    service->ports.intent_changed(service->ports.context, record, NULL);
+    if (entry && !service->listing) free_entry(service, entry);
 }
 
-static void order_news(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
-                       const cbor_item_t *value, uint64_t stamp) {
-    struct amb_duty_order_record record = {.stamp = stamp};
-    struct amb_duty_work work;
-    if (!amb_duty_parse_order_key(key, &record.duty, record.id)) return;
+static void apply_intent(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
+                         const cbor_item_t *value, uint64_t revision) {
+    struct amb_duty_intent_record record = {.revision = revision};
+    struct amb_duty_work_order work;
+    if (!amb_duty_parse_intent_key(key, &record.duty, record.id)) return;
     if (!value) {
-        order_gone(service, how, key, &record);
+        remove_intent(service, how, key, &record);
         return;
     }
-    struct amb_duty_order_entry *entry = duty_entry_find(service, key);
+    struct amb_duty_intent_entry *entry = duty_find_entry(service, key);
     if (entry) entry->listed = true;
-    if (entry && stamp <= entry->record.stamp) return;
-    if (amb_duty_decode_order(value, &record, &work) != AMB_DUTY_DECODED) {
+    if (entry && revision <= entry->record.revision) return;
+    if (amb_duty_decode_intent(value, &record, &work) != AMB_DUTY_DECODED) {
         duty_log(service, "duty %s: order %s is of a form that is not known: left alone",
                  amb_duty_name_text(record.duty), record.id);
-        record = (struct amb_duty_order_record){.stamp = stamp, .duty = record.duty};
-        amb_duty_parse_order_key(key, &record.duty, record.id);
-        order_gone(service, how, key, &record);
+        record = (struct amb_duty_intent_record){.revision = revision, .duty = record.duty};
+        amb_duty_parse_intent_key(key, &record.duty, record.id);
+        remove_intent(service, how, key, &record);
         return;
     }
-    if (!entry) entry = entry_add(service, key);
+    if (!entry) entry = add_entry(service, key);
     entry->listed = true;
     entry->record = record;
-    amb_duty_work_free(&entry->work);
+    amb_duty_work_order_free(&entry->work);
     entry->work = work;
-    feed_order(service, how, &record);
-    service->ports.order_changed(service->ports.context, &entry->record, &entry->work);
+    feed_intent(service, how, &record);
+    service->ports.intent_changed(service->ports.context, &entry->record, &entry->work);
 }
 
 /* ---- duties and members ---- */
 
-static void note_holder(struct amb_duty_service *service, enum amb_duty_name duty,
-                        const struct amb_duty_record *record) {
-    const struct amb_duty_handover_seen *last = NULL;
-    for (uint32_t i = service->handover_count; i > 0 && !last; i--) {
-        if (service->handover_count - i >= AMB_DUTY_HANDOVERS_KEPT) break;
-        const struct amb_duty_handover_seen *seen = &service->handovers[(i - 1) % AMB_DUTY_HANDOVERS_KEPT];
+static void log_holder(struct amb_duty_service *service, enum amb_duty_name duty,
+                       const struct amb_duty_record *record) {
+    const struct amb_duty_holder_change *last = NULL;
+    for (uint32_t i = service->holder_changes; i > 0 && !last; i--) {
+        if (service->holder_changes - i >= AMB_DUTY_HOLDER_HISTORY) break;
+        const struct amb_duty_holder_change *seen =
+            &service->holder_history[(i - 1) % AMB_DUTY_HOLDER_HISTORY];
         if (seen->duty == duty) last = seen;
     }
     if (record->state == AMB_DUTY_RECORD_RELEASED) {
         duty_log(service, "duty %s: released by %s, token %llu: %s", amb_duty_name_text(duty), record->holder,
-                 (unsigned long long)record->token, record->cause);
+                 (unsigned long long)record->fencing_token, record->cause);
         return;
     }
-    if (last && record->token <= last->token) return;
+    if (last && record->fencing_token <= last->fencing_token) return;
     duty_log(service, "duty %s: held by %s, token %llu: %s", amb_duty_name_text(duty), record->holder,
-             (unsigned long long)record->token, record->cause);
-    struct amb_duty_handover_seen *seen =
-        &service->handovers[service->handover_count++ % AMB_DUTY_HANDOVERS_KEPT];
-    struct amb_duty_handover_seen entry = {
-        .duty = duty, .token = record->token, .at = service->ports.now(service->ports.context)};
+             (unsigned long long)record->fencing_token, record->cause);
+    struct amb_duty_holder_change *seen =
+        &service->holder_history[service->holder_changes++ % AMB_DUTY_HOLDER_HISTORY];
+    struct amb_duty_holder_change entry = {.duty = duty,
+                                           .fencing_token = record->fencing_token,
+                                           .at = service->ports.now(service->ports.context)};
     if (last) strcpy(entry.from, last->to);
     strcpy(entry.to, record->holder);
     strcpy(entry.cause, record->cause);
     *seen = entry;
 }
 
-static void record_news(struct amb_duty_service *service, const char *name, const cbor_item_t *value,
-                        uint64_t stamp) {
-    struct amb_duty_event event = {.type = AMB_DUTY_RECORD_CHANGED, .record = {.stamp = stamp}};
+static void apply_record(struct amb_duty_service *service, const char *name, const cbor_item_t *value,
+                         uint64_t revision) {
+    struct amb_duty_event event = {.type = AMB_DUTY_RECORD_CHANGED, .record = {.revision = revision}};
     if (!amb_duty_name_parse(name, &event.duty)) return;
     const struct amb_duty *duty = &service->core.duties[event.duty];
     service->record_listed[event.duty] = true;
     if (value && amb_duty_decode_record(value, &event.record) != AMB_DUTY_DECODED) {
-        if (!service->unknown_form[event.duty])
+        if (!service->unknown_version[event.duty])
             duty_log(service, "duty %s: its record is of a form that is not known: left alone", name);
-        service->unknown_form[event.duty] = true;
+        service->unknown_version[event.duty] = true;
         return;
     }
-    if (duty->record_known && stamp < duty->record.stamp) return;
-    service->unknown_form[event.duty] = false;
-    if (value) note_holder(service, event.duty, &event.record);
-    duty_feed(service, &event);
+    if (duty->record_known && revision < duty->record.revision) return;
+    service->unknown_version[event.duty] = false;
+    if (value) log_holder(service, event.duty, &event.record);
+    duty_feed_event(service, &event);
 }
 
 static bool is_listed(const struct amb_duty_service *service, const char *member) {
@@ -141,9 +143,9 @@
     return false;
 }
 
-static void member_news(struct amb_duty_service *service, const char *member, const cbor_item_t *value,
-                        uint64_t stamp) {
-    struct amb_duty_event event = {.type = AMB_DUTY_MEMBER_CHANGED, .member = {.stamp = stamp}};
+static void apply_member(struct amb_duty_service *service, const char *member, const cbor_item_t *value,
+                         uint64_t revision) {
+    struct amb_duty_event event = {.type = AMB_DUTY_MEMBER_CHANGED, .member = {.revision = revision}};
     if (strlen(member) >= AMB_NAME_SIZE) return;
     strcpy(event.member.member, member);
     /* One of a form that is not known is alive: its duties are not taken. */
@@ -151,45 +153,45 @@
         event.member.present = true;
     if (value && !is_listed(service, member) && service->listed_member_count < AMB_DUTY_MEMBERS)
         strcpy(service->listed_members[service->listed_member_count++], member);
-    duty_feed(service, &event);
+    duty_feed_event(service, &event);
 }
 
-static void handover_news(struct amb_duty_service *service, const char *name, const cbor_item_t *value,
-                          uint64_t stamp) {
+static void apply_handover(struct amb_duty_service *service, const char *name, const cbor_item_t *value,
+                           uint64_t revision) {
     enum amb_duty_name duty;
-    struct amb_duty_handover wish;
-    if (!value || !amb_duty_name_parse(name, &duty) || stamp <= service->handover_stamp[duty] ||
-        amb_duty_decode_handover(value, &wish) != AMB_DUTY_DECODED)
+    struct amb_duty_handover handover;
+    if (!value || !amb_duty_name_parse(name, &duty) || revision <= service->handover_revision[duty] ||
+        amb_duty_decode_handover(value, &handover) != AMB_DUTY_DECODED)
         return;
-    service->handover_stamp[duty] = stamp;
-    service->handover[duty] = wish;
+    service->handover_revision[duty] = revision;
+    service->handover[duty] = handover;
     duty_log(service, "duty %s: an operator wants it handed over to %s", name,
-             wish.successor[0] ? wish.successor : "anybody else");
+             handover.successor[0] ? handover.successor : "anybody else");
 }
 
-void amb_duty_service_news(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
-                           uint64_t stamp) {
+void amb_duty_service_apply_change(struct amb_duty_service *service, const char *key,
+                                   const cbor_item_t *value, uint64_t revision) {
     if (!service->active) return;
-    if (begins(key, AMB_DUTY_RECORD_KEYS))
-        record_news(service, key + strlen(AMB_DUTY_RECORD_KEYS), value, stamp);
-    else if (begins(key, AMB_DUTY_MEMBER_KEYS))
-        member_news(service, key + strlen(AMB_DUTY_MEMBER_KEYS), value, stamp);
-    else if (begins(key, AMB_DUTY_HANDOVER_KEYS))
-        handover_news(service, key + strlen(AMB_DUTY_HANDOVER_KEYS), value, stamp);
-    else if (begins(key, AMB_DUTY_ORDER_KEYS))
-        order_news(service, AMB_DUTY_ORDER_CHANGED, key, value, stamp);
+    if (has_prefix(key, AMB_DUTY_RECORD_KEYS))
+        apply_record(service, key + strlen(AMB_DUTY_RECORD_KEYS), value, revision);
+    else if (has_prefix(key, AMB_DUTY_MEMBER_KEYS))
+        apply_member(service, key + strlen(AMB_DUTY_MEMBER_KEYS), value, revision);
+    else if (has_prefix(key, AMB_DUTY_HANDOVER_KEYS))
+        apply_handover(service, key + strlen(AMB_DUTY_HANDOVER_KEYS), value, revision);
+    else if (has_prefix(key, AMB_DUTY_ORDER_KEYS))
+        apply_intent(service, AMB_DUTY_INTENT_CHANGED, key, value, revision);
 }
 
 /* ---- reading ---- */
 
 /* What the read of one key found; value NULL: it is not there. An order that the core has removed meanwhile
  * is not added to its ledger again, though the news of the removal has not come yet. */
-static void key_found(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
-                      uint64_t stamp) {
-    if (begins(key, AMB_DUTY_ORDER_KEYS))
-        order_news(service, AMB_DUTY_ORDER_READ, key, value, stamp);
+static void apply_read(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
+                       uint64_t revision) {
+    if (has_prefix(key, AMB_DUTY_ORDER_KEYS))
+        apply_intent(service, AMB_DUTY_INTENT_READ, key, value, revision);
     else
-        amb_duty_service_news(service, key, value, stamp);
+        amb_duty_service_apply_change(service, key, value, revision);
 }
 
 /* Applies a page; its last key goes to `after`. How many keys it has, and whether `key` is among them. */
@@ -200,72 +202,72 @@
     for (size_t i = 0; i < count; i++) {
         const cbor_item_t *pair = amb_cbor_at(pairs, i);
         char path[256];
-        uint64_t stamp;
+        uint64_t revision;
         if (!amb_cbor_str(amb_cbor_get(pair, "path"), path, sizeof path) ||
-            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &stamp))
+            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &revision))
             continue;
         const cbor_item_t *value = amb_cbor_get(pair, "value");
         if (key && !strcmp(path, key)) *found = true;
         /* Only orders that are known are read: this one has been removed since, and news of it came first. */
-        bool is_order = begins(path, AMB_DUTY_ORDER_KEYS);
-        if (key && is_order && !duty_entry_find(service, path)) continue;
+        bool is_order = has_prefix(path, AMB_DUTY_ORDER_KEYS);
+        if (key && is_order && !duty_find_entry(service, path)) continue;
         if (key)
-            key_found(service, path, value, stamp);
+            apply_read(service, path, value, revision);
         else
-            amb_duty_service_news(service, path, value, stamp);
+            amb_duty_service_apply_change(service, path, value, revision);
         if (after && strlen(path) < cap) strcpy(after, path);
     }
     return count;
 }
 
-static void key_read(void *arg, int status, const cbor_item_t *body) {
+static void handle_read(void *arg, int status, const cbor_item_t *body) {
     struct duty_call call;
     struct amb_duty_service *service = duty_call_take(arg, &call);
-    uint64_t epoch;
+    uint64_t revision;
     bool found = false;
     /* The core asks again, in time. */
-    if (!service || status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &epoch)) return;
+    if (!service || status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) return;
     apply_page(service, body, call.key, &found, NULL, 0);
-    if (!found) key_found(service, call.key, NULL, epoch);
+    if (!found) apply_read(service, call.key, NULL, revision);
 }
 
 void duty_read_key(struct amb_duty_service *service, const char *key) {
     struct duty_call *call = duty_call_new(service, 0);
     strcpy(call->key, key);
-    service->ports.state.list(service->ports.state.context, key, "", key_read, call);
+    service->ports.kvstore.list(service->ports.kvstore.context, key, "", handle_read, call);
 }
 
-static void list_next(struct amb_duty_service *service);
+static void request_next_page(struct amb_duty_service *service);
 
-static void members_over(struct amb_duty_service *service, uint64_t epoch) {
+static void finish_members(struct amb_duty_service *service, uint64_t revision) {
     for (int i = 0; i < AMB_DUTY_MEMBERS; i++) {
         const struct amb_duty_member *member = &service->core.members[i];
-        if (member->alive && !is_listed(service, member->name) && member->session <= epoch)
-            member_news(service, member->name, NULL, epoch);
+        if (member->alive && !is_listed(service, member->name) && member->incarnation <= revision)
+            apply_member(service, member->name, NULL, revision);
     }
 }
 
-static void duties_over(struct amb_duty_service *service, uint64_t epoch) {
-    members_over(service, epoch);
+static void finish_duties(struct amb_duty_service *service, uint64_t revision) {
+    finish_members(service, revision);
     for (int i = 0; i < AMB_DUTY_NAMES; i++)
         if (!service->record_listed[i])
-            record_news(service, amb_duty_name_text((enum amb_duty_name)i), NULL, epoch);
+            apply_record(service, amb_duty_name_text((enum amb_duty_name)i), NULL, revision);
     service->listing_prefix = AMB_DUTY_ORDER_KEYS;
-    service->listing_after[0] = 0;
-    service->listing_epoch = 0;
-    list_next(service);
+    service->listing_cursor[0] = 0;
+    service->listing_revision = 0;
+    request_next_page(service);
 }
 
-static void orders_over(struct amb_duty_service *service, uint64_t epoch) {
-    struct amb_duty_order_entry *entry, *next;
+static void finish_intents(struct amb_duty_service *service, uint64_t revision) {
+    struct amb_duty_intent_entry *entry, *next;
     service->listing = false;
     HASH_ITER(hh, service->entries, entry, next) {
         if (!entry->record.present) {
-            entry_free(service, entry);
-        } else if (!entry->listed && entry->record.stamp <= epoch) {
-            char key[AMB_DUTY_KEY];
+            free_entry(service, entry);
+        } else if (!entry->listed && entry->record.revision <= revision) {
+            char key[AMB_DUTY_KEY_SIZE];
             strcpy(key, entry->key);
-            order_news(service, AMB_DUTY_ORDER_CHANGED, key, NULL, epoch);
+            apply_intent(service, AMB_DUTY_INTENT_CHANGED, key, NULL, revision);
         }
     }
     bool first = !service->loaded;
@@ -273,50 +275,50 @@
     if (first) service->ports.loaded(service->ports.context);
 }
 
-static void listed(void *arg, int status, const cbor_item_t *body) {
+static void handle_page(void *arg, int status, const cbor_item_t *body) {
     struct duty_call call;
     struct amb_duty_service *service = duty_call_take(arg, &call);
-    uint64_t epoch;
+    uint64_t revision;
     bool found, more = false;
     if (!service || !service->listing) return;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &epoch)) {
+    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) {
         service->listing_retry_at =
             service->ports.now(service->ports.context) + service->core.settings.call_timeout;
         return;
     }
-    if (!service->listing_epoch) service->listing_epoch = epoch;
+    if (!service->listing_revision) service->listing_revision = revision;
     size_t count =
-        apply_page(service, body, NULL, &found, service->listing_after, sizeof service->listing_after);
+        apply_page(service, body, NULL, &found, service->listing_cursor, sizeof service->listing_cursor);
     amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
     if (more && count)
-        list_next(service);
+        request_next_page(service);
     else if (!strcmp(service->listing_prefix, AMB_DUTY_KEYS))
-        duties_over(service, service->listing_epoch);
+        finish_duties(service, service->listing_revision);
     else
-        orders_over(service, service->listing_epoch);
+        finish_intents(service, service->listing_revision);
 }
 
-static void list_next(struct amb_duty_service *service) {
+static void request_next_page(struct amb_duty_service *service) {
     service->listing_retry_at = 0;
-    service->ports.state.list(service->ports.state.context, service->listing_prefix, service->listing_after,
-                              listed, duty_call_new(service, 0));
+    service->ports.kvstore.list(service->ports.kvstore.context, service->listing_prefix,
+                                service->listing_cursor, handle_page, duty_call_new(service, 0));
 }
 
 /* One reading at a time. News that comes meanwhile is told from older pages by its stamps. */
 void amb_duty_service_read_all(struct amb_duty_service *service) {
-    struct amb_duty_order_entry *entry, *next;
+    struct amb_duty_intent_entry *entry, *next;
     if (!service->active || service->listing) return;
     service->listing = true;
     service->listing_prefix = AMB_DUTY_KEYS;
-    service->listing_after[0] = 0;
-    service->listing_epoch = 0;
+    service->listing_cursor[0] = 0;
+    service->listing_revision = 0;
     service->listed_member_count = 0;
     memset(service->record_listed, 0, sizeof service->record_listed);
     HASH_ITER(hh, service->entries, entry, next) entry->listed = false;
-    list_next(service);
+    request_next_page(service);
 }
 
 void duty_records_tick(struct amb_duty_service *service) {
     if (!service->listing || !service->listing_retry_at) return;
-    if (service->ports.now(service->ports.context) >= service->listing_retry_at) list_next(service);
+    if (service->ports.now(service->ports.context) >= service->listing_retry_at) request_next_page(service);
 }
--- a/lib/duty/settings.c
+++ b/lib/duty/settings.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 enum {
-    TTL_SHORTEST = 100, /* the state service's limits */
-    TTL_LONGEST = 600000,
-    DRIFT_MOST_PPM = 100000,
+    TTL_MIN_MS = 100, /* the state service's limits */
+    TTL_MAX_MS = 600000,
+    DRIFT_MAX_PPM = 100000,
     CALLS_PER_RENEWAL = 3, /* a renewal may be lost twice */
     PPM = 1000000,
 };
@@ -15,43 +15,44 @@
     struct amb_duty_settings settings = {
         .ttl = ttl,
         .drift_ppm = 500, /* the protocol: 0.05% */
-        .margin = ttl / 20,
+        .safety_margin = ttl / 20,
         .call_timeout = ttl / 10,
-        .service_lateness = 100, /* the protocol: a lease may end as much as 100 ms late */
+        .expiry_lateness = 100, /* the protocol: a lease may end as much as 100 ms late */
         .backoff = ttl / 6,
         .flap_decay = ttl * 10,
         .drain_timeout = ttl,
         .keep_settled = list_span,
         .keep_uncertain = list_span * 8,
-        .refusals = 1,
+        .max_refusals = 1,
     };
     for (int i = 0; i < AMB_DUTY_NAMES; i++) settings.enabled[i] = true;
     return settings;
 }
 
 /* Copies the next name of the list; its end, or NULL when there is none. */
-static const char *next_name(const char *at, char *name, size_t cap) {
+static const char *next_name(const char *at, char *name, size_t name_size) {
     static const char separators[] = ", \t\n";
     at += strspn(at, separators);
     size_t length = strcspn(at, separators);
     if (!length) return NULL;
-    snprintf(name, cap, "%.*s", (int)length, at);
+    snprintf(name, name_size, "%.*s", (int)length, at);
     return at + length;
 }
 
-enum amb_duty_settings_error amb_duty_settings_names(struct amb_duty_settings *settings, const char *names,
-                                                     char *wrong, size_t cap) {
+enum amb_duty_settings_error amb_duty_settings_parse_names(struct amb_duty_settings *settings,
+                                                           const char *names, char *wrong_name,
+                                                           size_t wrong_name_size) {
     char name[AMB_NAME_SIZE];
     bool all = !strcmp(names, "all");
     uint32_t count = all ? AMB_DUTY_NAMES : 0;
-    if (cap) wrong[0] = 0;
+    if (wrong_name_size) wrong_name[0] = 0;
     for (int i = 0; i < AMB_DUTY_NAMES; i++) settings->enabled[i] = all;
     for (const char *at = all ? NULL : next_name(names, name, sizeof name); at;
          at = next_name(at, name, sizeof name)) {
         enum amb_duty_name duty;
         bool known = amb_duty_name_parse(name, &duty);
         if (!known || settings->enabled[duty]) {
-            snprintf(wrong, cap, "%s", name);
+            snprintf(wrong_name, wrong_name_size, "%s", name);
             return known ? AMB_DUTY_SETTINGS_DOUBLED_NAME : AMB_DUTY_SETTINGS_UNKNOWN_NAME;
         }
         settings->enabled[duty] = true;
@@ -64,16 +65,17 @@
     bool any = false;
     for (int i = 0; i < AMB_DUTY_NAMES; i++) any |= settings->enabled[i];
     if (!any) return AMB_DUTY_SETTINGS_NO_NAME;
-    if (settings->ttl < TTL_SHORTEST || settings->ttl > TTL_LONGEST) return AMB_DUTY_SETTINGS_TTL_RANGE;
-    if (settings->drift_ppm > DRIFT_MOST_PPM) return AMB_DUTY_SETTINGS_DRIFT_RANGE;
-    amb_ms needed = settings->ttl / AMB_DUTY_RENEWALS + CALLS_PER_RENEWAL * settings->call_timeout;
-    if (settings->margin < 0 || settings->call_timeout <= 0 || amb_duty_lease_span(settings) <= needed)
+    if (settings->ttl < TTL_MIN_MS || settings->ttl > TTL_MAX_MS) return AMB_DUTY_SETTINGS_TTL_RANGE;
+    if (settings->drift_ppm > DRIFT_MAX_PPM) return AMB_DUTY_SETTINGS_DRIFT_RANGE;
+    amb_ms needed = settings->ttl / AMB_DUTY_RENEWALS_PER_TTL + CALLS_PER_RENEWAL * settings->call_timeout;
+    if (settings->safety_margin < 0 || settings->call_timeout <= 0 ||
+        amb_duty_lease_local_ttl(settings) <= needed)
         return AMB_DUTY_SETTINGS_SHORT_LEASE;
     if (settings->backoff < settings->call_timeout || settings->backoff > settings->ttl)
         return AMB_DUTY_SETTINGS_BACKOFF_RANGE;
     if (settings->keep_settled <= 0 || settings->keep_uncertain < settings->keep_settled)
         return AMB_DUTY_SETTINGS_KEEP_RANGE;
-    if (!settings->refusals) return AMB_DUTY_SETTINGS_REFUSALS_RANGE;
+    if (!settings->max_refusals) return AMB_DUTY_SETTINGS_REFUSALS_RANGE;
     return AMB_DUTY_SETTINGS_GOOD;
 }
 
@@ -106,6 +108,6 @@
     /* The lease ends, the news of it comes, the last in rank waits for its turn (with jitter, and up to a
      * tick), and its claim is answered. */
     amb_ms lease_ends =
-        settings->ttl + settings->ttl * settings->drift_ppm / PPM + 1 + settings->service_lateness;
+        settings->ttl + settings->ttl * settings->drift_ppm / PPM + 1 + settings->expiry_lateness;
     return lease_ends + settings->call_timeout + (amb_ms)members * settings->backoff + settings->call_timeout;
 }
--- a/lib/duty/store_adapter.c
+++ b/lib/duty/store_adapter.c
@@ -8,7 +8,7 @@
     amb_store_renew_lease(context, lease, done, arg);
 }
 
-static void drop(void *context, uint64_t lease) {
+static void revoke_lease(void *context, uint64_t lease) {
     amb_store_revoke_lease(context, lease);
 }
 
@@ -21,7 +21,11 @@
     amb_store_commit(context, transaction, urgency, done, arg);
 }
 
-struct amb_duty_state_service amb_duty_state_service_by_store(struct amb_store *store) {
-    return (struct amb_duty_state_service){
-        .context = store, .grant = grant, .extend = extend, .drop = drop, .list = list, .commit = commit};
+struct amb_duty_kvstore amb_duty_kvstore_from_client(struct amb_store *store) {
+    return (struct amb_duty_kvstore){.context = store,
+                                     .grant = grant,
+                                     .extend = extend,
+                                     .revoke = revoke_lease,
+                                     .list = list,
+                                     .commit = commit};
 }
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -37,7 +37,7 @@
         return;
     peer->last_heard_at = amb_now();
     amb_format_update_peer(peer, decode_format(message));
-    amb_duties_heard(peer, message);
+    amb_duties_decode_peer(peer, message);
     if (json_is_true(json_object_get(message, "limits_lowered")))
         amb_store_lower_limits(&node->store, "another node says so");
     apply_cancellations(node, json_object_get(message, "cancelled"));
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -92,7 +92,8 @@
     if (amb_format_supported(node) > AMB_FORMAT_1)
         json_object_set_new(message, "format", json_integer(amb_format_supported(node)));
     if (status.limits_lowered) json_object_set_new(message, "limits_lowered", json_true());
-    if (amb_duties_wanted(node)) json_object_set_new(message, "duties", json_integer(AMB_DUTY_FORM));
+    if (amb_duties_is_enabled(node))
+        json_object_set_new(message, "duties", json_integer(AMB_DUTY_RECORD_VERSION));
     return message;
 }
 
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -77,7 +77,7 @@
         receive_heartbeat(node, request);
     else if (!strcmp(request->path, "/peer/cancellation"))
         receive_cancel_notice(node, request);
-    else if (!amb_duties_request(node, request))
+    else if (!amb_duties_handle_request(node, request))
         amb_http_reply(request, 404, NULL, NULL, 0, 0);
 }
 
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -69,7 +69,7 @@
                                         .reserved_priority = -1};
                 if (zone < 0 || !amb_placement_is_allowed(request, &slot) ||
                     amb_zone_unreachable(node, zone) ||
-                    amb_rental_refused(node, (int)type_index, zone, spot, cycle->now))
+                    amb_scale_out_is_backing_off(node, (int)type_index, zone, spot, cycle->now))
                     continue;
                 double cost = (spot ? type->hourly_spot_price : type->hourly_price) /
                               fmin(tasks_per_machine, max_tasks ? max_tasks : 1);
@@ -312,10 +312,10 @@
         amb_ms idle_limit = amb_secs(type->boot_s * node->options.idle_return);
         amb_ms leading_for = cycle->now - node->controller.leader_since;
         if (cycle->now - machine->idle_since > idle_limit && leading_for > idle_limit)
-            amb_rental_give_back(node, machine, "idle");
+            amb_cloud_scale_in(node, machine, "idle");
     }
     HASH_ITER(hh, node->fleet.all, machine, next)
-    if (machine->drain && is_empty(machine)) amb_rental_give_back(node, machine, "emptied");
+    if (machine->drain && is_empty(machine)) amb_cloud_scale_in(node, machine, "emptied");
 }
 
 /* ---- emptying machines: what runs on a few could run on fewer ---- */
@@ -456,7 +456,7 @@
     HASH_ITER(hh, node->fleet.all, machine, next) {
         if (machine->state != AMB_MACHINE_BOOTING || machine->type_index < 0) continue;
         if (now - machine->created_at > amb_secs(node->catalog.types[machine->type_index].boot_s * 4))
-            amb_rental_release(node, machine, "it does not come up");
+            amb_cloud_release(node, machine, "it does not come up");
     }
 }
 
@@ -482,11 +482,11 @@
     plan_scale_in(plan);
     plan_consolidation(plan);
     qsort(plan->choices, plan->choice_count, sizeof *plan->choices, compare_scale_outs);
-    uint32_t max_calls = amb_rental_calls(node, cycle->now);
+    uint32_t max_calls = amb_scale_out_available_calls(node, cycle->now);
     for (uint32_t i = 0; i < plan->choice_count && i < max_calls; i++) {
         const struct scale_out_choice *choice = &plan->choices[i];
-        amb_rental_want(node, choice->type, choice->zone, choice->spot,
-                        plan->scale_out_counts[choice->type][choice->zone][choice->spot]);
+        amb_scale_out_submit(node, choice->type, choice->zone, choice->spot,
+                             plan->scale_out_counts[choice->type][choice->zone][choice->spot]);
     }
     free(plan);
     release_overdue_boots(node, cycle->now);
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -100,9 +100,9 @@
             add_machine_slot(cycle, machine, true);
     }
     if (!pending) return;
-    for (struct amb_rental_request *scale_out = cycle->node->cloud.requests; scale_out;
+    for (struct amb_scale_out_request *scale_out = cycle->node->cloud.requests; scale_out;
          scale_out = scale_out->next)
-        if ((scale_out->state == AMB_REQUEST_RECORDING || scale_out->state == AMB_REQUEST_ASKING) &&
+        if ((scale_out->state == AMB_SCALE_OUT_RECORDING || scale_out->state == AMB_SCALE_OUT_REQUESTING) &&
             !amb_zone_unreachable(cycle->node, scale_out->zone))
             for (uint32_t i = 0; i < scale_out->count; i++)
                 amb_cycle_add_slot(cycle, scale_out->type, scale_out->zone, scale_out->spot);
--- a/src/main.c
+++ b/src/main.c
@@ -16,7 +16,7 @@
     amb_options_default(&node.options);
     if (!amb_settings_load(cli.config, &node.settings, err, sizeof err) ||
         (cli.options && !amb_options_load(cli.options, &node.options, err, sizeof err)) ||
-        !amb_duties_check(&node.settings, &node.options, cli.options, err, sizeof err) ||
+        !amb_duties_check_options(&node.settings, &node.options, cli.options, err, sizeof err) ||
         !amb_zone_recovery_check(&node.settings, &node.options, cli.options, err, sizeof err) ||
         !amb_capacity_check(&node.settings, &node.options, cli.config, err, sizeof err)) {
         fprintf(stderr, "amberpin: %s\n", err);
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -131,16 +131,16 @@
         amb_catalog_find_or_add_zone(&node->catalog, "b");
         node->controller.leader_since = now - rows[i].leading;
         const uint32_t counts[] = {rows[i].heard_a, rows[i].silent_a, rows[i].heard_b, rows[i].silent_b};
-        for (int k = 0; k < 4; k++)
-            for (uint32_t c = 0; c < counts[k]; c++) {
+        for (int column = 0; column < 4; column++)
+            for (uint32_t machine_index = 0; machine_index < counts[column]; machine_index++) {
                 char name[AMB_NAME_SIZE];
-                snprintf(name, sizeof name, "m-%d-%u", k, c);
+                snprintf(name, sizeof name, "m-%d-%u", column, machine_index);
                 struct amb_machine *machine = amb_machine_get(node, name, true);
                 machine->type_index = 0;
-                machine->zone_index = k / 2;
+                machine->zone_index = column / 2;
                 machine->state = AMB_MACHINE_UP;
                 machine->token_acknowledged = true;
-                machine->last_heartbeat_at = machine->last_response_at = now - (k % 2 ? 5000 : 500);
+                machine->last_heartbeat_at = machine->last_response_at = now - (column % 2 ? 5000 : 500);
             }
         node->lease_proxy.known_count = 1;
         node->lease_proxy.known[0].zone = 1;
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -10,27 +10,27 @@
 
 static void rental_names_are_never_used_twice(void **state) {
     (void)state;
-    amb_rental_want(node, 0, 0, false, 1);
-    amb_rental_want(node, 0, 0, false, 1);
-    struct amb_rental_request *first = node->cloud.requests, *second = first->next;
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    struct amb_scale_out_request *first = node->cloud.requests, *second = first->next;
     if (!strcmp(first->id, second->id)) fail_msg("%s twice under one term", first->id);
     char id[sizeof first->id];
     strcpy(id, first->id);
     begin_anew();
     node->election.term = TERM + 1;
-    amb_rental_want(node, 0, 0, false, 1);
+    amb_scale_out_submit(node, 0, 0, false, 1);
     if (!strcmp(node->cloud.requests->id, id)) fail_msg("%s under two terms", id);
 }
 
 static void rentals_are_recorded_until_they_must_be_listed(void **state) {
     (void)state;
-    amb_rental_want(node, 0, 0, false, 1);
-    amb_rental_tick(node, amb_now());
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    amb_cloud_tick(node, amb_now());
     if (find_call("POST", "/machines")) fail_msg("asked for before it is recorded");
     struct fake_call *commit = open_call("POST", "/commit");
     assert_non_null(fake_txn_put(commit, "b/r/r-50-1", NULL));
     answer_epoch(commit, 60);
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     struct fake_call *rent = open_call("POST", "/machines");
     assert_true(amb_cbor_eq(amb_cbor_get(rent->map, "charter"), "r-50-1"));
     struct amb_buf buffer = {0};
@@ -39,13 +39,13 @@
     fake_answer(rent, 200, &buffer);
     for (amb_ms since = 0; since <= 11000; since += 1000) {
         node->election.renewed_at = amb_now();
-        amb_rental_tick(node, amb_now());
+        amb_cloud_tick(node, amb_now());
         if (find_call("POST", "/commit")) fail_msg("its record is removed after %lld ms", (long long)since);
         fake_clock_advance(1000);
     }
     node->election.renewed_at = amb_now();
-    amb_rental_tick(node, amb_now());
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     assert_true(fake_txn_removes(open_call("POST", "/commit"), "b/r/r-50-1"));
 }
 
@@ -58,10 +58,10 @@
     amb_w_str(&buffer, "spot"), amb_w_bool(&buffer, false);
     amb_w_str(&buffer, "count"), amb_w_uint(&buffer, 3);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_rental_load(node, "b/r/r-40-7", value);
+    amb_scale_out_restore(node, "b/r/r-40-7", value);
     cbor_decref(&value);
     amb_buf_free(&buffer);
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     struct fake_call *rent = find_call("POST", "/machines");
     if (!rent) fail_msg("an earlier leader's rental is not repeated");
     /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference): fail_msg ends the test */
@@ -70,24 +70,26 @@
 
 /* ---- the plan ---- */
 
-static uint32_t requests(int *type) {
-    uint32_t n = 0;
-    for (const struct amb_rental_request *c = node->cloud.requests; c; c = c->next, n++) *type = c->type;
-    return n;
+static uint32_t count_requests(int *type) {
+    uint32_t count = 0;
+    for (const struct amb_scale_out_request *request = node->cloud.requests; request;
+         request = request->next, count++)
+        *type = request->type;
+    return count;
 }
 
 /* The node begins anew, and may rent machines that take 50 s to boot, in one zone. */
-static void anew_with_a_cloud(void) {
+static void restart_with_cloud(void) {
     end(NULL);
     setup(NULL);
     strcpy(node->catalog.types[0].zones[0], "a");
     node->catalog.types[0].zone_count = 1;
     node->catalog.types[0].boot_s = 50;
     amb_catalog_find_or_add_zone(&node->catalog, "a");
-    node->cloud.calls.tokens = 9;
+    node->cloud.call_budget.tokens = 9;
 }
 
-static void plan_now(void) {
+static void run_plan(void) {
     struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
     amb_capacity_plan_run(cycle);
     amb_cycle_free(cycle);
@@ -103,27 +105,27 @@
         uint32_t calls;
     } rows[] = {{0, 0, 0, 0, 1},   {3.5, 0, 0, 0, 3}, {3.5, 1, 1, 0, 1},
                 {3.5, 0, 0, 2, 3}, {0, 1, 0, 0, 0},   {2, 3, 3, 0, 0}};
-    struct amb_rental *r = &node->cloud;
+    struct amb_cloud *cloud = &node->cloud;
     node->settings.cloud_rps = 3;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        r->calls = (struct amb_token_bucket){.tokens = rows[i].tokens};
+        cloud->call_budget = (struct amb_token_bucket){.tokens = rows[i].tokens};
         for (int k = 0; k < rows[i].recording + rows[i].asking + rows[i].asked; k++) {
-            amb_rental_want(node, 0, 0, false, 1);
-            struct amb_rental_request *c = r->requests;
-            while (c->next) c = c->next;
-            c->state = k < rows[i].recording ? AMB_REQUEST_RECORDING : AMB_REQUEST_ASKING;
-            c->busy = k >= rows[i].recording + rows[i].asking;
+            amb_scale_out_submit(node, 0, 0, false, 1);
+            struct amb_scale_out_request *request = cloud->requests;
+            while (request->next) request = request->next;
+            request->state = k < rows[i].recording ? AMB_SCALE_OUT_RECORDING : AMB_SCALE_OUT_REQUESTING;
+            request->in_flight = k >= rows[i].recording + rows[i].asking;
         }
-        uint32_t calls = amb_rental_calls(node, amb_now());
-        amb_rental_clear(node);
+        uint32_t calls = amb_scale_out_available_calls(node, amb_now());
+        amb_cloud_reset(node);
         if (calls != rows[i].calls) fail_msg("row %zu: %u calls", i, calls);
     }
     node->catalog.type_count = 2;
-    for (int t = 0; t < 2; t++) {
-        struct amb_machine_type *y = &node->catalog.types[t];
-        *y = (struct amb_machine_type){
+    for (int place = 0; place < 2; place++) {
+        struct amb_machine_type *machine_type = &node->catalog.types[place];
+        *machine_type = (struct amb_machine_type){
             .resources = {96, 8, 576}, .hourly_price = 10, .boot_s = 50, .zone_count = 1, .zones = {"a"}};
-        strcpy(y->name, t ? "g8" : "g4");
+        strcpy(machine_type->name, place ? "g8" : "g4");
     }
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     struct amb_job *surge = add_job("wk-1", AMB_JOB_KIND_SERVICE, 9),
@@ -134,23 +136,23 @@
     strcpy(surge->spec->allowed_types[0], "g4");
     strcpy(draft->spec->allowed_types[0], "g8");
     int type = -1;
-    r->calls = (struct amb_token_bucket){.tokens = 1};
-    plan_now();
-    assert_int_equal(requests(&type), 1);
+    cloud->call_budget = (struct amb_token_bucket){.tokens = 1};
+    run_plan();
+    assert_int_equal(count_requests(&type), 1);
     assert_int_equal(type, 1);
-    r->requests->busy = true;
-    r->requests->state = AMB_REQUEST_ASKING;
-    plan_now();
-    assert_int_equal(requests(&type), 2);
+    cloud->requests->in_flight = true;
+    cloud->requests->state = AMB_SCALE_OUT_REQUESTING;
+    run_plan();
+    assert_int_equal(count_requests(&type), 2);
     assert_int_equal(type, 0);
-    assert_int_equal(r->requests->next->count, 2); /* nine tasks, eight to a machine */
+    assert_int_equal(cloud->requests->next->count, 2); /* nine tasks, eight to a machine */
     /* Gangs of any size are planned: those of more than 256 tasks once never got a machine. */
-    amb_rental_clear(node);
+    amb_cloud_reset(node);
     surge->state = draft->state = AMB_JOB_CANCELLED;
     add_job("wk-3", AMB_JOB_KIND_GANG, 300);
-    plan_now();
-    assert_int_equal(requests(&type), 1);
-    assert_int_equal(r->requests->count, 19); /* half of 38: the other type costs the same */
+    run_plan();
+    assert_int_equal(count_requests(&type), 1);
+    assert_int_equal(cloud->requests->count, 19); /* half of 38: the other type costs the same */
 }
 
 /* What classes ask for is known whether this node led or not when it came, and in whatever order it heard. */
@@ -185,10 +187,11 @@
         }
         for (int k = 0; k < 4 && rows[i].twice; k++) amb_capacity_plan_note_demand(node, &jobs[k]);
         assert_int_equal(node->controller.demand_count, 1);
-        struct amb_demand *d = &node->controller.demands[0];
+        struct amb_demand *demand = &node->controller.demands[0];
         /* The rate holds at the latest arrival that was noted, a moment ago at most. */
-        if (fabs(d->tasks_per_s - rows[i].rate) > rows[i].rate * 0.01 || d->mean_square_tasks != 4)
-            fail_msg("%s: %g a second, squares %g", rows[i].what, d->tasks_per_s, d->mean_square_tasks);
+        if (fabs(demand->tasks_per_s - rows[i].rate) > rows[i].rate * 0.01 || demand->mean_square_tasks != 4)
+            fail_msg("%s: %g a second, squares %g", rows[i].what, demand->tasks_per_s,
+                     demand->mean_square_tasks);
     }
 }
 
@@ -210,7 +213,7 @@
         {"nobody is heard", 7000, false, false, true, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew_with_a_cloud();
+        restart_with_cloud();
         amb_ms now = amb_now() + 1000000;
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
@@ -231,7 +234,8 @@
         amb_capacity_plan_run(cycle);
         amb_cycle_free(cycle);
         uint32_t wants = 0;
-        for (struct amb_rental_request *c = node->cloud.requests; c; c = c->next) wants += c->count;
+        for (struct amb_scale_out_request *request = node->cloud.requests; request; request = request->next)
+            wants += request->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
     }
 }
@@ -251,7 +255,7 @@
         {"broken, a task is tried", true, 1, 0, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew_with_a_cloud();
+        restart_with_cloud();
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
         if (rows[i].bound) bound(job, 0, "m-1", 1);
         job->failures.broken = rows[i].broken;
@@ -260,7 +264,8 @@
         amb_capacity_plan_run(cycle);
         amb_cycle_free(cycle);
         int type = -1;
-        if (requests(&type) != rows[i].rented) fail_msg("%s: %u rented", rows[i].what, requests(&type));
+        if (count_requests(&type) != rows[i].rented)
+            fail_msg("%s: %u rented", rows[i].what, count_requests(&type));
     }
 }
 
@@ -274,10 +279,10 @@
         bool returned;
     } rows[] = {{"just rented", 5, false}, {"late", 190, false}, {"overdue", 210, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew_with_a_cloud();
+        restart_with_cloud();
         struct amb_machine *machine = amb_machine_get(node, "m-1", true); /* from its predecessor's word */
         amb_machine_state(machine, AMB_MACHINE_BOOTING, "rented");
-        amb_rental_tick(node, amb_now());
+        amb_cloud_tick(node, amb_now());
         struct amb_buf body = {0};
         amb_w_map(&body, 2);
         amb_w_str(&body, "rigs"), amb_w_list(&body, 1), amb_w_map(&body, 5);
@@ -288,7 +293,7 @@
         amb_w_str(&body, "held_s"), amb_w_num(&body, rows[i].held_s);
         amb_w_str(&body, "truncated"), amb_w_bool(&body, false);
         fake_answer(open_call("GET", "/machines?"), 200, &body);
-        plan_now();
+        run_plan();
         if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
     }
 }
@@ -328,7 +333,7 @@
         begin_anew();
         const struct amb_agent_task ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
         struct amb_machine *machine = machine_with_an_end(rows[i].tasks, rows[i].drain, amb_now());
-        plan_now();
+        run_plan();
         if (machine->release_pending) fail_msg("%s: returned before the end is written", rows[i].what);
         /* Results of a job that goes on wait for more to write, but not those of a machine being emptied. */
         fake_clock_advance(rows[i].drain ? 0 : 2500);
@@ -336,11 +341,11 @@
         amb_placement_log_flush(node);
         struct fake_call *commit = open_call("POST", "/commit");
         report("m-1", 1, 2, TERM, amb_now(), &ended, 1);
-        plan_now();
+        run_plan();
         if (machine->release_pending) fail_msg("%s: returned while the end is being written", rows[i].what);
         answer_epoch(commit, 60);
         report("m-1", 1, 3, TERM, amb_now(), &ended, 1);
-        plan_now();
+        run_plan();
         if (count_orders(AMB_COMMAND_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
         if (!machine->release_pending) fail_msg("%s: not returned once the end is on record", rows[i].what);
     }
--- a/tests/cloud/test_return_record.c
+++ b/tests/cloud/test_return_record.c
@@ -11,35 +11,35 @@
 
 /* ---- the leader's turns ---- */
 
-static void turn(void) {
+static void run_tick(void) {
     fake_clock_advance(1000);
-    node->election.renewed_at = node->cloud.list_at = amb_now();
-    amb_rental_tick(node, amb_now());
+    node->election.renewed_at = node->cloud.list_started_at = amb_now();
+    amb_cloud_tick(node, amb_now());
 }
 
-static void give_back(const char *name) {
+static void scale_in(const char *name) {
     node->formats.recorded = AMB_FORMAT_2;
-    amb_rental_give_back(node, machine_up(name, 0), "idle");
-    turn();
+    amb_cloud_scale_in(node, machine_up(name, 0), "idle");
+    run_tick();
 }
 
-static bool cloud_is_called(void) {
+static bool is_cloud_called(void) {
     return find_call("POST", "/machines/release") != NULL;
 }
 
 /* The record that is being written: these machines, under the leader's term and this stamp of the key. */
-static struct fake_call *expect_write(const char *name, uint64_t stamp) {
+static struct fake_call *expect_write(const char *name, uint64_t revision) {
     struct fake_call *commit = open_call("POST", "/commit");
     const cbor_item_t *value = fake_txn_put(commit, RETURNS_KEY, NULL);
     assert_non_null(value);
     assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-    assert_int_equal(fake_txn_guard(commit, RETURNS_KEY), stamp);
+    assert_int_equal(fake_txn_guard(commit, RETURNS_KEY), revision);
     assert_int_equal(amb_cbor_len(amb_cbor_get(value, "machines")), 1);
     assert_true(amb_cbor_eq(amb_cbor_at(amb_cbor_get(value, "machines"), 0), name));
     return commit;
 }
 
-static void put_record(struct amb_buf *out, const char *name) {
+static void encode_record(struct amb_buf *out, const char *name) {
     amb_w_map(out, 2);
     amb_w_str(out, "form"), amb_w_uint(out, 1);
     amb_w_str(out, "machines"), amb_w_list(out, 1), amb_w_str(out, name);
@@ -52,7 +52,7 @@
 }
 
 /* What the key holds, as it is read back; NULL: it is not there. */
-static void answer_read(const char *name, uint64_t stamp) {
+static void answer_read(const char *name, uint64_t revision) {
     struct amb_buf body = {0};
     if (!name) {
         fake_answer(open_call("GET", "/store/" RETURNS_KEY), 404, NULL);
@@ -60,8 +60,8 @@
     }
     amb_w_map(&body, 3);
     amb_w_str(&body, "path"), amb_w_str(&body, RETURNS_KEY);
-    amb_w_str(&body, "stamp"), amb_w_uint(&body, stamp);
-    amb_w_str(&body, "value"), put_record(&body, name);
+    amb_w_str(&body, "stamp"), amb_w_uint(&body, revision);
+    amb_w_str(&body, "value"), encode_record(&body, name);
     fake_answer(open_call("GET", "/store/" RETURNS_KEY), 200, &body);
 }
 
@@ -69,20 +69,20 @@
 
 static void recorded_before_the_cloud_is_called(void **state) {
     (void)state;
-    give_back("m-1");
+    scale_in("m-1");
     struct fake_call *commit = expect_write("m-1", 0);
-    turn();
-    if (cloud_is_called()) fail_msg("called before the record is known to stand");
+    run_tick();
+    if (is_cloud_called()) fail_msg("called before the record is known to stand");
     answer_epoch(commit, FIRST_STAMP);
-    turn();
-    assert_true(cloud_is_called());
+    run_tick();
+    assert_true(is_cloud_called());
     answer_released();
     assert_null(amb_machine_get(node, "m-1", false));
     /* The next one replaces it. */
-    give_back("m-2");
+    scale_in("m-2");
     answer_epoch(expect_write("m-2", FIRST_STAMP), NEXT_STAMP);
-    turn();
-    assert_true(cloud_is_called());
+    run_tick();
+    assert_true(is_cloud_called());
 }
 
 /* Whatever becomes of a write, the cloud is called once the record is known to stand, and not before; and a
@@ -104,37 +104,37 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        give_back("m-1");
+        scale_in("m-1");
         fake_answer(expect_write("m-1", 0), rows[i].status, NULL);
-        turn();
+        run_tick();
         if (rows[i].read) {
-            if (cloud_is_called()) fail_msg("%s: the cloud is called", rows[i].what);
+            if (is_cloud_called()) fail_msg("%s: the cloud is called", rows[i].what);
             answer_read(rows[i].stands, NEXT_STAMP);
-            turn();
+            run_tick();
         }
-        if (cloud_is_called() != rows[i].called) fail_msg("%s: called %d", rows[i].what, !rows[i].called);
+        if (is_cloud_called() != rows[i].called) fail_msg("%s: called %d", rows[i].what, !rows[i].called);
         if (rows[i].called) continue;
         answer_epoch(expect_write("m-1", rows[i].stands ? NEXT_STAMP : 0), NEXT_STAMP + 1);
-        turn();
-        if (!cloud_is_called()) fail_msg("%s: never called", rows[i].what);
+        run_tick();
+        if (!is_cloud_called()) fail_msg("%s: never called", rows[i].what);
     }
 }
 
 static void not_recorded_while_old_versions_may_lead(void **state) {
     (void)state;
-    amb_rental_give_back(node, machine_up("m-1", 0), "idle");
-    turn();
-    assert_true(cloud_is_called());
+    amb_cloud_scale_in(node, machine_up("m-1", 0), "idle");
+    run_tick();
+    assert_true(is_cloud_called());
     assert_null(find_call("POST", "/commit"));
 }
 
 /* ---- a new leader ---- */
 
-static void load_record(const char *name) {
+static void restore_record(const char *name) {
     struct amb_buf value = {0};
-    put_record(&value, name);
+    encode_record(&value, name);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_return_record_load(node, RETURNS_KEY, item, FIRST_STAMP);
+    amb_scale_in_log_restore(node, RETURNS_KEY, item, FIRST_STAMP);
     cbor_decref(&item);
     amb_buf_free(&value);
 }
@@ -152,19 +152,19 @@
         begin_anew();
         node->formats.recorded = AMB_FORMAT_2;
         if (rows[i].known_before) machine_up("m-1", 0);
-        load_record("m-1");
+        restore_record("m-1");
         if (rows[i].known_after) machine_up("m-1", 0)->state = AMB_MACHINE_UP;
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         if (machine && amb_machine_usable(node, machine, amb_now())) fail_msg("%s: used", rows[i].what);
         if (machine && !machine->release_pending) fail_msg("%s: not known to be returned", rows[i].what);
-        turn();
+        run_tick();
         assert_null(find_call("POST", "/commit")); /* it is on record */
         fake_answer(open_call("POST", "/machines/release"), 0, NULL);
-        turn();
+        run_tick();
         answer_released();
         assert_null(amb_machine_get(node, "m-1", false));
         assert_true(amb_machine_was_removed(node, "m-1"));
-        give_back("m-2");
+        scale_in("m-2");
         expect_write("m-2", FIRST_STAMP);
     }
 }
@@ -174,21 +174,21 @@
     (void)state;
     node->formats.recorded = AMB_FORMAT_2;
     node->duties.mode = AMB_DUTY_MODE_DUTIES;
-    load_record("m-1");
-    turn();
-    assert_false(cloud_is_called());
-    assert_int_equal(node->cloud.return_record.stamp, FIRST_STAMP);
+    restore_record("m-1");
+    run_tick();
+    assert_false(is_cloud_called());
+    assert_int_equal(node->cloud.scale_in_log.revision, FIRST_STAMP);
 }
 
 static void answers_of_an_earlier_term_mean_nothing(void **state) {
     (void)state;
-    give_back("m-1");
+    scale_in("m-1");
     struct fake_call *commit = expect_write("m-1", 0);
     node->election.term = TERM + 1;
     answer_epoch(commit, FIRST_STAMP);
-    assert_int_equal(node->cloud.return_record.state, AMB_RETURN_WRITING);
-    amb_rental_clear(node);
-    assert_int_equal(node->cloud.return_record.state, AMB_RETURN_UNRECORDED);
+    assert_int_equal(node->cloud.scale_in_log.state, AMB_SCALE_IN_LOG_WRITING);
+    amb_cloud_reset(node);
+    assert_int_equal(node->cloud.scale_in_log.state, AMB_SCALE_IN_LOG_UNRECORDED);
 }
 
 int main(void) {
--- a/tests/duty/test_duty_core.c
+++ b/tests/duty/test_duty_core.c
@@ -17,14 +17,14 @@
 };
 
 static struct amb_duty_core core;
-static struct amb_duty_order storage[ORDERS];
+static struct amb_duty_intent storage[ORDERS];
 static struct amb_duty_output out;
 static char said[512];
 
 /* ---- what was done, as text ---- */
 
-static void say(const char *format, ...) __attribute__((format(printf, 1, 2)));
-static void say(const char *format, ...) {
+static void append(const char *format, ...) __attribute__((format(printf, 1, 2)));
+static void append(const char *format, ...) {
     size_t length = strlen(said);
     va_list args;
     va_start(args, format);
@@ -33,52 +33,57 @@
     va_end(args);
 }
 
-static const char *order_state(const struct amb_duty_order_record *order) {
+static const char *intent_state_text(const struct amb_duty_intent_record *intent) {
     static const char *const results[] = {"", "done", "refused", "malformed", "gone", "void"};
-    if (order->state == AMB_DUTY_ORDER_SETTLED) return results[order->result];
-    return order->state == AMB_DUTY_ORDER_SENT ? "sent" : "wanted";
-}
-
-static void say_action(const struct amb_duty_action *a) {
-    switch (a->type) {
-    case AMB_DUTY_GRANT_LEASE: say("grant"); break;
-    case AMB_DUTY_EXTEND_LEASE: say("extend %d", (int)a->lease); break;
-    case AMB_DUTY_DROP_LEASE: say("drop %d", (int)a->lease); break;
-    case AMB_DUTY_PUT_MEMBER: say("join on %d over %d", (int)a->lease, (int)a->guard_stamp); break;
-    case AMB_DUTY_READ_MEMBER: say("read %s", a->guard_member.member); break;
-    case AMB_DUTY_READ_RECORD: say("read record"); break;
-    case AMB_DUTY_READ_ORDER: say("read %s", a->order.id); break;
-    case AMB_DUTY_LIST_ORDERS: say("list"); break;
+    if (intent->state == AMB_DUTY_INTENT_SETTLED) return results[intent->result];
+    return intent->state == AMB_DUTY_INTENT_SENT ? "sent" : "wanted";
+}
+
+static void append_action(const struct amb_duty_action *action) {
+    switch (action->type) {
+    case AMB_DUTY_GRANT_LEASE: append("grant"); break;
+    case AMB_DUTY_EXTEND_LEASE: append("extend %d", (int)action->lease); break;
+    case AMB_DUTY_REVOKE_LEASE: append("drop %d", (int)action->lease); break;
+    case AMB_DUTY_PUT_MEMBER:
+        append("join on %d over %d", (int)action->lease, (int)action->expected_revision);
+        break;
+    case AMB_DUTY_READ_MEMBER: append("read %s", action->expected_member.member); break;
+    case AMB_DUTY_READ_RECORD: append("read record"); break;
+    case AMB_DUTY_READ_INTENT: append("read %s", action->intent.id); break;
+    case AMB_DUTY_LIST_INTENTS: append("list"); break;
     case AMB_DUTY_COMMIT_RECORD:
-        if (a->record.state == AMB_DUTY_RECORD_RELEASED)
-            say("release %d for '%s' over %d", (int)a->record.token, a->record.successor,
-                (int)a->guard_stamp);
+        if (action->record.state == AMB_DUTY_RECORD_RELEASED)
+            append("release %d for '%s' over %d", (int)action->record.fencing_token, action->record.successor,
+                   (int)action->expected_revision);
         else
-            say("claim %d over %d, %s%s%d, self %d", (int)a->record.token, (int)a->guard_stamp,
-                a->guard_member.member, a->guard_member.member[0] ? " " : "none ", (int)a->guard_member.stamp,
-                (int)a->guard_self);
+            append("claim %d over %d, %s%s%d, self %d", (int)action->record.fencing_token,
+                   (int)action->expected_revision, action->expected_member.member,
+                   action->expected_member.member[0] ? " " : "none ", (int)action->expected_member.revision,
+                   (int)action->expected_incarnation);
         break;
-    case AMB_DUTY_COMMIT_ORDER:
-        say("%s %s by %d over %d/%d, %d unanswered", a->order.id, order_state(&a->order), (int)a->order.token,
-            (int)a->guard_stamp, (int)a->order.stamp, (int)a->order.unanswered);
+    case AMB_DUTY_COMMIT_INTENT:
+        append("%s %s by %d over %d/%d, %d unanswered", action->intent.id, intent_state_text(&action->intent),
+               (int)action->intent.fencing_token, (int)action->expected_revision,
+               (int)action->intent.revision, (int)action->intent.unanswered);
         break;
-    case AMB_DUTY_REMOVE_ORDER:
-        say("remove %s over %d/%d", a->order.id, (int)a->guard_stamp, (int)a->order.stamp);
+    case AMB_DUTY_REMOVE_INTENT:
+        append("remove %s over %d/%d", action->intent.id, (int)action->expected_revision,
+               (int)action->intent.revision);
         break;
-    case AMB_DUTY_CALL_CLOUD: say("call %s by %d", a->order.id, (int)a->token); break;
+    case AMB_DUTY_CALL_CLOUD: append("call %s by %d", action->intent.id, (int)action->fencing_token); break;
     case AMB_DUTY_STATE_CHANGED: break; /* the state is looked at itself */
     }
 }
 
 /* The number of the call that was asked for last, for its answer. */
 static uint64_t last_call(void) {
-    return core.calls;
+    return core.call_counter;
 }
 
 static const char *step(struct amb_duty_event event) {
-    amb_duty_step(&core, &event, &out);
+    amb_duty_core_step(&core, &event, &out);
     said[0] = 0;
-    for (uint32_t i = 0; i < out.count; i++) say_action(&out.actions[i]);
+    for (uint32_t i = 0; i < out.count; i++) append_action(&out.actions[i]);
     return said;
 }
 
@@ -90,9 +95,9 @@
     return (struct amb_duty_event){.type = AMB_DUTY_TICK, AT(at)};
 }
 
-static struct amb_duty_event committed(amb_ms at, enum amb_call_result result, uint64_t stamp) {
+static struct amb_duty_event committed(amb_ms at, enum amb_call_result result, uint64_t revision) {
     return (struct amb_duty_event){
-        .type = AMB_DUTY_COMMITTED, AT(at), .call = last_call(), .result = result, .stamp = stamp};
+        .type = AMB_DUTY_COMMITTED, AT(at), .call = last_call(), .result = result, .revision = revision};
 }
 
 static struct amb_duty_event answered(amb_ms at, enum amb_duty_cloud_answer answer) {
@@ -110,48 +115,50 @@
         .type = AMB_DUTY_LEASE_GRANTED, AT(at), .call = last_call(), .result = result, .lease = lease};
 }
 
-static struct amb_duty_event member(amb_ms at, const char *name, bool present, uint64_t stamp,
+static struct amb_duty_event member(amb_ms at, const char *name, bool present, uint64_t revision,
                                     uint64_t nonce) {
     struct amb_duty_event event = {.type = AMB_DUTY_MEMBER_CHANGED,
                                    AT(at),
-                                   .member = {.present = present, .nonce = nonce, .stamp = stamp}};
+                                   .member = {.present = present, .nonce = nonce, .revision = revision}};
     strcpy(event.member.member, name);
     return event;
 }
 
-static struct amb_duty_event record(amb_ms at, const char *holder, uint64_t session, uint64_t token,
-                                    uint64_t stamp) {
-    struct amb_duty_event event = {
-        .type = AMB_DUTY_RECORD_CHANGED,
-        AT(at),
-        .duty = AMB_DUTY_RENT,
-        .record = {.present = stamp != 0, .holder_session = session, .token = token, .stamp = stamp}};
+static struct amb_duty_event record(amb_ms at, const char *holder, uint64_t incarnation,
+                                    uint64_t fencing_token, uint64_t revision) {
+    struct amb_duty_event event = {.type = AMB_DUTY_RECORD_CHANGED,
+                                   AT(at),
+                                   .duty = AMB_DUTY_RENT,
+                                   .record = {.present = revision != 0,
+                                              .holder_incarnation = incarnation,
+                                              .fencing_token = fencing_token,
+                                              .revision = revision}};
     strcpy(event.record.holder, holder);
     return event;
 }
 
-static struct amb_duty_event released(amb_ms at, const char *holder, uint64_t token, uint64_t stamp,
-                                      const char *successor) {
-    struct amb_duty_event event = record(at, holder, THEIR_SESSION, token, stamp);
+static struct amb_duty_event released(amb_ms at, const char *holder, uint64_t fencing_token,
+                                      uint64_t revision, const char *successor) {
+    struct amb_duty_event event = record(at, holder, THEIR_SESSION, fencing_token, revision);
     event.record.state = AMB_DUTY_RECORD_RELEASED;
     strcpy(event.record.successor, successor);
     return event;
 }
 
-static struct amb_duty_event order(amb_ms at, enum amb_duty_order_state state, uint64_t token,
-                                   uint64_t stamp) {
-    return (struct amb_duty_event){.type = AMB_DUTY_ORDER_CHANGED,
+static struct amb_duty_event intent_event(amb_ms at, enum amb_duty_intent_state state, uint64_t fencing_token,
+                                          uint64_t revision) {
+    return (struct amb_duty_event){.type = AMB_DUTY_INTENT_CHANGED,
                                    AT(at),
-                                   .order = {.present = true,
-                                             .id = "o-1",
-                                             .duty = AMB_DUTY_RENT,
-                                             .state = state,
-                                             .token = token,
-                                             .stamp = stamp}};
+                                   .intent = {.present = true,
+                                              .id = "o-1",
+                                              .duty = AMB_DUTY_RENT,
+                                              .state = state,
+                                              .fencing_token = fencing_token,
+                                              .revision = revision}};
 }
 
 static struct amb_duty_event drain(amb_ms at, const char *successor) {
-    struct amb_duty_event event = {.type = AMB_DUTY_DRAIN_ASKED, AT(at), .duty = AMB_DUTY_RENT};
+    struct amb_duty_event event = {.type = AMB_DUTY_DRAIN_REQUESTED, AT(at), .duty = AMB_DUTY_RENT};
     strcpy(event.successor, successor);
     return event;
 }
@@ -181,7 +188,7 @@
 
 static void start(void) {
     struct amb_duty_settings settings = settings_for(AMB_DUTY_RENT);
-    amb_duty_init(&core, &settings, "n-0", 1, storage, ORDERS);
+    amb_duty_core_init(&core, &settings, "n-0", 1, storage, ORDERS);
 }
 
 /* A member of which n-1 holds the duty, under token 3. */
@@ -211,13 +218,13 @@
     EXPECT(tick(1), IDLE, "");
     EXPECT(granted(5, AMB_CALL_OK, LEASE), IDLE, "join on 7 over 0");
     EXPECT(committed(9, AMB_CALL_OK, SESSION), IDLE, "");
-    assert_int_equal(core.session.state, AMB_DUTY_SESSION_LIVE);
-    assert_int_equal(amb_duty_lease_left(&core.session.lease, &core.settings, START), RIGHT);
+    assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_LIVE);
+    assert_int_equal(amb_duty_lease_remaining(&core.incarnation.lease, &core.settings, START), RIGHT);
     EXPECT(tick(TTL / 4 - 1), IDLE, "");
     EXPECT(tick(TTL / 4), IDLE, "extend 7");
     EXPECT(tick(TTL / 4 + 1), IDLE, ""); /* one at a time */
     EXPECT(extended(1000, AMB_CALL_OK), IDLE, "");
-    assert_int_equal(core.session.lease.counted_from, START + TTL / 4);
+    assert_int_equal(core.incarnation.lease.valid_from, START + TTL / 4);
 }
 
 static void joining_with_trouble(void **state) {
@@ -229,7 +236,7 @@
     EXPECT(tick(5 + 2 * BACKOFF), IDLE, "grant");
     uint64_t call = last_call();
     EXPECT(tick(5 + 2 * BACKOFF + 900), IDLE, ""); /* no answer: given up */
-    assert_int_equal(core.session.state, AMB_DUTY_SESSION_NONE);
+    assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_NONE);
     /* The answer comes late: its lease is of no use. */
     EXPECT(((struct amb_duty_event){
                .type = AMB_DUTY_LEASE_GRANTED, AT(2000), .call = call, .result = AMB_CALL_OK, .lease = 3}),
@@ -240,9 +247,9 @@
     EXPECT(committed(5002, AMB_CALL_LOST, 0), IDLE, "read n-0");
     EXPECT(member(5003, "n-0", false, 12, 0), IDLE, "join on 7 over 0");
     EXPECT(committed(5004, AMB_CALL_CONFLICT, 0), IDLE, "read n-0"); /* the first came late */
-    EXPECT(member(5005, "n-0", true, 14, core.session.nonce), IDLE, "");
-    assert_int_equal(core.session.state, AMB_DUTY_SESSION_LIVE);
-    assert_int_equal(core.session.stamp, 14);
+    EXPECT(member(5005, "n-0", true, 14, core.incarnation.nonce), IDLE, "");
+    assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_LIVE);
+    assert_int_equal(core.incarnation.revision, 14);
 }
 
 static void joining_over_a_former_self(void **state) {
@@ -263,7 +270,7 @@
     step(granted(5, AMB_CALL_OK, LEASE));
     EXPECT(tick(RIGHT - 1), IDLE, "read n-0"); /* overdue */
     EXPECT(tick(RIGHT), IDLE, "drop 7");
-    assert_int_equal(core.session.state, AMB_DUTY_SESSION_NONE);
+    assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_NONE);
 }
 
 static void losing_the_session(void **state) {
@@ -283,7 +290,7 @@
 
     hold();
     EXPECT(member(100, "n-0", false, SESSION - 1, 0), HELD, ""); /* old news */
-    EXPECT(member(100, "n-0", true, SESSION, core.session.nonce), HELD, "");
+    EXPECT(member(100, "n-0", true, SESSION, core.incarnation.nonce), HELD, "");
 }
 
 /* ---- campaigns ---- */
@@ -298,7 +305,7 @@
     EXPECT(member(20, "n-1", false, 30, 0), CAMPAIGNING, "claim 4 over 15, n-1 0, self 20");
     assert_false(may_call(21));
     EXPECT(committed(30, AMB_CALL_OK, CLAIM), HELD, "");
-    assert_int_equal(core.duties[AMB_DUTY_RENT].token, 4);
+    assert_int_equal(core.duties[AMB_DUTY_RENT].fencing_token, 4);
     assert_true(may_call(31));
     EXPECT(record(40, "n-0", SESSION, 4, CLAIM), HELD, ""); /* its own news */
     EXPECT(committed(41, AMB_CALL_CONFLICT, 0), HELD, "");  /* a copy of an answer */
@@ -350,7 +357,7 @@
     /* The first copy was carried out after all. */
     EXPECT(committed(1100, AMB_CALL_CONFLICT, 0), CAMPAIGNING, "read record, read n-1");
     EXPECT(record(1101, "n-0", SESSION, 4, CLAIM), HELD, "");
-    assert_int_equal(core.duties[AMB_DUTY_RENT].stamp, CLAIM);
+    assert_int_equal(core.duties[AMB_DUTY_RENT].revision, CLAIM);
 
     /* Never answered at all: the core gives up waiting itself. */
     join();
@@ -372,8 +379,8 @@
     /* This member flaps: the others go first. */
     join();
     step(member(5, "n-2", true, 11, 2));
-    amb_duty_member_lost(&core.members[0], START + 6);
-    amb_duty_member_lost(&core.members[0], START + 7);
+    amb_duty_member_note_loss(&core.members[0], START + 6);
+    amb_duty_member_note_loss(&core.members[0], START + 7);
     EXPECT(member(20, "n-1", false, 30, 0), CAMPAIGNING, "");
     EXPECT(tick(20 + BACKOFF - 1), CAMPAIGNING, "");
     EXPECT(tick(20 + BACKOFF * 3 / 2 + 1), CAMPAIGNING, "extend 7, claim 4 over 15, n-1 0, self 20");
@@ -385,10 +392,10 @@
     amb_ms earliest = INT64_MAX, latest = 0;
     for (uint64_t seed = 1; seed <= 20; seed++) {
         join();
-        core.random = seed;
+        core.random_state = seed;
         step(member(5, "n-2", true, 11, 2));
         EXPECT(released(20, "n-1", 3, 30, "n-2"), CAMPAIGNING, "");
-        amb_ms wait = core.duties[AMB_DUTY_RENT].campaign_at - START - 20;
+        amb_ms wait = core.duties[AMB_DUTY_RENT].claim_at - START - 20;
         uint32_t rank = amb_duty_rank(core.members, AMB_DUTY_MEMBERS, AMB_DUTY_RENT, "n-0", TTL, START) + 1;
         assert_in_range(wait, rank * BACKOFF, rank * BACKOFF + BACKOFF / 2);
         if (wait < earliest) earliest = wait;
@@ -403,11 +410,11 @@
     for (uint32_t failures = 0; failures < 8; failures++) {
         uint32_t doublings = failures < 4 ? failures : 4;
         step(committed(at, AMB_CALL_REFUSED, 0));
-        amb_ms wait = core.duties[AMB_DUTY_RENT].campaign_at - START - at;
+        amb_ms wait = core.duties[AMB_DUTY_RENT].claim_at - START - at;
         assert_in_range(wait, BACKOFF << doublings, (BACKOFF << doublings) * 3 / 2);
         at += wait;
-        core.session.lease.counted_from = START + at;
-        core.session.renewed_try_at = START + at;
+        core.incarnation.lease.valid_from = START + at;
+        core.incarnation.last_renewal_at = START + at;
         step(tick(at));
     }
 }
@@ -441,7 +448,7 @@
     assert_true(may_call(RIGHT - 1));
     assert_false(may_call(RIGHT)); /* also before a tick has noticed */
     EXPECT(tick(RIGHT), FENCED, "extend 7");
-    EXPECT(order(RIGHT + 1, AMB_DUTY_ORDER_WANTED, 0, 55), FENCED, ""); /* nothing is begun */
+    EXPECT(intent_event(RIGHT + 1, AMB_DUTY_INTENT_PENDING, 0, 55), FENCED, ""); /* nothing is begun */
     /* The lease was alive after all: the record is still ours. */
     EXPECT(extended(RIGHT + 10, AMB_CALL_OK), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
     assert_true(may_call(2 * RIGHT - 1));
@@ -451,7 +458,7 @@
 static void being_replaced(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     EXPECT(record(20, "n-1", 33, 5, 60), LOST, "");
     assert_false(may_call(21));
     EXPECT(committed(22, AMB_CALL_OK, 56), LOST, ""); /* the mark's answer: too late to act on */
@@ -462,13 +469,13 @@
 static void refused_as_stale(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     EXPECT(committed(11, AMB_CALL_OK, 56), HELD, "call o-1 by 4");
     /* We have been replaced, or the next claim will have a higher token. */
-    EXPECT(answered(12, AMB_DUTY_CLOUD_STALE), DRAINING, "release 4 for '' over 50");
+    EXPECT(answered(12, AMB_DUTY_CLOUD_FENCED), DRAINING, "release 4 for '' over 50");
     assert_false(may_call(13));
     EXPECT(committed(14, AMB_CALL_CONFLICT, 0), LOST, "read record");
-    assert_int_equal(core.duties[AMB_DUTY_RENT].stale, 1);
+    assert_int_equal(core.duties[AMB_DUTY_RENT].fenced_calls, 1);
 }
 
 /* ---- orders ---- */
@@ -476,21 +483,21 @@
 static void an_order(void **state) {
     (void)state;
     hold();
-    EXPECT(order(10, AMB_DUTY_ORDER_WANTED, 0, 55), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
+    EXPECT(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
     EXPECT(tick(11), HELD, "");
     EXPECT(committed(12, AMB_CALL_OK, 56), HELD, "call o-1 by 4");
-    EXPECT(order(13, AMB_DUTY_ORDER_SENT, 4, 56), HELD, ""); /* its own news */
+    EXPECT(intent_event(13, AMB_DUTY_INTENT_SENT, 4, 56), HELD, ""); /* its own news */
     EXPECT(answered(14, AMB_DUTY_CLOUD_DONE), HELD, "o-1 done by 4 over 50/56, 0 unanswered");
     EXPECT(answered(15, AMB_DUTY_CLOUD_DONE), HELD, ""); /* the answer comes twice */
     EXPECT(committed(16, AMB_CALL_OK, 57), HELD, "");
     EXPECT(tick(17), HELD, "");
-    assert_int_equal(amb_duty_ledger_open(&core.ledger, AMB_DUTY_RENT), 0);
+    assert_int_equal(amb_duty_intent_table_count_open(&core.intents, AMB_DUTY_RENT), 0);
 }
 
 static void a_pause_before_sending(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     /* The answer to the mark is read after a pause past the lease. */
     EXPECT(committed(RIGHT + 1, AMB_CALL_OK, 56), FENCED, "extend 7");
     EXPECT(extended(RIGHT + 2, AMB_CALL_OK), HELD, "call o-1 by 4");
@@ -507,7 +514,7 @@
 static void a_pause_past_the_lease(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
     /* The cloud's answer is read after the lease ended: what it says is true all the same, but only a holder
      * settles. */
@@ -519,27 +526,27 @@
 static void orders_without_answers(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     /* The mark: no answer. Had it been carried out, a second would fail by its guard. */
     EXPECT(committed(11, AMB_CALL_LOST, 0), HELD, "read o-1, read record");
     EXPECT(tick(12), HELD, "");
-    EXPECT(order(13, AMB_DUTY_ORDER_SENT, 4, 56), HELD, "");
+    EXPECT(intent_event(13, AMB_DUTY_INTENT_SENT, 4, 56), HELD, "");
     EXPECT(tick(11 + BACKOFF * 2), HELD, "extend 7, call o-1 by 4");
     /* The call: the same name again, and a lost copy is remembered. */
-    EXPECT(answered(1100, AMB_DUTY_CLOUD_LOST), HELD, "");
+    EXPECT(answered(1100, AMB_DUTY_CLOUD_NO_ANSWER), HELD, "");
     EXPECT(tick(1100 + BACKOFF - 1), HELD, "");
     EXPECT(tick(1100 + BACKOFF * 3), HELD, "extend 7, call o-1 by 4");
     EXPECT(answered(2650, AMB_DUTY_CLOUD_NO_CAPACITY), HELD, "o-1 refused by 4 over 50/56, 1 unanswered");
     /* The settling: no answer. */
     EXPECT(committed(2651, AMB_CALL_LOST, 0), HELD, "read o-1, read record");
-    EXPECT(order(2652, AMB_DUTY_ORDER_SETTLED, 4, 57), HELD, "");
+    EXPECT(intent_event(2652, AMB_DUTY_INTENT_SETTLED, 4, 57), HELD, "");
     EXPECT(tick(2700), HELD, "");
 }
 
 static void a_call_that_is_never_answered(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
     uint64_t call = last_call();
     EXPECT(tick(11 + 900), HELD, "extend 7");
@@ -556,7 +563,7 @@
 static void orders_of_an_earlier_holder(void **state) {
     (void)state;
     join();
-    step(order(5, AMB_DUTY_ORDER_SENT, 3, 16));
+    step(intent_event(5, AMB_DUTY_INTENT_SENT, 3, 16));
     step(member(20, "n-1", false, 30, 0));
     EXPECT(committed(21, AMB_CALL_OK, CLAIM), HELD, "o-1 sent by 4 over 50/16, 1 unanswered");
     EXPECT(committed(22, AMB_CALL_OK, 51), HELD, "call o-1 by 4"); /* under the same name */
@@ -564,11 +571,11 @@
 
     /* It had settled it, of which the news come late: the guard notices. */
     join();
-    step(order(5, AMB_DUTY_ORDER_SENT, 3, 16));
+    step(intent_event(5, AMB_DUTY_INTENT_SENT, 3, 16));
     step(member(20, "n-1", false, 30, 0));
     step(committed(21, AMB_CALL_OK, CLAIM));
     EXPECT(committed(22, AMB_CALL_CONFLICT, 0), HELD, "read o-1, read record");
-    EXPECT(order(23, AMB_DUTY_ORDER_SETTLED, 3, 17), HELD, "");
+    EXPECT(intent_event(23, AMB_DUTY_INTENT_SETTLED, 3, 17), HELD, "");
     EXPECT(tick(5000), FENCED, "extend 7");
 }
 
@@ -576,21 +583,21 @@
     (void)state;
     hold();
     for (int i = 0; i <= ORDERS; i++) {
-        struct amb_duty_event event = order(10, AMB_DUTY_ORDER_SETTLED, 4, 60 + (uint64_t)i);
-        event.order.id[2] = (char)('1' + i);
+        struct amb_duty_event event = intent_event(10, AMB_DUTY_INTENT_SETTLED, 4, 60 + (uint64_t)i);
+        event.intent.id[2] = (char)('1' + i);
         step(event);
     }
-    assert_true(core.ledger.missed);
-    struct amb_duty_event removed = order(20, AMB_DUTY_ORDER_SETTLED, 4, 70);
-    removed.order.present = false;
+    assert_true(core.intents.overflowed);
+    struct amb_duty_event removed = intent_event(20, AMB_DUTY_INTENT_SETTLED, 4, 70);
+    removed.intent.present = false;
     EXPECT(removed, HELD, "list"); /* there is room: all are read again */
-    assert_false(core.ledger.missed);
+    assert_false(core.intents.overflowed);
 
     /* Without room, it is tried again from time to time. */
-    removed.order.present = true;
-    removed.order.stamp = 71;
+    removed.intent.present = true;
+    removed.intent.revision = 71;
     step(removed);
-    removed.order.id[2] = '9';
+    removed.intent.id[2] = '9';
     EXPECT(removed, HELD, "");
     EXPECT(tick(20 + TTL), FENCED, "extend 7, list");
     EXPECT(tick(21 + TTL), FENCED, "");
@@ -600,23 +607,23 @@
     (void)state;
     hold();
     /* The order was removed, and the news of it came before the answer to a read. */
-    struct amb_duty_event read = order(10, AMB_DUTY_ORDER_WANTED, 0, 55);
-    read.type = AMB_DUTY_ORDER_READ;
+    struct amb_duty_event read = intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55);
+    read.type = AMB_DUTY_INTENT_READ;
     EXPECT(read, HELD, "");
-    assert_null(amb_duty_ledger_find(&core.ledger, AMB_DUTY_RENT, "o-1"));
-    EXPECT(order(11, AMB_DUTY_ORDER_WANTED, 0, 55), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
+    assert_null(amb_duty_intent_table_find(&core.intents, AMB_DUTY_RENT, "o-1"));
+    EXPECT(intent_event(11, AMB_DUTY_INTENT_PENDING, 0, 55), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
     EXPECT(committed(12, AMB_CALL_CONFLICT, 0), HELD, "read o-1, read record");
-    read.order.present = false;
-    read.order.stamp = 60;
+    read.intent.present = false;
+    read.intent.revision = 60;
     EXPECT(read, HELD, "");
-    assert_null(amb_duty_ledger_find(&core.ledger, AMB_DUTY_RENT, "o-1"));
+    assert_null(amb_duty_intent_table_find(&core.intents, AMB_DUTY_RENT, "o-1"));
 }
 
 /* A call that was decided under an earlier claim must not go out under the present one. */
 static void a_call_decided_before_the_last_claim(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
     assert_int_equal(out.actions[0].type, AMB_DUTY_CALL_CLOUD);
     struct amb_duty_action call = out.actions[0];
@@ -624,7 +631,7 @@
     step(drain(13, ""));
     step(tick(13 + TTL));
     assert_false(amb_duty_may_send(&core, &call, START + 13 + TTL));
-    uint64_t renewal = core.session.renewal;
+    uint64_t renewal = core.incarnation.renewal;
     step(committed(14 + TTL, AMB_CALL_OK, 60));
     step((struct amb_duty_event){
         .type = AMB_DUTY_LEASE_EXTENDED, AT(15 + TTL), .call = renewal, .result = AMB_CALL_OK});
@@ -640,11 +647,11 @@
 static void draining(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
     EXPECT(drain(12, "n-1"), DRAINING, ""); /* the call under way is waited for */
-    struct amb_duty_event another = order(13, AMB_DUTY_ORDER_WANTED, 0, 57);
-    another.order.id[2] = '2';
+    struct amb_duty_event another = intent_event(13, AMB_DUTY_INTENT_PENDING, 0, 57);
+    another.intent.id[2] = '2';
     EXPECT(another, DRAINING, ""); /* nothing new is begun */
     assert_true(may_call(14));
     EXPECT(answered(15, AMB_DUTY_CLOUD_DONE), DRAINING, "o-1 done by 4 over 50/56, 0 unanswered");
@@ -658,7 +665,7 @@
 static void draining_past_the_deadline(void **state) {
     (void)state;
     hold();
-    step(order(10, AMB_DUTY_ORDER_WANTED, 0, 55));
+    step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
     step(drain(12, ""));
     EXPECT(tick(12 + TTL - 1), DRAINING, "extend 7");
@@ -683,7 +690,7 @@
 static void stopping(void **state) {
     (void)state;
     hold();
-    EXPECT(((struct amb_duty_event){.type = AMB_DUTY_STOP_ASKED, AT(12)}), DRAINING,
+    EXPECT(((struct amb_duty_event){.type = AMB_DUTY_STOP_REQUESTED, AT(12)}), DRAINING,
            "release 4 for '' over 50");
     EXPECT(committed(14, AMB_CALL_OK, 60), IDLE, "");
     EXPECT(tick(14 + 2 * BACKOFF), IDLE, "extend 7"); /* it never campaigns again */
@@ -697,7 +704,7 @@
 static void spreading(void **state) {
     (void)state;
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-    amb_duty_init(&core, &settings, "n-0", 1, storage, ORDERS);
+    amb_duty_core_init(&core, &settings, "n-0", 1, storage, ORDERS);
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
     step(committed(2, AMB_CALL_OK, SESSION));
@@ -730,7 +737,7 @@
 static void cleaning_up(void **state) {
     (void)state;
     struct amb_duty_settings settings = settings_for(AMB_DUTY_CLEANUP);
-    amb_duty_init(&core, &settings, "n-0", 1, storage, ORDERS);
+    amb_duty_core_init(&core, &settings, "n-0", 1, storage, ORDERS);
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
     step(committed(2, AMB_CALL_OK, SESSION));
@@ -738,7 +745,7 @@
     unheld.duty = AMB_DUTY_CLEANUP;
     step(unheld);
     step(committed(4, AMB_CALL_OK, CLAIM));
-    step(order(10, AMB_DUTY_ORDER_SETTLED, 3, 45)); /* of another duty */
+    step(intent_event(10, AMB_DUTY_INTENT_SETTLED, 3, 45)); /* of another duty */
     step(tick(10 + LIST_SPAN - 1));
     step(extended(10 + LIST_SPAN - 1, AMB_CALL_OK));
     assert_string_equal(said, "");
@@ -746,10 +753,10 @@
     assert_string_equal(said, "remove o-1 over 50/45");
     step(committed(11 + LIST_SPAN, AMB_CALL_LOST, 0));
     assert_string_equal(said, "read o-1, read record");
-    struct amb_duty_event gone = order(12 + LIST_SPAN, AMB_DUTY_ORDER_SETTLED, 3, 90);
-    gone.order.present = false;
+    struct amb_duty_event gone = intent_event(12 + LIST_SPAN, AMB_DUTY_INTENT_SETTLED, 3, 90);
+    gone.intent.present = false;
     step(gone);
-    assert_null(amb_duty_ledger_find(&core.ledger, AMB_DUTY_RENT, "o-1"));
+    assert_null(amb_duty_intent_table_find(&core.intents, AMB_DUTY_RENT, "o-1"));
 }
 
 int main(void) {
--- a/tests/duty/test_duty_days.c
+++ b/tests/duty/test_duty_days.c
@@ -7,19 +7,19 @@
 
 static void days_are_well(void **state) {
     (void)state;
-    uint64_t handovers = 0, orders = 0;
+    uint64_t handovers = 0, intents = 0;
     for (uint64_t seed = 1; seed <= DAYS; seed++) {
         struct simulation_day day = simulation_draw(seed);
         struct simulation_result result = simulation_play(&day);
         handovers += result.handovers;
-        orders += result.orders;
+        intents += result.intents;
         if (!result.violation) continue;
         struct simulation_day least = simulation_shrink(&day);
         simulation_print(&least);
         fail_msg("seed %llu: %s", (unsigned long long)seed, result.violation);
     }
     print_message("%d days, %llu handovers, %llu orders\n", (int)DAYS, (unsigned long long)handovers,
-                  (unsigned long long)orders);
+                  (unsigned long long)intents);
     assert_true(handovers >= HANDOVERS_LEAST);
 }
 
@@ -52,7 +52,7 @@
         {WORLD_NEW_NAMES, 1, "machines were rented twice for one order"},
         {WORLD_NO_CLOCK_CHECK, 1, "an order was sent under a stale token"},
         {WORLD_MARK_IGNORED, 1, "a machine in use was returned"},
-        {WORLD_NO_MEMBER_GUARD, 14, "a member relies on a right that the state service does not know of"},
+        {WORLD_NO_MEMBER_COMPARE, 14, "a member relies on a right that the state service does not know of"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct simulation_day day = simulation_draw(rows[i].seed);
--- a/tests/duty/test_duty_explore_small.c
+++ b/tests/duty/test_duty_explore_small.c
@@ -28,11 +28,11 @@
         enum world_fault fault;
         const char *scenario, *violation;
     } rows[] = {
-        {WORLD_NO_DUTY_GUARD, "paused", "an order was written by another than the holder"},
+        {WORLD_NO_DUTY_COMPARE, "paused", "an order was written by another than the holder"},
         {WORLD_NEW_NAMES, "paused", "machines were rented twice for one order"},
         {WORLD_NO_CLOCK_CHECK, "paused", "an order was sent under a stale token"},
         {WORLD_MARK_IGNORED, "withdrawn", "a machine in use was returned"},
-        {WORLD_NO_MEMBER_GUARD, "restarted",
+        {WORLD_NO_MEMBER_COMPARE, "restarted",
          "a member relies on a right that the state service does not know of"},
     };
     assert_int_equal(ROWS(rows), WORLD_FAULTS - 1);
--- a/tests/duty/test_duty_parts.c
+++ b/tests/duty/test_duty_parts.c
@@ -32,7 +32,7 @@
         struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
         char wrong[AMB_NAME_SIZE];
         enum amb_duty_settings_error error =
-            amb_duty_settings_names(&settings, rows[i].names, wrong, sizeof wrong);
+            amb_duty_settings_parse_names(&settings, rows[i].names, wrong, sizeof wrong);
         if (error != rows[i].error || strcmp(wrong, rows[i].wrong) != 0)
             fail_msg("'%s': error %d, '%s'", rows[i].names, (int)error, wrong);
         if (memcmp(settings.enabled, rows[i].enabled, sizeof settings.enabled) != 0)
@@ -48,7 +48,7 @@
         struct amb_duty_settings settings;
         enum amb_duty_settings_error error;
     } rows[20];
-    size_t n = 0;
+    size_t count = 0;
 #define ROW(text, expected, ...)                                                                             \
     do {                                                                                                     \
         rows[n].what = text;                                                                                 \
@@ -57,26 +57,29 @@
         struct amb_duty_settings *s = &rows[n++].settings;                                                   \
         __VA_ARGS__;                                                                                         \
     } while (0)
-    ROW("the defaults", GOOD, (void)s);
-    ROW("no duty", NO_NAME, memset(s->enabled, 0, sizeof s->enabled));
-    ROW("a lease below what the state service takes", TTL_RANGE, s->ttl = 99);
-    ROW("a lease above it", TTL_RANGE, s->ttl = 600001);
-    ROW("drift above a tenth", DRIFT_RANGE, s->drift_ppm = 100001);
+    ROW("the defaults", GOOD, (void)changed);
+    ROW("no duty", NO_NAME, memset(changed->enabled, 0, sizeof changed->enabled));
+    ROW("a lease below what the state service takes", TTL_RANGE, changed->ttl = 99);
+    ROW("a lease above it", TTL_RANGE, changed->ttl = 600001);
+    ROW("drift above a tenth", DRIFT_RANGE, changed->drift_ppm = 100001);
     /* 3000 - 3 (drift) - 150 (margin) is left; 750 + 3 x 699 = 2847 is needed. */
-    ROW("a lease that leaves no more than a renewal and three calls", SHORT_LEASE, s->call_timeout = 699;
-        s->backoff = 700);
-    ROW("and one that leaves just more", GOOD, s->call_timeout = 698; s->backoff = 700);
-    ROW("a lease shorter than drift allows", SHORT_LEASE, s->drift_ppm = 100000; s->margin = 750);
-    ROW("a margin as long as the lease", SHORT_LEASE, s->margin = TTL);
-    ROW("a negative margin", SHORT_LEASE, s->margin = -1);
-    ROW("calls without a time limit", SHORT_LEASE, s->call_timeout = 0);
-    ROW("a backoff shorter than a call", BACKOFF_RANGE, s->backoff = s->call_timeout - 1);
-    ROW("a backoff longer than the lease", BACKOFF_RANGE, s->backoff = TTL + 1);
-    ROW("records removed at once", KEEP_RANGE, s->keep_settled = 0);
-    ROW("uncertain ones removed before others", KEEP_RANGE, s->keep_uncertain = s->keep_settled - 1);
-    ROW("a rental refused before it was asked for", REFUSALS_RANGE, s->refusals = 0);
+    ROW("a lease that leaves no more than a renewal and three calls", SHORT_LEASE,
+        changed->call_timeout = 699;
+        changed->backoff = 700);
+    ROW("and one that leaves just more", GOOD, changed->call_timeout = 698; changed->backoff = 700);
+    ROW("a lease shorter than drift allows", SHORT_LEASE, changed->drift_ppm = 100000;
+        changed->safety_margin = 750);
+    ROW("a margin as long as the lease", SHORT_LEASE, changed->safety_margin = TTL);
+    ROW("a negative margin", SHORT_LEASE, changed->safety_margin = -1);
+    ROW("calls without a time limit", SHORT_LEASE, changed->call_timeout = 0);
+    ROW("a backoff shorter than a call", BACKOFF_RANGE, changed->backoff = changed->call_timeout - 1);
+    ROW("a backoff longer than the lease", BACKOFF_RANGE, changed->backoff = TTL + 1);
+    ROW("records removed at once", KEEP_RANGE, changed->keep_settled = 0);
+    ROW("uncertain ones removed before others", KEEP_RANGE,
+        changed->keep_uncertain = changed->keep_settled - 1);
+    ROW("a rental refused before it was asked for", REFUSALS_RANGE, changed->max_refusals = 0);
 #undef ROW
-    for (size_t i = 0; i < n; i++) {
+    for (size_t i = 0; i < count; i++) {
         enum amb_duty_settings_error error = amb_duty_settings_check(&rows[i].settings);
         if (error != rows[i].error)
             fail_msg("%s: error %d, wanted %d", rows[i].what, (int)error, (int)rows[i].error);
@@ -110,9 +113,9 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
         settings.drift_ppm = rows[i].drift_ppm;
-        settings.margin = rows[i].margin;
-        if (amb_duty_lease_span(&settings) != rows[i].span)
-            fail_msg("%s: %d", rows[i].what, (int)amb_duty_lease_span(&settings));
+        settings.safety_margin = rows[i].margin;
+        if (amb_duty_lease_local_ttl(&settings) != rows[i].span)
+            fail_msg("%s: %d", rows[i].what, (int)amb_duty_lease_local_ttl(&settings));
     }
 }
 
@@ -122,17 +125,18 @@
     (void)state;
     static const uint32_t drifts[] = {0, 1, 500, 10000, 100000};
     static const amb_ms ttls[] = {100, 101, 999, 3000, 5001, 600000};
-    for (size_t d = 0; d < ROWS(drifts); d++) {
-        for (size_t t = 0; t < ROWS(ttls); t++) {
-            struct amb_duty_settings settings = amb_duty_settings_default(ttls[t], LIST_SPAN);
-            settings.drift_ppm = drifts[d];
-            settings.margin = 0;
+    for (size_t drift_index = 0; drift_index < ROWS(drifts); drift_index++) {
+        for (size_t ttl_index = 0; ttl_index < ROWS(ttls); ttl_index++) {
+            struct amb_duty_settings settings = amb_duty_settings_default(ttls[ttl_index], LIST_SPAN);
+            settings.drift_ppm = drifts[drift_index];
+            settings.safety_margin = 0;
             for (int sign = -1; sign <= 1; sign += 2) {
-                double drift = drifts[d] / 1e6 * sign;
-                double lease_really = (double)ttls[t] / (1 + drift);
-                double right_really = (double)amb_duty_lease_span(&settings) / (1 - drift);
+                double drift = drifts[drift_index] / 1e6 * sign;
+                double lease_really = (double)ttls[ttl_index] / (1 + drift);
+                double right_really = (double)amb_duty_lease_local_ttl(&settings) / (1 - drift);
                 if (right_really > lease_really + 1e-9)
-                    fail_msg("ttl %d, drift %u: the right outlasts the lease", (int)ttls[t], drifts[d]);
+                    fail_msg("ttl %d, drift %u: the right outlasts the lease", (int)ttls[ttl_index],
+                             drifts[drift_index]);
             }
         }
     }
@@ -141,20 +145,20 @@
 static void counted_from_sending(void **state) {
     (void)state;
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-    amb_ms span = amb_duty_lease_span(&settings);
+    amb_ms span = amb_duty_lease_local_ttl(&settings);
     struct amb_duty_lease lease = {0};
-    assert_false(amb_duty_lease_sure(&lease, &settings, 0)); /* none */
+    assert_false(amb_duty_lease_is_valid(&lease, &settings, 0)); /* none */
     lease.id = 7;
-    assert_false(amb_duty_lease_sure(&lease, &settings, 0)); /* not counted yet */
-    amb_duty_lease_renewed(&lease, 1000);
-    assert_true(amb_duty_lease_sure(&lease, &settings, 1000 + span - 1));
-    assert_false(amb_duty_lease_sure(&lease, &settings, 1000 + span));
-    assert_int_equal(amb_duty_lease_left(&lease, &settings, 1000), span);
-    assert_int_equal(amb_duty_lease_left(&lease, &settings, 1000 + 2 * span), 0);
-    amb_duty_lease_renewed(&lease, 500); /* a late answer to an older request */
-    assert_true(amb_duty_lease_sure(&lease, &settings, 1000 + span - 1));
-    amb_duty_lease_renewed(&lease, 2000);
-    assert_true(amb_duty_lease_sure(&lease, &settings, 2000 + span - 1));
+    assert_false(amb_duty_lease_is_valid(&lease, &settings, 0)); /* not counted yet */
+    amb_duty_lease_note_renewal(&lease, 1000);
+    assert_true(amb_duty_lease_is_valid(&lease, &settings, 1000 + span - 1));
+    assert_false(amb_duty_lease_is_valid(&lease, &settings, 1000 + span));
+    assert_int_equal(amb_duty_lease_remaining(&lease, &settings, 1000), span);
+    assert_int_equal(amb_duty_lease_remaining(&lease, &settings, 1000 + 2 * span), 0);
+    amb_duty_lease_note_renewal(&lease, 500); /* a late answer to an older request */
+    assert_true(amb_duty_lease_is_valid(&lease, &settings, 1000 + span - 1));
+    amb_duty_lease_note_renewal(&lease, 2000);
+    assert_true(amb_duty_lease_is_valid(&lease, &settings, 2000 + span - 1));
 }
 
 /* ---- the ranking ---- */
@@ -179,10 +183,11 @@
     (void)state;
     struct amb_duty_member members[MEMBERS];
     fill(members);
-    for (int d = 0; d < AMB_DUTY_NAMES; d++) {
+    for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
         uint32_t seen = 0;
         for (int i = 0; i < MEMBERS; i++)
-            seen |= 1U << amb_duty_rank(members, MEMBERS, (enum amb_duty_name)d, members[i].name, DECAY, 0);
+            seen |=
+                1U << amb_duty_rank(members, MEMBERS, (enum amb_duty_name)duty, members[i].name, DECAY, 0);
         assert_int_equal(seen, (1U << MEMBERS) - 1);
     }
     assert_int_equal(amb_duty_rank(members, MEMBERS, AMB_DUTY_RENT, "stranger", DECAY, 0), MEMBERS);
@@ -196,14 +201,14 @@
     (void)state;
     struct amb_duty_member members[MEMBERS];
     for (int gone = 0; gone < MEMBERS; gone++) {
-        for (int d = 0; d < AMB_DUTY_NAMES; d++) {
+        for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
             fill(members);
-            int before = preferred(members, (enum amb_duty_name)d);
+            int before = preferred(members, (enum amb_duty_name)duty);
             members[gone].alive = false;
-            int after = preferred(members, (enum amb_duty_name)d);
+            int after = preferred(members, (enum amb_duty_name)duty);
             if (before != gone) assert_int_equal(after, before);
             members[gone].alive = true;
-            assert_int_equal(preferred(members, (enum amb_duty_name)d), before);
+            assert_int_equal(preferred(members, (enum amb_duty_name)duty), before);
         }
     }
 }
@@ -216,7 +221,8 @@
         struct amb_duty_member members[MEMBERS];
         fill(members);
         for (int i = 0; i < MEMBERS; i++) snprintf(members[i].name, AMB_NAME_SIZE, "c%d-n-%d", fleet, i);
-        for (int d = 0; d < AMB_DUTY_NAMES; d++) first[preferred(members, (enum amb_duty_name)d)]++;
+        for (int duty = 0; duty < AMB_DUTY_NAMES; duty++)
+            first[preferred(members, (enum amb_duty_name)duty)]++;
     }
     for (int i = 0; i < MEMBERS; i++) /* 400 each on average */
         if (first[i] < 300 || first[i] > 500) fail_msg("member %d is preferred %u times", i, first[i]);
@@ -241,8 +247,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_duty_member member = {.name = "n-0", .alive = true};
-        for (int k = 0; k < 3 && rows[i].losses[k]; k++) amb_duty_member_lost(&member, rows[i].losses[k]);
-        if (amb_duty_member_flaps(&member, DECAY, rows[i].at) != rows[i].flaps) fail_msg("%s", rows[i].what);
+        for (int k = 0; k < 3 && rows[i].losses[k]; k++)
+            amb_duty_member_note_loss(&member, rows[i].losses[k]);
+        if (amb_duty_member_is_flapping(&member, DECAY, rows[i].at) != rows[i].flaps)
+            fail_msg("%s", rows[i].what);
     }
 }
 
@@ -252,14 +260,14 @@
     fill(members);
     int first = preferred(members, AMB_DUTY_RENT);
     const char *name = members[first].name;
-    amb_duty_member_lost(&members[first], 10);
+    amb_duty_member_note_loss(&members[first], 10);
     assert_int_equal(amb_duty_rank(members, MEMBERS, AMB_DUTY_RENT, name, DECAY, 20), 0);
-    amb_duty_member_lost(&members[first], 20);
+    amb_duty_member_note_loss(&members[first], 20);
     assert_int_equal(amb_duty_rank(members, MEMBERS, AMB_DUTY_RENT, name, DECAY, 20), MEMBERS - 1);
     for (int i = 0; i < MEMBERS; i++) {
         if (i == first) continue;
-        amb_duty_member_lost(&members[i], 10);
-        amb_duty_member_lost(&members[i], 20);
+        amb_duty_member_note_loss(&members[i], 10);
+        amb_duty_member_note_loss(&members[i], 20);
     }
     /* When all flap, the order is as before. */
     assert_int_equal(amb_duty_rank(members, MEMBERS, AMB_DUTY_RENT, name, DECAY, 20), 0);
@@ -269,7 +277,7 @@
     (void)state;
     static const uint32_t rows[][3] = {{4, 1, 5}, {4, 2, 3}, {4, 3, 3}, {4, 5, 2}, {1, 7, 2}, {4, 0, 4}};
     for (size_t i = 0; i < ROWS(rows); i++)
-        assert_int_equal(amb_duty_share(rows[i][0], rows[i][1]), rows[i][2]);
+        assert_int_equal(amb_duty_fair_share(rows[i][0], rows[i][1]), rows[i][2]);
 }
 
 /* ---- orders ---- */
@@ -278,18 +286,18 @@
 
 #define RECORD(kind, how, by, ...)                                                                           \
     {                                                                                                        \
-        .present = true, .id = "o-1", .duty = AMB_DUTY_##kind, .state = AMB_DUTY_ORDER_##how, .token = by,   \
-        ##__VA_ARGS__                                                                                        \
+        .present = true, .id = "o-1", .duty = AMB_DUTY_##kind, .state = AMB_DUTY_ORDER_##how,                \
+        .fencing_token = by, ##__VA_ARGS__                                                                   \
     }
 
 static void next_step(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        struct amb_duty_order order;
+        struct amb_duty_intent order;
         bool fresh;
-        enum amb_duty_order_step step;
-        enum amb_duty_order_result result;
+        enum amb_duty_intent_step step;
+        enum amb_duty_intent_result result;
     } rows[] = {
         {"a new order is marked first", {.record = RECORD(RENT, WANTED, 0)}, true, AMB_DUTY_STEP_MARK, 0},
         {"not while the duty is drained", {.record = RECORD(RENT, WANTED, 0)}, false, AMB_DUTY_STEP_NONE, 0},
@@ -320,10 +328,10 @@
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_DONE},
         {"also while the duty is drained",
-         {.record = RECORD(RENT, SENT, OURS), .result = AMB_DUTY_RESULT_REFUSED},
+         {.record = RECORD(RENT, SENT, OURS), .result = AMB_DUTY_RESULT_NO_CAPACITY},
          false,
          AMB_DUTY_STEP_SETTLE,
-         AMB_DUTY_RESULT_REFUSED},
+         AMB_DUTY_RESULT_NO_CAPACITY},
         {"withdrawn before it was sent: void",
          {.record = RECORD(RENT, WANTED, 0, .withdrawn = true)},
          true,
@@ -351,9 +359,9 @@
          0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        enum amb_duty_order_result result;
-        enum amb_duty_order_step step =
-            amb_duty_order_next(&rows[i].order, OURS, rows[i].fresh, 100, &result);
+        enum amb_duty_intent_result result;
+        enum amb_duty_intent_step step =
+            amb_duty_intent_next_step(&rows[i].order, OURS, rows[i].fresh, 100, &result);
         if (step != rows[i].step || result != rows[i].result)
             fail_msg("%s: step %d, result %d", rows[i].what, (int)step, (int)result);
     }
@@ -363,7 +371,7 @@
     (void)state;
     static const struct {
         const char *what;
-        struct amb_duty_order order;
+        struct amb_duty_intent order;
         uint32_t unanswered;
     } rows[] = {
         {"a new order", {.record = RECORD(RENT, WANTED, 0)}, 0},
@@ -372,9 +380,9 @@
         {"marked by us already", {.record = RECORD(RENT, SENT, OURS, .unanswered = 1)}, 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_duty_order_record record = amb_duty_order_marked(&rows[i].order, OURS);
-        if (record.state != AMB_DUTY_ORDER_SENT || record.token != OURS || strcmp(record.id, "o-1") != 0 ||
-            record.unanswered != rows[i].unanswered)
+        struct amb_duty_intent_record record = amb_duty_intent_as_sent(&rows[i].order, OURS);
+        if (record.state != AMB_DUTY_INTENT_SENT || record.fencing_token != OURS ||
+            strcmp(record.id, "o-1") != 0 || record.unanswered != rows[i].unanswered)
             fail_msg("%s", rows[i].what);
     }
 }
@@ -385,42 +393,46 @@
         const char *what;
         enum amb_duty_cloud_answer answers[3];
         uint32_t count;
-        enum amb_duty_order_result result; /* NONE: not known yet */
-        uint32_t unanswered;               /* in the record once it is settled */
+        enum amb_duty_intent_result result; /* NONE: not known yet */
+        uint32_t unanswered;                /* in the record once it is settled */
     } rows[] = {
         {"done", {AMB_DUTY_CLOUD_DONE}, 1, AMB_DUTY_RESULT_DONE, 0},
         {"done after an answer was lost: the lost copy did it, or will do nothing",
-         {AMB_DUTY_CLOUD_LOST, AMB_DUTY_CLOUD_DONE},
+         {AMB_DUTY_CLOUD_NO_ANSWER, AMB_DUTY_CLOUD_DONE},
          2,
          AMB_DUTY_RESULT_DONE,
          0},
-        {"lost", {AMB_DUTY_CLOUD_LOST}, 1, AMB_DUTY_RESULT_NONE, 0},
+        {"lost", {AMB_DUTY_CLOUD_NO_ANSWER}, 1, AMB_DUTY_RESULT_NONE, 0},
         {"refused once of two times", {AMB_DUTY_CLOUD_NO_CAPACITY}, 1, AMB_DUTY_RESULT_NONE, 0},
-        {"refused", {AMB_DUTY_CLOUD_NO_CAPACITY, AMB_DUTY_CLOUD_NO_CAPACITY}, 2, AMB_DUTY_RESULT_REFUSED, 0},
+        {"refused",
+         {AMB_DUTY_CLOUD_NO_CAPACITY, AMB_DUTY_CLOUD_NO_CAPACITY},
+         2,
+         AMB_DUTY_RESULT_NO_CAPACITY,
+         0},
         {"refused, but a copy may yet act",
-         {AMB_DUTY_CLOUD_LOST, AMB_DUTY_CLOUD_NO_CAPACITY, AMB_DUTY_CLOUD_NO_CAPACITY},
+         {AMB_DUTY_CLOUD_NO_ANSWER, AMB_DUTY_CLOUD_NO_CAPACITY, AMB_DUTY_CLOUD_NO_CAPACITY},
          3,
-         AMB_DUTY_RESULT_REFUSED,
+         AMB_DUTY_RESULT_NO_CAPACITY,
          1},
         {"malformed", {AMB_DUTY_CLOUD_MALFORMED}, 1, AMB_DUTY_RESULT_MALFORMED, 0},
         {"nothing is known after a refusal for want of calls, or of the right",
-         {AMB_DUTY_CLOUD_BUSY, AMB_DUTY_CLOUD_NOT_SENT, AMB_DUTY_CLOUD_STALE},
+         {AMB_DUTY_CLOUD_BUSY, AMB_DUTY_CLOUD_NOT_SENT, AMB_DUTY_CLOUD_FENCED},
          3,
          AMB_DUTY_RESULT_NONE,
          0},
     };
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-    settings.refusals = 2;
+    settings.max_refusals = 2;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_duty_order order = {.record = RECORD(RENT, SENT, OURS)};
+        struct amb_duty_intent intent = {.record = RECORD(RENT, SENT, OURS)};
         bool known = false;
         for (uint32_t k = 0; k < rows[i].count; k++)
-            known = amb_duty_order_answered(&order, rows[i].answers[k], &settings);
-        if (known != (rows[i].result != AMB_DUTY_RESULT_NONE) || order.result != rows[i].result)
-            fail_msg("%s: result %d", rows[i].what, (int)order.result);
+            known = amb_duty_intent_apply_answer(&intent, rows[i].answers[k], &settings);
+        if (known != (rows[i].result != AMB_DUTY_RESULT_NONE) || intent.result != rows[i].result)
+            fail_msg("%s: result %d", rows[i].what, (int)intent.result);
         if (!known) continue;
-        struct amb_duty_order_record record = amb_duty_order_settled(&order, OURS, order.result);
-        if (record.state != AMB_DUTY_ORDER_SETTLED || record.unanswered != rows[i].unanswered)
+        struct amb_duty_intent_record record = amb_duty_intent_as_settled(&intent, OURS, intent.result);
+        if (record.state != AMB_DUTY_INTENT_SETTLED || record.unanswered != rows[i].unanswered)
             fail_msg("%s: %u unanswered", rows[i].what, record.unanswered);
     }
 }
@@ -430,7 +442,7 @@
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
     static const struct {
         const char *what;
-        struct amb_duty_order order;
+        struct amb_duty_intent order;
         amb_ms age;
         bool removable;
     } rows[] = {
@@ -447,35 +459,36 @@
         {"never while it is open", {.record = RECORD(RETURN, SENT, OURS)}, 100 * LIST_SPAN, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        if (amb_duty_order_removable(&rows[i].order, &settings, rows[i].age) != rows[i].removable)
+        if (amb_duty_intent_is_removable(&rows[i].order, &settings, rows[i].age) != rows[i].removable)
             fail_msg("%s", rows[i].what);
 }
 
 static void ledger(void **state) {
     (void)state;
-    struct amb_duty_order orders[2] = {0};
-    struct amb_duty_ledger of = {.orders = orders, .capacity = 2};
-    struct amb_duty_order *rent = amb_duty_ledger_add(&of, AMB_DUTY_RENT, "o-1");
-    struct amb_duty_order *back = amb_duty_ledger_add(&of, AMB_DUTY_RETURN, "o-1"); /* another duty's */
+    struct amb_duty_intent intents[2] = {0};
+    struct amb_duty_intent_table table = {.entries = intents, .capacity = 2};
+    struct amb_duty_intent *rent = amb_duty_intent_table_add(&table, AMB_DUTY_RENT, "o-1");
+    struct amb_duty_intent *back =
+        amb_duty_intent_table_add(&table, AMB_DUTY_RETURN, "o-1"); /* another duty's */
     assert_ptr_not_equal(rent, back);
-    assert_ptr_equal(amb_duty_ledger_find(&of, AMB_DUTY_RETURN, "o-1"), back);
-    assert_null(amb_duty_ledger_find(&of, AMB_DUTY_RENT, "o-2"));
-    assert_null(amb_duty_ledger_add(&of, AMB_DUTY_RENT, "o-2")); /* no room */
-    assert_true(of.missed);
-    assert_int_equal(amb_duty_ledger_open(&of, AMB_DUTY_RENT), 1);
-    struct amb_duty_order_record record = {.present = true, .id = "o-1", .stamp = 5};
-    assert_true(amb_duty_order_learn(rent, &record, 10));
-    assert_false(amb_duty_order_learn(rent, &record, 20)); /* told twice */
-    record.stamp = 4;
-    record.state = AMB_DUTY_ORDER_SETTLED;
-    assert_false(amb_duty_order_learn(rent, &record, 30)); /* told late */
-    assert_int_equal(amb_duty_ledger_open(&of, AMB_DUTY_RENT), 1);
-    assert_int_equal(rent->known_at, 10);
-    record.stamp = 6;
-    assert_true(amb_duty_order_learn(rent, &record, 40));
-    assert_int_equal(amb_duty_ledger_open(&of, AMB_DUTY_RENT), 0);
-    amb_duty_ledger_remove(back);
-    assert_non_null(amb_duty_ledger_add(&of, AMB_DUTY_RENT, "o-2"));
+    assert_ptr_equal(amb_duty_intent_table_find(&table, AMB_DUTY_RETURN, "o-1"), back);
+    assert_null(amb_duty_intent_table_find(&table, AMB_DUTY_RENT, "o-2"));
+    assert_null(amb_duty_intent_table_add(&table, AMB_DUTY_RENT, "o-2")); /* no room */
+    assert_true(table.overflowed);
+    assert_int_equal(amb_duty_intent_table_count_open(&table, AMB_DUTY_RENT), 1);
+    struct amb_duty_intent_record record = {.present = true, .id = "o-1", .revision = 5};
+    assert_true(amb_duty_intent_apply_record(rent, &record, 10));
+    assert_false(amb_duty_intent_apply_record(rent, &record, 20)); /* told twice */
+    record.revision = 4;
+    record.state = AMB_DUTY_INTENT_SETTLED;
+    assert_false(amb_duty_intent_apply_record(rent, &record, 30)); /* told late */
+    assert_int_equal(amb_duty_intent_table_count_open(&table, AMB_DUTY_RENT), 1);
+    assert_int_equal(rent->state_known_at, 10);
+    record.revision = 6;
+    assert_true(amb_duty_intent_apply_record(rent, &record, 40));
+    assert_int_equal(amb_duty_intent_table_count_open(&table, AMB_DUTY_RENT), 0);
+    amb_duty_intent_table_remove(back);
+    assert_non_null(amb_duty_intent_table_add(&table, AMB_DUTY_RENT, "o-2"));
 }
 
 int main(void) {
--- a/tests/duty/test_duty_records.c
+++ b/tests/duty/test_duty_records.c
@@ -14,8 +14,8 @@
     struct amb_buf text = {0};
     struct amb_duty_record out = {0}, record = {.state = AMB_DUTY_RECORD_RELEASED,
                                                 .holder = "n-1",
-                                                .holder_session = 412,
-                                                .token = 9,
+                                                .holder_incarnation = 412,
+                                                .fencing_token = 9,
                                                 .nonce = 77,
                                                 .successor = "n-2",
                                                 .cause = "handed over"};
@@ -31,14 +31,14 @@
     (void)state;
     for (int duty = 0; duty < AMB_DUTY_CLEANUP; duty++) {
         struct amb_buf text = {0};
-        struct amb_duty_order_record out = {.duty = (enum amb_duty_name)duty},
-                                     order = {.duty = (enum amb_duty_name)duty,
-                                              .state = AMB_DUTY_ORDER_SETTLED,
-                                              .result = AMB_DUTY_RESULT_REFUSED,
-                                              .token = 5,
-                                              .unanswered = 2,
-                                              .withdrawn = true};
-        struct amb_duty_work read, work = {.ordered_wall = 1700000000123};
+        struct amb_duty_intent_record out = {.duty = (enum amb_duty_name)duty},
+                                      intent = {.duty = (enum amb_duty_name)duty,
+                                                .state = AMB_DUTY_INTENT_SETTLED,
+                                                .result = AMB_DUTY_RESULT_NO_CAPACITY,
+                                                .fencing_token = 5,
+                                                .unanswered = 2,
+                                                .withdrawn = true};
+        struct amb_duty_work_order read, work = {.created_wall_ms = 1700000000123};
         if (duty == AMB_DUTY_RENT) {
             strcpy(work.type, "g8"), strcpy(work.zone, "a");
             work.spot = true;
@@ -46,23 +46,23 @@
         } else {
             strcpy(work.reason, "idle");
         }
-        amb_duty_work_add_machine(&work, "m-1");
-        amb_duty_work_add_machine(&work, "m-2");
-        amb_duty_encode_order(&text, &order, &work);
+        amb_duty_work_order_add_machine(&work, "m-1");
+        amb_duty_work_order_add_machine(&work, "m-2");
+        amb_duty_encode_intent(&text, &intent, &work);
         cbor_item_t *item = parse(&text);
-        assert_int_equal(amb_duty_decode_order(item, &out, &read), AMB_DUTY_DECODED);
+        assert_int_equal(amb_duty_decode_intent(item, &out, &read), AMB_DUTY_DECODED);
         cbor_decref(&item);
-        order.present = true;
-        assert_memory_equal(&out, &order, sizeof out);
+        intent.present = true;
+        assert_memory_equal(&out, &intent, sizeof out);
         assert_string_equal(read.type, work.type);
         assert_string_equal(read.zone, work.zone);
         assert_string_equal(read.reason, work.reason);
         assert_true(read.spot == work.spot && read.count == work.count);
-        assert_true(read.ordered_wall == work.ordered_wall);
+        assert_true(read.created_wall_ms == work.created_wall_ms);
         assert_int_equal(read.machine_count, 2);
         assert_string_equal(read.machines[1], "m-2");
-        amb_duty_work_free(&work);
-        amb_duty_work_free(&read);
+        amb_duty_work_order_free(&work);
+        amb_duty_work_order_free(&read);
     }
 }
 
@@ -79,21 +79,21 @@
         uint64_t form;
         const char *mode;
         bool more;
-        enum amb_duty_decoded decoded;
+        enum amb_duty_decode_result decoded;
     } rows[] = {
-        {AMB_DUTY_FORM, "duties", false, AMB_DUTY_DECODED},
-        {AMB_DUTY_FORM, "duties", true, AMB_DUTY_DECODED},
-        {AMB_DUTY_FORM, "other", false, AMB_DUTY_MALFORMED},
+        {AMB_DUTY_RECORD_VERSION, "duties", false, AMB_DUTY_DECODED},
+        {AMB_DUTY_RECORD_VERSION, "duties", true, AMB_DUTY_DECODED},
+        {AMB_DUTY_RECORD_VERSION, "other", false, AMB_DUTY_MALFORMED},
         {0, "duties", false, AMB_DUTY_MALFORMED},
-        {AMB_DUTY_FORM + 1, "duties", false, AMB_DUTY_NEWER_FORM},
-        {AMB_DUTY_FORM + 1, "other", true, AMB_DUTY_NEWER_FORM},
+        {AMB_DUTY_RECORD_VERSION + 1, "duties", false, AMB_DUTY_NEWER_VERSION},
+        {AMB_DUTY_RECORD_VERSION + 1, "other", true, AMB_DUTY_NEWER_VERSION},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_buf text = {0};
         enum amb_duty_mode mode = AMB_DUTY_MODE_LEADER;
         put_mode(&text, rows[i].form, rows[i].mode, rows[i].more);
         cbor_item_t *item = parse(&text);
-        enum amb_duty_decoded decoded = amb_duty_decode_mode(item, &mode);
+        enum amb_duty_decode_result decoded = amb_duty_decode_mode(item, &mode);
         cbor_decref(&item);
         if (decoded != rows[i].decoded || (mode == AMB_DUTY_MODE_DUTIES) != (decoded == AMB_DUTY_DECODED))
             fail_msg("row %zu: %d, mode %d", i, (int)decoded, (int)mode);
@@ -105,7 +105,7 @@
     (void)state;
     struct amb_buf text = {0};
     struct amb_duty_record out;
-    struct amb_duty_record record = {.holder = "n-1", .token = 3};
+    struct amb_duty_record record = {.holder = "n-1", .fencing_token = 3};
     amb_duty_encode_record(&text, &record);
     cbor_item_t *item = parse(&text);
     struct cbor_pair *pairs = cbor_map_handle(item);
@@ -139,13 +139,13 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         enum amb_duty_name duty;
-        char id[AMB_DUTY_ORDER_ID], key[AMB_DUTY_KEY];
-        bool good = amb_duty_parse_order_key(rows[i].key, &duty, id);
+        char id[AMB_DUTY_INTENT_ID], key[AMB_DUTY_KEY_SIZE];
+        bool good = amb_duty_parse_intent_key(rows[i].key, &duty, id);
         if (good != rows[i].good) fail_msg("%s: %d", rows[i].key, good);
         if (!good) continue;
         assert_int_equal(duty, rows[i].duty);
         assert_string_equal(id, rows[i].id);
-        amb_duty_order_key(key, duty, id);
+        amb_duty_intent_key(key, duty, id);
         assert_string_equal(key, rows[i].key);
     }
 }
@@ -156,24 +156,24 @@
     static const double limits[] = {1, 2.5, 8, 64};
     for (size_t i = 0; i < ROWS(limits); i++) {
         struct amb_buf text = {0};
-        struct amb_duty_order_record order = {.duty = AMB_DUTY_RENT,
-                                              .state = AMB_DUTY_ORDER_SETTLED,
-                                              .result = AMB_DUTY_RESULT_MALFORMED,
-                                              .token = UINT32_MAX,
-                                              .unanswered = UINT32_MAX};
-        struct amb_duty_work work = {
-            .ordered_wall = 1700000000123, .count = 50, .type = "g8-large", .zone = "zone-a"};
-        uint32_t most = amb_duty_machines_most(limits[i]);
-        assert_true(most >= 1 && most <= AMB_DUTY_MACHINES);
-        for (uint32_t k = 0; k < most; k++) amb_duty_work_add_machine(&work, "m-000231-longer");
-        amb_duty_encode_order(&text, &order, &work);
+        struct amb_duty_intent_record intent = {.duty = AMB_DUTY_RENT,
+                                                .state = AMB_DUTY_INTENT_SETTLED,
+                                                .result = AMB_DUTY_RESULT_MALFORMED,
+                                                .fencing_token = UINT32_MAX,
+                                                .unanswered = UINT32_MAX};
+        struct amb_duty_work_order work = {
+            .created_wall_ms = 1700000000123, .count = 50, .type = "g8-large", .zone = "zone-a"};
+        uint32_t most = amb_duty_max_machines(limits[i]);
+        assert_true(most >= 1 && most <= AMB_DUTY_MAX_MACHINES);
+        for (uint32_t k = 0; k < most; k++) amb_duty_work_order_add_machine(&work, "m-000231-longer");
+        amb_duty_encode_intent(&text, &intent, &work);
         cbor_item_t *item = parse(&text);
         unsigned char *bytes = NULL;
         size_t room, len = cbor_serialize_alloc(item, &bytes, &room);
         if ((double)len > limits[i] * 1024) fail_msg("%g KiB: %zu bytes", limits[i], len);
         free(bytes);
         cbor_decref(&item);
-        amb_duty_work_free(&work);
+        amb_duty_work_order_free(&work);
     }
 }
 
