--- a/tests/duty/test_duty_service.c
+++ b/tests/duty/test_duty_service.c
@@ -23,25 +23,26 @@
     begin_members(NULL);
 }
 
-static void order_rental(const char *id) {
-    const struct amb_duty_work work = {.type = "g8", .zone = "a", .count = 3, .ordered_wall = 1};
+static void create_scale_out(const char *id) {
+    const struct amb_duty_work_order work = {.type = "g8", .zone = "a", .count = 3, .created_wall_ms = 1};
     members_order(AMB_DUTY_RENT, id, &work);
 }
 
-static void order_return(enum amb_duty_name duty, const char *id) {
-    struct amb_duty_work work = {.reason = "idle", .ordered_wall = 1};
-    amb_duty_work_add_machine(&work, "m-1");
-    amb_duty_work_add_machine(&work, "m-2");
+static void create_scale_in(enum amb_duty_name duty, const char *id) {
+    struct amb_duty_work_order work = {.reason = "idle", .created_wall_ms = 1};
+    amb_duty_work_order_add_machine(&work, "m-1");
+    amb_duty_work_order_add_machine(&work, "m-2");
     members_order(duty, id, &work);
-    amb_duty_work_free(&work);
+    amb_duty_work_order_free(&work);
 }
 
-static struct amb_duty_order_record read_order(enum amb_duty_name duty, const char *id, uint32_t *machines) {
-    struct amb_duty_order_record record;
-    struct amb_duty_work work;
+static struct amb_duty_intent_record read_intent(enum amb_duty_name duty, const char *id,
+                                                 uint32_t *machines) {
+    struct amb_duty_intent_record record;
+    struct amb_duty_work_order work;
     if (!members_read_order(duty, id, &record, &work)) fail_msg("order %s is not on record", id);
     *machines = work.machine_count;
-    amb_duty_work_free(&work);
+    amb_duty_work_order_free(&work);
     return record;
 }
 
@@ -51,9 +52,9 @@
         int holder = members_holder((enum amb_duty_name)i), holders = 0;
         if (holder < 0) fail_msg("nobody holds %s", amb_duty_name_text((enum amb_duty_name)i));
         for (int k = 0; k < MEMBERS; k++)
-            holders += amb_duty_service_holds(&members[k].service, (enum amb_duty_name)i);
+            holders += amb_duty_service_is_holder(&members[k].service, (enum amb_duty_name)i);
         assert_int_equal(holders, 1);
-        assert_true(amb_duty_service_holds(&members[holder].service, (enum amb_duty_name)i));
+        assert_true(amb_duty_service_is_holder(&members[holder].service, (enum amb_duty_name)i));
     }
     assert_string_equal(members_unguarded(), "");
 }
@@ -61,17 +62,17 @@
 static void orders_are_carried_out_and_cleaned_up(void **state) {
     uint32_t machines;
     (void)state;
-    order_rental("r-1-1");
-    order_return(AMB_DUTY_RETURN, "t-1-1");
-    order_return(AMB_DUTY_RECLAIM, "t-1-2");
+    create_scale_out("r-1-1");
+    create_scale_in(AMB_DUTY_RETURN, "t-1-1");
+    create_scale_in(AMB_DUTY_RECLAIM, "t-1-2");
     members_run(1000);
-    struct amb_duty_order_record rent = read_order(AMB_DUTY_RENT, "r-1-1", &machines);
-    assert_int_equal(rent.state, AMB_DUTY_ORDER_SETTLED);
+    struct amb_duty_intent_record rent = read_intent(AMB_DUTY_RENT, "r-1-1", &machines);
+    assert_int_equal(rent.state, AMB_DUTY_INTENT_SETTLED);
     assert_int_equal(rent.result, AMB_DUTY_RESULT_DONE);
     assert_int_equal(machines, 3);
-    assert_int_equal(read_order(AMB_DUTY_RETURN, "t-1-1", &machines).state, AMB_DUTY_ORDER_SETTLED);
+    assert_int_equal(read_intent(AMB_DUTY_RETURN, "t-1-1", &machines).state, AMB_DUTY_INTENT_SETTLED);
     assert_int_equal(machines, 2);
-    assert_int_equal(read_order(AMB_DUTY_RECLAIM, "t-1-2", &machines).state, AMB_DUTY_ORDER_SETTLED);
+    assert_int_equal(read_intent(AMB_DUTY_RECLAIM, "t-1-2", &machines).state, AMB_DUTY_INTENT_SETTLED);
     assert_int_equal(member_cloud.rentals, 1);
     assert_int_equal(member_cloud.calls, 3);
     assert_string_equal(members_unguarded(), "");
@@ -107,33 +108,34 @@
     };
     static const enum amb_duty_name duties[] = {AMB_DUTY_RENT, AMB_DUTY_RETURN, AMB_DUTY_RECLAIM};
     for (size_t i = 0; i < ROWS(rows); i++)
-        for (size_t d = 0; d < ROWS(duties); d++) {
+        for (size_t duty_index = 0; duty_index < ROWS(duties); duty_index++) {
             uint32_t machines;
             begin_members_anew();
-            int first = members_holder(duties[d]);
+            int first = members_holder(duties[duty_index]);
             members_plan(rows[i].plan);
-            if (duties[d] == AMB_DUTY_RENT)
-                order_rental("r-1-1");
+            if (duties[duty_index] == AMB_DUTY_RENT)
+                create_scale_out("r-1-1");
             else
-                order_return(duties[d], "r-1-1");
+                create_scale_in(duties[duty_index], "r-1-1");
             members_run(SUCCESSION_MS / 2);
-            struct amb_duty_order_record order = read_order(duties[d], "r-1-1", &machines);
-            if (order.state != AMB_DUTY_ORDER_SETTLED || order.result != AMB_DUTY_RESULT_DONE)
-                fail_msg("%s: %s: state %d, result %d", amb_duty_name_text(duties[d]), rows[i].what,
-                         order.state, order.result);
-            assert_int_equal(machines, duties[d] == AMB_DUTY_RENT ? 3 : 2);
-            int second = members_holder(duties[d]);
+            struct amb_duty_intent_record intent = read_intent(duties[duty_index], "r-1-1", &machines);
+            if (intent.state != AMB_DUTY_INTENT_SETTLED || intent.result != AMB_DUTY_RESULT_DONE)
+                fail_msg("%s: %s: state %d, result %d", amb_duty_name_text(duties[duty_index]), rows[i].what,
+                         intent.state, intent.result);
+            assert_int_equal(machines, duties[duty_index] == AMB_DUTY_RENT ? 3 : 2);
+            int second = members_holder(duties[duty_index]);
             if (second < 0 || (second != first) != rows[i].changes_hands)
-                fail_msg("%s: %s: held by %d after %d", amb_duty_name_text(duties[d]), rows[i].what, second,
-                         first);
+                fail_msg("%s: %s: held by %d after %d", amb_duty_name_text(duties[duty_index]), rows[i].what,
+                         second, first);
             if (rows[i].plan.fate == MEMBER_STOPS_BEFORE) members_wake(first);
             members_run(SUCCESSION_MS);
-            if (duties[d] == AMB_DUTY_RENT && (member_cloud.rentals != 1 || member_cloud.rented != 3))
+            if (duties[duty_index] == AMB_DUTY_RENT &&
+                (member_cloud.rentals != 1 || member_cloud.rented != 3))
                 fail_msg("%s: %u rentals, %u machines", rows[i].what, member_cloud.rentals,
                          member_cloud.rented);
             if (member_cloud.calls < rows[i].calls_least || member_cloud.calls > rows[i].calls_least + 1 ||
                 member_cloud.stale)
-                fail_msg("%s: %s: %u calls, %u stale", amb_duty_name_text(duties[d]), rows[i].what,
+                fail_msg("%s: %s: %u calls, %u stale", amb_duty_name_text(duties[duty_index]), rows[i].what,
                          member_cloud.calls, member_cloud.stale);
         }
 }
@@ -151,24 +153,24 @@
     };
     static const enum amb_duty_name duties[] = {AMB_DUTY_RENT, AMB_DUTY_RETURN, AMB_DUTY_RECLAIM};
     for (size_t i = 0; i < ROWS(rows); i++)
-        for (size_t d = 0; d < ROWS(duties); d++) {
+        for (size_t duty_index = 0; duty_index < ROWS(duties); duty_index++) {
             uint32_t machines;
             begin_members_anew();
             for (int k = 0; k < MEMBERS; k++)
                 members[k].proves_gone =
-                    k == members_holder(duties[d]) ? rows[i].holder_proves : rows[i].others_prove;
+                    k == members_holder(duties[duty_index]) ? rows[i].holder_proves : rows[i].others_prove;
             member_cloud.silent = true;
-            if (duties[d] == AMB_DUTY_RENT)
-                order_rental("r-1-1");
+            if (duties[duty_index] == AMB_DUTY_RENT)
+                create_scale_out("r-1-1");
             else
-                order_return(duties[d], "r-1-1");
+                create_scale_in(duties[duty_index], "r-1-1");
             members_run(SETTLED_MS);
-            bool settled = rows[i].settled && duties[d] != AMB_DUTY_RENT;
-            struct amb_duty_order_record order = read_order(duties[d], "r-1-1", &machines);
-            if (order.state != (settled ? AMB_DUTY_ORDER_SETTLED : AMB_DUTY_ORDER_SENT) ||
-                order.result != (settled ? AMB_DUTY_RESULT_GONE : AMB_DUTY_RESULT_NONE))
-                fail_msg("%s: %s: state %d, result %d", amb_duty_name_text(duties[d]), rows[i].what,
-                         order.state, order.result);
+            bool settled = rows[i].settled && duties[duty_index] != AMB_DUTY_RENT;
+            struct amb_duty_intent_record intent = read_intent(duties[duty_index], "r-1-1", &machines);
+            if (intent.state != (settled ? AMB_DUTY_INTENT_SETTLED : AMB_DUTY_INTENT_SENT) ||
+                intent.result != (settled ? AMB_DUTY_RESULT_GONE : AMB_DUTY_RESULT_NONE))
+                fail_msg("%s: %s: state %d, result %d", amb_duty_name_text(duties[duty_index]), rows[i].what,
+                         intent.state, intent.result);
             assert_string_equal(members_unguarded(), "");
         }
 }
@@ -178,7 +180,7 @@
     (void)state;
     int first = members_holder(AMB_DUTY_RENT);
     members_plan((struct member_plan){MEMBER_CALL_MARK, MEMBER_STOPS_BEFORE});
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     members_run(SUCCESSION_MS);
     int second = members_holder(AMB_DUTY_RENT);
     assert_true(second >= 0 && second != first);
@@ -193,7 +195,7 @@
 static void the_right_is_looked_at_last(void **state) {
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     members[holder].jump_after_mark = MEMBER_TTL_MS;
     members_run(4L * MEMBER_STEP_MS);
     assert_int_equal(member_cloud.calls, 0);
@@ -210,7 +212,7 @@
                                    members[first].service.ports.now(&members[first])));
     members_run(SUCCESSION_MS);
     assert_int_not_equal(members_holder(AMB_DUTY_RENT), first);
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     members_run(1000);
     assert_int_equal(member_cloud.rentals, 1);
     members[first].cut = false;
@@ -222,12 +224,12 @@
     uint32_t machines;
     (void)state;
     member_cloud.no_capacity = true;
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     members_run(1000);
-    struct amb_duty_order_record order = read_order(AMB_DUTY_RENT, "r-1-1", &machines);
-    assert_int_equal(order.state, AMB_DUTY_ORDER_SETTLED);
-    assert_int_equal(order.result, AMB_DUTY_RESULT_REFUSED);
-    assert_int_equal(order.unanswered, 0);
+    struct amb_duty_intent_record intent = read_intent(AMB_DUTY_RENT, "r-1-1", &machines);
+    assert_int_equal(intent.state, AMB_DUTY_INTENT_SETTLED);
+    assert_int_equal(intent.result, AMB_DUTY_RESULT_NO_CAPACITY);
+    assert_int_equal(intent.unanswered, 0);
     assert_int_equal(machines, 0);
 }
 
@@ -244,7 +246,7 @@
 
 static void operators_hand_duties_over(void **state) {
     (void)state;
-    char key[AMB_DUTY_KEY];
+    char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
     int first = members_holder(AMB_DUTY_RENT), wanted = member_without_duty();
     struct amb_duty_handover wish = {{0}};
@@ -255,10 +257,10 @@
     amb_buf_free(&value);
     members_run(2000);
     assert_int_equal(members_holder(AMB_DUTY_RENT), wanted);
-    uint32_t seen = members[first].service.handover_count;
+    uint32_t seen = members[first].service.holder_changes;
     members_run(LONG_MS); /* the wish concerned the holder of its time: it does not move again */
     assert_int_equal(members_holder(AMB_DUTY_RENT), wanted);
-    assert_int_equal(members[first].service.handover_count, seen);
+    assert_int_equal(members[first].service.holder_changes, seen);
 }
 
 static void put_record_of_form(const char *key, uint64_t form) {
@@ -273,10 +275,10 @@
 /* A record of a later version: its duty is left alone, and nothing is called under it. */
 static void newer_forms_are_not_acted_on(void **state) {
     (void)state;
-    put_record_of_form("a/duty/rent", AMB_DUTY_FORM + 1);
-    put_record_of_form("a/order/return/t-1-1", AMB_DUTY_FORM + 1);
+    put_record_of_form("a/duty/rent", AMB_DUTY_RECORD_VERSION + 1);
+    put_record_of_form("a/order/return/t-1-1", AMB_DUTY_RECORD_VERSION + 1);
     members_run(1000);
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     uint32_t before = members_writes();
     members_run(LONG_MS);
     assert_int_equal(member_cloud.calls, 0);
@@ -299,7 +301,7 @@
 /* What is removed while all is read does not come back by a page that was made before. */
 static void reading_all_again_finds_what_went(void **state) {
     (void)state;
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     members_run(1000);
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_CLEANUP)) idle++;
@@ -318,7 +320,7 @@
     int holder = members_holder(AMB_DUTY_RENT);
     members[holder].lists_held = true;
     members_plan((struct member_plan){MEMBER_CALL_SETTLE, MEMBER_ANSWER_LOST}); /* so it reads the order */
-    order_rental("r-1-1");
+    create_scale_out("r-1-1");
     members_run(MEMBER_LIST_MS + 2L * MEMBER_TTL_MS);
     assert_null(members_value("a/order/rent/r-1-1"));
     members[holder].lists_held = false;
@@ -329,19 +331,19 @@
 /* The member hears of an order, misses that it is settled, and sends a read of it. */
 static struct amb_duty_service *read_what_news_missed(int index) {
     struct amb_duty_service *service = &members[index].service;
-    struct amb_duty_action read = {.type = AMB_DUTY_READ_ORDER, .duty = AMB_DUTY_RENT};
-    read.order = (struct amb_duty_order_record){.duty = AMB_DUTY_RENT, .id = "r-1-1"};
-    order_rental("r-1-1");
+    struct amb_duty_action read = {.type = AMB_DUTY_READ_INTENT, .duty = AMB_DUTY_RENT};
+    read.intent = (struct amb_duty_intent_record){.duty = AMB_DUTY_RENT, .id = "r-1-1"};
+    create_scale_out("r-1-1");
     members_run(MEMBER_STEP_MS);
     members[index].news_held = true;
     members_run(1000);
-    assert_int_equal(service->entries->record.state, AMB_DUTY_ORDER_WANTED);
+    assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_PENDING);
     service->perform(service, &read);
     return service;
 }
 
-static struct amb_duty_order *tracked_order(const struct amb_duty_service *service) {
-    return amb_duty_ledger_find(&service->core.ledger, AMB_DUTY_RENT, "r-1-1");
+static struct amb_duty_intent *tracked_intent(const struct amb_duty_service *service) {
+    return amb_duty_intent_table_find(&service->core.intents, AMB_DUTY_RENT, "r-1-1");
 }
 
 /* A member removes an order itself, and a read of before is answered before it hears the news of it. */
@@ -350,10 +352,10 @@
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_CLEANUP) || idle == members_holder(AMB_DUTY_RENT)) idle++;
     struct amb_duty_service *service = read_what_news_missed(idle);
-    amb_duty_ledger_remove(tracked_order(service));
+    amb_duty_intent_table_remove(tracked_intent(service));
     members_run(2L * MEMBER_STEP_MS);
-    assert_int_equal(service->entries->record.state, AMB_DUTY_ORDER_SETTLED); /* the read was answered */
-    assert_null(tracked_order(service));
+    assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_SETTLED); /* the read was answered */
+    assert_null(tracked_intent(service));
     members[idle].news_held = false;
     members_run(MEMBER_LIST_MS + MEMBER_TTL_MS);
     assert_null(service->entries);
@@ -365,9 +367,9 @@
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_RENT)) idle++;
     struct amb_duty_service *service = read_what_news_missed(idle);
-    assert_int_equal(tracked_order(service)->record.state, AMB_DUTY_ORDER_WANTED);
+    assert_int_equal(tracked_intent(service)->record.state, AMB_DUTY_INTENT_PENDING);
     members_run(2L * MEMBER_STEP_MS);
-    assert_int_equal(tracked_order(service)->record.state, AMB_DUTY_ORDER_SETTLED);
+    assert_int_equal(tracked_intent(service)->record.state, AMB_DUTY_INTENT_SETTLED);
 }
 
 int main(void) {
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -16,30 +16,32 @@
 
 /* ---- what the state service holds ---- */
 
-static void news(const char *key, struct amb_buf *value, uint64_t stamp) {
+static void apply_change(const char *key, struct amb_buf *value, uint64_t revision) {
     cbor_item_t *item = value ? amb_cbor_parse(value->data, value->len) : NULL;
-    amb_duties_key(node, key, item, stamp);
+    amb_duties_apply_change(node, key, item, revision);
     if (item) cbor_decref(&item);
     if (value) amb_buf_free(value);
 }
 
-static void mode_news(enum amb_duty_mode mode, uint64_t stamp) {
+static void apply_mode(enum amb_duty_mode mode, uint64_t revision) {
     struct amb_buf value = {0};
     amb_duty_encode_mode(&value, mode);
-    news(MODE_KEY, &value, stamp);
+    apply_change(MODE_KEY, &value, revision);
 }
 
-static void order_news(enum amb_duty_name duty, const char *id, enum amb_duty_order_state state,
-                       enum amb_duty_order_result result, const char *machine, uint64_t stamp) {
-    char key[AMB_DUTY_KEY];
+static void apply_intent(enum amb_duty_name duty, const char *id, enum amb_duty_intent_state state,
+                         enum amb_duty_intent_result result, const char *machine, uint64_t revision) {
+    char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
-    struct amb_duty_order_record order = {.duty = duty, .state = state, .result = result, .token = 1};
-    struct amb_duty_work work = {.type = "g8", .zone = "a", .count = 1, .reason = "idle", .ordered_wall = 1};
-    if (machine) amb_duty_work_add_machine(&work, machine);
-    amb_duty_order_key(key, duty, id);
-    amb_duty_encode_order(&value, &order, &work);
-    amb_duty_work_free(&work);
-    news(key, &value, stamp);
+    struct amb_duty_intent_record intent = {
+        .duty = duty, .state = state, .result = result, .fencing_token = 1};
+    struct amb_duty_work_order work = {
+        .type = "g8", .zone = "a", .count = 1, .reason = "idle", .created_wall_ms = 1};
+    if (machine) amb_duty_work_order_add_machine(&work, machine);
+    amb_duty_intent_key(key, duty, id);
+    amb_duty_encode_intent(&value, &intent, &work);
+    amb_duty_work_order_free(&work);
+    apply_change(key, &value, revision);
 }
 
 static void answer_list(const char *prefix) {
@@ -62,23 +64,23 @@
 
 /* The node takes part, and has read all records: there are none. */
 static void take_part(void) {
-    amb_duties_listed(node);
+    amb_duties_note_listed(node);
     answer_list("a/duty&");
     answer_list("a/order/");
-    assert_true(amb_duties_ready(node));
+    assert_true(amb_duties_is_ready(node));
 }
 
 static void use_duties(void) {
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-    mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     take_part();
-    assert_int_equal(amb_duties_path(node), AMB_RENTAL_BY_HOLDER);
+    assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_HOLDER);
 }
 
 static int end_duties(void **state) {
     fake_answer_all_lost();
-    amb_duty_service_end(&node->duties.service);
+    amb_duty_service_abort(&node->duties.service);
     return end(state);
 }
 
@@ -107,13 +109,13 @@
 static void off_costs_nothing(void **state) {
     (void)state;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-    amb_duties_listed(node);
+    amb_duties_note_listed(node);
     amb_duties_tick(node, amb_now());
     assert_false(node->duties.service.active);
     assert_int_equal(node->duties.timer.slot, 0);
     assert_int_equal(fake_calls_sent(""), 0);
-    assert_int_equal(amb_duties_path(node), AMB_RENTAL_BY_LEADER);
-    assert_true(amb_duties_ready(node));
+    assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
+    assert_true(amb_duties_is_ready(node));
     char *said = amb_peer_encode_heartbeat(node);
     assert_null(strstr(said, "duties"));
     free(said);
@@ -156,17 +158,17 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
         if (rows[i].renting) {
-            amb_rental_want(node, 0, 0, false, 1);
-            node->cloud.requests->state = AMB_REQUEST_ASKING;
+            amb_scale_out_submit(node, 0, 0, false, 1);
+            node->cloud.requests->state = AMB_SCALE_OUT_REQUESTING;
         }
-        node->cloud.nrelease = rows[i].returning;
+        node->cloud.release_count = rows[i].returning;
         node->options.duties = rows[i].own;
         set_peers(rows[i].first, rows[i].second);
         if (rows[i].unsure) node->election.renewed_at -= TTL;
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].written) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
-        node->cloud.nrelease = 0;
+        node->cloud.release_count = 0;
         if (!commit) continue;
         assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
         assert_int_equal(fake_txn_guard(commit, MODE_KEY), 0);
@@ -181,29 +183,29 @@
         begin_duties_anew();
         node->options.duties = 1;
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-        assert_int_equal(amb_rental_calls(node, amb_now()), 0);
+        assert_int_equal(amb_scale_out_available_calls(node, amb_now()), 0);
         struct amb_machine *machine = machine_up("m-1", 0);
-        amb_rental_give_back(node, machine, "idle");
+        amb_cloud_scale_in(node, machine, "idle");
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = open_commit(MODE_KEY);
         if (statuses[i] == 200)
             answer_epoch(commit, MODE_STAMP);
         else
             fake_answer(commit, statuses[i], NULL);
-        assert_int_equal(amb_duties_path(node), AMB_RENTAL_PAUSED);
-        assert_int_equal(amb_rental_calls(node, amb_now()), 0);
-        node->cloud.list_at = amb_now();
-        amb_rental_tick(node, amb_now());
+        assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
+        assert_int_equal(amb_scale_out_available_calls(node, amb_now()), 0);
+        node->cloud.list_started_at = amb_now();
+        amb_cloud_tick(node, amb_now());
         assert_null(find_call("POST", "/machines"));
         fake_clock_advance(2000);
         node->election.renewed_at = amb_now();
         amb_duties_tick(node, amb_now());
         assert_int_equal(fake_txn_guard(open_commit(MODE_KEY), MODE_KEY), 0); /* the same again */
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF); /* too late: it may be carried out */
-        assert_int_equal(amb_duties_path(node), AMB_RENTAL_PAUSED);
+        assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-        mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
-        assert_int_equal(amb_duties_path(node), AMB_RENTAL_BY_HOLDER);
+        apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+        assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_HOLDER);
     }
 }
 
@@ -213,11 +215,11 @@
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
     amb_w_map(&value, 2);
-    amb_w_str(&value, "form"), amb_w_uint(&value, AMB_DUTY_FORM + 1);
+    amb_w_str(&value, "form"), amb_w_uint(&value, AMB_DUTY_RECORD_VERSION + 1);
     amb_w_str(&value, "mode"), amb_w_str(&value, "duties");
-    news(MODE_KEY, &value, MODE_STAMP);
+    apply_change(MODE_KEY, &value, MODE_STAMP);
     amb_duties_tick(node, amb_now());
-    assert_int_equal(amb_duties_path(node), AMB_RENTAL_PAUSED);
+    assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
     assert_null(find_commit(MODE_KEY));
 }
 
@@ -237,39 +239,39 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
         use_duties();
-        order_news(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
+        apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
         fake_answer_all_lost();
         node->options.duties = rows[i].own;
         set_peers(AMB_PEER_DUTIES_ON, rows[i].peer);
         amb_duties_tick(node, amb_now());
         if (find_commit(MODE_KEY)) fail_msg("%s: written while an order is open", rows[i].what);
         if (rows[i].leaves) {
-            assert_int_equal(amb_duties_path(node), AMB_RENTAL_PAUSED);
-            assert_int_equal(amb_rental_calls(node, amb_now()), 0);
+            assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
+            assert_int_equal(amb_scale_out_available_calls(node, amb_now()), 0);
         }
-        order_news(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 62);
+        apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 62);
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].leaves) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
         if (!commit) continue;
         assert_int_equal(fake_txn_guard(commit, MODE_KEY), MODE_STAMP);
-        mode_news(AMB_DUTY_MODE_LEADER, 63);
-        assert_int_equal(amb_duties_path(node), AMB_RENTAL_BY_LEADER);
+        apply_mode(AMB_DUTY_MODE_LEADER, 63);
+        assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
     }
 }
 
 /* A node that is switched off takes part as long as there is something to finish. */
 static void a_node_switched_off_takes_part_until_all_is_done(void **state) {
     (void)state;
-    mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     take_part();
     assert_true(node->duties.service.active);
-    order_news(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 61);
-    mode_news(AMB_DUTY_MODE_LEADER, 62);
+    apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 61);
+    apply_mode(AMB_DUTY_MODE_LEADER, 62);
     fake_clock_advance(1000);
     fake_answer_all_lost();
     assert_true(node->duties.service.active);
-    news("a/order/rent/r-1-1", NULL, 63);
+    apply_change("a/order/rent/r-1-1", NULL, 63);
     fake_clock_advance(1000);
     assert_false(node->duties.service.active);
 }
@@ -278,30 +280,31 @@
 
 /* The leader's turn, as far as rentals go: what the leader asks for itself, then what it orders. */
 static void take_turn(void) {
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     amb_duties_tick(node, amb_now());
 }
 
 static void rentals_are_ordered(void **state) {
     (void)state;
     use_duties();
-    amb_rental_want(node, 0, 0, false, 1);
+    amb_scale_out_submit(node, 0, 0, false, 1);
     take_turn();
     struct fake_call *commit = open_commit("a/order/rent/r-50-1");
     assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
     assert_int_equal(fake_txn_guard(commit, "a/order/rent/r-50-1"), 0);
     answer_epoch(commit, 70);
-    node->cloud.list_at = amb_now();
+    node->cloud.list_started_at = amb_now();
     for (int i = 0; i < 5; i++) {
         fake_clock_advance(500);
-        node->election.renewed_at = node->cloud.list_at = amb_now();
+        node->election.renewed_at = node->cloud.list_started_at = amb_now();
         take_turn();
     }
     assert_null(find_call("POST", "/machines"));
-    assert_int_equal(node->cloud.requests->state, AMB_REQUEST_ASKING); /* what is coming counts in plans */
-    order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
+    assert_int_equal(node->cloud.requests->state,
+                     AMB_SCALE_OUT_REQUESTING); /* what is coming counts in plans */
+    apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
     assert_non_null(node->cloud.requests);
-    order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 72);
+    apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 72);
     assert_null(node->cloud.requests);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     assert_non_null(machine);
@@ -311,20 +314,20 @@
 static void refusals_are_heeded(void **state) {
     (void)state;
     use_duties();
-    amb_rental_want(node, 0, 0, false, 1);
-    order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_REFUSED, NULL, 72);
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_NO_CAPACITY, NULL, 72);
     assert_null(node->cloud.requests);
-    assert_true(amb_rental_refused(node, 0, 0, false, amb_now()));
+    assert_true(amb_scale_out_is_backing_off(node, 0, 0, false, amb_now()));
 }
 
 /* Else it would count as coming for ever, and keep duties in use. */
 static void orders_whose_end_was_missed_are_dropped(void **state) {
     (void)state;
     use_duties();
-    amb_rental_want(node, 0, 0, false, 1);
-    order_news(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
     assert_non_null(node->cloud.requests);
-    news("a/order/rent/r-50-1", NULL, 72);
+    apply_change("a/order/rent/r-50-1", NULL, 72);
     assert_null(node->cloud.requests);
 }
 
@@ -333,7 +336,7 @@
     (void)state;
     use_duties();
     struct amb_machine *machine = machine_up("m-1", 0);
-    amb_rental_give_back(node, machine, "idle");
+    amb_cloud_scale_in(node, machine, "idle");
     amb_duties_tick(node, amb_now());
     fake_answer(open_commit("a/order/return/t-50-1"), 0, NULL);
     fake_clock_advance(2000);
@@ -342,7 +345,7 @@
     struct fake_call *again = open_commit("a/order/return/t-50-1");
     assert_int_equal(fake_txn_guard(again, "a/order/return/t-50-1"), 0);
     fake_answer(again, 409, NULL); /* the first had been carried out */
-    order_news(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_ORDER_WANTED, AMB_DUTY_RESULT_NONE, "m-1", 71);
+    apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_PENDING, AMB_DUTY_RESULT_NONE, "m-1", 71);
     fake_clock_advance(2000);
     node->election.renewed_at = amb_now();
     amb_duties_tick(node, amb_now());
@@ -364,9 +367,9 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_machine *machine = machine_up(rows[i].machine, 0);
         if (rows[i].planned)
-            amb_rental_give_back(node, machine, rows[i].reason);
+            amb_cloud_scale_in(node, machine, rows[i].reason);
         else
-            amb_rental_release(node, machine, rows[i].reason);
+            amb_cloud_release(node, machine, rows[i].reason);
     }
     for (size_t i = 0; i < ROWS(rows); i++) {
         amb_duties_tick(node, amb_now());
@@ -381,10 +384,10 @@
     amb_duties_tick(node, amb_now());
     assert_null(find_call("POST", "/commit"));
     assert_null(find_call("POST", "/machines/release"));
-    order_news(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 80);
+    apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 80);
     assert_null(amb_machine_get(node, "m-1", false));
     /* Not accepted: the machine is there, is not used, and is ordered away under another name. */
-    order_news(AMB_DUTY_RECLAIM, "t-50-2", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_MALFORMED, "m-2", 81);
+    apply_intent(AMB_DUTY_RECLAIM, "t-50-2", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_MALFORMED, "m-2", 81);
     assert_false(amb_machine_usable(node, amb_machine_get(node, "m-2", false), amb_now()));
     amb_duties_tick(node, amb_now());
     assert_non_null(open_commit("a/order/reclaim/t-50-4"));
@@ -397,28 +400,29 @@
 static void new_leaders_know_what_is_being_returned(void **state) {
     (void)state;
     static const enum amb_duty_name duties[] = {AMB_DUTY_RETURN, AMB_DUTY_RECLAIM};
-    static const enum amb_duty_order_state states[] = {AMB_DUTY_ORDER_WANTED, AMB_DUTY_ORDER_SENT};
-    for (size_t d = 0; d < ROWS(duties); d++)
-        for (size_t s = 0; s < ROWS(states); s++) {
+    static const enum amb_duty_intent_state states[] = {AMB_DUTY_INTENT_PENDING, AMB_DUTY_INTENT_SENT};
+    for (size_t duty_index = 0; duty_index < ROWS(duties); duty_index++)
+        for (size_t state_index = 0; state_index < ROWS(states); state_index++) {
             begin_duties_anew();
             use_duties();
             node->controller.restored_at = 0;
-            order_news(duties[d], "t-40-1", states[s], AMB_DUTY_RESULT_NONE, "m-1", 61);
-            order_news(duties[d], "t-40-2", states[s], AMB_DUTY_RESULT_NONE, "m-2", 62);
+            apply_intent(duties[duty_index], "t-40-1", states[state_index], AMB_DUTY_RESULT_NONE, "m-1", 61);
+            apply_intent(duties[duty_index], "t-40-2", states[state_index], AMB_DUTY_RESULT_NONE, "m-2", 62);
             struct amb_machine *machine = machine_up("m-1", 0); /* from the records */
-            amb_duties_take_over(node);
+            amb_duties_restore(node);
             node->controller.restored_at = amb_now();
             struct amb_machine *later = amb_machine_get(node, "m-2", true); /* from a report */
             assert_false(amb_machine_usable(node, machine, amb_now()));
             amb_machine_state(machine, AMB_MACHINE_UP, "it reports");
             assert_int_equal(machine->state, AMB_MACHINE_RELEASING);
             assert_int_equal(later->state, AMB_MACHINE_RELEASING);
-            amb_rental_release(node, machine, "silent for too long");
-            amb_rental_release(node, later, "silent for too long");
+            amb_cloud_release(node, machine, "silent for too long");
+            amb_cloud_release(node, later, "silent for too long");
             fake_answer_all_lost();
             amb_duties_tick(node, amb_now());
             if (find_call("POST", "/commit")) fail_msg("returned twice");
-            order_news(duties[d], "t-40-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 63);
+            apply_intent(duties[duty_index], "t-40-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1",
+                         63);
             assert_null(amb_machine_get(node, "m-1", false));
         }
 }
@@ -429,8 +433,8 @@
     (void)state;
     use_duties();
     node->controller.restored_at = 0;
-    order_news(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 61);
-    amb_duties_take_over(node);
+    apply_intent(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 61);
+    amb_duties_restore(node);
     node->controller.restored_at = amb_now();
     struct amb_machine *machine = amb_machine_get(node, "m-1", true);
     amb_machine_state(machine, AMB_MACHINE_UP, "it reports");
@@ -441,24 +445,24 @@
     (void)state;
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-    mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
-    amb_duties_listed(node);
-    assert_false(amb_duties_ready(node));
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    amb_duties_note_listed(node);
+    assert_false(amb_duties_is_ready(node));
     answer_list("a/duty&");
-    assert_false(amb_duties_ready(node));
+    assert_false(amb_duties_is_ready(node));
     answer_list("a/order/");
-    assert_true(amb_duties_ready(node));
+    assert_true(amb_duties_is_ready(node));
 }
 
 static void new_leaders_take_over_rentals(void **state) {
     (void)state;
     use_duties();
     node->controller.restored_at = 0;
-    order_news(AMB_DUTY_RENT, "r-40-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
-    order_news(AMB_DUTY_RENT, "r-40-2", AMB_DUTY_ORDER_SETTLED, AMB_DUTY_RESULT_DONE, "m-7", 62);
-    amb_duties_take_over(node);
-    assert_non_null(amb_rental_request_find(node, "r-40-1"));
-    assert_null(amb_rental_request_find(node, "r-40-2"));
+    apply_intent(AMB_DUTY_RENT, "r-40-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
+    apply_intent(AMB_DUTY_RENT, "r-40-2", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-7", 62);
+    amb_duties_restore(node);
+    assert_non_null(amb_scale_out_find(node, "r-40-1"));
+    assert_null(amb_scale_out_find(node, "r-40-2"));
     assert_int_equal(amb_machine_get(node, "m-7", false)->state, AMB_MACHINE_BOOTING);
 }
 
@@ -473,11 +477,11 @@
     amb_w_str(&buffer, "spot"), amb_w_bool(&buffer, false);
     amb_w_str(&buffer, "count"), amb_w_uint(&buffer, 3);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
-    amb_rental_load(node, "b/r/r-40-7", value);
+    amb_scale_out_restore(node, "b/r/r-40-7", value);
     cbor_decref(&value);
     amb_buf_free(&buffer);
-    node->cloud.list_at = amb_now();
-    amb_rental_tick(node, amb_now());
+    node->cloud.list_started_at = amb_now();
+    amb_cloud_tick(node, amb_now());
     assert_null(find_call("POST", "/machines"));
 }
 
@@ -487,7 +491,7 @@
     char err[128];
     use_duties();
     node->controller.restored_at = 0;
-    order_news(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
+    apply_intent(AMB_DUTY_RETURN, "t-40-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
     fake_answer_all_lost();
     amb_controller_start_leading(node);
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
@@ -506,20 +510,20 @@
 
 /* ---- the listing of all keys ---- */
 
-static void put_pair(struct amb_buf *body, const char *key, uint64_t stamp, const struct amb_buf *value) {
+static void put_pair(struct amb_buf *body, const char *key, uint64_t revision, const struct amb_buf *value) {
     amb_w_map(body, 3);
     amb_w_str(body, "path"), amb_w_str(body, key);
-    amb_w_str(body, "stamp"), amb_w_uint(body, stamp);
+    amb_w_str(body, "stamp"), amb_w_uint(body, revision);
     amb_w_str(body, "value"), amb_buf_add(body, value->data, value->len);
 }
 
-static void answer_page(const char *key, uint64_t stamp, struct amb_buf *value, bool more) {
+static void answer_page(const char *key, uint64_t revision, struct amb_buf *value, bool more) {
     struct amb_buf body = {0};
     amb_w_map(&body, 3);
     amb_w_str(&body, "epoch"), amb_w_uint(&body, 90);
     amb_w_str(&body, "truncated"), amb_w_bool(&body, more);
     amb_w_str(&body, "pairs"), amb_w_list(&body, 1);
-    put_pair(&body, key, stamp, value);
+    put_pair(&body, key, revision, value);
     amb_buf_free(value);
     fake_answer(open_call("GET", "/store?prefix=a/"), 200, &body);
 }
@@ -528,12 +532,12 @@
 static void the_leader_key_may_be_on_an_earlier_page(void **state) {
     (void)state;
     struct amb_buf leader = {0}, order = {0};
-    struct amb_duty_order_record record = {.duty = AMB_DUTY_RETURN};
-    struct amb_duty_work work = {.reason = "idle"};
+    struct amb_duty_intent_record record = {.duty = AMB_DUTY_RETURN};
+    struct amb_duty_work_order work = {.reason = "idle"};
     amb_w_map(&leader, 2);
     amb_w_str(&leader, "member"), amb_w_str(&leader, "n-0");
     amb_w_str(&leader, "nonce"), amb_w_uint(&leader, 1);
-    amb_duty_encode_order(&order, &record, &work);
+    amb_duty_encode_intent(&order, &record, &work);
     amb_watch_start(node);
     answer_page(LEADER_KEY, TERM, &leader, true);
     answer_page("a/order/return/t-1-1", 61, &order, false);
@@ -545,8 +549,8 @@
 /* The cloud's list is read, from now: one page that names this machine (NULL: none). */
 static void read_list(const char *machine, const char *stance, bool more) {
     struct amb_buf body = {0};
-    node->cloud.list_at = 0;
-    amb_machine_list_tick(node, amb_now());
+    node->cloud.list_started_at = 0;
+    amb_cloud_list_tick(node, amb_now());
     amb_w_map(&body, 2);
     amb_w_str(&body, "truncated"), amb_w_bool(&body, more);
     amb_w_str(&body, "rigs"), amb_w_list(&body, machine != NULL);
@@ -579,32 +583,32 @@
         begin_duties_anew();
         use_duties();
         fake_answer_all_lost();
-        struct amb_duty_work work = {0};
+        struct amb_duty_work_order work = {0};
         const struct amb_duty_ports *ports = &node->duties.service.ports;
-        amb_duty_work_add_machine(&work, "m-1");
-        order_news(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
+        amb_duty_work_order_add_machine(&work, "m-1");
+        apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
         if (rows[i].second) {
-            amb_duty_work_add_machine(&work, "m-2");
-            order_news(AMB_DUTY_RETURN, "t-50-2", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, "m-2", 62);
+            amb_duty_work_order_add_machine(&work, "m-2");
+            apply_intent(AMB_DUTY_RETURN, "t-50-2", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-2", 62);
         }
         amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.report_s);
         fake_clock_advance(rows[i].early ? span : span + 1);
         fake_answer_all_lost();
         if (!rows[i].no_list) read_list(rows[i].listed, rows[i].stance, rows[i].more);
         if (rows[i].stops_leading) amb_controller_stop_leading(node, "a test");
-        if (ports->proved_gone(node, &work) != rows[i].proved)
+        if (ports->is_proved_gone(node, &work) != rows[i].proved)
             fail_msg("%s: proved: %d", rows[i].what, !rows[i].proved);
-        amb_duty_work_free(&work);
+        amb_duty_work_order_free(&work);
     }
-    const struct amb_duty_work empty = {0};
-    assert_false(node->duties.service.ports.proved_gone(node, &empty));
+    const struct amb_duty_work_order empty = {0};
+    assert_false(node->duties.service.ports.is_proved_gone(node, &empty));
 }
 
 /* ---- the holder's calls ---- */
 
 static void cloud_done(void *arg, struct amb_duty_cloud_reply *reply) {
     *(enum amb_duty_cloud_answer *)arg = reply->answer;
-    amb_duty_work_free(&reply->rented);
+    amb_duty_work_order_free(&reply->acquired);
 }
 
 static void calls_carry_the_token(void **state) {
@@ -617,25 +621,25 @@
     } rows[] = {
         {AMB_DUTY_RETURN, 200, NULL, AMB_DUTY_CLOUD_DONE},
         {AMB_DUTY_RENT, 200, "readable", AMB_DUTY_CLOUD_DONE},
-        {AMB_DUTY_RENT, 200, NULL, AMB_DUTY_CLOUD_LOST},
+        {AMB_DUTY_RENT, 200, NULL, AMB_DUTY_CLOUD_NO_ANSWER},
         {AMB_DUTY_RENT, 503, "no capacity", AMB_DUTY_CLOUD_NO_CAPACITY},
         {AMB_DUTY_RENT, 503, "trouble", AMB_DUTY_CLOUD_BUSY},
-        {AMB_DUTY_RECLAIM, 409, NULL, AMB_DUTY_CLOUD_STALE},
+        {AMB_DUTY_RECLAIM, 409, NULL, AMB_DUTY_CLOUD_FENCED},
         {AMB_DUTY_RENT, 400, NULL, AMB_DUTY_CLOUD_MALFORMED},
-        {AMB_DUTY_RECLAIM, 0, NULL, AMB_DUTY_CLOUD_LOST},
+        {AMB_DUTY_RECLAIM, 0, NULL, AMB_DUTY_CLOUD_NO_ANSWER},
         {AMB_DUTY_RETURN, 429, NULL, AMB_DUTY_CLOUD_BUSY},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        uint64_t token = 0;
+        uint64_t fencing_token = 0;
         enum amb_duty_cloud_answer answer = AMB_DUTY_CLOUD_NOT_SENT;
-        const struct amb_duty_order_record order = {.duty = rows[i].duty, .id = "r-1-1"};
-        const struct amb_duty_work work = {.type = "g8", .zone = "a", .count = 1};
+        const struct amb_duty_intent_record intent = {.duty = rows[i].duty, .id = "r-1-1"};
+        const struct amb_duty_work_order work = {.type = "g8", .zone = "a", .count = 1};
         struct amb_buf body = {0};
         begin_duties_anew();
-        assert_true(amb_duties_call_cloud(node, &order, &work, 7, cloud_done, &answer));
+        assert_true(amb_duties_call_cloud(node, &intent, &work, 7, cloud_done, &answer));
         struct fake_call *call = open_call("POST", "/machines");
-        assert_true(amb_cbor_uint(amb_cbor_get(call->map, "baton"), &token));
-        assert_int_equal(token, 7);
+        assert_true(amb_cbor_uint(amb_cbor_get(call->map, "baton"), &fencing_token));
+        assert_int_equal(fencing_token, 7);
         assert_true(amb_cbor_eq(amb_cbor_get(call->map, "duty"), amb_duty_name_text(rows[i].duty)));
         if (rows[i].duty == AMB_DUTY_RENT)
             assert_true(amb_cbor_eq(amb_cbor_get(call->map, "charter"), "r-1-1"));
@@ -665,13 +669,13 @@
         begin_duties_anew();
         amb_store_set_leadership(&node->store, false);
         use_duties();
-        if (!rows[i].in_use) mode_news(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
+        if (!rows[i].in_use) apply_mode(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
         struct amb_duty_service *service = &node->duties.service;
         for (int k = 0; k < AMB_DUTY_NAMES; k++)
             service->core.duties[k].state = rows[i].held[k] ? AMB_DUTY_FENCED : AMB_DUTY_IDLE;
         fake_clock_advance(service->core.settings.backoff / 4);
         for (int k = 0; k < AMB_DUTY_NAMES; k++)
-            assert_int_equal(amb_duty_service_holds(service, (enum amb_duty_name)k), rows[i].held[k]);
+            assert_int_equal(amb_duty_service_is_holder(service, (enum amb_duty_name)k), rows[i].held[k]);
         if (fabs(node->store.write_bucket.tokens_per_second - rows[i].writes) > 1e-6)
             fail_msg("row %zu: %g", i, node->store.write_bucket.tokens_per_second);
     }
@@ -681,11 +685,11 @@
 static void the_end_of_duties_ends_the_share(void **state) {
     (void)state;
     amb_store_set_leadership(&node->store, false);
-    mode_news(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     take_part();
     fake_clock_advance(1000);
     assert_true(node->store.duties_in_use);
-    mode_news(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
+    apply_mode(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
     fake_clock_advance(1000);
     fake_answer_all_lost();
     assert_false(node->duties.service.active);
@@ -697,12 +701,13 @@
 static void operators_see_duties(void **state) {
     (void)state;
     use_duties();
-    order_news(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_ORDER_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
+    apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
     struct amb_buf value = {0};
-    struct amb_duty_record record = {.holder = "n-2", .holder_session = 5, .token = 4, .cause = "vacant"};
+    struct amb_duty_record record = {
+        .holder = "n-2", .holder_incarnation = 5, .fencing_token = 4, .cause = "vacant"};
     amb_duty_encode_record(&value, &record);
-    news("a/duty/rent", &value, 64);
-    assert_true(amb_duties_request(node, new_request("GET", "/duties", NULL)));
+    apply_change("a/duty/rent", &value, 64);
+    assert_true(amb_duties_handle_request(node, new_request("GET", "/duties", NULL)));
     assert_int_equal(latest()->status, 200);
     json_t *said = json_loadb(latest()->body.data, latest()->body.len, 0, NULL);
     assert_string_equal(json_string_value(json_object_get(said, "node")), "n-0");
@@ -736,7 +741,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_buf body = {0};
         amb_buf_str(&body, rows[i].body);
-        assert_true(amb_duties_request(node, new_request("POST", "/duties/handover", &body)));
+        assert_true(amb_duties_handle_request(node, new_request("POST", "/duties/handover", &body)));
         struct fake_call *commit = find_call("POST", "/commit");
         if ((commit != NULL) != rows[i].taken) fail_msg("row %zu: taken: %d", i, commit != NULL);
         if (!commit) {
@@ -762,7 +767,7 @@
         char err[256] = "";
         node->options.duties = rows[i].on;
         node->options.duty_lease = rows[i].lease;
-        bool good = amb_duties_check(&node->settings, &node->options, "options.xml", err, sizeof err);
+        bool good = amb_duties_check_options(&node->settings, &node->options, "options.xml", err, sizeof err);
         if (good != rows[i].good) fail_msg("row %zu: %s", i, err);
         if (!good && (!strstr(err, "options.xml: duty-lease: ") || !strstr(err, "must be")))
             fail_msg("row %zu: %s", i, err);
--- a/tests/duty_model/explorer.c
+++ b/tests/duty_model/explorer.c
@@ -133,15 +133,15 @@
 _Static_assert(sizeof(struct world_member) % sizeof(uint64_t) == 0, "states are packed by words");
 _Static_assert(sizeof(struct world_message) % sizeof(uint64_t) == 0, "states are packed by words");
 
-static int compare_messages(const void *a, const void *b) {
-    return memcmp(a, b, sizeof(struct world_message));
+static int compare_messages(const void *left, const void *right) {
+    return memcmp(left, right, sizeof(struct world_message));
 }
 
 /* Messages may overtake each other, so that the order in which they stand says nothing. */
 static void pack_state(struct words *words, struct state *state) {
     struct world *world = &state->world;
     words->length = 0;
-    for (uint32_t i = 0; i < world->nmembers; i++) world->members[i].core.ledger.orders = NULL;
+    for (uint32_t i = 0; i < world->nmembers; i++) world->members[i].core.intents.entries = NULL;
     qsort(world->messages, world->nmessages, sizeof *world->messages, compare_messages);
     pack(words, state, offsetof(struct state, world.members));
     pack(words, world->members, world->nmembers * sizeof *world->members);
@@ -189,7 +189,7 @@
     bool answers_call = message->kind == WORLD_ANSWER && message->answer.call;
     bool can_give_up = message->kind == WORLD_ANSWER
                            ? answers_call && message->answer.result != AMB_CALL_LOST &&
-                                 message->answer.answer != AMB_DUTY_CLOUD_LOST
+                                 message->answer.answer != AMB_DUTY_CLOUD_NO_ANSWER
                            : message->kind != WORLD_TO_SEND && !message->given_up;
     switch (choice.kind) {
     case CHOOSE_DELIVER: world_deliver(world, choice.index, false, false); return true;
@@ -208,14 +208,14 @@
     }
 }
 
-static bool choose_member(const struct exploration *x, struct state *state, struct choice choice) {
+static bool choose_member(const struct exploration *exploration, struct state *state, struct choice choice) {
     struct world *world = &state->world;
     uint32_t i = choice.index;
     if (i >= world->nmembers) return false;
     struct world_member *member = &world->members[i];
     if (choice.kind == CHOOSE_RESTART) {
         if (member->running || !spend(&state->left.restarts)) return false;
-        world_start(world, i, &x->settings, i);
+        world_start(world, i, &exploration->settings, i);
         return true;
     }
     if (!member->running) return false;
@@ -230,16 +230,18 @@
         world_kill(world, i);
         return true;
     default:
-        if (member->core.duties[x->scenario->duty].state != AMB_DUTY_HELD || !spend(&state->left.drains))
+        if (member->core.duties[exploration->scenario->duty].state != AMB_DUTY_HELD ||
+            !spend(&state->left.drains))
             return false;
-        world_step(world, i,
-                   (struct amb_duty_event){.type = AMB_DUTY_DRAIN_ASKED, .duty = x->scenario->duty});
+        world_step(
+            world, i,
+            (struct amb_duty_event){.type = AMB_DUTY_DRAIN_REQUESTED, .duty = exploration->scenario->duty});
         return true;
     }
 }
 
 /* False: this choice is not there in this state. */
-static bool choose(const struct exploration *x, struct state *state, struct choice choice) {
+static bool choose(const struct exploration *exploration, struct state *state, struct choice choice) {
     struct world *world = &state->world;
     switch (choice.kind) {
     case CHOOSE_DELIVER:
@@ -251,17 +253,17 @@
         if (choice.index || world_next_expiry(world) <= world_service_clock(world) ||
             !spend(&state->left.advances))
             return false;
-        world->now += x->scenario->quantum;
+        world->now += exploration->scenario->quantum;
         world_check(world);
         return true;
     case CHOOSE_EXPIRE: return !choice.index && world_expire(world);
     case CHOOSE_PLACE:
-        return choice.index < x->scenario->orders && state->left.placements &&
+        return choice.index < exploration->scenario->intents && state->left.placements &&
                world_place(world, choice.index) && spend(&state->left.placements);
     case CHOOSE_WITHDRAW:
-        return choice.index < x->scenario->orders && state->left.withdrawals &&
+        return choice.index < exploration->scenario->intents && state->left.withdrawals &&
                world_withdraw(world, choice.index) && spend(&state->left.withdrawals);
-    default: return choose_member(x, state, choice);
+    default: return choose_member(exploration, state, choice);
     }
 }
 
@@ -274,7 +276,7 @@
     case CHOOSE_ADVANCE:
     case CHOOSE_EXPIRE: return 1;
     case CHOOSE_PLACE:
-    case CHOOSE_WITHDRAW: return WORLD_ORDERS;
+    case CHOOSE_WITHDRAW: return WORLD_INTENTS;
     default: return state->world.nmembers;
     }
 }
@@ -295,79 +297,80 @@
                                    choice_names[steps[count].kind], steps[count].index);
 }
 
-static void enqueue(struct exploration *x, const struct words *words, struct visited *entry, uint32_t depth) {
+static void enqueue(struct exploration *exploration, const struct words *words, struct visited *entry,
+                    uint32_t depth) {
     struct queued *queued = amb_alloc(sizeof *queued + words->length * sizeof *words->data);
     queued->visited = entry;
     queued->depth = depth;
     queued->length = words->length;
     memcpy(queued->data, words->data, words->length * sizeof *words->data);
-    if (x->last)
-        x->last->next = queued;
+    if (exploration->last)
+        exploration->last->next = queued;
     else
-        x->first = queued;
-    x->last = queued;
+        exploration->first = queued;
+    exploration->last = queued;
 }
 
 /* Adds a state that has not been seen; false: it has. */
-static bool visit(struct exploration *x, struct words *words, struct state *state, struct visited *parent,
-                  struct choice choice, uint32_t depth) {
+static bool visit(struct exploration *exploration, struct words *words, struct state *state,
+                  struct visited *parent, struct choice choice, uint32_t depth) {
     pack_state(words, state);
     struct digest digest = digest_of(words);
     struct visited *entry;
-    HASH_FIND(hh, x->visited, &digest, sizeof digest, entry);
+    HASH_FIND(hh, exploration->visited, &digest, sizeof digest, entry);
     if (entry) return false;
     entry = amb_alloc(sizeof *entry);
     entry->digest = digest;
     entry->parent = parent;
     entry->choice = choice;
-    HASH_ADD(hh, x->visited, digest, sizeof digest, entry);
-    x->result.states++;
-    if (depth > x->result.depth) x->result.depth = depth;
-    enqueue(x, words, entry, depth);
+    HASH_ADD(hh, exploration->visited, digest, sizeof digest, entry);
+    exploration->result.states++;
+    if (depth > exploration->result.depth) exploration->result.depth = depth;
+    enqueue(exploration, words, entry, depth);
     return true;
 }
 
-static void found(struct exploration *x, const char *violation, const struct visited *at,
+static void found(struct exploration *exploration, const char *violation, const struct visited *at,
                   struct choice last) {
-    if (x->result.violation) return;
-    x->result.violation = violation;
-    tell_path(&x->result, at, last);
+    if (exploration->result.violation) return;
+    exploration->result.violation = violation;
+    tell_path(&exploration->result, at, last);
 }
 
-static void expand(struct exploration *x, const struct queued *queued, struct state *state,
+static void expand(struct exploration *exploration, const struct queued *queued, struct state *state,
                    struct words *words) {
     struct state *next = amb_alloc(sizeof *next);
     bool fresh = false; /* a choice that is not there changes nothing */
     for (int kind = 0; kind < CHOICE_KINDS; kind++) {
         uint32_t count = choices_of(state, (uint8_t)kind);
-        for (uint32_t index = 0; index < count && !x->result.violation; index++) {
+        for (uint32_t index = 0; index < count && !exploration->result.violation; index++) {
             struct choice choice = {(uint8_t)kind, (uint8_t)index};
             if (!fresh) unpack_state(queued->data, next);
-            fresh = !choose(x, next, choice);
+            fresh = !choose(exploration, next, choice);
             if (fresh) continue;
-            x->result.steps++;
+            exploration->result.steps++;
             if (next->world.violation)
-                found(x, next->world.violation, queued->visited, choice);
+                found(exploration, next->world.violation, queued->visited, choice);
             else
-                visit(x, words, next, queued->visited, choice, queued->depth + 1);
+                visit(exploration, words, next, queued->visited, choice, queued->depth + 1);
         }
     }
     free(next);
 }
 
 /* Is all well in the end, if no more faults come? */
-static void play_on(struct exploration *x, const struct queued *queued, struct state *state) {
-    if (!x->quiet_every || queued->visited->digest.half[0] % x->quiet_every) return;
-    x->result.quieted++;
+static void play_on(struct exploration *exploration, const struct queued *queued, struct state *state) {
+    if (!exploration->quiet_every || queued->visited->digest.half[0] % exploration->quiet_every) return;
+    exploration->result.quieted++;
     world_quiet_down(&state->world, QUIET_STEP, QUIET_FOR);
     if (state->world.violation)
-        found(x, state->world.violation, queued->visited, (struct choice){CHOOSE_ADVANCE, 0});
+        found(exploration, state->world.violation, queued->visited, (struct choice){CHOOSE_ADVANCE, 0});
 }
 
 static struct amb_duty_settings small_settings(const struct explorer_scenario *scenario) {
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, 3 * (amb_ms)TTL);
     for (int i = 0; i < AMB_DUTY_NAMES; i++) settings.enabled[i] = i == (int)scenario->duty;
-    settings.margin = 0; /* so that nothing but the allowance for drift covers drift */
+    settings.safety_margin = 0; /* so that nothing but the allowance for drift covers drift */
     settings.call_timeout = CALL_TIMEOUT;
     settings.backoff = BACKOFF;
     int32_t drift = scenario->service_drift_ppm > -scenario->member_drift_ppm ? scenario->service_drift_ppm
@@ -377,32 +380,32 @@
 }
 
 /* Members have joined, and the duty has its holder. */
-static void begin(struct exploration *x, struct state *state) {
-    const struct explorer_scenario *scenario = x->scenario;
+static void begin(struct exploration *exploration, struct state *state) {
+    const struct explorer_scenario *scenario = exploration->scenario;
     struct world *world = &state->world;
     world_init(world, scenario->members);
     world->repeatable_random = true;
-    world->instant_sessions = scenario->instant_sessions;
+    world->instant_incarnations = scenario->instant_incarnations;
     world->service.drift_ppm = scenario->service_drift_ppm;
     for (uint32_t i = 0; i < scenario->members; i++) {
         world->members[i].drift_ppm = scenario->member_drift_ppm;
-        world_start(world, i, &x->settings, i);
+        world_start(world, i, &exploration->settings, i);
     }
     world_quiet_down(world, QUIET_STEP, 3 * (amb_ms)TTL);
     world->fault = scenario->fault;
     for (uint32_t i = 0; i < scenario->members; i++) world->members[i].ticked_at = 0;
-    for (uint32_t i = 0; i < scenario->orders; i++) world_order(world, i, scenario->duty);
+    for (uint32_t i = 0; i < scenario->intents; i++) world_create_intent(world, i, scenario->duty);
     state->left = scenario->limits;
 }
 
-static void clear(struct exploration *x) {
-    struct visited *entry = x->visited;
-    while (x->first) {
-        struct queued *queued = x->first;
-        x->first = queued->next;
+static void clear(struct exploration *exploration) {
+    struct visited *entry = exploration->visited;
+    while (exploration->first) {
+        struct queued *queued = exploration->first;
+        exploration->first = queued->next;
         free(queued);
     }
-    HASH_CLEAR(hh, x->visited); /* the entries stay, as a list */
+    HASH_CLEAR(hh, exploration->visited); /* the entries stay, as a list */
     while (entry) {
         struct visited *next = entry->hh.next;
         free(entry);
@@ -412,28 +415,28 @@
 
 struct explorer_result explorer_run(const struct explorer_scenario *scenario, uint64_t most,
                                     uint32_t quiet_every) {
-    struct exploration x = {.scenario = scenario, .quiet_every = quiet_every, .most = most};
+    struct exploration exploration = {.scenario = scenario, .quiet_every = quiet_every, .most = most};
     struct words words = {0};
     struct state *state = amb_alloc(sizeof *state);
-    x.settings = small_settings(scenario);
-    begin(&x, state);
-    x.result.violation = state->world.violation;
-    visit(&x, &words, state, NULL, (struct choice){0}, 0);
-    while (x.first && !x.result.violation && x.result.states < most) {
-        struct queued *queued = x.first;
-        x.first = queued->next;
-        if (!x.first) x.last = NULL;
+    exploration.settings = small_settings(scenario);
+    begin(&exploration, state);
+    exploration.result.violation = state->world.violation;
+    visit(&exploration, &words, state, NULL, (struct choice){0}, 0);
+    while (exploration.first && !exploration.result.violation && exploration.result.states < most) {
+        struct queued *queued = exploration.first;
+        exploration.first = queued->next;
+        if (!exploration.first) exploration.last = NULL;
         unpack_state(queued->data, state);
-        expand(&x, queued, state, &words);
-        if (!x.result.violation) {
+        expand(&exploration, queued, state, &words);
+        if (!exploration.result.violation) {
             unpack_state(queued->data, state);
-            play_on(&x, queued, state);
+            play_on(&exploration, queued, state);
         }
         free(queued);
     }
-    x.result.complete = !x.first && !x.result.violation;
-    clear(&x);
+    exploration.result.complete = !exploration.first && !exploration.result.violation;
+    clear(&exploration);
     free(words.data);
     free(state);
-    return x.result;
+    return exploration.result;
 }
--- a/tests/duty_model/explorer.h
+++ b/tests/duty_model/explorer.h
@@ -16,12 +16,12 @@
     const char *name;
     uint32_t members;
     enum amb_duty_name duty; /* the one that there is */
-    uint32_t orders;
+    uint32_t intents;
     int32_t member_drift_ppm, service_drift_ppm;
     amb_ms quantum;
     struct explorer_limits limits;
-    bool instant_sessions; /* see struct world */
-    bool in_ci;            /* small enough to be explored whenever the tests run */
+    bool instant_incarnations; /* see struct world */
+    bool in_ci;                /* small enough to be explored whenever the tests run */
     enum world_fault fault;
 };
 
--- a/tests/duty_model/scenarios.c
+++ b/tests/duty_model/scenarios.c
@@ -4,8 +4,8 @@
 
 /* All begin with a holder, sessions that have just been renewed, and orders that nobody has heard of yet. */
 #define WORLD(label, what, count, ordered, step)                                                             \
-    .name = label, .members = count, .duty = AMB_DUTY_##what, .orders = ordered, .quantum = step,            \
-    .instant_sessions = true
+    .name = label, .members = count, .duty = AMB_DUTY_##what, .intents = ordered, .quantum = step,           \
+    .instant_incarnations = true
 
 const struct explorer_scenario duty_scenarios[] = {
     {WORLD("lapse", RENT, 3, 0, 700), .in_ci = true, .limits = {.advances = 2, .kills = 1}},
--- a/tests/duty_model/simulate_main.c
+++ b/tests/duty_model/simulate_main.c
@@ -15,8 +15,8 @@
         struct simulation_day day = simulation_draw(seed);
         struct simulation_result result = simulation_play(&day);
         sum.handovers += result.handovers;
-        sum.orders += result.orders;
-        sum.stale_refused += result.stale_refused;
+        sum.intents += result.intents;
+        sum.fenced_calls += result.fenced_calls;
         sum.settled_done += result.settled_done;
         sum.settled_refused += result.settled_refused;
         sum.settled_void += result.settled_void;
@@ -36,9 +36,9 @@
            "stale "
            "calls refused; %llu vacancies, %.0f ms on average, %lld ms at most\n",
            (unsigned long long)count, (unsigned long long)failed, (unsigned long long)sum.handovers,
-           (unsigned long long)sum.orders, (unsigned long long)sum.settled_done,
+           (unsigned long long)sum.intents, (unsigned long long)sum.settled_done,
            (unsigned long long)sum.settled_refused, (unsigned long long)sum.settled_void,
-           (unsigned long long)sum.stale_refused, (unsigned long long)sum.vacancies,
+           (unsigned long long)sum.fenced_calls, (unsigned long long)sum.vacancies,
            sum.vacancies ? (double)sum.vacancy_sum / (double)sum.vacancies : 0.0,
            (long long)sum.vacancy_most);
     return failed ? 1 : 0;
--- a/tests/duty_model/simulation.h
+++ b/tests/duty_model/simulation.h
@@ -47,7 +47,7 @@
 struct simulation_result {
     const char *violation; /* NULL: none */
     amb_ms at;
-    uint64_t handovers, orders, stale_refused;
+    uint64_t handovers, intents, fenced_calls;
     uint64_t settled_done, settled_refused, settled_void;
     uint64_t vacancies; /* spans of time in which nobody had the right to a duty */
     amb_ms vacancy_sum, vacancy_most, vacancy_bound;
--- a/tests/duty_model/world.c
+++ b/tests/duty_model/world.c
@@ -37,14 +37,14 @@
 
 void world_start(struct world *world, uint32_t member, const struct amb_duty_settings *settings,
                  uint64_t seed) {
-    struct world_member *m = &world->members[member];
+    struct world_member *self = &world->members[member];
     char name[AMB_NAME_SIZE];
     member_name(member, name);
-    m->running = true;
-    m->incarnation++;
-    m->news = 0;
-    m->ticked_at = -1;
-    amb_duty_init(&m->core, settings, name, seed, m->orders, WORLD_ORDERS);
+    self->running = true;
+    self->incarnation++;
+    self->news = 0;
+    self->ticked_at = -1;
+    amb_duty_core_init(&self->core, settings, name, seed, self->intents, WORLD_INTENTS);
     for (int i = 0; i < AMB_DUTY_NAMES; i++)
         world_step(world, member,
                    (struct amb_duty_event){.type = AMB_DUTY_RECORD_CHANGED,
@@ -58,10 +58,10 @@
 
 /* What it has not sent yet is lost with it, and answers find nobody. */
 void world_kill(struct world *world, uint32_t member) {
-    struct world_member *m = &world->members[member];
-    m->running = false;
-    memset(&m->core, 0, sizeof m->core);
-    memset(m->orders, 0, sizeof m->orders);
+    struct world_member *self = &world->members[member];
+    self->running = false;
+    memset(&self->core, 0, sizeof self->core);
+    memset(self->intents, 0, sizeof self->intents);
     for (uint32_t i = world->nmessages; i-- > 0;) {
         const struct world_message *message = &world->messages[i];
         if (message->member == member && (message->kind == WORLD_TO_SEND || message->kind == WORLD_ANSWER))
@@ -93,11 +93,11 @@
 
 /* ---- members ---- */
 
-static const struct amb_duty_order_record *find_order(const struct world *world, enum amb_duty_name duty,
-                                                      const char *id) {
-    for (uint32_t i = 0; i < WORLD_ORDERS; i++) {
-        const struct amb_duty_order_record *order = &world->service.orders[i];
-        if (order->id[0] && order->duty == duty && !strcmp(order->id, id)) return order;
+static const struct amb_duty_intent_record *find_intent(const struct world *world, enum amb_duty_name duty,
+                                                        const char *id) {
+    for (uint32_t i = 0; i < WORLD_INTENTS; i++) {
+        const struct amb_duty_intent_record *intent = &world->service.intents[i];
+        if (intent->id[0] && intent->duty == duty && !strcmp(intent->id, id)) return intent;
     }
     return NULL;
 }
@@ -108,20 +108,21 @@
     switch (action->type) {
     case AMB_DUTY_READ_MEMBER:
         event.type = AMB_DUTY_MEMBER_CHANGED;
-        event.member = service->members[member_index(action->guard_member.member)];
-        if (!event.member.present) event.member.stamp = service->revision;
+        event.member = service->members[member_index(action->expected_member.member)];
+        if (!event.member.present) event.member.revision = service->revision;
         break;
     case AMB_DUTY_READ_RECORD:
         event.type = AMB_DUTY_RECORD_CHANGED;
         event.record = service->duties[action->duty];
         break;
     default: {
-        event.type = AMB_DUTY_ORDER_READ;
-        const struct amb_duty_order_record *order = find_order(world, action->order.duty, action->order.id);
-        event.order = order && order->present ? *order : action->order;
-        if (!order || !order->present) {
-            event.order.present = false;
-            event.order.stamp = service->revision;
+        event.type = AMB_DUTY_INTENT_READ;
+        const struct amb_duty_intent_record *intent =
+            find_intent(world, action->intent.duty, action->intent.id);
+        event.intent = intent && intent->present ? *intent : action->intent;
+        if (!intent || !intent->present) {
+            event.intent.present = false;
+            event.intent.revision = service->revision;
         }
     }
     }
@@ -131,30 +132,30 @@
 static void end_lease(struct world *world, uint64_t id);
 
 /* All orders that there are, and all that the member knows of and that are not there any more. */
-static void list_orders(struct world *world, const struct world_message *request) {
-    const struct world_member *m = &world->members[request->member];
-    for (uint32_t i = 0; i < WORLD_ORDERS; i++) {
-        struct amb_duty_action read = {.type = AMB_DUTY_READ_ORDER, .order = m->orders[i].record};
+static void list_intents(struct world *world, const struct world_message *request) {
+    const struct world_member *self = &world->members[request->member];
+    for (uint32_t i = 0; i < WORLD_INTENTS; i++) {
+        struct amb_duty_action read = {.type = AMB_DUTY_READ_INTENT, .intent = self->intents[i].record};
         struct amb_duty_event event = read_answer(world, &read);
-        if (read.order.id[0] && !event.order.present) answer(world, request, &event);
+        if (read.intent.id[0] && !event.intent.present) answer(world, request, &event);
     }
-    for (uint32_t i = 0; i < WORLD_ORDERS; i++) {
-        struct amb_duty_event event = {.type = AMB_DUTY_ORDER_CHANGED, .order = world->service.orders[i]};
-        if (event.order.present) answer(world, request, &event);
+    for (uint32_t i = 0; i < WORLD_INTENTS; i++) {
+        struct amb_duty_event event = {.type = AMB_DUTY_INTENT_CHANGED, .intent = world->service.intents[i]};
+        if (event.intent.present) answer(world, request, &event);
     }
 }
 
 /* The action as a core would want it that lacks a mechanism. */
 static struct amb_duty_action at_fault(const struct world *world, const struct amb_duty_action *wanted) {
     struct amb_duty_action action = *wanted;
-    if (world->fault == WORLD_NO_DUTY_GUARD && action.type == AMB_DUTY_COMMIT_ORDER)
-        action.guard_stamp = UINT64_MAX;
-    if (world->fault == WORLD_NO_MEMBER_GUARD && action.type == AMB_DUTY_COMMIT_RECORD)
-        action.guard_member.member[0] = 0;
+    if (world->fault == WORLD_NO_DUTY_COMPARE && action.type == AMB_DUTY_COMMIT_INTENT)
+        action.expected_revision = UINT64_MAX;
+    if (world->fault == WORLD_NO_MEMBER_COMPARE && action.type == AMB_DUTY_COMMIT_RECORD)
+        action.expected_member.member[0] = 0;
     if (world->fault == WORLD_NEW_NAMES && action.type == AMB_DUTY_CALL_CLOUD) {
-        size_t length = strlen(action.order.id);
-        snprintf(action.order.id + length, sizeof action.order.id - length, "%llu",
-                 (unsigned long long)action.token);
+        size_t length = strlen(action.intent.id);
+        snprintf(action.intent.id + length, sizeof action.intent.id - length, "%llu",
+                 (unsigned long long)action.fencing_token);
     }
     return action;
 }
@@ -169,11 +170,11 @@
     struct amb_duty_event event;
     switch (action->type) {
     case AMB_DUTY_STATE_CHANGED: break;
-    case AMB_DUTY_LIST_ORDERS: list_orders(world, &request); break;
-    case AMB_DUTY_DROP_LEASE: end_lease(world, action->lease); break;
+    case AMB_DUTY_LIST_INTENTS: list_intents(world, &request); break;
+    case AMB_DUTY_REVOKE_LEASE: end_lease(world, action->lease); break;
     case AMB_DUTY_READ_MEMBER:
     case AMB_DUTY_READ_RECORD:
-    case AMB_DUTY_READ_ORDER:
+    case AMB_DUTY_READ_INTENT:
         event = read_answer(world, action);
         answer(world, &request, &event);
         break;
@@ -192,14 +193,14 @@
 /* The highest number of a call of this member that anybody still knows of: later ones need only differ from
  * it. */
 static uint64_t highest_call(const struct world *world, uint32_t member) {
-    const struct world_member *m = &world->members[member];
-    uint64_t highest = m->core.session.call;
-    keep_highest(m->core.session.renewal, &highest);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) keep_highest(m->core.duties[i].call, &highest);
-    for (int i = 0; i < WORLD_ORDERS; i++) keep_highest(m->orders[i].call, &highest);
+    const struct world_member *self = &world->members[member];
+    uint64_t highest = self->core.incarnation.call;
+    keep_highest(self->core.incarnation.renewal, &highest);
+    for (int i = 0; i < AMB_DUTY_NAMES; i++) keep_highest(self->core.duties[i].call, &highest);
+    for (int i = 0; i < WORLD_INTENTS; i++) keep_highest(self->intents[i].call, &highest);
     for (uint32_t i = 0; i < world->nmessages; i++) {
         const struct world_message *message = &world->messages[i];
-        if (message->member != member || message->incarnation != m->incarnation) continue;
+        if (message->member != member || message->incarnation != self->incarnation) continue;
         keep_highest(message->kind == WORLD_ANSWER ? message->answer.call : message->action.call, &highest);
     }
     return highest;
@@ -209,15 +210,15 @@
  * touch each other leaves no trace. A nonce is drawn when a lease was granted, and leases have numbers of
  * their own. */
 static void forget_history(struct world *world, uint32_t member, const struct amb_duty_event *event) {
-    struct world_member *m = &world->members[member];
-    m->core.calls = highest_call(world, member);
-    keep_highest(event->call, &m->core.calls);
-    m->core.random = ((uint64_t)member << 48) + ((uint64_t)m->incarnation << 32) + event->lease;
+    struct world_member *self = &world->members[member];
+    self->core.call_counter = highest_call(world, member);
+    keep_highest(event->call, &self->core.call_counter);
+    self->core.random_state = ((uint64_t)member << 48) + ((uint64_t)self->incarnation << 32) + event->lease;
 }
 
 static void serve(struct world *world, const struct world_message *request);
 
-static bool concerns_session(const struct world_message *message) {
+static bool concerns_incarnation(const struct world_message *message) {
     return message->kind == WORLD_TO_SERVICE &&
            (message->action.type == AMB_DUTY_EXTEND_LEASE || message->action.type == AMB_DUTY_GRANT_LEASE ||
             message->action.type == AMB_DUTY_PUT_MEMBER);
@@ -225,10 +226,10 @@
 
 /* Serves one thing that the member has just asked for its lease or key, and takes the answer; false: there is
  * none. */
-static bool serve_session_at_once(struct world *world, uint32_t member, struct amb_duty_event *taken) {
+static bool serve_incarnation_at_once(struct world *world, uint32_t member, struct amb_duty_event *taken) {
     for (uint32_t i = world->nmessages; i-- > 0;) {
         struct world_message message = world->messages[i];
-        if (message.member != member || !concerns_session(&message)) continue;
+        if (message.member != member || !concerns_incarnation(&message)) continue;
         world_drop(world, i);
         serve(world, &message);
         *taken = world->messages[--world->nmessages].answer;
@@ -238,22 +239,22 @@
 }
 
 static void feed(struct world *world, uint32_t member, struct amb_duty_event event) {
-    struct world_member *m = &world->members[member];
+    struct world_member *self = &world->members[member];
     struct amb_duty_output out;
-    m->core.ledger.orders = m->orders;
+    self->core.intents.entries = self->intents;
     event.now = world_member_clock(world, member);
     do {
         if (world->repeatable_random) forget_history(world, member, &event);
-        amb_duty_step(&m->core, &event, &out);
+        amb_duty_core_step(&self->core, &event, &out);
         for (uint32_t i = 0; i < out.count; i++) carry_out(world, member, &out.actions[i]);
         event = (struct amb_duty_event){.type = AMB_DUTY_TICK, .now = event.now};
     } while (out.more);
-    if (world->repeatable_random) m->core.calls = m->core.random = 0;
+    if (world->repeatable_random) self->core.call_counter = self->core.random_state = 0;
 }
 
 void world_step(struct world *world, uint32_t member, struct amb_duty_event event) {
     feed(world, member, event);
-    while (world->instant_sessions && serve_session_at_once(world, member, &event))
+    while (world->instant_incarnations && serve_incarnation_at_once(world, member, &event))
         feed(world, member, event);
     world_check(world);
 }
@@ -265,9 +266,9 @@
 
 /* ---- news ---- */
 
-static void keep_earliest(uint64_t stamp, uint64_t after, uint64_t *best, bool *better) {
-    *better = stamp > after && (!*best || stamp < *best);
-    if (*better) *best = stamp;
+static void keep_earliest(uint64_t revision, uint64_t after, uint64_t *best, bool *better) {
+    *better = revision > after && (!*best || revision < *best);
+    if (*better) *best = revision;
 }
 
 /* The first change after the revision; the revision, or 0 if there is none. */
@@ -276,20 +277,20 @@
     uint64_t best = 0;
     bool better;
     for (uint32_t i = 0; i < world->nmembers; i++) {
-        keep_earliest(service->members[i].stamp, after, &best, &better);
+        keep_earliest(service->members[i].revision, after, &best, &better);
         if (better)
             *event = (struct amb_duty_event){.type = AMB_DUTY_MEMBER_CHANGED, .member = service->members[i]};
     }
     for (int i = 0; i < AMB_DUTY_NAMES; i++) {
-        keep_earliest(service->duties[i].stamp, after, &best, &better);
+        keep_earliest(service->duties[i].revision, after, &best, &better);
         if (better)
             *event = (struct amb_duty_event){
                 .type = AMB_DUTY_RECORD_CHANGED, .duty = (enum amb_duty_name)i, .record = service->duties[i]};
     }
-    for (uint32_t i = 0; i < WORLD_ORDERS; i++) {
-        keep_earliest(service->orders[i].stamp, after, &best, &better);
+    for (uint32_t i = 0; i < WORLD_INTENTS; i++) {
+        keep_earliest(service->intents[i].revision, after, &best, &better);
         if (better)
-            *event = (struct amb_duty_event){.type = AMB_DUTY_ORDER_CHANGED, .order = service->orders[i]};
+            *event = (struct amb_duty_event){.type = AMB_DUTY_INTENT_CHANGED, .intent = service->intents[i]};
     }
     return best;
 }
@@ -325,7 +326,7 @@
         if (service->member_lease[i] != id) continue;
         service->member_lease[i] = 0;
         service->members[i].present = false;
-        service->members[i].stamp = ++service->revision;
+        service->members[i].revision = ++service->revision;
     }
 }
 
@@ -371,16 +372,16 @@
         *result = AMB_CALL_REFUSED;
         return false;
     }
-    if ((key->present ? key->stamp : 0) != action->guard_stamp) return false;
+    if ((key->present ? key->revision : 0) != action->expected_revision) return false;
     *key = action->member;
-    key->stamp = ++service->revision;
+    key->revision = ++service->revision;
     service->member_lease[member] = action->lease;
     return true;
 }
 
-static uint64_t member_stamp(const struct world *world, const char *name) {
+static uint64_t member_revision(const struct world *world, const char *name) {
     const struct amb_duty_member_record *key = &world->service.members[member_index(name)];
-    return key->present ? key->stamp : 0;
+    return key->present ? key->revision : 0;
 }
 
 static bool put_record(struct world *world, uint32_t member, const struct amb_duty_action *action) {
@@ -388,17 +389,19 @@
     struct amb_duty_record *record = &service->duties[action->duty];
     char self[AMB_NAME_SIZE];
     member_name(member, self);
-    if ((record->present ? record->stamp : 0) != action->guard_stamp) return false;
-    if (action->guard_self && member_stamp(world, self) != action->guard_self) return false;
-    if (action->guard_member.member[0] &&
-        member_stamp(world, action->guard_member.member) != action->guard_member.stamp)
+    if ((record->present ? record->revision : 0) != action->expected_revision) return false;
+    if (action->expected_incarnation && member_revision(world, self) != action->expected_incarnation)
+        return false;
+    if (action->expected_member.member[0] &&
+        member_revision(world, action->expected_member.member) != action->expected_member.revision)
         return false;
     bool claims = action->record.state == AMB_DUTY_RECORD_HELD;
-    if (action->record.token < record->token) violate(world, "a token fell");
-    if (claims && action->record.token == record->token) violate(world, "a claim did not raise the token");
+    if (action->record.fencing_token < record->fencing_token) violate(world, "a token fell");
+    if (claims && action->record.fencing_token == record->fencing_token)
+        violate(world, "a claim did not raise the token");
     world->claims += claims;
     *record = action->record;
-    record->stamp = ++service->revision;
+    record->revision = ++service->revision;
     return true;
 }
 
@@ -408,25 +411,25 @@
     return record->present && record->state == AMB_DUTY_RECORD_HELD && member_index(record->holder) == member;
 }
 
-static bool put_order(struct world *world, uint32_t member, const struct amb_duty_action *action) {
+static bool put_intent(struct world *world, uint32_t member, const struct amb_duty_action *action) {
     struct world_service *service = &world->service;
     const struct amb_duty_record *duty = &service->duties[action->duty];
-    struct amb_duty_order_record *order =
-        (struct amb_duty_order_record *)find_order(world, action->order.duty, action->order.id);
-    if (!order || !order->present || order->stamp != action->order.stamp) return false;
-    if (action->guard_stamp != UINT64_MAX && duty->stamp != action->guard_stamp) return false;
+    struct amb_duty_intent_record *intent =
+        (struct amb_duty_intent_record *)find_intent(world, action->intent.duty, action->intent.id);
+    if (!intent || !intent->present || intent->revision != action->intent.revision) return false;
+    if (action->expected_revision != UINT64_MAX && duty->revision != action->expected_revision) return false;
     if (!holds(world, member, action->duty))
         violate(world, "an order was written by another than the holder");
-    bool removes = action->type == AMB_DUTY_REMOVE_ORDER;
-    if (!removes && action->order.token != duty->token)
+    bool removes = action->type == AMB_DUTY_REMOVE_INTENT;
+    if (!removes && action->intent.fencing_token != duty->fencing_token)
         violate(world, "an order was written under a stale token");
-    if (removes && order->state != AMB_DUTY_ORDER_SETTLED) violate(world, "an open order was removed");
-    if (order->state == AMB_DUTY_ORDER_SETTLED && !removes) violate(world, "a settled order was changed");
+    if (removes && intent->state != AMB_DUTY_INTENT_SETTLED) violate(world, "an open order was removed");
+    if (intent->state == AMB_DUTY_INTENT_SETTLED && !removes) violate(world, "a settled order was changed");
     if (removes)
-        order->present = false;
+        intent->present = false;
     else
-        *order = action->order;
-    order->stamp = ++service->revision;
+        *intent = action->intent;
+    intent->revision = ++service->revision;
     return true;
 }
 
@@ -446,11 +449,11 @@
         break;
     case AMB_DUTY_PUT_MEMBER: done = put_member(world, request->member, action, &event.result); break;
     case AMB_DUTY_COMMIT_RECORD: done = put_record(world, request->member, action); break;
-    default: done = put_order(world, request->member, action);
+    default: done = put_intent(world, request->member, action);
     }
     if (done) {
         event.result = AMB_CALL_OK;
-        event.stamp = world->service.revision;
+        event.revision = world->service.revision;
     }
     event.call = action->call;
     event.duty = action->duty;
@@ -461,39 +464,39 @@
 
 /* The order that a call is for. A faulty core may give it another name, of which the order's is the
  * beginning. */
-static uint32_t called_order(const struct world *world, const struct amb_duty_action *action) {
-    for (uint32_t i = 0; i < WORLD_ORDERS; i++) {
-        const char *id = world->service.orders[i].id;
-        if (id[0] && !strncmp(id, action->order.id, strlen(id)) &&
-            world->service.orders[i].duty == action->duty)
+static uint32_t called_intent(const struct world *world, const struct amb_duty_action *action) {
+    for (uint32_t i = 0; i < WORLD_INTENTS; i++) {
+        const char *id = world->service.intents[i].id;
+        if (id[0] && !strncmp(id, action->intent.id, strlen(id)) &&
+            world->service.intents[i].duty == action->duty)
             return i;
     }
-    return WORLD_ORDERS;
+    return WORLD_INTENTS;
 }
 
 static enum amb_duty_cloud_answer rent(struct world *world, const struct amb_duty_action *action,
                                        bool refuse) {
-    uint32_t place = called_order(world, action);
-    if (place == WORLD_ORDERS) { /* its record was removed: see world_check_quiet */
+    uint32_t place = called_intent(world, action);
+    if (place == WORLD_INTENTS) { /* its record was removed: see world_check_quiet */
         if (!refuse) violate(world, "machines were rented for an order that is forgotten");
         return AMB_DUTY_CLOUD_NO_CAPACITY;
     }
     struct world_effect *effect = &world->effects[place];
-    if (effect->rented && !strcmp(effect->charter, action->order.id)) return AMB_DUTY_CLOUD_DONE;
+    if (effect->rented && !strcmp(effect->charter, action->intent.id)) return AMB_DUTY_CLOUD_DONE;
     if (refuse) return AMB_DUTY_CLOUD_NO_CAPACITY;
-    strcpy(effect->charter, action->order.id);
+    strcpy(effect->charter, action->intent.id);
     if (++effect->rented > 1) violate(world, "machines were rented twice for one order");
     return AMB_DUTY_CLOUD_DONE;
 }
 
 static enum amb_duty_cloud_answer take_back(struct world *world, const struct amb_duty_action *action) {
-    uint32_t place = called_order(world, action);
-    if (place == WORLD_ORDERS) return AMB_DUTY_CLOUD_DONE;
+    uint32_t place = called_intent(world, action);
+    if (place == WORLD_INTENTS) return AMB_DUTY_CLOUD_DONE;
     struct world_effect *effect = &world->effects[place];
-    const struct amb_duty_order_record *order = &world->service.orders[place];
+    const struct amb_duty_intent_record *intent = &world->service.intents[place];
     if (!effect->machine) return AMB_DUTY_CLOUD_DONE;
     if (effect->placed) violate(world, "a machine in use was returned");
-    if (!order->present || order->state != AMB_DUTY_ORDER_SENT)
+    if (!intent->present || intent->state != AMB_DUTY_INTENT_SENT)
         violate(world, "a machine was returned that was not marked");
     effect->machine = false;
     return AMB_DUTY_CLOUD_DONE;
@@ -503,12 +506,12 @@
     const struct amb_duty_action *action = &request->action;
     struct amb_duty_event event = {
         .type = AMB_DUTY_CLOUD_ANSWERED, .call = action->call, .duty = action->duty};
-    uint64_t *token = &world->cloud_token[action->duty];
-    if (action->token < *token) {
-        event.answer = AMB_DUTY_CLOUD_STALE;
-        world->stale_refused++;
+    uint64_t *fencing_token = &world->cloud_fencing_token[action->duty];
+    if (action->fencing_token < *fencing_token) {
+        event.answer = AMB_DUTY_CLOUD_FENCED;
+        world->fenced_calls++;
     } else {
-        *token = action->token;
+        *fencing_token = action->fencing_token;
         event.answer = action->duty == AMB_DUTY_RENT ? rent(world, action, refuse) : take_back(world, action);
     }
     answer(world, request, &event);
@@ -520,7 +523,7 @@
     const struct amb_duty_action *action = &message->action;
     if (world->fault == WORLD_NO_CLOCK_CHECK ||
         amb_duty_may_send(core, action, world_member_clock(world, message->member))) {
-        if (action->token != world->service.duties[action->duty].token)
+        if (action->fencing_token != world->service.duties[action->duty].fencing_token)
             violate(world, "an order was sent under a stale token");
         struct world_message *sent = add_message(world, WORLD_TO_CLOUD, message->member);
         if (sent) sent->action = *action;
@@ -555,7 +558,7 @@
     if (action->type == AMB_DUTY_EXTEND_LEASE) event.type = AMB_DUTY_LEASE_EXTENDED;
     if (action->type == AMB_DUTY_CALL_CLOUD) {
         event.type = AMB_DUTY_CLOUD_ANSWERED;
-        event.answer = AMB_DUTY_CLOUD_LOST;
+        event.answer = AMB_DUTY_CLOUD_NO_ANSWER;
     }
     return event;
 }
@@ -565,8 +568,8 @@
     if (message->kind == WORLD_ANSWER) {
         struct amb_duty_event *event = &message->answer;
         event->result = AMB_CALL_LOST;
-        event->answer = AMB_DUTY_CLOUD_LOST;
-        event->lease = event->stamp = 0;
+        event->answer = AMB_DUTY_CLOUD_NO_ANSWER;
+        event->lease = event->revision = 0;
         return;
     }
     struct amb_duty_event event = no_answer(&message->action);
@@ -577,35 +580,36 @@
 /* ---- the leader ---- */
 
 /* Names are never used again. */
-bool world_order(struct world *world, uint32_t place, enum amb_duty_name duty) {
+bool world_create_intent(struct world *world, uint32_t place, enum amb_duty_name duty) {
     struct world_service *service = &world->service;
-    struct amb_duty_order_record *order = &service->orders[place];
+    struct amb_duty_intent_record *intent = &service->intents[place];
     struct world_effect *effect = &world->effects[place];
-    if (order->present) return false;
-    memset(order, 0, sizeof *order);
+    if (intent->present) return false;
+    memset(intent, 0, sizeof *intent);
     memset(effect, 0, sizeof *effect);
     effect->machine = duty != AMB_DUTY_RENT;
-    order->present = true;
-    order->duty = duty;
-    snprintf(order->id, sizeof order->id, "o-%llu.", (unsigned long long)++world->orders_made);
-    order->stamp = ++service->revision;
+    intent->present = true;
+    intent->duty = duty;
+    snprintf(intent->id, sizeof intent->id, "o-%llu.", (unsigned long long)++world->intents_made);
+    intent->revision = ++service->revision;
     return true;
 }
 
 bool world_withdraw(struct world *world, uint32_t place) {
-    struct amb_duty_order_record *order = &world->service.orders[place];
-    if (!order->present || order->withdrawn || order->state == AMB_DUTY_ORDER_SETTLED) return false;
-    order->withdrawn = true;
-    order->stamp = ++world->service.revision;
+    struct amb_duty_intent_record *intent = &world->service.intents[place];
+    if (!intent->present || intent->withdrawn || intent->state == AMB_DUTY_INTENT_SETTLED) return false;
+    intent->withdrawn = true;
+    intent->revision = ++world->service.revision;
     return true;
 }
 
 /* Work is placed on a machine only if no order marks it as leaving. */
 bool world_place(struct world *world, uint32_t place) {
-    const struct amb_duty_order_record *order = &world->service.orders[place];
+    const struct amb_duty_intent_record *intent = &world->service.intents[place];
     bool marked =
-        order->present && order->result != AMB_DUTY_RESULT_VOID && world->fault != WORLD_MARK_IGNORED;
-    if (marked || !order->id[0] || order->duty == AMB_DUTY_RENT || world->effects[place].placed) return false;
+        intent->present && intent->result != AMB_DUTY_RESULT_VOID && world->fault != WORLD_MARK_IGNORED;
+    if (marked || !intent->id[0] || intent->duty == AMB_DUTY_RENT || world->effects[place].placed)
+        return false;
     world->effects[place].placed = true;
     return true;
 }
@@ -615,12 +619,13 @@
 void world_check(struct world *world) {
     for (uint32_t i = 0; i < world->nmembers; i++) {
         if (!world->members[i].running) continue;
-        for (int d = 0; d < AMB_DUTY_NAMES; d++) {
+        for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
             const struct amb_duty_core *core = &world->members[i].core;
-            const struct amb_duty_record *record = &world->service.duties[d];
-            if (!amb_duty_may_call(core, (enum amb_duty_name)d, world_member_clock(world, i))) continue;
+            const struct amb_duty_record *record = &world->service.duties[duty];
+            if (!amb_duty_may_call(core, (enum amb_duty_name)duty, world_member_clock(world, i))) continue;
             /* As the record names one holder, no two members can have the right at a time. */
-            if (!holds(world, i, (enum amb_duty_name)d) || record->holder_session != core->session.stamp)
+            if (!holds(world, i, (enum amb_duty_name)duty) ||
+                record->holder_incarnation != core->incarnation.revision)
                 violate(world, "a member relies on a right that the state service does not know of");
         }
     }
@@ -632,23 +637,23 @@
     for (uint32_t i = 0; i < world->nmembers; i++)
         if (world->members[i].running) settings = &world->members[i].core.settings;
     if (!settings) return;
-    for (int d = 0; d < AMB_DUTY_NAMES; d++) {
-        const struct amb_duty_record *record = &service->duties[d];
-        if (!settings->enabled[d]) continue;
+    for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
+        const struct amb_duty_record *record = &service->duties[duty];
+        if (!settings->enabled[duty]) continue;
         if (!record->present || record->state != AMB_DUTY_RECORD_HELD ||
             !world->members[member_index(record->holder)].running)
             violate(world, "a duty has no holder though all is quiet");
     }
-    for (uint32_t i = 0; i < WORLD_ORDERS; i++) {
-        const struct amb_duty_order_record *order = &service->orders[i];
+    for (uint32_t i = 0; i < WORLD_INTENTS; i++) {
+        const struct amb_duty_intent_record *intent = &service->intents[i];
         const struct world_effect *effect = &world->effects[i];
-        if (!order->id[0] || !settings->enabled[order->duty]) continue;
-        if (order->present && order->state != AMB_DUTY_ORDER_SETTLED)
+        if (!intent->id[0] || !settings->enabled[intent->duty]) continue;
+        if (intent->present && intent->state != AMB_DUTY_INTENT_SETTLED)
             violate(world, "an order is left open though all is quiet");
-        bool known = order->result == AMB_DUTY_RESULT_DONE || order->unanswered;
+        bool known = intent->result == AMB_DUTY_RESULT_DONE || intent->unanswered;
         if (effect->rented && !known) violate(world, "machines were rented that no record tells of");
-        bool returned = order->result == AMB_DUTY_RESULT_DONE || order->result == AMB_DUTY_RESULT_GONE;
-        if (order->duty != AMB_DUTY_RENT && returned && effect->machine)
+        bool returned = intent->result == AMB_DUTY_RESULT_DONE || intent->result == AMB_DUTY_RESULT_GONE;
+        if (intent->duty != AMB_DUTY_RENT && returned && effect->machine)
             violate(world, "a machine is settled as returned and is not");
     }
 }
--- a/tests/duty_model/world.h
+++ b/tests/duty_model/world.h
@@ -10,7 +10,7 @@
 
 enum {
     WORLD_MEMBERS = 7,
-    WORLD_ORDERS = 8,
+    WORLD_INTENTS = 8,
     WORLD_MESSAGES = 96,
     WORLD_LEASES = 24,
 };
@@ -18,11 +18,11 @@
 /* A mechanism that is taken out, to see that the rules notice. */
 enum world_fault {
     WORLD_NO_FAULT,
-    WORLD_NO_DUTY_GUARD,   /* orders are written without a guard on the duty's record */
-    WORLD_NEW_NAMES,       /* each holder gives a rental a name of its own */
-    WORLD_NO_CLOCK_CHECK,  /* calls are sent without looking at the clock */
-    WORLD_MARK_IGNORED,    /* the leader places work on machines that are marked as leaving */
-    WORLD_NO_MEMBER_GUARD, /* claims don't ask whether the holder's session is over */
+    WORLD_NO_DUTY_COMPARE,   /* orders are written without a guard on the duty's record */
+    WORLD_NEW_NAMES,         /* each holder gives a rental a name of its own */
+    WORLD_NO_CLOCK_CHECK,    /* calls are sent without looking at the clock */
+    WORLD_MARK_IGNORED,      /* the leader places work on machines that are marked as leaving */
+    WORLD_NO_MEMBER_COMPARE, /* claims don't ask whether the holder's session is over */
     WORLD_FAULTS,
 };
 
@@ -55,7 +55,7 @@
     amb_ms tick_due;  /* the same */
     amb_ms paused_until;
     struct amb_duty_core core;
-    struct amb_duty_order orders[WORLD_ORDERS];
+    struct amb_duty_intent intents[WORLD_INTENTS];
 };
 
 struct world_lease {
@@ -71,14 +71,14 @@
     struct amb_duty_member_record members[WORLD_MEMBERS];
     uint64_t member_lease[WORLD_MEMBERS];
     struct amb_duty_record duties[AMB_DUTY_NAMES];
-    struct amb_duty_order_record orders[WORLD_ORDERS];
+    struct amb_duty_intent_record intents[WORLD_INTENTS];
 };
 
 /* What there is to each order outside the state service. */
 struct world_effect {
-    bool machine, placed;            /* of a return: it exists; the leader has placed work on it */
-    char charter[AMB_DUTY_ORDER_ID]; /* of a rental: the name under which machines were rented */
-    uint32_t rented;                 /* how often machines were rented for it */
+    bool machine, placed;             /* of a return: it exists; the leader has placed work on it */
+    char charter[AMB_DUTY_INTENT_ID]; /* of a rental: the name under which machines were rented */
+    uint32_t rented;                  /* how often machines were rented for it */
 };
 
 struct world {
@@ -86,13 +86,13 @@
     enum world_fault fault;
     amb_ms now;
     uint32_t nmembers, nmessages;
-    bool repeatable_random; /* luck follows from the state alone, so that equal states stay equal */
-    bool instant_sessions;  /* leases and member keys are served at once: fewer states */
-    uint64_t cloud_token[AMB_DUTY_NAMES];
-    uint64_t stale_refused, claims, orders_made;
+    bool repeatable_random;    /* luck follows from the state alone, so that equal states stay equal */
+    bool instant_incarnations; /* leases and member keys are served at once: fewer states */
+    uint64_t cloud_fencing_token[AMB_DUTY_NAMES];
+    uint64_t fenced_calls, claims, intents_made;
     uint64_t lost_messages; /* for want of room */
     struct world_service service;
-    struct world_effect effects[WORLD_ORDERS];
+    struct world_effect effects[WORLD_INTENTS];
     struct world_member members[WORLD_MEMBERS];
     struct world_message messages[WORLD_MESSAGES];
 };
@@ -125,7 +125,7 @@
 amb_ms world_next_expiry(const struct world *world);
 
 /* The leader. False: not possible now. */
-bool world_order(struct world *world, uint32_t place, enum amb_duty_name duty);
+bool world_create_intent(struct world *world, uint32_t place, enum amb_duty_name duty);
 bool world_withdraw(struct world *world, uint32_t place);
 bool world_place(struct world *world, uint32_t place);
 
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -186,8 +186,8 @@
         begin_anew();
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
-        amb_rental_want(node, 0, 0, false, 1);
-        node->cloud.requests->state = AMB_REQUEST_ASKING;
+        amb_scale_out_submit(node, 0, 0, false, 1);
+        node->cloud.requests->state = AMB_SCALE_OUT_REQUESTING;
         node->election.role = rows[i].role;
         node->election.renewed_at = amb_now() - rows[i].renewed;
         node->peers.count = 1; /* whose word has never come */
@@ -195,7 +195,7 @@
         fake_clock_advance(400); /* an answer that says nothing may be held for so long */
         if (latest()->status != rows[i].status || replied_orders("run") != rows[i].starts)
             fail_msg("%s: %d, %zu starts", rows[i].what, latest()->status, replied_orders("run"));
-        amb_rental_tick(node, amb_now());
+        amb_cloud_tick(node, amb_now());
         if (fake_calls_open("POST", "/machines") != rows[i].rentals)
             fail_msg("%s: %zu machines asked for", rows[i].what, fake_calls_open("POST", "/machines"));
     }
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -136,12 +136,12 @@
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_up("m-1", 0);
     bound(job, 0, "m-1", 1);
-    amb_rental_release(node, machine, "test");
-    amb_rental_tick(node, amb_now());
+    amb_cloud_release(node, machine, "test");
+    amb_cloud_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 0, NULL);
     if (!job->tasks[0].machine) fail_msg("taken as absent though the return was not answered");
     fake_clock_advance(500);
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 200, NULL);
     assert_null(job->tasks[0].machine);
 }
@@ -189,7 +189,7 @@
         machine->exists_since = machine->first_known_at = now - rows[i].known;
         machine->last_heartbeat_at = rows[i].reported == NEVER ? 0 : now - rows[i].reported;
         machine->last_listed_at = rows[i].listed == NEVER ? 0 : now - rows[i].listed;
-        amb_rental_tick(node, now);
+        amb_cloud_tick(node, now);
         fake_clock_advance(rows[i].takes);
         answer_list(open_call("GET", "/machines"), rows[i].stance ? "m-1" : NULL, rows[i].stance, false);
         amb_fleet_tick(node, amb_now());
@@ -213,7 +213,7 @@
         struct amb_machine *machine = machine_up("m-1", 0);
         bound(job, 0, "m-1", 1);
         machine->exists_since = machine->first_known_at = machine->last_heartbeat_at = amb_now() - 60000;
-        amb_rental_tick(node, amb_now());
+        amb_cloud_tick(node, amb_now());
         answer_list(open_call("GET", "/machines"), "m-0", "running", true);
         if (!job->tasks[0].machine) fail_msg("taken as absent though more of the list is to come");
         struct fake_call *second = open_call("GET", "/machines?after=m-0");
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -194,7 +194,7 @@
 static void let_time_pass(amb_ms span) {
     fake_clock_advance(span);
     node->election.renewed_at = amb_now();
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
 }
 
 /* Each page takes a call, so that rentals are not refused for a long list; a page that fails is asked for
@@ -203,8 +203,8 @@
     (void)state;
     enum { PAGES = 8, PAGE = 500 };
     node->settings.cloud_rps = 1;
-    node->cloud.calls.tokens = 1;
-    amb_rental_tick(node, amb_now());
+    node->cloud.call_budget.tokens = 1;
+    amb_cloud_tick(node, amb_now());
     for (uint32_t page = 0; page < PAGES; page++) {
         if (page == 4) {
             fake_answer(open_call("GET", "/machines?"), 503, NULL);
@@ -216,14 +216,14 @@
         open_call("GET", path);
         answer_list_page(page * PAGE, PAGE, page < PAGES - 1);
         if (find_call("GET", "/machines?")) fail_msg("page %u without a call left for it", page + 1);
-        assert_int_equal(node->cloud.listed, page == PAGES - 1);
+        assert_int_equal(node->cloud.list_completed, page == PAGES - 1);
         let_time_pass(2500);
     }
     assert_int_equal(HASH_COUNT(node->fleet.all), PAGES * PAGE);
     /* The next one leaves most calls to others. */
-    amb_ms began = node->cloud.list_at;
-    while (node->cloud.list_at == began) let_time_pass(500);
-    assert_in_range(node->cloud.list_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
+    amb_ms began = node->cloud.list_started_at;
+    while (node->cloud.list_started_at == began) let_time_pass(500);
+    assert_in_range(node->cloud.list_started_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
 }
 
 /* ---- answers to reports ---- */
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -33,15 +33,15 @@
 }
 
 static struct fake_call *begin_rental(void) {
-    amb_rental_want(node, 0, 0, false, 1);
-    amb_rental_tick(node, amb_now());
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    amb_cloud_tick(node, amb_now());
     return open_call("POST", "/commit");
 }
 
 static struct fake_call *begin_rental_removal(void) {
-    amb_rental_want(node, 0, 0, false, 1);
-    node->cloud.requests->state = AMB_REQUEST_REMOVING;
-    amb_rental_tick(node, amb_now());
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    node->cloud.requests->state = AMB_SCALE_OUT_REMOVING;
+    amb_cloud_tick(node, amb_now());
     return open_call("POST", "/commit");
 }
 
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -225,8 +225,8 @@
     json_array_foreach(list, i, sample) {
         const json_t *said = json_object_get(sample, "value");
         cbor_item_t *value = value_of(sample);
-        amb_rental_load(node, key_of(sample), value);
-        const struct amb_rental_request *request = node->cloud.requests;
+        amb_scale_out_restore(node, key_of(sample), value);
+        const struct amb_scale_out_request *request = node->cloud.requests;
         while (request && request->next) request = request->next;
         if (!request) {
             fail_msg("%s: not taken up", key_of(sample));
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -302,9 +302,9 @@
     }
     if (amb_duty_decode_record(now, &after) != AMB_DUTY_DECODED) sim_broken("duty: %s can't be read", key);
     bool claim = after.state == AMB_DUTY_RECORD_HELD;
-    if (after.token != before.token + claim)
-        sim_broken("duty: %s: token %llu after %llu", key, (unsigned long long)after.token,
-                   (unsigned long long)before.token);
+    if (after.fencing_token != before.fencing_token + claim)
+        sim_broken("duty: %s: token %llu after %llu", key, (unsigned long long)after.fencing_token,
+                   (unsigned long long)before.fencing_token);
     world.result.handovers += claim;
 }
 
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -11,7 +11,7 @@
 };
 
 struct key {
-    char name[AMB_DUTY_KEY];
+    char name[AMB_DUTY_KEY_SIZE];
     cbor_item_t *value;
     uint64_t stamp, lease;
 };
@@ -22,7 +22,7 @@
 };
 
 struct news {
-    char name[AMB_DUTY_KEY];
+    char name[AMB_DUTY_KEY_SIZE];
     cbor_item_t *value;
     uint64_t stamp;
 };
@@ -36,12 +36,12 @@
     uint64_t life; /* of the member, when it was sent */
     amb_ms ttl;
     uint64_t lease, token;
-    char prefix[AMB_DUTY_KEY];
+    char prefix[AMB_DUTY_KEY_SIZE];
     cbor_item_t *body;
     enum member_call kind;
-    struct amb_duty_order_record order;
+    struct amb_duty_intent_record order;
     uint32_t count, machine_count;
-    char machines[AMB_DUTY_MACHINES][AMB_NAME_SIZE];
+    char machines[AMB_DUTY_MAX_MACHINES][AMB_NAME_SIZE];
     amb_store_callback done;
     amb_duty_cloud_done cloud_done;
     void *arg;
@@ -65,11 +65,11 @@
 static uint64_t lives[MEMBERS];
 static uint64_t epoch, lease_serial;
 static uint32_t writes;
-static char unguarded[AMB_DUTY_KEY * 2];
+static char unguarded[AMB_DUTY_KEY_SIZE * 2];
 static amb_ms now_ms;
 static struct member_plan plan;
 static bool planned;
-static char rentals[RENTALS_MOST][AMB_DUTY_ORDER_ID];
+static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID];
 
 /* ---- the state service ---- */
 
@@ -132,7 +132,7 @@
 
 static bool guards_hold(const cbor_item_t *guards) {
     for (size_t i = 0; i < amb_cbor_len(guards); i++) {
-        char name[AMB_DUTY_KEY];
+        char name[AMB_DUTY_KEY_SIZE];
         uint64_t stamp;
         const cbor_item_t *guard = amb_cbor_at(guards, i);
         assert_true(amb_cbor_str(amb_cbor_get(guard, "path"), name, sizeof name));
@@ -144,7 +144,7 @@
 
 static bool is_guarded(const cbor_item_t *guards, const char *prefix) {
     for (size_t i = 0; i < amb_cbor_len(guards); i++) {
-        char name[AMB_DUTY_KEY];
+        char name[AMB_DUTY_KEY_SIZE];
         const cbor_item_t *path = amb_cbor_get(amb_cbor_at(guards, i), "path");
         if (amb_cbor_str(path, name, sizeof name) && !strncmp(name, prefix, strlen(prefix))) return true;
     }
@@ -162,7 +162,7 @@
 /* What a member changes it guards by what it has read of it: an order by the order and the claim of its duty,
  * a duty by its record and, when it claims, by its own key; its own key by that. */
 static void check_guards(const cbor_item_t *guards, const cbor_item_t *change) {
-    char name[AMB_DUTY_KEY];
+    char name[AMB_DUTY_KEY_SIZE];
     const cbor_item_t *put = amb_cbor_get(change, "put");
     const cbor_item_t *state = amb_cbor_get(amb_cbor_get(change, "value"), "state");
     assert_true(amb_cbor_str(put ? put : amb_cbor_get(change, "remove"), name, sizeof name));
@@ -178,7 +178,7 @@
 static int commit(const cbor_item_t *txn) {
     const cbor_item_t *then = amb_cbor_get(txn, "then");
     uint64_t lease = 0;
-    char name[AMB_DUTY_KEY];
+    char name[AMB_DUTY_KEY_SIZE];
     for (size_t i = 0; i < amb_cbor_len(then); i++)
         if (amb_cbor_uint(amb_cbor_get(amb_cbor_at(then, i), "tenure"), &lease) && !lease_find(lease))
             return 400;
@@ -255,7 +255,7 @@
     for (uint32_t k = 0; k < call->count; k++) {
         char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%u-%u", i, k);
-        amb_duty_work_add_machine(&call->reply.rented, name);
+        amb_duty_work_order_add_machine(&call->reply.acquired, name);
     }
 }
 
@@ -263,7 +263,7 @@
     member_cloud.calls++;
     if (call->token < member_cloud.highest[call->order.duty]) {
         member_cloud.stale++;
-        call->reply.answer = AMB_DUTY_CLOUD_STALE;
+        call->reply.answer = AMB_DUTY_CLOUD_FENCED;
         return;
     }
     member_cloud.highest[call->order.duty] = call->token;
@@ -298,7 +298,7 @@
 static void call_free(struct call *call) {
     if (call->body) cbor_decref(&call->body);
     if (call->answer) cbor_decref(&call->answer);
-    amb_duty_work_free(&call->reply.rented);
+    amb_duty_work_order_free(&call->reply.acquired);
     call->used = false;
 }
 
@@ -356,8 +356,8 @@
     call->status = 0;
     if (call->answer) cbor_decref(&call->answer);
     call->answer = NULL;
-    amb_duty_work_free(&call->reply.rented);
-    call->reply.answer = AMB_DUTY_CLOUD_LOST;
+    amb_duty_work_order_free(&call->reply.acquired);
+    call->reply.answer = AMB_DUTY_CLOUD_NO_ANSWER;
 }
 
 static void meet_fate(struct call *call) {
@@ -426,7 +426,7 @@
 }
 
 static enum member_call kind_of(const cbor_item_t *change) {
-    char key[AMB_DUTY_KEY];
+    char key[AMB_DUTY_KEY_SIZE];
     if (amb_cbor_get(change, "remove")) return MEMBER_CALL_REMOVE;
     if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key)) return MEMBER_CALL_OTHER;
     const cbor_item_t *state = amb_cbor_get(amb_cbor_get(change, "value"), "state");
@@ -456,8 +456,8 @@
     call->arg = arg;
 }
 
-static bool port_call_cloud(void *context, const struct amb_duty_order_record *order,
-                            const struct amb_duty_work *work, uint64_t token, amb_duty_cloud_done done,
+static bool port_call_cloud(void *context, const struct amb_duty_intent_record *order,
+                            const struct amb_duty_work_order *work, uint64_t token, amb_duty_cloud_done done,
                             void *arg) {
     struct call *call = call_new(context, CLOUD);
     call->kind = MEMBER_CALL_CLOUD;
@@ -469,13 +469,13 @@
     return true;
 }
 
-static bool port_proved_gone(void *context, const struct amb_duty_work *work) {
+static bool port_proved_gone(void *context, const struct amb_duty_work_order *work) {
     const struct member *member = context;
     return member->proves_gone && work->machine_count;
 }
 
-static void port_order_changed(void *context, const struct amb_duty_order_record *order,
-                               const struct amb_duty_work *work) {
+static void port_order_changed(void *context, const struct amb_duty_intent_record *order,
+                               const struct amb_duty_work_order *work) {
     (void)context, (void)order, (void)work;
 }
 
@@ -495,7 +495,7 @@
     if (!member->alive || member->stopped || member->cut || member->news_held) return;
     while (news_read[index] < news_count) {
         const struct news *item = &news[news_read[index]++];
-        amb_duty_service_news(&member->service, item->name, item->value, item->stamp);
+        amb_duty_service_apply_change(&member->service, item->name, item->value, item->stamp);
     }
 }
 
@@ -521,21 +521,21 @@
 
 void members_start(int index) {
     struct member *member = &members[index];
-    const struct amb_duty_ports ports = {.state = {.context = member,
-                                                   .grant = port_grant,
-                                                   .extend = port_extend,
-                                                   .drop = port_drop,
-                                                   .list = port_list,
-                                                   .commit = port_commit},
+    const struct amb_duty_ports ports = {.kvstore = {.context = member,
+                                                     .grant = port_grant,
+                                                     .extend = port_extend,
+                                                     .revoke = port_drop,
+                                                     .list = port_list,
+                                                     .commit = port_commit},
                                          .context = member,
                                          .now = port_now,
                                          .call_cloud = port_call_cloud,
-                                         .proved_gone = port_proved_gone,
-                                         .order_changed = port_order_changed,
+                                         .is_proved_gone = port_proved_gone,
+                                         .intent_changed = port_order_changed,
                                          .loaded = port_loaded,
                                          .log = port_log};
     struct amb_duty_settings settings = amb_duty_settings_default(MEMBER_TTL_MS, MEMBER_LIST_MS);
-    amb_duty_service_end(&member->service);
+    amb_duty_service_abort(&member->service);
     snprintf(member->name, sizeof member->name, "n-%d", index);
     member->alive = true;
     member->stopped = member->cut = member->news_held = member->lists_held = member->proves_gone = false;
@@ -555,7 +555,7 @@
 }
 
 void members_end(void) {
-    for (int i = 0; i < MEMBERS; i++) amb_duty_service_end(&members[i].service);
+    for (int i = 0; i < MEMBERS; i++) amb_duty_service_abort(&members[i].service);
     for (size_t i = 0; i < CALLS_MOST; i++) {
         if (!calls[i].used) continue;
         free(calls[i].arg);
@@ -574,7 +574,7 @@
 }
 
 int members_holder(enum amb_duty_name duty) {
-    char key[AMB_DUTY_KEY];
+    char key[AMB_DUTY_KEY_SIZE];
     struct amb_duty_record record = {0};
     amb_duty_record_key(key, duty);
     const cbor_item_t *value = members_value(key);
@@ -600,24 +600,24 @@
     return key ? key->value : NULL;
 }
 
-void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_work *work) {
-    char key[AMB_DUTY_KEY];
+void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_work_order *work) {
+    char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
-    struct amb_duty_order_record order = {.duty = duty};
-    amb_duty_order_key(key, duty, id);
-    amb_duty_encode_order(&value, &order, work);
+    struct amb_duty_intent_record order = {.duty = duty};
+    amb_duty_intent_key(key, duty, id);
+    amb_duty_encode_intent(&value, &order, work);
     members_put(key, &value);
     amb_buf_free(&value);
 }
 
-bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_order_record *out,
-                        struct amb_duty_work *work) {
-    char key[AMB_DUTY_KEY];
-    amb_duty_order_key(key, duty, id);
+bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
+                        struct amb_duty_work_order *work) {
+    char key[AMB_DUTY_KEY_SIZE];
+    amb_duty_intent_key(key, duty, id);
     const cbor_item_t *value = members_value(key);
     memset(out, 0, sizeof *out);
     out->duty = duty;
-    return value && amb_duty_decode_order(value, out, work) == AMB_DUTY_DECODED;
+    return value && amb_duty_decode_intent(value, out, work) == AMB_DUTY_DECODED;
 }
 
 uint32_t members_writes(void) {
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -78,8 +78,8 @@
     node->settings.list_lag_s = 5;
     amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
-    node->cloud.calls.tokens = 100;
-    node->cloud.catalog_at = now;
+    node->cloud.call_budget.tokens = 100;
+    node->cloud.catalog_requested_at = now;
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     amb_catalog_find_or_add_zone(&node->catalog, "b");
     node->controller.tick_interval_s = 1;
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -70,7 +70,7 @@
     for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
         if (machine->zone_index != silent) machine->last_heartbeat_at = machine->last_response_at = amb_now();
     node->election.renewed_at = amb_now();
-    node->cloud.list_at = amb_now();
+    node->cloud.list_started_at = amb_now();
     amb_zones_tick(node, amb_now());
 }
 
