--- a/bench/case_report.c
+++ b/bench/case_report.c
@@ -38,7 +38,7 @@
     struct reporting *r = input;
     r->seq++;
     for (int i = 0; i < 8; i++) r->body.data[r->seq_at + (size_t)i] = (char)(r->seq >> (56 - 8 * i));
-    amb_fleet_request(r->node, world_request("POST", "/hello", r->body.data, r->body.len));
+    amb_agent_handle_request(r->node, world_request("POST", "/hello", r->body.data, r->body.len));
 }
 
 static void finish(void *input) {
--- a/bench/world.c
+++ b/bench/world.c
@@ -409,7 +409,7 @@
 /* As after a heartbeat that told all other nodes. */
 static void forget_changes(struct amb_node *node) {
     for (struct amb_job *job = node->jobs.active; job; job = job->next_active) job->progress_changed = false;
-    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+    for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         machine->images_changed = false;
 }
 
@@ -430,7 +430,7 @@
     for (uint32_t machine = 0; machine < size->machines; machine++) {
         struct amb_buf body = {0};
         world_put_report(&body, size, machine, 1, NULL);
-        amb_fleet_request(node, world_request("POST", "/hello", body.data, body.len));
+        amb_agent_handle_request(node, world_request("POST", "/hello", body.data, body.len));
         amb_buf_free(&body);
     }
     world_pages_free(&jobs);
--- a/include/amberpin/agent/agent_api.h
+++ b/include/amberpin/agent/agent_api.h
@@ -7,6 +7,6 @@
 struct amb_node;
 
 /* False: it is no worker's request. */
-bool amb_fleet_request(struct amb_node *node, struct amb_http_req *request);
+bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request);
 
 #endif
--- a/include/amberpin/agent/heartbeats.h
+++ b/include/amberpin/agent/heartbeats.h
@@ -9,13 +9,13 @@
 struct amb_node;
 
 /* Orders are appended. False: the report shows a higher term. */
-bool amb_fleet_report(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat, amb_ms now,
-                      struct amb_agent_command *orders, size_t capacity, size_t *count);
+bool amb_heartbeat_process(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat, amb_ms now,
+                           struct amb_agent_command *commands, size_t capacity, size_t *count);
 /* Is this report newer than all that its machine has sent? */
-bool amb_report_is_news(const struct amb_agent_heartbeat *heartbeat, const struct amb_machine *machine);
+bool amb_heartbeat_is_newer(const struct amb_agent_heartbeat *heartbeat, const struct amb_machine *machine);
 /* A cancelled job's tasks are told to stop by whoever answers their machine, a deputy or a leader that has
  * not read the records yet too: its answer keeps them alive. */
-void amb_report_halt_cancelled(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat,
-                               struct amb_orders *orders);
+void amb_heartbeat_stop_cancelled(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat,
+                                  struct amb_command_list *commands);
 
 #endif
--- a/include/amberpin/agent/task_failures.h
+++ b/include/amberpin/agent/task_failures.h
@@ -6,11 +6,11 @@
 
 struct amb_node;
 
-void amb_task_failed(struct amb_node *node, struct amb_job *job, struct amb_machine *machine);
+void amb_task_record_failure(struct amb_node *node, struct amb_job *job, struct amb_machine *machine);
 /* A task of the job has succeeded on the machine, or has run there for long. */
-void amb_task_works(struct amb_job *job, struct amb_machine *machine);
+void amb_task_record_success(struct amb_job *job, struct amb_machine *machine);
 /* Is the job taken for broken? Then one task of it is tried at a time, and nothing is rented or stopped for
  * it. */
-bool amb_job_broken(const struct amb_job *job);
+bool amb_job_is_broken(const struct amb_job *job);
 
 #endif
--- a/include/amberpin/config/options.h
+++ b/include/amberpin/config/options.h
@@ -23,7 +23,7 @@
     /* How long a returning zone's machines have to answer before batch work starts there, how long at most,
      * and how long without a loss until one is forgotten; shares of the workers' lease. */
     double zone_steady, zone_steady_longest, zone_loss_forgotten;
-    char zone_recovery_order[AMB_RECOVERY_LIST]; /* classes that come back first */
+    char zone_recovery_order[AMB_RECOVERY_LIST_BYTES]; /* classes that come back first */
 };
 
 void amb_options_default(struct amb_options *options);
--- a/include/amberpin/fleet/agent_commands.h
+++ b/include/amberpin/fleet/agent_commands.h
@@ -8,29 +8,30 @@
 
 struct amb_node;
 
-enum { AMB_ORDERS_MAX = 256 /* in an answer */ };
+enum { AMB_COMMANDS_MAX = 256 /* in an answer */ };
 
-struct amb_orders {
-    struct amb_agent_command *list;
+struct amb_command_list {
+    struct amb_agent_command *commands;
     size_t capacity, count;
 };
 
 /* Nothing is added to a full list: the rest goes out with the next report. */
-void amb_orders_add(struct amb_orders *orders, enum amb_agent_command_kind op, const char *ref,
-                    uint32_t index, uint64_t attempt, double grace_s);
+void amb_command_list_add(struct amb_command_list *list, enum amb_agent_command_kind kind, const char *ref,
+                          uint32_t index, uint64_t attempt, double grace_s);
 /* The task's start, if it may be ordered: in the answer to its machine's latest report. */
-void amb_orders_add_start(struct amb_node *node, struct amb_task *task, struct amb_orders *orders);
+void amb_command_list_add_start(struct amb_node *node, struct amb_task *task, struct amb_command_list *list);
 /* Is every placement of the gang's attempt durable? None of its tasks may start before. */
-bool amb_gang_recorded(const struct amb_job *job);
+bool amb_gang_is_recorded(const struct amb_job *job);
 
 /* Answers a report under this term. */
-void amb_orders_answer(struct amb_http_req *request, uint64_t term, const struct amb_orders *orders);
+void amb_heartbeat_reply_commands(struct amb_http_req *request, uint64_t term,
+                                  const struct amb_command_list *list);
 /* Answers a report that this node may not answer: to the leader, if one is known. */
-void amb_orders_redirect(struct amb_node *node, struct amb_http_req *request);
+void amb_heartbeat_reply_redirect(struct amb_node *node, struct amb_http_req *request);
 /* Sends orders that may be carried out late, or none: our token alone. */
-void amb_orders_command(struct amb_node *node, const struct amb_machine *machine, uint64_t session,
-                        const struct amb_orders *orders);
+void amb_machine_send_commands(struct amb_node *node, const struct amb_machine *machine, uint64_t incarnation,
+                               const struct amb_command_list *list);
 /* Stops need not wait for a report to answer. */
-void amb_orders_push_halts(struct amb_node *node, struct amb_machine *machine);
+void amb_machine_send_stops(struct amb_node *node, struct amb_machine *machine);
 
 #endif
--- a/include/amberpin/fleet/deferred_responses.h
+++ b/include/amberpin/fleet/deferred_responses.h
@@ -11,10 +11,11 @@
 struct amb_node;
 
 /* The answer to the machine's latest report waits; at most one does for each machine. */
-void amb_answer_hold(struct amb_node *node, struct amb_machine *machine, struct amb_http_req *request);
+void amb_deferred_response_begin(struct amb_node *node, struct amb_machine *machine,
+                                 struct amb_http_req *request);
 /* What waits, if anything does, goes now: it says nothing, or that somebody else leads. */
-void amb_answer_drop(struct amb_node *node, struct amb_machine *machine);
+void amb_deferred_response_finish(struct amb_node *node, struct amb_machine *machine);
 /* The task's record is durable, it may start now: its machine's answer need not wait any longer. */
-void amb_answer_start(struct amb_task *task);
+void amb_deferred_response_trigger(struct amb_task *task);
 
 #endif
--- a/include/amberpin/fleet/machine_probe.h
+++ b/include/amberpin/fleet/machine_probe.h
@@ -9,6 +9,6 @@
 struct amb_node;
 
 /* Asks the machine for its session and gives it our token, at most once in two report periods. */
-void amb_machine_seek(struct amb_node *node, struct amb_machine *machine, amb_ms now);
+void amb_machine_probe(struct amb_node *node, struct amb_machine *machine, amb_ms now);
 
 #endif
--- a/include/amberpin/model/model.h
+++ b/include/amberpin/model/model.h
@@ -122,7 +122,7 @@
 
 struct amb_machine;
 struct amb_job;
-struct amb_held; /* a report whose answer waits for something to say */
+struct amb_deferred_response; /* a report whose answer waits for something to say */
 
 struct amb_task {
     enum amb_task_set_state state;
@@ -234,7 +234,7 @@
     uint8_t recovery_step;   /* at which it has its turn in this round (zone_recovery.h) */
 };
 
-enum amb_machine_state {
+enum amb_machine_set_state {
     AMB_MACHINE_BOOTING,   /* rented, has not reported to us */
     AMB_MACHINE_UNPROVEN,  /* known from a record, a list or a report; has not shown our token */
     AMB_MACHINE_UP,        /* reports, and carries our token */
@@ -245,7 +245,7 @@
 struct amb_machine {
     char name[AMB_NAME_SIZE], address[AMB_NAME_SIZE];
     uint32_t number; /* of this machine only, while this node runs */
-    enum amb_machine_state state;
+    enum amb_machine_set_state state;
     int type_index, zone_index; /* places in the catalog and the zone table; -1: unknown */
     bool spot, token_acknowledged, listed, release_pending;
     bool scale_in_planned;      /* with release_wanted: it is not needed, nothing is wrong with it */
@@ -271,10 +271,10 @@
     struct amb_resources used;
     struct amb_resources reserved; /* of what is free: for replicas that return (zone_recovery.h) */
     struct amb_task *tasks;
-    struct amb_held *deferred_response;
+    struct amb_deferred_response *deferred_response;
     bool images_changed;     /* since the other nodes were told */
     uint64_t images_sent_in; /* the leader's heartbeat that last told of them (image_locations.h) */
-    uint32_t image_count, image_capacity; /* room: what is allocated (amb_machine_image_room) */
+    uint32_t image_count, image_capacity; /* room: what is allocated (amb_machine_reserve_images) */
     char (*images)[AMB_NAME_SIZE];        /* most recently used first, AMB_IMAGES_MAX at most */
     double *image_sizes_gb;
     UT_hash_handle hh;
--- a/include/amberpin/zone_recovery/zone_silence.h
+++ b/include/amberpin/zone_recovery/zone_silence.h
@@ -9,10 +9,10 @@
 
 struct amb_node;
 
-enum { AMB_ZONE_PATIENCE_REPORTS = 3 }; /* report periods after which a machine counts as silent */
+enum { AMB_ZONE_MISSED_HEARTBEATS_MAX = 3 }; /* report periods after which a machine counts as silent */
 
-enum amb_zone_reach {
-    AMB_ZONE_REACHED,
+enum amb_zone_reachability {
+    AMB_ZONE_REACHABLE,
     AMB_ZONE_DEGRADED,    /* a good part of its machines is silent */
     AMB_ZONE_UNREACHABLE, /* nearly all are, and not all zones' */
 };
@@ -21,9 +21,9 @@
 /* Nothing is known of any. */
 void amb_zones_clear(struct amb_node *node);
 /* zone -1 (unknown): reached. */
-enum amb_zone_reach amb_zone_reach(const struct amb_node *node, int zone);
-bool amb_zone_unreachable(const struct amb_node *node, int zone);
+enum amb_zone_reachability amb_zone_get_reachability(const struct amb_node *node, int zone);
+bool amb_zone_is_unreachable(const struct amb_node *node, int zone);
 /* Is it reached again, but since so lately that not all of its machines have had the time to report? */
-bool amb_zone_recovers(const struct amb_node *node, int zone, amb_ms now);
+bool amb_zone_is_recovering(const struct amb_node *node, int zone, amb_ms now);
 
 #endif
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -8,37 +8,39 @@
 #include <string.h>
 
 /* To a leader: what the report leads to, now or a little later. */
-static void answer_as_leader(struct amb_node *node, struct amb_http_req *request,
-                             const struct amb_agent_heartbeat *heartbeat, struct amb_orders *orders) {
+static void respond_as_leader(struct amb_node *node, struct amb_http_req *request,
+                              const struct amb_agent_heartbeat *heartbeat,
+                              struct amb_command_list *commands) {
     struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, false);
-    bool news = machine && amb_report_is_news(heartbeat, machine);
-    if (news) amb_answer_drop(node, machine); /* the worker no longer waits for that one */
+    bool is_newer = machine && amb_heartbeat_is_newer(heartbeat, machine);
+    if (is_newer) amb_deferred_response_finish(node, machine); /* the worker no longer waits for that one */
     if (!amb_election_is_leader(node) ||
-        !amb_fleet_report(node, heartbeat, amb_now(), orders->list, orders->capacity, &orders->count))
-        amb_orders_redirect(node, request);
-    else if (news && !orders->count && node->controller.ready && machine->state == AMB_MACHINE_UP &&
+        !amb_heartbeat_process(node, heartbeat, amb_now(), commands->commands, commands->capacity,
+                               &commands->count))
+        amb_heartbeat_reply_redirect(node, request);
+    else if (is_newer && !commands->count && node->controller.ready && machine->state == AMB_MACHINE_UP &&
              !machine->release_pending)
-        amb_answer_hold(node, machine, request);
+        amb_deferred_response_begin(node, machine, request);
     else
-        amb_orders_answer(request, node->election.term, orders);
+        amb_heartbeat_reply_commands(request, node->election.term, commands);
 }
 
-static void answer(struct amb_node *node, struct amb_http_req *request,
-                   const struct amb_agent_heartbeat *heartbeat) {
-    static struct amb_agent_command list[AMB_ORDERS_MAX];
-    struct amb_orders orders = {list, AMB_ORDERS_MAX, 0};
+static void respond(struct amb_node *node, struct amb_http_req *request,
+                    const struct amb_agent_heartbeat *heartbeat) {
+    static struct amb_agent_command entries[AMB_COMMANDS_MAX];
+    struct amb_command_list commands = {entries, AMB_COMMANDS_MAX, 0};
     if (amb_election_is_leader(node)) {
-        answer_as_leader(node, request, heartbeat, &orders);
+        respond_as_leader(node, request, heartbeat, &commands);
     } else if (amb_lease_proxy_may_answer(node, heartbeat)) {
         /* The leader can't be reached from here, but the workers of this zone can be kept alive. */
-        amb_report_halt_cancelled(node, heartbeat, &orders);
-        amb_orders_answer(request, node->lease_proxy.term, &orders);
+        amb_heartbeat_stop_cancelled(node, heartbeat, &commands);
+        amb_heartbeat_reply_commands(request, node->lease_proxy.term, &commands);
     } else {
-        amb_orders_redirect(node, request);
+        amb_heartbeat_reply_redirect(node, request);
     }
 }
 
-bool amb_fleet_request(struct amb_node *node, struct amb_http_req *request) {
+bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request) {
     if (strcmp(request->path, "/hello")) return false;
     if (strcmp(request->method, "POST")) {
         amb_reply_cbor(request, 405, NULL, 0);
@@ -49,9 +51,9 @@
         amb_reply_cbor(request, 400, NULL, 0);
         return true;
     }
-    node->fleet.last_report_at = amb_now();
+    node->fleet.last_heartbeat_at = amb_now();
     amb_election_observe_term(node, heartbeat.fencing_token, heartbeat.machine);
-    answer(node, request, &heartbeat);
+    respond(node, request, &heartbeat);
     amb_report_free(&heartbeat);
     return true;
 }
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -7,51 +7,51 @@
 #include <string.h>
 
 enum {
-    FAULTS_MAX = 3,      /* faults of a machine without a success that cost it its place */
-    PAUSE_DOUBLINGS = 6, /* of the time until a broken job is tried again */
-    REST_REPORTS = 2,    /* report periods that a machine rests when it is not known what is at fault */
+    MACHINE_FAILURES_MAX = 3,  /* faults of a machine without a success that cost it its place */
+    BACKOFF_DOUBLINGS_MAX = 6, /* of the time until a broken job is tried again */
+    QUARANTINE_HEARTBEATS = 2, /* report periods that a machine rests when it is not known what is at fault */
 };
 
 /* The longest time between two tries of a broken job, in leases. */
-static const double PAUSE_LEASES = 4;
+static const double BACKOFF_MAX_LEASES = 4;
 
-bool amb_job_broken(const struct amb_job *job) {
+bool amb_job_is_broken(const struct amb_job *job) {
     return job->failures.broken;
 }
 
-static void try_again_later(const struct amb_node *node, struct amb_job *job) {
+static void back_off(const struct amb_node *node, struct amb_job *job) {
     amb_ms now = amb_now();
     if (now < job->backoff_until) return; /* others of the same try */
-    uint32_t doublings = job->failures.retries < PAUSE_DOUBLINGS ? job->failures.retries : PAUSE_DOUBLINGS;
-    double pause_s =
-        fmin(node->settings.report_s * (double)(1u << doublings), node->settings.lease_s * PAUSE_LEASES);
+    uint32_t doublings =
+        job->failures.retries < BACKOFF_DOUBLINGS_MAX ? job->failures.retries : BACKOFF_DOUBLINGS_MAX;
+    double backoff_s = fmin(node->settings.report_s * (double)(1u << doublings),
+                            node->settings.lease_s * BACKOFF_MAX_LEASES);
     job->failures.retries++;
-    job->backoff_until = now + amb_secs(pause_s);
+    job->backoff_until = now + amb_secs(backoff_s);
 }
 
-static void job_at_fault(const struct amb_node *node, struct amb_job *job,
-                         const struct amb_machine *machine) {
+static void blame_job(const struct amb_node *node, struct amb_job *job, const struct amb_machine *machine) {
     if (!job->failures.broken)
         amb_info("job %s: taken for broken: it failed on %u machines without a success, last on %s", job->ref,
                  job->failures.machines.count, machine->name);
     job->failures.broken = true;
-    try_again_later(node, job);
+    back_off(node, job);
 }
 
-static void machine_at_fault(struct amb_node *node, struct amb_machine *machine) {
+static void blame_machine(struct amb_node *node, struct amb_machine *machine) {
     machine->failure_count++;
-    amb_machine_rest(machine, node->settings.lease_s * machine->failure_count, "a task failed on it");
-    if (machine->failure_count >= FAULTS_MAX && !machine->success_count)
+    amb_machine_quarantine(machine, node->settings.lease_s * machine->failure_count, "a task failed on it");
+    if (machine->failure_count >= MACHINE_FAILURES_MAX && !machine->success_count)
         amb_cloud_release(node, machine, "tasks keep failing on it");
 }
 
 /* The job is to be tried elsewhere: where it fails again the next time tells which of them it was. */
-static void nobody_at_fault(const struct amb_node *node, struct amb_machine *machine) {
-    double rest_s = node->settings.report_s * REST_REPORTS * ++machine->unattributed_failures;
-    amb_machine_rest(machine, fmin(rest_s, node->settings.lease_s), "a task failed, on it alone");
+static void quarantine_suspect(const struct amb_node *node, struct amb_machine *machine) {
+    double quarantine_s = node->settings.report_s * QUARANTINE_HEARTBEATS * ++machine->unattributed_failures;
+    amb_machine_quarantine(machine, fmin(quarantine_s, node->settings.lease_s), "a task failed, on it alone");
 }
 
-void amb_task_failed(struct amb_node *node, struct amb_job *job, struct amb_machine *machine) {
+void amb_task_record_failure(struct amb_node *node, struct amb_job *job, struct amb_machine *machine) {
     amb_failure_set_add(&job->failures.machines, machine->number);
     /* What is known to be broken tells nothing of a machine. */
     if (!job->failures.broken) amb_failure_set_add(&machine->failed_jobs, job->hh.hashv);
@@ -64,12 +64,12 @@
     amb_debug("job %s: a task failed on %s: fault %s (%u machines, %u jobs%s)", job->ref, machine->name,
               amb_fault_name(fault), evidence.failed_machines, evidence.failed_jobs,
               evidence.job_has_succeeded ? ", works" : "");
-    if (fault == AMB_FAULT_JOB || fault == AMB_FAULT_BOTH) job_at_fault(node, job, machine);
-    if (fault == AMB_FAULT_MACHINE || fault == AMB_FAULT_BOTH) machine_at_fault(node, machine);
-    if (fault == AMB_FAULT_UNKNOWN) nobody_at_fault(node, machine);
+    if (fault == AMB_FAULT_JOB || fault == AMB_FAULT_BOTH) blame_job(node, job, machine);
+    if (fault == AMB_FAULT_MACHINE || fault == AMB_FAULT_BOTH) blame_machine(node, machine);
+    if (fault == AMB_FAULT_UNKNOWN) quarantine_suspect(node, machine);
 }
 
-void amb_task_works(struct amb_job *job, struct amb_machine *machine) {
+void amb_task_record_success(struct amb_job *job, struct amb_machine *machine) {
     memset(&job->failures, 0, sizeof job->failures);
     job->failures.works = true;
     machine->failed_jobs.count = 0;
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -7,8 +7,8 @@
 #include "amberpin/placement/wdrr.h"
 
 enum {
-    MISSES_MAX = 2,     /* reports that fail to list a task which was ordered */
-    STEADY_REPORTS = 5, /* report periods that a task runs before its machine counts as good */
+    MISSED_HEARTBEATS_MAX = 2, /* reports that fail to list a task which was ordered */
+    STABLE_HEARTBEATS = 5,     /* report periods that a task runs before its machine counts as good */
 };
 
 static bool is_gang(const struct amb_job *job) {
@@ -17,8 +17,8 @@
 
 /* ---- exits ---- */
 
-static void succeeded(struct amb_node *node, struct amb_task *task) {
-    amb_task_works(task->job, task->machine);
+static void complete_task(struct amb_node *node, struct amb_task *task) {
+    amb_task_record_success(task->job, task->machine);
     task->machine->failure_count = 0;
     amb_task_mark_done(node, task);
 }
@@ -31,31 +31,31 @@
              listed->checkpoint_saved ? ", saved" : "");
 }
 
-static void exited(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
+static void handle_exit(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
     struct amb_machine *machine = task->machine;
     struct amb_job *job = task->job;
     bool stopping = task->stop_requested;
-    enum amb_exit_reason why = listed->exit_reason;
+    enum amb_exit_reason reason = listed->exit_reason;
     log_exit(task, listed);
-    if (why == AMB_EXIT_DONE) succeeded(node, task);
+    if (reason == AMB_EXIT_DONE) complete_task(node, task);
     /* The cause decides before the task is let go, so that the next round knows it. */
     if (job->state == AMB_JOB_QUEUED) {
-        if (why == AMB_EXIT_ERROR) amb_task_failed(node, job, machine);
-        if (why == AMB_EXIT_MACHINE_FULL || why == AMB_EXIT_ATTEMPT_CONFLICT)
-            amb_machine_rest(machine, node->settings.report_s * 2, "it refused a task");
-        if (why == AMB_EXIT_UNKNOWN_JOB)
+        if (reason == AMB_EXIT_ERROR) amb_task_record_failure(node, job, machine);
+        if (reason == AMB_EXIT_MACHINE_FULL || reason == AMB_EXIT_ATTEMPT_CONFLICT)
+            amb_machine_quarantine(machine, node->settings.report_s * 2, "it refused a task");
+        if (reason == AMB_EXIT_UNKNOWN_JOB)
             job->backoff_until = amb_now() + amb_secs(node->settings.report_s * 2);
-        if (why != AMB_EXIT_DONE && !stopping) task->interrupted = true;
+        if (reason != AMB_EXIT_DONE && !stopping) task->interrupted = true;
     }
     amb_task_unbind(node, task, "it exited");
-    bool gang_saves = stopping && job->gang_state == AMB_GANG_STOPPING;
-    if (is_gang(job) && job->bound_count && why != AMB_EXIT_DONE && !gang_saves)
+    bool gang_is_saving = stopping && job->gang_state == AMB_GANG_STOPPING;
+    if (is_gang(job) && job->bound_count && reason != AMB_EXIT_DONE && !gang_is_saving)
         amb_gang_tear_down(node, job, "a task of the attempt exited");
 }
 
 /* ---- tasks at work ---- */
 
-static void look_at_gang(struct amb_job *job) {
+static void update_gang_state(struct amb_job *job) {
     if (job->gang_state != AMB_GANG_STARTING) return;
     for (uint32_t i = 0; i < job->spec->task_count; i++) {
         const struct amb_task *task = &job->tasks[i];
@@ -64,25 +64,26 @@
     amb_gang_set_state(job, AMB_GANG_RUNNING, "all its tasks run");
 }
 
-static void at_work(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
+static void handle_active(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
     struct amb_job *job = task->job;
     if (task->state != AMB_TASK_SEEN) {
         amb_task_set_state(node, task, AMB_TASK_SEEN, "reported");
         task->missed_heartbeats = 0;
     }
     task->agent_state = listed->state;
-    bool runs = listed->state == AMB_AGENT_TASK_RUNNING || listed->state == AMB_AGENT_TASK_SAVING;
-    if (runs && !task->running_at) {
+    bool is_running = listed->state == AMB_AGENT_TASK_RUNNING || listed->state == AMB_AGENT_TASK_SAVING;
+    if (is_running && !task->running_at) {
         amb_info("task %s/%u try %llu on %s: runs", job->ref, task->index, (unsigned long long)task->attempt,
                  task->machine->name);
         task->interrupted = false;
     }
-    amb_task_set_running(task, runs);
+    amb_task_set_running(task, is_running);
     if (listed->state != AMB_AGENT_TASK_FETCHING)
-        amb_machine_use_image(node, task->machine, job->spec->image, job->spec->image_gb);
-    if (is_gang(job)) look_at_gang(job);
-    if (task->running_at && amb_now() - task->running_at > amb_secs(node->settings.report_s * STEADY_REPORTS))
-        amb_task_works(job, task->machine);
+        amb_machine_record_image_use(node, task->machine, job->spec->image, job->spec->image_gb);
+    if (is_gang(job)) update_gang_state(job);
+    if (task->running_at &&
+        amb_now() - task->running_at > amb_secs(node->settings.report_s * STABLE_HEARTBEATS))
+        amb_task_record_success(job, task->machine);
 }
 
 /* ---- a task that the report names ---- */
@@ -97,7 +98,7 @@
 }
 
 /* The task is completed, and the state service is not known to have it yet. */
-static bool end_is_unrecorded(const struct amb_task *task) {
+static bool has_unrecorded_completion(const struct amb_task *task) {
     return task && task->done && !task->done_durable && task->job->state == AMB_JOB_QUEUED;
 }
 
@@ -106,38 +107,40 @@
 static bool may_clear(const struct amb_job *job, const struct amb_task *task,
                       const struct amb_agent_task *listed) {
     if (listed->exit_reason != AMB_EXIT_DONE) return true;
-    if (end_is_unrecorded(task)) return false;
+    if (has_unrecorded_completion(task)) return false;
     return task || job; /* the cache may be behind */
 }
 
-void amb_task_listed(struct amb_node *node, struct amb_machine *machine, const struct amb_agent_task *listed,
-                     struct amb_heartbeat_evidence evidence, struct amb_orders *orders) {
-    bool proven = evidence.heartbeat_term == evidence.own_term;
+void amb_task_handle_listed(struct amb_node *node, struct amb_machine *machine,
+                            const struct amb_agent_task *listed, struct amb_heartbeat_evidence evidence,
+                            struct amb_command_list *commands) {
+    bool acknowledged = evidence.heartbeat_term == evidence.own_term;
     struct amb_job *job = amb_job_find(node, listed->job_ref);
     struct amb_task *task =
         job && job->active && listed->index < job->spec->task_count ? &job->tasks[listed->index] : NULL;
     if (task && task->machine == machine && task->attempt == listed->attempt &&
         task->state != AMB_TASK_PLACED) {
-        task->last_listed_in = node->fleet.reports_read;
+        task->last_listed_in = node->fleet.heartbeats_processed;
         if (listed->state != AMB_AGENT_TASK_EXITED) {
-            at_work(node, task, listed);
-            if (proven && task->stop_requested)
-                amb_orders_add(orders, AMB_COMMAND_STOP, listed->job_ref, listed->index, listed->attempt,
-                               task->grace_s);
+            handle_active(node, task, listed);
+            if (acknowledged && task->stop_requested)
+                amb_command_list_add(commands, AMB_COMMAND_STOP, listed->job_ref, listed->index,
+                                     listed->attempt, task->grace_s);
             return;
         }
         if (!amb_absence_is_proven(absence_by_report(evidence, task, listed))) return;
-        exited(node, task, listed);
+        handle_exit(node, task, listed);
     } else if (listed->state != AMB_AGENT_TASK_EXITED) {
         /* Nothing on record puts it here: an attempt that was given up. */
-        if (proven)
-            amb_orders_add(orders, AMB_COMMAND_STOP, listed->job_ref, listed->index, listed->attempt, 0);
+        if (acknowledged)
+            amb_command_list_add(commands, AMB_COMMAND_STOP, listed->job_ref, listed->index, listed->attempt,
+                                 0);
         return;
     }
-    if (listed->exit_reason == AMB_EXIT_DONE && end_is_unrecorded(task))
+    if (listed->exit_reason == AMB_EXIT_DONE && has_unrecorded_completion(task))
         machine->has_unrecorded_result = true;
-    if (proven && may_clear(job, task, listed))
-        amb_orders_add(orders, AMB_COMMAND_CLEAR, listed->job_ref, listed->index, listed->attempt, 0);
+    if (acknowledged && may_clear(job, task, listed))
+        amb_command_list_add(commands, AMB_COMMAND_CLEAR, listed->job_ref, listed->index, listed->attempt, 0);
 }
 
 /* ---- a task that it does not name ---- */
@@ -158,20 +161,21 @@
 }
 
 /* It is off its machine; a gang's others go too. */
-static void gone(struct amb_node *node, struct amb_task *task, const char *cause, const char *gang_cause) {
+static void unbind_gone(struct amb_node *node, struct amb_task *task, const char *cause,
+                        const char *gang_cause) {
     struct amb_job *job = task->job;
     amb_task_unbind(node, task, cause);
     if (is_gang(job) && job->bound_count) amb_gang_tear_down(node, job, gang_cause);
 }
 
-void amb_task_unlisted(struct amb_node *node, struct amb_task *task, struct amb_heartbeat_evidence evidence,
-                       struct amb_orders *orders) {
+void amb_task_handle_unlisted(struct amb_node *node, struct amb_task *task,
+                              struct amb_heartbeat_evidence evidence, struct amb_command_list *commands) {
     struct amb_job *job = task->job;
     if (!amb_absence_is_proven(absence_by_report(evidence, task, NULL))) return;
     if (task->state == AMB_TASK_SEEN) {
         task->interrupted = true;
         amb_info("task %s/%u on %s: no longer there", job->ref, task->index, task->machine->name);
-        gone(node, task, "its machine no longer reports it", "a task is lost");
+        unbind_gone(node, task, "its machine no longer reports it", "a task is lost");
         return;
     }
     /* BOUND. The report is newer than any answer that carried the order, so the task is not there. */
@@ -181,16 +185,16 @@
     }
     if (task->inherited && !still_fits(node, task)) {
         task->interrupted = job->spec->kind == AMB_JOB_KIND_SERVICE;
-        gone(node, task, "placed by an earlier leader, not there, and its place may be taken",
-             "a task is not there");
+        unbind_gone(node, task, "placed by an earlier leader, not there, and its place may be taken",
+                    "a task is not there");
         return;
     }
-    if (task->start_sent && ++task->missed_heartbeats >= MISSES_MAX) {
+    if (task->start_sent && ++task->missed_heartbeats >= MISSED_HEARTBEATS_MAX) {
         /* Its reports arrive, but it does not act on answers. */
-        amb_machine_rest(task->machine, node->settings.lease_s, "it does not act on orders");
+        amb_machine_quarantine(task->machine, node->settings.lease_s, "it does not act on orders");
         task->interrupted = true;
-        gone(node, task, "its machine did not start it", "a task was not started");
+        unbind_gone(node, task, "its machine did not start it", "a task was not started");
         return;
     }
-    amb_orders_add_start(node, task, orders);
+    amb_command_list_add_start(node, task, commands);
 }
--- a/lib/cloud/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -32,7 +32,7 @@
     char type[AMB_NAME_SIZE] = "", zone[AMB_NAME_SIZE] = "";
     amb_cbor_str(amb_cbor_get(entry, "hull"), type, sizeof type);
     amb_cbor_str(amb_cbor_get(entry, "yard"), zone, sizeof zone);
-    amb_machine_learn_place(node, machine, type, zone);
+    amb_machine_set_location(node, machine, type, zone);
     if (!machine->address[0])
         amb_cbor_str(amb_cbor_get(entry, "address"), machine->address, sizeof machine->address);
     bool age_known = amb_cbor_num(amb_cbor_get(entry, "held_s"), &held);
@@ -43,7 +43,7 @@
     if (!known) {
         amb_cbor_bool(amb_cbor_get(entry, "driftwood"), &machine->spot);
         if (age_known) machine->exists_since = rented_at;
-        if (amb_cbor_eq(stance, "booting")) amb_machine_state(machine, AMB_MACHINE_BOOTING, "listed");
+        if (amb_cbor_eq(stance, "booting")) amb_machine_set_state(machine, AMB_MACHINE_BOOTING, "listed");
     }
     /* A list may be old, but a machine that failed once never works again. */
     if (amb_cbor_eq(stance, "failed") && machine->state != AMB_MACHINE_RELEASING) {
@@ -56,7 +56,7 @@
     node->cloud.list_completed = true;
     amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.report_s);
     struct amb_machine *machine, *next;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         if (machine->last_listing == node->cloud.list_generation) continue;
         const struct amb_list_evidence evidence = {.list_span = span,
                                                    .list_sent_at = started_at,
--- a/lib/cloud/machine_release.c
+++ b/lib/cloud/machine_release.c
@@ -57,12 +57,12 @@
     if (amb_duties_scaling_path(node) != AMB_SCALING_BY_LEADER) return false;
     size_t bytes_left = amb_scale_in_log_capacity_bytes(node);
     struct amb_machine *machine, *next;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         size_t bytes = strlen(machine->name) + AMB_SCALE_IN_LOG_NAME_BYTES;
         if (!machine->release_pending || cloud->release_count == AMB_RELEASE_MAX || bytes > bytes_left)
             continue;
         bytes_left -= bytes;
-        amb_machine_state(machine, AMB_MACHINE_RELEASING, "being returned");
+        amb_machine_set_state(machine, AMB_MACHINE_RELEASING, "being returned");
         strcpy(cloud->release_names[cloud->release_count++], machine->name);
     }
     return cloud->release_count > 0;
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -152,7 +152,7 @@
         if (!amb_cbor_str(amb_cbor_at(machines, i), name, AMB_NAME_SIZE)) continue;
         cloud->release_count++;
         struct amb_machine *machine = amb_machine_get(node, name, false);
-        if (machine) amb_machine_returning(machine, RESTORED_CAUSE);
+        if (machine) amb_machine_mark_releasing(machine, RESTORED_CAUSE);
     }
     if (cloud->release_count) set_state(node, AMB_SCALE_IN_LOG_RECORDED, "written by an earlier leader");
 }
@@ -160,5 +160,6 @@
 void amb_scale_in_log_note_machine(struct amb_node *node, struct amb_machine *machine) {
     const struct amb_cloud *cloud = &node->cloud;
     for (uint32_t i = 0; i < cloud->release_count; i++)
-        if (!strcmp(cloud->release_names[i], machine->name)) amb_machine_returning(machine, RESTORED_CAUSE);
+        if (!strcmp(cloud->release_names[i], machine->name))
+            amb_machine_mark_releasing(machine, RESTORED_CAUSE);
 }
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -146,9 +146,9 @@
     struct amb_machine *machine = amb_machine_get(node, name, true);
     if (!machine) return;
     machine->type_index = kind->type;
-    amb_machine_learn_zone(machine, kind->zone);
+    amb_machine_set_zone(machine, kind->zone);
     machine->spot = kind->spot;
-    if (!known) amb_machine_state(machine, AMB_MACHINE_BOOTING, "rented");
+    if (!known) amb_machine_set_state(machine, AMB_MACHINE_BOOTING, "rented");
 }
 
 static struct amb_capacity_backoff *backoff_of(struct amb_node *node,
--- a/lib/cloud_duty/orders.c
+++ b/lib/cloud_duty/orders.c
@@ -136,7 +136,7 @@
 /* A machine of a return order is never used again, whatever becomes of the order. */
 static void mark_released(struct amb_machine *machine, const char *cause) {
     machine->scale_in_logged = true;
-    amb_machine_returning(machine, cause);
+    amb_machine_mark_releasing(machine, cause);
 }
 
 static void apply_scale_in(struct amb_node *node, const struct amb_duty_intent_record *intent,
@@ -191,7 +191,7 @@
     struct amb_scale_in_intent *intent = &node->duties.scale_in;
     uint32_t most = amb_duty_max_machines(amb_settings_lowered_limits(&node->settings).value_kb);
     struct amb_machine *machine, *next;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         if (!machine->release_pending || machine->scale_in_logged || intent->work.machine_count == most)
             continue;
         if (!intent->work.machine_count) {
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -170,13 +170,13 @@
     case AMB_EVENT_JOB_READY: amb_capacity_plan_note_demand(node, event->job); break;
     case AMB_EVENT_JOB_HAS_DEPENDENCIES: amb_pipeline_add_job(node, event->job); break;
     case AMB_EVENT_JOB_FINAL: amb_pipeline_remove_final(node, event->job); break;
-    case AMB_EVENT_PLACEMENT_DURABLE: amb_answer_start(event->task); break;
+    case AMB_EVENT_PLACEMENT_DURABLE: amb_deferred_response_trigger(event->task); break;
     case AMB_EVENT_MACHINE_ADDED:
         amb_duties_note_machine(node, event->machine);
         amb_scale_in_log_note_machine(node, event->machine);
         amb_image_locations_restore(node, event->machine);
         break;
-    case AMB_EVENT_MACHINE_REMOVED: amb_machine_gone(node, event->machine, event->proof); break;
+    case AMB_EVENT_MACHINE_REMOVED: amb_machine_confirm_gone(node, event->machine, event->proof); break;
     case AMB_EVENT_DUTY_KEY_CHANGED:
         amb_duties_apply_change(node, event->change.key, event->change.value, event->change.revision);
         break;
@@ -224,7 +224,7 @@
      * node has died are here within a second or two. With reports every 4 s, waiting all the same cost 5 s of
      * the 10 s in which some work is to start, and of the first boots of a day. */
     if (controller->restored_at && !controller->ready &&
-        (has_waited || (node->cloud.list_completed && amb_fleet_learned(node)))) {
+        (has_waited || (node->cloud.list_completed && amb_fleet_is_acknowledged(node)))) {
         amb_info("controller: ready to place, %lld ms after the lead was won",
                  (long long)(now - controller->leader_since));
         controller->ready = true;
@@ -251,7 +251,7 @@
 
 static void handle_request(void *context, struct amb_http_req *request) {
     struct amb_node *node = context;
-    if (amb_fleet_request(node, request) || amb_user_request(node, request)) return;
+    if (amb_agent_handle_request(node, request) || amb_user_request(node, request)) return;
     if (strcmp(request->path, "/healthz"))
         amb_reply_cbor(request, 404, NULL, 0);
     else if (strcmp(request->method, "GET"))
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -64,10 +64,10 @@
  * node, or when no node can be reached either, somebody else should lead. */
 static bool is_unreachable_by_agents(const struct amb_node *node, amb_ms now) {
     amb_ms silence = (amb_ms)(node->settings.report_s * 3000);
-    if (node->election.role != AMB_ROLE_LEADER || now - node->fleet.last_report_at < silence ||
+    if (node->election.role != AMB_ROLE_LEADER || now - node->fleet.last_heartbeat_at < silence ||
         now - node->controller.leader_since < silence || !node->controller.restored_at)
         return false;
-    for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+    for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         if (machine->state == AMB_MACHINE_UP || machine->task_count)
             return amb_election_has_better_placed_peer(node, now);
     return false;
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -6,22 +6,22 @@
 
 #include <string.h>
 
-enum { ORDERS_PUSHED = 32 };
+enum { STOPS_MAX = 32 };
 
 /* ---- what is ordered ---- */
 
-void amb_orders_add(struct amb_orders *orders, enum amb_agent_command_kind op, const char *ref,
-                    uint32_t index, uint64_t attempt, double grace_s) {
-    if (orders->count == orders->capacity) return;
-    struct amb_agent_command *command = &orders->list[orders->count++];
-    command->kind = op;
+void amb_command_list_add(struct amb_command_list *list, enum amb_agent_command_kind kind, const char *ref,
+                          uint32_t index, uint64_t attempt, double grace_s) {
+    if (list->count == list->capacity) return;
+    struct amb_agent_command *command = &list->commands[list->count++];
+    command->kind = kind;
     strcpy(command->job_ref, ref);
     command->index = index;
     command->attempt = attempt;
     command->grace_s = grace_s;
 }
 
-bool amb_gang_recorded(const struct amb_job *job) {
+bool amb_gang_is_recorded(const struct amb_job *job) {
     for (uint32_t i = 0; i < job->spec->task_count; i++) {
         const struct amb_task *task = &job->tasks[i];
         if (!task->done && (!task->machine || task->state == AMB_TASK_PLACED)) return false;
@@ -29,31 +29,32 @@
     return true;
 }
 
-void amb_orders_add_start(struct amb_node *node, struct amb_task *task, struct amb_orders *orders) {
+void amb_command_list_add_start(struct amb_node *node, struct amb_task *task, struct amb_command_list *list) {
     struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
     if (!amb_election_may_start_tasks(node) || !node->controller.ready) return;
     if (machine->release_pending || machine->state == AMB_MACHINE_RELEASING) return;
-    if (job->spec->kind == AMB_JOB_KIND_GANG && !amb_gang_recorded(job)) return;
+    if (job->spec->kind == AMB_JOB_KIND_GANG && !amb_gang_is_recorded(job)) return;
     if (amb_cancellation_is_pending(node, job)) return;
-    if (orders->count == orders->capacity) return; /* not sent: it goes out with the next report */
+    if (list->count == list->capacity) return; /* not sent: it goes out with the next report */
     task->start_sent = true;
-    amb_orders_add(orders, AMB_COMMAND_RUN, job->ref, task->index, task->attempt, 0);
+    amb_command_list_add(list, AMB_COMMAND_RUN, job->ref, task->index, task->attempt, 0);
 }
 
 /* ---- answers to reports ---- */
 
-void amb_orders_answer(struct amb_http_req *request, uint64_t term, const struct amb_orders *orders) {
+void amb_heartbeat_reply_commands(struct amb_http_req *request, uint64_t term,
+                                  const struct amb_command_list *list) {
     struct amb_buf buffer = {0};
     amb_w_map(&buffer, 2);
     amb_w_str(&buffer, "baton");
     amb_w_uint(&buffer, term);
     amb_w_str(&buffer, "orders");
-    amb_codec_put_orders(&buffer, orders->list, orders->count);
+    amb_codec_put_orders(&buffer, list->commands, list->count);
     amb_reply_cbor(request, 200, &buffer, 0);
 }
 
-void amb_orders_redirect(struct amb_node *node, struct amb_http_req *request) {
+void amb_heartbeat_reply_redirect(struct amb_node *node, struct amb_http_req *request) {
     const char *leader = amb_election_leader_name(node);
     if (node->election.role == AMB_ROLE_FENCED) {
         amb_reply_cbor(request, 503, NULL, 1);
@@ -70,35 +71,35 @@
 
 /* ---- /commands ---- */
 
-static void commanded(void *arg, int status, const char *body, size_t len) {
+static void ignore_reply(void *context, int status, const char *body, size_t length) {
     /* What counts is the report that the machine sends next. */
-    (void)arg, (void)status, (void)body, (void)len;
+    (void)context, (void)status, (void)body, (void)length;
 }
 
-void amb_orders_command(struct amb_node *node, const struct amb_machine *machine, uint64_t session,
-                        const struct amb_orders *orders) {
+void amb_machine_send_commands(struct amb_node *node, const struct amb_machine *machine, uint64_t incarnation,
+                               const struct amb_command_list *list) {
     struct amb_buf buffer = {0};
     amb_w_map(&buffer, 3);
     amb_w_str(&buffer, "baton");
     amb_w_uint(&buffer, node->election.term);
     amb_w_str(&buffer, "watch");
-    amb_w_uint(&buffer, session);
+    amb_w_uint(&buffer, incarnation);
     amb_w_str(&buffer, "orders");
-    amb_codec_put_orders(&buffer, orders->list, orders->count);
+    amb_codec_put_orders(&buffer, list->commands, list->count);
     amb_http_call(machine->address, "POST", "/commands", "application/cbor", buffer.data, buffer.len,
-                  amb_secs(node->settings.report_s), commanded, NULL);
+                  amb_secs(node->settings.report_s), ignore_reply, NULL);
     amb_buf_free(&buffer);
 }
 
 /* A late stop does no harm: it names an attempt that was to stop anyway. (Starts only ever go out in
  * answers.) */
-void amb_orders_push_halts(struct amb_node *node, struct amb_machine *machine) {
-    struct amb_orders orders = {(struct amb_agent_command[ORDERS_PUSHED]){{0}}, ORDERS_PUSHED, 0};
+void amb_machine_send_stops(struct amb_node *node, struct amb_machine *machine) {
+    struct amb_command_list stops = {(struct amb_agent_command[STOPS_MAX]){{0}}, STOPS_MAX, 0};
     machine->stops_due = false;
     for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
         if (task->stop_requested && task->state == AMB_TASK_SEEN)
-            amb_orders_add(&orders, AMB_COMMAND_STOP, task->job->ref, task->index, task->attempt,
-                           task->grace_s);
-    if (!orders.count || !machine->token_acknowledged || !machine->address[0]) return;
-    amb_orders_command(node, machine, machine->incarnation, &orders);
+            amb_command_list_add(&stops, AMB_COMMAND_STOP, task->job->ref, task->index, task->attempt,
+                                 task->grace_s);
+    if (!stops.count || !machine->token_acknowledged || !machine->address[0]) return;
+    amb_machine_send_commands(node, machine, machine->incarnation, &stops);
 }
--- a/lib/fleet/machine_probe.c
+++ b/lib/fleet/machine_probe.c
@@ -7,33 +7,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct seek_call {
+struct probe {
     struct amb_node *node;
     uint64_t term;
-    char machine[AMB_NAME_SIZE];
+    char machine_name[AMB_NAME_SIZE];
 };
 
-static void inspected(void *arg, int status, const char *body, size_t len) {
-    struct seek_call call = *(struct seek_call *)arg;
-    struct amb_node *node = call.node;
-    free(arg);
-    const struct amb_machine *machine = amb_machine_get(node, call.machine, false);
-    cbor_item_t *item = status == 200 ? amb_cbor_parse(body, len) : NULL;
-    uint64_t session;
+static void probe_answered(void *context, int status, const char *body, size_t length) {
+    struct probe probe = *(struct probe *)context;
+    struct amb_node *node = probe.node;
+    free(context);
+    const struct amb_machine *machine = amb_machine_get(node, probe.machine_name, false);
+    cbor_item_t *reply = status == 200 ? amb_cbor_parse(body, length) : NULL;
+    uint64_t incarnation;
     /* No orders, only the token. */
-    if (machine && amb_election_is_leader(node) && node->election.term == call.term &&
-        amb_cbor_uint(amb_cbor_get(item, "watch"), &session))
-        amb_orders_command(node, machine, session, &(struct amb_orders){0});
-    if (item) cbor_decref(&item);
+    if (machine && amb_election_is_leader(node) && node->election.term == probe.term &&
+        amb_cbor_uint(amb_cbor_get(reply, "watch"), &incarnation))
+        amb_machine_send_commands(node, machine, incarnation, &(struct amb_command_list){0});
+    if (reply) cbor_decref(&reply);
 }
 
-void amb_machine_seek(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
+void amb_machine_probe(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
     if (!machine->address[0] || now - machine->probe_at < amb_secs(node->settings.report_s * 2)) return;
     machine->probe_at = now;
-    struct seek_call *call = amb_alloc(sizeof *call);
-    call->node = node;
-    call->term = node->election.term;
-    strcpy(call->machine, machine->name);
+    struct probe *probe = amb_alloc(sizeof *probe);
+    probe->node = node;
+    probe->term = node->election.term;
+    strcpy(probe->machine_name, machine->name);
     amb_http_call(machine->address, "GET", "/inspect", NULL, NULL, 0, amb_secs(node->settings.report_s),
-                  inspected, call);
+                  probe_answered, probe);
 }
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -17,23 +17,23 @@
 
 bool amb_machine_was_removed(const struct amb_node *node, const char *name) {
     struct amb_removed_machine *removed;
-    HASH_FIND_STR(node->fleet.removed, name, removed);
+    HASH_FIND_STR(node->fleet.removed_machines, name, removed);
     return removed != NULL;
 }
 
-struct amb_machine *amb_machine_get(struct amb_node *node, const char *name, bool create) {
+struct amb_machine *amb_machine_get(struct amb_node *node, const char *name, bool add_if_missing) {
     struct amb_machine *machine;
-    HASH_FIND_STR(node->fleet.all, name, machine);
-    if (machine || !create || amb_machine_was_removed(node, name) || strlen(name) >= AMB_NAME_SIZE)
+    HASH_FIND_STR(node->fleet.machines, name, machine);
+    if (machine || !add_if_missing || amb_machine_was_removed(node, name) || strlen(name) >= AMB_NAME_SIZE)
         return machine;
     machine = amb_alloc(sizeof *machine);
     strcpy(machine->name, name);
-    machine->number = node->fleet.numbered++;
+    machine->number = node->fleet.next_number++;
     machine->state = AMB_MACHINE_UNPROVEN;
     machine->type_index = machine->zone_index = machine->reserved_priority = -1;
     machine->exists_since = machine->first_known_at = machine->created_at = machine->state_since =
         machine->idle_since = amb_now();
-    HASH_ADD_STR(node->fleet.all, name, machine);
+    HASH_ADD_STR(node->fleet.machines, name, machine);
     amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_MACHINE_ADDED, .machine = machine});
     return machine;
 }
@@ -44,72 +44,72 @@
     free(machine);
 }
 
-size_t amb_machines_removed_most(const struct amb_node *node) {
-    enum { TABLE_BYTES = 32 }; /* of an allocation and of a place in the table */
+size_t amb_machines_removed_limit(const struct amb_node *node) {
+    enum { ENTRY_OVERHEAD_BYTES = 32 }; /* of an allocation and of a place in the table */
     return amb_memory_removed_machines_bytes(&node->settings) /
-           (sizeof(struct amb_removed_machine) + TABLE_BYTES);
+           (sizeof(struct amb_removed_machine) + ENTRY_OVERHEAD_BYTES);
 }
 
 /* The longest gone is forgotten first. A late copy of its report would make it known again: as a machine that
  * nothing is recorded on, that can't be reached, and that is returned for it. */
-static void forget_longest_gone(struct amb_node *node) {
-    struct amb_removed_machine *oldest = node->fleet.removed;
-    if (!oldest || HASH_COUNT(node->fleet.removed) < amb_machines_removed_most(node)) return;
-    if (!node->fleet.forgetting)
+static void forget_oldest_removed(struct amb_node *node) {
+    struct amb_removed_machine *oldest = node->fleet.removed_machines;
+    if (!oldest || HASH_COUNT(node->fleet.removed_machines) < amb_machines_removed_limit(node)) return;
+    if (!node->fleet.forgot_removed)
         amb_info("more than %u names of machines that are gone: the oldest are forgotten",
-                 HASH_COUNT(node->fleet.removed));
-    node->fleet.forgetting = true;
+                 HASH_COUNT(node->fleet.removed_machines));
+    node->fleet.forgot_removed = true;
     /* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the head moves in HASH_DEL */
-    HASH_DEL(node->fleet.removed, oldest);
+    HASH_DEL(node->fleet.removed_machines, oldest);
     free(oldest);
 }
 
 void amb_machine_remove(struct amb_node *node, struct amb_machine *machine) {
-    forget_longest_gone(node);
+    forget_oldest_removed(node);
     struct amb_removed_machine *removed = amb_alloc(sizeof *removed);
     strcpy(removed->name, machine->name);
     /* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the head moves in HASH_DEL */
-    HASH_ADD_STR(node->fleet.removed, name, removed);
-    HASH_DEL(node->fleet.all, machine);
+    HASH_ADD_STR(node->fleet.removed_machines, name, removed);
+    HASH_DEL(node->fleet.machines, machine);
     free_machine(machine);
 }
 
 void amb_machines_clear(struct amb_node *node) {
     struct amb_machine *machine, *next;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         /* NOLINTNEXTLINE(clang-analyzer-*): the head moves in HASH_DEL, which the analyzer does not see */
-        HASH_DEL(node->fleet.all, machine);
+        HASH_DEL(node->fleet.machines, machine);
         free_machine(machine);
     }
 }
 
 void amb_machines_forget_removed(struct amb_node *node) {
     struct amb_removed_machine *removed, *next;
-    HASH_ITER(hh, node->fleet.removed, removed, next) {
+    HASH_ITER(hh, node->fleet.removed_machines, removed, next) {
         /* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the head moves in HASH_DEL */
-        HASH_DEL(node->fleet.removed, removed);
+        HASH_DEL(node->fleet.removed_machines, removed);
         free(removed);
     }
 }
 
 /* ---- one machine ---- */
 
-void amb_machine_state(struct amb_machine *machine, enum amb_machine_state to, const char *cause) {
+void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_set_state state, const char *cause) {
     static const char *const names[] = {"booting", "unproven", "up", "silent", "releasing"};
-    if (machine->state == to) return;
+    if (machine->state == state) return;
     /* A release that was asked for may still be carried out. */
     if (machine->state == AMB_MACHINE_RELEASING) return;
-    amb_info("machine %s: %s -> %s: %s", machine->name, names[machine->state], names[to], cause);
-    machine->state = to;
+    amb_info("machine %s: %s -> %s: %s", machine->name, names[machine->state], names[state], cause);
+    machine->state = state;
     machine->state_since = amb_now();
 }
 
-void amb_machine_returning(struct amb_machine *machine, const char *cause) {
+void amb_machine_mark_releasing(struct amb_machine *machine, const char *cause) {
     machine->release_pending = true;
-    amb_machine_state(machine, AMB_MACHINE_RELEASING, cause);
+    amb_machine_set_state(machine, AMB_MACHINE_RELEASING, cause);
 }
 
-void amb_machine_learn_zone(struct amb_machine *machine, int zone) {
+void amb_machine_set_zone(struct amb_machine *machine, int zone) {
     if (machine->zone_index >= 0 || zone < 0) return;
     machine->zone_index = zone;
     for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
@@ -117,7 +117,7 @@
 }
 
 /* type: that is not in the catalogue; NULL: the zone is at fault. */
-static void say_beyond_bounds(struct amb_machine *machine, const char *type, const char *zone) {
+static void log_beyond_limits(struct amb_machine *machine, const char *type, const char *zone) {
     if (machine->beyond_catalog) return;
     machine->beyond_catalog = true;
     if (type)
@@ -129,37 +129,37 @@
                   machine->name, zone, AMB_ZONES_MAX);
 }
 
-void amb_machine_learn_place(struct amb_node *node, struct amb_machine *machine, const char *type,
-                             const char *zone) {
+void amb_machine_set_location(struct amb_node *node, struct amb_machine *machine, const char *type,
+                              const char *zone) {
     if (machine->type_index < 0 && type[0]) machine->type_index = amb_catalog_find_type(&node->catalog, type);
     if (machine->zone_index < 0)
-        amb_machine_learn_zone(machine, amb_catalog_find_or_add_zone(&node->catalog, zone));
+        amb_machine_set_zone(machine, amb_catalog_find_or_add_zone(&node->catalog, zone));
     /* (A leader that had just started called every machine it heard of unusable.) */
     bool type_missing = machine->type_index < 0 && type[0] && node->cloud.catalog_known;
     bool zone_missing = machine->zone_index < 0 && zone[0];
-    if (type_missing || zone_missing) say_beyond_bounds(machine, type_missing ? type : NULL, zone);
+    if (type_missing || zone_missing) log_beyond_limits(machine, type_missing ? type : NULL, zone);
 }
 
-void amb_machine_rest(struct amb_machine *machine, double seconds, const char *cause) {
+void amb_machine_quarantine(struct amb_machine *machine, double seconds, const char *cause) {
     amb_ms until = amb_now() + amb_secs(seconds);
     if (until > machine->avoid_until) machine->avoid_until = until;
     amb_info("machine %s: no new tasks for %g s: %s", machine->name, seconds, cause);
 }
 
-bool amb_machine_usable(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
+bool amb_machine_is_schedulable(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
     return machine->state == AMB_MACHINE_UP && !machine->release_pending && !machine->drain &&
            !machine->reclaim_at && now >= machine->avoid_until && machine->type_index >= 0 &&
            machine->zone_index >= 0 &&
            now - machine->last_heartbeat_at < amb_secs(node->settings.report_s * 3);
 }
 
-void amb_machine_image_room(struct amb_machine *machine, uint32_t images) {
-    enum { FIRST_ROOM = 4 };
+void amb_machine_reserve_images(struct amb_machine *machine, uint32_t images) {
+    enum { INITIAL_CAPACITY = 4 };
     if (images > AMB_IMAGES_MAX) images = AMB_IMAGES_MAX;
     if (images <= machine->image_capacity) return;
-    uint32_t room = machine->image_capacity ? machine->image_capacity : FIRST_ROOM;
-    while (room < images) room *= 2;
-    machine->image_capacity = room < AMB_IMAGES_MAX ? room : AMB_IMAGES_MAX;
+    uint32_t capacity = machine->image_capacity ? machine->image_capacity : INITIAL_CAPACITY;
+    while (capacity < images) capacity *= 2;
+    machine->image_capacity = capacity < AMB_IMAGES_MAX ? capacity : AMB_IMAGES_MAX;
     machine->images = amb_grow(machine->images, machine->image_capacity * sizeof *machine->images);
     machine->image_sizes_gb =
         amb_grow(machine->image_sizes_gb, machine->image_capacity * sizeof *machine->image_sizes_gb);
@@ -172,14 +172,15 @@
 }
 
 /* What the machine's cache is thought to hold: the most recently used images that fit in it. */
-void amb_machine_use_image(struct amb_node *node, struct amb_machine *machine, const char *image, double gb) {
-    amb_machine_image_room(machine, machine->image_count + 1);
+void amb_machine_record_image_use(struct amb_node *node, struct amb_machine *machine, const char *image,
+                                  double gb) {
+    amb_machine_reserve_images(machine, machine->image_count + 1);
     if (amb_recent_names_add(machine->images, machine->image_sizes_gb, &machine->image_count, AMB_IMAGES_MAX,
                              image, gb))
         machine->images_changed = true;
-    double room = machine->type_index >= 0 ? node->catalog.types[machine->type_index].image_cache_gb : 0;
-    for (uint32_t i = 0; room > 0 && i < machine->image_count; i++) {
-        room -= machine->image_sizes_gb[i];
-        if (room < 0 && i) machine->image_count = i;
+    double free_gb = machine->type_index >= 0 ? node->catalog.types[machine->type_index].image_cache_gb : 0;
+    for (uint32_t i = 0; free_gb > 0 && i < machine->image_count; i++) {
+        free_gb -= machine->image_sizes_gb[i];
+        if (free_gb < 0 && i) machine->image_count = i;
     }
 }
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -76,7 +76,7 @@
         .has_read_store = node->jobs.loaded,
         .is_leader = amb_election_is_leader(node),
         .store_reachable = is_own_store_reachable(node, now),
-        .receives_agent_heartbeats = now - node->fleet.last_report_at < agent_heartbeat_timeout(node),
+        .receives_agent_heartbeats = now - node->fleet.last_heartbeat_at < agent_heartbeat_timeout(node),
     };
 }
 
--- a/lib/peer/image_locations.c
+++ b/lib/peer/image_locations.c
@@ -49,13 +49,14 @@
 json_t *amb_image_locations_encode(struct amb_node *node, size_t max_bytes) {
     struct amb_image_locations *images = &node->peers.image_locations;
     json_t *encoded = json_object();
-    uint32_t count = HASH_COUNT(node->fleet.all),
+    uint32_t count = HASH_COUNT(node->fleet.machines),
              share = (uint32_t)(images->heartbeat_number++ % IMAGE_SHARES);
     uint32_t first = images->first_machine < count ? images->first_machine : 0;
     images->first_machine = 0;
     for (int pass = 0; pass < 2; pass++) { /* from the first on, then those before it */
         uint32_t place = 0;
-        for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next, place++) {
+        for (struct amb_machine *machine = node->fleet.machines; machine;
+             machine = machine->hh.next, place++) {
             if ((pass == 0) != (place >= first)) continue;
             if (place % IMAGE_SHARES != share && !machine->images_changed) continue;
             if (encode_machine(node, machine, encoded, &max_bytes)) continue;
@@ -69,7 +70,7 @@
 
 void amb_image_locations_mark_sent(struct amb_node *node) {
     uint64_t latest = node->peers.image_locations.heartbeat_number;
-    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+    for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         if (machine->images_sent_in == latest) machine->images_changed = false;
 }
 
@@ -99,7 +100,7 @@
     if (!name || !json_is_number(size_gb) || strlen(name) >= AMB_NAME_SIZE ||
         machine->image_count == AMB_IMAGES_MAX)
         return;
-    amb_machine_image_room(machine, machine->image_count + 1);
+    amb_machine_reserve_images(machine, machine->image_count + 1);
     strcpy(machine->images[machine->image_count], name);
     machine->image_sizes_gb[machine->image_count++] = json_number_value(size_gb);
 }
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -80,8 +80,8 @@
         machine->type_index =
             find_in_catalog(amb_cbor_get(restore->value, "t"), placement->type, node, false);
     if (machine->zone_index < 0)
-        amb_machine_learn_zone(
-            machine, find_in_catalog(amb_cbor_get(restore->value, "z"), placement->zone, node, true));
+        amb_machine_set_zone(machine,
+                             find_in_catalog(amb_cbor_get(restore->value, "z"), placement->zone, node, true));
     /* A list asked for long after that must name the machine: else it is gone, and need not be waited for as
      * if it had been met just now. */
     if (restore->age > 0 && amb_now() - restore->age < machine->first_known_at)
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -68,7 +68,7 @@
                                         .usable = true,
                                         .reserved_priority = -1};
                 if (zone < 0 || !amb_placement_is_allowed(request, &slot) ||
-                    amb_zone_unreachable(node, zone) ||
+                    amb_zone_is_unreachable(node, zone) ||
                     amb_scale_out_is_backing_off(node, (int)type_index, zone, spot, cycle->now))
                     continue;
                 double cost = (spot ? type->hourly_spot_price : type->hourly_price) /
@@ -132,7 +132,7 @@
         amb_resources_add(&slot->available, &request->need, -1);
         amb_cycle_note_slot_change(cycle, slot);
         slot->planned_tasks++;
-        if (amb_job_recovers(cycle->node, job)) amb_cycle_reserve_on_slot(slot, job->spec);
+        if (amb_job_is_recovering(cycle->node, job)) amb_cycle_reserve_on_slot(slot, job->spec);
     }
     job->zone_task_counts[slot->zone]++;
     plan->counted_zones[plan->counted_zone_count++] = slot->zone;
@@ -197,13 +197,13 @@
     amb_ms silence_limit =
         amb_secs(node->settings.lease_s * 0.65); /* longer than a worker takes to find another node */
     amb_ms latest_heartbeat = 0;
-    for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+    for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         if (machine->last_heartbeat_at > latest_heartbeat) latest_heartbeat = machine->last_heartbeat_at;
     /* Nobody heard at all: it is this node that is out of reach. (A new leader in that place once rented
      * twice its fleet anew within 14 s.) */
     if (cycle->now - latest_heartbeat > amb_secs(node->settings.report_s * 3)) return;
     amb_cycle_annotate_ignoring_image(cycle);
-    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
+    for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next) {
         amb_ms last_heard = machine->last_heartbeat_at > node->controller.leader_since
                                 ? machine->last_heartbeat_at
                                 : node->controller.leader_since;
@@ -314,7 +314,7 @@
         if (cycle->now - machine->idle_since > idle_limit && leading_for > idle_limit)
             amb_cloud_scale_in(node, machine, "idle");
     }
-    HASH_ITER(hh, node->fleet.all, machine, next)
+    HASH_ITER(hh, node->fleet.machines, machine, next)
     if (machine->drain && is_empty(machine)) amb_cloud_scale_in(node, machine, "emptied");
 }
 
@@ -415,18 +415,18 @@
     struct amb_node *node = cycle->node;
     struct amb_machine *machine, *next;
     uint32_t draining = 0, up = 0;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         up += machine->state == AMB_MACHINE_UP;
         draining += machine->drain;
     }
     /* Demand is back: better keep what boots already. */
     if (plan->scale_out_total) {
-        HASH_ITER(hh, node->fleet.all, machine, next)
+        HASH_ITER(hh, node->fleet.machines, machine, next)
         if (machine->drain && !machine->release_pending) machine->drain = false;
         return;
     }
     uint32_t moves = 0;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         if (!machine->drain || machine->state != AMB_MACHINE_UP) continue;
         for (struct amb_task *task = machine->tasks; task && moves < 2; task = task->next_on_machine)
             if (task->job->spec->kind == AMB_JOB_KIND_SERVICE && can_move_replica(cycle, task)) {
@@ -453,7 +453,7 @@
 
 static void release_overdue_boots(struct amb_node *node, amb_ms now) {
     struct amb_machine *machine, *next;
-    HASH_ITER(hh, node->fleet.all, machine, next) {
+    HASH_ITER(hh, node->fleet.machines, machine, next) {
         if (machine->state != AMB_MACHINE_BOOTING || machine->type_index < 0) continue;
         if (now - machine->created_at > amb_secs(node->catalog.types[machine->type_index].boot_s * 4))
             amb_cloud_release(node, machine, "it does not come up");
@@ -474,7 +474,7 @@
             cycle->slots[i].machine->reserved = cycle->slots[i].reserved = no_room;
         }
     for (uint32_t i = 0; i < cycle->job_count; i++)
-        if (amb_cycle_is_schedulable(cycle, cycle->jobs[i]) && !amb_job_broken(cycle->jobs[i]))
+        if (amb_cycle_is_schedulable(cycle, cycle->jobs[i]) && !amb_job_is_broken(cycle->jobs[i]))
             plan_job(plan, cycle->jobs[i]);
     plan_replacements(plan);
     note_peak_usage(plan);
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -81,10 +81,11 @@
 
 static void collect_machines(struct amb_cycle *cycle, bool pending) {
     struct amb_machine *machine, *next;
-    HASH_ITER(hh, cycle->node->fleet.all, machine, next) {
+    HASH_ITER(hh, cycle->node->fleet.machines, machine, next) {
         if (machine->type_index < 0 || machine->zone_index < 0 || machine->release_pending) continue;
         if (!pending) {
-            if (amb_machine_usable(cycle->node, machine, cycle->now)) add_machine_slot(cycle, machine, true);
+            if (amb_machine_is_schedulable(cycle->node, machine, cycle->now))
+                add_machine_slot(cycle, machine, true);
             continue;
         }
         /* Counted on while it may still come up in time; after that another is rented in its place. */
@@ -96,14 +97,14 @@
             cycle->now - machine->last_heartbeat_at < amb_secs(cycle->node->settings.report_s * 3);
         /* Nor does what boots where nothing can be reached. (In a cut of 105 s work waited for machines that
          * had been rented beyond it, for two boot times each.) */
-        if ((boots_in_time || recently_seen) && !amb_zone_unreachable(cycle->node, machine->zone_index))
+        if ((boots_in_time || recently_seen) && !amb_zone_is_unreachable(cycle->node, machine->zone_index))
             add_machine_slot(cycle, machine, true);
     }
     if (!pending) return;
     for (struct amb_scale_out_request *scale_out = cycle->node->cloud.requests; scale_out;
          scale_out = scale_out->next)
         if ((scale_out->state == AMB_SCALE_OUT_RECORDING || scale_out->state == AMB_SCALE_OUT_REQUESTING) &&
-            !amb_zone_unreachable(cycle->node, scale_out->zone))
+            !amb_zone_is_unreachable(cycle->node, scale_out->zone))
             for (uint32_t i = 0; i < scale_out->count; i++)
                 amb_cycle_add_slot(cycle, scale_out->type, scale_out->zone, scale_out->spot);
 }
@@ -133,7 +134,7 @@
         return false;
     if (job->spec->kind == AMB_JOB_KIND_GANG && (job->gang_state != AMB_GANG_IDLE || job->bound_count))
         return false;
-    if (amb_job_broken(job) && job->bound_count) return false; /* one task is tried at a time */
+    if (amb_job_is_broken(job) && job->bound_count) return false; /* one task is tried at a time */
     return cycle->now >= job->backoff_until;
 }
 
@@ -144,7 +145,7 @@
     cycle->jobs = amb_alloc((count + 1) * sizeof *cycle->jobs);
     for (struct amb_job *job = cycle->node->jobs.active; job; job = job->next_active)
         if (amb_cycle_is_schedulable(cycle, job)) {
-            job->recovery_step = amb_zone_recovery_step(cycle->node, job);
+            job->recovery_step = amb_zone_recovery_step_of(cycle->node, job);
             cycle->jobs[cycle->job_count++] = job;
         }
     qsort(cycle->jobs, cycle->job_count, sizeof *cycle->jobs, compare_by_urgency);
@@ -371,7 +372,7 @@
 static void place_task(struct amb_cycle *cycle, struct amb_task *task, struct amb_slot *slot,
                        uint64_t attempt) {
     struct amb_job *job = task->job;
-    if (amb_job_recovers(cycle->node, job)) consume_reservation(slot, job->spec);
+    if (amb_job_is_recovering(cycle->node, job)) consume_reservation(slot, job->spec);
     amb_cycle_get_slot(cycle, (uint32_t)(slot - cycle->slots));
     amb_cycle_note_slot_change(cycle, slot);
     cycle->placed_tasks++;
@@ -381,7 +382,7 @@
     amb_info("task %s/%u try %llu: placed on %s%s", job->ref, task->index, (unsigned long long)attempt,
              slot->machine->name, slot->has_image ? ", image at hand" : "");
     amb_task_bind(cycle->node, task, slot->machine, attempt, AMB_TASK_PLACED);
-    amb_machine_use_image(cycle->node, slot->machine, job->spec->image, job->spec->image_gb);
+    amb_machine_record_image_use(cycle->node, slot->machine, job->spec->image, job->spec->image_gb);
     amb_placement_block_mark_dirty(cycle->node, task, true);
 }
 
@@ -636,12 +637,12 @@
 struct amb_slot *amb_cycle_preempt_for(struct amb_cycle *cycle, struct amb_job *job,
                                        const struct amb_placement_request *request, bool image_only) {
     const struct amb_preemption_claim claim = make_job_claim(job);
-    if (amb_job_broken(job) || !may_preempt(cycle, &claim)) return NULL;
+    if (amb_job_is_broken(job) || !may_preempt(cycle, &claim)) return NULL;
     int best = find_least_lost_work(cycle, request, &claim, image_only);
     if (best < 0) return NULL;
     struct amb_slot *slot = &cycle->slots[best];
     amb_resources_add(&slot->available, &request->need, -1);
-    bool is_recovering = amb_job_recovers(cycle->node, job);
+    bool is_recovering = amb_job_is_recovering(cycle->node, job);
     preempt_on_slot(cycle, slot, &claim, job->spec, is_recovering);
     slot->planned_tasks++;
     /* Until it has come, no batch work goes there. */
@@ -755,7 +756,7 @@
         cycle->recovery_pass = (uint8_t)step;
         admitted += run_admission_pass(cycle, &ops, first_team);
     }
-    cycle->recovery_pass = AMB_NO_STEP;
+    cycle->recovery_pass = AMB_RECOVERY_NO_STEP;
     /* What users wait for goes before what may be stopped for it (docs/design.md, exceptions). */
     cycle->urgent_pass = true;
     admitted += run_admission_pass(cycle, &ops, first_team);
--- a/lib/zone_recovery/activation.c
+++ b/lib/zone_recovery/activation.c
@@ -4,17 +4,17 @@
 #include <stdio.h>
 #include <string.h>
 
-static struct amb_zone_settings settings_of(const struct amb_settings *settings,
-                                            const struct amb_options *options) {
+static struct amb_zone_settings make_settings(const struct amb_settings *settings,
+                                              const struct amb_options *options) {
     return (struct amb_zone_settings){
-        .report_period = amb_secs(settings->report_s),
-        .steady = amb_secs(settings->lease_s * options->zone_steady),
-        .steady_longest = amb_secs(settings->lease_s * options->zone_steady_longest),
-        .loss_forgotten = amb_secs(settings->lease_s * options->zone_loss_forgotten),
+        .heartbeat_period = amb_secs(settings->report_s),
+        .stability_period = amb_secs(settings->lease_s * options->zone_steady),
+        .stability_period_max = amb_secs(settings->lease_s * options->zone_steady_longest),
+        .loss_expiry = amb_secs(settings->lease_s * options->zone_loss_forgotten),
     };
 }
 
-static bool is_class(const struct amb_settings *settings, const char *name) {
+static bool is_known_class(const struct amb_settings *settings, const char *name) {
     for (uint32_t i = 0; i < settings->nobjectives; i++)
         if (!strcmp(settings->objectives[i].class_name, name)) return true;
     return false;
@@ -33,7 +33,7 @@
     char name[AMB_NAME_SIZE];
     const char *at = order;
     while (amb_zone_settings_next_class(&at, name, sizeof name)) {
-        if (!is_class(settings, name)) {
+        if (!is_known_class(settings, name)) {
             snprintf(err, cap, "%s: zone-recovery-order: '%s' is no class that objectives name", file, name);
             return false;
         }
@@ -43,7 +43,7 @@
             return false;
         }
     }
-    if (amb_zone_settings_list_ends(at)) return true;
+    if (amb_zone_settings_list_is_at_end(at)) return true;
     snprintf(err, cap, "%s: zone-recovery-order: a name is longer than the %d bytes of a class", file,
              AMB_NAME_SIZE - 1);
     return false;
@@ -53,20 +53,20 @@
                              const char *file, char *err, size_t cap) {
     if (options->zone_recovery == 0) return true;
     if (!file) file = "options";
-    struct amb_zone_settings settings = settings_of(set, options);
+    struct amb_zone_settings settings = make_settings(set, options);
     enum amb_zone_settings_error error = amb_zone_settings_check(&settings);
-    if (error != AMB_ZONE_SETTINGS_GOOD) {
-        snprintf(err, cap, "%s: %s", file, amb_zone_settings_allowed(error));
+    if (error != AMB_ZONE_SETTINGS_OK) {
+        snprintf(err, cap, "%s: %s", file, amb_zone_settings_error_text(error));
         return false;
     }
     return check_order(set, options->zone_recovery_order, file, err, cap);
 }
 
-bool amb_zone_recovery_on(const struct amb_node *node) {
+bool amb_zone_recovery_is_enabled(const struct amb_node *node) {
     return node->options.zone_recovery != 0;
 }
 
 void amb_zone_recovery_init(struct amb_node *node) {
-    if (amb_zone_recovery_on(node))
-        node->zone_recovery.settings = settings_of(&node->settings, &node->options);
+    if (amb_zone_recovery_is_enabled(node))
+        node->zone_recovery.settings = make_settings(&node->settings, &node->options);
 }
--- a/lib/zone_recovery/health.c
+++ b/lib/zone_recovery/health.c
@@ -2,152 +2,155 @@
 
 #include <string.h>
 
-static const char *const VERDICT_NAMES[AMB_ZONE_VERDICTS] = {"healthy", "suspect", "lost", "returning"};
+static const char *const STATE_NAMES[AMB_ZONE_HEALTH_STATES] = {"healthy", "suspect", "lost", "returning"};
 
 enum {
-    FEW_MACHINES = 2,      /* so many may be silent for reasons of their own */
-    DROPPED_SHARE = 10,    /* one in so many that answered steadily and are silent: not steady */
-    LONGEST_DOUBLING = 30, /* shifts that an amb_ms bears */
+    UNRELATED_FAILURES_MAX = 2, /* so many may be silent for reasons of their own */
+    DROPPED_DIVISOR = 10,       /* one in so many that answered steadily and are silent: not steady */
+    DOUBLINGS_MAX = 30,         /* shifts that an amb_ms bears */
 };
 
 /* ---- names ---- */
 
-const char *amb_zone_verdict_name(enum amb_zone_verdict verdict) {
-    return VERDICT_NAMES[verdict];
+const char *amb_zone_health_state_name(enum amb_zone_health_state state) {
+    return STATE_NAMES[state];
 }
 
-bool amb_zone_verdict_parse(const char *name, enum amb_zone_verdict *verdict) {
-    for (int i = 0; i < AMB_ZONE_VERDICTS; i++) {
-        if (strcmp(name, VERDICT_NAMES[i]) != 0) continue;
-        *verdict = (enum amb_zone_verdict)i;
+bool amb_zone_health_state_parse(const char *name, enum amb_zone_health_state *state) {
+    for (int i = 0; i < AMB_ZONE_HEALTH_STATES; i++) {
+        if (strcmp(name, STATE_NAMES[i]) != 0) continue;
+        *state = (enum amb_zone_health_state)i;
         return true;
     }
     return false;
 }
 
-bool amb_zone_verdict_admits_batch(enum amb_zone_verdict verdict) {
-    return verdict == AMB_ZONE_HEALTHY || verdict == AMB_ZONE_SUSPECT;
+bool amb_zone_health_state_admits_batch(enum amb_zone_health_state state) {
+    return state == AMB_ZONE_HEALTHY || state == AMB_ZONE_SUSPECT;
 }
 
 /* ---- what is heard ---- */
 
-enum amb_zone_heard amb_zone_heard_of(uint64_t expected, uint64_t silent) {
-    if (silent <= FEW_MACHINES) return AMB_ZONE_HEARD;
-    if (silent * 10 >= expected * 9) return AMB_ZONE_NOT_HEARD;
-    return silent * 3 > expected ? AMB_ZONE_HEARD_PARTLY : AMB_ZONE_HEARD;
+enum amb_zone_responsiveness amb_zone_classify_responsiveness(uint64_t expected, uint64_t unresponsive) {
+    if (unresponsive <= UNRELATED_FAILURES_MAX) return AMB_ZONE_RESPONSIVE;
+    if (unresponsive * 10 >= expected * 9) return AMB_ZONE_UNRESPONSIVE;
+    return unresponsive * 3 > expected ? AMB_ZONE_PARTLY_RESPONSIVE : AMB_ZONE_RESPONSIVE;
 }
 
-static enum amb_zone_heard heard_of(const struct amb_zone_evidence *evidence) {
+static enum amb_zone_responsiveness classify_evidence(const struct amb_zone_evidence *evidence) {
     uint64_t expected = roaring_bitmap_get_cardinality(evidence->expected);
-    uint64_t silent = roaring_bitmap_andnot_cardinality(evidence->expected, evidence->answering);
-    return amb_zone_heard_of(expected, silent);
+    uint64_t unresponsive = roaring_bitmap_andnot_cardinality(evidence->expected, evidence->responsive);
+    return amb_zone_classify_responsiveness(expected, unresponsive);
 }
 
 /* Silence that says nothing of the zone: a cut between two zones, or a leader that itself hears nobody. */
 static bool is_excused(const struct amb_zone_evidence *evidence) {
-    return evidence->deputy_at_work || evidence->nobody_heard;
+    return evidence->lease_proxy_active || evidence->all_unresponsive;
 }
 
 /* ---- steadiness ---- */
 
-amb_ms amb_zone_health_steady_time(const struct amb_zone_health *health,
-                                   const struct amb_zone_settings *settings) {
+amb_ms amb_zone_health_stability_period(const struct amb_zone_health *health,
+                                        const struct amb_zone_settings *settings) {
     uint32_t doublings = health->losses > 1 ? health->losses - 1 : 0;
-    if (doublings > LONGEST_DOUBLING || settings->steady > settings->steady_longest >> doublings)
-        return settings->steady_longest;
-    return settings->steady << doublings;
+    if (doublings > DOUBLINGS_MAX || settings->stability_period > settings->stability_period_max >> doublings)
+        return settings->stability_period_max;
+    return settings->stability_period << doublings;
 }
 
 /* The library takes no NULL. (The first leader that lost its lead ended there, with nothing ever lost.) */
-static void free_steady(struct amb_zone_health *health) {
-    if (health->steady) roaring_bitmap_free(health->steady);
-    health->steady = NULL;
+static void free_stable(struct amb_zone_health *health) {
+    if (health->stable) roaring_bitmap_free(health->stable);
+    health->stable = NULL;
 }
 
-static void begin_steady_time(struct amb_zone_health *health, const roaring_bitmap_t *answering, amb_ms now) {
-    free_steady(health);
-    health->steady = roaring_bitmap_copy(answering);
-    health->steady_since = now;
+static void restart_stability_period(struct amb_zone_health *health, const roaring_bitmap_t *responsive,
+                                     amb_ms now) {
+    free_stable(health);
+    health->stable = roaring_bitmap_copy(responsive);
+    health->stable_since = now;
 }
 
 /* Have too many fallen silent of the machines that answered? One that is not expected any more was returned.
  */
-static bool is_unsteady(const struct amb_zone_health *health, const struct amb_zone_evidence *evidence) {
-    roaring_bitmap_and_inplace(health->steady, evidence->expected);
-    uint64_t steady = roaring_bitmap_get_cardinality(health->steady);
-    uint64_t dropped = roaring_bitmap_andnot_cardinality(health->steady, evidence->answering);
-    return dropped > FEW_MACHINES && dropped * DROPPED_SHARE > steady;
+static bool is_unstable(const struct amb_zone_health *health, const struct amb_zone_evidence *evidence) {
+    roaring_bitmap_and_inplace(health->stable, evidence->expected);
+    uint64_t stable = roaring_bitmap_get_cardinality(health->stable);
+    uint64_t dropped = roaring_bitmap_andnot_cardinality(health->stable, evidence->responsive);
+    return dropped > UNRELATED_FAILURES_MAX && dropped * DROPPED_DIVISOR > stable;
 }
 
 /* ---- the verdict ---- */
 
-static void lose(struct amb_zone_health *health, const struct amb_zone_settings *settings, amb_ms now) {
-    if (health->verdict != AMB_ZONE_RETURNING) {
-        amb_ms forgotten = (now - health->sound_since) / settings->loss_forgotten;
-        health->losses = (amb_ms)health->losses > forgotten ? health->losses - (uint32_t)forgotten : 0;
+static void mark_lost(struct amb_zone_health *health, const struct amb_zone_settings *settings, amb_ms now) {
+    if (health->state != AMB_ZONE_RETURNING) {
+        amb_ms expired_losses = (now - health->available_since) / settings->loss_expiry;
+        health->losses =
+            (amb_ms)health->losses > expired_losses ? health->losses - (uint32_t)expired_losses : 0;
     }
     health->losses++;
-    health->verdict = AMB_ZONE_LOST;
+    health->state = AMB_ZONE_LOST;
 }
 
-static void judge_sound(struct amb_zone_health *health, const struct amb_zone_settings *settings,
-                        const struct amb_zone_evidence *evidence, amb_ms now) {
-    enum amb_zone_heard heard = heard_of(evidence);
-    if (heard == AMB_ZONE_NOT_HEARD && !is_excused(evidence))
-        lose(health, settings, now);
+static void update_available(struct amb_zone_health *health, const struct amb_zone_settings *settings,
+                             const struct amb_zone_evidence *evidence, amb_ms now) {
+    enum amb_zone_responsiveness responsiveness = classify_evidence(evidence);
+    if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_excused(evidence))
+        mark_lost(health, settings, now);
     else
-        health->verdict = heard == AMB_ZONE_HEARD ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
+        health->state = responsiveness == AMB_ZONE_RESPONSIVE ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
 }
 
 /* A zone without any machine is tried again too: nothing else would ever show that it is back. */
-static void judge_lost(struct amb_zone_health *health, const struct amb_zone_evidence *evidence, amb_ms now) {
-    if (evidence->nobody_heard) return;
-    if (heard_of(evidence) == AMB_ZONE_NOT_HEARD && !evidence->deputy_at_work) return;
-    health->verdict = AMB_ZONE_RETURNING;
-    begin_steady_time(health, evidence->answering, now);
-}
-
-static void judge_returning(struct amb_zone_health *health, const struct amb_zone_settings *settings,
-                            const struct amb_zone_evidence *evidence, amb_ms now) {
-    enum amb_zone_heard heard = heard_of(evidence);
-    if (heard == AMB_ZONE_NOT_HEARD && !is_excused(evidence)) {
-        lose(health, settings, now);
+static void update_lost(struct amb_zone_health *health, const struct amb_zone_evidence *evidence,
+                        amb_ms now) {
+    if (evidence->all_unresponsive) return;
+    if (classify_evidence(evidence) == AMB_ZONE_UNRESPONSIVE && !evidence->lease_proxy_active) return;
+    health->state = AMB_ZONE_RETURNING;
+    restart_stability_period(health, evidence->responsive, now);
+}
+
+static void update_returning(struct amb_zone_health *health, const struct amb_zone_settings *settings,
+                             const struct amb_zone_evidence *evidence, amb_ms now) {
+    enum amb_zone_responsiveness responsiveness = classify_evidence(evidence);
+    if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_excused(evidence)) {
+        mark_lost(health, settings, now);
         return;
     }
-    if (heard == AMB_ZONE_NOT_HEARD || is_unsteady(health, evidence)) {
-        begin_steady_time(health, evidence->answering, now);
+    if (responsiveness == AMB_ZONE_UNRESPONSIVE || is_unstable(health, evidence)) {
+        restart_stability_period(health, evidence->responsive, now);
         return;
     }
-    roaring_bitmap_or_inplace(health->steady, evidence->answering);
-    if (now - health->steady_since < amb_zone_health_steady_time(health, settings)) return;
-    health->verdict = heard == AMB_ZONE_HEARD ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
-    health->sound_since = now;
+    roaring_bitmap_or_inplace(health->stable, evidence->responsive);
+    if (now - health->stable_since < amb_zone_health_stability_period(health, settings)) return;
+    health->state = responsiveness == AMB_ZONE_RESPONSIVE ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
+    health->available_since = now;
 }
 
 bool amb_zone_health_update(struct amb_zone_health *health, const struct amb_zone_settings *settings,
                             const struct amb_zone_evidence *evidence, amb_ms now) {
-    enum amb_zone_verdict before = health->verdict;
-    switch (before) {
+    enum amb_zone_health_state previous = health->state;
+    switch (previous) {
     case AMB_ZONE_HEALTHY:
-    case AMB_ZONE_SUSPECT: judge_sound(health, settings, evidence, now); break;
-    case AMB_ZONE_LOST: judge_lost(health, evidence, now); break;
-    case AMB_ZONE_RETURNING: judge_returning(health, settings, evidence, now); break;
-    case AMB_ZONE_VERDICTS: break;
+    case AMB_ZONE_SUSPECT: update_available(health, settings, evidence, now); break;
+    case AMB_ZONE_LOST: update_lost(health, evidence, now); break;
+    case AMB_ZONE_RETURNING: update_returning(health, settings, evidence, now); break;
+    case AMB_ZONE_HEALTH_STATES: break;
     }
-    return health->verdict != before;
+    return health->state != previous;
 }
 
-void amb_zone_health_restore(struct amb_zone_health *health, enum amb_zone_verdict verdict, uint32_t losses,
-                             amb_ms now) {
-    free_steady(health);
-    *health = (struct amb_zone_health){.verdict = verdict,
+void amb_zone_health_restore(struct amb_zone_health *health, enum amb_zone_health_state state,
+                             uint32_t losses, amb_ms now) {
+    free_stable(health);
+    *health = (struct amb_zone_health){.state = state,
                                        .losses = losses,
-                                       .sound_since = now,
-                                       .steady_since = now,
-                                       .steady = roaring_bitmap_create()};
+                                       .available_since = now,
+                                       .stable_since = now,
+                                       .stable = roaring_bitmap_create()};
 }
 
 void amb_zone_health_free(struct amb_zone_health *health) {
-    free_steady(health);
-    *health = (struct amb_zone_health){.verdict = AMB_ZONE_HEALTHY};
+    free_stable(health);
+    *health = (struct amb_zone_health){.state = AMB_ZONE_HEALTHY};
 }
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -13,43 +13,43 @@
 enum { FORM = 1 }; /* of the records that this version writes */
 
 /* The node, if it still leads under the term of the call and waits for it; else NULL. Frees the call. */
-static struct amb_node *take_call(void *arg, enum amb_zone_record_state waits) {
-    struct amb_node *node = amb_cloud_call_take(arg);
-    return node && node->zone_recovery.record.state == waits ? node : NULL;
+static struct amb_node *take_call(void *context, enum amb_zone_record_state expected) {
+    struct amb_node *node = amb_cloud_call_take(context);
+    return node && node->zone_recovery.record.state == expected ? node : NULL;
 }
 
 /* What stands there has to be read, in a while. */
-static void unsure(struct amb_node *node) {
-    node->zone_recovery.record.state = AMB_ZONE_RECORD_UNSURE;
+static void mark_uncertain(struct amb_node *node) {
+    node->zone_recovery.record.state = AMB_ZONE_RECORD_UNCERTAIN;
     node->zone_recovery.record.retry_at = amb_now() + node->store.call_timeout;
 }
 
 /* ---- the value ---- */
 
 static bool is_on_record(const struct amb_zone_health *health) {
-    return health->losses > 0 || !amb_zone_verdict_admits_batch(health->verdict);
+    return health->losses > 0 || !amb_zone_health_state_admits_batch(health->state);
 }
 
-static void put_zone(struct amb_buf *out, const struct amb_node *node, uint32_t zone) {
+static void encode_zone(struct amb_buf *out, const struct amb_node *node, uint32_t zone) {
     const struct amb_zone_health *health = &node->zone_recovery.zones[zone];
     amb_w_map(out, 3);
     amb_w_str(out, "zone");
     amb_w_str(out, node->catalog.zones[zone]);
     amb_w_str(out, "verdict");
-    amb_w_str(out, amb_zone_verdict_name(health->verdict));
+    amb_w_str(out, amb_zone_health_state_name(health->state));
     amb_w_str(out, "losses");
     amb_w_uint(out, health->losses);
 }
 
-static void put_step(struct amb_buf *out, const struct amb_recovery_step *step) {
+static void encode_step(struct amb_buf *out, const struct amb_recovery_step *step) {
     amb_w_map(out, 2);
     amb_w_str(out, "class");
-    amb_w_str(out, step->lost.name);
+    amb_w_str(out, step->lost_class.name);
     amb_w_str(out, "priority");
-    amb_w_uint(out, step->lost.priority);
+    amb_w_uint(out, step->lost_class.priority);
 }
 
-static void put_value(struct amb_buf *out, const struct amb_node *node) {
+static void encode_record(struct amb_buf *out, const struct amb_node *node) {
     const struct amb_zone_recovery *recovery = &node->zone_recovery;
     uint32_t count = 0;
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
@@ -60,24 +60,24 @@
     amb_w_str(out, "zones");
     amb_w_list(out, count);
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
-        if (is_on_record(&recovery->zones[zone])) put_zone(out, node, zone);
+        if (is_on_record(&recovery->zones[zone])) encode_zone(out, node, zone);
     amb_w_str(out, "steps");
     amb_w_list(out, recovery->order.count);
-    for (uint32_t i = 0; i < recovery->order.count; i++) put_step(out, &recovery->order.steps[i]);
+    for (uint32_t i = 0; i < recovery->order.count; i++) encode_step(out, &recovery->order.steps[i]);
 }
 
 /* ---- writing ---- */
 
-static void written(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node = take_call(arg, AMB_ZONE_RECORD_WRITING);
+static void record_written(void *context, int status, const cbor_item_t *body) {
+    struct amb_node *node = take_call(context, AMB_ZONE_RECORD_WRITING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &record->stamp)) {
-        unsure(node);
+    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &record->revision)) {
+        mark_uncertain(node);
         return;
     }
-    record->lost = record->writing_lost;
-    record->state = record->changed ? AMB_ZONE_RECORD_DUE : AMB_ZONE_RECORD_CURRENT;
+    record->unavailable_zones = record->writing_unavailable_zones;
+    record->state = record->changed_since_write ? AMB_ZONE_RECORD_DIRTY : AMB_ZONE_RECORD_CURRENT;
 }
 
 /* Under the stamp that the key is known to have: a copy that is carried out late changes nothing. */
@@ -85,41 +85,41 @@
     struct amb_zone_record *record = &node->zone_recovery.record;
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    put_value(&value, node);
+    encode_record(&value, node);
     amb_txn_require_leadership(&transaction, node);
-    amb_txn_compare(&transaction, KEY, record->stamp);
+    amb_txn_compare(&transaction, KEY, record->revision);
     amb_txn_put(&transaction, KEY, &value, 0);
     amb_buf_free(&value);
-    record->writing_lost = amb_zones_away(node);
-    record->lost |= record->writing_lost;
-    record->changed = false;
+    record->writing_unavailable_zones = amb_zones_unavailable(node);
+    record->unavailable_zones |= record->writing_unavailable_zones;
+    record->changed_since_write = false;
     record->state = AMB_ZONE_RECORD_WRITING;
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, written,
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, record_written,
                      amb_cloud_call_new(node));
 }
 
-static void read_back(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node = take_call(arg, AMB_ZONE_RECORD_READING);
+static void record_read(void *context, int status, const cbor_item_t *body) {
+    struct amb_node *node = take_call(context, AMB_ZONE_RECORD_READING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
-    if (status == 404) record->stamp = 0;
+    if (status == 404) record->revision = 0;
     bool known =
-        status == 404 || (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &record->stamp));
+        status == 404 || (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &record->revision));
     if (known)
-        record->state = AMB_ZONE_RECORD_DUE;
+        record->state = AMB_ZONE_RECORD_DIRTY;
     else
-        unsure(node);
+        mark_uncertain(node);
 }
 
 static void read_record(struct amb_node *node) {
     node->zone_recovery.record.state = AMB_ZONE_RECORD_READING;
-    amb_store_get(&node->store, KEY, AMB_STORE_PRIORITY_PLACEMENT, read_back, amb_cloud_call_new(node));
+    amb_store_get(&node->store, KEY, AMB_STORE_PRIORITY_PLACEMENT, record_read, amb_cloud_call_new(node));
 }
 
-void amb_zone_record_changed(struct amb_node *node) {
+void amb_zone_record_mark_dirty(struct amb_node *node) {
     struct amb_zone_record *record = &node->zone_recovery.record;
-    record->changed = true;
-    if (record->state == AMB_ZONE_RECORD_CURRENT) record->state = AMB_ZONE_RECORD_DUE;
+    record->changed_since_write = true;
+    if (record->state == AMB_ZONE_RECORD_CURRENT) record->state = AMB_ZONE_RECORD_DIRTY;
 }
 
 void amb_zone_record_tick(struct amb_node *node, amb_ms now) {
@@ -127,26 +127,28 @@
     if (now < record->retry_at || !amb_election_may_act(node)) return;
     /* An old version would neither write nor heed it. */
     if (amb_format_active(node) < AMB_FORMAT_2) return;
-    if (record->state == AMB_ZONE_RECORD_DUE) write_record(node);
-    if (record->state == AMB_ZONE_RECORD_UNSURE) read_record(node);
+    if (record->state == AMB_ZONE_RECORD_DIRTY) write_record(node);
+    if (record->state == AMB_ZONE_RECORD_UNCERTAIN) read_record(node);
 }
 
 /* ---- taking over ---- */
 
 static void load_zone(struct amb_node *node, const cbor_item_t *item) {
-    char name[AMB_NAME_SIZE], said[AMB_NAME_SIZE];
-    enum amb_zone_verdict verdict;
+    char name[AMB_NAME_SIZE], state_name[AMB_NAME_SIZE];
+    enum amb_zone_health_state state;
     uint64_t losses;
     if (!amb_cbor_str(amb_cbor_get(item, "zone"), name, sizeof name) ||
-        !amb_cbor_str(amb_cbor_get(item, "verdict"), said, sizeof said) ||
-        !amb_zone_verdict_parse(said, &verdict) || !amb_cbor_uint(amb_cbor_get(item, "losses"), &losses))
+        !amb_cbor_str(amb_cbor_get(item, "verdict"), state_name, sizeof state_name) ||
+        !amb_zone_health_state_parse(state_name, &state) ||
+        !amb_cbor_uint(amb_cbor_get(item, "losses"), &losses))
         return;
     int zone = amb_catalog_find_or_add_zone(&node->catalog, name);
     if (zone < 0) return;
-    amb_zone_health_restore(&node->zone_recovery.zones[zone], verdict,
+    amb_zone_health_restore(&node->zone_recovery.zones[zone], state,
                             losses < UINT32_MAX ? (uint32_t)losses : UINT32_MAX, amb_now());
-    if (!amb_zone_verdict_admits_batch(verdict)) node->zone_recovery.record.lost |= 1u << zone;
-    amb_info("zone %s: %s, as an earlier leader left it", name, said);
+    if (!amb_zone_health_state_admits_batch(state))
+        node->zone_recovery.record.unavailable_zones |= 1u << zone;
+    amb_info("zone %s: %s, as an earlier leader left it", name, state_name);
 }
 
 /* The steps stand in their order. */
@@ -155,20 +157,22 @@
     struct amb_recovery_step *step = &order->steps[order->count];
     uint64_t priority;
     if (order->count == AMB_RECOVERY_STEPS) return;
-    *step = (struct amb_recovery_step){
-        .wait = AMB_RECOVERY_FOR_PROOF, .opened_at = amb_now(), .lost.listed = AMB_RECOVERY_UNLISTED};
-    if (!amb_cbor_str(amb_cbor_get(item, "class"), step->lost.name, sizeof step->lost.name) ||
+    *step = (struct amb_recovery_step){.wait = AMB_RECOVERY_WAIT_ABSENCE_PROOF,
+                                       .opened_at = amb_now(),
+                                       .lost_class.list_position = AMB_RECOVERY_UNLISTED};
+    if (!amb_cbor_str(amb_cbor_get(item, "class"), step->lost_class.name, sizeof step->lost_class.name) ||
         !amb_cbor_uint(amb_cbor_get(item, "priority"), &priority) || priority > AMB_PRIORITY_PRODUCTION)
         return;
-    step->lost.priority = (enum amb_priority)priority;
+    step->lost_class.priority = (enum amb_priority)priority;
     order->count++;
 }
 
-void amb_zone_record_load(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t stamp) {
-    uint64_t form = 0;
-    if (!amb_zone_recovery_on(node) || strcmp(key, KEY) != 0) return;
-    node->zone_recovery.record.stamp = stamp;
-    if (!amb_cbor_uint(amb_cbor_get(value, "form"), &form) || form != FORM) return;
+void amb_zone_record_load(struct amb_node *node, const char *key, const cbor_item_t *value,
+                          uint64_t revision) {
+    uint64_t version = 0;
+    if (!amb_zone_recovery_is_enabled(node) || strcmp(key, KEY) != 0) return;
+    node->zone_recovery.record.revision = revision;
+    if (!amb_cbor_uint(amb_cbor_get(value, "form"), &version) || version != FORM) return;
     const cbor_item_t *zones = amb_cbor_get(value, "zones"), *steps = amb_cbor_get(value, "steps");
     for (size_t i = 0; i < amb_cbor_len(zones); i++) load_zone(node, amb_cbor_at(zones, i));
     node->zone_recovery.order.count = 0;
--- a/lib/zone_recovery/settings.c
+++ b/lib/zone_recovery/settings.c
@@ -5,18 +5,22 @@
 static const char SEPARATORS[] = ", ";
 
 enum amb_zone_settings_error amb_zone_settings_check(const struct amb_zone_settings *settings) {
-    if (settings->steady < settings->report_period) return AMB_ZONE_SETTINGS_SHORT_STEADY;
-    if (settings->steady_longest < settings->steady) return AMB_ZONE_SETTINGS_LOW_BOUND;
-    if (settings->loss_forgotten < settings->steady_longest) return AMB_ZONE_SETTINGS_SHORT_MEMORY;
-    return AMB_ZONE_SETTINGS_GOOD;
+    if (settings->stability_period < settings->heartbeat_period) return AMB_ZONE_SETTINGS_STABILITY_TOO_SHORT;
+    if (settings->stability_period_max < settings->stability_period)
+        return AMB_ZONE_SETTINGS_STABILITY_MAX_TOO_LOW;
+    if (settings->loss_expiry < settings->stability_period_max)
+        return AMB_ZONE_SETTINGS_LOSS_EXPIRY_TOO_SHORT;
+    return AMB_ZONE_SETTINGS_OK;
 }
 
-const char *amb_zone_settings_allowed(enum amb_zone_settings_error error) {
+const char *amb_zone_settings_error_text(enum amb_zone_settings_error error) {
     switch (error) {
-    case AMB_ZONE_SETTINGS_GOOD: return "";
-    case AMB_ZONE_SETTINGS_SHORT_STEADY: return "zone-steady must be at least a report period of the workers";
-    case AMB_ZONE_SETTINGS_LOW_BOUND: return "zone-steady-longest must be at least zone-steady";
-    case AMB_ZONE_SETTINGS_SHORT_MEMORY: return "zone-loss-forgotten must be at least zone-steady-longest";
+    case AMB_ZONE_SETTINGS_OK: return "";
+    case AMB_ZONE_SETTINGS_STABILITY_TOO_SHORT:
+        return "zone-steady must be at least a report period of the workers";
+    case AMB_ZONE_SETTINGS_STABILITY_MAX_TOO_LOW: return "zone-steady-longest must be at least zone-steady";
+    case AMB_ZONE_SETTINGS_LOSS_EXPIRY_TOO_SHORT:
+        return "zone-loss-forgotten must be at least zone-steady-longest";
     }
     return "";
 }
@@ -31,6 +35,6 @@
     return true;
 }
 
-bool amb_zone_settings_list_ends(const char *list) {
+bool amb_zone_settings_list_is_at_end(const char *list) {
     return !list[strspn(list, SEPARATORS)];
 }
--- a/lib/zone_recovery/verdicts.c
+++ b/lib/zone_recovery/verdicts.c
@@ -3,13 +3,13 @@
 #include "amberpin/node/node.h"
 #include "amberpin/zone_recovery/zone_recovery.h"
 
-struct zone_sets { /* of machines, by their numbers */
-    roaring_bitmap_t *expected, *answering;
+struct zone_machines { /* of machines, by their numbers */
+    roaring_bitmap_t *expected, *responsive;
 };
 
 struct survey {
     uint32_t count;
-    struct zone_sets zones[AMB_ZONES_MAX];
+    struct zone_machines zones[AMB_ZONES_MAX];
 };
 
 /* ---- evidence ---- */
@@ -17,92 +17,94 @@
 static void survey_take(const struct amb_node *node, amb_ms now, struct survey *survey) {
     survey->count = node->catalog.zone_count;
     for (uint32_t zone = 0; zone < survey->count; zone++)
-        survey->zones[zone] = (struct zone_sets){roaring_bitmap_create(), roaring_bitmap_create()};
-    for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
-        if (!amb_zone_machine_expected(node, machine, now)) continue;
-        const struct zone_sets *sets = &survey->zones[machine->zone_index];
-        roaring_bitmap_add(sets->expected, machine->number);
-        if (amb_zone_machine_answers(node, machine, now))
-            roaring_bitmap_add(sets->answering, machine->number);
+        survey->zones[zone] = (struct zone_machines){roaring_bitmap_create(), roaring_bitmap_create()};
+    for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next) {
+        if (!amb_zone_machine_is_expected(node, machine, now)) continue;
+        const struct zone_machines *machines = &survey->zones[machine->zone_index];
+        roaring_bitmap_add(machines->expected, machine->number);
+        if (amb_zone_machine_is_responsive(node, machine, now))
+            roaring_bitmap_add(machines->responsive, machine->number);
     }
 }
 
 static void survey_free(const struct survey *survey) {
     for (uint32_t zone = 0; zone < survey->count; zone++) {
         roaring_bitmap_free(survey->zones[zone].expected);
-        roaring_bitmap_free(survey->zones[zone].answering);
+        roaring_bitmap_free(survey->zones[zone].responsive);
     }
 }
 
-static uint64_t silent_of(const struct zone_sets *sets) {
-    return roaring_bitmap_andnot_cardinality(sets->expected, sets->answering);
+static uint64_t count_unresponsive(const struct zone_machines *machines) {
+    return roaring_bitmap_andnot_cardinality(machines->expected, machines->responsive);
 }
 
 /* No zone is heard: it is this node that is out of reach. */
-static bool nobody_heard(const struct survey *survey) {
+static bool is_all_unresponsive(const struct survey *survey) {
     for (uint32_t zone = 0; zone < survey->count; zone++) {
-        const struct zone_sets *sets = &survey->zones[zone];
-        uint64_t expected = roaring_bitmap_get_cardinality(sets->expected);
-        if (amb_zone_heard_of(expected, silent_of(sets)) != AMB_ZONE_NOT_HEARD) return false;
+        const struct zone_machines *machines = &survey->zones[zone];
+        uint64_t expected = roaring_bitmap_get_cardinality(machines->expected);
+        if (amb_zone_classify_responsiveness(expected, count_unresponsive(machines)) != AMB_ZONE_UNRESPONSIVE)
+            return false;
     }
     return true;
 }
 
 /* ---- verdicts ---- */
 
-static void show_reach(struct amb_node *node, uint32_t zone, amb_ms now) {
-    static const enum amb_zone_reach reach[AMB_ZONE_VERDICTS] = {AMB_ZONE_REACHED, AMB_ZONE_DEGRADED,
-                                                                 AMB_ZONE_UNREACHABLE, AMB_ZONE_DEGRADED};
-    node->fleet.reach[zone] = reach[node->zone_recovery.zones[zone].verdict];
-    if (node->fleet.reach[zone] != AMB_ZONE_REACHED) node->fleet.out_of_reach_at[zone] = now;
+static void publish_reachability(struct amb_node *node, uint32_t zone, amb_ms now) {
+    static const enum amb_zone_reachability reach[AMB_ZONE_HEALTH_STATES] = {
+        AMB_ZONE_REACHABLE, AMB_ZONE_DEGRADED, AMB_ZONE_UNREACHABLE, AMB_ZONE_DEGRADED};
+    node->fleet.zone_reachability[zone] = reach[node->zone_recovery.zones[zone].state];
+    if (node->fleet.zone_reachability[zone] != AMB_ZONE_REACHABLE)
+        node->fleet.zone_last_unreachable_at[zone] = now;
 }
 
-static void verdict_changed(struct amb_node *node, uint32_t zone, enum amb_zone_verdict before,
-                            const struct zone_sets *sets, amb_ms now) {
+static void state_changed(struct amb_node *node, uint32_t zone, enum amb_zone_health_state previous,
+                          const struct zone_machines *machines, amb_ms now) {
     const struct amb_zone_health *health = &node->zone_recovery.zones[zone];
-    amb_ms steady = amb_zone_health_steady_time(health, &node->zone_recovery.settings);
+    amb_ms stability_period = amb_zone_health_stability_period(health, &node->zone_recovery.settings);
     amb_info("zone %s: %s -> %s: %llu of %llu machines silent, %u losses count, steady for %lld ms is asked",
-             node->catalog.zones[zone], amb_zone_verdict_name(before), amb_zone_verdict_name(health->verdict),
-             (unsigned long long)silent_of(sets),
-             (unsigned long long)roaring_bitmap_get_cardinality(sets->expected), health->losses,
-             (long long)steady);
-    if (health->verdict == AMB_ZONE_LOST) amb_zone_order_lost(node, (int)zone, now);
-    if (!amb_zone_verdict_admits_batch(before) || !amb_zone_verdict_admits_batch(health->verdict))
-        amb_zone_record_changed(node);
+             node->catalog.zones[zone], amb_zone_health_state_name(previous),
+             amb_zone_health_state_name(health->state), (unsigned long long)count_unresponsive(machines),
+             (unsigned long long)roaring_bitmap_get_cardinality(machines->expected), health->losses,
+             (long long)stability_period);
+    if (health->state == AMB_ZONE_LOST) amb_zone_recovery_handle_loss(node, (int)zone, now);
+    if (!amb_zone_health_state_admits_batch(previous) || !amb_zone_health_state_admits_batch(health->state))
+        amb_zone_record_mark_dirty(node);
 }
 
-static void judge_zone(struct amb_node *node, uint32_t zone, const struct zone_sets *sets, bool nobody,
-                       amb_ms now) {
+static void update_zone(struct amb_node *node, uint32_t zone, const struct zone_machines *machines,
+                        bool all_unresponsive, amb_ms now) {
     struct amb_zone_health *health = &node->zone_recovery.zones[zone];
-    enum amb_zone_verdict before = health->verdict;
+    enum amb_zone_health_state previous = health->state;
     const struct amb_zone_evidence evidence = {
-        .expected = sets->expected,
-        .answering = sets->answering,
-        .deputy_at_work = amb_lease_proxy_is_active_in_zone(node, (int)zone),
-        .nobody_heard = nobody,
+        .expected = machines->expected,
+        .responsive = machines->responsive,
+        .lease_proxy_active = amb_lease_proxy_is_active_in_zone(node, (int)zone),
+        .all_unresponsive = all_unresponsive,
     };
     if (amb_zone_health_update(health, &node->zone_recovery.settings, &evidence, now))
-        verdict_changed(node, zone, before, sets, now);
+        state_changed(node, zone, previous, machines, now);
 }
 
-static void judge_zones(struct amb_node *node, amb_ms now) {
+static void update_zones(struct amb_node *node, amb_ms now) {
     struct survey survey;
     survey_take(node, now, &survey);
-    bool nobody = nobody_heard(&survey);
+    bool all_unresponsive = is_all_unresponsive(&survey);
     for (uint32_t zone = 0; zone < survey.count; zone++)
-        judge_zone(node, zone, &survey.zones[zone], nobody, now);
+        update_zone(node, zone, &survey.zones[zone], all_unresponsive, now);
     survey_free(&survey);
 }
 
-void amb_zone_verdicts_tick(struct amb_node *node, amb_ms now) {
-    if (!amb_zone_learning(node, now)) judge_zones(node, now);
-    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) show_reach(node, zone, now);
+void amb_zone_health_tick(struct amb_node *node, amb_ms now) {
+    if (!amb_zone_leader_is_warming_up(node, now)) update_zones(node, now);
+    for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) publish_reachability(node, zone, now);
 }
 
 void amb_zone_recovery_clear(struct amb_node *node) {
     struct amb_zone_recovery *recovery = &node->zone_recovery;
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) amb_zone_health_free(&recovery->zones[zone]);
     recovery->order.count = 0;
-    recovery->order_looked_at = 0;
+    recovery->order_checked_at = 0;
     recovery->record = (struct amb_zone_record){.state = AMB_ZONE_RECORD_CURRENT};
 }
--- a/lib/zone_recovery/zone_silence.c
+++ b/lib/zone_recovery/zone_silence.c
@@ -5,77 +5,79 @@
 
 #include <string.h>
 
-struct zone_count { /* of a zone's machines that should report */
-    uint32_t all, silent;
+struct machine_count { /* of a zone's machines that should report */
+    uint32_t expected, unresponsive;
 };
 
-static void set_reach(struct amb_node *node, uint32_t zone, enum amb_zone_reach to, struct zone_count count) {
+static void set_reachability(struct amb_node *node, uint32_t zone, enum amb_zone_reachability next,
+                             struct machine_count count) {
     static const char *const names[] = {"reached", "degraded", "unreachable"};
-    enum amb_zone_reach *reach = &node->fleet.reach[zone];
-    if (*reach == to) return;
-    amb_info("zone %s: %s -> %s: %u of %u machines silent", node->catalog.zones[zone], names[*reach],
-             names[to], count.silent, count.all);
-    *reach = to;
+    enum amb_zone_reachability *current = &node->fleet.zone_reachability[zone];
+    if (*current == next) return;
+    amb_info("zone %s: %s -> %s: %u of %u machines silent", node->catalog.zones[zone], names[*current],
+             names[next], count.unresponsive, count.expected);
+    *current = next;
 }
 
-static void count_machines(const struct amb_node *node, amb_ms now, struct zone_count counts[AMB_ZONES_MAX]) {
-    for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next) {
-        if (!amb_zone_machine_expected(node, machine, now)) continue;
-        counts[machine->zone_index].all++;
-        counts[machine->zone_index].silent += !amb_zone_machine_answers(node, machine, now);
+static void count_machines(const struct amb_node *node, amb_ms now,
+                           struct machine_count counts[AMB_ZONES_MAX]) {
+    for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next) {
+        if (!amb_zone_machine_is_expected(node, machine, now)) continue;
+        counts[machine->zone_index].expected++;
+        counts[machine->zone_index].unresponsive += !amb_zone_machine_is_responsive(node, machine, now);
     }
 }
 
-static enum amb_zone_reach reach_by_count(struct zone_count count) {
-    switch (amb_zone_heard_of(count.all, count.silent)) {
-    case AMB_ZONE_HEARD: return AMB_ZONE_REACHED;
-    case AMB_ZONE_HEARD_PARTLY: return AMB_ZONE_DEGRADED;
-    case AMB_ZONE_NOT_HEARD: return AMB_ZONE_UNREACHABLE;
+static enum amb_zone_reachability classify_count(struct machine_count count) {
+    switch (amb_zone_classify_responsiveness(count.expected, count.unresponsive)) {
+    case AMB_ZONE_RESPONSIVE: return AMB_ZONE_REACHABLE;
+    case AMB_ZONE_PARTLY_RESPONSIVE: return AMB_ZONE_DEGRADED;
+    case AMB_ZONE_UNRESPONSIVE: return AMB_ZONE_UNREACHABLE;
     }
-    return AMB_ZONE_REACHED;
+    return AMB_ZONE_REACHABLE;
 }
 
 void amb_zones_tick(struct amb_node *node, amb_ms now) {
-    if (amb_zone_recovery_on(node)) { /* which then judges alone */
-        amb_zone_verdicts_tick(node, now);
-        amb_zone_order_tick(node, now);
+    if (amb_zone_recovery_is_enabled(node)) { /* which then judges alone */
+        amb_zone_health_tick(node, now);
+        amb_zone_recovery_order_tick(node, now);
         amb_zone_record_tick(node, now);
         return;
     }
-    struct zone_count counts[AMB_ZONES_MAX] = {{0}};
-    enum amb_zone_reach reach[AMB_ZONES_MAX];
+    struct machine_count counts[AMB_ZONES_MAX] = {{0}};
+    enum amb_zone_reachability reachability[AMB_ZONES_MAX];
     uint32_t unreachable = 0;
     count_machines(node, now, counts);
-    bool learning = amb_zone_learning(node, now);
+    bool warming_up = amb_zone_leader_is_warming_up(node, now);
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
-        reach[zone] = learning ? AMB_ZONE_REACHED : reach_by_count(counts[zone]);
-        unreachable += reach[zone] == AMB_ZONE_UNREACHABLE;
+        reachability[zone] = warming_up ? AMB_ZONE_REACHABLE : classify_count(counts[zone]);
+        unreachable += reachability[zone] == AMB_ZONE_UNREACHABLE;
     }
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
         /* Nobody heard from anywhere shows nothing of any zone; and one with a deputy is at work. */
-        bool at_work =
+        bool excused =
             unreachable == node->catalog.zone_count || amb_lease_proxy_is_active_in_zone(node, (int)zone);
-        if (at_work && reach[zone] == AMB_ZONE_UNREACHABLE) reach[zone] = AMB_ZONE_DEGRADED;
-        set_reach(node, zone, reach[zone], counts[zone]);
-        if (reach[zone] != AMB_ZONE_REACHED) node->fleet.out_of_reach_at[zone] = now;
+        if (excused && reachability[zone] == AMB_ZONE_UNREACHABLE) reachability[zone] = AMB_ZONE_DEGRADED;
+        set_reachability(node, zone, reachability[zone], counts[zone]);
+        if (reachability[zone] != AMB_ZONE_REACHABLE) node->fleet.zone_last_unreachable_at[zone] = now;
     }
 }
 
 void amb_zones_clear(struct amb_node *node) {
-    memset(node->fleet.reach, 0, sizeof node->fleet.reach);
-    memset(node->fleet.out_of_reach_at, 0, sizeof node->fleet.out_of_reach_at);
+    memset(node->fleet.zone_reachability, 0, sizeof node->fleet.zone_reachability);
+    memset(node->fleet.zone_last_unreachable_at, 0, sizeof node->fleet.zone_last_unreachable_at);
     amb_zone_recovery_clear(node);
 }
 
-enum amb_zone_reach amb_zone_reach(const struct amb_node *node, int zone) {
-    return zone >= 0 ? node->fleet.reach[zone] : AMB_ZONE_REACHED;
+enum amb_zone_reachability amb_zone_get_reachability(const struct amb_node *node, int zone) {
+    return zone >= 0 ? node->fleet.zone_reachability[zone] : AMB_ZONE_REACHABLE;
 }
 
-bool amb_zone_unreachable(const struct amb_node *node, int zone) {
-    return amb_zone_reach(node, zone) == AMB_ZONE_UNREACHABLE;
+bool amb_zone_is_unreachable(const struct amb_node *node, int zone) {
+    return amb_zone_get_reachability(node, zone) == AMB_ZONE_UNREACHABLE;
 }
 
-bool amb_zone_recovers(const struct amb_node *node, int zone, amb_ms now) {
-    if (zone < 0 || !node->fleet.out_of_reach_at[zone]) return false;
-    return now - node->fleet.out_of_reach_at[zone] <= amb_zone_patience(node);
+bool amb_zone_is_recovering(const struct amb_node *node, int zone, amb_ms now) {
+    if (zone < 0 || !node->fleet.zone_last_unreachable_at[zone]) return false;
+    return now - node->fleet.zone_last_unreachable_at[zone] <= amb_zone_heartbeat_timeout(node);
 }
--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -9,8 +9,8 @@
 enum { OURS = 7, ANOTHER = 3 };
 enum listed { NOT_LISTED, OUR_ATTEMPT, OTHER_ATTEMPT };
 
-struct orders_due {
-    size_t runs, halts, clears;
+struct expected_commands {
+    size_t starts, stops, clears;
 };
 #define NO_ORDERS                                                                                            \
     { 0, 0, 0 }
@@ -24,17 +24,18 @@
         enum amb_agent_task_state on;
         enum amb_exit_reason why;
     } task;
-    struct orders_due orders; /* in the answer */
-    enum amb_task_set_state want;
+    struct expected_commands commands; /* in the answer */
+    enum amb_task_set_state expected_state;
 };
 
-static bool orders_are(const struct orders_due *due) {
-    return count_orders(AMB_COMMAND_RUN) == due->runs && count_orders(AMB_COMMAND_STOP) == due->halts &&
-           count_orders(AMB_COMMAND_CLEAR) == due->clears;
+static bool commands_match(const struct expected_commands *expected) {
+    return count_orders(AMB_COMMAND_RUN) == expected->starts &&
+           count_orders(AMB_COMMAND_STOP) == expected->stops &&
+           count_orders(AMB_COMMAND_CLEAR) == expected->clears;
 }
 
 /* False: a report of a higher term. */
-static bool report_step(const struct step *step) {
+static bool send_step(const struct step *step) {
     uint64_t attempt = step->task.listed == OTHER_ATTEMPT ? ANOTHER : OURS;
     struct amb_agent_task seen = listing("wk-1", 0, attempt, step->task.on, step->task.why);
     return report("m-1", step->report.session, step->report.seq, step->report.token, amb_now(), &seen,
@@ -51,7 +52,7 @@
     } rows[] = {
         {"no order before our token is shown", .begin = AMB_TASK_BOUND,
          .steps = {{{1, 1, 0}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND},
-                   {{1, 2, TERM}, {NOT_LISTED}, {.runs = 1}, AMB_TASK_BOUND}}},
+                   {{1, 2, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND}}},
         {"no order before the record is durable", .begin = AMB_TASK_PLACED,
          .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_PLACED},
                    {{1, 2, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_PLACED}}},
@@ -69,11 +70,11 @@
                    {{1, 4, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_SEEN},
                    {{1, 5, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_SEEN}}},
         {"a late copy does not get a run order again", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 5, TERM}, {NOT_LISTED}, {.runs = 1}, AMB_TASK_BOUND},
+         .steps = {{{1, 5, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
                    {{1, 5, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND}}},
         {"a machine that does not act on answers loses the task", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, TERM}, {NOT_LISTED}, {.runs = 1}, AMB_TASK_BOUND},
-                   {{1, 2, TERM}, {NOT_LISTED}, {.runs = 1}, AMB_TASK_BOUND},
+         .steps = {{{1, 1, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
+                   {{1, 2, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
                    {{1, 3, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
         {"a result is not cleared before it is on record", .begin = AMB_TASK_BOUND,
          .steps =
@@ -90,8 +91,8 @@
                     NO_ORDERS,
                     AMB_TASK_BOUND}}},
         {"cancelled: told to stop until it is gone", .begin = AMB_TASK_BOUND, .cancelled = true,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.halts = 1}, AMB_TASK_SEEN},
-                   {{1, 2, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.halts = 1}, AMB_TASK_SEEN},
+         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
+                   {{1, 2, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
                    {{1, 3, TERM},
                     {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_STOPPED},
                     {.clears = 1},
@@ -101,7 +102,7 @@
         {"another attempt of ours on the machine is stopped", .begin = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM},
                     {OTHER_ATTEMPT, AMB_AGENT_TASK_RUNNING},
-                    {.runs = 1, .halts = 1},
+                    {.starts = 1, .stops = 1},
                     AMB_TASK_BOUND}}},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
@@ -116,8 +117,8 @@
         }
         for (size_t k = 0; k < ROWS(rows[i].steps) && rows[i].steps[k].report.session; k++) {
             const struct step *step = &rows[i].steps[k];
-            assert_true(report_step(step));
-            if (!orders_are(&step->orders) || task->state != step->want)
+            assert_true(send_step(step));
+            if (!commands_match(&step->commands) || task->state != step->expected_state)
                 fail_msg("%s, step %zu: %zu runs, %zu halts, %zu clears, state %d", rows[i].what, k,
                          count_orders(AMB_COMMAND_RUN), count_orders(AMB_COMMAND_STOP),
                          count_orders(AMB_COMMAND_CLEAR), task->state);
@@ -215,18 +216,18 @@
 /* ---- answers that wait for something to say ---- */
 
 /* A machine that has reported twice and waits for its answer. */
-static struct amb_http_req *hold_answer(void) {
-    struct sent_report r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
-    send_report(r);
+static struct amb_http_req *defer_response(void) {
+    struct sent_report heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    send_report(heartbeat);
     assert_int_equal(answers(), 1);
-    r.seq = 2;
-    struct amb_http_req *request = send_report(r);
+    heartbeat.seq = 2;
+    struct amb_http_req *request = send_report(heartbeat);
     if (answers() != 1) fail_msg("not held");
     return request;
 }
 
 /* What the answer says that goes when its time is over. */
-static void held_answers_are_decided_when_they_go(void **state) {
+static void deferred_responses_are_decided_when_sent(void **state) {
     (void)state;
     enum meanwhile { NOTHING, CANCELLED, SENT_BEFORE, FOREIGN, FENCED, HUNG_UP };
     static const struct {
@@ -247,7 +248,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_http_req *request = hold_answer();
+        struct amb_http_req *request = defer_response();
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_task *task = bound(job, 0, "m-1", 1);
         task->state = rows[i].state;
@@ -263,7 +264,7 @@
     }
 }
 
-static void held_answers_go_in_time(void **state) {
+static void deferred_responses_are_sent_in_time(void **state) {
     (void)state;
     static const struct {
         double report_s;
@@ -272,7 +273,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         node->settings.report_s = rows[i].report_s;
-        hold_answer();
+        defer_response();
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         fake_clock_advance(rows[i].waits - 1);
         assert_int_equal(answers(), 1);
@@ -284,9 +285,9 @@
     }
 }
 
-static void only_the_newest_report_is_held(void **state) {
+static void only_the_newest_heartbeat_is_deferred(void **state) {
     (void)state;
-    hold_answer();
+    defer_response();
     send_report((struct sent_report){.machine = "m-1", .session = 1, .seq = 3, .token = TERM});
     if (answers() != 2) fail_msg("%zu answers after a newer report", answers());
     fake_clock_advance(400);
@@ -299,9 +300,9 @@
         cmocka_unit_test_setup_teardown(commands_start_nothing, begin, end),
         cmocka_unit_test_setup_teardown(stale_placements, setup, end),
         cmocka_unit_test_setup_teardown(stale_placements_need_room_and_zone, begin, end),
-        cmocka_unit_test_setup_teardown(held_answers_are_decided_when_they_go, begin, end),
-        cmocka_unit_test_setup_teardown(held_answers_go_in_time, begin, end),
-        cmocka_unit_test_setup_teardown(only_the_newest_report_is_held, begin, end),
+        cmocka_unit_test_setup_teardown(deferred_responses_are_decided_when_sent, begin, end),
+        cmocka_unit_test_setup_teardown(deferred_responses_are_sent_in_time, begin, end),
+        cmocka_unit_test_setup_teardown(only_the_newest_heartbeat_is_deferred, begin, end),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -13,7 +13,8 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
         report("m-1", 1, 1, rows[i].token, amb_now(), NULL, 0);
-        if (amb_machine_usable(node, amb_machine_get(node, "m-1", false), amb_now()) != rows[i].usable)
+        if (amb_machine_is_schedulable(node, amb_machine_get(node, "m-1", false), amb_now()) !=
+            rows[i].usable)
             fail_msg("token %llu: usable %d", (unsigned long long)rows[i].token, !rows[i].usable);
     }
 }
@@ -25,7 +26,7 @@
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     for (uint64_t seq = 1; seq <= 3; seq++) report("m-1", 1, seq, TERM, amb_now(), NULL, 0);
     assert_null(job->tasks[0].machine);
-    if (amb_machine_usable(node, machine, amb_now())) fail_msg("used again at once");
+    if (amb_machine_is_schedulable(node, machine, amb_now())) fail_msg("used again at once");
 }
 
 static void machines_nobody_expected_are_known_by_reporting(void **state) {
@@ -33,7 +34,7 @@
     send_report((struct sent_report){.machine = "m-9", .session = 1, .seq = 1, .token = TERM});
     struct amb_machine *machine = amb_machine_get(node, "m-9", false);
     assert_non_null(machine);
-    assert_true(amb_machine_usable(node, machine, amb_now()));
+    assert_true(amb_machine_is_schedulable(node, machine, amb_now()));
 }
 
 static void returned_machines_are_not_used_again(void **state) {
@@ -41,7 +42,7 @@
     static const struct {
         const char *what;
         bool wanted;
-        enum amb_machine_state state;
+        enum amb_machine_set_state state;
         size_t starts;
     } rows[] = {
         {"at work", false, AMB_MACHINE_UP, 1},
@@ -67,7 +68,7 @@
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     bound(job, 0, "m-1", 1);
-    amb_machine_gone(node, amb_machine_get(node, "m-1", false), AMB_ABSENCE_RELEASED);
+    amb_machine_confirm_gone(node, amb_machine_get(node, "m-1", false), AMB_ABSENCE_RELEASED);
     assert_null(job->tasks[0].machine);
     assert_true(report("m-1", 1, 9, TERM, amb_now(), NULL, 0));
     assert_null(amb_machine_get(node, "m-1", false));
@@ -100,7 +101,7 @@
             if (k >= total - rows[i].failed)
                 machine->state = AMB_MACHINE_UNPROVEN, machine->failed_by_cloud = true;
         }
-        if (amb_fleet_learned(node) != rows[i].want) fail_msg("%s", rows[i].what);
+        if (amb_fleet_is_acknowledged(node) != rows[i].want) fail_msg("%s", rows[i].what);
         amb_fleet_clear(node);
     }
 }
@@ -146,7 +147,7 @@
         node->lease_proxy.known[0].zone = 1;
         node->lease_proxy.known[0].present = rows[i].deputy;
         amb_fleet_tick(node, now);
-        if (amb_zone_unreachable(node, 1) != rows[i].unreachable || amb_zone_unreachable(node, 0))
+        if (amb_zone_is_unreachable(node, 1) != rows[i].unreachable || amb_zone_is_unreachable(node, 0))
             fail_msg("%s", rows[i].what);
     }
 }
@@ -189,7 +190,7 @@
         }
         machine_up("m-a", 0)->last_heartbeat_at = now;
         amb_fleet_tick(node, now);
-        assert_true(amb_zone_unreachable(node, 1));
+        assert_true(amb_zone_is_unreachable(node, 1));
         assert_false(last->release_pending);
         now += rows[i].since;
         fake_clock_advance(now - amb_now());
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -281,7 +281,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         restart_with_cloud();
         struct amb_machine *machine = amb_machine_get(node, "m-1", true); /* from its predecessor's word */
-        amb_machine_state(machine, AMB_MACHINE_BOOTING, "rented");
+        amb_machine_set_state(machine, AMB_MACHINE_BOOTING, "rented");
         amb_cloud_tick(node, amb_now());
         struct amb_buf body = {0};
         amb_w_map(&body, 2);
--- a/tests/cloud/test_return_record.c
+++ b/tests/cloud/test_return_record.c
@@ -155,7 +155,8 @@
         restore_record("m-1");
         if (rows[i].known_after) machine_up("m-1", 0)->state = AMB_MACHINE_UP;
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-        if (machine && amb_machine_usable(node, machine, amb_now())) fail_msg("%s: used", rows[i].what);
+        if (machine && amb_machine_is_schedulable(node, machine, amb_now()))
+            fail_msg("%s: used", rows[i].what);
         if (machine && !machine->release_pending) fail_msg("%s: not known to be returned", rows[i].what);
         run_tick();
         assert_null(find_call("POST", "/commit")); /* it is on record */
--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -185,10 +185,10 @@
     static const int unknown[] = {UNKNOWN};
     struct amb_job *job = job_on(AMB_JOB_KIND_ARRAY, true, false, 4, unknown, ROWS(unknown));
     struct amb_machine *machine = job->tasks[0].machine;
-    amb_machine_learn_zone(machine, UNKNOWN);
+    amb_machine_set_zone(machine, UNKNOWN);
     assert_int_equal(amb_placement_count_tasks_in_unknown_zones(job), 1);
-    amb_machine_learn_zone(machine, B);
-    amb_machine_learn_zone(machine, A);
+    amb_machine_set_zone(machine, B);
+    amb_machine_set_zone(machine, A);
     assert_int_equal(machine->zone_index, B);
     assert_int_equal(job->zone_task_counts[A], 0);
     assert_int_equal(job->zone_task_counts[B], 1);
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -56,7 +56,7 @@
     amb_w_uint(&buffer, 1);
     write_pair(&buffer, "stance", "running");
     struct fake_reply reply = {0};
-    assert_true(amb_fleet_request(node, fake_request("POST", "/hello", &buffer, &reply)));
+    assert_true(amb_agent_handle_request(node, fake_request("POST", "/hello", &buffer, &reply)));
     read_response(&reply);
     amb_buf_free(&buffer);
 }
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -388,7 +388,7 @@
     assert_null(amb_machine_get(node, "m-1", false));
     /* Not accepted: the machine is there, is not used, and is ordered away under another name. */
     apply_intent(AMB_DUTY_RECLAIM, "t-50-2", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_MALFORMED, "m-2", 81);
-    assert_false(amb_machine_usable(node, amb_machine_get(node, "m-2", false), amb_now()));
+    assert_false(amb_machine_is_schedulable(node, amb_machine_get(node, "m-2", false), amb_now()));
     amb_duties_tick(node, amb_now());
     assert_non_null(open_commit("a/order/reclaim/t-50-4"));
 }
@@ -412,8 +412,8 @@
             amb_duties_restore(node);
             node->controller.restored_at = amb_now();
             struct amb_machine *later = amb_machine_get(node, "m-2", true); /* from a report */
-            assert_false(amb_machine_usable(node, machine, amb_now()));
-            amb_machine_state(machine, AMB_MACHINE_UP, "it reports");
+            assert_false(amb_machine_is_schedulable(node, machine, amb_now()));
+            amb_machine_set_state(machine, AMB_MACHINE_UP, "it reports");
             assert_int_equal(machine->state, AMB_MACHINE_RELEASING);
             assert_int_equal(later->state, AMB_MACHINE_RELEASING);
             amb_cloud_release(node, machine, "silent for too long");
@@ -437,7 +437,7 @@
     amb_duties_restore(node);
     node->controller.restored_at = amb_now();
     struct amb_machine *machine = amb_machine_get(node, "m-1", true);
-    amb_machine_state(machine, AMB_MACHINE_UP, "it reports");
+    amb_machine_set_state(machine, AMB_MACHINE_UP, "it reports");
     assert_int_equal(machine->state, AMB_MACHINE_RELEASING);
 }
 
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -207,7 +207,7 @@
     node->election.renewal_pending = true;
     node->jobs.last_read_sent_at = now - 500;
     node->election.renewed_at = now - 50000;
-    node->fleet.last_report_at = now;
+    node->fleet.last_heartbeat_at = now;
     node->peers.count = 1; /* whose word has never come */
     amb_election_tick(node, now);
     assert_int_equal(node->election.role, AMB_ROLE_FENCED);
@@ -241,7 +241,7 @@
         node->jobs.last_read_sent_at = now - rows[i].news;
         node->peers.count = 1;
         node->peers.list[0].last_heard_at = node->peers.list[0].confirmed_at = now - rows[i].word;
-        node->fleet.last_report_at = now;
+        node->fleet.last_heartbeat_at = now;
         amb_election_tick(node, now);
         if (node->election.role != rows[i].want) fail_msg("%s: role %d", rows[i].what, node->election.role);
     }
@@ -270,7 +270,7 @@
         node->peers.count = 1;
         node->peers.list[0].last_heard_at = now - rows[i].heard;
         node->peers.list[0].receives_agent_heartbeats = rows[i].peer_reports;
-        node->fleet.last_report_at = now - rows[i].reported;
+        node->fleet.last_heartbeat_at = now - rows[i].reported;
         node->controller.leader_since = now - 50000;
         if (rows[i].machines) amb_machine_get(node, "m-1", true)->state = AMB_MACHINE_UP;
         amb_election_tick(node, now);
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -191,7 +191,7 @@
             free(jobs[i]);
         }
         struct amb_machine *machine, *next;
-        HASH_ITER(hh, node->fleet.all, machine, next) machine->claimed_by_gang = false;
+        HASH_ITER(hh, node->fleet.machines, machine, next) machine->claimed_by_gang = false;
     }
 }
 
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -23,7 +23,7 @@
 
 /* Silence proves absence only after the lease, only of a machine that has shown our token, only on the word
  * of a read sent after the lease was over, and only when no deputy may have answered the machine since. */
-static void silence(void **state) {
+static void lease_expiry_proves_absence(void **state) {
     (void)state;
     static const struct {
         uint64_t token;
@@ -94,7 +94,7 @@
 
 /* A machine that never showed our token is proven to have lost its tasks once no other node can have answered
  * it for a lease: else they once waited for it to be returned. */
-static void unproven_machine_on_every_peers_word(void **state) {
+static void unverified_machine_fenced_by_all_peers(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -131,7 +131,7 @@
 
 /* ---- by a return or a list ---- */
 
-static void returns_count_once_they_are_answered(void **state) {
+static void releases_count_once_they_are_confirmed(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_up("m-1", 0);
@@ -232,17 +232,17 @@
 static void nothing_is_concluded_before_the_records_are_read(void **state) {
     (void)state;
     node->controller.restored_at = 0;
-    struct sent_report r = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
-    send_report(r);
+    struct sent_report heartbeat = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
+    send_report(heartbeat);
     assert_int_equal(latest()->status, 200);
     if (replied_orders("halt")) fail_msg("a task that is not known yet is told to stop");
-    r.seq++;
-    r.stance = "exited";
-    send_report(r);
+    heartbeat.seq++;
+    heartbeat.stance = "exited";
+    send_report(heartbeat);
     if (replied_orders("clear")) fail_msg("the result of a task that is not known yet is cleared");
 }
 
-static void unproven_machines_are_sought_with_the_token_alone(void **state) {
+static void unverified_machines_are_probed_with_the_token_alone(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_in("m-1", 0);
@@ -274,7 +274,7 @@
 }
 
 /* A machine whose reports come, but which never takes our token: deaf since before we led. */
-static void machine_that_does_not_hear(void **state) {
+static void machine_that_ignores_replies(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -317,16 +317,16 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(usage_counts_until_absence, setup, end),
-        cmocka_unit_test_setup_teardown(silence, setup, end),
+        cmocka_unit_test_setup_teardown(lease_expiry_proves_absence, setup, end),
         cmocka_unit_test_setup_teardown(answering_a_copy_counts_as_renewal, setup, end),
         cmocka_unit_test_setup_teardown(leases_end_a_little_later_than_they_should, begin, end),
-        cmocka_unit_test_setup_teardown(unproven_machine_on_every_peers_word, setup, end),
-        cmocka_unit_test_setup_teardown(returns_count_once_they_are_answered, begin, end),
+        cmocka_unit_test_setup_teardown(unverified_machine_fenced_by_all_peers, setup, end),
+        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, begin, end),
         cmocka_unit_test_setup_teardown(what_lists_prove, begin, end),
         cmocka_unit_test_setup_teardown(parts_of_lists_prove_nothing, begin, end),
         cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, begin, end),
-        cmocka_unit_test_setup_teardown(unproven_machines_are_sought_with_the_token_alone, begin, end),
-        cmocka_unit_test_setup_teardown(machine_that_does_not_hear, setup, end),
+        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, begin, end),
+        cmocka_unit_test_setup_teardown(machine_that_ignores_replies, setup, end),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -21,7 +21,7 @@
         fleet_name(name, i);
         struct amb_machine *machine = amb_machine_get(node, name, true);
         machine->images_changed = true;
-        amb_machine_image_room(machine, images);
+        amb_machine_reserve_images(machine, images);
         for (machine->image_count = 0; machine->image_count < images; machine->image_count++) {
             snprintf(machine->images[machine->image_count], AMB_NAME_SIZE, "img-%02u", machine->image_count);
             machine->image_sizes_gb[machine->image_count] = 65.5;
@@ -64,7 +64,7 @@
                 fail_msg("row %zu: heartbeat %u is too long", i, k);
         for (uint32_t k = 0; k < rows[i].machines; k++)
             if (!is_known(k)) fail_msg("row %zu: machine %u is not told of", i, k);
-        for (const struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+        for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
             if (machine->images_changed) fail_msg("row %zu: %s would be told of again", i, machine->name);
     }
 }
@@ -81,7 +81,7 @@
         for (uint32_t i = 0; i < SPIKE; i++) {
             char name[AMB_NAME_SIZE];
             fleet_name(name, KEPT + spike * SPIKE + i);
-            amb_machine_gone(node, amb_machine_get(node, name, false), AMB_ABSENCE_RELEASED);
+            amb_machine_confirm_gone(node, amb_machine_get(node, name, false), AMB_ABSENCE_RELEASED);
         }
         for (uint32_t i = 0; i < KEPT; i++)
             if (!is_known(i)) fail_msg("spike %u: machine %u is forgotten", spike, i);
@@ -109,12 +109,12 @@
 
 static void the_longest_gone_are_forgotten(void **state) {
     (void)state;
-    size_t most = amb_machines_removed_most(node);
+    size_t most = amb_machines_removed_limit(node);
     char name[AMB_NAME_SIZE];
     assert_in_range(most, 1000, 100000);
     for (uint32_t i = 0; i < most + 10; i++) {
         fleet_name(name, i);
-        amb_machine_gone(node, amb_machine_get(node, name, true), AMB_ABSENCE_RELEASED);
+        amb_machine_confirm_gone(node, amb_machine_get(node, name, true), AMB_ABSENCE_RELEASED);
     }
     size_t kept = 0;
     for (uint32_t i = 0; i < most + 10; i++) {
@@ -149,8 +149,9 @@
         struct amb_machine *machine = amb_machine_get(node, rows[i].what, true);
         machine->state = AMB_MACHINE_UP;
         machine->last_heartbeat_at = amb_now();
-        amb_machine_learn_place(node, machine, rows[i].type, rows[i].zone);
-        if (amb_machine_usable(node, machine, amb_now()) != rows[i].used) fail_msg("%s", rows[i].what);
+        amb_machine_set_location(node, machine, rows[i].type, rows[i].zone);
+        if (amb_machine_is_schedulable(node, machine, amb_now()) != rows[i].used)
+            fail_msg("%s", rows[i].what);
         if (machine->beyond_catalog == rows[i].used) fail_msg("%s: said %d", rows[i].what, !rows[i].used);
     }
 }
@@ -164,14 +165,14 @@
     machine->last_heartbeat_at = amb_now();
     node->cloud.catalog_known = false;
     node->catalog.type_count = 0;
-    amb_machine_learn_place(node, machine, "g8", "a");
-    assert_false(amb_machine_usable(node, machine, amb_now()));
+    amb_machine_set_location(node, machine, "g8", "a");
+    assert_false(amb_machine_is_schedulable(node, machine, amb_now()));
     assert_false(machine->beyond_catalog);
     strcpy(node->catalog.types[0].name, "g8");
     node->catalog.type_count = 1;
     node->cloud.catalog_known = true;
-    amb_machine_learn_place(node, machine, "g8", "a");
-    assert_true(amb_machine_usable(node, machine, amb_now()));
+    amb_machine_set_location(node, machine, "g8", "a");
+    assert_true(amb_machine_is_schedulable(node, machine, amb_now()));
 }
 
 /* ---- the cloud's list ---- */
@@ -219,7 +220,7 @@
         assert_int_equal(node->cloud.list_completed, page == PAGES - 1);
         let_time_pass(2500);
     }
-    assert_int_equal(HASH_COUNT(node->fleet.all), PAGES * PAGE);
+    assert_int_equal(HASH_COUNT(node->fleet.machines), PAGES * PAGE);
     /* The next one leaves most calls to others. */
     amb_ms began = node->cloud.list_started_at;
     while (node->cloud.list_started_at == began) let_time_pass(500);
@@ -237,12 +238,12 @@
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, TASKS);
     machine_up("m-1", 0);
     for (uint32_t i = 0; i < TASKS; i++) bound(job, i, "m-1", i + 1);
-    struct amb_orders first = {list, ROOM, 0};
-    for (uint32_t i = 0; i < TASKS; i++) amb_orders_add_start(node, &job->tasks[i], &first);
+    struct amb_command_list first = {list, ROOM, 0};
+    for (uint32_t i = 0; i < TASKS; i++) amb_command_list_add_start(node, &job->tasks[i], &first);
     assert_int_equal(first.count, ROOM);
     for (uint32_t i = 0; i < TASKS; i++) assert_int_equal(job->tasks[i].start_sent, i < ROOM);
-    struct amb_orders next = {list, ROOM, 0};
-    amb_orders_add_start(node, &job->tasks[ROOM], &next);
+    struct amb_command_list next = {list, ROOM, 0};
+    amb_command_list_add_start(node, &job->tasks[ROOM], &next);
     assert_int_equal(next.count, 1);
     assert_true(job->tasks[ROOM].start_sent);
 }
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -117,14 +117,14 @@
         char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%06u", i);
         struct amb_machine *machine = amb_machine_get(node, name, true);
-        amb_machine_image_room(machine, AMB_IMAGES_MAX);
+        amb_machine_reserve_images(machine, AMB_IMAGES_MAX);
         for (machine->image_count = 0; machine->image_count < AMB_IMAGES_MAX; machine->image_count++) {
             snprintf(machine->images[machine->image_count], AMB_NAME_SIZE, "img-%02u", machine->image_count);
             machine->image_sizes_gb[machine->image_count] = 65.5;
         }
     }
     for (size_t i = 0; i < ROWS(rows); i++) {
-        for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+        for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
             machine->images_changed = rows[i].changed;
         char *text = amb_peer_encode_heartbeat(node);
         size_t len = strlen(text);
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -212,7 +212,7 @@
                                   *revision - draw(2) * draw(20));
         break;
     case 2: node->jobs.loaded = draw(2); break;
-    case 3: node->fleet.last_report_at = now_ms; break;
+    case 3: node->fleet.last_heartbeat_at = now_ms; break;
     case 4: node->store.last_failure_at = now_ms; break;
     case 5: node->store.last_success_at = now_ms + 1; break;
     case 6: node->election.highest_term += draw(2); break;
--- a/tests/placement/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -26,7 +26,7 @@
         struct amb_machine *machine = amb_machine_get(node, name, false);
         for (uint64_t k = 0; k < IMAGES; k++) {
             image_name(image, k);
-            if (draw(2)) amb_machine_use_image(node, machine, image, 5);
+            if (draw(2)) amb_machine_record_image_use(node, machine, image, 5);
         }
         if (draw(3)) continue;
         char ref[AMB_NAME_SIZE];
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -215,7 +215,7 @@
         amb_w_str(&buffer, "stance"), amb_w_str(&buffer, r.stance);
     }
     struct amb_http_req *request = new_request("POST", "/hello", &buffer);
-    assert_true(amb_fleet_request(node, request));
+    assert_true(amb_agent_handle_request(node, request));
     return request;
 }
 
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -70,7 +70,7 @@
     strcpy(heartbeat.type, "g8");
     strcpy(heartbeat.zone, "a");
     heartbeat.tasks = (struct amb_agent_task *)tasks;
-    return amb_fleet_report(node, &heartbeat, now, orders, ROWS(orders), &norders);
+    return amb_heartbeat_process(node, &heartbeat, now, orders, ROWS(orders), &norders);
 }
 
 size_t count_orders(enum amb_agent_command_kind op) {
--- a/tests/zone_recovery/test_recovery_order.c
+++ b/tests/zone_recovery/test_recovery_order.c
@@ -28,24 +28,24 @@
 static void steps_open_and_close(void **state) {
     (void)state;
     struct amb_recovery_order order = {.count = 0};
-    assert_false(amb_recovery_order_open(&order));
+    assert_false(amb_recovery_order_is_open(&order));
     assert_true(amb_recovery_order_extend(&order, &rows[3], 100));
     assert_true(amb_recovery_order_extend(&order, &rows[2], 200));
     assert_int_equal(amb_recovery_order_find(&order, rows[2].name), 0);
     assert_int_equal(amb_recovery_order_find(&order, "unknown"), -1);
-    assert_true(amb_recovery_order_update(&order, 0, 2, AMB_RECOVERY_FOR_ROOM));
-    assert_false(amb_recovery_order_update(&order, 0, 1, AMB_RECOVERY_FOR_ROOM));
-    assert_int_equal(order.steps[0].missing, 1);
-    amb_recovery_order_update(&order, 0, 0, AMB_RECOVERY_SERVED);
-    assert_true(amb_recovery_order_open(&order));
-    amb_recovery_order_update(&order, 1, 0, AMB_RECOVERY_SERVED);
-    assert_false(amb_recovery_order_open(&order));
+    assert_true(amb_recovery_order_update(&order, 0, 2, AMB_RECOVERY_WAIT_CAPACITY));
+    assert_false(amb_recovery_order_update(&order, 0, 1, AMB_RECOVERY_WAIT_CAPACITY));
+    assert_int_equal(order.steps[0].missing_replicas, 1);
+    amb_recovery_order_update(&order, 0, 0, AMB_RECOVERY_WAIT_NONE);
+    assert_true(amb_recovery_order_is_open(&order));
+    amb_recovery_order_update(&order, 1, 0, AMB_RECOVERY_WAIT_NONE);
+    assert_false(amb_recovery_order_is_open(&order));
     /* Lost again: it has its old place, and its time counts from now. */
     assert_true(amb_recovery_order_extend(&order, &rows[3], 900));
     assert_int_equal(order.count, 2);
     assert_int_equal(order.steps[1].opened_at, 900);
     assert_int_equal(order.steps[0].opened_at, 200);
-    assert_true(amb_recovery_order_open(&order));
+    assert_true(amb_recovery_order_is_open(&order));
 }
 
 /* ---- drawn losses ---- */
@@ -58,22 +58,22 @@
 }
 
 static struct amb_recovery_class draw_class(void) {
-    struct amb_recovery_class lost = {.listed = draw(3) ? AMB_RECOVERY_UNLISTED : draw(3),
+    struct amb_recovery_class lost = {.list_position = draw(3) ? AMB_RECOVERY_UNLISTED : draw(3),
                                       .priority = (enum amb_priority)draw(4),
                                       .missing_share = draw(3) / 2.0,
-                                      .guaranteed = draw(2),
-                                      .accepted_wall = (int64_t)draw(3)};
+                                      .within_guarantee = draw(2),
+                                      .accepted_wall_ms = (int64_t)draw(3)};
     snprintf(lost.name, sizeof lost.name, "class-%u", draw(60));
     return lost;
 }
 
 /* A list that is searched for the place each time, and never shortened in the middle. */
-struct plain_order {
+struct reference_order {
     struct amb_recovery_class classes[64];
     uint32_t count;
 };
 
-static void plain_extend(struct plain_order *plain, const struct amb_recovery_class *lost) {
+static void reference_extend(struct reference_order *plain, const struct amb_recovery_class *lost) {
     uint32_t place = 0;
     for (uint32_t i = 0; i < plain->count; i++)
         if (!strcmp(plain->classes[i].name, lost->name)) return;
@@ -83,21 +83,21 @@
     if (plain->count > AMB_RECOVERY_STEPS) plain->count = AMB_RECOVERY_STEPS;
 }
 
-static void drawn_losses_against_a_plain_list(void **state) {
+static void random_losses_match_the_reference(void **state) {
     (void)state;
     uint32_t full = 0;
     for (uint64_t run = 1; run <= 200; run++) {
         seed = run * 0x9e3779b97f4a7c15u;
         struct amb_recovery_order order = {.count = 0};
-        struct plain_order plain = {.count = 0};
+        struct reference_order plain = {.count = 0};
         for (int i = 0; i < 80; i++) {
             const struct amb_recovery_class lost = draw_class();
             bool placed = amb_recovery_order_extend(&order, &lost, i);
-            plain_extend(&plain, &lost);
+            reference_extend(&plain, &lost);
             assert_int_equal(placed, amb_recovery_order_find(&order, lost.name) >= 0);
             assert_int_equal(order.count, plain.count);
             for (uint32_t k = 0; k < order.count; k++)
-                if (strcmp(order.steps[k].lost.name, plain.classes[k].name) != 0)
+                if (strcmp(order.steps[k].lost_class.name, plain.classes[k].name) != 0)
                     fail_msg("run %llu, loss %d, step %u", (unsigned long long)run, i, k);
         }
         full += order.count == AMB_RECOVERY_STEPS;
@@ -109,7 +109,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(precedence),
         cmocka_unit_test(steps_open_and_close),
-        cmocka_unit_test(drawn_losses_against_a_plain_list),
+        cmocka_unit_test(random_losses_match_the_reference),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/zone_recovery/test_zone_health.c
+++ b/tests/zone_recovery/test_zone_health.c
@@ -15,41 +15,43 @@
         struct amb_zone_settings settings;
         enum amb_zone_settings_error error;
     } rows[] = {
-        {{REPORT, STEADY, LONGEST, FORGOTTEN}, AMB_ZONE_SETTINGS_GOOD},
-        {{REPORT, REPORT, REPORT, REPORT}, AMB_ZONE_SETTINGS_GOOD},
-        {{REPORT, REPORT - 1, LONGEST, FORGOTTEN}, AMB_ZONE_SETTINGS_SHORT_STEADY},
-        {{REPORT, STEADY, STEADY - 1, FORGOTTEN}, AMB_ZONE_SETTINGS_LOW_BOUND},
-        {{REPORT, STEADY, LONGEST, LONGEST - 1}, AMB_ZONE_SETTINGS_SHORT_MEMORY},
+        {{REPORT, STEADY, LONGEST, FORGOTTEN}, AMB_ZONE_SETTINGS_OK},
+        {{REPORT, REPORT, REPORT, REPORT}, AMB_ZONE_SETTINGS_OK},
+        {{REPORT, REPORT - 1, LONGEST, FORGOTTEN}, AMB_ZONE_SETTINGS_STABILITY_TOO_SHORT},
+        {{REPORT, STEADY, STEADY - 1, FORGOTTEN}, AMB_ZONE_SETTINGS_STABILITY_MAX_TOO_LOW},
+        {{REPORT, STEADY, LONGEST, LONGEST - 1}, AMB_ZONE_SETTINGS_LOSS_EXPIRY_TOO_SHORT},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         enum amb_zone_settings_error error = amb_zone_settings_check(&rows[i].settings);
         if (error != rows[i].error) fail_msg("row %zu: %d", i, (int)error);
-        assert_int_equal(*amb_zone_settings_allowed(error) == 0, error == AMB_ZONE_SETTINGS_GOOD);
+        assert_int_equal(*amb_zone_settings_error_text(error) == 0, error == AMB_ZONE_SETTINGS_OK);
     }
 }
 
 /* ---- tables ---- */
 
-struct seen { /* at one moment: machines 0 to expected - 1 should answer, those in the list do not */
+struct observation { /* at one moment: machines 0 to expected - 1 should answer, those in the list do not */
     amb_ms at;
-    uint32_t expected, first_silent, silent;
-    bool deputy, nobody;
-    enum amb_zone_verdict verdict;
+    uint32_t expected, first_unresponsive, unresponsive;
+    bool lease_proxy, all_unresponsive;
+    enum amb_zone_health_state state;
 };
 
 static roaring_bitmap_t *machines(uint32_t from, uint32_t count) {
     return count ? roaring_bitmap_from_range(from, from + count, 1) : roaring_bitmap_create();
 }
 
-static bool see(struct amb_zone_health *health, const struct seen *seen) {
-    roaring_bitmap_t *expected = machines(0, seen->expected), *answering = roaring_bitmap_copy(expected);
-    roaring_bitmap_t *silent = machines(seen->first_silent, seen->silent);
-    roaring_bitmap_andnot_inplace(answering, silent);
-    const struct amb_zone_evidence evidence = {expected, answering, seen->deputy, seen->nobody};
-    bool changed = amb_zone_health_update(health, &settings, &evidence, seen->at);
+static bool observe(struct amb_zone_health *health, const struct observation *observation) {
+    roaring_bitmap_t *expected = machines(0, observation->expected),
+                     *responsive = roaring_bitmap_copy(expected);
+    roaring_bitmap_t *unresponsive = machines(observation->first_unresponsive, observation->unresponsive);
+    roaring_bitmap_andnot_inplace(responsive, unresponsive);
+    const struct amb_zone_evidence evidence = {expected, responsive, observation->lease_proxy,
+                                               observation->all_unresponsive};
+    bool changed = amb_zone_health_update(health, &settings, &evidence, observation->at);
     roaring_bitmap_free(expected);
-    roaring_bitmap_free(answering);
-    roaring_bitmap_free(silent);
+    roaring_bitmap_free(responsive);
+    roaring_bitmap_free(unresponsive);
     return changed;
 }
 
@@ -58,12 +60,12 @@
 #define L AMB_ZONE_LOST
 #define R AMB_ZONE_RETURNING
 
-static void verdicts(void **state) {
+static void health_state_changes(void **state) {
     (void)state;
     enum { LOOKS = 12, N = MACHINES };
     static const struct {
         const char *what;
-        struct seen looks[LOOKS];
+        struct observation looks[LOOKS];
     } rows[] = {
         {"a few silent machines are no loss", {{1, N, 0, 2, 0, 0, H}, {2, N, 0, 6, 0, 0, H}}},
         {"a good part is suspected", {{1, N, 0, 7, 0, 0, S}, {2, N, 0, 17, 0, 0, S}, {3, N, 0, 6, 0, 0, H}}},
@@ -135,45 +137,46 @@
           {112000, N, 0, 0, 0, 0, R}}},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_zone_health health = {.verdict = AMB_ZONE_HEALTHY};
+        struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
         for (size_t k = 0; k < LOOKS && rows[i].looks[k].at; k++) {
-            enum amb_zone_verdict before = health.verdict;
-            bool changed = see(&health, &rows[i].looks[k]);
-            if (health.verdict != rows[i].looks[k].verdict)
-                fail_msg("%s: look %zu: %s", rows[i].what, k, amb_zone_verdict_name(health.verdict));
-            assert_int_equal(changed, health.verdict != before);
+            enum amb_zone_health_state before = health.state;
+            bool changed = observe(&health, &rows[i].looks[k]);
+            if (health.state != rows[i].looks[k].state)
+                fail_msg("%s: look %zu: %s", rows[i].what, k, amb_zone_health_state_name(health.state));
+            assert_int_equal(changed, health.state != before);
         }
         amb_zone_health_free(&health);
     }
 }
 
-static void a_successor_begins_the_steady_time_anew(void **state) {
+static void new_leader_restarts_the_stability_period(void **state) {
     (void)state;
-    struct amb_zone_health health = {.verdict = AMB_ZONE_HEALTHY};
+    struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
     amb_zone_health_restore(&health, AMB_ZONE_RETURNING, 2, 1000);
-    see(&health, &(struct seen){.at = 10999, .expected = MACHINES});
-    assert_int_equal(health.verdict, AMB_ZONE_RETURNING);
-    see(&health, &(struct seen){.at = 11000, .expected = MACHINES});
-    assert_int_equal(health.verdict, AMB_ZONE_HEALTHY);
+    observe(&health, &(struct observation){.at = 10999, .expected = MACHINES});
+    assert_int_equal(health.state, AMB_ZONE_RETURNING);
+    observe(&health, &(struct observation){.at = 11000, .expected = MACHINES});
+    assert_int_equal(health.state, AMB_ZONE_HEALTHY);
     amb_zone_health_free(&health);
 }
 
 /* A leader that never saw a zone go frees nothing; the library takes no NULL. */
 static void nothing_is_freed_of_a_zone_that_was_never_lost(void **state) {
     (void)state;
-    struct amb_zone_health health = {.verdict = AMB_ZONE_HEALTHY};
+    struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
     amb_zone_health_free(&health);
     amb_zone_health_free(&health);
 }
 
 static void names_are_read_back(void **state) {
     (void)state;
-    enum amb_zone_verdict read;
-    for (int i = 0; i < AMB_ZONE_VERDICTS; i++) {
-        assert_true(amb_zone_verdict_parse(amb_zone_verdict_name((enum amb_zone_verdict)i), &read));
+    enum amb_zone_health_state read;
+    for (int i = 0; i < AMB_ZONE_HEALTH_STATES; i++) {
+        assert_true(
+            amb_zone_health_state_parse(amb_zone_health_state_name((enum amb_zone_health_state)i), &read));
         assert_int_equal(read, i);
     }
-    assert_false(amb_zone_verdict_parse("gone", &read));
+    assert_false(amb_zone_health_state_parse("gone", &read));
 }
 
 /* ---- drawn evidence ---- */
@@ -203,7 +206,7 @@
     return dropped;
 }
 
-static void oracle_see(struct oracle *oracle, const bool answers[MACHINES], amb_ms at) {
+static void oracle_observe(struct oracle *oracle, const bool answers[MACHINES], amb_ms at) {
     uint32_t silent = 0, steady;
     for (int i = 0; i < MACHINES; i++) silent += !answers[i];
     bool away = silent * 10 >= MACHINES * 9;
@@ -215,10 +218,10 @@
     for (int i = 0; i < MACHINES; i++) oracle->answered[i] = answers[i] || (!anew && oracle->answered[i]);
 }
 
-static amb_ms oracle_asks(const struct oracle *oracle) {
-    amb_ms steady = STEADY;
-    for (uint32_t i = 1; i < oracle->losses && steady < LONGEST; i++) steady *= 2;
-    return steady < LONGEST ? steady : LONGEST;
+static amb_ms oracle_stability_period(const struct oracle *oracle) {
+    amb_ms period = STEADY;
+    for (uint32_t i = 1; i < oracle->losses && period < LONGEST; i++) period *= 2;
+    return period < LONGEST ? period : LONGEST;
 }
 
 static void drawn_evidence_against_a_plain_oracle(void **state) {
@@ -226,7 +229,7 @@
     uint32_t admitted = 0, lost = 0;
     for (uint64_t run = 1; run <= 300; run++) {
         seed = run * 0x9e3779b97f4a7c15u;
-        struct amb_zone_health health = {.verdict = AMB_ZONE_HEALTHY};
+        struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
         struct oracle oracle = {.lost = false};
         uint32_t silence = 0;
         for (amb_ms at = 500; at < 60000; at += 500) {
@@ -237,10 +240,11 @@
                 if ((answers[i] = draw(100) >= silence)) roaring_bitmap_add(answering, i);
             const struct amb_zone_evidence evidence = {expected, answering, false, false};
             amb_zone_health_update(&health, &settings, &evidence, at);
-            oracle_see(&oracle, answers, at);
-            bool admits = amb_zone_verdict_admits_batch(health.verdict);
-            bool may = !oracle.losses || (!oracle.lost && at - oracle.steady_since >= oracle_asks(&oracle));
-            if (admits && !may && health.sound_since == at)
+            oracle_observe(&oracle, answers, at);
+            bool admits = amb_zone_health_state_admits_batch(health.state);
+            bool may = !oracle.losses ||
+                       (!oracle.lost && at - oracle.steady_since >= oracle_stability_period(&oracle));
+            if (admits && !may && health.available_since == at)
                 fail_msg("run %llu at %lld", (unsigned long long)run, (long long)at);
             if (oracle.lost && admits)
                 fail_msg("run %llu at %lld: lost", (unsigned long long)run, (long long)at);
@@ -258,8 +262,8 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(settings_that_cannot_work),
-        cmocka_unit_test(verdicts),
-        cmocka_unit_test(a_successor_begins_the_steady_time_anew),
+        cmocka_unit_test(health_state_changes),
+        cmocka_unit_test(new_leader_restarts_the_stability_period),
         cmocka_unit_test(nothing_is_freed_of_a_zone_that_was_never_lost),
         cmocka_unit_test(names_are_read_back),
         cmocka_unit_test(drawn_evidence_against_a_plain_oracle),
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -49,7 +49,7 @@
 
 /* ---- a leader with two zones ---- */
 
-static void switch_on(void) {
+static void enable_recovery(void) {
     amb_options_default(&node->options);
     node->options.zone_recovery = 1;
     node->formats.recorded = AMB_FORMAT_2;
@@ -66,35 +66,36 @@
 }
 
 /* Machines of the other zones have just reported. */
-static void silent_zone(int silent) {
-    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
-        if (machine->zone_index != silent) machine->last_heartbeat_at = machine->last_response_at = amb_now();
+static void silence_zone(int silent_zone) {
+    for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
+        if (machine->zone_index != silent_zone)
+            machine->last_heartbeat_at = machine->last_response_at = amb_now();
     node->election.renewed_at = amb_now();
     node->cloud.list_started_at = amb_now();
     amb_zones_tick(node, amb_now());
 }
 
-static enum amb_zone_verdict verdict(int zone) {
-    return node->zone_recovery.zones[zone].verdict;
+static enum amb_zone_health_state health_state(int zone) {
+    return node->zone_recovery.zones[zone].state;
 }
 
 /* Zone b is lost, and back but not steady. */
 static void lose_and_return(void) {
-    silent_zone(ZONE_B);
-    assert_int_equal(verdict(ZONE_B), AMB_ZONE_LOST);
-    silent_zone(-1);
-    assert_int_equal(verdict(ZONE_B), AMB_ZONE_RETURNING);
+    silence_zone(ZONE_B);
+    assert_int_equal(health_state(ZONE_B), AMB_ZONE_LOST);
+    silence_zone(-1);
+    assert_int_equal(health_state(ZONE_B), AMB_ZONE_RETURNING);
 }
 
-static void pass(amb_ms span, int silent) {
+static void advance_with_silence(amb_ms span, int silent) {
     for (amb_ms passed = 0; passed <= span; passed += 500) {
         fake_clock_advance(500);
-        silent_zone(silent);
+        silence_zone(silent);
     }
 }
 
-static void stay_steady(amb_ms span) {
-    pass(span, -1);
+static void advance_stable(amb_ms span) {
+    advance_with_silence(span, -1);
 }
 
 static uint32_t placed_in(const struct amb_job *job, int zone) {
@@ -107,13 +108,13 @@
     amb_cycle_free(cycle);
 }
 
-static void off_judges_nothing(void **state) {
+static void disabled_recovery_decides_nothing(void **state) {
     (void)state;
-    switch_on();
+    enable_recovery();
     node->options.zone_recovery = 0;
-    silent_zone(ZONE_B);
-    assert_int_equal(verdict(ZONE_B), AMB_ZONE_HEALTHY);
-    assert_true(amb_zone_unreachable(node, ZONE_B));
+    silence_zone(ZONE_B);
+    assert_int_equal(health_state(ZONE_B), AMB_ZONE_HEALTHY);
+    assert_true(amb_zone_is_unreachable(node, ZONE_B));
     assert_int_equal(amb_zones_without_batch(node), 0);
     assert_null(find_call("POST", "/commit"));
 }
@@ -123,14 +124,14 @@
     (void)state;
     for (int steady = 0; steady < 2; steady++) {
         begin_anew();
-        switch_on();
+        enable_recovery();
         lose_and_return();
         answer_epoch(open_call("POST", "/commit"), FIRST_STAMP);
-        silent_zone(-1);
+        silence_zone(-1);
         struct fake_call *second = find_call("POST", "/commit");
         if (second) answer_epoch(second, FIRST_STAMP + 1);
         if (steady) {
-            stay_steady(node->zone_recovery.settings.steady);
+            advance_stable(node->zone_recovery.settings.stability_period);
             answer_epoch(open_call("POST", "/commit"), FIRST_STAMP + 2);
         }
         struct amb_job *batch = add_job("wk-1", AMB_JOB_KIND_ARRAY, 40),
@@ -149,7 +150,7 @@
 /* Machines that idle for it are not returned meanwhile, and nothing is given up before the zone is steady. */
 static void a_returning_zone_keeps_its_machines(void **state) {
     (void)state;
-    switch_on();
+    enable_recovery();
     lose_and_return();
     struct amb_machine *idle = amb_machine_get(node, "m-1", false),
                        *other = amb_machine_get(node, "m-0", false);
@@ -179,13 +180,13 @@
     return job;
 }
 
-static void expect_step(uint32_t place, const char *class_name) {
-    assert_string_equal(node->zone_recovery.order.steps[place].lost.name, class_name);
+static void expect_step(uint32_t position, const char *class_name) {
+    assert_string_equal(node->zone_recovery.order.steps[position].lost_class.name, class_name);
 }
 
-static void classes_get_their_turns_in_order(void **state) {
+static void classes_recover_in_order(void **state) {
     (void)state;
-    switch_on();
+    enable_recovery();
     node->controller.ready = false; /* nothing is placed meanwhile */
     struct amb_job *drafts = lost_replica("wk-1", "drafts", AMB_PRIORITY_HIGH);
     struct amb_job *assistant = lost_replica("wk-2", "assistant", AMB_PRIORITY_PRODUCTION);
@@ -194,84 +195,84 @@
     struct amb_job *new_high = add_job("wk-5", AMB_JOB_KIND_SERVICE, 1);
     new_prod->spec->priority = AMB_PRIORITY_PRODUCTION;
     new_high->spec->priority = AMB_PRIORITY_HIGH;
-    assert_int_equal(amb_zone_recovery_step(node, assistant), AMB_NO_STEP);
-    silent_zone(ZONE_B);
+    assert_int_equal(amb_zone_recovery_step_of(node, assistant), AMB_RECOVERY_NO_STEP);
+    silence_zone(ZONE_B);
     expect_step(0, "assistant");
     expect_step(1, "drafts");
-    assert_int_equal(amb_zone_recovery_step(node, assistant), 0);
-    assert_int_equal(amb_zone_recovery_step(node, new_prod), 1); /* before what is less urgent, as ever */
-    assert_int_equal(amb_zone_recovery_step(node, drafts), 1);
-    assert_int_equal(amb_zone_recovery_step(node, new_high), AMB_NO_STEP);
-    assert_int_equal(amb_zone_recovery_step(node, sweep), AMB_NO_STEP);
+    assert_int_equal(amb_zone_recovery_step_of(node, assistant), 0);
+    assert_int_equal(amb_zone_recovery_step_of(node, new_prod), 1); /* before what is less urgent, as ever */
+    assert_int_equal(amb_zone_recovery_step_of(node, drafts), 1);
+    assert_int_equal(amb_zone_recovery_step_of(node, new_high), AMB_RECOVERY_NO_STEP);
+    assert_int_equal(amb_zone_recovery_step_of(node, sweep), AMB_RECOVERY_NO_STEP);
     amb_task_unbind(node, &assistant->tasks[0], "test");
-    pass(2000, ZONE_B);
-    assert_int_equal(node->zone_recovery.order.steps[0].wait, AMB_RECOVERY_FOR_ROOM);
-    assert_int_equal(node->zone_recovery.order.steps[1].wait, AMB_RECOVERY_FOR_PROOF);
+    advance_with_silence(2000, ZONE_B);
+    assert_int_equal(node->zone_recovery.order.steps[0].wait, AMB_RECOVERY_WAIT_CAPACITY);
+    assert_int_equal(node->zone_recovery.order.steps[1].wait, AMB_RECOVERY_WAIT_ABSENCE_PROOF);
     assistant->team->limit.gpus = 0.5;
-    pass(2000, ZONE_B);
-    assert_int_equal(node->zone_recovery.order.steps[0].wait, AMB_RECOVERY_FOR_LIMIT);
+    advance_with_silence(2000, ZONE_B);
+    assert_int_equal(node->zone_recovery.order.steps[0].wait, AMB_RECOVERY_WAIT_QUOTA);
 }
 
 /* Room that is being made for a replica is not taken by batch work, and less room than it needs is. */
 static void batch_leaves_reserved_room_alone(void **state) {
     (void)state;
-    switch_on();
-    silent_zone(-1);
+    enable_recovery();
+    silence_zone(-1);
     struct amb_job *batch = add_job("wk-1", AMB_JOB_KIND_ARRAY, 100);
-    for (struct amb_machine *machine = node->fleet.all; machine; machine = machine->hh.next)
+    for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         machine->reserved.gpus = 7;
     batch->spec->task_resources = (struct amb_resources){1, 1, 1};
     admit();
-    uint32_t machines = HASH_COUNT(node->fleet.all);
+    uint32_t machines = HASH_COUNT(node->fleet.machines);
     if (batch->bound_count != machines)
         fail_msg("%u tasks on %u machines with room for one each", batch->bound_count, machines);
 }
 
 /* ---- the record ---- */
 
-static bool on_record(const cbor_item_t *value, const char *said) {
-    return amb_cbor_eq(amb_cbor_get(amb_cbor_at(amb_cbor_get(value, "zones"), 0), "verdict"), said);
+static bool on_record(const cbor_item_t *value, const char *state_name) {
+    return amb_cbor_eq(amb_cbor_get(amb_cbor_at(amb_cbor_get(value, "zones"), 0), "verdict"), state_name);
 }
 
-static struct fake_call *expect_write(const char *said, uint64_t stamp) {
+static struct fake_call *expect_write(const char *state_name, uint64_t revision) {
     struct fake_call *commit = open_call("POST", "/commit");
     const cbor_item_t *value = fake_txn_put(commit, ZONES_KEY, NULL);
     assert_non_null(value);
     assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-    assert_int_equal(fake_txn_guard(commit, ZONES_KEY), stamp);
-    assert_true(on_record(value, said));
+    assert_int_equal(fake_txn_guard(commit, ZONES_KEY), revision);
+    assert_true(on_record(value, state_name));
     return commit;
 }
 
 /* Batch work stays out of the zone until it is on record that the zone is healthy. */
-static void the_more_careful_state_counts(void **state) {
+static void the_safer_state_counts(void **state) {
     (void)state;
     static const int refusals[] = {503, 409, 0};
     for (size_t i = 0; i < ROWS(refusals); i++) {
         begin_anew();
-        switch_on();
+        enable_recovery();
         lose_and_return();
         answer_epoch(expect_write("lost", 0), FIRST_STAMP);
-        silent_zone(-1);
+        silence_zone(-1);
         answer_epoch(expect_write("returning", FIRST_STAMP), FIRST_STAMP + 1);
-        stay_steady(node->zone_recovery.settings.steady);
-        assert_int_equal(verdict(ZONE_B), AMB_ZONE_HEALTHY);
+        advance_stable(node->zone_recovery.settings.stability_period);
+        assert_int_equal(health_state(ZONE_B), AMB_ZONE_HEALTHY);
         assert_int_equal(amb_zones_without_batch(node), 1u << ZONE_B);
         fake_answer(expect_write("healthy", FIRST_STAMP + 1), refusals[i], NULL);
         assert_int_equal(amb_zones_without_batch(node), 1u << ZONE_B);
         fake_clock_advance(node->store.call_timeout + 1);
-        silent_zone(-1);
+        silence_zone(-1);
         answer_value(open_call("GET", "/store/" ZONES_KEY), "form", NULL, 1, FIRST_STAMP + 5);
-        silent_zone(-1);
+        silence_zone(-1);
         answer_epoch(expect_write("healthy", FIRST_STAMP + 5), FIRST_STAMP + 6);
         assert_int_equal(amb_zones_without_batch(node), 0);
     }
 }
 
-static cbor_item_t *record_value(uint64_t form) {
+static cbor_item_t *record_value(uint64_t version) {
     struct amb_buf buffer = {0};
     amb_w_map(&buffer, 3);
-    amb_w_str(&buffer, "form"), amb_w_uint(&buffer, form);
+    amb_w_str(&buffer, "form"), amb_w_uint(&buffer, version);
     amb_w_str(&buffer, "zones"), amb_w_list(&buffer, 1), amb_w_map(&buffer, 3);
     amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "b");
     amb_w_str(&buffer, "verdict"), amb_w_str(&buffer, "returning");
@@ -288,7 +289,7 @@
     return value;
 }
 
-static void a_successor_goes_on(void **state) {
+static void a_new_leader_restores_the_record(void **state) {
     (void)state;
     static const struct {
         const char *what, *key;
@@ -302,12 +303,12 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        switch_on();
+        enable_recovery();
         node->options.zone_recovery = rows[i].on;
         cbor_item_t *value = record_value(rows[i].form);
         amb_zone_record_load(node, rows[i].key, value, FIRST_STAMP);
         cbor_decref(&value);
-        if ((verdict(ZONE_B) == AMB_ZONE_RETURNING) != rows[i].taken) fail_msg("%s", rows[i].what);
+        if ((health_state(ZONE_B) == AMB_ZONE_RETURNING) != rows[i].taken) fail_msg("%s", rows[i].what);
         assert_int_equal(node->zone_recovery.order.count, rows[i].taken ? 2 : 0);
         assert_int_equal(amb_zones_without_batch(node), rows[i].taken ? 1u << ZONE_B : 0);
         if (!rows[i].taken) continue;
@@ -322,9 +323,9 @@
     (void)state;
     for (int old = 0; old < 2; old++) {
         begin_anew();
-        switch_on();
+        enable_recovery();
         node->formats.recorded = old ? AMB_FORMAT_1 : AMB_FORMAT_2;
-        silent_zone(ZONE_B);
+        silence_zone(ZONE_B);
         assert_int_equal(find_call("POST", "/commit") == NULL, old);
     }
 }
@@ -332,13 +333,13 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(settings_are_refused, begin, end),
-        cmocka_unit_test_setup_teardown(off_judges_nothing, begin, end),
+        cmocka_unit_test_setup_teardown(disabled_recovery_decides_nothing, begin, end),
         cmocka_unit_test_setup_teardown(a_returning_zone_takes_replicas_only, begin, end),
         cmocka_unit_test_setup_teardown(a_returning_zone_keeps_its_machines, begin, end),
-        cmocka_unit_test_setup_teardown(classes_get_their_turns_in_order, begin, end),
+        cmocka_unit_test_setup_teardown(classes_recover_in_order, begin, end),
         cmocka_unit_test_setup_teardown(batch_leaves_reserved_room_alone, begin, end),
-        cmocka_unit_test_setup_teardown(the_more_careful_state_counts, begin, end),
-        cmocka_unit_test_setup_teardown(a_successor_goes_on, begin, end),
+        cmocka_unit_test_setup_teardown(the_safer_state_counts, begin, end),
+        cmocka_unit_test_setup_teardown(a_new_leader_restores_the_record, begin, end),
         cmocka_unit_test_setup_teardown(nothing_is_written_too_early, begin, end),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
