--- a/tests/duty/test_duty_core.c
+++ b/tests/duty/test_duty_core.c
@@ -260,7 +260,7 @@
     assert_string_equal(said, "join on 7 over 9");
     EXPECT(committed(6, AMB_CALL_OK, SESSION), IDLE, "");
     /* Its record names a session that is over. */
-    EXPECT(record(7, "n-0", 9, 3, 8), CAMPAIGNING, "claim 4 over 8, none 0, self 20");
+    EXPECT(record(7, "n-0", 9, 3, 8), CANDIDATE, "claim 4 over 8, none 0, self 20");
 }
 
 static void the_key_must_be_written_while_the_lease_is_sure(void **state) {
@@ -302,7 +302,7 @@
     EXPECT(member(11, "n-1", false, THEIR_SESSION - 1, 0), IDLE, ""); /* old news */
     /* The only member left claims at once, guarded by the record, the holder's absence and its own presence.
      */
-    EXPECT(member(20, "n-1", false, 30, 0), CAMPAIGNING, "claim 4 over 15, n-1 0, self 20");
+    EXPECT(member(20, "n-1", false, 30, 0), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
     assert_false(may_call(21));
     EXPECT(committed(30, AMB_CALL_OK, CLAIM), HELD, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].fencing_token, 4);
@@ -315,8 +315,8 @@
     (void)state;
     join();
     /* The holder was started again before its absence was heard of. */
-    EXPECT(member(20, "n-1", true, 35, 2), CAMPAIGNING, "");
-    EXPECT(tick(20 + 2 * BACKOFF), CAMPAIGNING, "extend 7, claim 4 over 15, n-1 35, self 20");
+    EXPECT(member(20, "n-1", true, 35, 2), CANDIDATE, "");
+    EXPECT(tick(20 + 2 * BACKOFF), CANDIDATE, "extend 7, claim 4 over 15, n-1 35, self 20");
 }
 
 static void the_first_claim_ever(void **state) {
@@ -326,7 +326,7 @@
     step(granted(1, AMB_CALL_OK, LEASE));
     step(committed(2, AMB_CALL_OK, SESSION));
     EXPECT(tick(3), IDLE, ""); /* the record is not known yet */
-    EXPECT(record(4, "", 0, 0, 0), CAMPAIGNING, "claim 1 over 0, none 0, self 20");
+    EXPECT(record(4, "", 0, 0, 0), CANDIDATE, "claim 1 over 0, none 0, self 20");
     EXPECT(committed(5, AMB_CALL_OK, CLAIM), HELD, "");
 }
 
@@ -334,15 +334,15 @@
     (void)state;
     join();
     step(member(20, "n-1", false, 30, 0));
-    EXPECT(committed(30, AMB_CALL_CONFLICT, 0), CAMPAIGNING, "read record, read n-1");
-    EXPECT(record(31, "n-2", 25, 4, 40), CAMPAIGNING, ""); /* n-2 is not known to be alive */
+    EXPECT(committed(30, AMB_CALL_CONFLICT, 0), CANDIDATE, "read record, read n-1");
+    EXPECT(record(31, "n-2", 25, 4, 40), CANDIDATE, ""); /* n-2 is not known to be alive */
     EXPECT(member(32, "n-2", true, 25, 3), IDLE, "");
 
     /* The answer comes after the news that another claimed later. */
     join();
     step(member(20, "n-1", false, 30, 0));
     step(member(21, "n-2", true, 31, 3));
-    EXPECT(record(22, "n-2", 31, 5, 60), CAMPAIGNING, "");
+    EXPECT(record(22, "n-2", 31, 5, 60), CANDIDATE, "");
     EXPECT(committed(30, AMB_CALL_OK, CLAIM), IDLE, "read record, read n-2");
     assert_false(may_call(31));
 }
@@ -351,18 +351,18 @@
     (void)state;
     join();
     step(member(20, "n-1", false, 30, 0));
-    EXPECT(committed(30, AMB_CALL_LOST, 0), CAMPAIGNING, "read record");
-    EXPECT(record(31, "n-1", THEIR_SESSION, 3, 15), CAMPAIGNING, ""); /* not carried out yet */
-    EXPECT(tick(31 + BACKOFF * 2), CAMPAIGNING, "extend 7, claim 4 over 15, n-1 0, self 20");
+    EXPECT(committed(30, AMB_CALL_LOST, 0), CANDIDATE, "read record");
+    EXPECT(record(31, "n-1", THEIR_SESSION, 3, 15), CANDIDATE, ""); /* not carried out yet */
+    EXPECT(tick(31 + BACKOFF * 2), CANDIDATE, "extend 7, claim 4 over 15, n-1 0, self 20");
     /* The first copy was carried out after all. */
-    EXPECT(committed(1100, AMB_CALL_CONFLICT, 0), CAMPAIGNING, "read record, read n-1");
+    EXPECT(committed(1100, AMB_CALL_CONFLICT, 0), CANDIDATE, "read record, read n-1");
     EXPECT(record(1101, "n-0", SESSION, 4, CLAIM), HELD, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].revision, CLAIM);
 
     /* Never answered at all: the core gives up waiting itself. */
     join();
     step(member(20, "n-1", false, 30, 0));
-    EXPECT(tick(20 + 900), CAMPAIGNING, "extend 7, read record");
+    EXPECT(tick(20 + 900), CANDIDATE, "extend 7, read record");
 }
 
 static void others_go_first(void **state) {
@@ -374,16 +374,16 @@
     step(member(7, "n-2", true, 13, 3));
     step(member(8, "n-2", false, 14, 0));
     step(member(9, "n-2", true, 16, 4));
-    EXPECT(member(20, "n-1", false, 30, 0), CAMPAIGNING, "claim 4 over 15, n-1 0, self 20");
+    EXPECT(member(20, "n-1", false, 30, 0), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
 
     /* This member flaps: the others go first. */
     join();
     step(member(5, "n-2", true, 11, 2));
     amb_duty_member_note_loss(&core.members[0], START + 6);
     amb_duty_member_note_loss(&core.members[0], START + 7);
-    EXPECT(member(20, "n-1", false, 30, 0), CAMPAIGNING, "");
-    EXPECT(tick(20 + BACKOFF - 1), CAMPAIGNING, "");
-    EXPECT(tick(20 + BACKOFF * 3 / 2 + 1), CAMPAIGNING, "extend 7, claim 4 over 15, n-1 0, self 20");
+    EXPECT(member(20, "n-1", false, 30, 0), CANDIDATE, "");
+    EXPECT(tick(20 + BACKOFF - 1), CANDIDATE, "");
+    EXPECT(tick(20 + BACKOFF * 3 / 2 + 1), CANDIDATE, "extend 7, claim 4 over 15, n-1 0, self 20");
 }
 
 /* Members that are at the same place in rank, or fail together, don't claim in step for ever. */
@@ -394,7 +394,7 @@
         join();
         core.random_state = seed;
         step(member(5, "n-2", true, 11, 2));
-        EXPECT(released(20, "n-1", 3, 30, "n-2"), CAMPAIGNING, "");
+        EXPECT(released(20, "n-1", 3, 30, "n-2"), CANDIDATE, "");
         amb_ms wait = core.duties[AMB_DUTY_RENT].claim_at - START - 20;
         uint32_t rank = amb_duty_rank(core.members, AMB_DUTY_MEMBERS, AMB_DUTY_RENT, "n-0", TTL, START) + 1;
         assert_in_range(wait, rank * BACKOFF, rank * BACKOFF + BACKOFF / 2);
@@ -422,13 +422,13 @@
 static void a_named_successor_goes_first(void **state) {
     (void)state;
     join();
-    EXPECT(released(20, "n-1", 3, 30, "n-0"), CAMPAIGNING, "claim 4 over 30, none 0, self 20");
+    EXPECT(released(20, "n-1", 3, 30, "n-0"), CANDIDATE, "claim 4 over 30, none 0, self 20");
 
     join();
     step(member(5, "n-2", true, 11, 2));
-    EXPECT(released(20, "n-1", 3, 30, "n-2"), CAMPAIGNING, "");
-    EXPECT(tick(20 + BACKOFF - 1), CAMPAIGNING, "");
-    EXPECT(tick(20 + BACKOFF * 7 / 2), CAMPAIGNING, "extend 7, claim 4 over 30, none 0, self 20");
+    EXPECT(released(20, "n-1", 3, 30, "n-2"), CANDIDATE, "");
+    EXPECT(tick(20 + BACKOFF - 1), CANDIDATE, "");
+    EXPECT(tick(20 + BACKOFF * 7 / 2), CANDIDATE, "extend 7, claim 4 over 30, none 0, self 20");
 }
 
 static void no_claim_without_a_sure_lease(void **state) {
@@ -436,7 +436,7 @@
     join();
     EXPECT(tick(RIGHT), IDLE, "extend 7");
     EXPECT(member(RIGHT + 1, "n-1", false, 30, 0), IDLE, "");
-    EXPECT(extended(RIGHT + 2, AMB_CALL_OK), CAMPAIGNING, "claim 4 over 15, n-1 0, self 20");
+    EXPECT(extended(RIGHT + 2, AMB_CALL_OK), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
 }
 
 /* ---- holding ---- */
@@ -657,9 +657,9 @@
     EXPECT(answered(15, AMB_DUTY_CLOUD_DONE), DRAINING, "o-1 done by 4 over 50/56, 0 unanswered");
     EXPECT(committed(16, AMB_CALL_OK, 58), DRAINING, "release 4 for 'n-1' over 50");
     assert_false(may_call(18)); /* it may have been carried out */
-    EXPECT(committed(19, AMB_CALL_OK, 59), CAMPAIGNING, "");
+    EXPECT(committed(19, AMB_CALL_OK, 59), CANDIDATE, "");
     assert_false(may_call(20));
-    EXPECT(tick(19 + BACKOFF - 1), CAMPAIGNING, ""); /* others first */
+    EXPECT(tick(19 + BACKOFF - 1), CANDIDATE, ""); /* others first */
 }
 
 static void draining_past_the_deadline(void **state) {
@@ -680,7 +680,7 @@
     assert_false(may_call(15));
     EXPECT(tick(14 + TTL / 10), DRAINING, "release 4 for '' over 50");
     /* It was carried out the first time. */
-    EXPECT(released(400, "n-0", 4, 60, ""), CAMPAIGNING, "");
+    EXPECT(released(400, "n-0", 4, 60, ""), CANDIDATE, "");
 
     hold();
     step(drain(12, ""));
--- a/tests/duty/test_duty_parts.c
+++ b/tests/duty/test_duty_parts.c
@@ -51,10 +51,10 @@
     size_t count = 0;
 #define ROW(text, expected, ...)                                                                             \
     do {                                                                                                     \
-        rows[n].what = text;                                                                                 \
-        rows[n].settings = good;                                                                             \
-        rows[n].error = AMB_DUTY_SETTINGS_##expected;                                                        \
-        struct amb_duty_settings *s = &rows[n++].settings;                                                   \
+        rows[count].what = text;                                                                             \
+        rows[count].settings = good;                                                                         \
+        rows[count].error = AMB_DUTY_SETTINGS_##expected;                                                    \
+        struct amb_duty_settings *changed = &rows[count++].settings;                                         \
         __VA_ARGS__;                                                                                         \
     } while (0)
     ROW("the defaults", GOOD, (void)changed);
@@ -286,7 +286,7 @@
 
 #define RECORD(kind, how, by, ...)                                                                           \
     {                                                                                                        \
-        .present = true, .id = "o-1", .duty = AMB_DUTY_##kind, .state = AMB_DUTY_ORDER_##how,                \
+        .present = true, .id = "o-1", .duty = AMB_DUTY_##kind, .state = AMB_DUTY_INTENT_##how,               \
         .fencing_token = by, ##__VA_ARGS__                                                                   \
     }
 
@@ -299,8 +299,8 @@
         enum amb_duty_intent_step step;
         enum amb_duty_intent_result result;
     } rows[] = {
-        {"a new order is marked first", {.record = RECORD(RENT, WANTED, 0)}, true, AMB_DUTY_STEP_MARK, 0},
-        {"not while the duty is drained", {.record = RECORD(RENT, WANTED, 0)}, false, AMB_DUTY_STEP_NONE, 0},
+        {"a new order is marked first", {.record = RECORD(RENT, PENDING, 0)}, true, AMB_DUTY_STEP_MARK, 0},
+        {"not while the duty is drained", {.record = RECORD(RENT, PENDING, 0)}, false, AMB_DUTY_STEP_NONE, 0},
         {"one that we marked is sent", {.record = RECORD(RENT, SENT, OURS)}, true, AMB_DUTY_STEP_CALL, 0},
         {"and sent again while the duty is drained",
          {.record = RECORD(RENT, SENT, OURS)},
@@ -333,7 +333,7 @@
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_NO_CAPACITY},
         {"withdrawn before it was sent: void",
-         {.record = RECORD(RENT, WANTED, 0, .withdrawn = true)},
+         {.record = RECORD(RENT, PENDING, 0, .withdrawn = true)},
          true,
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_VOID},
@@ -374,7 +374,7 @@
         struct amb_duty_intent order;
         uint32_t unanswered;
     } rows[] = {
-        {"a new order", {.record = RECORD(RENT, WANTED, 0)}, 0},
+        {"a new order", {.record = RECORD(RENT, PENDING, 0)}, 0},
         {"an earlier holder may have sent it", {.record = RECORD(RENT, SENT, THEIRS)}, 1},
         {"two of them", {.record = RECORD(RENT, SENT, THEIRS, .unanswered = 1)}, 2},
         {"marked by us already", {.record = RECORD(RENT, SENT, OURS, .unanswered = 1)}, 1},
--- a/tests/placement/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -30,7 +30,7 @@
     return AMB_WDRR_ADMITTED;
 }
 
-static void skip(void *context, uint32_t team, const struct amb_wdrr_item *item) {
+static void skip_team(void *context, uint32_t team, const struct amb_wdrr_item *item) {
     (void)item;
     ((struct queue *)context)->skipped[team] = true;
 }
@@ -66,7 +66,7 @@
          {{1, 5, 0}, {20, 1, 1}, {0}, 10, {0}, NULL},
          {0, 5, 0}},
     };
-    const struct amb_wdrr_ops proto = {next, admit, skip, is_idle, NULL};
+    const struct amb_wdrr_ops proto = {next, admit, skip_team, is_idle, NULL};
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team teams[3] = {0};
         struct queue queue = rows[i].q;
@@ -118,7 +118,7 @@
     assert_true(team.bucket_tokens == 120);
     /* An empty bucket admits nothing. */
     struct queue queue = {{5, 0, 0}, {1, 1, 1}, {0}, 100, {0}, NULL};
-    struct amb_wdrr_ops ops = {next, admit, skip, is_idle, &queue};
+    struct amb_wdrr_ops ops = {next, admit, skip_team, is_idle, &queue};
     team.bucket_tokens = 0.5;
     assert_int_equal(amb_wdrr_run(&team, 1, 0, &ops), 0);
 }
@@ -146,7 +146,7 @@
     amb_wdrr_prepare(teams, 2, true);
     for (int i = 0; i < 100; i++) {
         struct queue queue = {{5, 5, 0}, {1, 1, 1}, {0}, 0, {0}, NULL};
-        struct amb_wdrr_ops ops = {next, admit, skip, is_idle, &queue};
+        struct amb_wdrr_ops ops = {next, admit, skip_team, is_idle, &queue};
         amb_wdrr_run(teams, 2, 0, &ops);
     }
     assert_true(teams[0].deficit <= 8);
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -5,6 +5,7 @@
 #ifdef AMB_PRODUCTION_SIDE
 #include "amberpin/log.h"
 #include "amberpin/node.h"
+#include "production_names.h"
 #else
 #include "amberpin/base/log.h"
 #include "amberpin/node/memory_budget.h"
