--- a/bench/case_codec.c
+++ b/bench/case_codec.c
@@ -25,8 +25,8 @@
     const struct amb_buf *body = input;
     struct amb_agent_heartbeat heartbeat;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
-    if (amb_codec_report(item, &heartbeat) != AMB_PARSE_OK) abort();
-    amb_report_free(&heartbeat);
+    if (amb_codec_decode_heartbeat_item(item, &heartbeat) != AMB_CODEC_OK) abort();
+    amb_codec_free_heartbeat(&heartbeat);
     cbor_decref(&item);
 }
 
@@ -34,7 +34,7 @@
     struct amb_buf *body = amb_alloc(sizeof *body);
     struct amb_job_spec spec;
     world_spec(&spec, size, 0);
-    amb_codec_put_spec(body, &spec);
+    amb_codec_encode_spec(body, &spec);
     return body;
 }
 
@@ -42,36 +42,36 @@
     const struct amb_buf *body = input;
     struct amb_job_spec spec;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
-    if (amb_codec_spec(item, &spec) != AMB_PARSE_OK) abort();
+    if (amb_codec_decode_spec(item, &spec) != AMB_CODEC_OK) abort();
     cbor_decref(&item);
 }
 
 /* A page of changes as `GET /follow` gives it: as many accepted jobs. */
 static void *follow_body(const struct world_size *size) {
     struct amb_buf *body = amb_alloc(sizeof *body);
-    amb_w_map(body, 2);
-    amb_w_str(body, "epoch");
-    amb_w_uint(body, 1000);
-    amb_w_str(body, "news");
-    amb_w_list(body, FOLLOW_CHANGES);
+    amb_cbor_write_map(body, 2);
+    amb_cbor_write_string(body, "epoch");
+    amb_cbor_write_uint(body, 1000);
+    amb_cbor_write_string(body, "news");
+    amb_cbor_write_list(body, FOLLOW_CHANGES);
     for (uint32_t i = 0; i < FOLLOW_CHANGES; i++) {
         struct amb_job_spec spec;
         char key[AMB_NAME_SIZE + 8];
         world_spec(&spec, size, i);
         snprintf(key, sizeof key, "a/job/%s", spec.ref);
-        amb_w_map(body, 3);
-        amb_w_str(body, "put");
-        amb_w_str(body, key);
-        amb_w_str(body, "stamp");
-        amb_w_uint(body, 500 + i);
-        amb_w_str(body, "value");
-        amb_w_map(body, 3);
-        amb_w_str(body, "s");
-        amb_w_str(body, "queued");
-        amb_w_str(body, "a");
-        amb_w_uint(body, 1700000000000);
-        amb_w_str(body, "d");
-        amb_codec_put_spec(body, &spec);
+        amb_cbor_write_map(body, 3);
+        amb_cbor_write_string(body, "put");
+        amb_cbor_write_string(body, key);
+        amb_cbor_write_string(body, "stamp");
+        amb_cbor_write_uint(body, 500 + i);
+        amb_cbor_write_string(body, "value");
+        amb_cbor_write_map(body, 3);
+        amb_cbor_write_string(body, "s");
+        amb_cbor_write_string(body, "queued");
+        amb_cbor_write_string(body, "a");
+        amb_cbor_write_uint(body, 1700000000000);
+        amb_cbor_write_string(body, "d");
+        amb_codec_encode_spec(body, &spec);
     }
     return body;
 }
@@ -79,11 +79,11 @@
 static void decode_follow(void *input) {
     const struct amb_buf *body = input;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
-    const cbor_item_t *news = amb_cbor_get(item, "news");
-    for (size_t i = 0; i < amb_cbor_len(news); i++) {
+    const cbor_item_t *news = amb_cbor_map_get(item, "news");
+    for (size_t i = 0; i < amb_cbor_list_length(news); i++) {
         struct amb_job_spec spec;
-        const cbor_item_t *value = amb_cbor_get(amb_cbor_at(news, i), "value");
-        if (amb_codec_spec(amb_cbor_get(value, "d"), &spec) != AMB_PARSE_OK) abort();
+        const cbor_item_t *value = amb_cbor_map_get(amb_cbor_list_item(news, i), "value");
+        if (amb_codec_decode_spec(amb_cbor_map_get(value, "d"), &spec) != AMB_CODEC_OK) abort();
     }
     cbor_decref(&item);
 }
@@ -103,7 +103,7 @@
 
 static void encode_orders(void *input) {
     struct amb_buf body = {0};
-    amb_codec_put_orders(&body, input, ORDERS);
+    amb_codec_encode_commands(&body, input, ORDERS);
     amb_buf_free(&body);
 }
 
--- a/bench/case_follow.c
+++ b/bench/case_follow.c
@@ -22,12 +22,12 @@
     struct amb_job job = {
         .spec = &spec, .accepted_wall_ms = 1700000000000, .cancelled_wall_ms = 1700000001000};
     amb_job_format_key(key, sizeof key, spec.ref);
-    amb_w_map(page, 3);
-    amb_w_str(page, "put");
-    amb_w_str(page, key);
-    amb_w_str(page, "stamp");
-    amb_w_uint(page, stamp + number);
-    amb_w_str(page, "value");
+    amb_cbor_write_map(page, 3);
+    amb_cbor_write_string(page, "put");
+    amb_cbor_write_string(page, key);
+    amb_cbor_write_string(page, "stamp");
+    amb_cbor_write_uint(page, stamp + number);
+    amb_cbor_write_string(page, "value");
     amb_job_encode_record(page, &job, state);
 }
 
@@ -37,11 +37,11 @@
     news->node = world_node(size, 1);
     news->node->election.role = AMB_ROLE_FOLLOWER;
     news->node->jobs.loaded = true;
-    amb_w_map(&news->page, 2);
-    amb_w_str(&news->page, "epoch");
-    amb_w_uint(&news->page, NEW_STAMP + changes);
-    amb_w_str(&news->page, "news");
-    amb_w_list(&news->page, changes);
+    amb_cbor_write_map(&news->page, 2);
+    amb_cbor_write_string(&news->page, "epoch");
+    amb_cbor_write_uint(&news->page, NEW_STAMP + changes);
+    amb_cbor_write_string(&news->page, "news");
+    amb_cbor_write_list(&news->page, changes);
     for (uint32_t i = 0; i < changes; i++) put_change(&news->page, size, i, state, stamp);
     return news;
 }
--- a/bench/case_http.c
+++ b/bench/case_http.c
@@ -21,13 +21,13 @@
 }
 
 static void parse_request(void *input) {
-    struct amb_http_msg message;
+    struct amb_http_message message;
     (void)input;
     if (amb_http_parse(request, sizeof request - 1, false, BODY_MAX, &message) != sizeof request - 1) abort();
 }
 
 static void parse_response(void *input) {
-    struct amb_http_msg message;
+    struct amb_http_message message;
     (void)input;
     if (amb_http_parse(response, sizeof response - 1, true, BODY_MAX, &message) != sizeof response - 1)
         abort();
--- a/bench/case_report.c
+++ b/bench/case_report.c
@@ -35,10 +35,12 @@
 /* Each report is newer than the one before. Nothing has changed on the machine, so the leader keeps an answer
  * that would say nothing until the next report comes, and gives it then. */
 static void report(void *input) {
-    struct reporting *r = input;
-    r->seq++;
-    for (int i = 0; i < 8; i++) r->body.data[r->seq_at + (size_t)i] = (char)(r->seq >> (56 - 8 * i));
-    amb_agent_handle_request(r->node, world_request("POST", "/hello", r->body.data, r->body.len));
+    struct reporting *heartbeat = input;
+    heartbeat->seq++;
+    for (int i = 0; i < 8; i++)
+        heartbeat->body.data[heartbeat->seq_at + (size_t)i] = (char)(heartbeat->seq >> (56 - 8 * i));
+    amb_agent_handle_request(heartbeat->node,
+                             world_request("POST", "/hello", heartbeat->body.data, heartbeat->body.len));
 }
 
 static void finish(void *input) {
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -35,9 +35,9 @@
 
 static void answer_commit(uint64_t epoch) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "epoch");
-    amb_w_uint(&body, epoch);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "epoch");
+    amb_cbor_write_uint(&body, epoch);
     struct world_call call = world_last_call();
     call.done(call.arg, 200, body.data, body.len);
     amb_buf_free(&body);
@@ -48,8 +48,8 @@
     struct amb_buf body = {0};
     fill_budgets(&s->node->store);
     snprintf(s->spec.ref, sizeof s->spec.ref, "wk-new-%u", s->count++);
-    amb_codec_put_spec(&body, &s->spec);
-    amb_user_request(s->node, world_request("POST", "/v1/jobs", body.data, body.len));
+    amb_codec_encode_spec(&body, &s->spec);
+    amb_api_handle_request(s->node, world_request("POST", "/v1/jobs", body.data, body.len));
     answer_commit(1000000 + s->count);
     amb_buf_free(&body);
 }
--- a/bench/world.c
+++ b/bench/world.c
@@ -48,19 +48,20 @@
 static int last_status;
 
 /* The linker puts these in the place of the library's own (--wrap). */
-struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                          amb_http_handler fn, void *arg);
+struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
+                                               amb_http_handler fn, void *arg);
 void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s);
-struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
-                                      const char *type, const void *body, size_t len, amb_ms timeout,
-                                      amb_http_done fn, void *arg);
+struct amb_http_client_connection *__wrap_amb_http_call(const char *addr, const char *method,
+                                                        const char *path, const char *type, const void *body,
+                                                        size_t len, amb_ms timeout, amb_http_done fn,
+                                                        void *arg);
 
-struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                          amb_http_handler fn, void *arg) {
+struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
+                                               amb_http_handler fn, void *arg) {
     (void)addr, (void)max, (void)body_max, (void)idle_ms;
     last_server = (struct world_server){fn, arg};
-    return (struct amb_server *)&last_server;
+    return (struct amb_http_server *)&last_server;
 }
 
 void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
@@ -71,9 +72,10 @@
     free(request);
 }
 
-struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
-                                      const char *type, const void *body, size_t len, amb_ms timeout,
-                                      amb_http_done fn, void *arg) {
+struct amb_http_client_connection *__wrap_amb_http_call(const char *addr, const char *method,
+                                                        const char *path, const char *type, const void *body,
+                                                        size_t len, amb_ms timeout, amb_http_done fn,
+                                                        void *arg) {
     (void)addr, (void)method, (void)path, (void)type, (void)body, (void)len, (void)timeout;
     last_call = (struct world_call){fn, arg};
     return NULL;
@@ -93,7 +95,7 @@
 
 struct amb_http_req *world_request(const char *method, const char *path, const void *body, size_t len) {
     struct amb_http_req *request = amb_alloc(sizeof *request);
-    request->conn = (struct amb_conn *)&last_server; /* somebody waits for the answer */
+    request->connection = (struct amb_http_connection *)&last_server; /* somebody waits for the answer */
     strcpy(request->method, method);
     strcpy(request->path, path);
     request->body = amb_alloc(len + 1);
@@ -157,25 +159,25 @@
     struct amb_job_spec spec;
     world_spec(&spec, size, job);
     if (is_finished(size, job)) {
-        amb_w_map(out, 2);
-        amb_w_str(out, "s");
-        amb_w_str(out, "done");
-        amb_w_str(out, "n");
-        amb_w_uint(out, spec.task_count);
+        amb_cbor_write_map(out, 2);
+        amb_cbor_write_string(out, "s");
+        amb_cbor_write_string(out, "done");
+        amb_cbor_write_string(out, "n");
+        amb_cbor_write_uint(out, spec.task_count);
         return;
     }
     bool cancelled = is_cancelled(size, job);
-    amb_w_map(out, cancelled ? 4 : 3);
-    amb_w_str(out, "s");
-    amb_w_str(out, cancelled ? "cancelled" : "queued");
+    amb_cbor_write_map(out, cancelled ? 4 : 3);
+    amb_cbor_write_string(out, "s");
+    amb_cbor_write_string(out, cancelled ? "cancelled" : "queued");
     if (cancelled) {
-        amb_w_str(out, "c");
-        amb_w_uint(out, (uint64_t)START_WALL_MS - 20000);
+        amb_cbor_write_string(out, "c");
+        amb_cbor_write_uint(out, (uint64_t)START_WALL_MS - 20000);
     }
-    amb_w_str(out, "a");
-    amb_w_uint(out, (uint64_t)START_WALL_MS - 60000);
-    amb_w_str(out, "d");
-    amb_codec_put_spec(out, &spec);
+    amb_cbor_write_string(out, "a");
+    amb_cbor_write_uint(out, (uint64_t)START_WALL_MS - 60000);
+    amb_cbor_write_string(out, "d");
+    amb_codec_encode_spec(out, &spec);
 }
 
 static void put_placement_value(struct amb_buf *out, const struct world_size *size, uint32_t job) {
@@ -184,38 +186,38 @@
         char name[AMB_NAME_SIZE];
         uint32_t machine = machine_of(size, job, task);
         machine_name(name, machine);
-        amb_buf_fmt(&placed, "%u,%u,%s,0,%u,0;", task, 1, name, machine % 2);
+        amb_buf_append_format(&placed, "%u,%u,%s,0,%u,0;", task, 1, name, machine % 2);
     }
-    amb_w_map(out, 7);
-    amb_w_str(out, "at");
-    amb_w_uint(out, (uint64_t)START_WALL_MS - 30000);
-    amb_w_str(out, "w");
-    amb_w_str(out, "41-1");
-    amb_w_str(out, "n");
-    amb_w_uint(out, 2);
-    amb_w_str(out, "p");
-    amb_w_strn(out, placed.data, placed.len);
-    amb_w_str(out, "d");
-    amb_w_str(out, "");
-    amb_w_str(out, "t");
-    amb_w_list(out, 1);
-    amb_w_str(out, "g8");
-    amb_w_str(out, "z");
-    amb_w_list(out, 2);
-    amb_w_str(out, "a");
-    amb_w_str(out, "b");
+    amb_cbor_write_map(out, 7);
+    amb_cbor_write_string(out, "at");
+    amb_cbor_write_uint(out, (uint64_t)START_WALL_MS - 30000);
+    amb_cbor_write_string(out, "w");
+    amb_cbor_write_string(out, "41-1");
+    amb_cbor_write_string(out, "n");
+    amb_cbor_write_uint(out, 2);
+    amb_cbor_write_string(out, "p");
+    amb_cbor_write_text(out, placed.data, placed.len);
+    amb_cbor_write_string(out, "d");
+    amb_cbor_write_string(out, "");
+    amb_cbor_write_string(out, "t");
+    amb_cbor_write_list(out, 1);
+    amb_cbor_write_string(out, "g8");
+    amb_cbor_write_string(out, "z");
+    amb_cbor_write_list(out, 2);
+    amb_cbor_write_string(out, "a");
+    amb_cbor_write_string(out, "b");
     amb_buf_free(&placed);
 }
 
 static void put_entry(struct amb_buf *out, const struct world_size *size, uint32_t job, bool placement) {
     char key[AMB_NAME_SIZE + 16];
     snprintf(key, sizeof key, placement ? "b/p/wk-%06u/00000" : "a/job/wk-%06u", job);
-    amb_w_map(out, 3);
-    amb_w_str(out, "path");
-    amb_w_str(out, key);
-    amb_w_str(out, "stamp");
-    amb_w_uint(out, 100 + job);
-    amb_w_str(out, "value");
+    amb_cbor_write_map(out, 3);
+    amb_cbor_write_string(out, "path");
+    amb_cbor_write_string(out, key);
+    amb_cbor_write_string(out, "stamp");
+    amb_cbor_write_uint(out, 100 + job);
+    amb_cbor_write_string(out, "value");
     if (placement)
         put_placement_value(out, size, job);
     else
@@ -230,13 +232,13 @@
         struct amb_buf *page = &result.pages[job / PAGE_ENTRIES];
         uint32_t left = jobs - job;
         if (job % PAGE_ENTRIES == 0) {
-            amb_w_map(page, 3);
-            amb_w_str(page, "epoch");
-            amb_w_uint(page, 100 + jobs);
-            amb_w_str(page, "truncated");
-            amb_w_bool(page, left > PAGE_ENTRIES);
-            amb_w_str(page, "pairs");
-            amb_w_list(page, left < PAGE_ENTRIES ? left : PAGE_ENTRIES);
+            amb_cbor_write_map(page, 3);
+            amb_cbor_write_string(page, "epoch");
+            amb_cbor_write_uint(page, 100 + jobs);
+            amb_cbor_write_string(page, "truncated");
+            amb_cbor_write_bool(page, left > PAGE_ENTRIES);
+            amb_cbor_write_string(page, "pairs");
+            amb_cbor_write_list(page, left < PAGE_ENTRIES ? left : PAGE_ENTRIES);
         }
         put_entry(page, size, job, placements);
     }
@@ -261,17 +263,18 @@
 
 static void apply_page(struct amb_node *node, const struct amb_buf *page, bool placements) {
     cbor_item_t *body = amb_cbor_parse(page->data, page->len);
-    const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
-    for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
-        const cbor_item_t *pair = amb_cbor_at(pairs, i);
+    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
+    for (size_t i = 0; i < amb_cbor_list_length(pairs); i++) {
+        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
         char key[256];
         uint64_t stamp = 0;
-        amb_cbor_str(amb_cbor_get(pair, "path"), key, sizeof key);
-        amb_cbor_uint(amb_cbor_get(pair, "stamp"), &stamp);
+        amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), key, sizeof key);
+        amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &stamp);
         if (placements)
-            amb_placement_log_restore(node, key, amb_cbor_get(pair, "value"), stamp);
+            amb_placement_log_restore(node, key, amb_cbor_map_get(pair, "value"), stamp);
         else
-            amb_jobs_apply_item(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_get(pair, "value"), stamp);
+            amb_jobs_apply_item(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_map_get(pair, "value"),
+                                stamp);
     }
     cbor_decref(&body);
 }
@@ -294,45 +297,45 @@
 static void put_long_uint(struct amb_buf *out, uint64_t value) { /* always nine bytes, so it can be changed */
     unsigned char bytes[9] = {0x1b};
     for (int i = 0; i < 8; i++) bytes[1 + i] = (unsigned char)(value >> (56 - 8 * i));
-    amb_buf_add(out, bytes, sizeof bytes);
+    amb_buf_append(out, bytes, sizeof bytes);
 }
 
 void world_put_report(struct amb_buf *body, const struct world_size *size, uint32_t machine, uint64_t seq,
                       size_t *seq_at) {
     char name[AMB_NAME_SIZE];
     machine_name(name, machine);
-    amb_w_map(body, 10);
-    amb_w_str(body, "rig");
-    amb_w_str(body, name);
-    amb_w_str(body, "address");
-    amb_w_str(body, "127.0.0.1:1");
-    amb_w_str(body, "hull");
-    amb_w_str(body, "g8");
-    amb_w_str(body, "yard");
-    amb_w_str(body, zone_of(machine));
-    amb_w_str(body, "driftwood");
-    amb_w_bool(body, false);
-    amb_w_str(body, "watch");
-    amb_w_uint(body, 1);
-    amb_w_str(body, "tally");
+    amb_cbor_write_map(body, 10);
+    amb_cbor_write_string(body, "rig");
+    amb_cbor_write_string(body, name);
+    amb_cbor_write_string(body, "address");
+    amb_cbor_write_string(body, "127.0.0.1:1");
+    amb_cbor_write_string(body, "hull");
+    amb_cbor_write_string(body, "g8");
+    amb_cbor_write_string(body, "yard");
+    amb_cbor_write_string(body, zone_of(machine));
+    amb_cbor_write_string(body, "driftwood");
+    amb_cbor_write_bool(body, false);
+    amb_cbor_write_string(body, "watch");
+    amb_cbor_write_uint(body, 1);
+    amb_cbor_write_string(body, "tally");
     if (seq_at) *seq_at = body->len + 1;
     put_long_uint(body, seq);
-    amb_w_str(body, "baton");
-    amb_w_uint(body, WORLD_TERM);
-    amb_w_str(body, "recall_s");
-    amb_w_null(body);
-    amb_w_str(body, "legs");
-    amb_w_list(body, tasks_on(size, machine));
+    amb_cbor_write_string(body, "baton");
+    amb_cbor_write_uint(body, WORLD_TERM);
+    amb_cbor_write_string(body, "recall_s");
+    amb_cbor_write_null(body);
+    amb_cbor_write_string(body, "legs");
+    amb_cbor_write_list(body, tasks_on(size, machine));
     for (uint32_t i = machine; i < size->running_jobs * size->tasks_per_job; i += size->machines) {
         char task[AMB_NAME_SIZE];
         snprintf(task, sizeof task, "wk-%06u/%u", i / size->tasks_per_job, i % size->tasks_per_job);
-        amb_w_map(body, 3);
-        amb_w_str(body, "leg");
-        amb_w_str(body, task);
-        amb_w_str(body, "try");
-        amb_w_uint(body, 1);
-        amb_w_str(body, "stance");
-        amb_w_str(body, "running");
+        amb_cbor_write_map(body, 3);
+        amb_cbor_write_string(body, "leg");
+        amb_cbor_write_string(body, task);
+        amb_cbor_write_string(body, "try");
+        amb_cbor_write_uint(body, 1);
+        amb_cbor_write_string(body, "stance");
+        amb_cbor_write_string(body, "running");
     }
 }
 
@@ -341,27 +344,27 @@
 static void put_settings(struct amb_settings *settings, const struct world_size *size, uint32_t member) {
     snprintf(settings->member, sizeof settings->member, "n%u", member);
     strcpy(settings->zone, "a");
-    strcpy(settings->state, "127.0.0.1:1");
-    strcpy(settings->cloud, "127.0.0.1:2");
+    strcpy(settings->store_addr, "127.0.0.1:1");
+    strcpy(settings->cloud_addr, "127.0.0.1:2");
     for (uint32_t i = 0; i < size->nodes; i++) {
         if (i == member) continue;
-        struct amb_peer_addr *peer = &settings->peers[settings->npeers++];
+        struct amb_peer_address *peer = &settings->peers[settings->peer_count++];
         snprintf(peer->member, sizeof peer->member, "n%u", i);
         snprintf(peer->addr, sizeof peer->addr, "127.0.0.1:%u", 100 + i);
     }
-    settings->nteams = 2;
-    for (uint32_t t = 0; t < settings->nteams; t++) {
+    settings->team_count = 2;
+    for (uint32_t t = 0; t < settings->team_count; t++) {
         snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
         settings->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
         settings->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
     }
-    settings->report_s = size->report_s;
-    settings->lease_s = size->lease_s;
+    settings->heartbeat_s = size->report_s;
+    settings->agent_lease_s = size->lease_s;
     settings->cancel_s = size->cancel_s;
     settings->gang_wait_s = 20;
     settings->gang_peer_s = 5;
-    settings->state_rps = REQUESTS_PER_S;
-    settings->state_write_rps = WRITES_PER_S;
+    settings->store_rps = REQUESTS_PER_S;
+    settings->store_write_rps = WRITES_PER_S;
     settings->value_kb = VALUE_KB;
     settings->txn_ops = 8;
     settings->cloud_rps = CLOUD_CALLS_PER_S;
@@ -393,7 +396,7 @@
     put_settings(&node->settings, size, member);
     put_catalog(&node->catalog);
     node->cloud.catalog_known = true;
-    node->controller.tick_interval_s = amb_settings_beat(&node->settings);
+    node->controller.tick_interval_s = amb_settings_cycle_s(&node->settings);
     amb_store_init(&node->store, &node->settings, 1000);
     return node;
 }
--- a/include/amberpin/api/user_api.h
+++ b/include/amberpin/api/user_api.h
@@ -7,6 +7,6 @@
 struct amb_node;
 
 /* Answers the request now or later; false: it is not of this interface. */
-bool amb_user_request(struct amb_node *node, struct amb_http_req *request);
+bool amb_api_handle_request(struct amb_node *node, struct amb_http_req *user_request);
 
 #endif
--- a/include/amberpin/base/call_result.h
+++ b/include/amberpin/base/call_result.h
@@ -7,7 +7,7 @@
                        AMB_CALL_NOT_FOUND, /* no such key or lease */
                        AMB_CALL_CONFLICT,  /* a guard did not hold */
                        AMB_CALL_REFUSED,   /* not carried out */
-                       AMB_CALL_LOST,      /* no answer: carried out or not, or later */
+                       AMB_CALL_NO_ANSWER, /* no answer: carried out or not, or later */
 };
 
 #endif
--- a/include/amberpin/base/util.h
+++ b/include/amberpin/base/util.h
@@ -13,8 +13,8 @@
     size_t len, cap;
 };
 
-static inline amb_ms amb_secs(double s) {
-    return (amb_ms)(s * 1000);
+static inline amb_ms amb_seconds_to_ms(double seconds) {
+    return (amb_ms)(seconds * 1000);
 }
 
 /* Of two moments, on the same clock. */
@@ -22,13 +22,14 @@
     return a < b ? a : b;
 }
 
-void *amb_alloc(size_t n); /* zeroed; ends the process when there is no memory */
-void *amb_grow(void *p, size_t n);
+void *amb_alloc(size_t size); /* zeroed; ends the process when there is no memory */
+void *amb_realloc(void *memory, size_t size);
 
-void amb_buf_add(struct amb_buf *buffer, const void *p, size_t n);
-void amb_buf_str(struct amb_buf *buffer, const char *s);
-void amb_buf_fmt(struct amb_buf *buffer, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-void amb_buf_drop(struct amb_buf *buffer, size_t n); /* forget the first n bytes */
+void amb_buf_append(struct amb_buf *buffer, const void *data, size_t len);
+void amb_buf_append_text(struct amb_buf *buffer, const char *text);
+void amb_buf_append_format(struct amb_buf *buffer, const char *format, ...)
+    __attribute__((format(printf, 2, 3)));
+void amb_buf_drop_front(struct amb_buf *buffer, size_t len); /* forget the first n bytes */
 void amb_buf_free(struct amb_buf *buffer);
 
 amb_ms amb_now(void);      /* steady clock */
--- a/include/amberpin/codec/cbor_item.h
+++ b/include/amberpin/codec/cbor_item.h
@@ -9,15 +9,15 @@
 #include <stdint.h>
 
 cbor_item_t *amb_cbor_parse(const void *data, size_t len); /* NULL: not CBOR, or something after it */
-const cbor_item_t *amb_cbor_get(const cbor_item_t *map, const char *key);
-bool amb_cbor_str(const cbor_item_t *v, char *out, size_t cap);
-char *amb_cbor_text(const cbor_item_t *v); /* of any length, to be freed; NULL: not a text */
-bool amb_cbor_eq(const cbor_item_t *v, const char *text);
-bool amb_cbor_uint(const cbor_item_t *v, uint64_t *out);
-bool amb_cbor_num(const cbor_item_t *v, double *out);
-bool amb_cbor_bool(const cbor_item_t *v, bool *out);
-bool amb_cbor_absent(const cbor_item_t *v);   /* missing, null or undefined */
-size_t amb_cbor_len(const cbor_item_t *list); /* 0 when not a list */
-const cbor_item_t *amb_cbor_at(const cbor_item_t *list, size_t i);
+const cbor_item_t *amb_cbor_map_get(const cbor_item_t *map, const char *key);
+bool amb_cbor_copy_string(const cbor_item_t *item, char *out, size_t cap);
+char *amb_cbor_dup_string(const cbor_item_t *item); /* of any length, to be freed; NULL: not a text */
+bool amb_cbor_equals(const cbor_item_t *item, const char *text);
+bool amb_cbor_get_uint(const cbor_item_t *item, uint64_t *out);
+bool amb_cbor_get_number(const cbor_item_t *item, double *out);
+bool amb_cbor_get_bool(const cbor_item_t *item, bool *out);
+bool amb_cbor_is_absent(const cbor_item_t *item);     /* missing, null or undefined */
+size_t amb_cbor_list_length(const cbor_item_t *list); /* 0 when not a list */
+const cbor_item_t *amb_cbor_list_item(const cbor_item_t *list, size_t index);
 
 #endif
--- a/include/amberpin/codec/cbor_reader.h
+++ b/include/amberpin/codec/cbor_reader.h
@@ -11,31 +11,32 @@
 
 struct amb_cbor_reader {
     const unsigned char *at, *end;
-    bool odd;
+    bool failed;
 };
 
-struct amb_cbor_text { /* not terminated, points into the message */
+struct amb_cbor_dup_string { /* not terminated, points into the message */
     const char *data;
     size_t len;
 };
 
 struct amb_cbor_reader amb_cbor_reader(const void *data, size_t len);
 
-size_t amb_cbor_read_map(struct amb_cbor_reader *r);  /* number of pairs */
-size_t amb_cbor_read_list(struct amb_cbor_reader *r); /* number of items */
-struct amb_cbor_text amb_cbor_read_text(struct amb_cbor_reader *r);
-uint64_t amb_cbor_read_uint(struct amb_cbor_reader *r);
-bool amb_cbor_read_bool(struct amb_cbor_reader *r);
-double amb_cbor_read_num(struct amb_cbor_reader *r);
-bool amb_cbor_read_null(
-    struct amb_cbor_reader *r);                /* whether the next value is null; only then it is passed */
-void amb_cbor_skip(struct amb_cbor_reader *r); /* a whole value */
+size_t amb_cbor_read_map(struct amb_cbor_reader *reader);  /* number of pairs */
+size_t amb_cbor_read_list(struct amb_cbor_reader *reader); /* number of items */
+struct amb_cbor_dup_string amb_cbor_read_text(struct amb_cbor_reader *reader);
+uint64_t amb_cbor_read_uint(struct amb_cbor_reader *reader);
+bool amb_cbor_read_bool(struct amb_cbor_reader *reader);
+double amb_cbor_read_number(struct amb_cbor_reader *reader);
+bool amb_cbor_read_if_null(
+    struct amb_cbor_reader *reader); /* whether the next value is null; only then it is passed */
+void amb_cbor_skip_value(struct amb_cbor_reader *reader); /* a whole value */
 
 /* No more bytes than this the value takes as JSON, in which the protocol counts sizes. */
 size_t amb_cbor_json_size(const void *data, size_t len);
 
-bool amb_cbor_text_is(struct amb_cbor_text t, const char *text);
+bool amb_cbor_text_equals(struct amb_cbor_dup_string text, const char *expected);
 /* A terminated copy. False, and the reader odd, when it does not fit or holds a NUL. */
-bool amb_cbor_copy_text(struct amb_cbor_reader *r, struct amb_cbor_text t, char *out, size_t cap);
+bool amb_cbor_copy_text(struct amb_cbor_reader *reader, struct amb_cbor_dup_string text, char *out,
+                        size_t cap);
 
 #endif
--- a/include/amberpin/codec/cbor_writer.h
+++ b/include/amberpin/codec/cbor_writer.h
@@ -4,13 +4,13 @@
 
 #include "amberpin/base/util.h"
 
-void amb_w_map(struct amb_buf *buffer, size_t pairs);
-void amb_w_list(struct amb_buf *buffer, size_t items);
-void amb_w_str(struct amb_buf *buffer, const char *s);
-void amb_w_strn(struct amb_buf *buffer, const char *s, size_t n);
-void amb_w_uint(struct amb_buf *buffer, uint64_t v);
-void amb_w_num(struct amb_buf *buffer, double v);
-void amb_w_bool(struct amb_buf *buffer, bool v);
-void amb_w_null(struct amb_buf *buffer);
+void amb_cbor_write_map(struct amb_buf *buffer, size_t pairs);
+void amb_cbor_write_list(struct amb_buf *buffer, size_t items);
+void amb_cbor_write_string(struct amb_buf *buffer, const char *text);
+void amb_cbor_write_text(struct amb_buf *buffer, const char *text, size_t len);
+void amb_cbor_write_uint(struct amb_buf *buffer, uint64_t value);
+void amb_cbor_write_number(struct amb_buf *buffer, double value);
+void amb_cbor_write_bool(struct amb_buf *buffer, bool value);
+void amb_cbor_write_null(struct amb_buf *buffer);
 
 #endif
--- a/include/amberpin/codec/fields.h
+++ b/include/amberpin/codec/fields.h
@@ -6,21 +6,22 @@
 #include "amberpin/codec/cbor_item.h"
 #include "amberpin/model/model.h"
 
-struct amb_word { /* the wire's word for one of our values; a list of them ends with one without text */
+struct amb_codec_enum_name { /* the wire's word for one of our values; a list of them ends with one without
+                                text */
     const char *text;
     int value;
 };
 
 /* False: the list has no such word. */
-bool amb_word_read(const struct amb_word *words, const cbor_item_t *item, int *out);
-const char *amb_word_text(const struct amb_word *words, int value);
+bool amb_codec_read_enum(const struct amb_codec_enum_name *words, const cbor_item_t *item, int *out);
+const char *amb_codec_enum_text(const struct amb_codec_enum_name *words, int value);
 
-bool amb_name_plain(const char *name); /* may it stand in logs and records? */
-bool amb_field_name(const cbor_item_t *map, const char *key, char out[AMB_NAME_SIZE]);
-bool amb_field_amount(const cbor_item_t *map, const char *key, double *out);
+bool amb_codec_is_plain_name(const char *name); /* may it stand in logs and records? */
+bool amb_codec_read_name(const cbor_item_t *map, const char *key, char out[AMB_NAME_SIZE]);
+bool amb_codec_read_amount(const cbor_item_t *map, const char *key, double *out);
 
-void amb_put_amount(struct amb_buf *out, const char *key, double amount);
-void amb_put_text(struct amb_buf *out, const char *key, const char *text);
-void amb_put_flag(struct amb_buf *out, const char *key, bool flag);
+void amb_codec_put_amount(struct amb_buf *out, const char *key, double amount);
+void amb_codec_put_text(struct amb_buf *out, const char *key, const char *text);
+void amb_codec_put_bool(struct amb_buf *out, const char *key, bool flag);
 
 #endif
--- a/include/amberpin/config/command_line.h
+++ b/include/amberpin/config/command_line.h
@@ -4,12 +4,12 @@
 
 #include <stdbool.h>
 
-struct amb_cli {
-    const char *config, *options;
-    bool check;
+struct amb_command_line {
+    const char *settings_path, *options_path;
+    bool check_only;
 };
 
 /* Answers --help and --version itself; ends the process with 2 on bad arguments. */
-void amb_cli_parse(int argc, char **argv, struct amb_cli *out);
+void amb_command_line_parse(int argc, char **argv, struct amb_command_line *out);
 
 #endif
--- a/include/amberpin/config/options.h
+++ b/include/amberpin/config/options.h
@@ -7,26 +7,26 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-enum { AMB_DUTY_LIST = 64 }; /* bytes of a list of duties, with the terminating zero */
+enum { AMB_DUTY_LIST_BYTES = 64 }; /* bytes of a list of duties, with the terminating zero */
 
 struct amb_options {
-    double leader_ttl;     /* leadership lease, as a share of the workers' lease */
-    double headroom;       /* free room kept for expected arrivals, in standard deviations of them */
-    double idle_return;    /* idle time before a machine is returned, as a share of its boot time */
-    double silent_release; /* silence before a machine is given up, as a share of the workers' lease */
-    double preempt;        /* 0: never stop work for other work */
-    double duties;         /* 1: single-holder duties rent and return machines, once all nodes say so */
-    double duty_lease;     /* lease of a member of these, as leader_ttl is counted */
-    double fleet_machines; /* machines that the service is to have at most; 0: not stated */
-    char duty_names[AMB_DUTY_LIST]; /* duties that this node may hold */
-    double zone_recovery;           /* 1: zones that were lost come back in steps and in order */
+    double leader_lease_share;   /* leadership lease, as a share of the workers' lease */
+    double headroom_deviations;  /* free room kept for expected arrivals, in standard deviations of them */
+    double idle_release_share;   /* idle time before a machine is returned, as a share of its boot time */
+    double silent_release_share; /* silence before a machine is given up, as a share of the workers' lease */
+    double preempt;              /* 0: never stop work for other work */
+    double duties;               /* 1: single-holder duties rent and return machines, once all nodes say so */
+    double duty_lease_share;     /* lease of a member of these, as leader_ttl is counted */
+    double fleet_machines;       /* machines that the service is to have at most; 0: not stated */
+    char duty_names[AMB_DUTY_LIST_BYTES]; /* duties that this node may hold */
+    double zone_recovery;                 /* 1: zones that were lost come back in steps and in order */
     /* How long a returning zone's machines have to answer before batch work starts there, how long at most,
      * and how long without a loss until one is forgotten; shares of the workers' lease. */
-    double zone_steady, zone_steady_longest, zone_loss_forgotten;
+    double zone_steady_share, zone_steady_max_share, zone_loss_expiry_share;
     char zone_recovery_order[AMB_RECOVERY_LIST_BYTES]; /* classes that come back first */
 };
 
-void amb_options_default(struct amb_options *options);
-bool amb_options_load(const char *path, struct amb_options *options, char *err, size_t cap);
+void amb_options_set_defaults(struct amb_options *options);
+bool amb_options_load(const char *path, struct amb_options *options, char *error, size_t error_size);
 
 #endif
--- a/include/amberpin/config/settings.h
+++ b/include/amberpin/config/settings.h
@@ -4,9 +4,9 @@
 
 #include "amberpin/model/model.h"
 
-enum { AMB_PEERS = 16, AMB_TEAMS = 256, AMB_OBJECTIVES = 64 };
+enum { AMB_PEERS_MAX = 16, AMB_TEAMS_MAX = 256, AMB_OBJECTIVES_MAX = 64 };
 
-struct amb_peer_addr {
+struct amb_peer_address {
     char member[AMB_NAME_SIZE], addr[AMB_NAME_SIZE];
 };
 
@@ -16,33 +16,34 @@
 };
 
 struct amb_settings {
-    char member[AMB_NAME_SIZE], zone[AMB_NAME_SIZE], front[AMB_NAME_SIZE], peer_listen[AMB_NAME_SIZE];
-    char cloud[AMB_NAME_SIZE], state[AMB_NAME_SIZE];
-    uint32_t npeers, nteams, nobjectives, nzones;
-    struct amb_peer_addr peers[AMB_PEERS];
-    struct amb_team teams[AMB_TEAMS];
-    struct amb_objective objectives[AMB_OBJECTIVES];
+    char member[AMB_NAME_SIZE], zone[AMB_NAME_SIZE], api_listen[AMB_NAME_SIZE], peer_listen[AMB_NAME_SIZE];
+    char cloud_addr[AMB_NAME_SIZE], store_addr[AMB_NAME_SIZE];
+    uint32_t peer_count, team_count, objective_count, zone_count;
+    struct amb_peer_address peers[AMB_PEERS_MAX];
+    struct amb_team teams[AMB_TEAMS_MAX];
+    struct amb_objective objectives[AMB_OBJECTIVES_MAX];
     char zones[AMB_ZONES_MAX][AMB_NAME_SIZE];
-    double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
-    double state_rps, state_write_rps, value_kb, txn_ops;
-    struct amb_state_limits {
+    double heartbeat_s, agent_lease_s, gang_wait_s, gang_peer_s, cancel_s;
+    double store_rps, store_write_rps, value_kb, txn_ops;
+    struct amb_store_limits {
         double write_rps, value_kb, txn_ops;
-    } state_next; /* as announced; 0: not announced. Use amb_settings_lowered_limits */
+    } announced_limits; /* as announced; 0: not announced. Use amb_settings_lowered_limits */
     double cloud_rps, list_lag_s;
-    double cores, memory_mb, fd_limit, skew_ms;
+    double cores, memory_mb, fd_limit, clock_skew_ms;
 };
 
-struct amb_team *amb_settings_team(struct amb_settings *settings, const char *name); /* NULL: no such team */
+struct amb_team *amb_settings_find_team(struct amb_settings *settings,
+                                        const char *name); /* NULL: no such team */
 /* Seconds that the leader's own turns are measured in: the report period, unless work is to start so soon
  * that waiting for turns of that length would use up much of its time. */
-double amb_settings_beat(const struct amb_settings *settings);
+double amb_settings_cycle_s(const struct amb_settings *settings);
 /* Seconds that leases of the state service are shares of: a worker's lease, or half of what a cancellation
  * allows beyond it where that is less. */
-double amb_settings_lease_base(const struct amb_settings *settings);
+double amb_settings_lease_base_s(const struct amb_settings *settings);
 /* The limits that the state service may have from some moment on, without notice (`state.next`). Without an
  * announcement, the present ones; never more than these. */
-struct amb_state_limits amb_settings_lowered_limits(const struct amb_settings *settings);
+struct amb_store_limits amb_settings_lowered_limits(const struct amb_settings *settings);
 /* False: err holds one line that names file and field. */
-bool amb_settings_load(const char *path, struct amb_settings *settings, char *err, size_t cap);
+bool amb_settings_load(const char *path, struct amb_settings *settings, char *error, size_t error_size);
 
 #endif
--- a/include/amberpin/election/lease_proxy.h
+++ b/include/amberpin/election/lease_proxy.h
@@ -27,7 +27,7 @@
         int zone;
         uint64_t stamp;
         bool present, seen;
-    } known[AMB_PEERS + 1];
+    } known[AMB_PEERS_MAX + 1];
     uint32_t known_count;
     amb_ms zone_covered_at[AMB_ZONES_MAX];
 };
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -48,7 +48,7 @@
     uint64_t restore_term;
     bool cycle_requested;
     uint32_t team_cursor;   /* whose turn comes first */
-    double tick_interval_s; /* what the leader's turns are measured in (amb_settings_beat) */
+    double tick_interval_s; /* what the leader's turns are measured in (amb_settings_cycle_s) */
     struct amb_timer timer, cycle_timer;
     amb_ms ticked_at; /* this node's last turn, leader or not */
     uint32_t demand_count;
@@ -80,7 +80,7 @@
     struct amb_duties duties;
     struct amb_zone_recovery zone_recovery;
     struct amb_controller controller;
-    struct amb_server *public_server, *peer_server;
+    struct amb_http_server *public_server, *peer_server;
     amb_event_handler on_event;
 };
 
--- a/include/amberpin/peer/peers.h
+++ b/include/amberpin/peer/peers.h
@@ -51,7 +51,7 @@
     /* With the cancellations of late; and with none, for a leader that knows of all. */
     struct amb_peer_sent_message with_recent_cancellations, without_cancellations;
     uint32_t count;
-    struct amb_peer list[AMB_PEERS];
+    struct amb_peer list[AMB_PEERS_MAX];
     struct amb_timer heartbeat_timer;
 };
 
--- a/include/amberpin/scheduler/cycle.h
+++ b/include/amberpin/scheduler/cycle.h
@@ -19,7 +19,7 @@
     uint32_t slot_count, slot_capacity;
     struct amb_job **jobs; /* all waiting jobs, most urgent first */
     uint32_t job_count;
-    struct amb_team_queue team_queues[AMB_TEAMS];
+    struct amb_team_queue team_queues[AMB_TEAMS_MAX];
     bool urgent_pass;
     uint32_t zones_without_batch; /* as a mask (zone_recovery.h) */
     uint8_t recovery_pass;        /* jobs of later steps of the order of return have no turn */
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -43,17 +43,17 @@
 bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request) {
     if (strcmp(request->path, "/hello")) return false;
     if (strcmp(request->method, "POST")) {
-        amb_reply_cbor(request, 405, NULL, 0);
+        amb_http_reply_cbor(request, 405, NULL, 0);
         return true;
     }
     struct amb_agent_heartbeat heartbeat;
-    if (amb_codec_read_report(request->body, request->body_len, &heartbeat) != AMB_PARSE_OK) {
-        amb_reply_cbor(request, 400, NULL, 0);
+    if (amb_codec_decode_heartbeat(request->body, request->body_len, &heartbeat) != AMB_CODEC_OK) {
+        amb_http_reply_cbor(request, 400, NULL, 0);
         return true;
     }
     node->fleet.last_heartbeat_at = amb_now();
     amb_election_observe_term(node, heartbeat.fencing_token, heartbeat.machine);
     respond(node, request, &heartbeat);
-    amb_report_free(&heartbeat);
+    amb_codec_free_heartbeat(&heartbeat);
     return true;
 }
--- a/lib/agent/heartbeats.c
+++ b/lib/agent/heartbeats.c
@@ -42,7 +42,7 @@
                                        amb_ms now) {
     bool first = !machine->reclaim_at;
     if (first) amb_info("machine %s: the cloud takes it back in %g s", machine->name, left_s);
-    machine->reclaim_at = now + amb_secs(left_s);
+    machine->reclaim_at = now + amb_seconds_to_ms(left_s);
     if (!first) return;
     for (struct amb_task *task = machine->tasks, *next; task; task = next) {
         next = task->next_on_machine;
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -54,7 +54,7 @@
                                          amb_ms now) {
     const struct amb_lease_evidence evidence = {
         .now = now,
-        .lease_span = amb_absence_lease_span(node->settings.lease_s, node->settings.report_s),
+        .lease_span = amb_absence_lease_span(node->settings.agent_lease_s, node->settings.heartbeat_s),
         .last_response_at = machine->last_response_at,
         .follows_own_term = machine->token_acknowledged,
         .fenced_at = machine->token_acknowledged ? 0 : amb_election_peers_fenced_at(node),
@@ -98,7 +98,7 @@
 
 /* How long an unproven machine is waited for. */
 static double unverified_timeout_s(const struct amb_node *node, const struct amb_machine *machine) {
-    return node->settings.lease_s * (machine->task_count ? 1.5 : 3);
+    return node->settings.agent_lease_s * (machine->task_count ? 1.5 : 3);
 }
 
 /* What it does not show has a reason that is not its own: a deputy answers it, or its zone has just come
@@ -112,13 +112,13 @@
 static void check_unresponsive(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
     if (machine->state != AMB_MACHINE_SILENT || is_excused(node, machine)) return;
     amb_ms since = machine->token_acknowledged ? machine->last_response_at : node->controller.leader_since;
-    if (now - since > amb_secs(node->settings.lease_s * node->options.silent_release *
-                               release_delay_factor(node, machine, now)))
+    if (now - since > amb_seconds_to_ms(node->settings.agent_lease_s * node->options.silent_release_share *
+                                        release_delay_factor(node, machine, now)))
         amb_cloud_release(node, machine, "silent for too long");
 }
 
 static void check_unverified(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
-    amb_ms recent_ms = amb_secs(node->settings.report_s * 2);
+    amb_ms recent_ms = amb_seconds_to_ms(node->settings.heartbeat_s * 2);
     if (machine->state != AMB_MACHINE_UNPROVEN || now - machine->last_heartbeat_at <= recent_ms ||
         now - node->controller.leader_since <= recent_ms)
         return;
@@ -127,8 +127,8 @@
     bool excused = is_excused(node, machine);
     /* Its silence proves nothing while it may hold another leader's token. */
     if (!excused &&
-        unverified_ms >
-            amb_secs(unverified_timeout_s(node, machine) * release_delay_factor(node, machine, now)) &&
+        unverified_ms > amb_seconds_to_ms(unverified_timeout_s(node, machine) *
+                                          release_delay_factor(node, machine, now)) &&
         amb_election_may_act(node))
         amb_cloud_release(node, machine, "it can't be reached");
 }
@@ -138,10 +138,10 @@
  * ever proven. (Jobs waited for such machines for as long as the trouble lasted.) */
 static bool ignores_replies(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
     if (machine->state != AMB_MACHINE_UNPROVEN ||
-        now - machine->last_heartbeat_at > amb_secs(node->settings.report_s * 2))
+        now - machine->last_heartbeat_at > amb_seconds_to_ms(node->settings.heartbeat_s * 2))
         return false;
     amb_ms since = later(machine->state_since, node->controller.restored_at);
-    return now - since > amb_secs(unverified_timeout_s(node, machine));
+    return now - since > amb_seconds_to_ms(unverified_timeout_s(node, machine));
 }
 
 /* ---- tasks told to stop ---- */
@@ -155,7 +155,7 @@
             amb_task_unbind(node, task, "no order went out");
         } else if (job->state == AMB_JOB_CANCELLED && machine->state != AMB_MACHINE_RELEASING &&
                    amb_wall_ms() - job->cancelled_wall_ms >
-                       amb_secs(node->settings.cancel_s * CANCEL_RELEASE_SHARE)) {
+                       amb_seconds_to_ms(node->settings.cancel_s * CANCEL_RELEASE_SHARE)) {
             amb_cloud_release(node, machine, "a cancelled task can't be proven gone in time");
         }
         if (machine->task_count != ntasks_before) next = machine->tasks;
@@ -174,7 +174,7 @@
         amb_cloud_release(node, machine, "it reports, but does not take our token");
     /* A machine of ours that reports to another node only. */
     if (machine->state == AMB_MACHINE_UP &&
-        now - machine->last_heartbeat_at > amb_secs(node->settings.report_s * 4))
+        now - machine->last_heartbeat_at > amb_seconds_to_ms(node->settings.heartbeat_s * 4))
         amb_machine_probe(node, machine, now);
     check_stopping_tasks(node, machine);
 }
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -24,10 +24,10 @@
     if (now < job->backoff_until) return; /* others of the same try */
     uint32_t doublings =
         job->failures.retries < BACKOFF_DOUBLINGS_MAX ? job->failures.retries : BACKOFF_DOUBLINGS_MAX;
-    double backoff_s = fmin(node->settings.report_s * (double)(1u << doublings),
-                            node->settings.lease_s * BACKOFF_MAX_LEASES);
+    double backoff_s = fmin(node->settings.heartbeat_s * (double)(1u << doublings),
+                            node->settings.agent_lease_s * BACKOFF_MAX_LEASES);
     job->failures.retries++;
-    job->backoff_until = now + amb_secs(backoff_s);
+    job->backoff_until = now + amb_seconds_to_ms(backoff_s);
 }
 
 static void blame_job(const struct amb_node *node, struct amb_job *job, const struct amb_machine *machine) {
@@ -40,15 +40,18 @@
 
 static void blame_machine(struct amb_node *node, struct amb_machine *machine) {
     machine->failure_count++;
-    amb_machine_quarantine(machine, node->settings.lease_s * machine->failure_count, "a task failed on it");
+    amb_machine_quarantine(machine, node->settings.agent_lease_s * machine->failure_count,
+                           "a task failed on it");
     if (machine->failure_count >= MACHINE_FAILURES_MAX && !machine->success_count)
         amb_cloud_release(node, machine, "tasks keep failing on it");
 }
 
 /* The job is to be tried elsewhere: where it fails again the next time tells which of them it was. */
 static void quarantine_suspect(const struct amb_node *node, struct amb_machine *machine) {
-    double quarantine_s = node->settings.report_s * QUARANTINE_HEARTBEATS * ++machine->unattributed_failures;
-    amb_machine_quarantine(machine, fmin(quarantine_s, node->settings.lease_s), "a task failed, on it alone");
+    double quarantine_s =
+        node->settings.heartbeat_s * QUARANTINE_HEARTBEATS * ++machine->unattributed_failures;
+    amb_machine_quarantine(machine, fmin(quarantine_s, node->settings.agent_lease_s),
+                           "a task failed, on it alone");
 }
 
 void amb_task_record_failure(struct amb_node *node, struct amb_job *job, struct amb_machine *machine) {
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -42,9 +42,9 @@
     if (job->state == AMB_JOB_QUEUED) {
         if (reason == AMB_EXIT_ERROR) amb_task_record_failure(node, job, machine);
         if (reason == AMB_EXIT_MACHINE_FULL || reason == AMB_EXIT_ATTEMPT_CONFLICT)
-            amb_machine_quarantine(machine, node->settings.report_s * 2, "it refused a task");
+            amb_machine_quarantine(machine, node->settings.heartbeat_s * 2, "it refused a task");
         if (reason == AMB_EXIT_UNKNOWN_JOB)
-            job->backoff_until = amb_now() + amb_secs(node->settings.report_s * 2);
+            job->backoff_until = amb_now() + amb_seconds_to_ms(node->settings.heartbeat_s * 2);
         if (reason != AMB_EXIT_DONE && !stopping) task->interrupted = true;
     }
     amb_task_unbind(node, task, "it exited");
@@ -82,7 +82,7 @@
         amb_machine_record_image_use(node, task->machine, job->spec->image, job->spec->image_gb);
     if (is_gang(job)) update_gang_state(job);
     if (task->running_at &&
-        amb_now() - task->running_at > amb_secs(node->settings.report_s * STABLE_HEARTBEATS))
+        amb_now() - task->running_at > amb_seconds_to_ms(node->settings.heartbeat_s * STABLE_HEARTBEATS))
         amb_task_record_success(job, task->machine);
 }
 
@@ -191,7 +191,7 @@
     }
     if (task->start_sent && ++task->missed_heartbeats >= MISSED_HEARTBEATS_MAX) {
         /* Its reports arrive, but it does not act on answers. */
-        amb_machine_quarantine(task->machine, node->settings.lease_s, "it does not act on orders");
+        amb_machine_quarantine(task->machine, node->settings.agent_lease_s, "it does not act on orders");
         task->interrupted = true;
         unbind_gone(node, task, "its machine did not start it", "a task was not started");
         return;
--- a/lib/base/log.c
+++ b/lib/base/log.c
@@ -7,32 +7,33 @@
 #include <string.h>
 #include <unistd.h>
 
-static enum amb_level threshold = AMB_ERROR;
+static enum amb_log_level threshold = AMB_LOG_ERROR;
 
 void amb_log_init(const char *level) {
-    threshold = AMB_INFO;
+    threshold = AMB_LOG_INFO;
     if (!level) return;
-    if (!strcmp(level, "error")) threshold = AMB_ERROR;
-    if (!strcmp(level, "debug")) threshold = AMB_DEBUG;
+    if (!strcmp(level, "error")) threshold = AMB_LOG_ERROR;
+    if (!strcmp(level, "debug")) threshold = AMB_LOG_DEBUG;
 }
 
-int amb_log_on(enum amb_level level) {
+int amb_log_is_enabled(enum amb_log_level level) {
     return level <= threshold;
 }
 
-void amb_log(enum amb_level level, const char *fmt, ...) {
+void amb_log(enum amb_log_level level, const char *format, ...) {
     static const char *const names[] = {"error", "info", "debug"};
-    if (!amb_log_on(level)) return;
+    if (!amb_log_is_enabled(level)) return;
     char line[1024];
-    int64_t t = amb_wall_ms();
-    int n =
-        snprintf(line, sizeof line, "%lld.%03d %s ", (long long)(t / 1000), (int)(t % 1000), names[level]);
-    va_list ap;
-    va_start(ap, fmt);
-    int m = vsnprintf(line + n, sizeof line - (size_t)n - 1, fmt, ap);
-    va_end(ap);
-    n += m < 0 ? 0 : m;
-    if (n > (int)sizeof line - 2) n = (int)sizeof line - 2;
-    line[n++] = '\n';
-    if (write(STDERR_FILENO, line, (size_t)n) < 0) return; /* a log that can't be written must not stop us */
+    int64_t wall_ms = amb_wall_ms();
+    int length = snprintf(line, sizeof line, "%lld.%03d %s ", (long long)(wall_ms / 1000),
+                          (int)(wall_ms % 1000), names[level]);
+    va_list arguments;
+    va_start(arguments, format);
+    int text_length = vsnprintf(line + length, sizeof line - (size_t)length - 1, format, arguments);
+    va_end(arguments);
+    length += text_length < 0 ? 0 : text_length;
+    if (length > (int)sizeof line - 2) length = (int)sizeof line - 2;
+    line[length++] = '\n';
+    if (write(STDERR_FILENO, line, (size_t)length) < 0)
+        return; /* a log that can't be written must not stop us */
 }
--- a/lib/base/loop.c
+++ b/lib/base/loop.c
@@ -8,14 +8,15 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-enum { BATCH = 64 };
+enum { MAX_EVENTS_PER_BATCH = 64 };
 
 static int epoll_fd = -1;
 static bool stopping;
 static struct amb_timer **heap; /* heap[1..count], the soonest first */
-static size_t count, capacity;
-static struct epoll_event ready[BATCH]; /* events being handed out; a deleted watch is struck out here */
-static int nready;
+static size_t timer_count, heap_capacity;
+static struct epoll_event
+    ready[MAX_EVENTS_PER_BATCH]; /* events being handed out; a deleted watch is struck out here */
+static int ready_count;
 
 void amb_loop_init(void) {
     if (epoll_fd < 0) epoll_fd = epoll_create1(EPOLL_CLOEXEC);
@@ -25,37 +26,37 @@
     }
 }
 
-static void put(size_t i, struct amb_timer *timer) {
-    heap[i] = timer;
-    timer->slot = i;
+static void heap_place(size_t index, struct amb_timer *timer) {
+    heap[index] = timer;
+    timer->position = index;
 }
 
-static void sift(size_t i) {
+static void heap_sift(size_t i) {
     struct amb_timer *timer = heap[i];
-    for (; i > 1 && heap[i / 2]->at > timer->at; i /= 2) put(i, heap[i / 2]);
+    for (; i > 1 && heap[i / 2]->at > timer->at; i /= 2) heap_place(i, heap[i / 2]);
     for (;;) {
         size_t child = 2 * i;
-        if (child > count) break;
-        if (child < count && heap[child + 1]->at < heap[child]->at) child++;
+        if (child > timer_count) break;
+        if (child < timer_count && heap[child + 1]->at < heap[child]->at) child++;
         if (heap[child]->at >= timer->at) break;
-        put(i, heap[child]);
+        heap_place(i, heap[child]);
         i = child;
     }
-    put(i, timer);
+    heap_place(i, timer);
 }
 
 void amb_timer_set(struct amb_timer *timer, amb_ms at, void (*fn)(void *), void *arg) {
     timer->fn = fn;
     timer->arg = arg;
     timer->at = at;
-    if (!timer->slot) {
-        if (count + 2 > capacity) {
-            capacity = capacity ? capacity * 2 : 64;
-            heap = amb_grow(heap, capacity * sizeof *heap);
+    if (!timer->position) {
+        if (timer_count + 2 > heap_capacity) {
+            heap_capacity = heap_capacity ? heap_capacity * 2 : 64;
+            heap = amb_realloc(heap, heap_capacity * sizeof *heap);
         }
-        put(++count, timer);
+        heap_place(++timer_count, timer);
     }
-    sift(timer->slot);
+    heap_sift(timer->position);
 }
 
 void amb_timer_in(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
@@ -63,32 +64,32 @@
 }
 
 void amb_timer_stop(struct amb_timer *timer) {
-    size_t i = timer->slot;
+    size_t i = timer->position;
     if (!i) return;
-    timer->slot = 0;
-    struct amb_timer *last = heap[count--];
+    timer->position = 0;
+    struct amb_timer *last = heap[timer_count--];
     if (last != timer) {
-        put(i, last);
-        sift(i);
+        heap_place(i, last);
+        heap_sift(i);
     }
 }
 
-int amb_loop_add(struct amb_watch *watch, uint32_t events) {
+int amb_loop_add(struct amb_fd_watch *watch, uint32_t events) {
     watch->events = events;
     struct epoll_event event = {.events = events, .data.ptr = watch};
     return epoll_ctl(epoll_fd, EPOLL_CTL_ADD, watch->fd, &event);
 }
 
-void amb_loop_mod(struct amb_watch *watch, uint32_t events) {
+void amb_loop_mod(struct amb_fd_watch *watch, uint32_t events) {
     if (watch->events == events) return;
     watch->events = events;
     struct epoll_event event = {.events = events, .data.ptr = watch};
     epoll_ctl(epoll_fd, EPOLL_CTL_MOD, watch->fd, &event);
 }
 
-void amb_loop_del(struct amb_watch *watch) {
+void amb_loop_del(struct amb_fd_watch *watch) {
     epoll_ctl(epoll_fd, EPOLL_CTL_DEL, watch->fd, NULL);
-    for (int i = 0; i < nready; i++)
+    for (int i = 0; i < ready_count; i++)
         if (ready[i].data.ptr == watch) ready[i].data.ptr = NULL;
 }
 
@@ -97,9 +98,9 @@
 }
 
 /* Bounded, so that a timer that sets itself again at once can't keep the sockets waiting. */
-static void run_due(void) {
+static void run_due_timers(void) {
     amb_ms now = amb_now();
-    for (int run = 0; run < BATCH && count && heap[1]->at <= now; run++) {
+    for (int run = 0; run < MAX_EVENTS_PER_BATCH && timer_count && heap[1]->at <= now; run++) {
         struct amb_timer *timer = heap[1];
         amb_timer_stop(timer);
         timer->fn(timer->arg);
@@ -108,17 +109,17 @@
 
 void amb_loop_run(void) {
     while (!stopping) {
-        run_due();
-        amb_ms wait = count ? heap[1]->at - amb_now() : 1000;
+        run_due_timers();
+        amb_ms wait = timer_count ? heap[1]->at - amb_now() : 1000;
         if (wait < 0) wait = 0;
-        nready = epoll_wait(epoll_fd, ready, BATCH, (int)(wait > 60000 ? 60000 : wait));
-        for (int i = 0; i < nready; i++) {
+        ready_count = epoll_wait(epoll_fd, ready, MAX_EVENTS_PER_BATCH, (int)(wait > 60000 ? 60000 : wait));
+        for (int i = 0; i < ready_count; i++) {
             /* Whatever made us late, a stall in epoll_wait or a slow handler: what fell due meanwhile, such
              * as a leader's silence, goes before what came meanwhile (docs/safety.md). */
-            run_due();
-            struct amb_watch *watch = ready[i].data.ptr;
+            run_due_timers();
+            struct amb_fd_watch *watch = ready[i].data.ptr;
             if (watch) watch->fn(watch, ready[i].events);
         }
-        nready = 0;
+        ready_count = 0;
     }
 }
--- a/lib/base/util.c
+++ b/lib/base/util.c
@@ -5,54 +5,54 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void *checked(void *p) {
-    if (!p) {
+static void *abort_if_null(void *memory) {
+    if (!memory) {
         fputs("amberpin: out of memory\n", stderr);
         abort();
     }
-    return p;
+    return memory;
 }
 
-void *amb_alloc(size_t n) {
-    return checked(calloc(1, n ? n : 1));
+void *amb_alloc(size_t size) {
+    return abort_if_null(calloc(1, size ? size : 1));
 }
 
-void *amb_grow(void *p, size_t n) {
-    return checked(realloc(p, n ? n : 1));
+void *amb_realloc(void *memory, size_t size) {
+    return abort_if_null(realloc(memory, size ? size : 1));
 }
 
-void amb_buf_add(struct amb_buf *buffer, const void *p, size_t n) {
-    if (buffer->len + n + 1 > buffer->cap) {
+void amb_buf_append(struct amb_buf *buffer, const void *data, size_t len) {
+    if (buffer->len + len + 1 > buffer->cap) {
         size_t cap = buffer->cap ? buffer->cap : 256;
-        while (cap < buffer->len + n + 1) cap *= 2;
-        buffer->data = amb_grow(buffer->data, cap);
+        while (cap < buffer->len + len + 1) cap *= 2;
+        buffer->data = amb_realloc(buffer->data, cap);
         buffer->cap = cap;
     }
-    if (n) memcpy(buffer->data + buffer->len, p, n);
-    buffer->len += n;
+    if (len) memcpy(buffer->data + buffer->len, data, len);
+    buffer->len += len;
     buffer->data[buffer->len] = 0;
 }
 
-void amb_buf_str(struct amb_buf *buffer, const char *s) {
-    amb_buf_add(buffer, s, strlen(s));
+void amb_buf_append_text(struct amb_buf *buffer, const char *text) {
+    amb_buf_append(buffer, text, strlen(text));
 }
 
-void amb_buf_fmt(struct amb_buf *buffer, const char *fmt, ...) {
-    char tmp[512];
-    va_list ap;
-    va_start(ap, fmt);
-    int n = vsnprintf(tmp, sizeof tmp, fmt, ap);
-    va_end(ap);
-    if (n > 0) amb_buf_add(buffer, tmp, (size_t)n < sizeof tmp ? (size_t)n : sizeof tmp - 1);
+void amb_buf_append_format(struct amb_buf *buffer, const char *format, ...) {
+    char text[512];
+    va_list arguments;
+    va_start(arguments, format);
+    int len = vsnprintf(text, sizeof text, format, arguments);
+    va_end(arguments);
+    if (len > 0) amb_buf_append(buffer, text, (size_t)len < sizeof text ? (size_t)len : sizeof text - 1);
 }
 
-void amb_buf_drop(struct amb_buf *buffer, size_t n) {
-    if (n >= buffer->len) {
+void amb_buf_drop_front(struct amb_buf *buffer, size_t len) {
+    if (len >= buffer->len) {
         buffer->len = 0;
         return;
     }
-    memmove(buffer->data, buffer->data + n, buffer->len - n);
-    buffer->len -= n;
+    memmove(buffer->data, buffer->data + len, buffer->len - len);
+    buffer->len -= len;
 }
 
 void amb_buf_free(struct amb_buf *buffer) {
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -12,10 +12,10 @@
     free(call);
     amb_cloud_note_status(node, status);
     cbor_item_t *item = status == 200 ? amb_cbor_parse(body, body_size) : NULL;
-    const cbor_item_t *types = amb_cbor_get(item, "hulls");
-    for (size_t i = 0; i < amb_cbor_len(types); i++) {
+    const cbor_item_t *types = amb_cbor_map_get(item, "hulls");
+    for (size_t i = 0; i < amb_cbor_list_length(types); i++) {
         struct amb_machine_type type;
-        if (!amb_codec_type(amb_cbor_at(types, i), &type)) continue;
+        if (!amb_codec_decode_machine_type(amb_cbor_list_item(types, i), &type)) continue;
         int place = amb_catalog_find_type(&node->catalog, type.name);
         if (place < 0 && node->catalog.type_count < AMB_MACHINE_TYPES_MAX)
             place = (int)node->catalog.type_count++;
@@ -34,13 +34,14 @@
 
 void amb_cloud_catalog_tick(struct amb_node *node, amb_ms now) {
     struct amb_cloud *cloud = &node->cloud;
-    amb_ms stale =
-        cloud->catalog_known ? amb_secs(node->settings.lease_s * 6) : amb_secs(node->settings.report_s / 2);
+    amb_ms stale = cloud->catalog_known ? amb_seconds_to_ms(node->settings.agent_lease_s * 6)
+                                        : amb_seconds_to_ms(node->settings.heartbeat_s / 2);
     if ((!cloud->catalog_known || amb_election_is_leader(node)) &&
         (!cloud->catalog_requested_at || now - cloud->catalog_requested_at > stale) &&
         amb_cloud_take_token(node, now)) {
         cloud->catalog_requested_at = now;
-        amb_http_call(node->settings.cloud, "GET", "/catalog", NULL, NULL, 0,
-                      amb_secs(node->settings.report_s * 3), handle_catalog, amb_cloud_call_new(node));
+        amb_http_call(node->settings.cloud_addr, "GET", "/catalog", NULL, NULL, 0,
+                      amb_seconds_to_ms(node->settings.heartbeat_s * 3), handle_catalog,
+                      amb_cloud_call_new(node));
     }
 }
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -22,14 +22,14 @@
 
 /* The leader makes nearly all calls; the others read the catalogue once. */
 static double share_by_leader(const struct amb_node *node) {
-    if (!node->settings.npeers) return 1.0;
-    return amb_election_is_leader(node) ? 0.8 : 0.2 / node->settings.npeers;
+    if (!node->settings.peer_count) return 1.0;
+    return amb_election_is_leader(node) ? 0.8 : 0.2 / node->settings.peer_count;
 }
 
 /* The leader lists machines; holders of duties rent and return them, on whichever node. */
 static double share_by_duties(const struct amb_node *node) {
     const struct amb_duty_service *service = &node->duties.service;
-    double share = 0.1 / (node->settings.npeers + 1);
+    double share = 0.1 / (node->settings.peer_count + 1);
     if (amb_election_is_leader(node)) share += 0.3;
     if (amb_duty_service_is_holder(service, AMB_DUTY_RENT)) share += AMB_CLOUD_RENT_SHARE;
     if (amb_duty_service_is_holder(service, AMB_DUTY_RETURN)) share += 0.1;
@@ -54,5 +54,6 @@
 }
 
 void amb_cloud_note_status(struct amb_node *node, int status) {
-    if (status == 429) node->cloud.throttled_until = amb_now() + amb_secs(1.0 / node->settings.cloud_rps);
+    if (status == 429)
+        node->cloud.throttled_until = amb_now() + amb_seconds_to_ms(1.0 / node->settings.cloud_rps);
 }
--- a/lib/cloud/machine_release.c
+++ b/lib/cloud/machine_release.c
@@ -39,7 +39,7 @@
     amb_cloud_note_status(node, status);
     cloud->release_in_flight = false;
     if (status != 200) {
-        cloud->release_retry_at = amb_now() + amb_secs(node->settings.report_s / 4);
+        cloud->release_retry_at = amb_now() + amb_seconds_to_ms(node->settings.heartbeat_s / 4);
         return;
     }
     for (uint32_t i = 0; i < cloud->release_count; i++) {
@@ -71,13 +71,14 @@
 static void send_release(struct amb_node *node) {
     struct amb_cloud *cloud = &node->cloud;
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "rigs");
-    amb_w_list(&body, cloud->release_count);
-    for (uint32_t i = 0; i < cloud->release_count; i++) amb_w_str(&body, cloud->release_names[i]);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "rigs");
+    amb_cbor_write_list(&body, cloud->release_count);
+    for (uint32_t i = 0; i < cloud->release_count; i++) amb_cbor_write_string(&body, cloud->release_names[i]);
     cloud->release_in_flight = true;
-    amb_http_call(node->settings.cloud, "POST", "/machines/release", "application/cbor", body.data, body.len,
-                  amb_secs(node->settings.report_s * 2), handle_release_answer, amb_cloud_call_new(node));
+    amb_http_call(node->settings.cloud_addr, "POST", "/machines/release", "application/cbor", body.data,
+                  body.len, amb_seconds_to_ms(node->settings.heartbeat_s * 2), handle_release_answer,
+                  amb_cloud_call_new(node));
     amb_buf_free(&body);
 }
 
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -40,19 +40,19 @@
 }
 
 static void encode_names(struct amb_buf *out, const struct amb_cloud *cloud) {
-    amb_w_map(out, 2);
-    amb_w_str(out, "form");
-    amb_w_uint(out, FORM);
-    amb_w_str(out, "machines");
-    amb_w_list(out, cloud->release_count);
-    for (uint32_t i = 0; i < cloud->release_count; i++) amb_w_str(out, cloud->release_names[i]);
+    amb_cbor_write_map(out, 2);
+    amb_cbor_write_string(out, "form");
+    amb_cbor_write_uint(out, FORM);
+    amb_cbor_write_string(out, "machines");
+    amb_cbor_write_list(out, cloud->release_count);
+    for (uint32_t i = 0; i < cloud->release_count; i++) amb_cbor_write_string(out, cloud->release_names[i]);
 }
 
 static bool has_same_names(const cbor_item_t *value, const struct amb_cloud *cloud) {
-    const cbor_item_t *machines = amb_cbor_get(value, "machines");
-    if (amb_cbor_len(machines) != cloud->release_count) return false;
+    const cbor_item_t *machines = amb_cbor_map_get(value, "machines");
+    if (amb_cbor_list_length(machines) != cloud->release_count) return false;
     for (uint32_t i = 0; i < cloud->release_count; i++)
-        if (!amb_cbor_eq(amb_cbor_at(machines, i), cloud->release_names[i])) return false;
+        if (!amb_cbor_equals(amb_cbor_list_item(machines, i), cloud->release_names[i])) return false;
     return true;
 }
 
@@ -62,7 +62,7 @@
     struct amb_node *node = take_call(arg, AMB_SCALE_IN_LOG_WRITING);
     if (!node) return;
     struct amb_scale_in_log *scale_in_log = &node->cloud.scale_in_log;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &scale_in_log->revision)) {
+    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &scale_in_log->revision)) {
         set_state(node, AMB_SCALE_IN_LOG_RECORDED, "written");
         return;
     }
@@ -91,8 +91,9 @@
     struct amb_node *node = take_call(arg, AMB_SCALE_IN_LOG_READING);
     if (!node) return;
     struct amb_scale_in_log *scale_in_log = &node->cloud.scale_in_log;
-    bool is_present = status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &scale_in_log->revision);
-    if (is_present && has_same_names(amb_cbor_get(body, "value"), &node->cloud)) {
+    bool is_present =
+        status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &scale_in_log->revision);
+    if (is_present && has_same_names(amb_cbor_map_get(body, "value"), &node->cloud)) {
         set_state(node, AMB_SCALE_IN_LOG_RECORDED, "it had been written");
         return;
     }
@@ -146,10 +147,10 @@
     if (strcmp(key, LOG_KEY) != 0) return;
     cloud->scale_in_log.revision = revision;
     if (node->duties.mode == AMB_DUTY_MODE_DUTIES || cloud->release_count) return;
-    const cbor_item_t *machines = amb_cbor_get(value, "machines");
-    for (size_t i = 0; i < amb_cbor_len(machines) && cloud->release_count < AMB_RELEASE_MAX; i++) {
+    const cbor_item_t *machines = amb_cbor_map_get(value, "machines");
+    for (size_t i = 0; i < amb_cbor_list_length(machines) && cloud->release_count < AMB_RELEASE_MAX; i++) {
         char *name = cloud->release_names[cloud->release_count];
-        if (!amb_cbor_str(amb_cbor_at(machines, i), name, AMB_NAME_SIZE)) continue;
+        if (!amb_cbor_copy_string(amb_cbor_list_item(machines, i), name, AMB_NAME_SIZE)) continue;
         cloud->release_count++;
         struct amb_machine *machine = amb_machine_get(node, name, false);
         if (machine) amb_machine_mark_releasing(machine, RESTORED_CAUSE);
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -122,15 +122,15 @@
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     snprintf(key, sizeof key, "%s%s", KEY_PREFIX, request->id);
-    amb_w_map(&value, 4);
-    amb_w_str(&value, "type");
-    amb_w_str(&value, node->catalog.types[request->type].name);
-    amb_w_str(&value, "zone");
-    amb_w_str(&value, node->catalog.zones[request->zone]);
-    amb_w_str(&value, "spot");
-    amb_w_bool(&value, request->spot);
-    amb_w_str(&value, "count");
-    amb_w_uint(&value, request->count);
+    amb_cbor_write_map(&value, 4);
+    amb_cbor_write_string(&value, "type");
+    amb_cbor_write_string(&value, node->catalog.types[request->type].name);
+    amb_cbor_write_string(&value, "zone");
+    amb_cbor_write_string(&value, node->catalog.zones[request->zone]);
+    amb_cbor_write_string(&value, "spot");
+    amb_cbor_write_bool(&value, request->spot);
+    amb_cbor_write_string(&value, "count");
+    amb_cbor_write_uint(&value, request->count);
     amb_txn_require_leadership(&transaction, node);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
@@ -161,7 +161,7 @@
     struct amb_capacity_backoff *backoff = backoff_of(node, request);
     amb_info("rental request %s: got %zu of %u", request->id, machine_count, request->count);
     if (machine_count < request->count)
-        backoff->until = amb_now() + amb_secs(node->settings.lease_s * 1.5);
+        backoff->until = amb_now() + amb_seconds_to_ms(node->settings.agent_lease_s * 1.5);
     else
         backoff->failures = 0;
 }
@@ -169,8 +169,8 @@
 void amb_scale_out_note_no_capacity(struct amb_node *node, const struct amb_scale_out_request *request) {
     struct amb_capacity_backoff *backoff = backoff_of(node, request);
     backoff->failures++;
-    backoff->until =
-        amb_now() + amb_secs(node->settings.lease_s * (backoff->failures > 4 ? 4 : backoff->failures));
+    backoff->until = amb_now() + amb_seconds_to_ms(node->settings.agent_lease_s *
+                                                   (backoff->failures > 4 ? 4 : backoff->failures));
     amb_info("rental request %s: no capacity", request->id);
 }
 
@@ -185,18 +185,18 @@
     cbor_item_t *item = body_size ? amb_cbor_parse(body, body_size) : NULL;
     if (status == 200 && item) {
         struct amb_scale_out_kind kind = {request->type, request->zone, request->spot};
-        const cbor_item_t *rigs = amb_cbor_get(item, "rigs");
-        size_t machine_count = amb_cbor_len(rigs);
+        const cbor_item_t *rigs = amb_cbor_map_get(item, "rigs");
+        size_t machine_count = amb_cbor_list_length(rigs);
         for (size_t i = 0; i < machine_count; i++) {
             char name[AMB_NAME_SIZE];
-            if (amb_cbor_str(amb_cbor_at(rigs, i), name, sizeof name))
+            if (amb_cbor_copy_string(amb_cbor_list_item(rigs, i), name, sizeof name))
                 amb_scale_out_add_machine(node, &kind, name);
         }
         amb_scale_out_note_filled(node, request, machine_count);
         request->done_at = now;
         set_state(request, AMB_SCALE_OUT_DONE, "answered");
         amb_node_request_cycle(node);
-    } else if (status == 503 && amb_cbor_eq(amb_cbor_get(item, "error"), "no capacity")) {
+    } else if (status == 503 && amb_cbor_equals(amb_cbor_map_get(item, "error"), "no capacity")) {
         amb_scale_out_note_no_capacity(node, request);
         set_state(request, AMB_SCALE_OUT_REMOVING, "no capacity");
         amb_node_request_cycle(node);
@@ -204,26 +204,27 @@
         amb_error("rental request %s: the cloud calls it malformed", request->id);
         set_state(request, AMB_SCALE_OUT_REMOVING, "malformed");
     } else { /* no answer, an outage, too many calls: the same name again rents nothing twice */
-        request->retry_at = now + amb_secs(node->settings.report_s / 2);
+        request->retry_at = now + amb_seconds_to_ms(node->settings.heartbeat_s / 2);
     }
     if (item) cbor_decref(&item);
 }
 
 static void send_request(struct amb_node *node, struct amb_scale_out_request *request) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 5);
-    amb_w_str(&body, "charter");
-    amb_w_str(&body, request->id);
-    amb_w_str(&body, "hull");
-    amb_w_str(&body, node->catalog.types[request->type].name);
-    amb_w_str(&body, "yard");
-    amb_w_str(&body, node->catalog.zones[request->zone]);
-    amb_w_str(&body, "driftwood");
-    amb_w_bool(&body, request->spot);
-    amb_w_str(&body, "count");
-    amb_w_uint(&body, request->count);
-    amb_http_call(node->settings.cloud, "POST", "/machines", "application/cbor", body.data, body.len,
-                  amb_secs(node->settings.report_s * 2), handle_request_answer, new_call(node, request));
+    amb_cbor_write_map(&body, 5);
+    amb_cbor_write_string(&body, "charter");
+    amb_cbor_write_string(&body, request->id);
+    amb_cbor_write_string(&body, "hull");
+    amb_cbor_write_string(&body, node->catalog.types[request->type].name);
+    amb_cbor_write_string(&body, "yard");
+    amb_cbor_write_string(&body, node->catalog.zones[request->zone]);
+    amb_cbor_write_string(&body, "driftwood");
+    amb_cbor_write_bool(&body, request->spot);
+    amb_cbor_write_string(&body, "count");
+    amb_cbor_write_uint(&body, request->count);
+    amb_http_call(node->settings.cloud_addr, "POST", "/machines", "application/cbor", body.data, body.len,
+                  amb_seconds_to_ms(node->settings.heartbeat_s * 2), handle_request_answer,
+                  new_call(node, request));
     amb_buf_free(&body);
 }
 
@@ -254,14 +255,15 @@
     if (strncmp(key, KEY_PREFIX, sizeof KEY_PREFIX - 1)) return;
     struct amb_scale_out_request *request = amb_alloc(sizeof *request);
     snprintf(request->id, sizeof request->id, "%s", key + sizeof KEY_PREFIX - 1);
-    request->type = amb_cbor_str(amb_cbor_get(value, "type"), name, sizeof name)
+    request->type = amb_cbor_copy_string(amb_cbor_map_get(value, "type"), name, sizeof name)
                         ? amb_catalog_find_type(&node->catalog, name)
                         : -1;
-    request->zone = amb_cbor_str(amb_cbor_get(value, "zone"), name, sizeof name)
+    request->zone = amb_cbor_copy_string(amb_cbor_map_get(value, "zone"), name, sizeof name)
                         ? amb_catalog_find_or_add_zone(&node->catalog, name)
                         : -1;
-    amb_cbor_bool(amb_cbor_get(value, "spot"), &request->spot);
-    if (!amb_cbor_uint(amb_cbor_get(value, "count"), &count) || request->type < 0 || request->zone < 0) {
+    amb_cbor_get_bool(amb_cbor_map_get(value, "spot"), &request->spot);
+    if (!amb_cbor_get_uint(amb_cbor_map_get(value, "count"), &count) || request->type < 0 ||
+        request->zone < 0) {
         free(request);
         return;
     }
@@ -310,7 +312,7 @@
         break;
     case AMB_SCALE_OUT_DONE:
         /* Kept until the machines must be listed: until then only this record tells a successor of them. */
-        if (now - request->done_at > amb_secs(node->settings.list_lag_s * 2.2))
+        if (now - request->done_at > amb_seconds_to_ms(node->settings.list_lag_s * 2.2))
             set_state(request, AMB_SCALE_OUT_REMOVING, "listed by now");
         break;
     case AMB_SCALE_OUT_REMOVING:
--- a/lib/cloud_duty/cloud_access.c
+++ b/lib/cloud_duty/cloud_access.c
@@ -13,10 +13,10 @@
 };
 
 static void decode_machines(const cbor_item_t *body, struct amb_duty_work_order *acquired) {
-    const cbor_item_t *names = amb_cbor_get(body, "rigs");
-    for (size_t i = 0; i < amb_cbor_len(names); i++) {
+    const cbor_item_t *names = amb_cbor_map_get(body, "rigs");
+    for (size_t i = 0; i < amb_cbor_list_length(names); i++) {
         char name[AMB_NAME_SIZE];
-        if (amb_cbor_str(amb_cbor_at(names, i), name, sizeof name))
+        if (amb_cbor_copy_string(amb_cbor_list_item(names, i), name, sizeof name))
             amb_duty_work_order_add_machine(acquired, name);
     }
 }
@@ -30,8 +30,8 @@
     case 409: return AMB_DUTY_CLOUD_FENCED;
     case 0: return AMB_DUTY_CLOUD_NO_ANSWER;
     case 503:
-        return amb_cbor_eq(amb_cbor_get(body, "error"), "no capacity") ? AMB_DUTY_CLOUD_NO_CAPACITY
-                                                                       : AMB_DUTY_CLOUD_BUSY;
+        return amb_cbor_equals(amb_cbor_map_get(body, "error"), "no capacity") ? AMB_DUTY_CLOUD_NO_CAPACITY
+                                                                               : AMB_DUTY_CLOUD_BUSY;
     default: return AMB_DUTY_CLOUD_BUSY;
     }
 }
@@ -50,34 +50,34 @@
 
 /* The token lets whoever knows tokens refuse an order of a holder that has been replaced. */
 static void encode_fencing_token(struct amb_buf *body, enum amb_duty_name duty, uint64_t fencing_token) {
-    amb_w_str(body, "duty");
-    amb_w_str(body, amb_duty_name_text(duty));
-    amb_w_str(body, "baton");
-    amb_w_uint(body, fencing_token);
+    amb_cbor_write_string(body, "duty");
+    amb_cbor_write_string(body, amb_duty_name_text(duty));
+    amb_cbor_write_string(body, "baton");
+    amb_cbor_write_uint(body, fencing_token);
 }
 
 static void encode_scale_out(struct amb_buf *body, const struct amb_duty_intent_record *intent,
                              const struct amb_duty_work_order *work, uint64_t fencing_token) {
-    amb_w_map(body, 7);
-    amb_w_str(body, "charter");
-    amb_w_str(body, intent->id);
-    amb_w_str(body, "hull");
-    amb_w_str(body, work->type);
-    amb_w_str(body, "yard");
-    amb_w_str(body, work->zone);
-    amb_w_str(body, "driftwood");
-    amb_w_bool(body, work->spot);
-    amb_w_str(body, "count");
-    amb_w_uint(body, work->count);
+    amb_cbor_write_map(body, 7);
+    amb_cbor_write_string(body, "charter");
+    amb_cbor_write_string(body, intent->id);
+    amb_cbor_write_string(body, "hull");
+    amb_cbor_write_string(body, work->type);
+    amb_cbor_write_string(body, "yard");
+    amb_cbor_write_string(body, work->zone);
+    amb_cbor_write_string(body, "driftwood");
+    amb_cbor_write_bool(body, work->spot);
+    amb_cbor_write_string(body, "count");
+    amb_cbor_write_uint(body, work->count);
     encode_fencing_token(body, intent->duty, fencing_token);
 }
 
 static void encode_release(struct amb_buf *body, const struct amb_duty_intent_record *intent,
                            const struct amb_duty_work_order *work, uint64_t fencing_token) {
-    amb_w_map(body, 3);
-    amb_w_str(body, "rigs");
-    amb_w_list(body, work->machine_count);
-    for (uint32_t i = 0; i < work->machine_count; i++) amb_w_str(body, work->machines[i]);
+    amb_cbor_write_map(body, 3);
+    amb_cbor_write_string(body, "rigs");
+    amb_cbor_write_list(body, work->machine_count);
+    for (uint32_t i = 0; i < work->machine_count; i++) amb_cbor_write_string(body, work->machines[i]);
     encode_fencing_token(body, intent->duty, fencing_token);
 }
 
@@ -93,8 +93,8 @@
         encode_scale_out(&body, intent, work, fencing_token);
     else
         encode_release(&body, intent, work, fencing_token);
-    amb_http_call(node->settings.cloud, "POST", path, "application/cbor", body.data, body.len,
-                  amb_secs(node->settings.report_s * 2), handle_answer, call);
+    amb_http_call(node->settings.cloud_addr, "POST", path, "application/cbor", body.data, body.len,
+                  amb_seconds_to_ms(node->settings.heartbeat_s * 2), handle_answer, call);
     amb_buf_free(&body);
     return true;
 }
--- a/lib/cloud_duty/wiring.c
+++ b/lib/cloud_duty/wiring.c
@@ -19,10 +19,10 @@
                                                   const struct amb_options *options) {
     /* An answer of the state service may take a share of a report period. */
     static const double CALL_SHARE = 0.1;
-    amb_ms ttl = amb_secs(options->duty_lease * amb_settings_lease_base(set));
-    amb_ms list_span = amb_absence_list_span(set->list_lag_s, set->report_s);
+    amb_ms ttl = amb_seconds_to_ms(options->duty_lease_share * amb_settings_lease_base_s(set));
+    amb_ms list_span = amb_absence_list_span(set->list_lag_s, set->heartbeat_s);
     struct amb_duty_settings duty_settings = amb_duty_settings_default(ttl, list_span);
-    amb_ms call_timeout = amb_secs(set->report_s * CALL_SHARE);
+    amb_ms call_timeout = amb_seconds_to_ms(set->heartbeat_s * CALL_SHARE);
     if (duty_settings.call_timeout < call_timeout) duty_settings.call_timeout = call_timeout;
     if (duty_settings.backoff < duty_settings.call_timeout)
         duty_settings.backoff = duty_settings.call_timeout;
--- a/lib/codec/cbor_item.c
+++ b/lib/codec/cbor_item.c
@@ -9,116 +9,119 @@
 /* libcbor makes room for as many items as a list or map says it has before it looks for them: a body of five
  * bytes could take all memory there is. So lengths are held against what is left of the input first. */
 struct scan {
-    size_t left;
-    bool absurd;
+    size_t bytes_left;
+    bool too_long;
 };
 
-static void scan_list(void *ctx, size_t items) {
-    struct scan *s = ctx;
-    if (items > s->left) s->absurd = true;
+static void check_list_length(void *context, size_t items) {
+    struct scan *check = context;
+    if (items > check->bytes_left) check->too_long = true;
 }
 
-static void scan_map(void *ctx, size_t pairs) {
-    struct scan *s = ctx;
-    if (pairs > s->left / 2) s->absurd = true;
+static void check_map_length(void *context, size_t pairs) {
+    struct scan *check = context;
+    if (pairs > check->bytes_left / 2) check->too_long = true;
 }
 
-static bool plausible(const unsigned char *data, size_t len) {
-    struct cbor_callbacks cb = cbor_empty_callbacks;
-    cb.array_start = scan_list;
-    cb.map_start = scan_map;
-    struct scan s = {len, false};
-    while (s.left && !s.absurd) {
-        struct cbor_decoder_result r = cbor_stream_decode(data + (len - s.left), s.left, &cb, &s);
-        if (r.status != CBOR_DECODER_FINISHED || !r.read) return false;
-        s.left -= r.read;
+static bool has_plausible_lengths(const unsigned char *data, size_t len) {
+    struct cbor_callbacks callbacks = cbor_empty_callbacks;
+    callbacks.array_start = check_list_length;
+    callbacks.map_start = check_map_length;
+    struct scan check = {len, false};
+    while (check.bytes_left && !check.too_long) {
+        struct cbor_decoder_result result =
+            cbor_stream_decode(data + (len - check.bytes_left), check.bytes_left, &callbacks, &check);
+        if (result.status != CBOR_DECODER_FINISHED || !result.read) return false;
+        check.bytes_left -= result.read;
     }
-    return !s.absurd;
+    return !check.too_long;
 }
 
 cbor_item_t *amb_cbor_parse(const void *data, size_t len) {
-    struct cbor_load_result r;
-    if (!len || !plausible(data, len)) return NULL;
-    cbor_item_t *item = cbor_load(data, len, &r);
+    struct cbor_load_result result;
+    if (!len || !has_plausible_lengths(data, len)) return NULL;
+    cbor_item_t *item = cbor_load(data, len, &result);
     if (!item) return NULL;
-    if (r.read != len) {
+    if (result.read != len) {
         cbor_decref(&item);
         return NULL;
     }
     return item;
 }
 
-const cbor_item_t *amb_cbor_get(const cbor_item_t *map, const char *key) {
+const cbor_item_t *amb_cbor_map_get(const cbor_item_t *map, const char *key) {
     if (!map || !cbor_isa_map(map)) return NULL;
-    size_t n = strlen(key);
-    struct cbor_pair *p = cbor_map_handle(map);
+    size_t key_len = strlen(key);
+    struct cbor_pair *pairs = cbor_map_handle(map);
     for (size_t i = 0; i < cbor_map_size(map); i++) {
-        cbor_item_t *k = p[i].key;
-        if (cbor_isa_string(k) && cbor_string_is_definite(k) && cbor_string_length(k) == n &&
-            !memcmp(cbor_string_handle(k), key, n))
-            return p[i].value;
+        cbor_item_t *pair_key = pairs[i].key;
+        if (cbor_isa_string(pair_key) && cbor_string_is_definite(pair_key) &&
+            cbor_string_length(pair_key) == key_len && !memcmp(cbor_string_handle(pair_key), key, key_len))
+            return pairs[i].value;
     }
     return NULL;
 }
 
-bool amb_cbor_str(const cbor_item_t *v, char *out, size_t cap) {
-    if (!v || !cbor_isa_string(v) || !cbor_string_is_definite(v)) return false;
-    size_t n = cbor_string_length(v);
-    if (n >= cap || (n && memchr(cbor_string_handle(v), 0, n))) return false;
-    if (n) memcpy(out, cbor_string_handle(v), n);
-    out[n] = 0;
+bool amb_cbor_copy_string(const cbor_item_t *item, char *out, size_t cap) {
+    if (!item || !cbor_isa_string(item) || !cbor_string_is_definite(item)) return false;
+    size_t len = cbor_string_length(item);
+    if (len >= cap || (len && memchr(cbor_string_handle(item), 0, len))) return false;
+    if (len) memcpy(out, cbor_string_handle(item), len);
+    out[len] = 0;
     return true;
 }
 
-char *amb_cbor_text(const cbor_item_t *v) {
-    if (!v || !cbor_isa_string(v) || !cbor_string_is_definite(v)) return NULL;
-    size_t cap = cbor_string_length(v) + 1;
+char *amb_cbor_dup_string(const cbor_item_t *item) {
+    if (!item || !cbor_isa_string(item) || !cbor_string_is_definite(item)) return NULL;
+    size_t cap = cbor_string_length(item) + 1;
     char *text = amb_alloc(cap);
-    if (amb_cbor_str(v, text, cap)) return text;
+    if (amb_cbor_copy_string(item, text, cap)) return text;
     free(text);
     return NULL;
 }
 
-bool amb_cbor_eq(const cbor_item_t *v, const char *text) {
-    size_t n = strlen(text);
-    return v && cbor_isa_string(v) && cbor_string_is_definite(v) && cbor_string_length(v) == n &&
-           !memcmp(cbor_string_handle(v), text, n);
+bool amb_cbor_equals(const cbor_item_t *item, const char *text) {
+    size_t len = strlen(text);
+    return item && cbor_isa_string(item) && cbor_string_is_definite(item) &&
+           cbor_string_length(item) == len && !memcmp(cbor_string_handle(item), text, len);
 }
 
-bool amb_cbor_uint(const cbor_item_t *v, uint64_t *out) {
-    if (!v || !cbor_isa_uint(v)) return false;
-    *out = cbor_get_int(v);
+bool amb_cbor_get_uint(const cbor_item_t *item, uint64_t *out) {
+    if (!item || !cbor_isa_uint(item)) return false;
+    *out = cbor_get_int(item);
     return true;
 }
 
-bool amb_cbor_num(const cbor_item_t *v, double *out) {
-    if (!v) return false;
-    if (cbor_isa_uint(v))
-        *out = (double)cbor_get_int(v);
-    else if (cbor_isa_negint(v))
-        *out = -1.0 - (double)cbor_get_int(v);
-    else if (cbor_isa_float_ctrl(v) && cbor_float_get_width(v) != CBOR_FLOAT_0)
-        *out = cbor_float_get_float(v);
+bool amb_cbor_get_number(const cbor_item_t *item, double *out) {
+    if (!item) return false;
+    if (cbor_isa_uint(item))
+        *out = (double)cbor_get_int(item);
+    else if (cbor_isa_negint(item))
+        *out = -1.0 - (double)cbor_get_int(item);
+    else if (cbor_isa_float_ctrl(item) && cbor_float_get_width(item) != CBOR_FLOAT_0)
+        *out = cbor_float_get_float(item);
     else
         return false;
     return isfinite(*out);
 }
 
-bool amb_cbor_bool(const cbor_item_t *v, bool *out) {
+bool amb_cbor_get_bool(const cbor_item_t *item, bool *out) {
     /* The width first: cbor_is_bool asserts that it is no number, and so ends the process. */
-    if (!v || !cbor_isa_float_ctrl(v) || cbor_float_get_width(v) != CBOR_FLOAT_0 || !cbor_is_bool(v))
+    if (!item || !cbor_isa_float_ctrl(item) || cbor_float_get_width(item) != CBOR_FLOAT_0 ||
+        !cbor_is_bool(item))
         return false;
-    *out = cbor_get_bool(v);
+    *out = cbor_get_bool(item);
     return true;
 }
 
-size_t amb_cbor_len(const cbor_item_t *list) {
+size_t amb_cbor_list_length(const cbor_item_t *list) {
     return list && cbor_isa_array(list) ? cbor_array_size(list) : 0;
 }
 
-const cbor_item_t *amb_cbor_at(const cbor_item_t *list, size_t i) {
-    return cbor_array_handle(list)[i];
+const cbor_item_t *amb_cbor_list_item(const cbor_item_t *list, size_t index) {
+    return cbor_array_handle(list)[index];
 }
-bool amb_cbor_absent(const cbor_item_t *v) {
-    return !v || (cbor_isa_float_ctrl(v) && cbor_float_get_width(v) == CBOR_FLOAT_0 && !cbor_is_bool(v));
+bool amb_cbor_is_absent(const cbor_item_t *item) {
+    return !item ||
+           (cbor_isa_float_ctrl(item) && cbor_float_get_width(item) == CBOR_FLOAT_0 && !cbor_is_bool(item));
 }
--- a/lib/codec/cbor_writer.c
+++ b/lib/codec/cbor_writer.c
@@ -3,49 +3,50 @@
 #include <cbor.h>
 #include <string.h>
 
-static void head(struct amb_buf *buffer, size_t (*enc)(uint64_t, unsigned char *, size_t), uint64_t v) {
-    unsigned char tmp[16];
-    amb_buf_add(buffer, tmp, enc(v, tmp, sizeof tmp));
+static void write_head(struct amb_buf *buffer, size_t (*encode)(uint64_t, unsigned char *, size_t),
+                       uint64_t value) {
+    unsigned char bytes[16];
+    amb_buf_append(buffer, bytes, encode(value, bytes, sizeof bytes));
 }
 
-static size_t enc_map(uint64_t v, unsigned char *p, size_t n) {
-    return cbor_encode_map_start(v, p, n);
+static size_t encode_map(uint64_t pairs, unsigned char *out, size_t size) {
+    return cbor_encode_map_start(pairs, out, size);
 }
-static size_t enc_list(uint64_t v, unsigned char *p, size_t n) {
-    return cbor_encode_array_start(v, p, n);
+static size_t encode_list(uint64_t items, unsigned char *out, size_t size) {
+    return cbor_encode_array_start(items, out, size);
 }
-static size_t enc_str(uint64_t v, unsigned char *p, size_t n) {
-    return cbor_encode_string_start(v, p, n);
+static size_t encode_string(uint64_t len, unsigned char *out, size_t size) {
+    return cbor_encode_string_start(len, out, size);
 }
-static size_t enc_uint(uint64_t v, unsigned char *p, size_t n) {
-    return cbor_encode_uint(v, p, n);
+static size_t encode_uint(uint64_t value, unsigned char *out, size_t size) {
+    return cbor_encode_uint(value, out, size);
 }
 
-void amb_w_map(struct amb_buf *buffer, size_t pairs) {
-    head(buffer, enc_map, pairs);
+void amb_cbor_write_map(struct amb_buf *buffer, size_t pairs) {
+    write_head(buffer, encode_map, pairs);
 }
-void amb_w_list(struct amb_buf *buffer, size_t items) {
-    head(buffer, enc_list, items);
+void amb_cbor_write_list(struct amb_buf *buffer, size_t items) {
+    write_head(buffer, encode_list, items);
 }
-void amb_w_strn(struct amb_buf *buffer, const char *s, size_t n) {
-    head(buffer, enc_str, n);
-    amb_buf_add(buffer, s, n);
+void amb_cbor_write_text(struct amb_buf *buffer, const char *text, size_t len) {
+    write_head(buffer, encode_string, len);
+    amb_buf_append(buffer, text, len);
 }
-void amb_w_str(struct amb_buf *buffer, const char *s) {
-    amb_w_strn(buffer, s, strlen(s));
+void amb_cbor_write_string(struct amb_buf *buffer, const char *text) {
+    amb_cbor_write_text(buffer, text, strlen(text));
 }
-void amb_w_uint(struct amb_buf *buffer, uint64_t v) {
-    head(buffer, enc_uint, v);
+void amb_cbor_write_uint(struct amb_buf *buffer, uint64_t value) {
+    write_head(buffer, encode_uint, value);
 }
-void amb_w_num(struct amb_buf *buffer, double v) {
-    unsigned char tmp[16];
-    amb_buf_add(buffer, tmp, cbor_encode_double(v, tmp, sizeof tmp));
+void amb_cbor_write_number(struct amb_buf *buffer, double value) {
+    unsigned char bytes[16];
+    amb_buf_append(buffer, bytes, cbor_encode_double(value, bytes, sizeof bytes));
 }
-void amb_w_bool(struct amb_buf *buffer, bool v) {
-    unsigned char tmp[4];
-    amb_buf_add(buffer, tmp, cbor_encode_bool(v, tmp, sizeof tmp));
+void amb_cbor_write_bool(struct amb_buf *buffer, bool value) {
+    unsigned char bytes[4];
+    amb_buf_append(buffer, bytes, cbor_encode_bool(value, bytes, sizeof bytes));
 }
-void amb_w_null(struct amb_buf *buffer) {
-    unsigned char tmp[4];
-    amb_buf_add(buffer, tmp, cbor_encode_null(tmp, sizeof tmp));
+void amb_cbor_write_null(struct amb_buf *buffer) {
+    unsigned char bytes[4];
+    amb_buf_append(buffer, bytes, cbor_encode_null(bytes, sizeof bytes));
 }
--- a/lib/codec/change_page.c
+++ b/lib/codec/change_page.c
@@ -5,10 +5,10 @@
 /* Which of the keys comes next, as a bit; 0: none of them, and its value is to be skipped. A key that comes
  * twice makes the reader odd. */
 static uint32_t decode_field_name(struct amb_cbor_reader *reader, const char *const *names, uint32_t *seen) {
-    struct amb_cbor_text name = amb_cbor_read_text(reader);
+    struct amb_cbor_dup_string name = amb_cbor_read_text(reader);
     for (uint32_t i = 0; names[i]; i++) {
-        if (!amb_cbor_text_is(name, names[i])) continue;
-        if (*seen & 1u << i) reader->odd = true;
+        if (!amb_cbor_text_equals(name, names[i])) continue;
+        if (*seen & 1u << i) reader->failed = true;
         *seen |= 1u << i;
         return 1u << i;
     }
@@ -20,7 +20,7 @@
 
 static void decode_value(struct amb_cbor_reader *reader, struct amb_change *change) {
     const unsigned char *start = reader->at;
-    amb_cbor_skip(reader);
+    amb_cbor_skip_value(reader);
     change->value = start;
     change->value_len = (size_t)(reader->at - start);
 }
@@ -29,7 +29,7 @@
     uint32_t seen = 0;
     change->value = NULL;
     change->value_len = 0;
-    for (size_t pairs = amb_cbor_read_map(reader); pairs && !reader->odd; pairs--) {
+    for (size_t pairs = amb_cbor_read_map(reader); pairs && !reader->failed; pairs--) {
         switch (decode_field_name(reader, CHANGE_FIELDS, &seen)) {
         case CHANGE_PUT:
         case CHANGE_REMOVE:
@@ -37,18 +37,18 @@
             break;
         case CHANGE_REVISION: change->revision = amb_cbor_read_uint(reader); break;
         case CHANGE_VALUE: decode_value(reader, change); break;
-        default: amb_cbor_skip(reader);
+        default: amb_cbor_skip_value(reader);
         }
     }
     if (seen != (CHANGE_PUT | CHANGE_REVISION | CHANGE_VALUE) && seen != (CHANGE_REMOVE | CHANGE_REVISION))
-        reader->odd = true;
+        reader->failed = true;
 }
 
 static void decode_changes(struct amb_cbor_reader *reader, amb_change_visitor visit, void *context) {
     struct amb_change change;
-    for (size_t left = amb_cbor_read_list(reader); left && !reader->odd; left--) {
+    for (size_t left = amb_cbor_read_list(reader); left && !reader->failed; left--) {
         decode_change(reader, &change);
-        if (visit && !reader->odd) visit(context, &change);
+        if (visit && !reader->failed) visit(context, &change);
     }
 }
 
@@ -60,17 +60,17 @@
                         void *context) {
     struct amb_cbor_reader reader = amb_cbor_reader(page, len);
     uint32_t seen = 0;
-    for (size_t pairs = amb_cbor_read_map(&reader); pairs && !reader.odd; pairs--) {
+    for (size_t pairs = amb_cbor_read_map(&reader); pairs && !reader.failed; pairs--) {
         switch (decode_field_name(&reader, PAGE_FIELDS, &seen)) {
         case PAGE_STORE_REVISION: *store_revision = amb_cbor_read_uint(&reader); break;
         case PAGE_CHANGE_LIST:
-            if (!reader.odd)
+            if (!reader.failed)
                 decode_changes(&reader, visit, context); /* a key that comes twice has made it odd */
             break;
-        default: amb_cbor_skip(&reader);
+        default: amb_cbor_skip_value(&reader);
         }
     }
-    return !reader.odd && seen == (PAGE_STORE_REVISION | PAGE_CHANGE_LIST) && reader.at == reader.end;
+    return !reader.failed && seen == (PAGE_STORE_REVISION | PAGE_CHANGE_LIST) && reader.at == reader.end;
 }
 
 bool amb_change_page_decode(const void *page, size_t len, uint64_t *store_revision, amb_change_visitor visit,
--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -79,14 +79,14 @@
 
 void amb_placement_block_add_placement(struct amb_placement_block_text *text,
                                        const struct amb_placement *placement) {
-    amb_buf_fmt(&text->placed, "%u,%llu,%s,%d,%d,%d;", placement->task,
-                (unsigned long long)placement->attempt, placement->machine, placement->type, placement->zone,
-                placement->spot);
+    amb_buf_append_format(&text->placed, "%u,%llu,%s,%d,%d,%d;", placement->task,
+                          (unsigned long long)placement->attempt, placement->machine, placement->type,
+                          placement->zone, placement->spot);
 }
 
 void amb_placement_block_add_completed(struct amb_placement_block_text *text,
                                        struct amb_task_range completed) {
-    amb_buf_fmt(&text->completed, "%u-%u;", completed.first, completed.end - 1);
+    amb_buf_append_format(&text->completed, "%u-%u;", completed.first, completed.end - 1);
 }
 
 bool amb_placement_block_next_placement(const char **at, struct amb_placement *out) {
@@ -120,29 +120,29 @@
 }
 
 static void write_text(struct amb_buf *out, const struct amb_buf *text) {
-    amb_w_strn(out, text->data ? text->data : "", text->len);
+    amb_cbor_write_text(out, text->data ? text->data : "", text->len);
 }
 
 void amb_placement_block_encode(struct amb_buf *out, const struct amb_placement_block_header *header,
                                 struct amb_placement_block_text *text) {
     const struct amb_catalog *catalog = header->catalog;
-    amb_w_map(out, 7);
-    amb_w_str(out, "at");
-    amb_w_uint(out, (uint64_t)header->written_wall_ms);
-    amb_w_str(out, "w");
-    amb_w_str(out, header->write_id);
-    amb_w_str(out, "n");
-    amb_w_uint(out, header->next_attempt);
-    amb_w_str(out, "p");
+    amb_cbor_write_map(out, 7);
+    amb_cbor_write_string(out, "at");
+    amb_cbor_write_uint(out, (uint64_t)header->written_wall_ms);
+    amb_cbor_write_string(out, "w");
+    amb_cbor_write_string(out, header->write_id);
+    amb_cbor_write_string(out, "n");
+    amb_cbor_write_uint(out, header->next_attempt);
+    amb_cbor_write_string(out, "p");
     write_text(out, &text->placed);
-    amb_w_str(out, "d");
+    amb_cbor_write_string(out, "d");
     write_text(out, &text->completed);
-    amb_w_str(out, "t"); /* the names that the numbers of types and zones stand for */
-    amb_w_list(out, catalog->type_count);
-    for (uint32_t i = 0; i < catalog->type_count; i++) amb_w_str(out, catalog->types[i].name);
-    amb_w_str(out, "z");
-    amb_w_list(out, catalog->zone_count);
-    for (uint32_t i = 0; i < catalog->zone_count; i++) amb_w_str(out, catalog->zones[i]);
+    amb_cbor_write_string(out, "t"); /* the names that the numbers of types and zones stand for */
+    amb_cbor_write_list(out, catalog->type_count);
+    for (uint32_t i = 0; i < catalog->type_count; i++) amb_cbor_write_string(out, catalog->types[i].name);
+    amb_cbor_write_string(out, "z");
+    amb_cbor_write_list(out, catalog->zone_count);
+    for (uint32_t i = 0; i < catalog->zone_count; i++) amb_cbor_write_string(out, catalog->zones[i]);
     amb_buf_free(&text->placed);
     amb_buf_free(&text->completed);
 }
--- a/lib/config/command_line.c
+++ b/lib/config/command_line.c
@@ -5,7 +5,7 @@
 
 const char *argp_program_version = "amberpin " AMB_VERSION;
 
-static const struct argp_option table[] = {
+static const struct argp_option arguments[] = {
     {"config", 'c', "FILE", 0, "settings that the platform hands over (TOML)", 0},
     {"options", 'o', "FILE", 0, "the operators' own settings (XML)", 0},
     {"check", 'k', 0, 0, "read the settings, say whether they can be used, and end", 0},
@@ -13,22 +13,22 @@
 };
 
 /* NOLINTNEXTLINE(readability-non-const-parameter): argp gives the type */
-static error_t parse(int key, char *arg, struct argp_state *state) {
-    struct amb_cli *c = state->input;
+static error_t parse_argument(int key, char *arg, struct argp_state *state) {
+    struct amb_command_line *command_line = state->input;
     switch (key) {
-    case 'c': c->config = arg; return 0;
-    case 'o': c->options = arg; return 0;
-    case 'k': c->check = true; return 0;
+    case 'c': command_line->settings_path = arg; return 0;
+    case 'o': command_line->options_path = arg; return 0;
+    case 'k': command_line->check_only = true; return 0;
     case ARGP_KEY_END:
-        if (!c->config) argp_error(state, "--config FILE is needed");
+        if (!command_line->settings_path) argp_error(state, "--config FILE is needed");
         return 0;
     default: return ARGP_ERR_UNKNOWN;
     }
 }
 
-void amb_cli_parse(int argc, char **argv, struct amb_cli *out) {
-    static const struct argp argp = {table, parse, 0, "A scheduler for fleets that serve language models.",
-                                     0,     0,     0};
+void amb_command_line_parse(int argc, char **argv, struct amb_command_line *out) {
+    static const struct argp argp = {
+        arguments, parse_argument, 0, "A scheduler for fleets that serve language models.", 0, 0, 0};
     memset(out, 0, sizeof *out);
     argp_err_exit_status = 2;
     argp_parse(&argp, argc, argv, 0, 0, out);
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -11,11 +11,11 @@
 /* A path pattern: "[]" stands for a place in a list. */
 struct field {
     const char *path;
-    bool text, required;
-    size_t at, stride; /* within amb_settings; stride: size of the list's element */
-    size_t max;        /* elements at most */
-    size_t count_at;   /* where the list's length is kept */
-    double low, high;
+    bool is_text, is_required;
+    size_t offset, stride; /* within amb_settings; stride: size of the list's element */
+    size_t max_items;      /* elements at most */
+    size_t count_at;       /* where the list's length is kept */
+    double min, max;
 };
 
 #define S(f) offsetof(struct amb_settings, f)
@@ -35,53 +35,53 @@
 static const struct field fields[] = {
     TEXT("member", member, true),
     TEXT("area", zone, true),
-    TEXT("front", front, true),
+    TEXT("front", api_listen, true),
     TEXT("cluster_listen", peer_listen, true),
-    TEXT("endpoints.cloud", cloud, true),
-    TEXT("endpoints.state", state, true),
-    ITEM_TEXT("others[].member", peers, member, npeers, AMB_PEERS),
-    ITEM_TEXT("others[].addr", peers, addr, npeers, AMB_PEERS),
-    {"params.zones[]", true, false, S(zones), AMB_NAME_SIZE, AMB_ZONES_MAX, S(nzones), 0, 0},
-    ITEM_TEXT("params.teams[].name", teams, name, nteams, AMB_TEAMS),
-    ITEM_NUM("params.teams[].cpus", teams, guarantee.cpus, nteams, AMB_TEAMS),
-    ITEM_NUM("params.teams[].gpus", teams, guarantee.gpus, nteams, AMB_TEAMS),
-    ITEM_NUM("params.teams[].cpus_max", teams, limit.cpus, nteams, AMB_TEAMS),
-    ITEM_NUM("params.teams[].gpus_max", teams, limit.gpus, nteams, AMB_TEAMS),
-    ITEM_TEXT("params.objectives[].kind", objectives, kind, nobjectives, AMB_OBJECTIVES),
-    ITEM_TEXT("params.objectives[].class", objectives, class_name, nobjectives, AMB_OBJECTIVES),
-    ITEM_NUM("params.objectives[].within_s", objectives, within_s, nobjectives, AMB_OBJECTIVES),
-    ITEM_NUM("params.objectives[].share", objectives, share, nobjectives, AMB_OBJECTIVES),
-    NUM("params.workers.report_s", report_s, 0.05, 600),
-    NUM("params.workers.lease_s", lease_s, 0.5, 3600),
+    TEXT("endpoints.cloud", cloud_addr, true),
+    TEXT("endpoints.state", store_addr, true),
+    ITEM_TEXT("others[].member", peers, member, peer_count, AMB_PEERS_MAX),
+    ITEM_TEXT("others[].addr", peers, addr, peer_count, AMB_PEERS_MAX),
+    {"params.zones[]", true, false, S(zones), AMB_NAME_SIZE, AMB_ZONES_MAX, S(zone_count), 0, 0},
+    ITEM_TEXT("params.teams[].name", teams, name, team_count, AMB_TEAMS_MAX),
+    ITEM_NUM("params.teams[].cpus", teams, guarantee.cpus, team_count, AMB_TEAMS_MAX),
+    ITEM_NUM("params.teams[].gpus", teams, guarantee.gpus, team_count, AMB_TEAMS_MAX),
+    ITEM_NUM("params.teams[].cpus_max", teams, limit.cpus, team_count, AMB_TEAMS_MAX),
+    ITEM_NUM("params.teams[].gpus_max", teams, limit.gpus, team_count, AMB_TEAMS_MAX),
+    ITEM_TEXT("params.objectives[].kind", objectives, kind, objective_count, AMB_OBJECTIVES_MAX),
+    ITEM_TEXT("params.objectives[].class", objectives, class_name, objective_count, AMB_OBJECTIVES_MAX),
+    ITEM_NUM("params.objectives[].within_s", objectives, within_s, objective_count, AMB_OBJECTIVES_MAX),
+    ITEM_NUM("params.objectives[].share", objectives, share, objective_count, AMB_OBJECTIVES_MAX),
+    NUM("params.workers.report_s", heartbeat_s, 0.05, 600),
+    NUM("params.workers.lease_s", agent_lease_s, 0.5, 3600),
     NUM("params.workers.gang_wait_s", gang_wait_s, 0.1, 86400),
     NUM("params.workers.gang_peer_s", gang_peer_s, 0.1, 3600),
     NUM("params.workers.cancel_s", cancel_s, 1, 3600),
-    NUM("params.state.rps", state_rps, 1, 1e6),
-    NUM("params.state.write_rps", state_write_rps, 1, 1e6),
+    NUM("params.state.rps", store_rps, 1, 1e6),
+    NUM("params.state.write_rps", store_write_rps, 1, 1e6),
     NUM("params.state.value_kb", value_kb, 1, 64),
     NUM("params.state.txn_ops", txn_ops, 1, 10000),
-    OPTIONAL_NUM("params.state.next.write_rps", state_next.write_rps, 1, 1e6),
-    OPTIONAL_NUM("params.state.next.value_kb", state_next.value_kb, 1, 64),
-    OPTIONAL_NUM("params.state.next.txn_ops", state_next.txn_ops, 1, 10000),
+    OPTIONAL_NUM("params.state.next.write_rps", announced_limits.write_rps, 1, 1e6),
+    OPTIONAL_NUM("params.state.next.value_kb", announced_limits.value_kb, 1, 64),
+    OPTIONAL_NUM("params.state.next.txn_ops", announced_limits.txn_ops, 1, 10000),
     NUM("params.cloud.rps", cloud_rps, 0.05, 1e6),
     NUM("params.cloud.list_lag_s", list_lag_s, 0, 3600),
     NUM("params.quota.cores", cores, 0.001, 1024),
     NUM("params.quota.memory_mb", memory_mb, 4, 1e6),
     NUM("params.quota.fd_limit", fd_limit, 32, 1e6),
-    NUM("params.skew_ms", skew_ms, 0, 1e6),
+    NUM("params.skew_ms", clock_skew_ms, 0, 1e6),
 };
 enum { FIELDS = sizeof fields / sizeof fields[0] };
 
 struct reader {
-    struct amb_settings *s;
+    struct amb_settings *settings;
     const char *file;
-    char *err;
-    size_t cap;
-    bool bad, seen[FIELDS];
+    char *error;
+    size_t error_size;
+    bool failed, seen[FIELDS];
 };
 
 /* Does path fit the pattern? The place in the list goes to *index. */
-static bool fits(const char *pattern, const char *path, size_t *index) {
+static bool path_matches(const char *pattern, const char *path, size_t *index) {
     while (*pattern) {
         if (pattern[0] == '[' && pattern[1] == ']') {
             if (*path != '[') return false;
@@ -97,67 +97,68 @@
     return !*path;
 }
 
-static void complain(struct reader *r, const char *path, const char *what) {
-    if (!r->bad) snprintf(r->err, r->cap, "%s: %s: %s", r->file, path, what);
-    r->bad = true;
+static void fail_at_path(struct reader *reader, const char *path, const char *what) {
+    if (!reader->failed) snprintf(reader->error, reader->error_size, "%s: %s: %s", reader->file, path, what);
+    reader->failed = true;
 }
 
-static size_t text_room(const struct field *f) {
-    return !strcmp(f->path, "params.objectives[].kind") ? sizeof((struct amb_objective *)0)->kind
-                                                        : AMB_NAME_SIZE;
+static size_t text_capacity(const struct field *field) {
+    return !strcmp(field->path, "params.objectives[].kind") ? sizeof((struct amb_objective *)0)->kind
+                                                            : AMB_NAME_SIZE;
 }
 
-static void visit(void *arg, const char *path, enum amb_toml_kind kind, const char *text, double num) {
-    struct reader *r = arg;
+static void on_value(void *arg, const char *path, enum amb_toml_kind kind, const char *text, double number) {
+    struct reader *reader = arg;
     for (size_t i = 0; i < FIELDS; i++) {
-        const struct field *f = &fields[i];
+        const struct field *field = &fields[i];
         size_t index = 0;
-        if (!fits(f->path, path, &index)) continue;
-        if (f->stride) {
-            if (index >= f->max) {
-                complain(r, path, "too many entries");
+        if (!path_matches(field->path, path, &index)) continue;
+        if (field->stride) {
+            if (index >= field->max_items) {
+                fail_at_path(reader, path, "too many entries");
                 return;
             }
-            uint32_t *n = (uint32_t *)((char *)r->s + f->count_at);
-            if (index >= *n) *n = (uint32_t)index + 1;
+            uint32_t *count = (uint32_t *)((char *)reader->settings + field->count_at);
+            if (index >= *count) *count = (uint32_t)index + 1;
         }
-        char *at = (char *)r->s + f->at + index * f->stride;
-        if (f->text) {
-            if (kind != AMB_TOML_TEXT || !*text || strlen(text) >= text_room(f))
-                complain(r, path, "must be a short text");
+        char *at = (char *)reader->settings + field->offset + index * field->stride;
+        if (field->is_text) {
+            if (kind != AMB_TOML_TEXT || !*text || strlen(text) >= text_capacity(field))
+                fail_at_path(reader, path, "must be a short text");
             else
                 strcpy(at, text);
-        } else if (kind != AMB_TOML_NUMBER || !isfinite(num) || num < f->low || num > f->high) {
-            complain(r, path, "must be a number within its bounds");
+        } else if (kind != AMB_TOML_NUMBER || !isfinite(number) || number < field->min ||
+                   number > field->max) {
+            fail_at_path(reader, path, "must be a number within its bounds");
         } else {
-            *(double *)(void *)at = num;
+            *(double *)(void *)at = number;
         }
-        r->seen[i] = true;
+        reader->seen[i] = true;
         return;
     }
 }
 
-struct amb_team *amb_settings_team(struct amb_settings *settings, const char *name) {
-    for (uint32_t i = 0; i < settings->nteams; i++)
+struct amb_team *amb_settings_find_team(struct amb_settings *settings, const char *name) {
+    for (uint32_t i = 0; i < settings->team_count; i++)
         if (!strcmp(settings->teams[i].name, name)) return &settings->teams[i];
     return NULL;
 }
 
 /* Reports every 4 s and starts that are aimed at within 10 s: planning every half report, a round a twentieth
  * and a tick a tenth of one later took 1 to 4 s of those 10 (fleet deployments). */
-double amb_settings_beat(const struct amb_settings *settings) {
-    double beat = settings->report_s;
-    for (uint32_t i = 0; i < settings->nobjectives; i++)
+double amb_settings_cycle_s(const struct amb_settings *settings) {
+    double cycle_s = settings->heartbeat_s;
+    for (uint32_t i = 0; i < settings->objective_count; i++)
         if (!strcmp(settings->objectives[i].kind, "wait") && settings->objectives[i].within_s > 0)
-            beat = fmin(beat, settings->objectives[i].within_s / 10);
-    return fmax(beat, settings->report_s / 4); /* turns cost processor time */
+            cycle_s = fmin(cycle_s, settings->objectives[i].within_s / 10);
+    return fmax(cycle_s, settings->heartbeat_s / 4); /* turns cost processor time */
 }
 
 /* A lease longer than what a cancellation allows for serves nobody while its holder is dead: with workers'
  * leases of 22 s nothing was placed for 6.6 s, of the 10 s in which some work is to start. */
-double amb_settings_lease_base(const struct amb_settings *settings) {
-    double grace = settings->cancel_s - settings->lease_s;
-    return fmin(settings->lease_s, grace > 0 ? grace / 2 : settings->lease_s);
+double amb_settings_lease_base_s(const struct amb_settings *settings) {
+    double grace_s = settings->cancel_s - settings->agent_lease_s;
+    return fmin(settings->agent_lease_s, grace_s > 0 ? grace_s / 2 : settings->agent_lease_s);
 }
 
 /* A limit that is not announced stays as it is. One that rises later is of no use to us: we would have to
@@ -166,23 +167,23 @@
     return announced > 0 ? fmin(now, announced) : now;
 }
 
-struct amb_state_limits amb_settings_lowered_limits(const struct amb_settings *settings) {
-    return (struct amb_state_limits){
-        .write_rps = lowered_limit(settings->state_write_rps, settings->state_next.write_rps),
-        .value_kb = lowered_limit(settings->value_kb, settings->state_next.value_kb),
-        .txn_ops = lowered_limit(settings->txn_ops, settings->state_next.txn_ops)};
+struct amb_store_limits amb_settings_lowered_limits(const struct amb_settings *settings) {
+    return (struct amb_store_limits){
+        .write_rps = lowered_limit(settings->store_write_rps, settings->announced_limits.write_rps),
+        .value_kb = lowered_limit(settings->value_kb, settings->announced_limits.value_kb),
+        .txn_ops = lowered_limit(settings->txn_ops, settings->announced_limits.txn_ops)};
 }
 
-bool amb_settings_load(const char *path, struct amb_settings *settings, char *err, size_t cap) {
+bool amb_settings_load(const char *path, struct amb_settings *settings, char *error, size_t error_size) {
     memset(settings, 0, sizeof *settings);
-    struct reader r = {.s = settings, .file = path, .err = err, .cap = cap};
-    if (amb_toml_read(path, visit, &r, err, cap) < 0) return false;
-    for (size_t i = 0; i < FIELDS && !r.bad; i++)
-        if (fields[i].required && !r.seen[i]) complain(&r, fields[i].path, "is missing");
-    for (uint32_t i = 0; i < settings->npeers && !r.bad; i++)
+    struct reader reader = {.settings = settings, .file = path, .error = error, .error_size = error_size};
+    if (amb_toml_read(path, on_value, &reader, error, error_size) < 0) return false;
+    for (size_t i = 0; i < FIELDS && !reader.failed; i++)
+        if (fields[i].is_required && !reader.seen[i]) fail_at_path(&reader, fields[i].path, "is missing");
+    for (uint32_t i = 0; i < settings->peer_count && !reader.failed; i++)
         if (!settings->peers[i].member[0] || !settings->peers[i].addr[0])
-            complain(&r, "others[]", "needs member and addr");
-    for (uint32_t i = 0; i < settings->nteams && !r.bad; i++)
-        if (!settings->teams[i].name[0]) complain(&r, "params.teams[]", "needs a name");
-    return !r.bad;
+            fail_at_path(&reader, "others[]", "needs member and addr");
+    for (uint32_t i = 0; i < settings->team_count && !reader.failed; i++)
+        if (!settings->teams[i].name[0]) fail_at_path(&reader, "params.teams[]", "needs a name");
+    return !reader.failed;
 }
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -16,18 +16,18 @@
     struct amb_controller *controller = &node->controller;
     if (!controller->ready || !amb_election_may_act(node) || !node->cloud.catalog_known) return;
     amb_ms now = amb_now();
-    amb_wdrr_refill(node->settings.teams, node->settings.nteams,
+    amb_wdrr_refill(node->settings.teams, node->settings.team_count,
                     controller->cycle_at ? (double)(now - controller->cycle_at) / 1000 : 0);
     controller->cycle_at = now;
     controller->cycle_requested = false;
     struct amb_cycle *cycle = amb_cycle_new(node, now);
     uint32_t placed = amb_cycle_admit(cycle);
-    bool planned = now - controller->plan_at >= amb_secs(node->controller.tick_interval_s / 2);
+    bool planned = now - controller->plan_at >= amb_seconds_to_ms(node->controller.tick_interval_s / 2);
     if (planned) {
         controller->plan_at = now;
         amb_capacity_plan_run(cycle);
     }
-    if (amb_log_on(AMB_DEBUG)) {
+    if (amb_log_is_enabled(AMB_LOG_DEBUG)) {
         double available_gpus = 0;
         for (uint32_t i = 0; i < cycle->slot_count; i++) available_gpus += cycle->slots[i].available.gpus;
         amb_debug("round: %u jobs waited, %u tasks or gangs placed, %u machines, %g GPUs left, %lld ms%s",
@@ -40,10 +40,10 @@
 
 static void request_cycle(struct amb_node *node) {
     node->controller.cycle_requested = true;
-    if (!node->controller.ready || node->controller.cycle_timer.slot) return;
+    if (!node->controller.ready || node->controller.cycle_timer.position) return;
     /* A moment's patience lets news that comes together be handled together. */
-    amb_timer_in(&node->controller.cycle_timer, amb_secs(node->controller.tick_interval_s * 0.05), run_cycle,
-                 node);
+    amb_timer_in(&node->controller.cycle_timer, amb_seconds_to_ms(node->controller.tick_interval_s * 0.05),
+                 run_cycle, node);
 }
 
 /* ---- taking over ---- */
@@ -75,24 +75,24 @@
         node->controller.restore_term != node->election.term)
         return;
     node->controller.restore_in_flight = false;
-    const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
+    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
     if (status != 200 || !pairs) return; /* the tick tries again */
-    for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
-        const cbor_item_t *pair = amb_cbor_at(pairs, i);
+    for (size_t i = 0; i < amb_cbor_list_length(pairs); i++) {
+        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
         char key[256];
         uint64_t revision;
-        if (!amb_cbor_str(amb_cbor_get(pair, "path"), key, sizeof key) ||
-            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &revision))
+        if (!amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), key, sizeof key) ||
+            !amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &revision))
             continue;
-        amb_placement_log_restore(node, key, amb_cbor_get(pair, "value"), revision);
-        amb_scale_out_restore(node, key, amb_cbor_get(pair, "value"));
-        amb_scale_in_log_restore(node, key, amb_cbor_get(pair, "value"), revision);
-        amb_zone_record_load(node, key, amb_cbor_get(pair, "value"), revision);
+        amb_placement_log_restore(node, key, amb_cbor_map_get(pair, "value"), revision);
+        amb_scale_out_restore(node, key, amb_cbor_map_get(pair, "value"));
+        amb_scale_in_log_restore(node, key, amb_cbor_map_get(pair, "value"), revision);
+        amb_zone_record_load(node, key, amb_cbor_map_get(pair, "value"), revision);
         snprintf(node->controller.restore_cursor, sizeof node->controller.restore_cursor, "%s", key);
     }
     bool more = false;
-    amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
-    if (more && amb_cbor_len(pairs))
+    amb_cbor_get_bool(amb_cbor_map_get(body, "truncated"), &more);
+    if (more && amb_cbor_list_length(pairs))
         load_next_page(node);
     else
         finish_loading(node);
@@ -138,9 +138,9 @@
     controller->restore_term = node->election.term;
     amb_duties_reset(node);
     controller->cycle_at = controller->plan_at = controller->peak_at = 0;
-    amb_wdrr_prepare(node->settings.teams, node->settings.nteams,
-                     amb_wdrr_is_sized_by_gpus(node->settings.teams, node->settings.nteams));
-    for (uint32_t i = 0; i < node->settings.nteams; i++)
+    amb_wdrr_prepare(node->settings.teams, node->settings.team_count,
+                     amb_wdrr_is_sized_by_gpus(node->settings.teams, node->settings.team_count));
+    for (uint32_t i = 0; i < node->settings.team_count; i++)
         memset(&node->settings.teams[i].used, 0, sizeof node->settings.teams[i].used);
 }
 
@@ -198,7 +198,8 @@
  * nothing: due timers run first, and leases have ended by the clock.) */
 static void note_stall(struct amb_node *node, amb_ms now) {
     amb_ms elapsed = now - node->controller.ticked_at;
-    if (node->controller.ticked_at && elapsed > amb_secs(node->settings.report_s * STALL_HEARTBEAT_PERIODS))
+    if (node->controller.ticked_at &&
+        elapsed > amb_seconds_to_ms(node->settings.heartbeat_s * STALL_HEARTBEAT_PERIODS))
         amb_info("controller: this node stood still for %lld ms", (long long)elapsed);
     node->controller.ticked_at = now;
 }
@@ -208,7 +209,7 @@
     struct amb_controller *controller = &node->controller;
     amb_ms now = amb_now();
     note_stall(node, now);
-    amb_timer_in(&controller->timer, amb_secs(node->controller.tick_interval_s * 0.1), tick, node);
+    amb_timer_in(&controller->timer, amb_seconds_to_ms(node->controller.tick_interval_s * 0.1), tick, node);
     amb_cloud_tick(node, now);
     amb_lease_proxy_tick(node, now);
     amb_format_tick(node, now);
@@ -217,7 +218,7 @@
     if (!amb_election_is_leader(node)) return;
     if (controller->restoring) continue_loading(node, now);
     amb_jobs_activate_unadmitted(node);
-    amb_ms learning_period = amb_secs(node->settings.report_s * 1.3);
+    amb_ms learning_period = amb_seconds_to_ms(node->settings.heartbeat_s * 1.3);
     bool has_waited = now - controller->leader_since > learning_period &&
                       now - controller->restored_at > learning_period / 2;
     /* What the wait is for may be known sooner: a fleet that starts has nothing to tell, and workers whose
@@ -231,8 +232,9 @@
         request_cycle(node);
     }
     amb_fleet_tick(node, now);
-    if (controller->ready && (controller->cycle_requested ||
-                              now - controller->cycle_at > amb_secs(node->controller.tick_interval_s * 0.5)))
+    if (controller->ready &&
+        (controller->cycle_requested ||
+         now - controller->cycle_at > amb_seconds_to_ms(node->controller.tick_interval_s * 0.5)))
         request_cycle(node);
     amb_placement_log_flush(node);
 }
@@ -245,39 +247,39 @@
     /* The store refuses us alone: users are better served elsewhere. When it refuses everybody, staying in
      * lets them have an answer at once. */
     bool failing = node->store.last_failure_at > node->store.last_success_at &&
-                   now - node->store.last_success_at > amb_secs(node->settings.report_s * 3);
+                   now - node->store.last_success_at > amb_seconds_to_ms(node->settings.heartbeat_s * 3);
     return !failing || !amb_election_peer_reaches_store(node, now);
 }
 
 static void handle_request(void *context, struct amb_http_req *request) {
     struct amb_node *node = context;
-    if (amb_agent_handle_request(node, request) || amb_user_request(node, request)) return;
+    if (amb_agent_handle_request(node, request) || amb_api_handle_request(node, request)) return;
     if (strcmp(request->path, "/healthz"))
-        amb_reply_cbor(request, 404, NULL, 0);
+        amb_http_reply_cbor(request, 404, NULL, 0);
     else if (strcmp(request->method, "GET"))
-        amb_reply_cbor(request, 405, NULL, 0);
+        amb_http_reply_cbor(request, 405, NULL, 0);
     else
-        amb_reply_cbor(request, is_healthy(node) ? 200 : 503, NULL, 0);
+        amb_http_reply_cbor(request, is_healthy(node) ? 200 : 503, NULL, 0);
 }
 
 enum { USER_BODY_MAX_BYTES = 64 * 1024 }; /* the protocol's limit, workers' too */
 
 int amb_node_start(struct amb_node *node, char *err, size_t err_size) {
     amb_controller_attach(node);
-    node->controller.tick_interval_s = amb_settings_beat(&node->settings);
+    node->controller.tick_interval_s = amb_settings_cycle_s(&node->settings);
     amb_election_init(node);
     amb_store_init(&node->store, &node->settings, amb_election_call_timeout(node));
     amb_cloud_init(node);
     amb_zone_recovery_init(node);
-    for (uint32_t i = 0; i < node->settings.nzones; i++)
+    for (uint32_t i = 0; i < node->settings.zone_count; i++)
         amb_catalog_find_or_add_zone(&node->catalog, node->settings.zones[i]);
     amb_http_client_limit(amb_capacity_max_outgoing(&node->settings));
     amb_http_response_limit(amb_memory_max_response_bytes(&node->settings));
-    node->public_server =
-        amb_server_open(node->settings.front, amb_capacity_max_incoming(&node->settings), USER_BODY_MAX_BYTES,
-                        amb_secs(node->settings.lease_s * 6), handle_request, node);
+    node->public_server = amb_server_open(
+        node->settings.api_listen, amb_capacity_max_incoming(&node->settings), USER_BODY_MAX_BYTES,
+        amb_seconds_to_ms(node->settings.agent_lease_s * 6), handle_request, node);
     if (!node->public_server) {
-        snprintf(err, err_size, "front %s can't be opened", node->settings.front);
+        snprintf(err, err_size, "front %s can't be opened", node->settings.api_listen);
         return -1;
     }
     amb_peer_start(node);
--- a/lib/duty/campaign.c
+++ b/lib/duty/campaign.c
@@ -181,7 +181,7 @@
         else
             handle_claim_failure(step, name, "the claim is older than what is known");
         break;
-    case AMB_CALL_LOST: handle_claim_timeout(step, name); break;
+    case AMB_CALL_NO_ANSWER: handle_claim_timeout(step, name); break;
     case AMB_CALL_CONFLICT: handle_claim_failure(step, name, "somebody else was first"); break;
     case AMB_CALL_NOT_FOUND:
     case AMB_CALL_REFUSED: handle_claim_failure(step, name, "the claim was refused"); break;
--- a/lib/duty/record_codec.c
+++ b/lib/duty/record_codec.c
@@ -20,7 +20,7 @@
 
 bool amb_duty_work_order_add_machine(struct amb_duty_work_order *work, const char *machine) {
     if (work->machine_count == AMB_DUTY_MAX_MACHINES || strlen(machine) >= AMB_NAME_SIZE) return false;
-    work->machines = amb_grow(work->machines, (work->machine_count + 1) * sizeof *work->machines);
+    work->machines = amb_realloc(work->machines, (work->machine_count + 1) * sizeof *work->machines);
     strcpy(work->machines[work->machine_count++], machine);
     return true;
 }
@@ -41,28 +41,28 @@
 /* ---- writing ---- */
 
 static void put_text(struct amb_buf *out, const char *name, const char *text) {
-    amb_w_str(out, name);
-    amb_w_str(out, text);
+    amb_cbor_write_string(out, name);
+    amb_cbor_write_string(out, text);
 }
 
 static void put_number(struct amb_buf *out, const char *name, uint64_t number) {
-    amb_w_str(out, name);
-    amb_w_uint(out, number);
+    amb_cbor_write_string(out, name);
+    amb_cbor_write_uint(out, number);
 }
 
 static void put_flag(struct amb_buf *out, const char *name, bool flag) {
-    amb_w_str(out, name);
-    amb_w_bool(out, flag);
+    amb_cbor_write_string(out, name);
+    amb_cbor_write_bool(out, flag);
 }
 
 void amb_duty_encode_member(struct amb_buf *out, const struct amb_duty_member_record *member) {
-    amb_w_map(out, 2);
+    amb_cbor_write_map(out, 2);
     put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_number(out, "nonce", member->nonce);
 }
 
 void amb_duty_encode_record(struct amb_buf *out, const struct amb_duty_record *record) {
-    amb_w_map(out, 8);
+    amb_cbor_write_map(out, 8);
     put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "state", record_states[record->state]);
     put_text(out, "holder", record->holder);
@@ -74,16 +74,16 @@
 }
 
 static void put_machines(struct amb_buf *out, const struct amb_duty_work_order *work) {
-    amb_w_str(out, "machines");
-    amb_w_list(out, work->machine_count);
-    for (uint32_t i = 0; i < work->machine_count; i++) amb_w_str(out, work->machines[i]);
+    amb_cbor_write_string(out, "machines");
+    amb_cbor_write_list(out, work->machine_count);
+    for (uint32_t i = 0; i < work->machine_count; i++) amb_cbor_write_string(out, work->machines[i]);
 }
 
 void amb_duty_encode_intent(struct amb_buf *out, const struct amb_duty_intent_record *intent,
                             const struct amb_duty_work_order *work) {
     enum { COMMON = 8, OF_RENT = 4, OF_RETURN = 1 };
     bool rents = intent->duty == AMB_DUTY_RENT;
-    amb_w_map(out, COMMON + (rents ? OF_RENT : OF_RETURN));
+    amb_cbor_write_map(out, COMMON + (rents ? OF_RENT : OF_RETURN));
     put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "state", intent_states[intent->state]);
     put_text(out, "result", results[intent->result]);
@@ -103,13 +103,13 @@
 }
 
 void amb_duty_encode_mode(struct amb_buf *out, enum amb_duty_mode mode) {
-    amb_w_map(out, 2);
+    amb_cbor_write_map(out, 2);
     put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "mode", modes[mode]);
 }
 
 void amb_duty_encode_handover(struct amb_buf *out, const struct amb_duty_handover *handover) {
-    amb_w_map(out, 2);
+    amb_cbor_write_map(out, 2);
     put_number(out, "form", AMB_DUTY_RECORD_VERSION);
     put_text(out, "to", handover->successor);
 }
@@ -118,23 +118,23 @@
 
 static enum amb_duty_decode_result check_version(const cbor_item_t *value) {
     uint64_t form;
-    if (!amb_cbor_uint(amb_cbor_get(value, "form"), &form) || !form) return AMB_DUTY_MALFORMED;
+    if (!amb_cbor_get_uint(amb_cbor_map_get(value, "form"), &form) || !form) return AMB_DUTY_MALFORMED;
     return form > AMB_DUTY_RECORD_VERSION ? AMB_DUTY_NEWER_VERSION : AMB_DUTY_DECODED;
 }
 
 /* Place of the text among the names; -1: it is none of them. */
 static int read_choice(const cbor_item_t *item, const char *const *names, size_t count) {
     for (size_t i = 0; i < count; i++)
-        if (amb_cbor_eq(item, names[i])) return (int)i;
+        if (amb_cbor_equals(item, names[i])) return (int)i;
     return -1;
 }
 
 static bool read_text(const cbor_item_t *value, const char *name, char *out, size_t cap) {
-    return amb_cbor_str(amb_cbor_get(value, name), out, cap);
+    return amb_cbor_copy_string(amb_cbor_map_get(value, name), out, cap);
 }
 
 static bool read_number(const cbor_item_t *value, const char *name, uint64_t *out) {
-    return amb_cbor_uint(amb_cbor_get(value, name), out);
+    return amb_cbor_get_uint(amb_cbor_map_get(value, name), out);
 }
 
 static bool read_count(const cbor_item_t *value, const char *name, uint32_t *out) {
@@ -156,7 +156,7 @@
 enum amb_duty_decode_result amb_duty_decode_record(const cbor_item_t *value, struct amb_duty_record *out) {
     enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
-    int state = read_choice(amb_cbor_get(value, "state"), record_states, COUNT(record_states));
+    int state = read_choice(amb_cbor_map_get(value, "state"), record_states, COUNT(record_states));
     if (state < 0 || !read_text(value, "holder", out->holder, sizeof out->holder) ||
         !read_number(value, "session", &out->holder_incarnation) ||
         !read_number(value, "token", &out->fencing_token) || !read_number(value, "nonce", &out->nonce) ||
@@ -169,10 +169,10 @@
 }
 
 static bool read_machines(const cbor_item_t *value, struct amb_duty_work_order *work) {
-    const cbor_item_t *list = amb_cbor_get(value, "machines");
-    for (size_t i = 0; i < amb_cbor_len(list); i++) {
+    const cbor_item_t *list = amb_cbor_map_get(value, "machines");
+    for (size_t i = 0; i < amb_cbor_list_length(list); i++) {
         char name[AMB_NAME_SIZE];
-        if (!amb_cbor_str(amb_cbor_at(list, i), name, sizeof name) ||
+        if (!amb_cbor_copy_string(amb_cbor_list_item(list, i), name, sizeof name) ||
             !amb_duty_work_order_add_machine(work, name))
             return false;
     }
@@ -186,7 +186,7 @@
     if (duty != AMB_DUTY_RENT) return read_text(value, "reason", work->reason, sizeof work->reason);
     return read_text(value, "type", work->type, sizeof work->type) &&
            read_text(value, "zone", work->zone, sizeof work->zone) &&
-           amb_cbor_bool(amb_cbor_get(value, "spot"), &work->spot) &&
+           amb_cbor_get_bool(amb_cbor_map_get(value, "spot"), &work->spot) &&
            read_count(value, "count", &work->count);
 }
 
@@ -196,11 +196,11 @@
     memset(work, 0, sizeof *work);
     enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
-    int state = read_choice(amb_cbor_get(value, "state"), intent_states, COUNT(intent_states));
-    int result = read_choice(amb_cbor_get(value, "result"), results, COUNT(results));
+    int state = read_choice(amb_cbor_map_get(value, "state"), intent_states, COUNT(intent_states));
+    int result = read_choice(amb_cbor_map_get(value, "result"), results, COUNT(results));
     if (state < 0 || result < 0 || !read_number(value, "token", &out->fencing_token) ||
         !read_count(value, "unanswered", &out->unanswered) ||
-        !amb_cbor_bool(amb_cbor_get(value, "withdrawn"), &out->withdrawn) ||
+        !amb_cbor_get_bool(amb_cbor_map_get(value, "withdrawn"), &out->withdrawn) ||
         !read_work(value, out->duty, work)) {
         amb_duty_work_order_free(work);
         return AMB_DUTY_MALFORMED;
@@ -214,7 +214,7 @@
 enum amb_duty_decode_result amb_duty_decode_mode(const cbor_item_t *value, enum amb_duty_mode *out) {
     enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
-    int mode = read_choice(amb_cbor_get(value, "mode"), modes, COUNT(modes));
+    int mode = read_choice(amb_cbor_map_get(value, "mode"), modes, COUNT(modes));
     if (mode < 0) return AMB_DUTY_MALFORMED;
     *out = (enum amb_duty_mode)mode;
     return AMB_DUTY_DECODED;
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -11,7 +11,8 @@
 static enum amb_call_result decode_answer(int status, const cbor_item_t *body, const char *field,
                                           uint64_t *out) {
     enum amb_call_result result = amb_store_call_result(status);
-    if (result == AMB_CALL_OK && !amb_cbor_uint(amb_cbor_get(body, field), out)) return AMB_CALL_LOST;
+    if (result == AMB_CALL_OK && !amb_cbor_get_uint(amb_cbor_map_get(body, field), out))
+        return AMB_CALL_NO_ANSWER;
     return result;
 }
 
--- a/lib/duty/service_queue.c
+++ b/lib/duty/service_queue.c
@@ -40,7 +40,7 @@
 static void enqueue(struct amb_duty_service *service, const struct amb_duty_event *event) {
     if (service->queue_count == service->queue_capacity) {
         service->queue_capacity = service->queue_capacity ? service->queue_capacity * 2 : 8;
-        service->queue = amb_grow(service->queue, service->queue_capacity * sizeof *service->queue);
+        service->queue = amb_realloc(service->queue, service->queue_capacity * sizeof *service->queue);
     }
     service->queue[service->queue_count++] = *event;
 }
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -197,16 +197,16 @@
 /* Applies a page; its last key goes to `after`. How many keys it has, and whether `key` is among them. */
 static size_t apply_page(struct amb_duty_service *service, const cbor_item_t *body, const char *key,
                          bool *found, char *after, size_t cap) {
-    const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
-    size_t count = amb_cbor_len(pairs);
+    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
+    size_t count = amb_cbor_list_length(pairs);
     for (size_t i = 0; i < count; i++) {
-        const cbor_item_t *pair = amb_cbor_at(pairs, i);
+        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
         char path[256];
         uint64_t revision;
-        if (!amb_cbor_str(amb_cbor_get(pair, "path"), path, sizeof path) ||
-            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &revision))
+        if (!amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), path, sizeof path) ||
+            !amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &revision))
             continue;
-        const cbor_item_t *value = amb_cbor_get(pair, "value");
+        const cbor_item_t *value = amb_cbor_map_get(pair, "value");
         if (key && !strcmp(path, key)) *found = true;
         /* Only orders that are known are read: this one has been removed since, and news of it came first. */
         bool is_order = has_prefix(path, AMB_DUTY_ORDER_KEYS);
@@ -226,7 +226,7 @@
     uint64_t revision;
     bool found = false;
     /* The core asks again, in time. */
-    if (!service || status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) return;
+    if (!service || status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) return;
     apply_page(service, body, call.key, &found, NULL, 0);
     if (!found) apply_read(service, call.key, NULL, revision);
 }
@@ -281,7 +281,7 @@
     uint64_t revision;
     bool found, more = false;
     if (!service || !service->listing) return;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) {
+    if (status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
         service->listing_retry_at =
             service->ports.now(service->ports.context) + service->core.settings.call_timeout;
         return;
@@ -289,7 +289,7 @@
     if (!service->listing_revision) service->listing_revision = revision;
     size_t count =
         apply_page(service, body, NULL, &found, service->listing_cursor, sizeof service->listing_cursor);
-    amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
+    amb_cbor_get_bool(amb_cbor_map_get(body, "truncated"), &more);
     if (more && count)
         request_next_page(service);
     else if (!strcmp(service->listing_prefix, AMB_DUTY_KEYS))
--- a/lib/duty/session.c
+++ b/lib/duty/session.c
@@ -172,7 +172,7 @@
     switch (event->result) {
     case AMB_CALL_OK: begin_incarnation(step, event->revision); break;
     case AMB_CALL_CONFLICT:
-    case AMB_CALL_LOST: request_key(step); break;
+    case AMB_CALL_NO_ANSWER: request_key(step); break;
     case AMB_CALL_NOT_FOUND:
     case AMB_CALL_REFUSED: end_incarnation(step, "the member key was refused"); break;
     }
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -35,7 +35,7 @@
 
 /* Sending a worker to a node that is gone costs it seconds of its lease. */
 static bool was_heard_recently(const struct amb_node *node, const char *member) {
-    amb_ms patience = (amb_ms)(node->settings.report_s * 2500);
+    amb_ms patience = (amb_ms)(node->settings.heartbeat_s * 2500);
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (!strcmp(node->peers.list[i].member, member))
             return amb_now() - node->peers.list[i].last_heard_at < patience;
@@ -63,7 +63,7 @@
 /* A leader that no worker reaches serves nobody while it holds the lease: when the workers come to another
  * node, or when no node can be reached either, somebody else should lead. */
 static bool is_unreachable_by_agents(const struct amb_node *node, amb_ms now) {
-    amb_ms silence = (amb_ms)(node->settings.report_s * 3000);
+    amb_ms silence = (amb_ms)(node->settings.heartbeat_s * 3000);
     if (node->election.role != AMB_ROLE_LEADER || now - node->fleet.last_heartbeat_at < silence ||
         now - node->controller.leader_since < silence || !node->controller.restored_at)
         return false;
@@ -127,24 +127,24 @@
 static struct amb_election_apply_key decode_leader_key(const cbor_item_t *value, uint64_t revision) {
     struct amb_election_apply_key key = {.present = value != NULL, .revision = revision};
     if (!value) return key;
-    amb_cbor_str(amb_cbor_get(value, "member"), key.member, sizeof key.member);
-    amb_cbor_uint(amb_cbor_get(value, "nonce"), &key.nonce);
+    amb_cbor_copy_string(amb_cbor_map_get(value, "member"), key.member, sizeof key.member);
+    amb_cbor_get_uint(amb_cbor_map_get(value, "nonce"), &key.nonce);
     return key;
 }
 
 static void on_lease_granted(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = ((struct pending_call *)arg)->node;
     struct amb_election_input input = take_answer(arg, AMB_ELECTION_LEASE_GRANTED, status);
-    if (input.result == AMB_CALL_OK && !amb_cbor_uint(amb_cbor_get(body, "tenure"), &input.lease_id))
-        input.result = AMB_CALL_LOST;
+    if (input.result == AMB_CALL_OK && !amb_cbor_get_uint(amb_cbor_map_get(body, "tenure"), &input.lease_id))
+        input.result = AMB_CALL_NO_ANSWER;
     step_election(node, input);
 }
 
 static void on_claim_answered(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node = ((struct pending_call *)arg)->node;
     struct amb_election_input input = take_answer(arg, AMB_ELECTION_CLAIM_ANSWERED, status);
-    if (input.result == AMB_CALL_OK && !amb_cbor_uint(amb_cbor_get(body, "epoch"), &input.revision))
-        input.result = AMB_CALL_LOST;
+    if (input.result == AMB_CALL_OK && !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &input.revision))
+        input.result = AMB_CALL_NO_ANSWER;
     step_election(node, input);
 }
 
@@ -152,8 +152,8 @@
     struct amb_node *node = ((struct pending_call *)arg)->node;
     struct amb_election_input input = take_answer(arg, AMB_ELECTION_KEY_READ, status);
     uint64_t revision = 0;
-    if (input.result == AMB_CALL_OK && amb_cbor_uint(amb_cbor_get(body, "stamp"), &revision))
-        input.key = decode_leader_key(amb_cbor_get(body, "value"), revision);
+    if (input.result == AMB_CALL_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &revision))
+        input.key = decode_leader_key(amb_cbor_map_get(body, "value"), revision);
     step_election(node, input);
 }
 
@@ -171,11 +171,11 @@
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_txn_compare(&transaction, AMB_LEADER_KEY, action->expected_revision);
-    amb_w_map(&value, 2);
-    amb_w_str(&value, "member");
-    amb_w_str(&value, node->settings.member);
-    amb_w_str(&value, "nonce");
-    amb_w_uint(&value, action->nonce);
+    amb_cbor_write_map(&value, 2);
+    amb_cbor_write_string(&value, "member");
+    amb_cbor_write_string(&value, node->settings.member);
+    amb_cbor_write_string(&value, "nonce");
+    amb_cbor_write_uint(&value, action->nonce);
     amb_txn_put(&transaction, AMB_LEADER_KEY, &value, action->lease_id);
     amb_buf_free(&value);
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_LEASE, on_claim_answered, call);
@@ -252,14 +252,15 @@
 
 void amb_election_start(struct amb_node *node) {
     step_election(node, (struct amb_election_input){.event = AMB_ELECTION_STORE_READ});
-    if (!node->election_timer.slot) on_election_timer(node);
+    if (!node->election_timer.position) on_election_timer(node);
 }
 
 /* ---- settings ---- */
 
 static amb_ms leader_lease_ttl(const struct amb_node *node) {
     enum { SHORTEST = 100, LONGEST = 600000 }; /* what the state service allows */
-    amb_ms ttl = amb_secs(node->options.leader_ttl * amb_settings_lease_base(&node->settings));
+    amb_ms ttl =
+        amb_seconds_to_ms(node->options.leader_lease_share * amb_settings_lease_base_s(&node->settings));
     return ttl < SHORTEST ? SHORTEST : ttl > LONGEST ? LONGEST : ttl;
 }
 
@@ -267,13 +268,14 @@
     struct amb_election *election = &node->election;
     strcpy(election->member, node->settings.member);
     election->ttl = leader_lease_ttl(node);
-    election->fence_after = (amb_ms)((node->settings.cancel_s - node->settings.lease_s) * 1000 * FENCE_SHARE);
-    election->yield_for = (amb_ms)(node->settings.lease_s * 1000);
+    election->fence_after =
+        (amb_ms)((node->settings.cancel_s - node->settings.agent_lease_s) * 1000 * FENCE_SHARE);
+    election->yield_for = (amb_ms)(node->settings.agent_lease_s * 1000);
 }
 
 /* One renewal without an answer must not cost the lead: with calls given up after a report period of 4 s it
  * would have cost a lease of 3 s. */
 amb_ms amb_election_call_timeout(const struct amb_node *node) {
-    amb_ms third = node->election.ttl / 3, report = amb_secs(node->settings.report_s);
+    amb_ms third = node->election.ttl / 3, report = amb_seconds_to_ms(node->settings.heartbeat_s);
     return third < report ? third : report;
 }
--- a/lib/election/format_version.c
+++ b/lib/election/format_version.c
@@ -35,7 +35,7 @@
 
 void amb_format_apply_key(struct amb_node *node, const cbor_item_t *value) {
     uint64_t recorded;
-    if (!amb_cbor_uint(amb_cbor_get(value, "format"), &recorded))
+    if (!amb_cbor_get_uint(amb_cbor_map_get(value, "format"), &recorded))
         return; /* never removed: written for good */
     if (recorded > AMB_FORMAT_LATEST)
         recorded = AMB_FORMAT_LATEST; /* of a later version that has been taken back */
@@ -72,9 +72,9 @@
 static void write_format_key(struct amb_node *node) {
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    amb_w_map(&value, 1);
-    amb_w_str(&value, "format");
-    amb_w_uint(&value, AMB_FORMAT_LATEST);
+    amb_cbor_write_map(&value, 1);
+    amb_cbor_write_string(&value, "format");
+    amb_cbor_write_uint(&value, AMB_FORMAT_LATEST);
     amb_txn_require_leadership(&transaction, node);
     amb_txn_compare(&transaction, FORMAT_KEY, 0);
     amb_txn_put(&transaction, FORMAT_KEY, &value, 0);
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -47,7 +47,7 @@
     struct amb_node *node = arg;
     struct amb_lease_proxy *proxy = &node->lease_proxy;
     if (proxy->state != AMB_LEASE_PROXY_ACQUIRING) return;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "tenure"), &proxy->lease_id)) {
+    if (status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "tenure"), &proxy->lease_id)) {
         stop(node, "no lease to be had");
         return;
     }
@@ -56,11 +56,11 @@
     struct amb_buf value = {0};
     snprintf(key, sizeof key, "a/deputy/%s", node->settings.member);
     amb_txn_compare(&transaction, AMB_LEADER_KEY, proxy->term);
-    amb_w_map(&value, 2);
-    amb_w_str(&value, "zone");
-    amb_w_str(&value, node->settings.zone);
-    amb_w_str(&value, "term");
-    amb_w_uint(&value, proxy->term);
+    amb_cbor_write_map(&value, 2);
+    amb_cbor_write_string(&value, "zone");
+    amb_cbor_write_string(&value, node->settings.zone);
+    amb_cbor_write_string(&value, "term");
+    amb_cbor_write_uint(&value, proxy->term);
     amb_txn_put(&transaction, key, &value, proxy->lease_id);
     amb_buf_free(&value);
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_LEASE, on_key_written, node);
@@ -91,7 +91,7 @@
     for (uint32_t i = 0; i < proxy->known_count; i++)
         if (proxy->known[i].present && proxy->known[i].zone >= 0)
             proxy->zone_covered_at[proxy->known[i].zone] = now;
-    amb_ms heartbeat_period = (amb_ms)(node->settings.report_s * 1000);
+    amb_ms heartbeat_period = (amb_ms)(node->settings.heartbeat_s * 1000);
     bool another_leads = election->role == AMB_ROLE_FOLLOWER && election->holder[0] &&
                          strcmp(election->holder, node->settings.member);
     bool watch_is_current = now - node->jobs.last_read_at < election->ttl;
@@ -147,13 +147,13 @@
     uint32_t i = 0;
     while (i < proxy->known_count && strcmp(proxy->known[i].member, member)) i++;
     if (i == proxy->known_count) {
-        if (!value || proxy->known_count == AMB_PEERS + 1 || strlen(member) >= AMB_NAME_SIZE) return;
+        if (!value || proxy->known_count == AMB_PEERS_MAX + 1 || strlen(member) >= AMB_NAME_SIZE) return;
         strcpy(proxy->known[proxy->known_count++].member, member);
     }
     proxy->known[i].seen = true;
     if (revision < proxy->known[i].stamp) return;
     char zone[AMB_NAME_SIZE] = "";
-    if (value) amb_cbor_str(amb_cbor_get(value, "zone"), zone, sizeof zone);
+    if (value) amb_cbor_copy_string(amb_cbor_map_get(value, "zone"), zone, sizeof zone);
     /* What was known until this moment counts until this moment. */
     if (proxy->known[i].present && proxy->known[i].zone >= 0)
         proxy->zone_covered_at[proxy->known[i].zone] = amb_now();
--- a/lib/election/peer_confirmation.c
+++ b/lib/election/peer_confirmation.c
@@ -2,7 +2,7 @@
 #include "amberpin/node/node.h"
 
 static amb_ms heartbeat_timeout(const struct amb_node *node) {
-    return (amb_ms)(node->settings.report_s * 3000);
+    return (amb_ms)(node->settings.heartbeat_s * 3000);
 }
 
 bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now) {
--- a/lib/election/state_machine.c
+++ b/lib/election/state_machine.c
@@ -149,7 +149,7 @@
     if (election->role != AMB_ROLE_CANDIDATE || input->claim_id != election->claim_id) return;
     switch (input->result) {
     case AMB_CALL_OK: begin_leadership(election, output, input->revision); break;
-    case AMB_CALL_LOST: begin_claim_verification(election, output); break;
+    case AMB_CALL_NO_ANSWER: begin_claim_verification(election, output); break;
     case AMB_CALL_CONFLICT: become_follower(election, output, "somebody else was first"); break;
     default: become_follower(election, output, "the claim was refused");
     }
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -46,27 +46,27 @@
 void amb_heartbeat_reply_commands(struct amb_http_req *request, uint64_t term,
                                   const struct amb_command_list *list) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "baton");
-    amb_w_uint(&buffer, term);
-    amb_w_str(&buffer, "orders");
-    amb_codec_put_orders(&buffer, list->commands, list->count);
-    amb_reply_cbor(request, 200, &buffer, 0);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "baton");
+    amb_cbor_write_uint(&buffer, term);
+    amb_cbor_write_string(&buffer, "orders");
+    amb_codec_encode_commands(&buffer, list->commands, list->count);
+    amb_http_reply_cbor(request, 200, &buffer, 0);
 }
 
 void amb_heartbeat_reply_redirect(struct amb_node *node, struct amb_http_req *request) {
     const char *leader = amb_election_leader_name(node);
     if (node->election.role == AMB_ROLE_FENCED) {
-        amb_reply_cbor(request, 503, NULL, 1);
+        amb_http_reply_cbor(request, 503, NULL, 1);
         return;
     }
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, leader ? 1 : 0);
+    amb_cbor_write_map(&buffer, leader ? 1 : 0);
     if (leader) {
-        amb_w_str(&buffer, "harbour");
-        amb_w_str(&buffer, leader);
+        amb_cbor_write_string(&buffer, "harbour");
+        amb_cbor_write_string(&buffer, leader);
     }
-    amb_reply_cbor(request, 421, &buffer, 0);
+    amb_http_reply_cbor(request, 421, &buffer, 0);
 }
 
 /* ---- /commands ---- */
@@ -79,15 +79,15 @@
 void amb_machine_send_commands(struct amb_node *node, const struct amb_machine *machine, uint64_t incarnation,
                                const struct amb_command_list *list) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 3);
-    amb_w_str(&buffer, "baton");
-    amb_w_uint(&buffer, node->election.term);
-    amb_w_str(&buffer, "watch");
-    amb_w_uint(&buffer, incarnation);
-    amb_w_str(&buffer, "orders");
-    amb_codec_put_orders(&buffer, list->commands, list->count);
+    amb_cbor_write_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "baton");
+    amb_cbor_write_uint(&buffer, node->election.term);
+    amb_cbor_write_string(&buffer, "watch");
+    amb_cbor_write_uint(&buffer, incarnation);
+    amb_cbor_write_string(&buffer, "orders");
+    amb_codec_encode_commands(&buffer, list->commands, list->count);
     amb_http_call(machine->address, "POST", "/commands", "application/cbor", buffer.data, buffer.len,
-                  amb_secs(node->settings.report_s), ignore_reply, NULL);
+                  amb_seconds_to_ms(node->settings.heartbeat_s), ignore_reply, NULL);
     amb_buf_free(&buffer);
 }
 
--- a/lib/fleet/deferred_responses.c
+++ b/lib/fleet/deferred_responses.c
@@ -47,7 +47,7 @@
     struct amb_machine *machine = deferred->machine;
     struct amb_http_req *request = deferred->req;
     struct amb_command_list starts = {entries, AMB_COMMANDS_MAX, 0};
-    if (!amb_election_is_leader(node) || !request->conn) { /* nobody would hear an order */
+    if (!amb_election_is_leader(node) || !request->connection) { /* nobody would hear an order */
         amb_deferred_response_finish(node, machine);
         return;
     }
@@ -65,11 +65,12 @@
     deferred->machine = machine;
     deferred->req = request;
     machine->deferred_response = deferred;
-    request->kept = true;
-    double period_s = node->settings.report_s;
-    amb_timer_in(&deferred->timer,
-                 amb_secs(DEFERRED_SHARE * (period_s < AGENT_TIMEOUT_S ? period_s : AGENT_TIMEOUT_S)),
-                 send_deferred, deferred);
+    request->deferred = true;
+    double period_s = node->settings.heartbeat_s;
+    amb_timer_in(
+        &deferred->timer,
+        amb_seconds_to_ms(DEFERRED_SHARE * (period_s < AGENT_TIMEOUT_S ? period_s : AGENT_TIMEOUT_S)),
+        send_deferred, deferred);
 }
 
 void amb_deferred_response_trigger(struct amb_task *task) {
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -141,7 +141,7 @@
 }
 
 void amb_machine_quarantine(struct amb_machine *machine, double seconds, const char *cause) {
-    amb_ms until = amb_now() + amb_secs(seconds);
+    amb_ms until = amb_now() + amb_seconds_to_ms(seconds);
     if (until > machine->avoid_until) machine->avoid_until = until;
     amb_info("machine %s: no new tasks for %g s: %s", machine->name, seconds, cause);
 }
@@ -150,7 +150,7 @@
     return machine->state == AMB_MACHINE_UP && !machine->release_pending && !machine->drain &&
            !machine->reclaim_at && now >= machine->avoid_until && machine->type_index >= 0 &&
            machine->zone_index >= 0 &&
-           now - machine->last_heartbeat_at < amb_secs(node->settings.report_s * 3);
+           now - machine->last_heartbeat_at < amb_seconds_to_ms(node->settings.heartbeat_s * 3);
 }
 
 void amb_machine_reserve_images(struct amb_machine *machine, uint32_t images) {
@@ -160,9 +160,9 @@
     uint32_t capacity = machine->image_capacity ? machine->image_capacity : INITIAL_CAPACITY;
     while (capacity < images) capacity *= 2;
     machine->image_capacity = capacity < AMB_IMAGES_MAX ? capacity : AMB_IMAGES_MAX;
-    machine->images = amb_grow(machine->images, machine->image_capacity * sizeof *machine->images);
+    machine->images = amb_realloc(machine->images, machine->image_capacity * sizeof *machine->images);
     machine->image_sizes_gb =
-        amb_grow(machine->image_sizes_gb, machine->image_capacity * sizeof *machine->image_sizes_gb);
+        amb_realloc(machine->image_sizes_gb, machine->image_capacity * sizeof *machine->image_sizes_gb);
 }
 
 bool amb_machine_has_image(const struct amb_machine *machine, const char *image) {
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -20,7 +20,7 @@
 
 static void send_to(struct amb_node *node, const struct amb_peer *peer, const char *text) {
     amb_http_call(peer->addr, "POST", NOTICE_PATH, "application/json", text, strlen(text),
-                  (amb_ms)(node->settings.report_s * 1000), ignore_response, NULL);
+                  (amb_ms)(node->settings.heartbeat_s * 1000), ignore_response, NULL);
 }
 
 /* To the leader; to all when nobody is known to lead. `stamp` 0: it is not written yet. */
--- a/lib/job/cancellations.c
+++ b/lib/job/cancellations.c
@@ -26,7 +26,7 @@
     enum { FIRST_CAPACITY = 16 };
     if (list->count < list->capacity) return;
     list->capacity = list->capacity ? 2 * list->capacity : FIRST_CAPACITY;
-    list->entries = amb_grow(list->entries, list->capacity * sizeof *list->entries);
+    list->entries = amb_realloc(list->entries, list->capacity * sizeof *list->entries);
 }
 
 static void insert(struct amb_cancellation_list *list, int64_t key, struct amb_job *job) {
@@ -73,7 +73,7 @@
 /* A job that is still in the leader's care is looked at again when as much time has passed. */
 void amb_cancellations_drop_specs(struct amb_node *node, amb_ms now) {
     struct amb_cancellation_list *with_spec = &node->jobs.cancellations.with_spec;
-    amb_ms heard_by = now - amb_secs(TASKS_GONE_AFTER * node->settings.cancel_s);
+    amb_ms heard_by = now - amb_seconds_to_ms(TASKS_GONE_AFTER * node->settings.cancel_s);
     while (with_spec->count && with_spec->entries[0].key <= heard_by) {
         struct amb_job *job = with_spec->entries[0].job;
         remove_at(with_spec, 0);
--- a/lib/job/jobs.c
+++ b/lib/job/jobs.c
@@ -22,23 +22,23 @@
 
 void amb_job_encode_record(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state) {
     bool brief = state == AMB_JOB_DONE; /* a job that is done needs no description any more */
-    amb_w_map(buffer, brief ? 2 : 2u + (state == AMB_JOB_CANCELLED) + (job->spec != NULL));
-    amb_w_str(buffer, "s");
-    amb_w_str(buffer, amb_codec_job_state(state, false));
+    amb_cbor_write_map(buffer, brief ? 2 : 2u + (state == AMB_JOB_CANCELLED) + (job->spec != NULL));
+    amb_cbor_write_string(buffer, "s");
+    amb_cbor_write_string(buffer, amb_codec_job_state_text(state, false));
     if (brief) {
-        amb_w_str(buffer, "n");
-        amb_w_uint(buffer, job->spec ? job->spec->task_count : job->done_count);
+        amb_cbor_write_string(buffer, "n");
+        amb_cbor_write_uint(buffer, job->spec ? job->spec->task_count : job->done_count);
         return;
     }
-    amb_w_str(buffer, "a");
-    amb_w_uint(buffer, (uint64_t)job->accepted_wall_ms);
+    amb_cbor_write_string(buffer, "a");
+    amb_cbor_write_uint(buffer, (uint64_t)job->accepted_wall_ms);
     if (state == AMB_JOB_CANCELLED) {
-        amb_w_str(buffer, "c");
-        amb_w_uint(buffer, (uint64_t)job->cancelled_wall_ms);
+        amb_cbor_write_string(buffer, "c");
+        amb_cbor_write_uint(buffer, (uint64_t)job->cancelled_wall_ms);
     }
     if (!job->spec) return; /* its record could not be read */
-    amb_w_str(buffer, "d");
-    amb_codec_put_job(buffer, job->spec, job->dependencies);
+    amb_cbor_write_string(buffer, "d");
+    amb_codec_encode_job(buffer, job->spec, job->dependencies);
 }
 
 /* Tasks that can't have been started are taken off their machines, all others are told to stop. */
@@ -58,8 +58,8 @@
 static bool change_state(struct amb_node *node, struct amb_job *job, enum amb_job_state new_state) {
     if (new_state == AMB_JOB_CANCELLED) amb_cancellations_update(node, job);
     if (job->state == new_state) return false;
-    amb_info("job %s: %s -> %s", job->ref, amb_codec_job_state(job->state, false),
-             amb_codec_job_state(new_state, false));
+    amb_info("job %s: %s -> %s", job->ref, amb_codec_job_state_text(job->state, false),
+             amb_codec_job_state_text(new_state, false));
     job->state = new_state;
     if (new_state == AMB_JOB_DONE && !job->active) amb_job_drop_spec(node, job);
     if (new_state == AMB_JOB_CANCELLED && job->active) {
@@ -98,50 +98,50 @@
 };
 
 static enum amb_job_state read_state(const cbor_item_t *value) {
-    const cbor_item_t *state = amb_cbor_get(value, "s");
-    if (amb_cbor_eq(state, "done")) return AMB_JOB_DONE;
-    return amb_cbor_eq(state, "cancelled") ? AMB_JOB_CANCELLED : AMB_JOB_QUEUED;
+    const cbor_item_t *state = amb_cbor_map_get(value, "s");
+    if (amb_cbor_equals(state, "done")) return AMB_JOB_DONE;
+    return amb_cbor_equals(state, "cancelled") ? AMB_JOB_CANCELLED : AMB_JOB_QUEUED;
 }
 
 static struct job_record record_of_item(const cbor_item_t *value) {
-    struct job_record record = {.state = read_state(value), .description = amb_cbor_get(value, "d")};
-    record.has_accepted = amb_cbor_uint(amb_cbor_get(value, "a"), &record.accepted_wall_ms);
-    record.has_cancelled = amb_cbor_uint(amb_cbor_get(value, "c"), &record.cancelled_wall_ms);
-    record.has_tasks_done = amb_cbor_uint(amb_cbor_get(value, "n"), &record.tasks_done);
+    struct job_record record = {.state = read_state(value), .description = amb_cbor_map_get(value, "d")};
+    record.has_accepted = amb_cbor_get_uint(amb_cbor_map_get(value, "a"), &record.accepted_wall_ms);
+    record.has_cancelled = amb_cbor_get_uint(amb_cbor_map_get(value, "c"), &record.cancelled_wall_ms);
+    record.has_tasks_done = amb_cbor_get_uint(amb_cbor_map_get(value, "n"), &record.tasks_done);
     return record;
 }
 
-static enum amb_job_state state_named(struct amb_cbor_text name) {
-    if (amb_cbor_text_is(name, "done")) return AMB_JOB_DONE;
-    return amb_cbor_text_is(name, "cancelled") ? AMB_JOB_CANCELLED : AMB_JOB_QUEUED;
+static enum amb_job_state state_named(struct amb_cbor_dup_string name) {
+    if (amb_cbor_text_equals(name, "done")) return AMB_JOB_DONE;
+    return amb_cbor_text_equals(name, "cancelled") ? AMB_JOB_CANCELLED : AMB_JOB_QUEUED;
 }
 
 /* A field that comes twice makes the reader odd. */
 static uint64_t read_unique_uint(struct amb_cbor_reader *reader, bool *seen) {
-    if (*seen) reader->odd = true;
+    if (*seen) reader->failed = true;
     *seen = true;
     return amb_cbor_read_uint(reader);
 }
 
 static void read_field(struct amb_cbor_reader *reader, struct job_record *record, bool *has_state) {
-    struct amb_cbor_text name = amb_cbor_read_text(reader);
-    if (amb_cbor_text_is(name, "s")) {
-        if (*has_state) reader->odd = true;
+    struct amb_cbor_dup_string name = amb_cbor_read_text(reader);
+    if (amb_cbor_text_equals(name, "s")) {
+        if (*has_state) reader->failed = true;
         *has_state = true;
         record->state = state_named(amb_cbor_read_text(reader));
-    } else if (amb_cbor_text_is(name, "a")) {
+    } else if (amb_cbor_text_equals(name, "a")) {
         record->accepted_wall_ms = read_unique_uint(reader, &record->has_accepted);
-    } else if (amb_cbor_text_is(name, "c")) {
+    } else if (amb_cbor_text_equals(name, "c")) {
         record->cancelled_wall_ms = read_unique_uint(reader, &record->has_cancelled);
-    } else if (amb_cbor_text_is(name, "n")) {
+    } else if (amb_cbor_text_equals(name, "n")) {
         record->tasks_done = read_unique_uint(reader, &record->has_tasks_done);
-    } else if (amb_cbor_text_is(name, "d")) {
-        if (record->description_start) reader->odd = true;
+    } else if (amb_cbor_text_equals(name, "d")) {
+        if (record->description_start) reader->failed = true;
         record->description_start = reader->at;
-        amb_cbor_skip(reader);
+        amb_cbor_skip_value(reader);
         record->description_end = reader->at;
     } else {
-        amb_cbor_skip(reader);
+        amb_cbor_skip_value(reader);
     }
 }
 
@@ -150,18 +150,18 @@
     struct amb_cbor_reader reader = amb_cbor_reader(value, value_len);
     bool has_state = false;
     *record = (struct job_record){.state = AMB_JOB_QUEUED};
-    for (size_t pairs = amb_cbor_read_map(&reader); pairs && !reader.odd; pairs--)
+    for (size_t pairs = amb_cbor_read_map(&reader); pairs && !reader.failed; pairs--)
         read_field(&reader, record, &has_state);
-    return !reader.odd && reader.at == reader.end;
+    return !reader.failed && reader.at == reader.end;
 }
 
 static void read_spec(struct amb_node *node, struct amb_job *job, const cbor_item_t *description) {
     struct amb_job_spec *spec = amb_alloc(sizeof *spec);
-    if (amb_codec_spec(description, spec) == AMB_PARSE_OK &&
-        amb_codec_awaits(description, &job->dependencies) == AMB_PARSE_OK) {
+    if (amb_codec_decode_spec(description, spec) == AMB_CODEC_OK &&
+        amb_codec_decode_dependencies(description, &job->dependencies) == AMB_CODEC_OK) {
         job->spec = spec;
         node->jobs.spec_count++;
-        job->team = amb_settings_team(&node->settings, spec->team);
+        job->team = amb_settings_find_team(&node->settings, spec->team);
     } else {
         amb_error("job %s: its record can't be read", job->ref);
         free(spec);
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -58,8 +58,9 @@
 static struct amb_dependent make_dependent(const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
     int64_t due_wall_ms =
-        spec->deadline_s > 0 ? job->accepted_wall_ms + amb_secs(spec->deadline_s) : AMB_NO_DUE;
-    return (struct amb_dependent){{spec->priority, due_wall_ms}, amb_secs(amb_job_spec_work_s(spec))};
+        spec->deadline_s > 0 ? job->accepted_wall_ms + amb_seconds_to_ms(spec->deadline_s) : AMB_NO_DUE;
+    return (struct amb_dependent){{spec->priority, due_wall_ms},
+                                  amb_seconds_to_ms(amb_job_spec_work_s(spec))};
 }
 
 void amb_pipeline_add_job(struct amb_node *node, struct amb_job *job) {
@@ -82,7 +83,7 @@
 /* The latest time of day at which its tasks may start for the job to be in time. */
 static int64_t latest_start_wall_ms(const struct amb_job *job) {
     int64_t due = amb_job_due_wall_ms(job);
-    return due == AMB_NO_DUE ? AMB_NO_DUE : due - amb_secs(amb_job_spec_work_s(job->spec));
+    return due == AMB_NO_DUE ? AMB_NO_DUE : due - amb_seconds_to_ms(amb_job_spec_work_s(job->spec));
 }
 
 void amb_pipelines_update_priorities(struct amb_node *node) {
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -59,7 +59,7 @@
 
 struct amb_placement_block *amb_placement_blocks_add_superseded(struct amb_job *job) {
     job->superseded_blocks =
-        amb_grow(job->superseded_blocks, (job->superseded_count + 1) * sizeof *job->superseded_blocks);
+        amb_realloc(job->superseded_blocks, (job->superseded_count + 1) * sizeof *job->superseded_blocks);
     struct amb_placement_block *block = &job->superseded_blocks[job->superseded_count++];
     memset(block, 0, sizeof *block);
     block->job = job;
--- a/lib/job/tasks.c
+++ b/lib/job/tasks.c
@@ -87,7 +87,7 @@
 void amb_task_set_state(struct amb_node *node, struct amb_task *task, enum amb_task_set_state new_state,
                         const char *cause) {
     (void)node;
-    if (task->state != new_state && amb_log_on(AMB_DEBUG))
+    if (task->state != new_state && amb_log_is_enabled(AMB_LOG_DEBUG))
         amb_debug("task %s/%u try %llu on %s: %s -> %s: %s", task->job->ref, task->index,
                   (unsigned long long)task->attempt, task->machine ? task->machine->name : "-",
                   task_state_name(task->state), task_state_name(new_state), cause);
--- a/lib/kvstore/client.c
+++ b/lib/kvstore/client.c
@@ -27,7 +27,7 @@
     case 200: return AMB_CALL_OK;
     case 404: return AMB_CALL_NOT_FOUND;
     case 409: return AMB_CALL_CONFLICT;
-    case 0: return AMB_CALL_LOST;
+    case 0: return AMB_CALL_NO_ANSWER;
     default: return AMB_CALL_REFUSED;
     }
 }
@@ -35,32 +35,32 @@
 /* ---- transactions ---- */
 
 void amb_txn_compare(struct amb_txn *transaction, const char *key, uint64_t revision) {
-    amb_w_map(&transaction->compares, 2);
-    amb_w_str(&transaction->compares, "path");
-    amb_w_str(&transaction->compares, key);
-    amb_w_str(&transaction->compares, "stamp");
-    amb_w_uint(&transaction->compares, revision);
+    amb_cbor_write_map(&transaction->compares, 2);
+    amb_cbor_write_string(&transaction->compares, "path");
+    amb_cbor_write_string(&transaction->compares, key);
+    amb_cbor_write_string(&transaction->compares, "stamp");
+    amb_cbor_write_uint(&transaction->compares, revision);
     transaction->compare_count++;
 }
 
 void amb_txn_put(struct amb_txn *transaction, const char *key, const struct amb_buf *value,
                  uint64_t lease_id) {
-    amb_w_map(&transaction->operations, lease_id ? 3 : 2);
-    amb_w_str(&transaction->operations, "put");
-    amb_w_str(&transaction->operations, key);
-    amb_w_str(&transaction->operations, "value");
-    amb_buf_add(&transaction->operations, value->data, value->len);
+    amb_cbor_write_map(&transaction->operations, lease_id ? 3 : 2);
+    amb_cbor_write_string(&transaction->operations, "put");
+    amb_cbor_write_string(&transaction->operations, key);
+    amb_cbor_write_string(&transaction->operations, "value");
+    amb_buf_append(&transaction->operations, value->data, value->len);
     if (lease_id) {
-        amb_w_str(&transaction->operations, "tenure");
-        amb_w_uint(&transaction->operations, lease_id);
+        amb_cbor_write_string(&transaction->operations, "tenure");
+        amb_cbor_write_uint(&transaction->operations, lease_id);
     }
     transaction->operation_count++;
 }
 
 void amb_txn_remove(struct amb_txn *transaction, const char *key) {
-    amb_w_map(&transaction->operations, 1);
-    amb_w_str(&transaction->operations, "remove");
-    amb_w_str(&transaction->operations, key);
+    amb_cbor_write_map(&transaction->operations, 1);
+    amb_cbor_write_string(&transaction->operations, "remove");
+    amb_cbor_write_string(&transaction->operations, key);
     transaction->operation_count++;
 }
 
@@ -122,7 +122,8 @@
         if (status != 200)
             store->user_write_bucket.tokens -= request->write_count; /* no news will tell of it */
     }
-    if (status == AMB_HTTP_ANSWER_TOO_LONG && !request->on_bytes) status = 0; /* what it said is not known */
+    if (status == AMB_HTTP_RESPONSE_TOO_LARGE && !request->on_bytes)
+        status = 0; /* what it said is not known */
     if (request->on_bytes)
         request->on_bytes(request->arg, status, body, len);
     else
@@ -287,11 +288,11 @@
 
 void amb_store_init(struct amb_store *store, const struct amb_settings *settings, amb_ms call_timeout) {
     memset(store, 0, sizeof *store);
-    strcpy(store->address, settings->state);
-    store->requests_per_second = settings->state_rps;
-    store->writes_per_second = settings->state_write_rps;
+    strcpy(store->address, settings->store_addr);
+    store->requests_per_second = settings->store_rps;
+    store->writes_per_second = settings->store_write_rps;
     store->lowered_writes_per_second = amb_settings_lowered_limits(settings).write_rps;
-    store->member_count = settings->npeers + 1;
+    store->member_count = settings->peer_count + 1;
     store->call_timeout = call_timeout;
     store->request_bucket.tokens = store->requests_per_second / store->member_count;
     store->write_bucket.tokens = store->writes_per_second / store->member_count;
@@ -382,13 +383,13 @@
     struct amb_store_request *request = request_new(store, "POST", priority, on_done, arg);
     strcpy(request->path, "/commit");
     request->write_count = transaction->operation_count;
-    amb_w_map(&request->body, 2);
-    amb_w_str(&request->body, "guards");
-    amb_w_list(&request->body, transaction->compare_count);
-    amb_buf_add(&request->body, transaction->compares.data, transaction->compares.len);
-    amb_w_str(&request->body, "then");
-    amb_w_list(&request->body, transaction->operation_count);
-    amb_buf_add(&request->body, transaction->operations.data, transaction->operations.len);
+    amb_cbor_write_map(&request->body, 2);
+    amb_cbor_write_string(&request->body, "guards");
+    amb_cbor_write_list(&request->body, transaction->compare_count);
+    amb_buf_append(&request->body, transaction->compares.data, transaction->compares.len);
+    amb_cbor_write_string(&request->body, "then");
+    amb_cbor_write_list(&request->body, transaction->operation_count);
+    amb_buf_append(&request->body, transaction->operations.data, transaction->operations.len);
     amb_buf_free(&transaction->compares);
     amb_buf_free(&transaction->operations);
     memset(transaction, 0, sizeof *transaction);
@@ -398,9 +399,9 @@
 void amb_store_grant_lease(struct amb_store *store, amb_ms ttl, amb_store_callback on_done, void *arg) {
     struct amb_store_request *request = request_new(store, "POST", AMB_STORE_PRIORITY_LEASE, on_done, arg);
     strcpy(request->path, "/leases");
-    amb_w_map(&request->body, 1);
-    amb_w_str(&request->body, "ttl_ms");
-    amb_w_uint(&request->body, (uint64_t)ttl);
+    amb_cbor_write_map(&request->body, 1);
+    amb_cbor_write_string(&request->body, "ttl_ms");
+    amb_cbor_write_uint(&request->body, (uint64_t)ttl);
     request_enqueue(request);
 }
 
--- a/lib/model/absence_proof.c
+++ b/lib/model/absence_proof.c
@@ -40,7 +40,7 @@
 }
 
 amb_ms amb_absence_lease_span(double lease_s, double heartbeat_interval_s) {
-    return amb_secs(lease_s * LEASE_DRIFT_FACTOR + heartbeat_interval_s * LEASE_MARGIN_HEARTBEATS);
+    return amb_seconds_to_ms(lease_s * LEASE_DRIFT_FACTOR + heartbeat_interval_s * LEASE_MARGIN_HEARTBEATS);
 }
 
 enum amb_absence amb_absence_by_lease(const struct amb_lease_evidence *evidence) {
@@ -54,7 +54,7 @@
 }
 
 amb_ms amb_absence_list_span(double list_lag_s, double heartbeat_interval_s) {
-    return amb_secs(list_lag_s * LIST_LAG_FACTOR + heartbeat_interval_s * LIST_MARGIN_HEARTBEATS);
+    return amb_seconds_to_ms(list_lag_s * LIST_LAG_FACTOR + heartbeat_interval_s * LIST_MARGIN_HEARTBEATS);
 }
 
 enum amb_absence amb_absence_by_list(const struct amb_list_evidence *evidence) {
--- a/lib/node/memory_budget.c
+++ b/lib/node/memory_budget.c
@@ -66,7 +66,7 @@
 }
 
 size_t amb_memory_max_peer_message_bytes(const struct amb_settings *settings) {
-    size_t peers = settings->npeers ? settings->npeers : 1;
+    size_t peers = settings->peer_count ? settings->peer_count : 1;
     return share_of(settings, PEER_MESSAGE_SHARE) / (peers * (size_t)MESSAGES_OF_A_PEER);
 }
 
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -105,7 +105,7 @@
     if (len > amb_memory_max_peer_message_bytes(&node->settings)) return;
     json_decref(message->parsed);
     message->parsed = json_incref(parsed);
-    message->text = amb_grow(message->text, len);
+    message->text = amb_realloc(message->text, len);
     memcpy(message->text, text, len);
     message->len = len;
 }
@@ -141,7 +141,7 @@
 }
 
 void amb_peer_clear_received_messages(struct amb_node *node) {
-    for (uint32_t i = 0; i < AMB_PEERS; i++) {
+    for (uint32_t i = 0; i < AMB_PEERS_MAX; i++) {
         clear_cached_message(&node->peers.list[i].last_heartbeat);
         clear_cached_message(&node->peers.list[i].last_reply);
     }
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -20,11 +20,11 @@
 
 static bool is_own_store_reachable(const struct amb_node *node, amb_ms now) {
     return node->store.last_success_at > node->store.last_failure_at ||
-           now - node->store.last_failure_at > (amb_ms)(node->settings.report_s * 3000);
+           now - node->store.last_failure_at > (amb_ms)(node->settings.heartbeat_s * 3000);
 }
 
 static amb_ms agent_heartbeat_timeout(const struct amb_node *node) {
-    return (amb_ms)(node->settings.report_s * 3000);
+    return (amb_ms)(node->settings.heartbeat_s * 3000);
 }
 
 static void append_cancellation(json_t *list, const struct amb_job *job) {
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -20,7 +20,7 @@
 static void send_heartbeats(void *arg) {
     struct amb_node *node = arg;
     amb_ms now = amb_now();
-    amb_timer_in(&node->peers.heartbeat_timer, (amb_ms)(node->settings.report_s * 500), send_heartbeats,
+    amb_timer_in(&node->peers.heartbeat_timer, (amb_ms)(node->settings.heartbeat_s * 500), send_heartbeats,
                  node);
     char *text = amb_peer_encode_heartbeat(node);
     size_t len = strlen(text);
@@ -35,7 +35,7 @@
         peer->heartbeat_in_flight = true;
         peer->heartbeat_sent_at = now;
         amb_http_call(peer->addr, "POST", "/peer/heartbeat", "application/json", text, len,
-                      (amb_ms)(node->settings.report_s * 1000), handle_reply, peer);
+                      (amb_ms)(node->settings.heartbeat_s * 1000), handle_reply, peer);
     }
     if (sent_to_all) amb_peer_mark_heartbeat_sent(node);
     free(text);
@@ -88,7 +88,7 @@
 }
 
 void amb_peer_start(struct amb_node *node) {
-    node->peers.count = node->settings.npeers;
+    node->peers.count = node->settings.peer_count;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         struct amb_peer *peer = &node->peers.list[i];
         strcpy(peer->member, node->settings.peers[i].member);
@@ -97,7 +97,7 @@
     }
     node->peer_server =
         amb_server_open(node->settings.peer_listen, 4 * (int)node->peers.count + 8, AMB_HEARTBEAT_MAX_BYTES,
-                        (amb_ms)(node->settings.lease_s * 1000), handle_request, node);
+                        (amb_ms)(node->settings.agent_lease_s * 1000), handle_request, node);
     if (!node->peer_server) {
         amb_error("cluster_listen %s can't be opened", node->settings.peer_listen);
         return;
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -47,8 +47,8 @@
 
 static void tree_grow(struct winner_tree *tree) {
     uint32_t capacity = tree->capacity ? 2 * tree->capacity : INITIAL_CAPACITY;
-    tree->scores = amb_grow(tree->scores, capacity * sizeof *tree->scores);
-    tree->winners = amb_grow(tree->winners, capacity * sizeof *tree->winners);
+    tree->scores = amb_realloc(tree->scores, capacity * sizeof *tree->scores);
+    tree->winners = amb_realloc(tree->winners, capacity * sizeof *tree->winners);
     for (uint32_t i = tree->capacity; i < capacity; i++) tree->scores[i] = SCORE_INFEASIBLE;
     tree->capacity = capacity;
     for (uint32_t position = capacity - 1; position >= 1; position--) update_winner(tree, position);
@@ -149,7 +149,7 @@
     if (rankings->place_capacity < list->count) {
         rankings->place_capacity = list->count + list->count / 2;
         rankings->place_in_zone =
-            amb_grow(rankings->place_in_zone, rankings->place_capacity * sizeof *rankings->place_in_zone);
+            amb_realloc(rankings->place_in_zone, rankings->place_capacity * sizeof *rankings->place_in_zone);
     }
     for (; rankings->indexed_count < list->count; rankings->indexed_count++) {
         int zone_index = list->slots[rankings->indexed_count].zone;
@@ -157,7 +157,7 @@
         struct amb_zone_slots *zone = &rankings->zones[zone_index];
         if (zone->count == zone->capacity) {
             zone->capacity = zone->capacity ? 2 * zone->capacity : INITIAL_CAPACITY;
-            zone->slots = amb_grow(zone->slots, zone->capacity * sizeof *zone->slots);
+            zone->slots = amb_realloc(zone->slots, zone->capacity * sizeof *zone->slots);
         }
         rankings->place_in_zone[rankings->indexed_count] = zone->count;
         zone->slots[zone->count++] = rankings->indexed_count;
@@ -217,12 +217,12 @@
         rankings->change_capacity =
             rankings->change_capacity ? 2 * rankings->change_capacity : INITIAL_CAPACITY;
         rankings->changed_slots =
-            amb_grow(rankings->changed_slots, rankings->change_capacity * sizeof *rankings->changed_slots);
+            amb_realloc(rankings->changed_slots, rankings->change_capacity * sizeof *rankings->changed_slots);
     }
     if (slot_index >= rankings->latest_change_capacity) {
         rankings->latest_change_capacity = slot_index + slot_index / 2 + INITIAL_CAPACITY;
-        rankings->latest_change = amb_grow(rankings->latest_change, rankings->latest_change_capacity *
-                                                                        sizeof *rankings->latest_change);
+        rankings->latest_change = amb_realloc(rankings->latest_change, rankings->latest_change_capacity *
+                                                                           sizeof *rankings->latest_change);
     }
     rankings->latest_change[slot_index] = rankings->change_count;
     rankings->changed_slots[rankings->change_count++] = slot_index;
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -42,8 +42,8 @@
     struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
     uint64_t revision = 0;
     if (!block || block->superseded || !block->write_in_flight) return;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &revision)) {
-        if (amb_cbor_eq(amb_cbor_get(amb_cbor_get(body, "value"), "w"), block->write_id)) {
+    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &revision)) {
+        if (amb_cbor_equals(amb_cbor_map_get(amb_cbor_map_get(body, "value"), "w"), block->write_id)) {
             complete_write(node, block, revision);
             return;
         }
@@ -76,7 +76,7 @@
     struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
     uint64_t revision;
     if (!block || block->superseded) return;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) {
+    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
         complete_write(node, block, revision);
         return;
     }
--- a/lib/placement_log/flush.c
+++ b/lib/placement_log/flush.c
@@ -25,7 +25,7 @@
     }
     if (block->job->state != AMB_JOB_QUEUED) return amb_placement_log_remove_block(node, block, now);
     /* Results wait a little so that one write holds several; placements go at once. */
-    amb_ms flush_delay = block->urgent ? 0 : (amb_ms)(node->settings.report_s * 2000);
+    amb_ms flush_delay = block->urgent ? 0 : (amb_ms)(node->settings.heartbeat_s * 2000);
     if (block->dirty && now >= block->retry_at && now - block->dirty_at >= flush_delay)
         amb_placement_log_write_block(node, block);
     return false;
--- a/lib/placement_log/job_end.c
+++ b/lib/placement_log/job_end.c
@@ -13,7 +13,7 @@
     if (status == 404) {
         block->revision = 0;
         block->revision_uncertain = false;
-    } else if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &block->revision)) {
+    } else if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &block->revision)) {
         block->revision_uncertain = false;
     }
     block->retry_at = amb_now() + node->store.call_timeout / 4;
@@ -59,7 +59,7 @@
     job->completion_in_flight = false;
     job->completion_retry_at = amb_now() + node->store.call_timeout / 5;
     uint64_t revision;
-    if (status == 200 && amb_cbor_uint(amb_cbor_get(body, "epoch"), &revision)) {
+    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
         amb_job_apply_own_write(node, job, AMB_JOB_DONE, revision);
     } else if (status == 409) {
         /* If it was not the term, the job was cancelled, or an earlier try went through: news tells. */
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -9,8 +9,8 @@
 
 static int find_in_catalog(const cbor_item_t *names, long position, struct amb_node *node, bool zone) {
     char name[AMB_NAME_SIZE];
-    if (position < 0 || (size_t)position >= amb_cbor_len(names) ||
-        !amb_cbor_str(amb_cbor_at(names, (size_t)position), name, sizeof name))
+    if (position < 0 || (size_t)position >= amb_cbor_list_length(names) ||
+        !amb_cbor_copy_string(amb_cbor_list_item(names, (size_t)position), name, sizeof name))
         return -1;
     return zone ? amb_catalog_find_or_add_zone(&node->catalog, name)
                 : amb_catalog_find_type(&node->catalog, name);
@@ -78,10 +78,10 @@
     if (!machine) return;
     if (machine->type_index < 0)
         machine->type_index =
-            find_in_catalog(amb_cbor_get(restore->value, "t"), placement->type, node, false);
+            find_in_catalog(amb_cbor_map_get(restore->value, "t"), placement->type, node, false);
     if (machine->zone_index < 0)
-        amb_machine_set_zone(machine,
-                             find_in_catalog(amb_cbor_get(restore->value, "z"), placement->zone, node, true));
+        amb_machine_set_zone(
+            machine, find_in_catalog(amb_cbor_map_get(restore->value, "z"), placement->zone, node, true));
     /* A list asked for long after that must name the machine: else it is gone, and need not be waited for as
      * if it had been met just now. */
     if (restore->age > 0 && amb_now() - restore->age < machine->first_known_at)
@@ -100,7 +100,7 @@
 
 static amb_ms value_age(const cbor_item_t *value) {
     uint64_t written_wall_ms;
-    return amb_cbor_uint(amb_cbor_get(value, "at"), &written_wall_ms)
+    return amb_cbor_get_uint(amb_cbor_map_get(value, "at"), &written_wall_ms)
                ? amb_wall_ms() - (int64_t)written_wall_ms
                : 0;
 }
@@ -122,7 +122,8 @@
                               .age = value_age(value),
                               .range = possible_task_range(block->job, block->id),
                               .superseded = find_superseded_tasks(block->job, block)};
-    char *done = amb_cbor_text(amb_cbor_get(value, "d")), *placed = amb_cbor_text(amb_cbor_get(value, "p"));
+    char *done = amb_cbor_dup_string(amb_cbor_map_get(value, "d")),
+         *placed = amb_cbor_dup_string(amb_cbor_map_get(value, "p"));
     if (done) restore_completed(&restore, done);
     if (placed) restore_placements(&restore, placed);
     free(done);
@@ -167,7 +168,7 @@
     struct amb_placement_block *block = find_or_add_block(node, job, id);
     block->revision = revision;
     uint64_t next_attempt;
-    if (amb_cbor_uint(amb_cbor_get(value, "n"), &next_attempt) && next_attempt > job->next_attempt)
+    if (amb_cbor_get_uint(amb_cbor_map_get(value, "n"), &next_attempt) && next_attempt > job->next_attempt)
         job->next_attempt = next_attempt;
     struct amb_task_range mentioned = restore_value(node, block, value);
     if (job->spec->kind == AMB_JOB_KIND_GANG && job->bound_count && job->gang_state == AMB_GANG_IDLE)
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -53,8 +53,8 @@
 }
 
 void amb_placement_log_handle_conflict(struct amb_node *node, const cbor_item_t *body) {
-    const cbor_item_t *failed = amb_cbor_get(body, "failed");
-    for (size_t i = 0; i < amb_cbor_len(failed); i++)
-        if (amb_cbor_eq(amb_cbor_at(failed, i), AMB_LEADER_KEY))
+    const cbor_item_t *failed = amb_cbor_map_get(body, "failed");
+    for (size_t i = 0; i < amb_cbor_list_length(failed); i++)
+        if (amb_cbor_equals(amb_cbor_list_item(failed, i), AMB_LEADER_KEY))
             amb_election_observe_term(node, node->election.term + 1, "a refused write");
 }
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -29,7 +29,7 @@
     } choices[AMB_MACHINE_TYPES_MAX * AMB_ZONES_MAX * 2]; /* of those to be rented */
     uint32_t counted_zone_count; /* counted for tasks of the job at hand that are only planned */
     int *counted_zones;
-    struct amb_resources planned_usage[AMB_TEAMS]; /* planned for each team on top of what it uses */
+    struct amb_resources planned_usage[AMB_TEAMS_MAX]; /* planned for each team on top of what it uses */
 };
 
 static double max_tasks_that_fit(const struct amb_resources *need, const struct amb_resources *size) {
@@ -194,14 +194,14 @@
 static void plan_replacements(struct capacity_plan *plan) {
     struct amb_cycle *cycle = plan->cycle;
     struct amb_node *node = cycle->node;
-    amb_ms silence_limit =
-        amb_secs(node->settings.lease_s * 0.65); /* longer than a worker takes to find another node */
+    amb_ms silence_limit = amb_seconds_to_ms(node->settings.agent_lease_s *
+                                             0.65); /* longer than a worker takes to find another node */
     amb_ms latest_heartbeat = 0;
     for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         if (machine->last_heartbeat_at > latest_heartbeat) latest_heartbeat = machine->last_heartbeat_at;
     /* Nobody heard at all: it is this node that is out of reach. (A new leader in that place once rented
      * twice its fleet anew within 14 s.) */
-    if (cycle->now - latest_heartbeat > amb_secs(node->settings.report_s * 3)) return;
+    if (cycle->now - latest_heartbeat > amb_seconds_to_ms(node->settings.heartbeat_s * 3)) return;
     amb_cycle_annotate_ignoring_image(cycle);
     for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next) {
         amb_ms last_heard = machine->last_heartbeat_at > node->controller.leader_since
@@ -263,10 +263,10 @@
         /* Arrivals come and tasks end about as often: what is left to cover is their spread. Of gangs some
          * surely end meanwhile; services run until somebody says so. */
         double share = demand->last_spec.kind == AMB_JOB_KIND_GANG ? 2.0 / 3 : 1;
-        double expected_tasks = node->options.headroom * share *
+        double expected_tasks = node->options.headroom_deviations * share *
                                 sqrt(demand->tasks_per_s * decay * boot_s * demand->mean_square_tasks);
         const struct amb_preemption_claim claim = amb_cycle_make_claim(
-            &demand->last_spec, amb_settings_team(&node->settings, demand->last_spec.team));
+            &demand->last_spec, amb_settings_find_team(&node->settings, demand->last_spec.team));
         struct amb_placement_request request = {.need = demand->last_spec.task_resources,
                                                 .type_mask = mask,
                                                 .zone = -1,
@@ -309,7 +309,7 @@
         /* Idle since batch work may not start there yet, for a bounded time. */
         if (cycle->zones_without_batch >> machine->zone_index & 1) continue;
         const struct amb_machine_type *type = &node->catalog.types[machine->type_index];
-        amb_ms idle_limit = amb_secs(type->boot_s * node->options.idle_return);
+        amb_ms idle_limit = amb_seconds_to_ms(type->boot_s * node->options.idle_release_share);
         amb_ms leading_for = cycle->now - node->controller.leader_since;
         if (cycle->now - machine->idle_since > idle_limit && leading_for > idle_limit)
             amb_cloud_scale_in(node, machine, "idle");
@@ -328,7 +328,8 @@
     if (task->stop_requested || task->state != AMB_TASK_SEEN || !task->running_at ||
         job->state != AMB_JOB_QUEUED)
         return false;
-    if (cycle->now - task->running_at < amb_secs(cycle->node->settings.lease_s * 4)) return false;
+    if (cycle->now - task->running_at < amb_seconds_to_ms(cycle->node->settings.agent_lease_s * 4))
+        return false;
     amb_cycle_annotate_for_image(cycle, job->spec, job->spec->image);
     amb_cycle_init_request(cycle, job, &request);
     int zone = task->machine->zone_index;
@@ -377,7 +378,7 @@
     struct amb_node *node = cycle->node;
     struct amb_controller *controller = &node->controller;
     struct amb_resources usage = {0, 0, 0};
-    for (uint32_t i = 0; i < node->settings.nteams; i++) {
+    for (uint32_t i = 0; i < node->settings.team_count; i++) {
         amb_resources_add(&usage, &node->settings.teams[i].used, 1);
         amb_resources_add(&usage, &plan->planned_usage[i], 1); /* what waits and may start */
     }
@@ -455,7 +456,8 @@
     struct amb_machine *machine, *next;
     HASH_ITER(hh, node->fleet.machines, machine, next) {
         if (machine->state != AMB_MACHINE_BOOTING || machine->type_index < 0) continue;
-        if (now - machine->created_at > amb_secs(node->catalog.types[machine->type_index].boot_s * 4))
+        if (now - machine->created_at >
+            amb_seconds_to_ms(node->catalog.types[machine->type_index].boot_s * 4))
             amb_cloud_release(node, machine, "it does not come up");
     }
 }
@@ -526,7 +528,7 @@
         strcpy(demand->class_name, spec->class_name);
         demand->updated_at = ready_at;
     }
-    double decay_s = fmax(4 * longest_boot_s(node), node->settings.lease_s);
+    double decay_s = fmax(4 * longest_boot_s(node), node->settings.agent_lease_s);
     double elapsed_s =
         (double)(ready_at - demand->updated_at) / 1000; /* negative: an earlier job that was heard of later */
     if (elapsed_s >= 0) {
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -14,7 +14,7 @@
 static struct amb_slot *append_slot(struct amb_cycle *cycle) {
     if (cycle->slot_count == cycle->slot_capacity) {
         cycle->slot_capacity = cycle->slot_capacity ? cycle->slot_capacity * 2 : 128;
-        cycle->slots = amb_grow(cycle->slots, cycle->slot_capacity * sizeof *cycle->slots);
+        cycle->slots = amb_realloc(cycle->slots, cycle->slot_capacity * sizeof *cycle->slots);
     }
     struct amb_slot *slot = &cycle->slots[cycle->slot_count++];
     memset(slot, 0, sizeof *slot);
@@ -90,11 +90,11 @@
         }
         /* Counted on while it may still come up in time; after that another is rented in its place. */
         double boot_s = cycle->node->catalog.types[machine->type_index].boot_s;
-        bool boots_in_time =
-            machine->state == AMB_MACHINE_BOOTING && cycle->now - machine->created_at < amb_secs(boot_s * 2);
-        bool recently_seen =
-            machine->state == AMB_MACHINE_UNPROVEN &&
-            cycle->now - machine->last_heartbeat_at < amb_secs(cycle->node->settings.report_s * 3);
+        bool boots_in_time = machine->state == AMB_MACHINE_BOOTING &&
+                             cycle->now - machine->created_at < amb_seconds_to_ms(boot_s * 2);
+        bool recently_seen = machine->state == AMB_MACHINE_UNPROVEN &&
+                             cycle->now - machine->last_heartbeat_at <
+                                 amb_seconds_to_ms(cycle->node->settings.heartbeat_s * 3);
         /* Nor does what boots where nothing can be reached. (In a cut of 105 s work waited for machines that
          * had been rented beyond it, for two boot times each.) */
         if ((boots_in_time || recently_seen) && !amb_zone_is_unreachable(cycle->node, machine->zone_index))
@@ -166,7 +166,7 @@
     cycle->node = node;
     cycle->now = now;
     cycle->zones_without_batch = amb_zones_without_batch(node);
-    cycle->sized_by_gpus = amb_wdrr_is_sized_by_gpus(node->settings.teams, node->settings.nteams);
+    cycle->sized_by_gpus = amb_wdrr_is_sized_by_gpus(node->settings.teams, node->settings.team_count);
     amb_pipelines_update_priorities(node);
     collect_machines(cycle, false);
     collect_jobs(cycle);
@@ -174,7 +174,7 @@
 }
 
 void amb_cycle_free(struct amb_cycle *cycle) {
-    for (uint32_t i = 0; i < cycle->node->settings.nteams; i++) free(cycle->team_queues[i].jobs);
+    for (uint32_t i = 0; i < cycle->node->settings.team_count; i++) free(cycle->team_queues[i].jobs);
     free(cycle->jobs);
     free(cycle->slots);
     amb_slot_rankings_free(&cycle->rankings);
@@ -246,10 +246,10 @@
     const struct amb_objective *objective = amb_start_find_objective(cycle->node, spec);
     double within_s = objective                       ? objective->within_s
                       : spec->estimated_runtime_s > 0 ? spec->estimated_runtime_s
-                                                      : cycle->node->settings.lease_s;
+                                                      : cycle->node->settings.agent_lease_s;
     /* Where reports are slow, no more than they do on the average. */
-    return (struct start_target){within_s,
-                                 objective ? fmin(cycle->node->settings.report_s * 1.2, within_s * 0.2) : -1};
+    return (struct start_target){
+        within_s, objective ? fmin(cycle->node->settings.heartbeat_s * 1.2, within_s * 0.2) : -1};
 }
 
 static void annotate_slot(const struct amb_cycle *cycle, struct amb_slot *slot) {
@@ -410,7 +410,7 @@
 }
 
 static bool has_opportunistic_team(const struct amb_settings *settings) {
-    for (uint32_t i = 0; i < settings->nteams; i++)
+    for (uint32_t i = 0; i < settings->team_count; i++)
         if (settings->teams[i].opportunistic) return true;
     return false;
 }
@@ -702,7 +702,7 @@
             if (task->stop_requested && amb_cycle_get_slot(cycle, i)->has_image)
                 longest_save_s = fmax(longest_save_s, task->grace_s);
     }
-    return amb_secs(longest_save_s + cycle->node->settings.report_s * 4);
+    return amb_seconds_to_ms(longest_save_s + cycle->node->settings.heartbeat_s * 4);
 }
 
 static enum amb_wdrr_result admit_item(void *context, uint32_t team_index, const struct amb_wdrr_item *item) {
@@ -736,8 +736,8 @@
 static uint32_t run_admission_pass(struct amb_cycle *cycle, const struct amb_wdrr_ops *ops,
                                    uint32_t first_team) {
     struct amb_settings *settings = &cycle->node->settings;
-    uint32_t admitted = amb_wdrr_run(settings->teams, settings->nteams, first_team, ops);
-    for (uint32_t i = 0; i < settings->nteams; i++) {
+    uint32_t admitted = amb_wdrr_run(settings->teams, settings->team_count, first_team, ops);
+    for (uint32_t i = 0; i < settings->team_count; i++) {
         struct amb_team_queue *team_queue = &cycle->team_queues[i];
         while (team_queue->cursor < team_queue->count &&
                is_eligible_in_pass(cycle, team_queue->jobs[team_queue->cursor]))
@@ -749,7 +749,8 @@
 uint32_t amb_cycle_admit(struct amb_cycle *cycle) {
     struct amb_node *node = cycle->node;
     const struct amb_wdrr_ops ops = {next_item, admit_item, skip_item, is_queue_exhausted, cycle};
-    uint32_t first_team = node->settings.nteams ? node->controller.team_cursor++ % node->settings.nteams : 0,
+    uint32_t first_team =
+                 node->settings.team_count ? node->controller.team_cursor++ % node->settings.team_count : 0,
              admitted = 0;
     /* What was lost with a zone comes back class by class (docs/design.md, exceptions). */
     for (uint32_t step = 0; step < node->zone_recovery.order.count; step++) {
@@ -761,5 +762,5 @@
     cycle->urgent_pass = true;
     admitted += run_admission_pass(cycle, &ops, first_team);
     cycle->urgent_pass = false;
-    return admitted + amb_wdrr_run(node->settings.teams, node->settings.nteams, first_team, &ops);
+    return admitted + amb_wdrr_run(node->settings.teams, node->settings.team_count, first_team, &ops);
 }
