--- a/lib/scheduler/start_deadline.c
+++ b/lib/scheduler/start_deadline.c
@@ -30,7 +30,7 @@
 const struct amb_objective *amb_start_find_objective(const struct amb_node *node,
                                                      const struct amb_job_spec *spec) {
     const struct amb_objective *best = NULL;
-    for (uint32_t i = 0; i < node->settings.nobjectives; i++) {
+    for (uint32_t i = 0; i < node->settings.objective_count; i++) {
         const struct amb_objective *objective = &node->settings.objectives[i];
         if (strcmp(objective->kind, "wait") || strcmp(objective->class_name, spec->class_name)) continue;
         if (!best || objective->within_s < best->within_s) best = objective;
@@ -48,10 +48,10 @@
 static int64_t find_due_wall(const struct amb_node *node, const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
     int64_t due_wall = amb_job_due_wall_ms(job);
-    for (uint32_t i = 0; i < node->settings.nobjectives && spec->deadline_s <= 0; i++) {
+    for (uint32_t i = 0; i < node->settings.objective_count && spec->deadline_s <= 0; i++) {
         const struct amb_objective *objective = &node->settings.objectives[i];
         if (strcmp(objective->kind, "finished") || strcmp(objective->class_name, spec->class_name)) continue;
-        due_wall = amb_earlier(due_wall, amb_job_ready_wall_ms(job) + amb_secs(objective->within_s));
+        due_wall = amb_earlier(due_wall, amb_job_ready_wall_ms(job) + amb_seconds_to_ms(objective->within_s));
     }
     return due_wall;
 }
@@ -68,7 +68,8 @@
         return false;
     int64_t due_wall = find_due_wall(node, job);
     if (due_wall != AMB_NO_DUE)
-        return amb_wall_ms() + amb_secs(scale_out_start_s(node, spec) + amb_job_spec_work_s(spec)) < due_wall;
+        return amb_wall_ms() + amb_seconds_to_ms(scale_out_start_s(node, spec) + amb_job_spec_work_s(spec)) <
+               due_wall;
     return amb_job_is_opportunistic(job) &&
-           amb_wall_ms() < amb_job_ready_wall_ms(job) + amb_secs(opportunistic_wait_s(node, spec));
+           amb_wall_ms() < amb_job_ready_wall_ms(job) + amb_seconds_to_ms(opportunistic_wait_s(node, spec));
 }
--- a/lib/watch/change_feed.c
+++ b/lib/watch/change_feed.c
@@ -48,20 +48,21 @@
 static void apply_parsed_change(struct amb_node *node, const cbor_item_t *change) {
     char key[AMB_STORE_KEY_SIZE];
     uint64_t revision;
-    if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &revision)) return;
-    if (amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key))
-        apply_key(node, key, amb_cbor_get(change, "value"), revision);
-    else if (amb_cbor_str(amb_cbor_get(change, "remove"), key, sizeof key))
+    if (!amb_cbor_get_uint(amb_cbor_map_get(change, "stamp"), &revision)) return;
+    if (amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key))
+        apply_key(node, key, amb_cbor_map_get(change, "value"), revision);
+    else if (amb_cbor_copy_string(amb_cbor_map_get(change, "remove"), key, sizeof key))
         apply_key(node, key, NULL, revision);
 }
 
 /* A page in encodings that amb_change_page_decode does not know. */
 static bool apply_parsed_page(struct amb_node *node, const void *page, size_t len, uint64_t *store_revision) {
     cbor_item_t *body = amb_cbor_parse(page, len);
-    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), store_revision);
-    const cbor_item_t *changes = understood ? amb_cbor_get(body, "news") : NULL;
+    bool understood = amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), store_revision);
+    const cbor_item_t *changes = understood ? amb_cbor_map_get(body, "news") : NULL;
     amb_debug("changes: %zu bytes are parsed in full", len);
-    for (size_t i = 0; i < amb_cbor_len(changes); i++) apply_parsed_change(node, amb_cbor_at(changes, i));
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++)
+        apply_parsed_change(node, amb_cbor_list_item(changes, i));
     if (body) cbor_decref(&body);
     return understood;
 }
@@ -95,7 +96,7 @@
 /* More has changed than the state service keeps, or than this node may read at a time: all is listed anew,
  * page by page. */
 static bool must_relist(int status) {
-    return status == 410 || status == AMB_HTTP_ANSWER_TOO_LONG;
+    return status == 410 || status == AMB_HTTP_RESPONSE_TOO_LARGE;
 }
 
 static void handle_watch_page(void *arg, int status, const void *page, size_t len) {
@@ -125,27 +126,27 @@
     struct amb_node *node = arg;
     struct amb_jobs *jobs = &node->jobs;
     uint64_t store_revision;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &store_revision)) {
+    if (status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &store_revision)) {
         amb_timer_in(&jobs->watch_timer, node->store.call_timeout / 5, send_list, node);
         return;
     }
     if (!jobs->list_revision)
         jobs->list_revision = store_revision; /* what changes while pages come is followed from here */
-    const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
-    for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
-        const cbor_item_t *pair = amb_cbor_at(pairs, i);
+    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
+    for (size_t i = 0; i < amb_cbor_list_length(pairs); i++) {
+        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
         char key[AMB_STORE_KEY_SIZE];
         uint64_t revision;
-        if (!amb_cbor_str(amb_cbor_get(pair, "path"), key, sizeof key) ||
-            !amb_cbor_uint(amb_cbor_get(pair, "stamp"), &revision))
+        if (!amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), key, sizeof key) ||
+            !amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &revision))
             continue;
-        apply_key(node, key, amb_cbor_get(pair, "value"), revision);
+        apply_key(node, key, amb_cbor_map_get(pair, "value"), revision);
         if (!strcmp(key, AMB_LEADER_KEY)) jobs->leader_key_listed = true;
         snprintf(jobs->list_cursor, sizeof jobs->list_cursor, "%s", key);
     }
     bool more = false;
-    amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
-    if (more && amb_cbor_len(pairs)) {
+    amb_cbor_get_bool(amb_cbor_map_get(body, "truncated"), &more);
+    if (more && amb_cbor_list_length(pairs)) {
         send_list(node);
         return;
     }
@@ -183,7 +184,7 @@
         free(read);
         read = next;
     }
-    if (jobs->queued_syncs && !jobs->sync_timer.slot) {
+    if (jobs->queued_syncs && !jobs->sync_timer.position) {
         /* Spaced out, so that questions share a read when they come faster than reads may be made. */
         amb_ms gap = (amb_ms)(4000.0 / node->store.request_bucket.tokens_per_second);
         amb_timer_in(&jobs->sync_timer, gap, send_fresh_read, node);
@@ -207,7 +208,7 @@
     read->arg = arg;
     read->next = node->jobs.queued_syncs;
     node->jobs.queued_syncs = read;
-    if (!node->jobs.sync_in_flight && !node->jobs.sync_timer.slot) send_fresh_read(node);
+    if (!node->jobs.sync_in_flight && !node->jobs.sync_timer.position) send_fresh_read(node);
 }
 
 void amb_watch_start(struct amb_node *node) {
--- a/lib/zone_recovery/activation.c
+++ b/lib/zone_recovery/activation.c
@@ -7,15 +7,15 @@
 static struct amb_zone_settings make_settings(const struct amb_settings *settings,
                                               const struct amb_options *options) {
     return (struct amb_zone_settings){
-        .heartbeat_period = amb_secs(settings->report_s),
-        .stability_period = amb_secs(settings->lease_s * options->zone_steady),
-        .stability_period_max = amb_secs(settings->lease_s * options->zone_steady_longest),
-        .loss_expiry = amb_secs(settings->lease_s * options->zone_loss_forgotten),
+        .heartbeat_period = amb_seconds_to_ms(settings->heartbeat_s),
+        .stability_period = amb_seconds_to_ms(settings->agent_lease_s * options->zone_steady_share),
+        .stability_period_max = amb_seconds_to_ms(settings->agent_lease_s * options->zone_steady_max_share),
+        .loss_expiry = amb_seconds_to_ms(settings->agent_lease_s * options->zone_loss_expiry_share),
     };
 }
 
 static bool is_known_class(const struct amb_settings *settings, const char *name) {
-    for (uint32_t i = 0; i < settings->nobjectives; i++)
+    for (uint32_t i = 0; i < settings->objective_count; i++)
         if (!strcmp(settings->objectives[i].class_name, name)) return true;
     return false;
 }
--- a/lib/zone_recovery/evidence.c
+++ b/lib/zone_recovery/evidence.c
@@ -3,7 +3,7 @@
 #include "amberpin/zone_recovery/zone_recovery.h"
 
 amb_ms amb_zone_heartbeat_timeout(const struct amb_node *node) {
-    return amb_secs(node->settings.report_s * AMB_ZONE_MISSED_HEARTBEATS_MAX);
+    return amb_seconds_to_ms(node->settings.heartbeat_s * AMB_ZONE_MISSED_HEARTBEATS_MAX);
 }
 
 bool amb_zone_leader_is_warming_up(const struct amb_node *node, amb_ms now) {
@@ -14,7 +14,8 @@
                                   amb_ms now) {
     if (machine->zone_index < 0 || machine->type_index < 0) return false;
     double boot_s = node->catalog.types[machine->type_index].boot_s;
-    return machine->state != AMB_MACHINE_BOOTING || now - machine->first_known_at >= amb_secs(boot_s * 2);
+    return machine->state != AMB_MACHINE_BOOTING ||
+           now - machine->first_known_at >= amb_seconds_to_ms(boot_s * 2);
 }
 
 bool amb_zone_machine_is_responsive(const struct amb_node *node, const struct amb_machine *machine,
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -32,21 +32,21 @@
 
 static void encode_zone(struct amb_buf *out, const struct amb_node *node, uint32_t zone) {
     const struct amb_zone_health *health = &node->zone_recovery.zones[zone];
-    amb_w_map(out, 3);
-    amb_w_str(out, "zone");
-    amb_w_str(out, node->catalog.zones[zone]);
-    amb_w_str(out, "verdict");
-    amb_w_str(out, amb_zone_health_state_name(health->state));
-    amb_w_str(out, "losses");
-    amb_w_uint(out, health->losses);
+    amb_cbor_write_map(out, 3);
+    amb_cbor_write_string(out, "zone");
+    amb_cbor_write_string(out, node->catalog.zones[zone]);
+    amb_cbor_write_string(out, "verdict");
+    amb_cbor_write_string(out, amb_zone_health_state_name(health->state));
+    amb_cbor_write_string(out, "losses");
+    amb_cbor_write_uint(out, health->losses);
 }
 
 static void encode_step(struct amb_buf *out, const struct amb_recovery_step *step) {
-    amb_w_map(out, 2);
-    amb_w_str(out, "class");
-    amb_w_str(out, step->lost_class.name);
-    amb_w_str(out, "priority");
-    amb_w_uint(out, step->lost_class.priority);
+    amb_cbor_write_map(out, 2);
+    amb_cbor_write_string(out, "class");
+    amb_cbor_write_string(out, step->lost_class.name);
+    amb_cbor_write_string(out, "priority");
+    amb_cbor_write_uint(out, step->lost_class.priority);
 }
 
 static void encode_record(struct amb_buf *out, const struct amb_node *node) {
@@ -54,15 +54,15 @@
     uint32_t count = 0;
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
         count += is_on_record(&recovery->zones[zone]);
-    amb_w_map(out, 3);
-    amb_w_str(out, "form");
-    amb_w_uint(out, FORM);
-    amb_w_str(out, "zones");
-    amb_w_list(out, count);
+    amb_cbor_write_map(out, 3);
+    amb_cbor_write_string(out, "form");
+    amb_cbor_write_uint(out, FORM);
+    amb_cbor_write_string(out, "zones");
+    amb_cbor_write_list(out, count);
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++)
         if (is_on_record(&recovery->zones[zone])) encode_zone(out, node, zone);
-    amb_w_str(out, "steps");
-    amb_w_list(out, recovery->order.count);
+    amb_cbor_write_string(out, "steps");
+    amb_cbor_write_list(out, recovery->order.count);
     for (uint32_t i = 0; i < recovery->order.count; i++) encode_step(out, &recovery->order.steps[i]);
 }
 
@@ -72,7 +72,7 @@
     struct amb_node *node = take_call(context, AMB_ZONE_RECORD_WRITING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
-    if (status != 200 || !amb_cbor_uint(amb_cbor_get(body, "epoch"), &record->revision)) {
+    if (status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &record->revision)) {
         mark_uncertain(node);
         return;
     }
@@ -103,8 +103,8 @@
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
     if (status == 404) record->revision = 0;
-    bool known =
-        status == 404 || (status == 200 && amb_cbor_uint(amb_cbor_get(body, "stamp"), &record->revision));
+    bool known = status == 404 ||
+                 (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &record->revision));
     if (known)
         record->state = AMB_ZONE_RECORD_DIRTY;
     else
@@ -137,10 +137,10 @@
     char name[AMB_NAME_SIZE], state_name[AMB_NAME_SIZE];
     enum amb_zone_health_state state;
     uint64_t losses;
-    if (!amb_cbor_str(amb_cbor_get(item, "zone"), name, sizeof name) ||
-        !amb_cbor_str(amb_cbor_get(item, "verdict"), state_name, sizeof state_name) ||
+    if (!amb_cbor_copy_string(amb_cbor_map_get(item, "zone"), name, sizeof name) ||
+        !amb_cbor_copy_string(amb_cbor_map_get(item, "verdict"), state_name, sizeof state_name) ||
         !amb_zone_health_state_parse(state_name, &state) ||
-        !amb_cbor_uint(amb_cbor_get(item, "losses"), &losses))
+        !amb_cbor_get_uint(amb_cbor_map_get(item, "losses"), &losses))
         return;
     int zone = amb_catalog_find_or_add_zone(&node->catalog, name);
     if (zone < 0) return;
@@ -160,8 +160,10 @@
     *step = (struct amb_recovery_step){.wait = AMB_RECOVERY_WAIT_ABSENCE_PROOF,
                                        .opened_at = amb_now(),
                                        .lost_class.list_position = AMB_RECOVERY_UNLISTED};
-    if (!amb_cbor_str(amb_cbor_get(item, "class"), step->lost_class.name, sizeof step->lost_class.name) ||
-        !amb_cbor_uint(amb_cbor_get(item, "priority"), &priority) || priority > AMB_PRIORITY_PRODUCTION)
+    if (!amb_cbor_copy_string(amb_cbor_map_get(item, "class"), step->lost_class.name,
+                              sizeof step->lost_class.name) ||
+        !amb_cbor_get_uint(amb_cbor_map_get(item, "priority"), &priority) ||
+        priority > AMB_PRIORITY_PRODUCTION)
         return;
     step->lost_class.priority = (enum amb_priority)priority;
     order->count++;
@@ -172,9 +174,9 @@
     uint64_t version = 0;
     if (!amb_zone_recovery_is_enabled(node) || strcmp(key, KEY) != 0) return;
     node->zone_recovery.record.revision = revision;
-    if (!amb_cbor_uint(amb_cbor_get(value, "form"), &version) || version != FORM) return;
-    const cbor_item_t *zones = amb_cbor_get(value, "zones"), *steps = amb_cbor_get(value, "steps");
-    for (size_t i = 0; i < amb_cbor_len(zones); i++) load_zone(node, amb_cbor_at(zones, i));
+    if (!amb_cbor_get_uint(amb_cbor_map_get(value, "form"), &version) || version != FORM) return;
+    const cbor_item_t *zones = amb_cbor_map_get(value, "zones"), *steps = amb_cbor_map_get(value, "steps");
+    for (size_t i = 0; i < amb_cbor_list_length(zones); i++) load_zone(node, amb_cbor_list_item(zones, i));
     node->zone_recovery.order.count = 0;
-    for (size_t i = 0; i < amb_cbor_len(steps); i++) load_step(node, amb_cbor_at(steps, i));
+    for (size_t i = 0; i < amb_cbor_list_length(steps); i++) load_step(node, amb_cbor_list_item(steps, i));
 }
--- a/lib/zone_recovery/return_order.c
+++ b/lib/zone_recovery/return_order.c
@@ -182,7 +182,8 @@
     struct amb_zone_recovery *recovery = &node->zone_recovery;
     struct missing_replicas missing[AMB_RECOVERY_STEPS] = {{0}};
     if (!recovery->order.count) return;
-    if (now - recovery->order_checked_at < amb_secs(node->controller.tick_interval_s / CHECKS_PER_TICK))
+    if (now - recovery->order_checked_at <
+        amb_seconds_to_ms(node->controller.tick_interval_s / CHECKS_PER_TICK))
         return;
     recovery->order_checked_at = now;
     count_unreachable(node, now, missing);
--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -29,9 +29,9 @@
 };
 
 static bool commands_match(const struct expected_commands *expected) {
-    return count_orders(AMB_COMMAND_RUN) == expected->starts &&
-           count_orders(AMB_COMMAND_STOP) == expected->stops &&
-           count_orders(AMB_COMMAND_CLEAR) == expected->clears;
+    return count_commands(AMB_COMMAND_RUN) == expected->starts &&
+           count_commands(AMB_COMMAND_STOP) == expected->stops &&
+           count_commands(AMB_COMMAND_CLEAR) == expected->clears;
 }
 
 /* False: a report of a higher term. */
@@ -120,8 +120,8 @@
             assert_true(send_step(step));
             if (!commands_match(&step->commands) || task->state != step->expected_state)
                 fail_msg("%s, step %zu: %zu runs, %zu halts, %zu clears, state %d", rows[i].what, k,
-                         count_orders(AMB_COMMAND_RUN), count_orders(AMB_COMMAND_STOP),
-                         count_orders(AMB_COMMAND_CLEAR), task->state);
+                         count_commands(AMB_COMMAND_RUN), count_commands(AMB_COMMAND_STOP),
+                         count_commands(AMB_COMMAND_CLEAR), task->state);
         }
         end(NULL);
     }
@@ -138,8 +138,8 @@
     amb_fleet_tick(node, amb_now());
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
-    assert_int_equal(orders_in(commands->map, "halt"), 1);
-    if (orders_in(commands->map, "run")) fail_msg("a start goes out by /commands");
+    assert_int_equal(commands_in(commands->map, "halt"), 1);
+    if (commands_in(commands->map, "run")) fail_msg("a start goes out by /commands");
 }
 
 /* ---- placements of an earlier leader ---- */
@@ -173,7 +173,7 @@
             bound(job, k, names[k], 1)->inherited = true;
         }
         report("m-0", 1, 1, TERM, amb_now(), NULL, 0);
-        if ((count_orders(AMB_COMMAND_RUN) == 1) != rows[i].starts ||
+        if ((count_commands(AMB_COMMAND_RUN) == 1) != rows[i].starts ||
             (job->tasks[0].machine != NULL) != rows[i].starts)
             fail_msg("%s", rows[i].what);
     }
@@ -208,8 +208,8 @@
             other->tasks[0].state = AMB_TASK_PLACED;
         }
         report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-        if (count_orders(AMB_COMMAND_RUN) != (rows[i].starts ? 1 : 0))
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
+        if (count_commands(AMB_COMMAND_RUN) != (rows[i].starts ? 1 : 0))
+            fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
     }
 }
 
@@ -217,11 +217,11 @@
 
 /* A machine that has reported twice and waits for its answer. */
 static struct amb_http_req *defer_response(void) {
-    struct sent_report heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
-    send_report(heartbeat);
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    send_heartbeat(heartbeat);
     assert_int_equal(answers(), 1);
     heartbeat.seq = 2;
-    struct amb_http_req *request = send_report(heartbeat);
+    struct amb_http_req *request = send_heartbeat(heartbeat);
     if (answers() != 1) fail_msg("not held");
     return request;
 }
@@ -256,11 +256,11 @@
         task->inherited = rows[i].meanwhile == FOREIGN;
         if (rows[i].meanwhile == CANCELLED) amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
         if (rows[i].meanwhile == FENCED) node->election.role = AMB_ROLE_FENCED;
-        if (rows[i].meanwhile == HUNG_UP) request->conn = NULL;
+        if (rows[i].meanwhile == HUNG_UP) request->connection = NULL;
         fake_clock_advance(400);
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
-        if (replied_orders("run") != rows[i].starts || task->start_sent != rows[i].sent)
-            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_orders("run"), task->start_sent);
+        if (replied_commands("run") != rows[i].starts || task->start_sent != rows[i].sent)
+            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_commands("run"), task->start_sent);
     }
 }
 
@@ -272,7 +272,7 @@
     } rows[] = {{1, 400}, {4, 1600}, {12, 1600}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        node->settings.report_s = rows[i].report_s;
+        node->settings.heartbeat_s = rows[i].report_s;
         defer_response();
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         fake_clock_advance(rows[i].waits - 1);
@@ -288,7 +288,7 @@
 static void only_the_newest_heartbeat_is_deferred(void **state) {
     (void)state;
     defer_response();
-    send_report((struct sent_report){.machine = "m-1", .session = 1, .seq = 3, .token = TERM});
+    send_heartbeat((struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 3, .token = TERM});
     if (answers() != 2) fail_msg("%zu answers after a newer report", answers());
     fake_clock_advance(400);
     assert_int_equal(answers(), 3);
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -6,7 +6,7 @@
 #include "leader_fixture.h"
 
 static void ask(const char *method, const char *path, struct amb_buf *body) {
-    assert_true(amb_user_request(node, new_request(method, path, body)));
+    assert_true(amb_api_handle_request(node, new_request(method, path, body)));
 }
 
 static void submit(const char *ref, const char *team) {
@@ -19,13 +19,13 @@
     strcpy(spec.class_name, "c");
     strcpy(spec.team, team);
     strcpy(spec.image, "img");
-    amb_codec_put_spec(&buffer, &spec);
+    amb_codec_encode_spec(&buffer, &spec);
     ask("POST", "/v1/jobs", &buffer);
 }
 
 static const char *replied_state(void) {
     static char text[AMB_NAME_SIZE];
-    if (!amb_cbor_str(amb_cbor_get(latest_map(), "stance"), text, sizeof text)) text[0] = 0;
+    if (!amb_cbor_copy_string(amb_cbor_map_get(latest_map(), "stance"), text, sizeof text)) text[0] = 0;
     return text;
 }
 
@@ -40,7 +40,7 @@
         begin_anew();
         submit("wk-000001", "t");
         struct fake_call *commit = open_call("POST", "/commit");
-        uint64_t guard = fake_txn_guard(commit, "a/job/wk-000001");
+        uint64_t guard = fake_txn_compared_revision(commit, "a/job/wk-000001");
         if (guard != 0) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         assert_non_null(fake_txn_put(commit, "a/job/wk-000001", NULL));
         if (answers()) fail_msg("%s: answered %d before", rows[i].what, latest()->status);
@@ -68,7 +68,7 @@
         ask("POST", "/v1/jobs/wk-000001/cancel", NULL);
         answer_news(open_call("GET", "/follow"), 20, NULL, 0, 0);
         struct fake_call *commit = open_call("POST", "/commit");
-        uint64_t guard = fake_txn_guard(commit, "a/job/wk-000001");
+        uint64_t guard = fake_txn_compared_revision(commit, "a/job/wk-000001");
         if (guard != 20) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         if (answers()) fail_msg("%s: answered %d before", rows[i].what, latest()->status);
         if (rows[i].written == 200)
--- a/tests/api/test_user_questions.c
+++ b/tests/api/test_user_questions.c
@@ -116,7 +116,7 @@
     hear(5, "queued");
     node->jobs.known_revision = 5;
     for (int user = 0; user < 3; user++) {
-        if (node->jobs.sync_timer.slot) fire(&node->jobs.sync_timer);
+        if (node->jobs.sync_timer.position) fire(&node->jobs.sync_timer);
         poll_job(user);
         fake_answer(open_call(SYNC), status, NULL);
         expect("while it lists", user, 503, NULL);
@@ -137,7 +137,7 @@
 /* More has changed than the node may read at a time: asked for again, it would be as long. */
 static void changes_too_long_to_read_are_listed(void **state) {
     (void)state;
-    list_once(AMB_HTTP_ANSWER_TOO_LONG);
+    list_once(AMB_HTTP_RESPONSE_TOO_LARGE);
 }
 
 int main(void) {
--- a/tests/api/test_users.c
+++ b/tests/api/test_users.c
@@ -65,7 +65,7 @@
         expect(texts[i], 0, 400, NULL);
     }
     struct amb_buf bytes = {0};
-    amb_buf_add(&bytes, "\xbf\xff\x00garbage", 10);
+    amb_buf_append(&bytes, "\xbf\xff\x00garbage", 10);
     request(0, "POST", "/v1/jobs", &bytes);
     expect("not CBOR", 0, 400, NULL);
     request(0, "POST", "/v1/jobs", NULL);
@@ -251,7 +251,7 @@
     struct amb_buf failed = cbor_from_text("{\"failed\":[\"a/job/" JOB "\"],\"epoch\":%d}", CHANGED);
     fake_answer(first, 409, &failed);
     if (fake_call_open(SYNC)) answer_sync(0, NULL);
-    if (node->jobs.sync_timer.slot) fire(&node->jobs.sync_timer);
+    if (node->jobs.sync_timer.position) fire(&node->jobs.sync_timer);
     if (fake_call_open(SYNC)) answer_sync(0, NULL);
     expect("the first learns that it is over", 0, 200, "cancelled");
 }
--- a/tests/base/test_loop.c
+++ b/tests/base/test_loop.c
@@ -23,7 +23,7 @@
     if (ncalled == CALLS_EXPECTED) amb_loop_stop();
 }
 
-static void readable(struct amb_watch *watch, uint32_t events) {
+static void readable(struct amb_fd_watch *watch, uint32_t events) {
     (void)events;
     amb_loop_del(watch);
     if (!ncalled) now_ms += STALL_MS;
@@ -38,14 +38,14 @@
 /* Two sockets are ready at once; while the first is served, a timer falls due. */
 static void overdue_timers_go_before_the_next_event(void **state) {
     (void)state;
-    static struct amb_watch watches[2];
+    static struct amb_fd_watch watches[2];
     static struct amb_timer timer;
     int ends[ROWS(watches)][2];
     amb_loop_init();
     for (size_t i = 0; i < ROWS(watches); i++) {
         assert_int_equal(pipe(ends[i]), 0);
         assert_int_equal(write(ends[i][1], "x", 1), 1);
-        watches[i] = (struct amb_watch){.fd = ends[i][0], .fn = readable};
+        watches[i] = (struct amb_fd_watch){.fd = ends[i][0], .fn = readable};
         assert_int_equal(amb_loop_add(&watches[i], EPOLLIN), 0);
     }
     amb_timer_in(&timer, TIMER_MS, due, NULL);
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -31,7 +31,7 @@
 
 static void machines_nobody_expected_are_known_by_reporting(void **state) {
     (void)state;
-    send_report((struct sent_report){.machine = "m-9", .session = 1, .seq = 1, .token = TERM});
+    send_heartbeat((struct sent_heartbeat){.machine = "m-9", .session = 1, .seq = 1, .token = TERM});
     struct amb_machine *machine = amb_machine_get(node, "m-9", false);
     assert_non_null(machine);
     assert_true(amb_machine_is_schedulable(node, machine, amb_now()));
@@ -57,8 +57,8 @@
         machine->state = rows[i].state;
         machine->release_pending = rows[i].wanted;
         report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-        if (count_orders(AMB_COMMAND_RUN) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
+        if (count_commands(AMB_COMMAND_RUN) != rows[i].starts)
+            fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
         if (machine->state != rows[i].state)
             fail_msg("%s: state %d by a report", rows[i].what, machine->state);
     }
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -32,10 +32,11 @@
     answer_epoch(commit, 60);
     amb_cloud_tick(node, amb_now());
     struct fake_call *rent = open_call("POST", "/machines");
-    assert_true(amb_cbor_eq(amb_cbor_get(rent->map, "charter"), "r-50-1"));
+    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->map, "charter"), "r-50-1"));
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "rigs"), amb_w_list(&buffer, 1), amb_w_str(&buffer, "m-1");
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "rigs"), amb_cbor_write_list(&buffer, 1),
+        amb_cbor_write_string(&buffer, "m-1");
     fake_answer(rent, 200, &buffer);
     for (amb_ms since = 0; since <= 11000; since += 1000) {
         node->election.renewed_at = amb_now();
@@ -52,11 +53,11 @@
 static void successors_repeat_rentals(void **state) {
     (void)state;
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 4);
-    amb_w_str(&buffer, "type"), amb_w_str(&buffer, "g8");
-    amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "a");
-    amb_w_str(&buffer, "spot"), amb_w_bool(&buffer, false);
-    amb_w_str(&buffer, "count"), amb_w_uint(&buffer, 3);
+    amb_cbor_write_map(&buffer, 4);
+    amb_cbor_write_string(&buffer, "type"), amb_cbor_write_string(&buffer, "g8");
+    amb_cbor_write_string(&buffer, "zone"), amb_cbor_write_string(&buffer, "a");
+    amb_cbor_write_string(&buffer, "spot"), amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "count"), amb_cbor_write_uint(&buffer, 3);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_scale_out_restore(node, "b/r/r-40-7", value);
     cbor_decref(&value);
@@ -65,7 +66,7 @@
     struct fake_call *rent = find_call("POST", "/machines");
     if (!rent) fail_msg("an earlier leader's rental is not repeated");
     /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference): fail_msg ends the test */
-    assert_true(amb_cbor_eq(amb_cbor_get(rent->map, "charter"), "r-40-7"));
+    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->map, "charter"), "r-40-7"));
 }
 
 /* ---- the plan ---- */
@@ -284,14 +285,14 @@
         amb_machine_set_state(machine, AMB_MACHINE_BOOTING, "rented");
         amb_cloud_tick(node, amb_now());
         struct amb_buf body = {0};
-        amb_w_map(&body, 2);
-        amb_w_str(&body, "rigs"), amb_w_list(&body, 1), amb_w_map(&body, 5);
-        amb_w_str(&body, "ref"), amb_w_str(&body, "m-1");
-        amb_w_str(&body, "hull"), amb_w_str(&body, node->catalog.types[0].name);
-        amb_w_str(&body, "yard"), amb_w_str(&body, "a");
-        amb_w_str(&body, "stance"), amb_w_str(&body, "booting");
-        amb_w_str(&body, "held_s"), amb_w_num(&body, rows[i].held_s);
-        amb_w_str(&body, "truncated"), amb_w_bool(&body, false);
+        amb_cbor_write_map(&body, 2);
+        amb_cbor_write_string(&body, "rigs"), amb_cbor_write_list(&body, 1), amb_cbor_write_map(&body, 5);
+        amb_cbor_write_string(&body, "ref"), amb_cbor_write_string(&body, "m-1");
+        amb_cbor_write_string(&body, "hull"), amb_cbor_write_string(&body, node->catalog.types[0].name);
+        amb_cbor_write_string(&body, "yard"), amb_cbor_write_string(&body, "a");
+        amb_cbor_write_string(&body, "stance"), amb_cbor_write_string(&body, "booting");
+        amb_cbor_write_string(&body, "held_s"), amb_cbor_write_number(&body, rows[i].held_s);
+        amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, false);
         fake_answer(open_call("GET", "/machines?"), 200, &body);
         run_plan();
         if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
@@ -346,7 +347,7 @@
         answer_epoch(commit, 60);
         report("m-1", 1, 3, TERM, amb_now(), &ended, 1);
         run_plan();
-        if (count_orders(AMB_COMMAND_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
+        if (count_commands(AMB_COMMAND_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
         if (!machine->release_pending) fail_msg("%s: not returned once the end is on record", rows[i].what);
     }
 }
--- a/tests/cloud/test_return_record.c
+++ b/tests/cloud/test_return_record.c
@@ -32,22 +32,22 @@
     struct fake_call *commit = open_call("POST", "/commit");
     const cbor_item_t *value = fake_txn_put(commit, RETURNS_KEY, NULL);
     assert_non_null(value);
-    assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-    assert_int_equal(fake_txn_guard(commit, RETURNS_KEY), revision);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(value, "machines")), 1);
-    assert_true(amb_cbor_eq(amb_cbor_at(amb_cbor_get(value, "machines"), 0), name));
+    assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
+    assert_int_equal(fake_txn_compared_revision(commit, RETURNS_KEY), revision);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(value, "machines")), 1);
+    assert_true(amb_cbor_equals(amb_cbor_list_item(amb_cbor_map_get(value, "machines"), 0), name));
     return commit;
 }
 
 static void encode_record(struct amb_buf *out, const char *name) {
-    amb_w_map(out, 2);
-    amb_w_str(out, "form"), amb_w_uint(out, 1);
-    amb_w_str(out, "machines"), amb_w_list(out, 1), amb_w_str(out, name);
+    amb_cbor_write_map(out, 2);
+    amb_cbor_write_string(out, "form"), amb_cbor_write_uint(out, 1);
+    amb_cbor_write_string(out, "machines"), amb_cbor_write_list(out, 1), amb_cbor_write_string(out, name);
 }
 
 static void answer_released(void) {
     struct amb_buf empty = {0};
-    amb_w_map(&empty, 0);
+    amb_cbor_write_map(&empty, 0);
     fake_answer(open_call("POST", "/machines/release"), 200, &empty);
 }
 
@@ -58,10 +58,10 @@
         fake_answer(open_call("GET", "/store/" RETURNS_KEY), 404, NULL);
         return;
     }
-    amb_w_map(&body, 3);
-    amb_w_str(&body, "path"), amb_w_str(&body, RETURNS_KEY);
-    amb_w_str(&body, "stamp"), amb_w_uint(&body, revision);
-    amb_w_str(&body, "value"), encode_record(&body, name);
+    amb_cbor_write_map(&body, 3);
+    amb_cbor_write_string(&body, "path"), amb_cbor_write_string(&body, RETURNS_KEY);
+    amb_cbor_write_string(&body, "stamp"), amb_cbor_write_uint(&body, revision);
+    amb_cbor_write_string(&body, "value"), encode_record(&body, name);
     fake_answer(open_call("GET", "/store/" RETURNS_KEY), 200, &body);
 }
 
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -24,15 +24,15 @@
     strcpy(spec.team, "t");
     strcpy(spec.image, draw(20) ? "img" : "im\xc3\xa1gen"); /* a text that only libcbor reads */
     spec.task_resources.cpus = 1;
-    amb_codec_put_spec(out, &spec);
+    amb_codec_encode_spec(out, &spec);
 }
 
 static void put_uint(struct amb_buf *out, const char *name, uint64_t value) {
-    amb_w_str(out, name);
+    amb_cbor_write_string(out, name);
     if (draw(40))
-        amb_w_uint(out, value);
+        amb_cbor_write_uint(out, value);
     else
-        amb_w_num(out, (double)value); /* not the kind that belongs there */
+        amb_cbor_write_number(out, (double)value); /* not the kind that belongs there */
 }
 
 /* A job's record, now and then with a field that is missing, unknown or of another kind, or comes twice. */
@@ -40,22 +40,23 @@
     static const char *const states[] = {"queued", "cancelled", "done", "odd"};
     struct amb_buf fields = {0};
     size_t count = 0;
-    if (draw(30)) amb_w_str(&fields, "s"), amb_w_str(&fields, states[draw(4)]), count++;
+    if (draw(30))
+        amb_cbor_write_string(&fields, "s"), amb_cbor_write_string(&fields, states[draw(4)]), count++;
     if (draw(5)) put_uint(&fields, "a", draw(1000)), count++;
     if (!draw(3)) put_uint(&fields, "c", draw(1000)), count++;
     if (!draw(3)) put_uint(&fields, "n", draw(100)), count++;
     if (!draw(25)) put_uint(&fields, "n", draw(100)), count++;
     if (!draw(15)) put_uint(&fields, "later", draw(100)), count++;
     if (draw(3)) {
-        amb_w_str(&fields, "d");
+        amb_cbor_write_string(&fields, "d");
         if (draw(15))
             put_description(&fields, ref);
         else
-            amb_w_null(&fields);
+            amb_cbor_write_null(&fields);
         count++;
     }
-    amb_w_map(out, count);
-    amb_buf_add(out, fields.data, fields.len);
+    amb_cbor_write_map(out, count);
+    amb_buf_append(out, fields.data, fields.len);
     amb_buf_free(&fields);
 }
 
@@ -63,23 +64,23 @@
     char key[AMB_NAME_SIZE];
     snprintf(key, sizeof key, "a/job/wk-%llu", (unsigned long long)draw(JOBS));
     bool removes = !draw(15), stamped = draw(60) != 0, valued = !removes && draw(60);
-    amb_w_map(out, 1u + stamped + valued);
+    amb_cbor_write_map(out, 1u + stamped + valued);
     if (stamped) put_uint(out, "stamp", 1 + draw(STAMPS));
-    amb_w_str(out, removes ? "remove" : "put");
-    amb_w_str(out, key);
+    amb_cbor_write_string(out, removes ? "remove" : "put");
+    amb_cbor_write_string(out, key);
     if (!valued) return;
-    amb_w_str(out, "value");
+    amb_cbor_write_string(out, "value");
     put_record(out, key + strlen("a/job/"));
 }
 
 static struct amb_buf drawn_page(uint64_t store_revision) {
     struct amb_buf page = {0};
     size_t changes = draw(PAGE_CHANGES);
-    amb_w_map(&page, 2);
-    amb_w_str(&page, "epoch");
-    amb_w_uint(&page, store_revision);
-    amb_w_str(&page, "news");
-    amb_w_list(&page, changes);
+    amb_cbor_write_map(&page, 2);
+    amb_cbor_write_string(&page, "epoch");
+    amb_cbor_write_uint(&page, store_revision);
+    amb_cbor_write_string(&page, "news");
+    amb_cbor_write_list(&page, changes);
     while (changes--) put_change(&page);
     if (!draw(10)) page.len -= draw(page.len);                      /* cut short */
     if (!draw(10)) page.data[draw(page.len + 1)] = (char)draw(256); /* spoilt */
@@ -89,18 +90,19 @@
 /* ---- the two ways ---- */
 
 /* The plain version, which knows every encoding. */
-static bool apply_items(struct amb_node *to, const struct amb_buf *page) {
+static bool apply_items(struct amb_node *target, const struct amb_buf *page) {
     uint64_t store_revision, revision;
     cbor_item_t *body = amb_cbor_parse(page->data, page->len);
-    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), &store_revision);
-    const cbor_item_t *changes = understood ? amb_cbor_get(body, "news") : NULL;
-    for (size_t i = 0; i < amb_cbor_len(changes); i++) {
+    bool understood = amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &store_revision);
+    const cbor_item_t *changes = understood ? amb_cbor_map_get(body, "news") : NULL;
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++) {
         char key[AMB_STORE_KEY_SIZE];
-        const cbor_item_t *change = amb_cbor_at(changes, i);
-        if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &revision)) continue;
-        if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key) || strncmp(key, "a/job/", 6))
+        const cbor_item_t *change = amb_cbor_list_item(changes, i);
+        if (!amb_cbor_get_uint(amb_cbor_map_get(change, "stamp"), &revision)) continue;
+        if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key) ||
+            strncmp(key, "a/job/", 6))
             continue;
-        amb_jobs_apply_item(to, key + strlen("a/job/"), amb_cbor_get(change, "value"), revision);
+        amb_jobs_apply_item(target, key + strlen("a/job/"), amb_cbor_map_get(change, "value"), revision);
     }
     if (body) cbor_decref(&body);
     return understood;
@@ -110,24 +112,24 @@
     assert_int_equal(HASH_COUNT(expected->jobs.all), HASH_COUNT(actual->jobs.all));
     assert_int_equal(expected->jobs.spec_count, actual->jobs.spec_count);
     for (const struct amb_job *job = expected->jobs.all; job; job = job->hh.next) {
-        const struct amb_job *same = amb_job_find(actual, job->ref);
-        assert_non_null(same);
-        assert_int_equal(job->state, same->state);
-        assert_int_equal(job->revision, same->revision);
-        assert_int_equal(job->cancel_revision, same->cancel_revision);
-        assert_int_equal(job->accepted_wall_ms, same->accepted_wall_ms);
-        assert_int_equal(job->cancelled_wall_ms, same->cancelled_wall_ms);
-        assert_int_equal(job->progress_done, same->progress_done);
-        assert_int_equal(job->spec != NULL, same->spec != NULL);
-        if (job->spec) assert_memory_equal(job->spec, same->spec, sizeof *job->spec);
+        const struct amb_job *other = amb_job_find(actual, job->ref);
+        assert_non_null(other);
+        assert_int_equal(job->state, other->state);
+        assert_int_equal(job->revision, other->revision);
+        assert_int_equal(job->cancel_revision, other->cancel_revision);
+        assert_int_equal(job->accepted_wall_ms, other->accepted_wall_ms);
+        assert_int_equal(job->cancelled_wall_ms, other->cancelled_wall_ms);
+        assert_int_equal(job->progress_done, other->progress_done);
+        assert_int_equal(job->spec != NULL, other->spec != NULL);
+        if (job->spec) assert_memory_equal(job->spec, other->spec, sizeof *job->spec);
     }
 }
 
 static int begin(void **state) {
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
-    strcpy(node->settings.state, "S:1");
-    node->settings.state_rps = node->settings.state_write_rps = 1e9;
+    strcpy(node->settings.store_addr, "S:1");
+    node->settings.store_rps = node->settings.store_write_rps = 1e9;
     strcpy(node->settings.teams[0].name, "t");
     amb_store_init(&node->store, &node->settings, 1000);
     node->jobs.loaded = true;
@@ -153,7 +155,7 @@
     struct amb_buf copy = {0};
     bool understood = false;
     amb_watch_read_fresh(node, note_fresh_read, &understood);
-    if (page->len) amb_buf_add(&copy, page->data, page->len);
+    if (page->len) amb_buf_append(&copy, page->data, page->len);
     fake_answer(fake_call_open("/follow"), 200, &copy);
     return understood;
 }
@@ -252,7 +254,7 @@
             if (*at == ' ') continue;
             const char digits[3] = {at[0], at[1], 0};
             char byte = (char)strtol(digits, NULL, 16);
-            amb_buf_add(&page, &byte, 1);
+            amb_buf_append(&page, &byte, 1);
             at++;
         }
         bool read = amb_change_page_decode(page.data, page.len, &store_revision, note_change, &visited);
--- a/tests/codec/test_codec.c
+++ b/tests/codec/test_codec.c
@@ -21,26 +21,27 @@
     {"stow_s", K_NUM, "", 4},         {"due_s", K_NUM, "", 900},
 };
 
-static void put(struct amb_buf *buffer, const struct field *f) {
-    amb_w_str(buffer, f->key);
-    switch (f->kind) {
-    case K_TEXT: amb_w_str(buffer, f->text); break;
-    case K_NUM: amb_w_num(buffer, f->num); break;
-    case K_UINT: amb_w_uint(buffer, (uint64_t)f->num); break;
-    case K_BOOL: amb_w_bool(buffer, f->num != 0); break;
-    case K_NULL: amb_w_null(buffer); break;
+static void put(struct amb_buf *buffer, const struct field *field) {
+    amb_cbor_write_string(buffer, field->key);
+    switch (field->kind) {
+    case K_TEXT: amb_cbor_write_string(buffer, field->text); break;
+    case K_NUM: amb_cbor_write_number(buffer, field->num); break;
+    case K_UINT: amb_cbor_write_uint(buffer, (uint64_t)field->num); break;
+    case K_BOOL: amb_cbor_write_bool(buffer, field->num != 0); break;
+    case K_NULL: amb_cbor_write_null(buffer); break;
     case K_LIST:
-        amb_w_list(buffer, 1);
-        amb_w_str(buffer, f->text);
+        amb_cbor_write_list(buffer, 1);
+        amb_cbor_write_string(buffer, field->text);
         break;
-    case K_NEG: amb_buf_add(buffer, "\x20", 1); break; /* -1 */
+    case K_NEG: amb_buf_append(buffer, "\x20", 1); break; /* -1 */
     }
 }
 
 /* The good job with one field changed, or left out when the change has no key. */
-static enum amb_parse parse_with(const char *key, const struct field *change, struct amb_job_spec *out) {
+static enum amb_codec_result parse_with(const char *key, const struct field *change,
+                                        struct amb_job_spec *out) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, ROWS(good) - (change == NULL && key ? 1 : 0));
+    amb_cbor_write_map(&buffer, ROWS(good) - (change == NULL && key ? 1 : 0));
     for (size_t i = 0; i < ROWS(good); i++) {
         if (key && !strcmp(good[i].key, key)) {
             if (change) put(&buffer, change);
@@ -50,25 +51,25 @@
     }
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     assert_non_null(item);
-    enum amb_parse p = amb_codec_spec(item, out);
+    enum amb_codec_result result = amb_codec_decode_spec(item, out);
     cbor_decref(&item);
     amb_buf_free(&buffer);
-    return p;
+    return result;
 }
 
 static void job_is_read_and_written_back(void **state) {
     (void)state;
     struct amb_job_spec spec, again;
-    assert_int_equal(parse_with(NULL, NULL, &spec), AMB_PARSE_OK);
+    assert_int_equal(parse_with(NULL, NULL, &spec), AMB_CODEC_OK);
     assert_int_equal(spec.kind, AMB_JOB_KIND_GANG);
     assert_int_equal(spec.priority, AMB_PRIORITY_HIGH);
     assert_int_equal(spec.task_count, 16);
     assert_true(spec.one_zone && !spec.spread_zones && spec.spot_allowed);
     assert_string_equal(spec.allowed_types[0], "g8");
     struct amb_buf buffer = {0};
-    amb_codec_put_spec(&buffer, &spec);
+    amb_codec_encode_spec(&buffer, &spec);
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    assert_int_equal(amb_codec_spec(item, &again), AMB_PARSE_OK);
+    assert_int_equal(amb_codec_decode_spec(item, &again), AMB_CODEC_OK);
     assert_memory_equal(&spec, &again, sizeof spec);
     cbor_decref(&item);
     amb_buf_free(&buffer);
@@ -89,7 +90,8 @@
     };
     struct amb_job_spec spec;
     for (size_t i = 0; i < ROWS(bad); i++)
-        if (parse_with(bad[i].key, &bad[i], &spec) != AMB_PARSE_BAD) fail_msg("row %zu: %s", i, bad[i].key);
+        if (parse_with(bad[i].key, &bad[i], &spec) != AMB_CODEC_MALFORMED)
+            fail_msg("row %zu: %s", i, bad[i].key);
 }
 
 static void only_nullable_fields_may_be_missing(void **state) {
@@ -98,7 +100,8 @@
     for (size_t i = 0; i < ROWS(good); i++) {
         const char *k = good[i].key;
         bool may = !strcmp(k, "hulls") || !strcmp(k, "yard") || !strcmp(k, "due_s");
-        if (parse_with(k, NULL, &spec) != (may ? AMB_PARSE_OK : AMB_PARSE_BAD)) fail_msg("%s left out", k);
+        if (parse_with(k, NULL, &spec) != (may ? AMB_CODEC_OK : AMB_CODEC_MALFORMED))
+            fail_msg("%s left out", k);
     }
 }
 
@@ -117,7 +120,7 @@
         cbor_item_t *item = amb_cbor_parse(rows[i].bytes, rows[i].len);
         struct amb_job_spec spec;
         if ((item != NULL) != rows[i].cbor) fail_msg("row %zu", i);
-        assert_int_equal(amb_codec_spec(item, &spec), AMB_PARSE_BAD);
+        assert_int_equal(amb_codec_decode_spec(item, &spec), AMB_CODEC_MALFORMED);
         if (item) cbor_decref(&item);
     }
 }
@@ -141,53 +144,53 @@
 }
 
 /* A report, cut short and with each byte changed in turn: read or refused, never a crash. */
-static void reports_survive_damage(void **state) {
+static void heartbeats_survive_damage(void **state) {
     (void)state;
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 9);
+    amb_cbor_write_map(&buffer, 9);
     const char *texts[][2] = {{"rig", "m-1"}, {"address", "1.2.3.4:9"}, {"hull", "g8"}, {"yard", "a"}};
     for (size_t i = 0; i < 4; i++) {
-        amb_w_str(&buffer, texts[i][0]);
-        amb_w_str(&buffer, texts[i][1]);
+        amb_cbor_write_string(&buffer, texts[i][0]);
+        amb_cbor_write_string(&buffer, texts[i][1]);
     }
-    amb_w_str(&buffer, "driftwood");
-    amb_w_bool(&buffer, true);
+    amb_cbor_write_string(&buffer, "driftwood");
+    amb_cbor_write_bool(&buffer, true);
     const char *counts[] = {"watch", "tally", "baton"};
     for (size_t i = 0; i < 3; i++) {
-        amb_w_str(&buffer, counts[i]);
-        amb_w_uint(&buffer, i + 1);
+        amb_cbor_write_string(&buffer, counts[i]);
+        amb_cbor_write_uint(&buffer, i + 1);
     }
-    amb_w_str(&buffer, "legs");
-    amb_w_list(&buffer, 1);
-    amb_w_map(&buffer, 4);
-    amb_w_str(&buffer, "leg");
-    amb_w_str(&buffer, "wk-1/3");
-    amb_w_str(&buffer, "try");
-    amb_w_uint(&buffer, 2);
-    amb_w_str(&buffer, "stance");
-    amb_w_str(&buffer, "exited");
-    amb_w_str(&buffer, "cause");
-    amb_w_str(&buffer, "done");
+    amb_cbor_write_string(&buffer, "legs");
+    amb_cbor_write_list(&buffer, 1);
+    amb_cbor_write_map(&buffer, 4);
+    amb_cbor_write_string(&buffer, "leg");
+    amb_cbor_write_string(&buffer, "wk-1/3");
+    amb_cbor_write_string(&buffer, "try");
+    amb_cbor_write_uint(&buffer, 2);
+    amb_cbor_write_string(&buffer, "stance");
+    amb_cbor_write_string(&buffer, "exited");
+    amb_cbor_write_string(&buffer, "cause");
+    amb_cbor_write_string(&buffer, "done");
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     struct amb_agent_heartbeat heartbeat;
-    assert_int_equal(amb_codec_report(item, &heartbeat), AMB_PARSE_OK);
+    assert_int_equal(amb_codec_decode_heartbeat_item(item, &heartbeat), AMB_CODEC_OK);
     assert_int_equal(heartbeat.task_count, 1);
     assert_string_equal(heartbeat.tasks[0].job_ref, "wk-1");
     assert_int_equal(heartbeat.tasks[0].index, 3);
     assert_int_equal(heartbeat.tasks[0].exit_reason, AMB_EXIT_DONE);
     assert_true(heartbeat.reclaim_notice_s < 0);
-    amb_report_free(&heartbeat);
+    amb_codec_free_heartbeat(&heartbeat);
     cbor_decref(&item);
     size_t read = 0;
     for (size_t at = 0; at < buffer.len; at++)
-        for (int v = 0; v < 256; v += 5) {
+        for (int value = 0; value < 256; value += 5) {
             char *copy = malloc(buffer.len);
             memcpy(copy, buffer.data, buffer.len);
-            copy[at] = (char)v;
-            item = amb_cbor_parse(copy, v % 2 ? buffer.len : at);
-            if (amb_codec_report(item, &heartbeat) == AMB_PARSE_OK) {
+            copy[at] = (char)value;
+            item = amb_cbor_parse(copy, value % 2 ? buffer.len : at);
+            if (amb_codec_decode_heartbeat_item(item, &heartbeat) == AMB_CODEC_OK) {
                 read++;
-                amb_report_free(&heartbeat);
+                amb_codec_free_heartbeat(&heartbeat);
             }
             if (item) cbor_decref(&item);
             free(copy);
@@ -204,8 +207,8 @@
     return seed % below;
 }
 
-static const char *pick(const char *const *words, size_t n) {
-    return words[draw((uint32_t)n)];
+static const char *pick(const char *const *words, size_t count) {
+    return words[draw((uint32_t)count)];
 }
 
 /* Any value, sensible or not, in an encoding that a worker may use. */
@@ -218,30 +221,30 @@
         "\x20",     "\xf8\x20",     "\xc1\x05", "\x41\x61",     "\x7f\x61\x61\xff"};
     static const size_t raw_len[] = {2, 3, 1, 3, 5, 1, 2, 2, 2, 4};
     switch (draw(7)) {
-    case 0: amb_w_str(buffer, pick(texts, ROWS(texts))); break;
-    case 1: amb_w_uint(buffer, draw(3) ? draw(300) : (uint64_t)draw(1u << 31) << draw(34)); break;
-    case 2: amb_w_bool(buffer, draw(2)); break;
-    case 3: amb_w_null(buffer); break;
-    case 4: amb_w_num(buffer, draw(2) ? draw(100) * 0.5 : draw(2) ? -3.5 : 1.0 / 0.0); break;
+    case 0: amb_cbor_write_string(buffer, pick(texts, ROWS(texts))); break;
+    case 1: amb_cbor_write_uint(buffer, draw(3) ? draw(300) : (uint64_t)draw(1u << 31) << draw(34)); break;
+    case 2: amb_cbor_write_bool(buffer, draw(2)); break;
+    case 3: amb_cbor_write_null(buffer); break;
+    case 4: amb_cbor_write_number(buffer, draw(2) ? draw(100) * 0.5 : draw(2) ? -3.5 : 1.0 / 0.0); break;
     case 5: {
         size_t i = draw(ROWS(raw));
         if (i != 2 && i != 1)
-            amb_buf_add(buffer, raw[i], raw_len[i]);
+            amb_buf_append(buffer, raw[i], raw_len[i]);
         else
-            amb_w_null(buffer);
+            amb_cbor_write_null(buffer);
         break;
     }
-    default: amb_w_str(buffer, pick(texts, ROWS(texts))); break;
+    default: amb_cbor_write_string(buffer, pick(texts, ROWS(texts))); break;
     }
 }
 
 static void put_drawn_value(struct amb_buf *buffer) {
     uint32_t luck = draw(9);
     if (luck >= 7) {
-        amb_w_map(buffer, 1);
-        amb_w_str(buffer, "x");
+        amb_cbor_write_map(buffer, 1);
+        amb_cbor_write_string(buffer, "x");
     }
-    if (luck >= 6) amb_w_list(buffer, 2);
+    if (luck >= 6) amb_cbor_write_list(buffer, 2);
     if (luck >= 6) put_drawn_scalar(buffer);
     put_drawn_scalar(buffer);
 }
@@ -253,15 +256,15 @@
     uint32_t luck = odds ? draw(odds) : 5;
     if (luck == 0) return 0;
     if (luck == 1) {
-        amb_w_str(buffer, pick(keys, ROWS(keys)));
+        amb_cbor_write_string(buffer, pick(keys, ROWS(keys)));
         put_drawn_value(buffer);
     } else if (luck == 2) {
-        amb_w_str(buffer, key);
+        amb_cbor_write_string(buffer, key);
         put_drawn_value(buffer);
     } else {
-        struct field f = *value;
-        f.key = key;
-        put(buffer, &f);
+        struct field field = *value;
+        field.key = key;
+        put(buffer, &field);
     }
     return 1;
 }
@@ -279,12 +282,12 @@
                                    {"stored", K_BOOL, "", draw(2)}};
     size_t pairs = 0, most = draw(3) ? 3 : ROWS(fields);
     for (size_t i = 0; i < most; i++) pairs += put_drawn_pair(&buffer, odds, fields[i].key, &fields[i]);
-    amb_w_map(list, pairs);
-    if (buffer.len) amb_buf_add(list, buffer.data, buffer.len);
+    amb_cbor_write_map(list, pairs);
+    if (buffer.len) amb_buf_append(list, buffer.data, buffer.len);
     amb_buf_free(&buffer);
 }
 
-static void put_drawn_report(struct amb_buf *out, uint32_t odds) {
+static void put_drawn_heartbeat(struct amb_buf *out, uint32_t odds) {
     struct amb_buf buffer = {0};
     const struct field fields[] = {{"rig", K_TEXT, "m-000231", 0},
                                    {"address", K_TEXT, "10.1.0.232:9000", 0},
@@ -297,66 +300,68 @@
                                    {"recall_s", draw(3) ? K_NULL : K_NUM, "", draw(10)}};
     size_t pairs = 0, first = draw(ROWS(fields));
     for (size_t i = 0; i < ROWS(fields); i++) {
-        const struct field *f = &fields[(first + i) % ROWS(fields)];
-        pairs += put_drawn_pair(&buffer, odds, f->key, f);
+        const struct field *field = &fields[(first + i) % ROWS(fields)];
+        pairs += put_drawn_pair(&buffer, odds, field->key, field);
     }
     if (draw(20)) {
         uint32_t tasks = draw(6);
         pairs++;
-        amb_w_str(&buffer, "legs");
-        amb_w_list(&buffer, tasks);
+        amb_cbor_write_string(&buffer, "legs");
+        amb_cbor_write_list(&buffer, tasks);
         for (uint32_t i = 0; i < tasks; i++) put_drawn_task(&buffer, odds);
     }
-    amb_w_map(out, pairs);
-    amb_buf_add(out, buffer.data, buffer.len);
+    amb_cbor_write_map(out, pairs);
+    amb_buf_append(out, buffer.data, buffer.len);
     amb_buf_free(&buffer);
 }
 
-static void same_report(const struct amb_agent_heartbeat *a, const struct amb_agent_heartbeat *b) {
-    assert_string_equal(a->machine, b->machine);
-    assert_string_equal(a->address, b->address);
-    assert_string_equal(a->type, b->type);
-    assert_string_equal(a->zone, b->zone);
-    assert_int_equal(a->spot, b->spot);
-    assert_true(a->incarnation == b->incarnation && a->sequence == b->sequence &&
-                a->fencing_token == b->fencing_token);
-    assert_true(a->reclaim_notice_s == b->reclaim_notice_s);
-    assert_int_equal(a->task_count, b->task_count);
-    for (size_t i = 0; i < a->task_count; i++) {
-        const struct amb_agent_task *x = &a->tasks[i], *y = &b->tasks[i];
-        assert_string_equal(x->job_ref, y->job_ref);
-        assert_true(x->index == y->index && x->attempt == y->attempt);
-        assert_true(x->state == y->state && x->exit_reason == y->exit_reason &&
-                    x->checkpoint_saved == y->checkpoint_saved);
+static void assert_same_heartbeat(const struct amb_agent_heartbeat *left,
+                                  const struct amb_agent_heartbeat *right) {
+    assert_string_equal(left->machine, right->machine);
+    assert_string_equal(left->address, right->address);
+    assert_string_equal(left->type, right->type);
+    assert_string_equal(left->zone, right->zone);
+    assert_int_equal(left->spot, right->spot);
+    assert_true(left->incarnation == right->incarnation && left->sequence == right->sequence &&
+                left->fencing_token == right->fencing_token);
+    assert_true(left->reclaim_notice_s == right->reclaim_notice_s);
+    assert_int_equal(left->task_count, right->task_count);
+    for (size_t i = 0; i < left->task_count; i++) {
+        const struct amb_agent_task *left_task = &left->tasks[i], *right_task = &right->tasks[i];
+        assert_string_equal(left_task->job_ref, right_task->job_ref);
+        assert_true(left_task->index == right_task->index && left_task->attempt == right_task->attempt);
+        assert_true(left_task->state == right_task->state &&
+                    left_task->exit_reason == right_task->exit_reason &&
+                    left_task->checkpoint_saved == right_task->checkpoint_saved);
     }
 }
 
 /* Whether the quick reading took it. */
-static bool compare_readings(const char *data, size_t len, enum amb_parse *result) {
+static bool compare_readings(const char *data, size_t len, enum amb_codec_result *result) {
     struct amb_agent_heartbeat quick, full;
     char *copy = malloc(len ? len : 1); /* of just this size, so that the sanitizer sees any read beyond */
     memcpy(copy, data, len);
     cbor_item_t *item = amb_cbor_parse(copy, len);
-    *result = amb_codec_report(item, &full);
-    bool taken = amb_codec_report_quick(copy, len, &quick);
+    *result = amb_codec_decode_heartbeat_item(item, &full);
+    bool taken = amb_codec_decode_heartbeat_fast(copy, len, &quick);
     if (taken) {
-        assert_int_equal(*result, AMB_PARSE_OK);
-        same_report(&quick, &full);
-        amb_report_free(&quick);
+        assert_int_equal(*result, AMB_CODEC_OK);
+        assert_same_heartbeat(&quick, &full);
+        amb_codec_free_heartbeat(&quick);
     }
     struct amb_agent_heartbeat either;
-    assert_int_equal(amb_codec_read_report(copy, len, &either), *result);
-    if (*result == AMB_PARSE_OK) {
-        same_report(&either, &full);
-        amb_report_free(&either);
-        amb_report_free(&full);
+    assert_int_equal(amb_codec_decode_heartbeat(copy, len, &either), *result);
+    if (*result == AMB_CODEC_OK) {
+        assert_same_heartbeat(&either, &full);
+        amb_codec_free_heartbeat(&either);
+        amb_codec_free_heartbeat(&full);
     }
     if (item) cbor_decref(&item);
     free(copy);
     return taken;
 }
 
-static void quick_reports_equal_plain_ones(void **state) {
+static void fast_heartbeats_equal_plain_ones(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -371,14 +376,14 @@
         size_t taken = 0, good = 0;
         for (int i = 0; i < 10000; i++) {
             struct amb_buf buffer = {0};
-            enum amb_parse result;
-            put_drawn_report(&buffer, rows[row].odds);
+            enum amb_codec_result result;
+            put_drawn_heartbeat(&buffer, rows[row].odds);
             if (rows[row].damaged) buffer.data[draw((uint32_t)buffer.len)] = (char)draw(256);
             if (rows[row].damaged && !draw(4)) buffer.len = draw((uint32_t)buffer.len + 1);
             taken += compare_readings(buffer.data, buffer.len, &result);
-            good += result == AMB_PARSE_OK;
+            good += result == AMB_CODEC_OK;
             /* What workers send is never left to the slow way. */
-            if (!row && result == AMB_PARSE_OK) assert_int_equal(taken, good);
+            if (!row && result == AMB_CODEC_OK) assert_int_equal(taken, good);
             amb_buf_free(&buffer);
         }
         if (taken < rows[row].taken_least || taken > rows[row].taken_most || good < taken)
@@ -390,8 +395,8 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(job_is_read_and_written_back),        cmocka_unit_test(bad_fields_are_refused),
         cmocka_unit_test(only_nullable_fields_may_be_missing), cmocka_unit_test(not_a_map_is_refused),
-        cmocka_unit_test(absurd_lengths_take_no_memory),       cmocka_unit_test(reports_survive_damage),
-        cmocka_unit_test(quick_reports_equal_plain_ones),
+        cmocka_unit_test(absurd_lengths_take_no_memory),       cmocka_unit_test(heartbeats_survive_damage),
+        cmocka_unit_test(fast_heartbeats_equal_plain_ones),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -13,9 +13,9 @@
     fake_http_reset();
     setup(NULL);
     strcpy(node->settings.member, "n-0");
-    strcpy(node->settings.state, "state:1");
-    node->settings.state_rps = node->settings.state_write_rps = 1000;
-    node->settings.npeers = PEERS;
+    strcpy(node->settings.store_addr, "state:1");
+    node->settings.store_rps = node->settings.store_write_rps = 1000;
+    node->settings.peer_count = PEERS;
     amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
     node->peers.count = PEERS;
@@ -39,17 +39,17 @@
 
 static void answer_epoch(struct fake_call *call) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "epoch");
-    amb_w_uint(&body, WRITTEN);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "epoch");
+    amb_cbor_write_uint(&body, WRITTEN);
     fake_answer(call, 200, &body);
 }
 
 static cbor_item_t *format_value(int format) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "format");
-    amb_w_uint(&body, (uint64_t)format);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "format");
+    amb_cbor_write_uint(&body, (uint64_t)format);
     cbor_item_t *value = amb_cbor_parse(body.data, body.len);
     amb_buf_free(&body);
     return value;
@@ -78,12 +78,12 @@
             node->election.role = leads ? AMB_ROLE_LEADER : AMB_ROLE_FOLLOWER;
             char *text = amb_peer_encode_heartbeat(node);
             json_t *messages[] = {json_loads(text, 0, NULL), amb_peer_encode_reply(node, NULL)};
-            for (size_t m = 0; m < ROWS(messages); m++) {
-                json_int_t format = json_integer_value(json_object_get(messages[m], "format"));
+            for (size_t member = 0; member < ROWS(messages); member++) {
+                json_int_t format = json_integer_value(json_object_get(messages[member], "format"));
                 if (format != rows[i].want)
                     fail_msg("%s, %s %s: %lld", rows[i].what, leads ? "leading," : "following,",
-                             m ? "answer" : "heartbeat", (long long)format);
-                json_decref(messages[m]);
+                             member ? "answer" : "heartbeat", (long long)format);
+                json_decref(messages[member]);
             }
             free(text);
         }
@@ -133,7 +133,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        for (uint32_t w = 0; w < rows[i].count; w++) hear(rows[i].words[w].peer, rows[i].words[w].format);
+        for (uint32_t word = 0; word < rows[i].count; word++)
+            hear(rows[i].words[word].peer, rows[i].words[word].format);
         if (rows[i].upgrade_over) amb_format_complete_upgrade(node, "test");
         if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWER;
         if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
@@ -158,10 +159,10 @@
     assert_non_null(commit);
     uint64_t lease, format;
     const cbor_item_t *value = fake_txn_put(commit, "a/format", &lease);
-    assert_true(amb_cbor_uint(amb_cbor_get(value, "format"), &format) && format == 2);
+    assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "format"), &format) && format == 2);
     assert_int_equal(lease, 0); /* it stays when its writer ends */
-    assert_int_equal(fake_txn_guard(commit, "a/leader"), TERM);
-    assert_int_equal(fake_txn_guard(commit, "a/format"), 0);
+    assert_int_equal(fake_txn_compared_revision(commit, "a/leader"), TERM);
+    assert_int_equal(fake_txn_compared_revision(commit, "a/format"), 0);
     end();
 }
 
@@ -223,14 +224,15 @@
     struct fake_call *list = fake_call_open("/store?prefix=a/");
     assert_non_null(list);
     struct amb_buf body = {0};
-    amb_w_map(&body, 3);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, WRITTEN);
-    amb_w_str(&body, "truncated"), amb_w_bool(&body, false);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, 1);
-    amb_w_map(&body, 3);
-    amb_w_str(&body, "path"), amb_w_str(&body, "a/format");
-    amb_w_str(&body, "stamp"), amb_w_uint(&body, WRITTEN);
-    amb_w_str(&body, "value"), amb_w_map(&body, 1), amb_w_str(&body, "format"), amb_w_uint(&body, 2);
+    amb_cbor_write_map(&body, 3);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, WRITTEN);
+    amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, false);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, 1);
+    amb_cbor_write_map(&body, 3);
+    amb_cbor_write_string(&body, "path"), amb_cbor_write_string(&body, "a/format");
+    amb_cbor_write_string(&body, "stamp"), amb_cbor_write_uint(&body, WRITTEN);
+    amb_cbor_write_string(&body, "value"), amb_cbor_write_map(&body, 1),
+        amb_cbor_write_string(&body, "format"), amb_cbor_write_uint(&body, 2);
     assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
     fake_answer(list, 200, &body);
     assert_int_equal(amb_format_active(node), AMB_FORMAT_2);
@@ -252,7 +254,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        node->settings.state_next.write_rps = rows[i].announced ? 600 : 0;
+        node->settings.announced_limits.write_rps = rows[i].announced ? 600 : 0;
         amb_store_init(&node->store, &node->settings, 1000);
         amb_store_set_leadership(&node->store, rows[i].leads);
         json_t *before = amb_peer_encode_reply(node, NULL);
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -132,10 +132,10 @@
         struct amb_placement placement;
         struct amb_buf got = {0};
         while (amb_placement_block_next_placement(&at, &placement))
-            amb_buf_fmt(&got, "%u@%s/%llu:%d.%d.%d ", placement.task, placement.machine,
-                        (unsigned long long)placement.attempt, placement.type, placement.zone,
-                        placement.spot);
-        amb_buf_add(&got, "", 1);
+            amb_buf_append_format(&got, "%u@%s/%llu:%d.%d.%d ", placement.task, placement.machine,
+                                  (unsigned long long)placement.attempt, placement.type, placement.zone,
+                                  placement.spot);
+        amb_buf_append(&got, "", 1);
         if (strcmp(got.data, rows[i].want)) fail_msg("'%s': %s", rows[i].text, got.data);
         amb_buf_free(&got);
     }
@@ -158,8 +158,8 @@
         struct amb_task_range range;
         struct amb_buf got = {0};
         while (amb_placement_block_next_completed(&at, &range))
-            amb_buf_fmt(&got, "%u-%u ", range.first, range.end);
-        amb_buf_add(&got, "", 1);
+            amb_buf_append_format(&got, "%u-%u ", range.first, range.end);
+        amb_buf_append(&got, "", 1);
         if (strcmp(got.data, rows[i].want)) fail_msg("'%s': %s", rows[i].text, got.data);
         amb_buf_free(&got);
     }
--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -11,7 +11,7 @@
 /* A node that leads, with a team that has its turn, and two zones. */
 static void begin(void) {
     setup(NULL);
-    amb_wdrr_prepare(node->settings.teams, node->settings.nteams, true);
+    amb_wdrr_prepare(node->settings.teams, node->settings.team_count, true);
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     amb_catalog_find_or_add_zone(&node->catalog, "b");
 }
@@ -135,10 +135,10 @@
         struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
         amb_cycle_admit(cycle);
         amb_cycle_free(cycle);
-        uint32_t a = job->zone_task_counts[A], b = job->zone_task_counts[B];
-        bool same = a == rows[i].want_a && b == rows[i].want_b;
-        if (!same && !(rows[i].either && a == rows[i].want_b && b == rows[i].want_a))
-            fail_msg("%s: %u in a, %u in b", rows[i].what, a, b);
+        uint32_t count_a = job->zone_task_counts[A], count_b = job->zone_task_counts[B];
+        bool same = count_a == rows[i].want_a && count_b == rows[i].want_b;
+        if (!same && !(rows[i].either && count_a == rows[i].want_b && count_b == rows[i].want_a))
+            fail_msg("%s: %u in a, %u in b", rows[i].what, count_a, count_b);
         teardown(NULL);
     }
 }
@@ -172,8 +172,8 @@
         machine_in("m-a", A);
         bound(job, rows[i].count, "m-a", 1)->inherited = true;
         report("m-a", 1, 2, TERM, amb_now(), NULL, 0);
-        if ((count_orders(AMB_COMMAND_RUN) == 1) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
+        if ((count_commands(AMB_COMMAND_RUN) == 1) != rows[i].starts)
+            fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
         teardown(NULL);
     }
 }
--- a/tests/config/test_settings.c
+++ b/tests/config/test_settings.c
@@ -6,12 +6,12 @@
 #include <unistd.h>
 
 static char *slurp(const char *path) {
-    FILE *f = fopen(path, "r");
-    assert_non_null(f);
+    FILE *file = fopen(path, "r");
+    assert_non_null(file);
     char *text = calloc(1, 65536);
-    size_t n = fread(text, 1, 65535, f);
-    assert_true(n > 0);
-    fclose(f);
+    size_t length = fread(text, 1, 65535, file);
+    assert_true(length > 0);
+    fclose(file);
     return text;
 }
 
@@ -29,13 +29,13 @@
     char err[256];
     if (!amb_settings_load("tests/data/good.toml", &settings, err, sizeof err)) fail_msg("%s", err);
     assert_string_equal(settings.member, "node-0");
-    assert_int_equal(settings.npeers, 1);
+    assert_int_equal(settings.peer_count, 1);
     assert_string_equal(settings.peers[0].addr, "127.0.0.1:9");
-    assert_int_equal(settings.nzones, 2);
+    assert_int_equal(settings.zone_count, 2);
     assert_true(settings.teams[0].limit.gpus == 32 && settings.teams[0].guarantee.gpus == 16);
     assert_true(settings.value_kb == 8 && settings.fd_limit == 800);
-    assert_true(settings.state_next.value_kb == 2 && settings.state_next.write_rps == 15 &&
-                settings.state_next.txn_ops == 4);
+    assert_true(settings.announced_limits.value_kb == 2 && settings.announced_limits.write_rps == 15 &&
+                settings.announced_limits.txn_ops == 4);
     assert_string_equal(settings.objectives[0].class_name, "train");
 }
 
@@ -44,7 +44,7 @@
     (void)state;
     static const struct {
         const char *what, *announced;
-        struct amb_state_limits want;
+        struct amb_store_limits want;
     } rows[] = {
         {"all three", "[params.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4\n", {15, 2, 4}},
         {"none", "", {20, 8, 8}},
@@ -65,7 +65,7 @@
         spill(path, text);
         if (!amb_settings_load(path, &settings, err, sizeof err)) fail_msg("%s: %s", rows[i].what, err);
         unlink(path);
-        struct amb_state_limits got = amb_settings_lowered_limits(&settings);
+        struct amb_store_limits got = amb_settings_lowered_limits(&settings);
         if (got.write_rps != rows[i].want.write_rps || got.value_kb != rows[i].want.value_kb ||
             got.txn_ops != rows[i].want.txn_ops)
             fail_msg("%s: %g writes, %g KiB, %g changes", rows[i].what, got.write_rps, got.value_kb,
@@ -75,7 +75,7 @@
 }
 
 /* Starts aimed at sooner than reports allow for once waited for the leader's own turns. */
-static void beat_follows_the_shortest_start(void **state) {
+static void cycle_follows_the_shortest_start(void **state) {
     (void)state;
     static const struct {
         double report_s, within_s[2], want;
@@ -86,15 +86,15 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         static struct amb_settings settings;
         memset(&settings, 0, sizeof settings);
-        settings.report_s = rows[i].report_s;
+        settings.heartbeat_s = rows[i].report_s;
         for (size_t k = 0; k < 2 && rows[i].within_s[k] > 0; k++) {
-            struct amb_objective *o = &settings.objectives[settings.nobjectives++];
-            strcpy(o->kind, "wait");
-            o->within_s = rows[i].within_s[k];
+            struct amb_objective *objective = &settings.objectives[settings.objective_count++];
+            strcpy(objective->kind, "wait");
+            objective->within_s = rows[i].within_s[k];
         }
-        strcpy(settings.objectives[settings.nobjectives++].kind, "guarantee"); /* no start's aim */
-        if (amb_settings_beat(&settings) != rows[i].want)
-            fail_msg("row %zu: %g", i, amb_settings_beat(&settings));
+        strcpy(settings.objectives[settings.objective_count++].kind, "guarantee"); /* no start's aim */
+        if (amb_settings_cycle_s(&settings) != rows[i].want)
+            fail_msg("row %zu: %g", i, amb_settings_cycle_s(&settings));
     }
 }
 
@@ -165,17 +165,17 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         char path[64], err[256] = "";
         struct amb_options options;
-        amb_options_default(&options);
+        amb_options_set_defaults(&options);
         spill(path, rows[i].xml);
         bool ok = amb_options_load(path, &options, err, sizeof err);
         unlink(path);
         if (ok != !rows[i].complaint || (!ok && !strstr(err, rows[i].complaint)))
             fail_msg("row %zu: '%s'", i, err);
-        if (i == 1) assert_true(options.headroom == 2.5);
+        if (i == 1) assert_true(options.headroom_deviations == 2.5);
     }
     struct amb_options normal, sample;
     char err[256] = "";
-    amb_options_default(&normal);
+    amb_options_set_defaults(&normal);
     memset(&sample, 0, sizeof sample);
     if (!amb_options_load("deploy/options.xml", &sample, err, sizeof err)) fail_msg("%s", err);
     assert_memory_equal(&normal, &sample, sizeof normal); /* the sample states every default */
@@ -185,7 +185,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(good_settings_load),
         cmocka_unit_test(lowered_limits),
-        cmocka_unit_test(beat_follows_the_shortest_start),
+        cmocka_unit_test(cycle_follows_the_shortest_start),
         cmocka_unit_test(bad_settings_are_named),
         cmocka_unit_test(options),
     };
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -16,44 +16,44 @@
     response_status = reply->status;
     response_token = response_halts = response_starts = 0;
     cbor_item_t *map = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
-    amb_cbor_uint(amb_cbor_get(map, "baton"), &response_token);
-    const cbor_item_t *list = amb_cbor_get(map, "orders");
-    for (size_t i = 0; i < amb_cbor_len(list); i++) {
-        const cbor_item_t *verb = amb_cbor_get(amb_cbor_at(list, i), "verb");
-        response_halts += amb_cbor_eq(verb, "halt");
-        response_starts += amb_cbor_eq(verb, "run");
+    amb_cbor_get_uint(amb_cbor_map_get(map, "baton"), &response_token);
+    const cbor_item_t *list = amb_cbor_map_get(map, "orders");
+    for (size_t i = 0; i < amb_cbor_list_length(list); i++) {
+        const cbor_item_t *verb = amb_cbor_map_get(amb_cbor_list_item(list, i), "verb");
+        response_halts += amb_cbor_equals(verb, "halt");
+        response_starts += amb_cbor_equals(verb, "run");
     }
     if (map) cbor_decref(&map);
     amb_buf_free(&reply->body);
 }
 
 static void write_pair(struct amb_buf *buffer, const char *name, const char *value) {
-    amb_w_str(buffer, name);
-    amb_w_str(buffer, value);
+    amb_cbor_write_string(buffer, name);
+    amb_cbor_write_string(buffer, value);
 }
 
 /* A worker of zone a reports one running task over HTTP. */
 static void post_heartbeat(uint64_t token, const char *task) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 9);
+    amb_cbor_write_map(&buffer, 9);
     write_pair(&buffer, "rig", "m-1");
     write_pair(&buffer, "address", "127.0.0.1:1");
     write_pair(&buffer, "hull", "g8");
     write_pair(&buffer, "yard", "a");
-    amb_w_str(&buffer, "driftwood");
-    amb_w_bool(&buffer, false);
-    amb_w_str(&buffer, "watch");
-    amb_w_uint(&buffer, 1);
-    amb_w_str(&buffer, "tally");
-    amb_w_uint(&buffer, 1);
-    amb_w_str(&buffer, "baton");
-    amb_w_uint(&buffer, token);
-    amb_w_str(&buffer, "legs");
-    amb_w_list(&buffer, 1);
-    amb_w_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "driftwood");
+    amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "watch");
+    amb_cbor_write_uint(&buffer, 1);
+    amb_cbor_write_string(&buffer, "tally");
+    amb_cbor_write_uint(&buffer, 1);
+    amb_cbor_write_string(&buffer, "baton");
+    amb_cbor_write_uint(&buffer, token);
+    amb_cbor_write_string(&buffer, "legs");
+    amb_cbor_write_list(&buffer, 1);
+    amb_cbor_write_map(&buffer, 3);
     write_pair(&buffer, "leg", task);
-    amb_w_str(&buffer, "try");
-    amb_w_uint(&buffer, 1);
+    amb_cbor_write_string(&buffer, "try");
+    amb_cbor_write_uint(&buffer, 1);
     write_pair(&buffer, "stance", "running");
     struct fake_reply reply = {0};
     assert_true(amb_agent_handle_request(node, fake_request("POST", "/hello", &buffer, &reply)));
@@ -168,7 +168,7 @@
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
     struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
+    assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
     apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
     assert_false(amb_job_find(node, "wk-1")->active);
@@ -187,7 +187,7 @@
     assert_int_equal(norders, 0);
     apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     report("m-1", 1, 2, TERM - 1, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
+    assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
     seen.state = AMB_AGENT_TASK_EXITED;
     report("m-1", 1, 3, TERM, amb_now(), &seen, 1);
     assert_int_equal(norders, 0);
@@ -250,7 +250,7 @@
         amb_ms fence_after;
     } rows[] = {{10, 30, 19000}, {22, 42, 19000}, {60, 120, 57000}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        node->settings.lease_s = rows[i].lease_s;
+        node->settings.agent_lease_s = rows[i].lease_s;
         node->settings.cancel_s = rows[i].cancel_s;
         amb_election_init(node);
         if (node->election.fence_after != rows[i].fence_after)
--- a/tests/duty/test_duty_core.c
+++ b/tests/duty/test_duty_core.c
@@ -244,7 +244,7 @@
     EXPECT(tick(5000), IDLE, "grant");
     EXPECT(granted(5001, AMB_CALL_OK, LEASE), IDLE, "join on 7 over 0");
     /* No answer to the write: whether it was carried out is read. */
-    EXPECT(committed(5002, AMB_CALL_LOST, 0), IDLE, "read n-0");
+    EXPECT(committed(5002, AMB_CALL_NO_ANSWER, 0), IDLE, "read n-0");
     EXPECT(member(5003, "n-0", false, 12, 0), IDLE, "join on 7 over 0");
     EXPECT(committed(5004, AMB_CALL_CONFLICT, 0), IDLE, "read n-0"); /* the first came late */
     EXPECT(member(5005, "n-0", true, 14, core.incarnation.nonce), IDLE, "");
@@ -351,7 +351,7 @@
     (void)state;
     join();
     step(member(20, "n-1", false, 30, 0));
-    EXPECT(committed(30, AMB_CALL_LOST, 0), CANDIDATE, "read record");
+    EXPECT(committed(30, AMB_CALL_NO_ANSWER, 0), CANDIDATE, "read record");
     EXPECT(record(31, "n-1", THEIR_SESSION, 3, 15), CANDIDATE, ""); /* not carried out yet */
     EXPECT(tick(31 + BACKOFF * 2), CANDIDATE, "extend 7, claim 4 over 15, n-1 0, self 20");
     /* The first copy was carried out after all. */
@@ -528,7 +528,7 @@
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     /* The mark: no answer. Had it been carried out, a second would fail by its guard. */
-    EXPECT(committed(11, AMB_CALL_LOST, 0), HELD, "read o-1, read record");
+    EXPECT(committed(11, AMB_CALL_NO_ANSWER, 0), HELD, "read o-1, read record");
     EXPECT(tick(12), HELD, "");
     EXPECT(intent_event(13, AMB_DUTY_INTENT_SENT, 4, 56), HELD, "");
     EXPECT(tick(11 + BACKOFF * 2), HELD, "extend 7, call o-1 by 4");
@@ -538,7 +538,7 @@
     EXPECT(tick(1100 + BACKOFF * 3), HELD, "extend 7, call o-1 by 4");
     EXPECT(answered(2650, AMB_DUTY_CLOUD_NO_CAPACITY), HELD, "o-1 refused by 4 over 50/56, 1 unanswered");
     /* The settling: no answer. */
-    EXPECT(committed(2651, AMB_CALL_LOST, 0), HELD, "read o-1, read record");
+    EXPECT(committed(2651, AMB_CALL_NO_ANSWER, 0), HELD, "read o-1, read record");
     EXPECT(intent_event(2652, AMB_DUTY_INTENT_SETTLED, 4, 57), HELD, "");
     EXPECT(tick(2700), HELD, "");
 }
@@ -676,7 +676,7 @@
     (void)state;
     hold();
     EXPECT(drain(12, ""), DRAINING, "release 4 for '' over 50");
-    EXPECT(committed(14, AMB_CALL_LOST, 0), DRAINING, "read record");
+    EXPECT(committed(14, AMB_CALL_NO_ANSWER, 0), DRAINING, "read record");
     assert_false(may_call(15));
     EXPECT(tick(14 + TTL / 10), DRAINING, "release 4 for '' over 50");
     /* It was carried out the first time. */
@@ -751,7 +751,7 @@
     assert_string_equal(said, "");
     step(tick(10 + LIST_SPAN));
     assert_string_equal(said, "remove o-1 over 50/45");
-    step(committed(11 + LIST_SPAN, AMB_CALL_LOST, 0));
+    step(committed(11 + LIST_SPAN, AMB_CALL_NO_ANSWER, 0));
     assert_string_equal(said, "read o-1, read record");
     struct amb_duty_event gone = intent_event(12 + LIST_SPAN, AMB_DUTY_INTENT_SETTLED, 3, 90);
     gone.intent.present = false;
--- a/tests/duty/test_duty_records.c
+++ b/tests/duty/test_duty_records.c
@@ -67,10 +67,10 @@
 }
 
 static void put_mode(struct amb_buf *text, uint64_t form, const char *mode, bool more) {
-    amb_w_map(text, more ? 3 : 2);
-    amb_w_str(text, "form"), amb_w_uint(text, form);
-    amb_w_str(text, "mode"), amb_w_str(text, mode);
-    if (more) amb_w_str(text, "colour"), amb_w_str(text, "red");
+    amb_cbor_write_map(text, more ? 3 : 2);
+    amb_cbor_write_string(text, "form"), amb_cbor_write_uint(text, form);
+    amb_cbor_write_string(text, "mode"), amb_cbor_write_string(text, mode);
+    if (more) amb_cbor_write_string(text, "colour"), amb_cbor_write_string(text, "red");
 }
 
 static void forms_are_heeded(void **state) {
--- a/tests/duty/test_duty_service.c
+++ b/tests/duty/test_duty_service.c
@@ -265,9 +265,9 @@
 
 static void put_record_of_form(const char *key, uint64_t form) {
     struct amb_buf value = {0};
-    amb_w_map(&value, 1);
-    amb_w_str(&value, "form");
-    amb_w_uint(&value, form);
+    amb_cbor_write_map(&value, 1);
+    amb_cbor_write_string(&value, "form");
+    amb_cbor_write_uint(&value, form);
     members_put(key, &value);
     amb_buf_free(&value);
 }
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -48,9 +48,9 @@
     char path[64];
     struct amb_buf body = {0};
     snprintf(path, sizeof path, "/store?prefix=%s", prefix);
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, 50);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, 0);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, 50);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, 0);
     fake_answer(open_call("GET", path), 200, &body);
 }
 
@@ -112,7 +112,7 @@
     amb_duties_note_listed(node);
     amb_duties_tick(node, amb_now());
     assert_false(node->duties.service.active);
-    assert_int_equal(node->duties.timer.slot, 0);
+    assert_int_equal(node->duties.timer.position, 0);
     assert_int_equal(fake_calls_sent(""), 0);
     assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
     assert_true(amb_duties_is_ready(node));
@@ -170,8 +170,8 @@
         if ((commit != NULL) != rows[i].written) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
         node->cloud.release_count = 0;
         if (!commit) continue;
-        assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-        assert_int_equal(fake_txn_guard(commit, MODE_KEY), 0);
+        assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
+        assert_int_equal(fake_txn_compared_revision(commit, MODE_KEY), 0);
     }
 }
 
@@ -200,7 +200,7 @@
         fake_clock_advance(2000);
         node->election.renewed_at = amb_now();
         amb_duties_tick(node, amb_now());
-        assert_int_equal(fake_txn_guard(open_commit(MODE_KEY), MODE_KEY), 0); /* the same again */
+        assert_int_equal(fake_txn_compared_revision(open_commit(MODE_KEY), MODE_KEY), 0); /* the same again */
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF); /* too late: it may be carried out */
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
@@ -214,9 +214,9 @@
     struct amb_buf value = {0};
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-    amb_w_map(&value, 2);
-    amb_w_str(&value, "form"), amb_w_uint(&value, AMB_DUTY_RECORD_VERSION + 1);
-    amb_w_str(&value, "mode"), amb_w_str(&value, "duties");
+    amb_cbor_write_map(&value, 2);
+    amb_cbor_write_string(&value, "form"), amb_cbor_write_uint(&value, AMB_DUTY_RECORD_VERSION + 1);
+    amb_cbor_write_string(&value, "mode"), amb_cbor_write_string(&value, "duties");
     apply_change(MODE_KEY, &value, MODE_STAMP);
     amb_duties_tick(node, amb_now());
     assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
@@ -254,7 +254,7 @@
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].leaves) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
         if (!commit) continue;
-        assert_int_equal(fake_txn_guard(commit, MODE_KEY), MODE_STAMP);
+        assert_int_equal(fake_txn_compared_revision(commit, MODE_KEY), MODE_STAMP);
         apply_mode(AMB_DUTY_MODE_LEADER, 63);
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
     }
@@ -290,8 +290,8 @@
     amb_scale_out_submit(node, 0, 0, false, 1);
     take_turn();
     struct fake_call *commit = open_commit("a/order/rent/r-50-1");
-    assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-    assert_int_equal(fake_txn_guard(commit, "a/order/rent/r-50-1"), 0);
+    assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
+    assert_int_equal(fake_txn_compared_revision(commit, "a/order/rent/r-50-1"), 0);
     answer_epoch(commit, 70);
     node->cloud.list_started_at = amb_now();
     for (int i = 0; i < 5; i++) {
@@ -343,7 +343,7 @@
     node->election.renewed_at = amb_now();
     amb_duties_tick(node, amb_now());
     struct fake_call *again = open_commit("a/order/return/t-50-1");
-    assert_int_equal(fake_txn_guard(again, "a/order/return/t-50-1"), 0);
+    assert_int_equal(fake_txn_compared_revision(again, "a/order/return/t-50-1"), 0);
     fake_answer(again, 409, NULL); /* the first had been carried out */
     apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_PENDING, AMB_DUTY_RESULT_NONE, "m-1", 71);
     fake_clock_advance(2000);
@@ -375,10 +375,11 @@
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = open_commit(rows[i].key);
         const cbor_item_t *value = fake_txn_put(commit, rows[i].key, NULL);
-        assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-        assert_int_equal(amb_cbor_len(amb_cbor_get(value, "machines")), 1);
-        assert_true(amb_cbor_eq(amb_cbor_at(amb_cbor_get(value, "machines"), 0), rows[i].machine));
-        assert_true(amb_cbor_eq(amb_cbor_get(value, "reason"), rows[i].reason));
+        assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
+        assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(value, "machines")), 1);
+        assert_true(
+            amb_cbor_equals(amb_cbor_list_item(amb_cbor_map_get(value, "machines"), 0), rows[i].machine));
+        assert_true(amb_cbor_equals(amb_cbor_map_get(value, "reason"), rows[i].reason));
         answer_epoch(commit, 70 + i);
     }
     amb_duties_tick(node, amb_now());
@@ -471,11 +472,11 @@
     (void)state;
     struct amb_buf buffer = {0};
     use_duties();
-    amb_w_map(&buffer, 4);
-    amb_w_str(&buffer, "type"), amb_w_str(&buffer, "g8");
-    amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "a");
-    amb_w_str(&buffer, "spot"), amb_w_bool(&buffer, false);
-    amb_w_str(&buffer, "count"), amb_w_uint(&buffer, 3);
+    amb_cbor_write_map(&buffer, 4);
+    amb_cbor_write_string(&buffer, "type"), amb_cbor_write_string(&buffer, "g8");
+    amb_cbor_write_string(&buffer, "zone"), amb_cbor_write_string(&buffer, "a");
+    amb_cbor_write_string(&buffer, "spot"), amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "count"), amb_cbor_write_uint(&buffer, 3);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_scale_out_restore(node, "b/r/r-40-7", value);
     cbor_decref(&value);
@@ -499,9 +500,9 @@
     answer_news(open_call("GET", "/follow"), 90, NULL, AMB_JOB_QUEUED, 0);
     assert_null(amb_machine_get(node, "m-1", false));
     struct amb_buf body = {0};
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, 90);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, 0);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, 90);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, 0);
     fake_answer(open_call("GET", "/store?prefix=b/"), 200, &body);
     assert_int_not_equal(node->controller.restored_at, 0);
     const struct amb_machine *machine = amb_machine_get(node, "m-1", false);
@@ -511,18 +512,18 @@
 /* ---- the listing of all keys ---- */
 
 static void put_pair(struct amb_buf *body, const char *key, uint64_t revision, const struct amb_buf *value) {
-    amb_w_map(body, 3);
-    amb_w_str(body, "path"), amb_w_str(body, key);
-    amb_w_str(body, "stamp"), amb_w_uint(body, revision);
-    amb_w_str(body, "value"), amb_buf_add(body, value->data, value->len);
+    amb_cbor_write_map(body, 3);
+    amb_cbor_write_string(body, "path"), amb_cbor_write_string(body, key);
+    amb_cbor_write_string(body, "stamp"), amb_cbor_write_uint(body, revision);
+    amb_cbor_write_string(body, "value"), amb_buf_append(body, value->data, value->len);
 }
 
 static void answer_page(const char *key, uint64_t revision, struct amb_buf *value, bool more) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 3);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, 90);
-    amb_w_str(&body, "truncated"), amb_w_bool(&body, more);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, 1);
+    amb_cbor_write_map(&body, 3);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, 90);
+    amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, more);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, 1);
     put_pair(&body, key, revision, value);
     amb_buf_free(value);
     fake_answer(open_call("GET", "/store?prefix=a/"), 200, &body);
@@ -534,9 +535,9 @@
     struct amb_buf leader = {0}, order = {0};
     struct amb_duty_intent_record record = {.duty = AMB_DUTY_RETURN};
     struct amb_duty_work_order work = {.reason = "idle"};
-    amb_w_map(&leader, 2);
-    amb_w_str(&leader, "member"), amb_w_str(&leader, "n-0");
-    amb_w_str(&leader, "nonce"), amb_w_uint(&leader, 1);
+    amb_cbor_write_map(&leader, 2);
+    amb_cbor_write_string(&leader, "member"), amb_cbor_write_string(&leader, "n-0");
+    amb_cbor_write_string(&leader, "nonce"), amb_cbor_write_uint(&leader, 1);
     amb_duty_encode_intent(&order, &record, &work);
     amb_watch_start(node);
     answer_page(LEADER_KEY, TERM, &leader, true);
@@ -551,13 +552,13 @@
     struct amb_buf body = {0};
     node->cloud.list_started_at = 0;
     amb_cloud_list_tick(node, amb_now());
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "truncated"), amb_w_bool(&body, more);
-    amb_w_str(&body, "rigs"), amb_w_list(&body, machine != NULL);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, more);
+    amb_cbor_write_string(&body, "rigs"), amb_cbor_write_list(&body, machine != NULL);
     if (machine) {
-        amb_w_map(&body, 2);
-        amb_w_str(&body, "ref"), amb_w_str(&body, machine);
-        amb_w_str(&body, "stance"), amb_w_str(&body, stance);
+        amb_cbor_write_map(&body, 2);
+        amb_cbor_write_string(&body, "ref"), amb_cbor_write_string(&body, machine);
+        amb_cbor_write_string(&body, "stance"), amb_cbor_write_string(&body, stance);
     }
     fake_answer(open_call("GET", "/machines"), 200, &body);
 }
@@ -591,7 +592,7 @@
             amb_duty_work_order_add_machine(&work, "m-2");
             apply_intent(AMB_DUTY_RETURN, "t-50-2", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-2", 62);
         }
-        amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.report_s);
+        amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.heartbeat_s);
         fake_clock_advance(rows[i].early ? span : span + 1);
         fake_answer_all_lost();
         if (!rows[i].no_list) read_list(rows[i].listed, rows[i].stance, rows[i].more);
@@ -638,14 +639,14 @@
         begin_duties_anew();
         assert_true(amb_duties_call_cloud(node, &intent, &work, 7, cloud_done, &answer));
         struct fake_call *call = open_call("POST", "/machines");
-        assert_true(amb_cbor_uint(amb_cbor_get(call->map, "baton"), &fencing_token));
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(call->map, "baton"), &fencing_token));
         assert_int_equal(fencing_token, 7);
-        assert_true(amb_cbor_eq(amb_cbor_get(call->map, "duty"), amb_duty_name_text(rows[i].duty)));
+        assert_true(amb_cbor_equals(amb_cbor_map_get(call->map, "duty"), amb_duty_name_text(rows[i].duty)));
         if (rows[i].duty == AMB_DUTY_RENT)
-            assert_true(amb_cbor_eq(amb_cbor_get(call->map, "charter"), "r-1-1"));
+            assert_true(amb_cbor_equals(amb_cbor_map_get(call->map, "charter"), "r-1-1"));
         if (rows[i].error) {
-            amb_w_map(&body, 1);
-            amb_w_str(&body, "error"), amb_w_str(&body, rows[i].error);
+            amb_cbor_write_map(&body, 1);
+            amb_cbor_write_string(&body, "error"), amb_cbor_write_string(&body, rows[i].error);
         }
         fake_answer(call, rows[i].status, &body);
         if (answer != rows[i].answer) fail_msg("row %zu: answer %d", i, (int)answer);
@@ -740,7 +741,7 @@
     fake_answer_all_lost();
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_buf body = {0};
-        amb_buf_str(&body, rows[i].body);
+        amb_buf_append_text(&body, rows[i].body);
         assert_true(amb_duties_handle_request(node, new_request("POST", "/duties/handover", &body)));
         struct fake_call *commit = find_call("POST", "/commit");
         if ((commit != NULL) != rows[i].taken) fail_msg("row %zu: taken: %d", i, commit != NULL);
@@ -766,7 +767,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         char err[256] = "";
         node->options.duties = rows[i].on;
-        node->options.duty_lease = rows[i].lease;
+        node->options.duty_lease_share = rows[i].lease;
         bool good = amb_duties_check_options(&node->settings, &node->options, "options.xml", err, sizeof err);
         if (good != rows[i].good) fail_msg("row %zu: %s", i, err);
         if (!good && (!strstr(err, "options.xml: duty-lease: ") || !strstr(err, "must be")))
--- a/tests/duty_model/explorer.c
+++ b/tests/duty_model/explorer.c
@@ -84,7 +84,7 @@
 static void add_word(struct words *words, uint64_t word) {
     if (words->length == words->capacity) {
         words->capacity = words->capacity ? words->capacity * 2 : 1024;
-        words->data = amb_grow(words->data, words->capacity * sizeof *words->data);
+        words->data = amb_realloc(words->data, words->capacity * sizeof *words->data);
     }
     words->data[words->length++] = word;
 }
@@ -188,7 +188,7 @@
     bool rental = message->kind == WORLD_TO_CLOUD && message->action.duty == AMB_DUTY_RENT;
     bool answers_call = message->kind == WORLD_ANSWER && message->answer.call;
     bool can_give_up = message->kind == WORLD_ANSWER
-                           ? answers_call && message->answer.result != AMB_CALL_LOST &&
+                           ? answers_call && message->answer.result != AMB_CALL_NO_ANSWER &&
                                  message->answer.answer != AMB_DUTY_CLOUD_NO_ANSWER
                            : message->kind != WORLD_TO_SEND && !message->given_up;
     switch (choice.kind) {
--- a/tests/duty_model/simulation.c
+++ b/tests/duty_model/simulation.c
@@ -109,7 +109,7 @@
         bool lossy = !simulation->day->calm && !simulation->evening && message->kind != WORLD_TO_SEND &&
                      (message->kind != WORLD_ANSWER || message->answer.call);
         message->due = world->now + draw_delay(simulation);
-        if (message->kind == WORLD_ANSWER && message->answer.result == AMB_CALL_LOST) continue;
+        if (message->kind == WORLD_ANSWER && message->answer.result == AMB_CALL_NO_ANSWER) continue;
         if (lossy && !message->given_up &&
             chance(simulation, world->now < simulation->losses_until ? 200 : 10)) {
             world_give_up(world, i);
--- a/tests/duty_model/world.c
+++ b/tests/duty_model/world.c
@@ -553,7 +553,7 @@
 
 static struct amb_duty_event no_answer(const struct amb_duty_action *action) {
     struct amb_duty_event event = {
-        .type = AMB_DUTY_COMMITTED, .call = action->call, .duty = action->duty, .result = AMB_CALL_LOST};
+        .type = AMB_DUTY_COMMITTED, .call = action->call, .duty = action->duty, .result = AMB_CALL_NO_ANSWER};
     if (action->type == AMB_DUTY_GRANT_LEASE) event.type = AMB_DUTY_LEASE_GRANTED;
     if (action->type == AMB_DUTY_EXTEND_LEASE) event.type = AMB_DUTY_LEASE_EXTENDED;
     if (action->type == AMB_DUTY_CALL_CLOUD) {
@@ -567,7 +567,7 @@
     struct world_message *message = &world->messages[index];
     if (message->kind == WORLD_ANSWER) {
         struct amb_duty_event *event = &message->answer;
-        event->result = AMB_CALL_LOST;
+        event->result = AMB_CALL_NO_ANSWER;
         event->answer = AMB_DUTY_CLOUD_NO_ANSWER;
         event->lease = event->revision = 0;
         return;
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -19,19 +19,19 @@
     (void)state;
     struct fake_call *commit = begin_lease_proxy();
     uint64_t lease = 0, zone_term = 0;
-    if (fake_txn_guard(commit, LEADER_KEY) != TERM) fail_msg("no guard on the leader's term");
+    if (fake_txn_compared_revision(commit, LEADER_KEY) != TERM) fail_msg("no guard on the leader's term");
     const cbor_item_t *value = fake_txn_put(commit, "a/deputy/n-0", &lease);
-    assert_true(amb_cbor_uint(amb_cbor_get(value, "term"), &zone_term));
+    assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "term"), &zone_term));
     assert_int_equal(zone_term, TERM);
     if (lease != 9) fail_msg("the key is on lease %llu", (unsigned long long)lease);
-    struct sent_report r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
-    send_report(r);
+    struct sent_heartbeat r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    send_heartbeat(r);
     if (latest()->status != 421) fail_msg("answered %d before the key is written", latest()->status);
     answer_epoch(commit, 60);
-    send_report(r);
+    send_heartbeat(r);
     assert_int_equal(latest()->status, 200);
     assert_int_equal(replied_token(), TERM);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(latest_map(), "orders")), 0);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(latest_map(), "orders")), 0);
 }
 
 static void whom_proxies_answer(void **state) {
@@ -55,7 +55,7 @@
         answer_epoch(begin_lease_proxy(), 60);
         node->election.highest_term = rows[i].highest;
         node->lease_proxy.renewed_at = amb_now() - rows[i].renewed;
-        send_report((struct sent_report){"m-1", rows[i].zone, 1, 1, rows[i].token, NULL, 0, NULL});
+        send_heartbeat((struct sent_heartbeat){"m-1", rows[i].zone, 1, 1, rows[i].token, NULL, 0, NULL});
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
     }
 }
@@ -68,21 +68,21 @@
     struct fake_call *renewal = open_call("POST", "/leases/9/extend");
     fake_clock_advance(1000);
     answer_lease(renewal, 9);
-    struct sent_report r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    struct sent_heartbeat r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
     fake_clock_advance(1699);
-    send_report(r);
+    send_heartbeat(r);
     assert_int_equal(latest()->status, 200);
     fake_clock_advance(1);
-    send_report(r);
+    send_heartbeat(r);
     if (latest()->status != 421) fail_msg("answered %d a lease after the renewal was sent", latest()->status);
 }
 
 /* News: n-1 stands in for the leader in zone a. */
 static void proxy_key_appears(void) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "zone");
-    amb_w_str(&buffer, "a");
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "zone");
+    amb_cbor_write_string(&buffer, "a");
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_lease_proxy_apply_key(node, "n-1", value, 55);
     amb_buf_free(&buffer);
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -216,7 +216,7 @@
 
 #define LOST_CLAIM                                                                                           \
     {TICK(0, 0, 0), CLAIMING, "grant"}, {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"}, {            \
-        CLAIMED(9, 1, LOST, 0), CHECKING, "read"                                                             \
+        CLAIMED(9, 1, NO_ANSWER, 0), CHECKING, "read"                                                        \
     }
 
 static void claims_without_an_answer(void **state) {
@@ -239,7 +239,7 @@
         {"it can't be read: given up after two leases",
          FOLLOWER,
          {LOST_CLAIM,
-          {READ(1000, 1, LOST, 0, 0), CHECKING, NULL},
+          {READ(1000, 1, NO_ANSWER, 0, 0), CHECKING, NULL},
           {TICK(2 * TTL, 0, 0), CHECKING, NULL},
           {TICK(2 * TTL + 1, 0, 0), FOLLOWING, "drop 7"},
           {READ(2 * TTL + 2, 1, OK, NONCE + 1, TERM), FOLLOWING, NULL}}},
@@ -249,7 +249,7 @@
           {TICK(2 * TTL + 1, 0, 0), FOLLOWING, "drop 7"},
           {TICK(2 * TTL + 2, 0, 0), CLAIMING, "grant"},
           {GRANTED(2 * TTL + 5, 2, 8), CLAIMING, "commit on 8 over 0"},
-          {CLAIMED(2 * TTL + 9, 2, LOST, 0), CHECKING, "read"},
+          {CLAIMED(2 * TTL + 9, 2, NO_ANSWER, 0), CHECKING, "read"},
           {READ(2 * TTL + 10, 1, NOT_FOUND, 0, 0), CHECKING, NULL}}},
         {"carried out late, when given up: the key names our former self",
          FOLLOWER,
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -26,11 +26,11 @@
         begin_anew();
         follow(rows[i].holder, rows[i].stamp);
         struct fake_call *commit = claim_until_commit(7);
-        uint64_t lease = 0, guard = fake_txn_guard(commit, LEADER_KEY);
+        uint64_t lease = 0, guard = fake_txn_compared_revision(commit, LEADER_KEY);
         const cbor_item_t *value = fake_txn_put(commit, LEADER_KEY, &lease);
         if (guard != rows[i].guard) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         if (lease != 7) fail_msg("%s: on lease %llu", rows[i].what, (unsigned long long)lease);
-        assert_true(amb_cbor_eq(amb_cbor_get(value, "member"), "n-0"));
+        assert_true(amb_cbor_equals(amb_cbor_map_get(value, "member"), "n-0"));
         answer_epoch(commit, 60);
         assert_true(amb_election_is_leader(node));
         assert_int_equal(node->election.term, 60);
@@ -154,8 +154,8 @@
         {1, 10, 9, 3000, 1000}, /* no time left by a cancellation: the lease alone decides */
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        node->settings.report_s = rows[i].report;
-        node->settings.lease_s = rows[i].lease;
+        node->settings.heartbeat_s = rows[i].report;
+        node->settings.agent_lease_s = rows[i].lease;
         node->settings.cancel_s = rows[i].cancel;
         amb_election_init(node);
         if (node->election.ttl != rows[i].ttl || amb_election_call_timeout(node) != rows[i].patience)
@@ -191,10 +191,10 @@
         node->election.role = rows[i].role;
         node->election.renewed_at = amb_now() - rows[i].renewed;
         node->peers.count = 1; /* whose word has never come */
-        send_report((struct sent_report){.machine = "m-1", .session = 1, .seq = 1, .token = TERM});
+        send_heartbeat((struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 1, .token = TERM});
         fake_clock_advance(400); /* an answer that says nothing may be held for so long */
-        if (latest()->status != rows[i].status || replied_orders("run") != rows[i].starts)
-            fail_msg("%s: %d, %zu starts", rows[i].what, latest()->status, replied_orders("run"));
+        if (latest()->status != rows[i].status || replied_commands("run") != rows[i].starts)
+            fail_msg("%s: %d, %zu starts", rows[i].what, latest()->status, replied_commands("run"));
         amb_cloud_tick(node, amb_now());
         if (fake_calls_open("POST", "/machines") != rows[i].rentals)
             fail_msg("%s: %zu machines asked for", rows[i].what, fake_calls_open("POST", "/machines"));
@@ -302,7 +302,8 @@
         struct amb_buf buffer = {0};
         switch (rows[i].source) {
         case WORKER:
-            send_report((struct sent_report){.machine = "m-1", .session = 1, .seq = 1, .token = TERM + 1});
+            send_heartbeat(
+                (struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 1, .token = TERM + 1});
             if (latest()->status != 421) fail_msg("%s: answered %d", rows[i].what, latest()->status);
             break;
         case PEER_ANSWER: peer_answers(0, (struct said){.term = TERM + 1}); break;
@@ -311,11 +312,11 @@
         case KEY_GONE: amb_election_apply_key(node, NULL, TERM + 1); break;
         case KEY_OF_ANOTHER:
         case OWN_KEY:
-            amb_w_map(&buffer, 2);
-            amb_w_str(&buffer, "member");
-            amb_w_str(&buffer, rows[i].source == OWN_KEY ? "n-0" : "n-1");
-            amb_w_str(&buffer, "nonce");
-            amb_w_uint(&buffer, rows[i].source == OWN_KEY ? node->election.nonce : 99);
+            amb_cbor_write_map(&buffer, 2);
+            amb_cbor_write_string(&buffer, "member");
+            amb_cbor_write_string(&buffer, rows[i].source == OWN_KEY ? "n-0" : "n-1");
+            amb_cbor_write_string(&buffer, "nonce");
+            amb_cbor_write_uint(&buffer, rows[i].source == OWN_KEY ? node->election.nonce : 99);
             cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
             amb_election_apply_key(node, value, TERM + 1);
             cbor_decref(&value);
--- a/tests/http/test_http.c
+++ b/tests/http/test_http.c
@@ -47,18 +47,18 @@
 static void parses(void **state) {
     (void)state;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        const struct row *r = &rows[i];
-        struct amb_http_msg m;
-        long n = amb_http_parse(r->input, strlen(r->input), r->response, 65536, &m);
-        long want = r->result == WHOLE ? (long)strlen(r->input) : r->result;
-        if (n != want) fail_msg("%s: %ld instead of %ld", r->what, n, want);
-        if (n <= 0) continue;
-        assert_int_equal(m.body_len, r->body);
-        assert_int_equal(m.close, r->close);
-        if (r->response) continue;
-        assert_string_equal(m.method, r->method);
-        assert_int_equal(m.path_len, strlen(r->path));
-        assert_memory_equal(m.path, r->path, m.path_len);
+        const struct row *row = &rows[i];
+        struct amb_http_message message;
+        long taken = amb_http_parse(row->input, strlen(row->input), row->response, 65536, &message);
+        long want = row->result == WHOLE ? (long)strlen(row->input) : row->result;
+        if (taken != want) fail_msg("%s: %ld instead of %ld", row->what, taken, want);
+        if (taken <= 0) continue;
+        assert_int_equal(message.body_len, row->body);
+        assert_int_equal(message.closes, row->close);
+        if (row->response) continue;
+        assert_string_equal(message.method, row->method);
+        assert_int_equal(message.path_len, strlen(row->path));
+        assert_memory_equal(message.path, row->path, message.path_len);
     }
 }
 
@@ -70,15 +70,15 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         size_t len = strlen(rows[i].input);
         for (size_t cut = 0; cut <= len; cut++) {
-            for (size_t b = 0; b < sizeof bytes; b++) {
+            for (size_t changed = 0; changed < sizeof bytes; changed++) {
                 char *copy = malloc(cut + 1);
                 memcpy(copy, rows[i].input, cut);
-                if (cut) copy[cut - 1] = (char)bytes[b];
+                if (cut) copy[cut - 1] = (char)bytes[changed];
                 char *exact = realloc(copy, cut ? cut : 1);
-                struct amb_http_msg m;
-                long n = amb_http_parse(exact, cut, rows[i].response, 65536, &m);
-                assert_true(n <= (long)cut);
-                if (n > 0) assert_true(m.body_at + m.body_len <= cut);
+                struct amb_http_message message;
+                long taken = amb_http_parse(exact, cut, rows[i].response, 65536, &message);
+                assert_true(taken <= (long)cut);
+                if (taken > 0) assert_true(message.body_start + message.body_len <= cut);
                 free(exact);
             }
         }
@@ -91,8 +91,8 @@
     memset(big, 'a', AMB_HTTP_HEAD_MAX);
     /* NOLINTNEXTLINE(bugprone-not-null-terminated-result): the parser gets a length */
     memcpy(big, "GET /", 5);
-    struct amb_http_msg m;
-    assert_int_equal(amb_http_parse(big, AMB_HTTP_HEAD_MAX, false, 65536, &m), -431);
+    struct amb_http_message message;
+    assert_int_equal(amb_http_parse(big, AMB_HTTP_HEAD_MAX, false, 65536, &message), -431);
     free(big);
 }
 
--- a/tests/http/test_http_calls.c
+++ b/tests/http/test_http_calls.c
@@ -31,7 +31,7 @@
         return;
     }
     struct amb_buf copy = {0}; /* the request is gone before the answer is written */
-    amb_buf_add(&copy, request->body, request->body_len);
+    amb_buf_append(&copy, request->body, request->body_len);
     amb_http_reply(request, 200, "text/plain", copy.data, copy.len, 0);
     amb_buf_free(&copy);
 }
@@ -68,7 +68,7 @@
     {"twenty more, on open connections", "/echo", &here, 20, 1000, 200, 0},
     {"large", "/echo", &here, 1, LARGE, 200, 0},
     {"large again, on an open connection", "/echo", &here, 3, LARGE, 200, 0},
-    {"longer than an answer may be", "/echo", &here, 2, ANSWER_LIMIT, AMB_HTTP_ANSWER_TOO_LONG, 0},
+    {"longer than an answer may be", "/echo", &here, 2, ANSWER_LIMIT, AMB_HTTP_RESPONSE_TOO_LARGE, 0},
     {"after the server closed idle connections", "/echo", &here, 2, 10, 200, IDLE_MS + 500},
     {"no answer in time", "/silent", &here, 2, 10, 0, 0},
     {"after that", "/echo", &here, 2, 10, 200, 0},
@@ -87,12 +87,12 @@
 static void make_calls(void *arg);
 
 static void answered(void *arg, int status, const char *data, size_t len) {
-    const struct plan *p = arg;
-    if (calling) fail_msg("%s: answered within the call", p->what);
-    if (p != &plans[current] || waiting <= 0) fail_msg("%s: answered twice", p->what);
-    if (status != p->status) fail_msg("%s: status %d", p->what, status);
-    if (status == 200 && p->to != &rude && (len != p->body || memcmp(data, body, len)))
-        fail_msg("%s: another body", p->what);
+    const struct plan *plan = arg;
+    if (calling) fail_msg("%s: answered within the call", plan->what);
+    if (plan != &plans[current] || waiting <= 0) fail_msg("%s: answered twice", plan->what);
+    if (status != plan->status) fail_msg("%s: status %d", plan->what, status);
+    if (status == 200 && plan->to != &rude && (len != plan->body || memcmp(data, body, len)))
+        fail_msg("%s: another body", plan->what);
     if (--waiting) return;
     if (++current == ROWS(plans))
         amb_loop_stop();
@@ -106,15 +106,15 @@
 }
 
 static void make_calls(void *arg) {
-    const struct plan *p = &plans[current];
+    const struct plan *plan = &plans[current];
     (void)arg;
-    waiting = p->count;
+    waiting = plan->count;
     calling = true;
-    for (int i = 0; i < p->count; i++)
-        amb_http_call(*p->to, "POST", p->path, "text/plain", body, p->body, p->status ? TIMEOUT_MS : 300,
-                      answered, (void *)p);
+    for (int i = 0; i < plan->count; i++)
+        amb_http_call(*plan->to, "POST", plan->path, "text/plain", body, plan->body,
+                      plan->status ? TIMEOUT_MS : 300, answered, (void *)plan);
     calling = false;
-    if (p->to == &rude && p->status) amb_timer_in(&rude_timer, 20, rude_turn, NULL);
+    if (plan->to == &rude && plan->status) amb_timer_in(&rude_timer, 20, rude_turn, NULL);
 }
 
 static void too_long(void *arg) {
@@ -127,10 +127,10 @@
 static int listen_somewhere(char out[32]) {
     for (int i = 0; i < PORTS; i++) {
         int port = FIRST_PORT + (getpid() * 7 + i) % PORTS, fd = socket(AF_INET, SOCK_STREAM, 0);
-        struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
-        a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        struct sockaddr_in bound_address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
+        bound_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         snprintf(out, 32, "127.0.0.1:%d", port);
-        if (!bind(fd, (struct sockaddr *)&a, sizeof a) && !listen(fd, 8)) return fd;
+        if (!bind(fd, (struct sockaddr *)&bound_address, sizeof bound_address) && !listen(fd, 8)) return fd;
         close(fd);
     }
     fail_msg("no port is free");
--- a/tests/job/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -29,12 +29,12 @@
     setup(state);
     strcpy(node->settings.member, "n-0");
     strcpy(node->settings.peer_listen, PEER_LISTEN);
-    node->settings.npeers = PEERS;
+    node->settings.peer_count = PEERS;
     for (int i = 0; i < PEERS; i++) {
         snprintf(node->settings.peers[i].member, AMB_NAME_SIZE, "n-%d", i + 1);
         snprintf(node->settings.peers[i].addr, AMB_NAME_SIZE, "n-%d:1", i + 1);
     }
-    node->settings.state_rps = node->settings.state_write_rps = 1000;
+    node->settings.store_rps = node->settings.store_write_rps = 1000;
     amb_store_init(&node->store, &node->settings, CALL_TIMEOUT);
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     node->jobs.loaded = true;
@@ -62,7 +62,7 @@
 
 static void user_request(const char *method, const char *path) {
     amb_buf_free(&reply.body);
-    assert_true(amb_user_request(node, fake_request(method, path, NULL, &reply)));
+    assert_true(amb_api_handle_request(node, fake_request(method, path, NULL, &reply)));
 }
 
 static struct fake_call *open_call(const char *path) {
@@ -90,7 +90,7 @@
 
 static int receive(const char *method, const char *text) {
     struct amb_buf body = {0};
-    amb_buf_add(&body, text, strlen(text));
+    amb_buf_append(&body, text, strlen(text));
     amb_buf_free(&reply.body);
     fake_serve(PEER_LISTEN, fake_request(method, NOTICE, &body, &reply));
     amb_buf_free(&body);
@@ -191,8 +191,8 @@
             assert_int_equal(receive_stamp(rows[i].notice == WRITTEN_ONE ? WRITTEN : 0), 200);
         if (rows[i].news_after) node->jobs.last_read_sent_at = amb_now() + rows[i].news_after;
         report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
-        if (count_orders(AMB_COMMAND_RUN) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_orders(AMB_COMMAND_RUN));
+        if (count_commands(AMB_COMMAND_RUN) != rows[i].starts)
+            fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
         bool cancelled = job->state == AMB_JOB_CANCELLED;
         if (cancelled != (rows[i].notice == WRITTEN_ONE)) fail_msg("%s: state", rows[i].what);
     }
--- a/tests/job/test_cancellation.c
+++ b/tests/job/test_cancellation.c
@@ -36,8 +36,8 @@
     amb_placement_log_restore(node, BLOCK_KEY, value, 61);
     cbor_decref(&value);
     amb_buf_free(&buffer);
-    send_report((struct sent_report){"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"});
-    if (replied_orders("halt") != 1) fail_msg("not told to stop");
+    send_heartbeat((struct sent_heartbeat){"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"});
+    if (replied_commands("halt") != 1) fail_msg("not told to stop");
 }
 
 int main(void) {
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -75,10 +75,10 @@
 static void heartbeat_from(const char *member, json_int_t epoch) {
     struct fake_reply reply = {0};
     struct amb_buf body = {0};
-    amb_buf_fmt(&body,
-                "{\"from\":\"%s\",\"loaded\":true,\"term\":0,\"leading\":false,\"store\":true,"
-                "\"reports_arrive\":false,\"cancelled\":[]%s%lld}",
-                member, epoch < 0 ? "}  " : ",\"epoch\":", (long long)epoch);
+    amb_buf_append_format(&body,
+                          "{\"from\":\"%s\",\"loaded\":true,\"term\":0,\"leading\":false,\"store\":true,"
+                          "\"reports_arrive\":false,\"cancelled\":[]%s%lld}",
+                          member, epoch < 0 ? "}  " : ",\"epoch\":", (long long)epoch);
     if (epoch < 0) body.len = (size_t)(strchr(body.data, '}') + 1 - body.data); /* it does not say */
     fake_serve("P:1", fake_request("POST", "/peer/heartbeat", &body, &reply));
     assert_int_equal(reply.status, 200);
@@ -120,7 +120,7 @@
             setup(NULL);
             if (!leads) node->election.role = AMB_ROLE_FOLLOWER;
             strcpy(node->settings.peer_listen, "P:1");
-            node->settings.npeers = 2;
+            node->settings.peer_count = 2;
             strcpy(node->settings.peers[0].member, "n1");
             strcpy(node->settings.peers[1].member, "n2");
             amb_peer_start(node);
@@ -158,7 +158,8 @@
         if (!rows[i].live) amb_job_deactivate(node, job);
         amb_job_apply_own_cancellation(node, job, 5);
         amb_ms heard = amb_now();
-        amb_cancellations_drop_specs(node, heard + amb_secs(rows[i].after_cancel * node->settings.cancel_s));
+        amb_cancellations_drop_specs(
+            node, heard + amb_seconds_to_ms(rows[i].after_cancel * node->settings.cancel_s));
         if ((job->spec != NULL) != rows[i].kept || job->tasks_gone == rows[i].kept ||
             node->jobs.spec_count != rows[i].kept)
             fail_msg("%s", rows[i].what);
@@ -171,7 +172,7 @@
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
     amb_job_apply_own_cancellation(node, job, 5);
-    amb_ms span = amb_secs(2.1 * node->settings.cancel_s), now = amb_now() + span;
+    amb_ms span = amb_seconds_to_ms(2.1 * node->settings.cancel_s), now = amb_now() + span;
     amb_cancellations_drop_specs(node, now);
     assert_non_null(job->spec);
     amb_job_deactivate(node, job);
@@ -187,17 +188,18 @@
     for (int gone = 0; gone < 2; gone++) {
         teardown(NULL);
         setup(NULL);
-        strcpy(node->settings.state, "S:1");
-        node->settings.state_rps = node->settings.state_write_rps = 1000;
+        strcpy(node->settings.store_addr, "S:1");
+        node->settings.store_rps = node->settings.store_write_rps = 1000;
         amb_store_init(&node->store, &node->settings, 1000);
         amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 5); /* known by another node's word alone */
-        if (gone) amb_cancellations_drop_specs(node, amb_now() + amb_secs(2.1 * node->settings.cancel_s));
+        if (gone)
+            amb_cancellations_drop_specs(node, amb_now() + amb_seconds_to_ms(2.1 * node->settings.cancel_s));
         amb_placement_log_restore(node, "b/p/wk-1/0", NULL, 7);
         assert_int_equal(fake_calls_open("POST", "/commit"), gone);
         if (gone) {
             struct fake_call *call = fake_call_open("/commit");
             assert_true(fake_txn_removes(call, "b/p/wk-1/0"));
-            assert_int_equal(fake_txn_guard(call, "b/p/wk-1/0"), 7);
+            assert_int_equal(fake_txn_compared_revision(call, "b/p/wk-1/0"), 7);
         }
         fake_answer_all_lost();
         fake_http_reset();
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -14,10 +14,10 @@
     /* All or none: one record not durable yet keeps the other task waiting too. */
     second->state = AMB_TASK_PLACED;
     report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-    assert_int_equal(count_orders(AMB_COMMAND_RUN), 0);
+    assert_int_equal(count_commands(AMB_COMMAND_RUN), 0);
     second->state = AMB_TASK_BOUND;
     report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
-    assert_int_equal(count_orders(AMB_COMMAND_RUN), 1);
+    assert_int_equal(count_commands(AMB_COMMAND_RUN), 1);
     struct amb_agent_task first_listing = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     struct amb_agent_task second_listing = listing("wk-1", 1, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 3, TERM, amb_now(), &first_listing, 1);
@@ -29,7 +29,7 @@
     assert_null(second->machine);
     assert_non_null(first->machine);
     report("m-1", 1, 4, TERM, amb_now(), &first_listing, 1);
-    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
+    assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
     first_listing.state = AMB_AGENT_TASK_EXITED;
     first_listing.exit_reason = AMB_EXIT_GANG_PEER_GONE;
     report("m-1", 1, 5, TERM, amb_now(), &first_listing, 1);
@@ -141,11 +141,11 @@
         {"higher work", 2, 16, 0, true, false, 0, false, 3, 0, AMB_PRIORITY_HIGH},
     };
     for (size_t k = 0; k < ROWS(rows); k++) {
-        node->settings.nteams = 2;
+        node->settings.team_count = 2;
         node->settings.teams[0].guarantee.gpus = 4;
         node->settings.teams[1].guarantee.gpus = rows[k].guaranteed;
         node->options.preempt = rows[k].preempt;
-        node->settings.nobjectives = rows[k].starts_count;
+        node->settings.objective_count = rows[k].starts_count;
         strcpy(node->settings.objectives[0].kind, "wait");
         strcpy(node->settings.objectives[0].class_name, "tune");
         node->settings.objectives[0].within_s = 25;
@@ -214,9 +214,9 @@
     node->catalog.types[0].image_fetch_gb_per_s = 1.7;
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job_spec spec = {.kind = rows[i].kind, .class_name = "class", .image_gb = 16};
-        node->settings.nobjectives = 0;
+        node->settings.objective_count = 0;
         for (size_t k = 0; k < 3 && rows[i].within[k] > 0; k++) {
-            struct amb_objective *objective = &node->settings.objectives[node->settings.nobjectives++];
+            struct amb_objective *objective = &node->settings.objectives[node->settings.objective_count++];
             strcpy(objective->kind, "wait");
             strcpy(objective->class_name, "class");
             objective->within_s = rows[i].within[k];
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -76,7 +76,7 @@
     stage->spec->deadline_s = 100;
     assert_int_equal(amb_job_due_wall_ms(stage), submitted + 100000);
     /* In time: from the end of the first for an aim, from the submission for a due time. */
-    node->settings.nobjectives = 1;
+    node->settings.objective_count = 1;
     strcpy(node->settings.objectives[0].kind, "finished");
     strcpy(node->settings.objectives[0].class_name, "stage");
     node->settings.objectives[0].within_s = 45; /* its work is reckoned as 30 */
@@ -135,7 +135,7 @@
         struct amb_job *job = job_from("wk-first", rows[i].priority, rows[i].due_s, 20, 0, "", 201);
         node->catalog.types[0].boot_s = 30;
         job->team->opportunistic = rows[i].opportunistic;
-        job->accepted_wall_ms -= amb_secs(rows[i].waited_s);
+        job->accepted_wall_ms -= amb_seconds_to_ms(rows[i].waited_s);
         if (amb_start_can_wait_for_capacity(node, job) != rows[i].can_wait) fail_msg("%s", rows[i].what);
         job->team->opportunistic = false;
     }
@@ -212,7 +212,7 @@
     strcpy(node->settings.objectives[0].kind, "wait");
     strcpy(node->settings.objectives[0].class_name, "gangs");
     node->settings.objectives[0].within_s = 10;
-    node->settings.nobjectives = 1;
+    node->settings.objective_count = 1;
     play("setup", "+a");
     json_t *job = json_loads(describe('b', "a", "ensemble"), 0, NULL);
     json_object_set_new(job, "berth", json_string("gangs"));
--- a/tests/job/test_pipeline_submissions.c
+++ b/tests/job/test_pipeline_submissions.c
@@ -73,7 +73,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
         node->settings.value_kb = rows[i].value_kb;
-        node->settings.state_next.value_kb = rows[i].next_kb;
+        node->settings.announced_limits.value_kb = rows[i].next_kb;
         double least_kb = amb_settings_lowered_limits(&node->settings).value_kb;
         json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL), *list = json_array();
         for (uint32_t k = 0; k < rows[i].names; k++) {
@@ -105,7 +105,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
         node->settings.value_kb = rows[i].value_kb;
-        node->settings.state_next.value_kb = rows[i].next_kb;
+        node->settings.announced_limits.value_kb = rows[i].next_kb;
         json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL);
         json_t *types = json_array(), *names = json_array();
         json_array_append_new(types, json_string(node->catalog.types[0].name));
@@ -180,11 +180,11 @@
         play("record", rows[i].script);
         const struct record *record = &records['b' - 'a'];
         cbor_item_t *value = amb_cbor_parse(record->value.data, record->value.len);
-        const cbor_item_t *described = amb_cbor_get(value, "d");
+        const cbor_item_t *described = amb_cbor_map_get(value, "d");
         struct amb_job_spec spec;
         if ((described != NULL) != rows[i].described) fail_msg("%s: described", rows[i].script);
-        if (described) assert_int_equal(amb_codec_spec(described, &spec), AMB_PARSE_OK);
-        if (amb_cbor_len(amb_cbor_get(described, "awaits")) != rows[i].names)
+        if (described) assert_int_equal(amb_codec_decode_spec(described, &spec), AMB_CODEC_OK);
+        if (amb_cbor_list_length(amb_cbor_map_get(described, "awaits")) != rows[i].names)
             fail_msg("%s: names", rows[i].script);
         cbor_decref(&value);
     }
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -48,9 +48,9 @@
         setup(NULL);
         node->election.role = AMB_ROLE_FOLLOWER;
         node->jobs.loaded = true;
-        node->settings.npeers = 6;
-        node->settings.state_rps = 200;
-        node->settings.state_write_rps = 20;
+        node->settings.peer_count = 6;
+        node->settings.store_rps = 200;
+        node->settings.store_write_rps = 20;
         amb_store_init(&node->store, &node->settings, 1000);
         node->store.user_write_bucket.refilled_at = amb_now() + 3600000; /* no refill meanwhile */
         char ref[AMB_NAME_SIZE];
@@ -80,9 +80,9 @@
     static const struct {
         double own, users, lends;
     } rows[] = {{10, 0, 5}, {10, 8, 2}, {10, 10, 0}, {5, 0, 0}, {5.5, 0, 0}, {8, 3, 3}};
-    node->settings.npeers = 6;
-    node->settings.state_rps = 200;
-    node->settings.state_write_rps = 20;
+    node->settings.peer_count = 6;
+    node->settings.store_rps = 200;
+    node->settings.store_write_rps = 20;
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_store *store = &node->store;
         amb_store_init(store, &node->settings, 1000);
@@ -120,9 +120,9 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_store *store = &node->store;
-        node->settings.npeers = rows[i].peers;
-        node->settings.state_rps = 200;
-        node->settings.state_write_rps = 28;
+        node->settings.peer_count = rows[i].peers;
+        node->settings.store_rps = 200;
+        node->settings.store_write_rps = 28;
         amb_store_init(store, &node->settings, 1000);
         amb_store_set_duty_share(store, rows[i].in_use, rows[i].part);
         amb_store_set_leadership(store, rows[i].leading);
--- a/tests/loopback/duty_proof.c
+++ b/tests/loopback/duty_proof.c
@@ -58,7 +58,7 @@
     case 'l': arguments->plan.log_level = arg; return 0;
     case KEY_CALM:
         arguments->plan.calm = true;
-        arguments->plan.calm_for = amb_secs(strtod(arg, NULL));
+        arguments->plan.calm_for = amb_seconds_to_ms(strtod(arg, NULL));
         return 0;
     case KEY_IDLE: arguments->plan.idle = true; return 0;
     case KEY_ONLY:
--- a/tests/loopback/event_log.c
+++ b/tests/loopback/event_log.c
@@ -6,7 +6,7 @@
 void proof_log_add(struct proof_log *log, const struct proof_event *event) {
     if (log->count == log->room) {
         log->room = log->room ? 2 * log->room : 256;
-        log->events = amb_grow(log->events, log->room * sizeof *log->events);
+        log->events = amb_realloc(log->events, log->room * sizeof *log->events);
     }
     log->events[log->count++] = *event;
 }
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -47,7 +47,7 @@
 static void front_answered(void *arg, int status, const char *body, size_t len) {
     struct sim_call *call = arg;
     call->status = status;
-    if (len) amb_buf_add(&call->answer, body, len);
+    if (len) amb_buf_append(&call->answer, body, len);
     call->answered = true;
     call->answered_at = amb_now();
     call->user_fn(call);
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -54,9 +54,9 @@
 
 /* The models read the time of their world, which is the loop's. */
 amb_ms amb_now(void) {
-    struct timespec t;
-    clock_gettime(CLOCK_MONOTONIC, &t);
-    world.now = (amb_ms)t.tv_sec * 1000 + t.tv_nsec / 1000000;
+    struct timespec now;
+    clock_gettime(CLOCK_MONOTONIC, &now);
+    world.now = (amb_ms)now.tv_sec * 1000 + now.tv_nsec / 1000000;
     return world.now;
 }
 
--- a/tests/loopback/server.c
+++ b/tests/loopback/server.c
@@ -17,13 +17,13 @@
 enum { BODY_MOST = 256 * 1024, CHUNK = 16 * 1024, BACKLOG = 64 };
 
 struct server {
-    struct amb_watch watch;
+    struct amb_fd_watch watch;
     proof_handler handler;
     void *arg;
 };
 
 struct proof_connection {
-    struct amb_watch watch;
+    struct amb_fd_watch watch;
     struct server *server;
     struct amb_buf in, out;
     struct proof_request *request; /* that the handler has */
@@ -43,7 +43,7 @@
     char chunk[CHUNK];
     for (;;) {
         ssize_t n = read(connection->watch.fd, chunk, sizeof chunk);
-        if (n > 0) amb_buf_add(&connection->in, chunk, (size_t)n);
+        if (n > 0) amb_buf_append(&connection->in, chunk, (size_t)n);
         if (n <= 0) return n < 0 && (errno == EAGAIN || errno == EINTR);
     }
 }
@@ -52,26 +52,27 @@
     while (connection->out.len) {
         ssize_t n = send(connection->watch.fd, connection->out.data, connection->out.len, MSG_NOSIGNAL);
         if (n < 0) return errno == EAGAIN || errno == EINTR;
-        amb_buf_drop(&connection->out, (size_t)n);
+        amb_buf_drop_front(&connection->out, (size_t)n);
     }
     return true;
 }
 
-static struct proof_request *request_of(struct proof_connection *connection, const struct amb_http_msg *msg) {
+static struct proof_request *request_of(struct proof_connection *connection,
+                                        const struct amb_http_message *msg) {
     struct proof_request *request = amb_alloc(sizeof *request);
     request->connection = connection;
     memcpy(request->method, msg->method, sizeof request->method);
     size_t len = msg->path_len + (msg->query ? 1 + msg->query_len : 0);
     snprintf(request->path, sizeof request->path, "%.*s", (int)len, msg->path);
     request->body = amb_alloc(msg->body_len + 1);
-    if (msg->body_len) memcpy(request->body, connection->in.data + msg->body_at, msg->body_len);
+    if (msg->body_len) memcpy(request->body, connection->in.data + msg->body_start, msg->body_len);
     request->len = msg->body_len;
     return request;
 }
 
 /* Takes the next request if one is there and none is under way. May end the connection. */
 static void advance(struct proof_connection *connection) {
-    struct amb_http_msg msg;
+    struct amb_http_message msg;
     if (connection->busy || !connection->in.len) return;
     long taken = amb_http_parse(connection->in.data, connection->in.len, false, BODY_MOST, &msg);
     if (!taken) return;
@@ -80,13 +81,13 @@
         return;
     }
     struct proof_request *request = request_of(connection, &msg);
-    amb_buf_drop(&connection->in, (size_t)taken);
+    amb_buf_drop_front(&connection->in, (size_t)taken);
     connection->request = request;
     connection->busy = true;
     connection->server->handler(connection->server->arg, request);
 }
 
-static void on_connection(struct amb_watch *watch, uint32_t events) {
+static void on_connection(struct amb_fd_watch *watch, uint32_t events) {
     struct proof_connection *connection = watch->arg;
     bool open = !(events & EPOLLERR) && read_all(connection);
     if (open && (events & EPOLLOUT)) {
@@ -99,14 +100,14 @@
         advance(connection);
 }
 
-static void on_listener(struct amb_watch *watch, uint32_t events) {
+static void on_listener(struct amb_fd_watch *watch, uint32_t events) {
     (void)events;
     for (;;) {
         int fd = accept4(watch->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) return;
         struct proof_connection *connection = amb_alloc(sizeof *connection);
         connection->server = watch->arg;
-        connection->watch = (struct amb_watch){fd, on_connection, connection, 0};
+        connection->watch = (struct amb_fd_watch){fd, on_connection, connection, 0};
         amb_loop_add(&connection->watch, EPOLLIN);
     }
 }
@@ -139,8 +140,8 @@
     if (!connection) return;
     connection->request = NULL;
     connection->busy = false;
-    amb_buf_fmt(&connection->out, "HTTP/1.1 %d Status\r\nContent-Length: %zu\r\n\r\n", status, len);
-    if (len) amb_buf_add(&connection->out, body, len);
+    amb_buf_append_format(&connection->out, "HTTP/1.1 %d Status\r\nContent-Length: %zu\r\n\r\n", status, len);
+    if (len) amb_buf_append(&connection->out, body, len);
     /* The loop ends a connection that can't be written to; nothing may end it under a handler's feet. */
     if (!write_some(connection)) amb_buf_free(&connection->out);
     amb_loop_mod(&connection->watch, EPOLLIN | (connection->out.len ? (uint32_t)EPOLLOUT : 0U));
--- a/tests/loopback/skewed_clock.c
+++ b/tests/loopback/skewed_clock.c
@@ -31,7 +31,7 @@
 }
 
 uint64_t amb_nonce(void) {
-    uint64_t n = 0;
-    if (getrandom(&n, sizeof n, 0) != (ssize_t)sizeof n) abort();
-    return n >> 1;
+    uint64_t nonce = 0;
+    if (getrandom(&nonce, sizeof nonce, 0) != (ssize_t)sizeof nonce) abort();
+    return nonce >> 1;
 }
--- a/tests/loopback/witness.c
+++ b/tests/loopback/witness.c
@@ -61,15 +61,15 @@
 static void take_duty_record(const char *key, const cbor_item_t *value) {
     char name[PROOF_NAME] = "", state[16] = "";
     uint64_t token = 0;
-    amb_cbor_str(amb_cbor_get(value, "holder"), name, sizeof name);
-    amb_cbor_str(amb_cbor_get(value, "state"), state, sizeof state);
-    amb_cbor_uint(amb_cbor_get(value, "token"), &token);
+    amb_cbor_copy_string(amb_cbor_map_get(value, "holder"), name, sizeof name);
+    amb_cbor_copy_string(amb_cbor_map_get(value, "state"), state, sizeof state);
+    amb_cbor_get_uint(amb_cbor_map_get(value, "token"), &token);
     note_holder(key + strlen(DUTY_PREFIX), name, token, !strcmp(state, "released"));
 }
 
 static void take_leader(const cbor_item_t *value) {
     char name[PROOF_NAME] = "";
-    amb_cbor_str(amb_cbor_get(value, "member"), name, sizeof name);
+    amb_cbor_copy_string(amb_cbor_map_get(value, "member"), name, sizeof name);
     note_holder(LEADER_DUTY, name, world.state.revision, false);
 }
 
@@ -83,13 +83,15 @@
 
 /* A string's own machine, or those of a list of strings. */
 static void mark_machine(const cbor_item_t *text, struct proof_event *event) {
-    if (amb_cbor_str(text, event->machine, sizeof event->machine) && !strncmp(event->machine, "m-", 2))
+    if (amb_cbor_copy_string(text, event->machine, sizeof event->machine) &&
+        !strncmp(event->machine, "m-", 2))
         proof_note(event);
 }
 
 static void mark_list(const cbor_item_t *value, struct proof_event *event) {
     mark_machine(value, event);
-    for (size_t i = 0; i < amb_cbor_len(value); i++) mark_machine(amb_cbor_at(value, i), event);
+    for (size_t i = 0; i < amb_cbor_list_length(value); i++)
+        mark_machine(amb_cbor_list_item(value, i), event);
 }
 
 /* Every name of a machine within the order, or within what it says is to be done. */
@@ -106,9 +108,9 @@
     struct proof_event event = {.type = PROOF_ORDER, .node = NO_NODE};
     char result[16] = "";
     name_order(key + strlen(ORDER_PREFIX), &event);
-    amb_cbor_str(amb_cbor_get(value, "state"), event.state, sizeof event.state);
-    amb_cbor_str(amb_cbor_get(value, "result"), result, sizeof result);
-    amb_cbor_uint(amb_cbor_get(value, "token"), &event.token);
+    amb_cbor_copy_string(amb_cbor_map_get(value, "state"), event.state, sizeof event.state);
+    amb_cbor_copy_string(amb_cbor_map_get(value, "result"), result, sizeof result);
+    amb_cbor_get_uint(amb_cbor_map_get(value, "token"), &event.token);
     bool wanted = !strcmp(event.state, "wanted");
     if (!strcmp(event.state, "settled") && !strcmp(result, "void")) strcpy(event.state, "void");
     proof_note(&event);
@@ -123,12 +125,12 @@
 
 static void take_operation(const cbor_item_t *operation) {
     char key[SIM_KEY_SIZE] = "";
-    const cbor_item_t *value = amb_cbor_get(operation, "value");
-    if (amb_cbor_str(amb_cbor_get(operation, "put"), key, sizeof key)) {
+    const cbor_item_t *value = amb_cbor_map_get(operation, "value");
+    if (amb_cbor_copy_string(amb_cbor_map_get(operation, "put"), key, sizeof key)) {
         if (begins(key, DUTY_PREFIX)) take_duty_record(key, value);
         if (begins(key, ORDER_PREFIX)) take_order(key, value);
         if (!strcmp(key, LEADER_KEY)) take_leader(value);
-    } else if (amb_cbor_str(amb_cbor_get(operation, "remove"), key, sizeof key) &&
+    } else if (amb_cbor_copy_string(amb_cbor_map_get(operation, "remove"), key, sizeof key) &&
                begins(key, ORDER_PREFIX)) {
         struct proof_event event = {.type = PROOF_ORDER_GONE, .node = NO_NODE};
         name_order(key + strlen(ORDER_PREFIX), &event);
@@ -160,10 +162,11 @@
 }
 
 static void take_transaction(const struct sim_call *call, const cbor_item_t *transaction) {
-    const cbor_item_t *operations = amb_cbor_get(transaction, "then");
+    const cbor_item_t *operations = amb_cbor_map_get(transaction, "then");
     (void)call;
     look_at_leases();
-    for (size_t i = 0; i < amb_cbor_len(operations); i++) take_operation(amb_cbor_at(operations, i));
+    for (size_t i = 0; i < amb_cbor_list_length(operations); i++)
+        take_operation(amb_cbor_list_item(operations, i));
 }
 
 static struct proof_moment moment_of(enum proof_step step, const char *duty, size_t len) {
@@ -174,22 +177,22 @@
 
 static struct proof_moment moment_of_order(const char *key, const cbor_item_t *value) {
     const char *duty = key + strlen(ORDER_PREFIX);
-    const cbor_item_t *state = amb_cbor_get(value, "state");
-    enum proof_step step = amb_cbor_eq(state, "wanted") ? PROOF_STEP_RECORDED
-                           : amb_cbor_eq(state, "sent") ? PROOF_STEP_SENT
-                                                        : PROOF_STEP_SETTLED;
+    const cbor_item_t *state = amb_cbor_map_get(value, "state");
+    enum proof_step step = amb_cbor_equals(state, "wanted") ? PROOF_STEP_RECORDED
+                           : amb_cbor_equals(state, "sent") ? PROOF_STEP_SENT
+                                                            : PROOF_STEP_SETTLED;
     return moment_of(step, duty, strcspn(duty, "/"));
 }
 
 struct proof_moment proof_moment_of_commit(const cbor_item_t *transaction) {
-    const cbor_item_t *operations = amb_cbor_get(transaction, "then");
+    const cbor_item_t *operations = amb_cbor_map_get(transaction, "then");
     char key[SIM_KEY_SIZE] = "";
-    for (size_t i = 0; i < amb_cbor_len(operations); i++) {
-        const cbor_item_t *operation = amb_cbor_at(operations, i);
-        if (amb_cbor_str(amb_cbor_get(operation, "put"), key, sizeof key)) {
-            if (begins(key, ORDER_PREFIX)) return moment_of_order(key, amb_cbor_get(operation, "value"));
+    for (size_t i = 0; i < amb_cbor_list_length(operations); i++) {
+        const cbor_item_t *operation = amb_cbor_list_item(operations, i);
+        if (amb_cbor_copy_string(amb_cbor_map_get(operation, "put"), key, sizeof key)) {
+            if (begins(key, ORDER_PREFIX)) return moment_of_order(key, amb_cbor_map_get(operation, "value"));
             if (begins(key, RENTAL_PREFIX)) return moment_of(PROOF_STEP_RECORDED, RENT, strlen(RENT));
-        } else if (amb_cbor_str(amb_cbor_get(operation, "remove"), key, sizeof key) &&
+        } else if (amb_cbor_copy_string(amb_cbor_map_get(operation, "remove"), key, sizeof key) &&
                    begins(key, RENTAL_PREFIX)) {
             return moment_of(PROOF_STEP_SETTLED, RENT, strlen(RENT));
         } else if (begins(key, ORDER_PREFIX)) { /* it was read just above: a record is removed */
@@ -200,10 +203,11 @@
 }
 
 static bool puts_duty(const cbor_item_t *transaction) {
-    const cbor_item_t *operations = amb_cbor_get(transaction, "then");
+    const cbor_item_t *operations = amb_cbor_map_get(transaction, "then");
     char key[SIM_KEY_SIZE] = "";
-    for (size_t i = 0; i < amb_cbor_len(operations); i++)
-        if (amb_cbor_str(amb_cbor_get(amb_cbor_at(operations, i), "put"), key, sizeof key) &&
+    for (size_t i = 0; i < amb_cbor_list_length(operations); i++)
+        if (amb_cbor_copy_string(amb_cbor_map_get(amb_cbor_list_item(operations, i), "put"), key,
+                                 sizeof key) &&
             (begins(key, DUTY_PREFIX) || begins(key, HANDOVER_PREFIX)))
             return true;
     return false;
@@ -243,9 +247,9 @@
 static void read_order(const struct sim_call *call) {
     memset(&order, 0, sizeof order);
     cbor_item_t *body = amb_cbor_parse(call->body, call->len);
-    amb_cbor_str(amb_cbor_get(body, "duty"), order.duty, sizeof order.duty);
-    amb_cbor_str(amb_cbor_get(body, "charter"), order.name, sizeof order.name);
-    amb_cbor_uint(amb_cbor_get(body, "baton"), &order.token);
+    amb_cbor_copy_string(amb_cbor_map_get(body, "duty"), order.duty, sizeof order.duty);
+    amb_cbor_copy_string(amb_cbor_map_get(body, "charter"), order.name, sizeof order.name);
+    amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), &order.token);
     if (body) cbor_decref(&body);
     order.rentals_before = world.cloud.rental_count;
     for (int i = 0; i < world.machine_count; i++) {
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -149,14 +149,14 @@
 /* A page of the cloud's list: one machine, or none (name NULL). */
 static void answer_list(struct fake_call *call, const char *name, const char *stance, bool truncated) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "rigs"), amb_w_list(&buffer, name ? 1 : 0);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "rigs"), amb_cbor_write_list(&buffer, name ? 1 : 0);
     if (name) {
-        amb_w_map(&buffer, 2);
-        amb_w_str(&buffer, "ref"), amb_w_str(&buffer, name);
-        amb_w_str(&buffer, "stance"), amb_w_str(&buffer, stance);
+        amb_cbor_write_map(&buffer, 2);
+        amb_cbor_write_string(&buffer, "ref"), amb_cbor_write_string(&buffer, name);
+        amb_cbor_write_string(&buffer, "stance"), amb_cbor_write_string(&buffer, stance);
     }
-    amb_w_str(&buffer, "truncated"), amb_w_bool(&buffer, truncated);
+    amb_cbor_write_string(&buffer, "truncated"), amb_cbor_write_bool(&buffer, truncated);
     fake_answer(call, 200, &buffer);
 }
 
@@ -232,14 +232,14 @@
 static void nothing_is_concluded_before_the_records_are_read(void **state) {
     (void)state;
     node->controller.restored_at = 0;
-    struct sent_report heartbeat = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
-    send_report(heartbeat);
+    struct sent_heartbeat heartbeat = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
+    send_heartbeat(heartbeat);
     assert_int_equal(latest()->status, 200);
-    if (replied_orders("halt")) fail_msg("a task that is not known yet is told to stop");
+    if (replied_commands("halt")) fail_msg("a task that is not known yet is told to stop");
     heartbeat.seq++;
     heartbeat.stance = "exited";
-    send_report(heartbeat);
-    if (replied_orders("clear")) fail_msg("the result of a task that is not known yet is cleared");
+    send_heartbeat(heartbeat);
+    if (replied_commands("clear")) fail_msg("the result of a task that is not known yet is cleared");
 }
 
 static void unverified_machines_are_probed_with_the_token_alone(void **state) {
@@ -252,17 +252,17 @@
     fake_clock_advance(2500);
     amb_fleet_tick(node, amb_now());
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "watch"), amb_w_uint(&buffer, 3);
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "watch"), amb_cbor_write_uint(&buffer, 3);
     fake_answer(open_call("GET", "/inspect"), 200, &buffer);
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
     uint64_t token = 0, incarnation = 0;
-    amb_cbor_uint(amb_cbor_get(commands->map, "baton"), &token);
-    amb_cbor_uint(amb_cbor_get(commands->map, "watch"), &incarnation);
+    amb_cbor_get_uint(amb_cbor_map_get(commands->map, "baton"), &token);
+    amb_cbor_get_uint(amb_cbor_map_get(commands->map, "watch"), &incarnation);
     assert_int_equal(token, TERM);
     assert_int_equal(incarnation, 3);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(commands->map, "orders")), 0);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(commands->map, "orders")), 0);
     fake_clock_advance(12000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -180,15 +180,15 @@
 static void answer_list_page(uint32_t first, uint32_t count, bool more) {
     struct amb_buf body = {0};
     char name[AMB_NAME_SIZE];
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "rigs"), amb_w_list(&body, count);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "rigs"), amb_cbor_write_list(&body, count);
     for (uint32_t i = first; i < first + count; i++) {
         fleet_name(name, i);
-        amb_w_map(&body, 2);
-        amb_w_str(&body, "ref"), amb_w_str(&body, name);
-        amb_w_str(&body, "stance"), amb_w_str(&body, "running");
+        amb_cbor_write_map(&body, 2);
+        amb_cbor_write_string(&body, "ref"), amb_cbor_write_string(&body, name);
+        amb_cbor_write_string(&body, "stance"), amb_cbor_write_string(&body, "running");
     }
-    amb_w_str(&body, "truncated"), amb_w_bool(&body, more);
+    amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, more);
     fake_answer(open_call("GET", "/machines?"), 200, &body);
 }
 
@@ -268,7 +268,7 @@
         const struct amb_settings settings = {.fd_limit = rows[i].sockets, .memory_mb = rows[i].memory_mb};
         struct amb_options options;
         char err[256] = "";
-        amb_options_default(&options);
+        amb_options_set_defaults(&options);
         options.fleet_machines = rows[i].machines;
         bool holds = amb_capacity_check(&settings, &options, "f.toml", err, sizeof err);
         if (holds != !rows[i].complaint || (!holds && !strstr(err, rows[i].complaint)))
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -65,7 +65,7 @@
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_codec_put_spec(body, &spec);
+    amb_codec_encode_spec(body, &spec);
 }
 
 /* The status at once; 0: the job is being written. */
@@ -73,7 +73,7 @@
     struct amb_buf body = {0};
     struct fake_reply reply = {0};
     put_submission(&body, ref, tasks);
-    assert_true(amb_user_request(node, fake_request("POST", "/v1/jobs", &body, &reply)));
+    assert_true(amb_api_handle_request(node, fake_request("POST", "/v1/jobs", &body, &reply)));
     amb_buf_free(&body);
     amb_buf_free(&reply.body);
     return reply;
@@ -83,8 +83,8 @@
     teardown(NULL);
     setup(NULL);
     strcpy(node->settings.teams[0].name, "t");
-    strcpy(node->settings.state, "S:1");
-    node->settings.state_rps = node->settings.state_write_rps = 1000;
+    strcpy(node->settings.store_addr, "S:1");
+    node->settings.store_rps = node->settings.store_write_rps = 1000;
     node->jobs.loaded = true;
     amb_store_init(&node->store, &node->settings, 1000);
 }
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -58,14 +58,14 @@
         ask_peers();
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
-        struct sent_report sent = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
-        send_report(sent);
+        struct sent_heartbeat sent = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
+        send_heartbeat(sent);
         char cancelled[64];
         snprintf(cancelled, sizeof cancelled, "[\"wk-1\",%lld,61]", (long long)amb_wall_ms());
         (speaks_first ? peer_speaks : peer_answers)(0, (struct said){.term = TERM, .cancelled = cancelled});
         sent.seq++;
-        send_report(sent);
-        if (replied_orders("halt") != 1)
+        send_heartbeat(sent);
+        if (replied_commands("halt") != 1)
             fail_msg("a peer %s of a cancellation, and the task is not told to stop",
                      speaks_first ? "speaks" : "answers");
     }
@@ -79,14 +79,14 @@
     node->jobs.known_revision = 1234;
     ask_peers();
     struct fake_call *heartbeat = open_call("POST", "/peer/heartbeat");
-    amb_buf_add(&heartbeat->body, "", 1);
+    amb_buf_append(&heartbeat->body, "", 1);
     if (!strstr(heartbeat->body.data, "\"epoch\":1234"))
         fail_msg("a question does not say what the node knows");
     if (!strstr(heartbeat->body.data, "wk-1"))
         fail_msg("a message to a peer does not name the cancelled job");
     peer_speaks(0, (struct said){.term = TERM});
     assert_int_equal(latest()->status, 200);
-    amb_buf_add(&latest()->body, "", 1);
+    amb_buf_append(&latest()->body, "", 1);
     if (!strstr(latest()->body.data, "wk-1")) fail_msg("an answer to a peer does not name the cancelled job");
 }
 
@@ -100,7 +100,7 @@
     amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 2);
     assert_true(task->stop_requested);
     report("m-1", 1, 2, TERM, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_COMMAND_STOP), 1);
+    assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
 }
 
 /* What a leader of a large fleet tells the others fits in a message, at its worst and all the more as a rule.
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -19,19 +19,20 @@
 static int ncalls;
 
 /* The linker puts these in the place of the library's own (--wrap). */
-struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                          amb_http_handler fn, void *arg);
+struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
+                                               amb_http_handler fn, void *arg);
 void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s);
-struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
-                                      const char *type, const void *body, size_t len, amb_ms timeout,
-                                      amb_http_done fn, void *arg);
+struct amb_http_client_connection *__wrap_amb_http_call(const char *addr, const char *method,
+                                                        const char *path, const char *type, const void *body,
+                                                        size_t len, amb_ms timeout, amb_http_done fn,
+                                                        void *arg);
 
-struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                          amb_http_handler fn, void *arg) {
+struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
+                                               amb_http_handler fn, void *arg) {
     (void)addr, (void)max, (void)body_max, (void)idle_ms, (void)arg;
     handler = fn;
-    return (struct amb_server *)&handler;
+    return (struct amb_http_server *)&handler;
 }
 
 void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
@@ -45,9 +46,10 @@
     free(request);
 }
 
-struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
-                                      const char *type, const void *body, size_t len, amb_ms timeout,
-                                      amb_http_done fn, void *arg) {
+struct amb_http_client_connection *__wrap_amb_http_call(const char *addr, const char *method,
+                                                        const char *path, const char *type, const void *body,
+                                                        size_t len, amb_ms timeout, amb_http_done fn,
+                                                        void *arg) {
     (void)addr, (void)method, (void)path, (void)type, (void)body, (void)len, (void)timeout;
     if (ncalls < (int)ROWS(calls)) calls[ncalls++] = (struct call){fn, arg};
     return NULL;
@@ -72,11 +74,11 @@
     amb_loop_init();
     node = bare_node_new();
     strcpy(node->settings.member, "n0");
-    node->settings.npeers = 2;
+    node->settings.peer_count = 2;
     strcpy(node->settings.peers[0].member, "n1");
     strcpy(node->settings.peers[1].member, "n2");
-    node->settings.report_s = 1;
-    node->settings.lease_s = 10;
+    node->settings.heartbeat_s = 1;
+    node->settings.agent_lease_s = 10;
     node->settings.cancel_s = 30;
     node->settings.memory_mb = 40;
     amb_peer_start(node);
@@ -107,11 +109,11 @@
     strcpy(spec.class_name, "train");
     strcpy(spec.team, "team");
     strcpy(spec.image, "img");
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "s");
-    amb_w_str(&buffer, "queued");
-    amb_w_str(&buffer, "d");
-    amb_codec_put_spec(&buffer, &spec);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "s");
+    amb_cbor_write_string(&buffer, "queued");
+    amb_cbor_write_string(&buffer, "d");
+    amb_codec_encode_spec(&buffer, &spec);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_jobs_apply_item(node, ref, value, revision);
     cbor_decref(&value);
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -150,8 +150,8 @@
     amb_placement_log_flush(node);
     struct fake_call *call = open_call(COMMIT);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(body, "then")), 1);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(body, "guards")), 2);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(body, "then")), 1);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(body, "guards")), 2);
     cbor_decref(&body);
     answer_commit(200, CHANGED);
     assert_int_equal(job->state, AMB_JOB_DONE);
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -68,11 +68,11 @@
         if (rows[i].puts && !fake_txn_put(commit, rows[i].puts, NULL)) fail_msg("%s: not put", rows[i].what);
         if (rows[i].removes && !fake_txn_removes(commit, rows[i].removes))
             fail_msg("%s: not removed", rows[i].what);
-        if (fake_txn_guard(commit, LEADER_KEY) != TERM)
+        if (fake_txn_compared_revision(commit, LEADER_KEY) != TERM)
             fail_msg("%s is written without a guard on the leader's term", rows[i].what);
-        if (fake_txn_guard(commit, "a/job/wk-1") != rows[i].job)
+        if (fake_txn_compared_revision(commit, "a/job/wk-1") != rows[i].job)
             fail_msg("%s is not guarded by the job's stamp", rows[i].what);
-        if (fake_txn_guard(commit, BLOCK_KEY) != rows[i].block)
+        if (fake_txn_compared_revision(commit, BLOCK_KEY) != rows[i].block)
             fail_msg("%s is not guarded by the block's stamp", rows[i].what);
     }
 }
@@ -101,8 +101,9 @@
         struct amb_job *job = amb_job_find(node, "wk-1");
         char id[AMB_NAME_SIZE];
         struct amb_buf first = {0};
-        amb_buf_add(&first, commit->body.data, commit->body.len);
-        assert_true(amb_cbor_str(amb_cbor_get(fake_txn_put(commit, BLOCK_KEY, NULL), "w"), id, sizeof id));
+        amb_buf_append(&first, commit->body.data, commit->body.len);
+        assert_true(amb_cbor_copy_string(amb_cbor_map_get(fake_txn_put(commit, BLOCK_KEY, NULL), "w"), id,
+                                         sizeof id));
         fake_answer(commit, 0, NULL);
         if (job->tasks[0].state != AMB_TASK_PLACED) fail_msg("%s: bound before it is known", rows[i].what);
         struct fake_call *read = open_call("GET", "/store/b/p/wk-1/00000");
@@ -169,8 +170,8 @@
     amb_placement_log_flush(node);
     struct fake_call *removal = open_call("POST", "/commit");
     assert_true(fake_txn_removes(removal, BLOCK_KEY));
-    assert_int_equal(fake_txn_guard(removal, BLOCK_KEY), 61);
-    assert_int_equal(fake_txn_guard(removal, LEADER_KEY), TERM);
+    assert_int_equal(fake_txn_compared_revision(removal, BLOCK_KEY), 61);
+    assert_int_equal(fake_txn_compared_revision(removal, LEADER_KEY), TERM);
 }
 
 /* ---- reading them back ---- */
@@ -200,7 +201,7 @@
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     amb_job_deactivate(node, job);
     amb_fleet_clear(node);
-    cbor_item_t *at = (cbor_item_t *)amb_cbor_get(item, "at");
+    cbor_item_t *at = (cbor_item_t *)amb_cbor_map_get(item, "at");
     cbor_set_uint64(at, (uint64_t)amb_wall_ms() - 30000); /* as if written half a minute ago */
     amb_placement_log_restore(node, "b/p/wk-1/00000", item, 77);
     cbor_decref(&item);
@@ -228,11 +229,11 @@
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
     for (size_t i = 0; i < ROWS(texts); i++) {
         struct amb_buf buffer = {0};
-        amb_w_map(&buffer, 2);
-        amb_w_str(&buffer, "p");
-        amb_w_str(&buffer, texts[i]);
-        amb_w_str(&buffer, "d");
-        amb_w_str(&buffer, texts[i]);
+        amb_cbor_write_map(&buffer, 2);
+        amb_cbor_write_string(&buffer, "p");
+        amb_cbor_write_string(&buffer, texts[i]);
+        amb_cbor_write_string(&buffer, "d");
+        amb_cbor_write_string(&buffer, texts[i]);
         cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
         amb_placement_log_restore(node, "b/p/wk-1/00000", item, i + 1);
         amb_placement_log_restore(node, "b/p/wk-1/99999", item, i + 1);
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -22,10 +22,10 @@
 
 static void put_number(const char *key, const char *field, uint64_t number) {
     struct amb_buf value = {0};
-    amb_w_map(&value, 1);
-    amb_w_str(&value, field);
-    amb_w_uint(&value, number);
-    fake_state_put(key, &value);
+    amb_cbor_write_map(&value, 1);
+    amb_cbor_write_string(&value, field);
+    amb_cbor_write_uint(&value, number);
+    fake_store_put(key, &value);
     amb_buf_free(&value);
 }
 
@@ -34,30 +34,30 @@
     fake_http_reset();
     setup(NULL);
     put_number("a/leader", "nonce", 1);
-    node->election.term = fake_state_stamp("a/leader");
+    node->election.term = fake_store_revision("a/leader");
     node->election.ttl = 3600000000;
     node->election.renewed_at = amb_now();
     strcpy(node->settings.member, "n-0");
-    strcpy(node->settings.state, "state:1");
+    strcpy(node->settings.store_addr, "state:1");
     node->settings.value_kb = value_kb;
-    node->settings.state_next.value_kb = lowered_kb;
-    node->settings.state_rps = node->settings.state_write_rps = 3000;
-    node->settings.state_next.write_rps = 2000;
+    node->settings.announced_limits.value_kb = lowered_kb;
+    node->settings.store_rps = node->settings.store_write_rps = 3000;
+    node->settings.announced_limits.write_rps = 2000;
     node->peers.count = 1;          /* never heard of */
     node->controller.ready = false; /* the test places tasks, not the round */
     amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
-    if (fake_state_value(FORMAT_KEY)) amb_format_apply_key(node, fake_state_value(FORMAT_KEY));
+    if (fake_store_value(FORMAT_KEY)) amb_format_apply_key(node, fake_store_value(FORMAT_KEY));
     job = add_job("wk-1", AMB_JOB_KIND_ARRAY, TASKS);
-    job->revision = fake_state_stamp(JOB_KEY);
-    fake_state_load_records(node);
+    job->revision = fake_store_revision(JOB_KEY);
+    fake_store_load_records(node);
 }
 
 /* The process ends; calls that are open get this fate. */
-static void stop_leader(enum fake_fate fate) {
+static void stop_leader(enum fake_outcome fate) {
     node->election.role = AMB_ROLE_FOLLOWER;
     do {
-        while (fake_state_serve(fate)) continue;
+        while (fake_store_serve(fate)) continue;
         fake_clock_advance(2000); /* what waits for tokens is sent */
     } while (fake_call_open(""));
     fake_clock_reset();
@@ -69,8 +69,8 @@
 static void begin(void) {
     fake_http_reset();
     fake_clock_reset();
-    fake_state_reset();
-    fake_state_limits((struct fake_state_limits){.value_kb = VALUE_KB});
+    fake_store_reset();
+    fake_store_set_limits((struct fake_store_limits){.value_kb = VALUE_KB});
     put_number(JOB_KEY, "a", 1);
     start_leader(VALUE_KB, LOWERED_KB);
 }
@@ -108,7 +108,7 @@
 }
 
 static void flush(void) {
-    if (fake_state_value(FORMAT_KEY)) amb_format_apply_key(node, fake_state_value(FORMAT_KEY)); /* news */
+    if (fake_store_value(FORMAT_KEY)) amb_format_apply_key(node, fake_store_value(FORMAT_KEY)); /* news */
     amb_format_tick(node, amb_now());
     amb_placement_log_flush(node);
 }
@@ -166,12 +166,12 @@
             place(0, TASKS, 1);
         }
         flush();
-        while (fake_state_serve(FAKE_CARRIED_OUT)) continue;
+        while (fake_store_serve(FAKE_APPLIED)) continue;
         fake_clock_advance(2500);
-        fake_state_refill();
+        fake_store_refill();
     }
     if (job->active || job->state != AMB_JOB_DONE) fail_msg("%s, end %zu: the job does not end", what, when);
-    if (fake_state_count("b/")) fail_msg("%s, end %zu: %s is left", what, when, fake_state_key("b/", 0));
+    if (fake_store_count("b/")) fail_msg("%s, end %zu: %s is left", what, when, fake_store_key("b/", 0));
 }
 
 /* ---- the days that are played ---- */
@@ -192,7 +192,7 @@
     case 1:
         if (day->written) put_number(FORMAT_KEY, "format", 2);
         if (day->lowered)
-            fake_state_limits((struct fake_state_limits){LOWERED_KB, .txn_ops = 4, .burst = day->burst});
+            fake_store_set_limits((struct fake_store_limits){LOWERED_KB, .txn_ops = 4, .burst = day->burst});
         place(190, 192, 0);
         break;
     case 2:
@@ -213,12 +213,12 @@
 
 struct fault { /* transactions, and reads, that are not just carried out and answered */
     size_t at, count;
-    enum fake_fate fate;
+    enum fake_outcome fate;
     size_t late_at; /* when what was kept is carried out */
 };
 
-static enum fake_fate fate_of(size_t served, const struct fault *fault) {
-    return fault && served >= fault->at && served - fault->at < fault->count ? fault->fate : FAKE_CARRIED_OUT;
+static enum fake_outcome fate_of(size_t served, const struct fault *fault) {
+    return fault && served >= fault->at && served - fault->at < fault->count ? fault->fate : FAKE_APPLIED;
 }
 
 /* Until `stop` transactions and reads have been served; how many were. */
@@ -230,12 +230,12 @@
             flush();
             while (fake_call_open("/")) {
                 if (served == stop) return served;
-                fake_state_serve(fate_of(served, fault));
+                fake_store_serve(fate_of(served, fault));
                 served++;
-                if (fault && served == fault->late_at) fake_state_late(&refused, &carried_out);
+                if (fault && served == fault->late_at) fake_store_serve_late(&refused, &carried_out);
             }
             fake_clock_advance(2500);
-            fake_state_refill();
+            fake_store_refill();
         }
     }
     return served;
@@ -259,7 +259,7 @@
 
 static void leader_ends_at_any_time(void **state) {
     (void)state;
-    static const enum fake_fate fates[] = {FAKE_REQUEST_LOST, FAKE_ANSWER_LOST, FAKE_CARRIED_OUT_LATE};
+    static const enum fake_outcome fates[] = {FAKE_REQUEST_LOST, FAKE_ANSWER_LOST, FAKE_APPLIED_LATE};
     for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
         machine_names = days[day_index].machines;
         for (size_t fate_index = 0; fate_index < ROWS(fates); fate_index++) {
@@ -271,7 +271,7 @@
                 stop_leader(fates[fate_index]);
                 start_leader(VALUE_KB, LOWERED_KB);
                 size_t refused, carried_out;
-                fake_state_late(&refused, &carried_out);
+                fake_store_serve_late(&refused, &carried_out);
                 if (carried_out)
                     fail_msg("%s, end %zu: a late transaction is carried out", days[day_index].what, stop);
                 check_known(days[day_index].what, stop);
@@ -290,14 +290,14 @@
 static void answers_lost_at_any_time(void **state) {
     (void)state;
     static const struct {
-        enum fake_fate fate;
+        enum fake_outcome fate;
         size_t count, later;
     } rows[] = {
-        {FAKE_ANSWER_LOST, 1, NEVER},       {FAKE_REQUEST_LOST, 1, NEVER},   {FAKE_CARRIED_OUT_LATE, 1, 1},
-        {FAKE_CARRIED_OUT_LATE, 1, 2},      {FAKE_CARRIED_OUT_LATE, 1, 6},   {FAKE_CARRIED_OUT_LATE, 1, 12},
-        {FAKE_CARRIED_OUT_LATE, 1, NEVER},  {FAKE_ANSWER_LOST, 12, NEVER},   {FAKE_REQUEST_LOST, 12, NEVER},
-        {FAKE_CARRIED_OUT_LATE, 12, 12},    {FAKE_CARRIED_OUT_LATE, 12, 16}, {FAKE_CARRIED_OUT_LATE, 12, 24},
-        {FAKE_CARRIED_OUT_LATE, 12, NEVER},
+        {FAKE_ANSWER_LOST, 1, NEVER},   {FAKE_REQUEST_LOST, 1, NEVER}, {FAKE_APPLIED_LATE, 1, 1},
+        {FAKE_APPLIED_LATE, 1, 2},      {FAKE_APPLIED_LATE, 1, 6},     {FAKE_APPLIED_LATE, 1, 12},
+        {FAKE_APPLIED_LATE, 1, NEVER},  {FAKE_ANSWER_LOST, 12, NEVER}, {FAKE_REQUEST_LOST, 12, NEVER},
+        {FAKE_APPLIED_LATE, 12, 12},    {FAKE_APPLIED_LATE, 12, 16},   {FAKE_APPLIED_LATE, 12, 24},
+        {FAKE_APPLIED_LATE, 12, NEVER},
     };
     for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
         machine_names = days[day_index].machines;
@@ -310,7 +310,7 @@
                     begin();
                     served = play(&days[day_index], NEVER, &fault);
                     size_t refused, carried_out;
-                    fake_state_late(&refused, &carried_out);
+                    fake_store_serve_late(&refused, &carried_out);
                     if (!stays) {
                         remember_state();
                         stop_leader(FAKE_REQUEST_LOST);
@@ -342,17 +342,17 @@
         begin();
         play(&days[day_index], NEVER, NULL);
         const char *what = days[day_index].what;
-        size_t old = fake_state_count("b/p/"), new = fake_state_count("b/n/");
+        size_t old = fake_store_count("b/p/"), new = fake_store_count("b/n/");
         if (old != want[day_index].old_blocks || new != want[day_index].new_blocks)
             fail_msg("%s: %zu old blocks, %zu new ones", what, old, new);
-        if ((fake_state_answers(400) > 0) != want[day_index].sizes_refused)
-            fail_msg("%s: %zu refused for their size", what, fake_state_answers(400));
-        if ((fake_state_answers(429) > 0) != want[day_index].rates_refused)
-            fail_msg("%s: %zu refused for their rate", what, fake_state_answers(429));
+        if ((fake_store_answers(400) > 0) != want[day_index].sizes_refused)
+            fail_msg("%s: %zu refused for their size", what, fake_store_answers(400));
+        if ((fake_store_answers(429) > 0) != want[day_index].rates_refused)
+            fail_msg("%s: %zu refused for their rate", what, fake_store_answers(429));
         if (node->store.limits_lowered != want[day_index].lowered) fail_msg("%s: limits lowered", what);
         if (node->store.writes_per_second != (want[day_index].lowered ? 2000 : 3000))
             fail_msg("%s: %g changes a second", what, node->store.writes_per_second);
-        if (fake_state_answers(409)) fail_msg("%s: a guard failed", what);
+        if (fake_store_answers(409)) fail_msg("%s: a guard failed", what);
         if (node->election.role != AMB_ROLE_LEADER) fail_msg("%s: the lead was given up", what);
         for (uint32_t i = 0; i < TASKS; i++)
             if (job->tasks[i].state == AMB_TASK_PLACED) fail_msg("%s: task %u is not recorded", what, i);
@@ -363,12 +363,12 @@
 static void put_block(const char *key, const char *placed, const char *done) {
     struct amb_placement_block_text text = {0};
     struct amb_buf value = {0};
-    amb_buf_str(&text.placed, placed);
-    amb_buf_str(&text.completed, done);
+    amb_buf_append_text(&text.placed, placed);
+    amb_buf_append_text(&text.completed, done);
     const struct amb_placement_block_header head = {
         .write_id = "1-1", .next_attempt = 10, .catalog = &node->catalog};
     amb_placement_block_encode(&value, &head, &text);
-    fake_state_put(key, &value);
+    fake_store_put(key, &value);
     amb_buf_free(&value);
 }
 
@@ -409,7 +409,7 @@
     begin();
     stop_leader(FAKE_REQUEST_LOST);
     for (size_t i = 0; i < ROWS(rows); i++) {
-        fake_state_reset();
+        fake_store_reset();
         put_number(JOB_KEY, "a", 1);
         put_number(FORMAT_KEY, "format", 2);
         setup(NULL);
@@ -422,12 +422,12 @@
         struct amb_buf got = {0};
         for (uint32_t task_index = 0; task_index < TASKS; task_index++) {
             const struct amb_task *task = &job->tasks[task_index];
-            if (task->done) amb_buf_fmt(&got, "%u! ", task_index);
+            if (task->done) amb_buf_append_format(&got, "%u! ", task_index);
             if (task->machine)
-                amb_buf_fmt(&got, "%u@%s/%llu ", task_index, task->machine->name,
-                            (unsigned long long)task->attempt);
+                amb_buf_append_format(&got, "%u@%s/%llu ", task_index, task->machine->name,
+                                      (unsigned long long)task->attempt);
         }
-        amb_buf_add(&got, "", 1);
+        amb_buf_append(&got, "", 1);
         if (strcmp(got.data, rows[i].want)) fail_msg("%s: %s", rows[i].what, got.data);
         assert_int_equal(job->next_attempt, 10);
         amb_buf_free(&got);
@@ -494,24 +494,24 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
         stop_leader(FAKE_REQUEST_LOST);
-        fake_state_limits((struct fake_state_limits){.value_kb = 16});
+        fake_store_set_limits((struct fake_store_limits){.value_kb = 16});
         start_leader(rows[i].written_kb, 0);
         place(0, TASKS, 0);
         flush();
-        while (fake_state_serve(FAKE_CARRIED_OUT)) continue;
+        while (fake_store_serve(FAKE_APPLIED)) continue;
         uint32_t tasks_per_block = amb_placement_block_capacity(AMB_LAYOUT_BY_SETTINGS, rows[i].written_kb);
-        assert_int_equal(fake_state_count("b/p/"), (TASKS + tasks_per_block - 1) / tasks_per_block);
-        assert_int_equal(fake_state_count("b/n/"), 0);
+        assert_int_equal(fake_store_count("b/p/"), (TASKS + tasks_per_block - 1) / tasks_per_block);
+        assert_int_equal(fake_store_count("b/n/"), 0);
         remember_state();
         stop_leader(FAKE_REQUEST_LOST);
         if (rows[i].second_format) put_number(FORMAT_KEY, "format", 2);
-        fake_state_limits((struct fake_state_limits){.value_kb = rows[i].lowered_kb});
+        fake_store_set_limits((struct fake_store_limits){.value_kb = rows[i].lowered_kb});
         start_leader(rows[i].read_kb, rows[i].lowered_kb);
         check_known("old blocks", i);
         for (uint32_t task_index = 0; task_index < TASKS; task_index++)
             assert_int_equal(job->tasks[task_index].state, AMB_TASK_BOUND);
         run_to_the_end("old blocks", i);
-        if (fake_state_answers(400)) fail_msg("row %zu: %zu refused", i, fake_state_answers(400));
+        if (fake_store_answers(400)) fail_msg("row %zu: %zu refused", i, fake_store_answers(400));
         stop_leader(FAKE_REQUEST_LOST);
     }
 }
@@ -522,15 +522,15 @@
     static const struct day day = {"", .written = true, .lowered = true, .burst = 0, .machines = "m-%06u"};
     begin();
     play(&day, NEVER, NULL);
-    assert_true(fake_state_count("b/n/") > 0);
-    assert_int_equal(fake_state_count("b/p/"), 1);
+    assert_true(fake_store_count("b/n/") > 0);
+    assert_int_equal(fake_store_count("b/p/"), 1);
     stop_leader(FAKE_REQUEST_LOST);
     start_leader(VALUE_KB, LOWERED_KB);
     uint64_t moved = job->tasks[60].attempt;
     amb_job_deactivate(node, job);
     amb_fleet_clear(node);
     node->formats.test_override = AMB_FORMAT_1;
-    fake_state_load_records(node);
+    fake_store_load_records(node);
     assert_true(job->active);
     assert_int_equal(job->block_layout, AMB_LAYOUT_BY_SETTINGS);
     assert_int_equal(job->tasks_per_block, amb_placement_blocks_first_format_size(&node->settings));
--- a/tests/standin/clock.c
+++ b/tests/standin/clock.c
@@ -29,14 +29,14 @@
 void amb_loop_init(void) {}
 void amb_loop_run(void) {}
 void amb_loop_stop(void) {}
-int amb_loop_add(struct amb_watch *w, uint32_t e) {
+int amb_loop_add(struct amb_fd_watch *w, uint32_t e) {
     (void)w, (void)e;
     return 0;
 }
-void amb_loop_mod(struct amb_watch *w, uint32_t e) {
+void amb_loop_mod(struct amb_fd_watch *w, uint32_t e) {
     (void)w, (void)e;
 }
-void amb_loop_del(struct amb_watch *w) {
+void amb_loop_del(struct amb_fd_watch *w) {
     (void)w;
 }
 
@@ -49,8 +49,8 @@
     struct sim_timer keep = world.timers[a];
     world.timers[a] = world.timers[b];
     world.timers[b] = keep;
-    world.timers[a].timer->slot = a + 1;
-    world.timers[b].timer->slot = b + 1;
+    world.timers[a].timer->position = a + 1;
+    world.timers[b].timer->position = b + 1;
 }
 
 /* The soonest stands first: children of i at 2i + 1 and 2i + 2. */
@@ -66,12 +66,12 @@
 }
 
 void amb_timer_stop(struct amb_timer *timer) {
-    if (!timer->slot) return;
-    size_t i = timer->slot - 1;
-    timer->slot = 0;
+    if (!timer->position) return;
+    size_t i = timer->position - 1;
+    timer->position = 0;
     if (i == --world.timer_count) return;
     world.timers[i] = world.timers[world.timer_count];
-    world.timers[i].timer->slot = i + 1;
+    world.timers[i].timer->position = i + 1;
     timers_sift(i);
 }
 
@@ -83,7 +83,7 @@
     world.timers[world.timer_count].timer = timer;
     world.timers[world.timer_count].owner = world.current;
     world.timers[world.timer_count].serial = world.timer_serial++;
-    timer->slot = ++world.timer_count;
+    timer->position = ++world.timer_count;
     timers_sift(world.timer_count - 1);
 }
 
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -51,32 +51,35 @@
         if (machine->created > then || (!machine->exists && machine->gone_at <= then)) continue;
         char text[AMB_NAME_SIZE];
         n++;
-        amb_w_map(&list, 7);
-        amb_w_str(&list, "ref"), amb_w_str(&list, machine->name);
+        amb_cbor_write_map(&list, 7);
+        amb_cbor_write_string(&list, "ref"), amb_cbor_write_string(&list, machine->name);
         sim_machine_address(i, text);
-        amb_w_str(&list, "address"), amb_w_str(&list, text);
-        amb_w_str(&list, "hull"), amb_w_str(&list, "g8");
-        amb_w_str(&list, "yard"), amb_w_str(&list, sim_zone_name(machine->zone));
-        amb_w_str(&list, "driftwood"), amb_w_bool(&list, machine->spot);
+        amb_cbor_write_string(&list, "address"), amb_cbor_write_string(&list, text);
+        amb_cbor_write_string(&list, "hull"), amb_cbor_write_string(&list, "g8");
+        amb_cbor_write_string(&list, "yard"), amb_cbor_write_string(&list, sim_zone_name(machine->zone));
+        amb_cbor_write_string(&list, "driftwood"), amb_cbor_write_bool(&list, machine->spot);
         bool failed = machine->dead && then - machine->died_at > 30000;
-        amb_w_str(&list, "stance"), amb_w_str(&list, failed ? "failed" : machine->up ? "running" : "booting");
-        amb_w_str(&list, "held_s"), amb_w_num(&list, (double)(then - machine->created) / 1000);
+        amb_cbor_write_string(&list, "stance"), amb_cbor_write_string(&list, failed        ? "failed"
+                                                                             : machine->up ? "running"
+                                                                                           : "booting");
+        amb_cbor_write_string(&list, "held_s"),
+            amb_cbor_write_number(&list, (double)(then - machine->created) / 1000);
     }
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "rigs");
-    amb_w_list(&buffer, n);
-    amb_buf_add(&buffer, list.data, list.len);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "rigs");
+    amb_cbor_write_list(&buffer, n);
+    amb_buf_append(&buffer, list.data, list.len);
     amb_buf_free(&list);
-    amb_w_str(&buffer, "truncated");
-    amb_w_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "truncated");
+    amb_cbor_write_bool(&buffer, false);
     sim_call_answer(call, 200, &buffer);
 }
 
 static void refuse(struct sim_call *call, const char *error) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "error");
-    amb_w_str(&body, error);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "error");
+    amb_cbor_write_string(&body, error);
     sim_call_answer(call, 503, &body);
 }
 
@@ -92,11 +95,11 @@
     char id[48] = "";
     uint64_t count = 0;
     bool spot = false;
-    amb_cbor_str(amb_cbor_get(body, "charter"), id, sizeof id);
-    amb_cbor_uint(amb_cbor_get(body, "count"), &count);
-    amb_cbor_bool(amb_cbor_get(body, "driftwood"), &spot);
+    amb_cbor_copy_string(amb_cbor_map_get(body, "charter"), id, sizeof id);
+    amb_cbor_get_uint(amb_cbor_map_get(body, "count"), &count);
+    amb_cbor_get_bool(amb_cbor_map_get(body, "driftwood"), &spot);
     char zone_name[AMB_NAME_SIZE] = "";
-    amb_cbor_str(amb_cbor_get(body, "yard"), zone_name, sizeof zone_name);
+    amb_cbor_copy_string(amb_cbor_map_get(body, "yard"), zone_name, sizeof zone_name);
     int zone = sim_zone_of_name(zone_name);
     cbor_decref(&body);
     int k = 0;
@@ -115,11 +118,11 @@
         for (uint64_t i = 0; i < count; i++) sim_machine_new(zone, spot, boot_time());
     }
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "rigs");
-    amb_w_list(&buffer, (size_t)world.cloud.rentals[k].count);
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "rigs");
+    amb_cbor_write_list(&buffer, (size_t)world.cloud.rentals[k].count);
     for (int i = 0; i < world.cloud.rentals[k].count; i++)
-        amb_w_str(&buffer, world.machines[world.cloud.rentals[k].first + i].name);
+        amb_cbor_write_string(&buffer, world.machines[world.cloud.rentals[k].first + i].name);
     sim_call_answer(call, 200, &buffer);
 }
 
@@ -137,11 +140,11 @@
     char text[16];
     enum amb_duty_name duty;
     uint64_t token = 0;
-    bool by_duty = amb_cbor_str(amb_cbor_get(body, "duty"), text, sizeof text);
+    bool by_duty = amb_cbor_copy_string(amb_cbor_map_get(body, "duty"), text, sizeof text);
     if (by_duty != sim_duties_in_use() && !requests_come_late())
         sim_broken("duty: %s by %s, n%d", call->path, by_duty ? text : "the leader", call->from);
     if (!by_duty) return true;
-    if (!amb_duty_name_parse(text, &duty) || !amb_cbor_uint(amb_cbor_get(body, "baton"), &token)) {
+    if (!amb_duty_name_parse(text, &duty) || !amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), &token)) {
         sim_broken("duty: %s of %s without a token", call->path, text);
         return false;
     }
@@ -171,12 +174,12 @@
 }
 
 static void release(const struct sim_call *call, const cbor_item_t *body) {
-    const cbor_item_t *rigs = amb_cbor_get(body, "rigs");
-    bool by_duty = amb_cbor_get(body, "duty") != NULL,
-         planned = amb_cbor_eq(amb_cbor_get(body, "duty"), "return");
+    const cbor_item_t *rigs = amb_cbor_map_get(body, "rigs");
+    bool by_duty = amb_cbor_map_get(body, "duty") != NULL,
+         planned = amb_cbor_equals(amb_cbor_map_get(body, "duty"), "return");
     char name[AMB_NAME_SIZE];
-    for (size_t i = 0; i < amb_cbor_len(rigs); i++) {
-        if (!amb_cbor_str(amb_cbor_at(rigs, i), name, sizeof name)) continue;
+    for (size_t i = 0; i < amb_cbor_list_length(rigs); i++) {
+        if (!amb_cbor_copy_string(amb_cbor_list_item(rigs, i), name, sizeof name)) continue;
         for (int k = 0; k < world.machine_count; k++) {
             struct sim_machine *machine = &world.machines[k];
             if (strcmp(machine->name, name) != 0) continue;
@@ -200,27 +203,28 @@
         sim_call_answer(call, 409, NULL);
     } else if (!strcmp(call->path, "/catalog")) {
         struct amb_buf buffer = {0};
-        amb_w_map(&buffer, 1);
-        amb_w_str(&buffer, "hulls");
-        amb_w_list(&buffer, 1);
-        amb_w_map(&buffer, 10);
-        amb_w_str(&buffer, "name"), amb_w_str(&buffer, "g8");
-        amb_w_str(&buffer, "vcpus"), amb_w_num(&buffer, 96);
-        amb_w_str(&buffer, "accelerators"), amb_w_num(&buffer, 8);
-        amb_w_str(&buffer, "ram_gb"), amb_w_num(&buffer, 576);
-        amb_w_str(&buffer, "local_gb"), amb_w_num(&buffer, 200);
-        amb_w_str(&buffer, "fetch_gb_per_s"), amb_w_num(&buffer, 5);
-        amb_w_str(&buffer, "hourly"), amb_w_num(&buffer, 12);
-        amb_w_str(&buffer, "market_price"), amb_w_num(&buffer, 4.5);
-        amb_w_str(&buffer, "boot_s"), amb_w_num(&buffer, (double)sim_pace.boot / 1000);
-        amb_w_str(&buffer, "yards"), amb_w_list(&buffer, (size_t)sim_zones());
-        for (int zone = 0; zone < sim_zones(); zone++) amb_w_str(&buffer, sim_zone_name(zone));
+        amb_cbor_write_map(&buffer, 1);
+        amb_cbor_write_string(&buffer, "hulls");
+        amb_cbor_write_list(&buffer, 1);
+        amb_cbor_write_map(&buffer, 10);
+        amb_cbor_write_string(&buffer, "name"), amb_cbor_write_string(&buffer, "g8");
+        amb_cbor_write_string(&buffer, "vcpus"), amb_cbor_write_number(&buffer, 96);
+        amb_cbor_write_string(&buffer, "accelerators"), amb_cbor_write_number(&buffer, 8);
+        amb_cbor_write_string(&buffer, "ram_gb"), amb_cbor_write_number(&buffer, 576);
+        amb_cbor_write_string(&buffer, "local_gb"), amb_cbor_write_number(&buffer, 200);
+        amb_cbor_write_string(&buffer, "fetch_gb_per_s"), amb_cbor_write_number(&buffer, 5);
+        amb_cbor_write_string(&buffer, "hourly"), amb_cbor_write_number(&buffer, 12);
+        amb_cbor_write_string(&buffer, "market_price"), amb_cbor_write_number(&buffer, 4.5);
+        amb_cbor_write_string(&buffer, "boot_s"),
+            amb_cbor_write_number(&buffer, (double)sim_pace.boot / 1000);
+        amb_cbor_write_string(&buffer, "yards"), amb_cbor_write_list(&buffer, (size_t)sim_zones());
+        for (int zone = 0; zone < sim_zones(); zone++) amb_cbor_write_string(&buffer, sim_zone_name(zone));
         sim_call_answer(call, 200, &buffer);
     } else if (!strcmp(call->path, "/machines/release")) {
         world.result.late_returns += sim_leader_stamp() > call->sent_at_revision;
         release(call, body);
         struct amb_buf buffer = {0};
-        amb_w_map(&buffer, 0);
+        amb_cbor_write_map(&buffer, 0);
         sim_call_answer(call, 200, &buffer);
     } else if (!strcmp(call->method, "POST")) {
         rent(call);
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -69,7 +69,7 @@
     tell_asker(call);
     call->status = status;
     call->answer = answer;
-    if (call->answered || !call->go.slot) call_free(call);
+    if (call->answered || !call->go.position) call_free(call);
 }
 
 static bool answer_is_lost(const struct sim_call *call) {
@@ -118,7 +118,7 @@
     struct amb_http_req *request = amb_alloc(sizeof *request);
     struct asked *asked = amb_alloc(sizeof *asked);
     *asked = (struct asked){call, call->serial};
-    request->conn = (struct amb_conn *)asked;
+    request->connection = (struct amb_http_connection *)asked;
     memcpy(request->method, call->method, sizeof call->method);
     memcpy(request->path, call->path, sizeof call->path);
     request->body = amb_alloc(call->len + 1);
@@ -146,14 +146,14 @@
 
 void amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body, size_t len,
                     int retry) {
-    struct asked *asked = (struct asked *)request->conn;
+    struct asked *asked = (struct asked *)request->connection;
     struct sim_call *call = asked->call;
     struct amb_buf buffer = {0};
     sim_digest_reply(call, status, type, retry);
     sim_check_reply(&world.nodes[world.current], request, status, retry);
     /* Without the serial a late answer went to whoever's call had taken the place since. */
     if (call->used && call->serial == asked->serial && !call->answered) {
-        if (len) amb_buf_add(&buffer, body, len);
+        if (len) amb_buf_append(&buffer, body, len);
         sim_call_answer(call, status, &buffer);
     }
     free(asked);
@@ -236,25 +236,26 @@
     }
 }
 
-struct amb_call *amb_http_call(const char *addr, const char *method, const char *path, const char *type,
-                               const void *body, size_t len, amb_ms timeout, amb_http_done fn, void *arg) {
-    struct sim_call *call = sim_call_new();
+struct amb_http_client_connection *amb_http_call(const char *addr, const char *method, const char *path,
+                                                 const char *type, const void *body, size_t len,
+                                                 amb_ms timeout_ms, amb_http_done on_done, void *arg) {
+    struct sim_call *client = sim_call_new();
     (void)type;
-    call->from = world.current;
-    call->incarnation = world.nodes[world.current].incarnation;
-    call->to = place_of(addr);
-    call->sent_at_revision = world.state.revision;
-    call->returns_on_record = sim_returns_are_recorded();
-    if (call->to == SIM_AT_PEER) call->node = addr[1] - '0';
-    if (call->to == SIM_AT_WORKER) call->machine = (int)strtol(addr + 1, NULL, 10);
-    snprintf(call->method, sizeof call->method, "%s", method);
-    snprintf(call->path, sizeof call->path, "%s", path);
-    call->body = amb_alloc(len + 1);
-    if (len) memcpy(call->body, body, len);
-    call->len = len;
-    call->fn = fn;
-    call->arg = arg;
-    sim_call_start(call, timeout);
+    client->from = world.current;
+    client->incarnation = world.nodes[world.current].incarnation;
+    client->to = place_of(addr);
+    client->sent_at_revision = world.state.revision;
+    client->returns_on_record = sim_returns_are_recorded();
+    if (client->to == SIM_AT_PEER) client->node = addr[1] - '0';
+    if (client->to == SIM_AT_WORKER) client->machine = (int)strtol(addr + 1, NULL, 10);
+    snprintf(client->method, sizeof client->method, "%s", method);
+    snprintf(client->path, sizeof client->path, "%s", path);
+    client->body = amb_alloc(len + 1);
+    if (len) memcpy(client->body, body, len);
+    client->len = len;
+    client->fn = on_done;
+    client->arg = arg;
+    sim_call_start(client, timeout_ms);
     return NULL;
 }
 
@@ -266,11 +267,11 @@
     (void)max;
 }
 
-struct amb_server *amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle,
-                                   amb_http_handler fn, void *arg) {
-    (void)max, (void)idle;
+struct amb_http_server *amb_server_open(const char *addr, int max_connections, size_t max_body_bytes,
+                                        amb_ms idle, amb_http_handler handler, void *arg) {
+    (void)max_connections, (void)idle;
     struct sim_node *node = &world.nodes[world.current];
     struct sim_server *server = addr[0] == 'F' ? &node->front : &node->back;
-    *server = (struct sim_server){fn, arg, body_max};
-    return (struct amb_server *)server;
+    *server = (struct sim_server){handler, arg, max_body_bytes};
+    return (struct amb_http_server *)server;
 }
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -1,7 +1,5 @@
 /* Starts a controller of the library's version that this file is compiled against: the present one, or with
  * AMB_PRODUCTION_SIDE the production version (tests/standin/CMakeLists.txt). */
-#include "node_side.h"
-
 #ifdef AMB_PRODUCTION_SIDE
 #include "amberpin/log.h"
 #include "amberpin/node.h"
@@ -12,6 +10,9 @@
 #include "amberpin/node/node.h"
 #endif
 
+/* After the names of the production version, which are then used in it as well. */
+#include "node_side.h"
+
 #include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -26,42 +27,42 @@
 static void set_names(struct amb_settings *settings, const struct sim_node_settings *from) {
     snprintf(settings->member, sizeof settings->member, "n%d", from->index);
     snprintf(settings->zone, sizeof settings->zone, "%s", from->zone_names[from->zones[from->index]]);
-    snprintf(settings->front, sizeof settings->front, "F%d:1", from->index);
+    snprintf(settings->api_listen, sizeof settings->api_listen, "F%d:1", from->index);
     snprintf(settings->peer_listen, sizeof settings->peer_listen, "P%d:1", from->index);
-    strcpy(settings->state, "S:1");
-    strcpy(settings->cloud, "C:1");
+    strcpy(settings->store_addr, "S:1");
+    strcpy(settings->cloud_addr, "C:1");
     for (int k = 0; k < from->nodes; k++) {
         if (k == from->index) continue;
-        snprintf(settings->peers[settings->npeers].member, AMB_NAME_SIZE, "n%d", k);
-        snprintf(settings->peers[settings->npeers++].addr, AMB_NAME_SIZE, "P%d:1", k);
+        snprintf(settings->peers[settings->peer_count].member, AMB_NAME_SIZE, "n%d", k);
+        snprintf(settings->peers[settings->peer_count++].addr, AMB_NAME_SIZE, "P%d:1", k);
     }
-    settings->nzones = (uint32_t)from->zone_count;
+    settings->zone_count = (uint32_t)from->zone_count;
     for (int i = 0; i < from->zone_count; i++) strcpy(settings->zones[i], from->zone_names[i]);
 }
 
 static void set_teams(struct amb_settings *settings, const struct sim_node_settings *from) {
     int guarantee = from->team_limit / 3;
-    settings->nteams = (uint32_t)from->teams;
-    for (uint32_t t = 0; t < settings->nteams; t++) {
+    settings->team_count = (uint32_t)from->teams;
+    for (uint32_t t = 0; t < settings->team_count; t++) {
         snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
         settings->teams[t].guarantee.gpus = guarantee;
         settings->teams[t].limit.gpus = from->team_limit;
     }
-    if (from->guest) settings->teams[settings->nteams - 1].guarantee.gpus = 0;
+    if (from->guest) settings->teams[settings->team_count - 1].guarantee.gpus = 0;
 }
 
 static void set_limits(struct amb_settings *settings, const struct sim_node_settings *from) {
-    settings->report_s = from->report_s;
-    settings->lease_s = from->lease_s;
+    settings->heartbeat_s = from->report_s;
+    settings->agent_lease_s = from->lease_s;
     settings->cancel_s = from->cancel_s;
     settings->gang_wait_s = from->gang_wait_s;
     settings->gang_peer_s = 5;
-    settings->state_rps = from->state_rps;
-    settings->state_write_rps = from->write_rps;
+    settings->store_rps = from->state_rps;
+    settings->store_write_rps = from->write_rps;
     settings->value_kb = from->value_kb;
     settings->txn_ops = from->txn_ops;
 #ifndef AMB_PRODUCTION_SIDE /* which ignores what it does not know */
-    settings->state_next = (struct amb_state_limits){
+    settings->announced_limits = (struct amb_store_limits){
         .write_rps = from->next_write_rps, .value_kb = from->next_value_kb, .txn_ops = from->next_txn_ops};
 #endif
     settings->cloud_rps = from->cloud_rps;
@@ -75,10 +76,10 @@
     struct amb_node *node = amb_alloc(sizeof *node);
     char error[128];
     amb_log_init(getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error");
-    amb_options_default(&node->options);
+    amb_options_set_defaults(&node->options);
 #ifndef AMB_PRODUCTION_SIDE
     node->options.duties = settings->duties;
-    if (settings->keep_idle) node->options.idle_return = 100;
+    if (settings->keep_idle) node->options.idle_release_share = 100;
     node->options.zone_recovery = settings->zone_recovery;
     if (settings->recovery_order) strcpy(node->options.zone_recovery_order, settings->recovery_order);
 #endif
--- a/tests/standin/nodes.c
+++ b/tests/standin/nodes.c
@@ -121,7 +121,7 @@
 
 void sim_begin_duties(const struct sim_fault *fault) {
     (void)fault;
-    if (!world.duties_timer.slot) switch_next(NULL);
+    if (!world.duties_timer.position) switch_next(NULL);
 }
 
 void sim_start_nodes(void) {
--- a/tests/standin/pipelines.c
+++ b/tests/standin/pipelines.c
@@ -118,23 +118,24 @@
 /* What is no list of job names. */
 static void put_malformed(struct amb_buf *body, int choice) {
     switch (choice % 4) {
-    case 0: amb_w_str(body, "wk-000000"); break;
-    case 1: amb_w_uint(body, 7); break;
-    case 2: amb_w_map(body, 0); break;
-    default: amb_w_list(body, 1); amb_w_uint(body, 7);
+    case 0: amb_cbor_write_string(body, "wk-000000"); break;
+    case 1: amb_cbor_write_uint(body, 7); break;
+    case 2: amb_cbor_write_map(body, 0); break;
+    default: amb_cbor_write_list(body, 1); amb_cbor_write_uint(body, 7);
     }
 }
 
 static void put_unknown(struct amb_buf *body, int index) {
     char name[AMB_NAME_SIZE];
     snprintf(name, sizeof name, "wk-%06d", NEVER_ACCEPTED + index);
-    amb_w_list(body, 1);
-    amb_w_str(body, name);
+    amb_cbor_write_list(body, 1);
+    amb_cbor_write_string(body, name);
 }
 
 static void put_names(struct amb_buf *body, const struct sim_job *job) {
-    amb_w_list(body, (size_t)job->await_count);
-    for (int i = 0; i < job->await_count; i++) amb_w_str(body, world.jobs[job->awaits[i]].spec.ref);
+    amb_cbor_write_list(body, (size_t)job->await_count);
+    for (int i = 0; i < job->await_count; i++)
+        amb_cbor_write_string(body, world.jobs[job->awaits[i]].spec.ref);
 }
 
 /* The field is missing, null or an empty list when there is nothing to await. */
@@ -146,13 +147,13 @@
     if (empty && (!job->pipeline || index % 3 == 0)) return;
     if (first < SHORT_MAP || first >= SHORT_MAP_MOST) abort();
     body->data[0] = (char)(first + 1);
-    amb_w_str(body, "awaits");
+    amb_cbor_write_string(body, "awaits");
     if (job->oddity == SIM_AWAITS_UNKNOWN)
         put_unknown(body, index);
     else if (job->oddity == SIM_AWAITS_MALFORMED)
         put_malformed(body, index);
     else if (empty && index % 3 == 1)
-        amb_w_null(body);
+        amb_cbor_write_null(body);
     else
         put_names(body, job);
 }
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -210,8 +210,8 @@
 
 void sim_check_answer(const struct sim_call *call, const cbor_item_t *body) {
     struct sim_job *job = call->user;
-    const cbor_item_t *stance = amb_cbor_get(body, "stance");
-    bool done = amb_cbor_eq(stance, "done"), cancelled = amb_cbor_eq(stance, "cancelled");
+    const cbor_item_t *stance = amb_cbor_map_get(body, "stance");
+    bool done = amb_cbor_equals(stance, "done"), cancelled = amb_cbor_equals(stance, "cancelled");
     if (call->status == 404 && call->known_before >= SIM_ACCEPTED) sim_broken("forgotten: %s", job->spec.ref);
     if (call->status == 400 || call->status == 422) check_refusal(job, call);
     if (call->status == 200 && !job->submitted) sim_broken("invented: %s", job->spec.ref);
@@ -228,8 +228,8 @@
  * then; an order may wait a report period more to be sent. */
 static amb_ms latest_ignorance(void) {
     struct amb_options options;
-    amb_options_default(&options);
-    return (amb_ms)(options.leader_ttl * (double)world.size->lease) + world.size->report;
+    amb_options_set_defaults(&options);
+    return (amb_ms)(options.leader_lease_share * (double)world.size->lease) + world.size->report;
 }
 
 void sim_check_order(const struct sim_job *job, amb_ms issued) {
