--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -23,7 +23,7 @@
     struct sim_change *change = &world.state.changes[world.state.change_count++];
     memset(change, 0, sizeof *change);
     memcpy(change->key, key, strnlen(key, SIM_KEY_SIZE - 1));
-    if (value) amb_buf_add(&change->value, value->data, value->len);
+    if (value) amb_buf_append(&change->value, value->data, value->len);
     change->stamp = world.state.revision;
 }
 
@@ -78,7 +78,7 @@
 }
 
 static void put_value(struct amb_buf *buffer, const struct amb_buf *v) {
-    amb_buf_add(buffer, v->data, v->len);
+    amb_buf_append(buffer, v->data, v->len);
 }
 
 static bool follow_answer(struct sim_call *call, bool even_empty) {
@@ -94,26 +94,26 @@
         if (strncmp(world.state.changes[i].key, prefix, strlen(prefix))) continue;
         n++;
         bool put = world.state.changes[i].value.len > 0;
-        amb_w_map(&list, put ? 3 : 2);
-        amb_w_str(&list, put ? "put" : "remove");
-        amb_w_str(&list, world.state.changes[i].key);
+        amb_cbor_write_map(&list, put ? 3 : 2);
+        amb_cbor_write_string(&list, put ? "put" : "remove");
+        amb_cbor_write_string(&list, world.state.changes[i].key);
         if (put) {
-            amb_w_str(&list, "value");
+            amb_cbor_write_string(&list, "value");
             put_value(&list, &world.state.changes[i].value);
         }
-        amb_w_str(&list, "stamp");
-        amb_w_uint(&list, world.state.changes[i].stamp);
+        amb_cbor_write_string(&list, "stamp");
+        amb_cbor_write_uint(&list, world.state.changes[i].stamp);
     }
     if (!n && !even_empty) {
         amb_buf_free(&list);
         return false;
     }
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, world.state.revision);
-    amb_w_str(&buffer, "news");
-    amb_w_list(&buffer, n);
-    amb_buf_add(&buffer, list.data, list.len);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, world.state.revision);
+    amb_cbor_write_string(&buffer, "news");
+    amb_cbor_write_list(&buffer, n);
+    amb_buf_append(&buffer, list.data, list.len);
     amb_buf_free(&list);
     sim_call_answer(call, 200, &buffer);
     return true;
@@ -131,7 +131,7 @@
 
 static bool is_open_follow(const struct sim_call *call) {
     return call->used && call->to == SIM_AT_STATE && !call->answered && !strncmp(call->path, "/follow", 7) &&
-           !call->go.slot && !call->given_up;
+           !call->go.position && !call->given_up;
 }
 
 /* Watches of whoever is refused wait; what they missed is told once the refusal ends. */
@@ -143,9 +143,9 @@
 
 static void number_answer(struct sim_call *call, int status, const char *name, uint64_t v) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, name);
-    amb_w_uint(&buffer, v);
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, name);
+    amb_cbor_write_uint(&buffer, v);
     sim_call_answer(call, status, &buffer);
 }
 
@@ -158,16 +158,16 @@
 /* Names of the keys whose guards fail; how many. */
 static size_t failed_guards(const cbor_item_t *guards, struct amb_buf *names) {
     size_t count = 0;
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
-        const cbor_item_t *guard = amb_cbor_at(guards, i);
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
+        const cbor_item_t *guard = amb_cbor_list_item(guards, i);
         char key[SIM_KEY_SIZE] = "";
         uint64_t stamp = 0;
-        amb_cbor_str(amb_cbor_get(guard, "path"), key, sizeof key);
-        amb_cbor_uint(amb_cbor_get(guard, "stamp"), &stamp);
+        amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), key, sizeof key);
+        amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp);
         int k = key_find(key);
         if ((k < 0 ? 0 : world.state.keys[k].stamp) == stamp) continue;
         count++;
-        amb_w_str(names, key);
+        amb_cbor_write_string(names, key);
     }
     return count;
 }
@@ -223,9 +223,9 @@
 }
 
 static bool exceeds(const cbor_item_t *operations, size_t operations_most, size_t value_most) {
-    if (amb_cbor_len(operations) > operations_most) return true;
-    for (size_t i = 0; i < amb_cbor_len(operations); i++) {
-        const cbor_item_t *value = amb_cbor_get(amb_cbor_at(operations, i), "value");
+    if (amb_cbor_list_length(operations) > operations_most) return true;
+    for (size_t i = 0; i < amb_cbor_list_length(operations); i++) {
+        const cbor_item_t *value = amb_cbor_map_get(amb_cbor_list_item(operations, i), "value");
         if (value && json_size(value) > value_most) return true;
     }
     return false;
@@ -252,7 +252,7 @@
 
 /* Only on days on which the limits are lowered: what they are for. */
 static bool too_many(const cbor_item_t *operations) {
-    double count = (double)amb_cbor_len(operations);
+    double count = (double)amb_cbor_list_length(operations);
     if (!sim_fault_planned(SIM_LOWER_LIMITS)) return false;
     refill_changes(world.size->writes * (limits_lowered() ? sim_next_writes_share : 1));
     if (world.state.change_tokens < count) {
@@ -265,8 +265,9 @@
 
 static bool names_ended_lease(const cbor_item_t *operations) {
     uint64_t lease;
-    for (size_t i = 0; i < amb_cbor_len(operations); i++)
-        if (amb_cbor_uint(amb_cbor_get(amb_cbor_at(operations, i), "tenure"), &lease) && !lease_lives(lease))
+    for (size_t i = 0; i < amb_cbor_list_length(operations); i++)
+        if (amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(operations, i), "tenure"), &lease) &&
+            !lease_lives(lease))
             return true;
     return false;
 }
@@ -322,28 +323,28 @@
 static void put(const char *key, const cbor_item_t *operation) {
     struct sim_key *entry = &world.state.keys[key_make(key)];
     unsigned char *bytes = NULL;
-    size_t size, len = cbor_serialize_alloc(amb_cbor_get(operation, "value"), &bytes, &size);
+    size_t size, len = cbor_serialize_alloc(amb_cbor_map_get(operation, "value"), &bytes, &size);
     uint64_t lease;
-    check_duty_record(key, &entry->value, amb_cbor_get(operation, "value"));
+    check_duty_record(key, &entry->value, amb_cbor_map_get(operation, "value"));
     world.result.mode_changes += !strcmp(key, AMB_DUTY_MODE_KEY);
     amb_buf_free(&entry->value);
-    amb_buf_add(&entry->value, bytes, len);
+    amb_buf_append(&entry->value, bytes, len);
     free(bytes);
     entry->stamp = world.state.revision;
-    entry->lease = amb_cbor_uint(amb_cbor_get(operation, "tenure"), &lease) ? lease : 0;
+    entry->lease = amb_cbor_get_uint(amb_cbor_map_get(operation, "tenure"), &lease) ? lease : 0;
     note_change(key, &entry->value);
 }
 
 static void apply(const cbor_item_t *operations) {
     world.state.revision++;
-    for (size_t i = 0; i < amb_cbor_len(operations); i++) {
-        const cbor_item_t *operation = amb_cbor_at(operations, i);
+    for (size_t i = 0; i < amb_cbor_list_length(operations); i++) {
+        const cbor_item_t *operation = amb_cbor_list_item(operations, i);
         char key[SIM_KEY_SIZE] = "";
-        if (amb_cbor_str(amb_cbor_get(operation, "remove"), key, sizeof key)) {
+        if (amb_cbor_copy_string(amb_cbor_map_get(operation, "remove"), key, sizeof key)) {
             int k = key_find(key);
             if (k >= 0) key_remove(k);
         } else {
-            amb_cbor_str(amb_cbor_get(operation, "put"), key, sizeof key);
+            amb_cbor_copy_string(amb_cbor_map_get(operation, "put"), key, sizeof key);
             put(key, operation);
         }
     }
@@ -351,20 +352,20 @@
 
 static void conflict_answer(struct sim_call *call, size_t count, const struct amb_buf *names) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "failed");
-    amb_w_list(&body, count);
-    amb_buf_add(&body, names->data, names->len);
-    amb_w_str(&body, "epoch");
-    amb_w_uint(&body, world.state.revision);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "failed");
+    amb_cbor_write_list(&body, count);
+    amb_buf_append(&body, names->data, names->len);
+    amb_cbor_write_string(&body, "epoch");
+    amb_cbor_write_uint(&body, world.state.revision);
     sim_call_answer(call, 409, &body);
 }
 
 static void commit(struct sim_call *call) {
     cbor_item_t *body = amb_cbor_parse(call->body, call->len);
-    const cbor_item_t *operations = amb_cbor_get(body, "then");
+    const cbor_item_t *operations = amb_cbor_map_get(body, "then");
     struct amb_buf names = {0};
-    size_t failed = failed_guards(amb_cbor_get(body, "guards"), &names);
+    size_t failed = failed_guards(amb_cbor_map_get(body, "guards"), &names);
     /* Sizes are judged first, so that none goes unseen while the rate is exceeded. */
     if (too_large(operations) || names_ended_lease(operations)) {
         sim_call_answer(call, 400, NULL);
@@ -399,22 +400,22 @@
             found[n++] = i;
     qsort(found, (size_t)n, sizeof *found, by_key);
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 3);
-    amb_w_str(&buffer, "pairs");
-    amb_w_list(&buffer, (size_t)(n < most ? n : most));
+    amb_cbor_write_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "pairs");
+    amb_cbor_write_list(&buffer, (size_t)(n < most ? n : most));
     for (int i = 0; i < n && i < most; i++) {
-        amb_w_map(&buffer, 3);
-        amb_w_str(&buffer, "path");
-        amb_w_str(&buffer, world.state.keys[found[i]].key);
-        amb_w_str(&buffer, "value");
+        amb_cbor_write_map(&buffer, 3);
+        amb_cbor_write_string(&buffer, "path");
+        amb_cbor_write_string(&buffer, world.state.keys[found[i]].key);
+        amb_cbor_write_string(&buffer, "value");
         put_value(&buffer, &world.state.keys[found[i]].value);
-        amb_w_str(&buffer, "stamp");
-        amb_w_uint(&buffer, world.state.keys[found[i]].stamp);
+        amb_cbor_write_string(&buffer, "stamp");
+        amb_cbor_write_uint(&buffer, world.state.keys[found[i]].stamp);
     }
-    amb_w_str(&buffer, "truncated");
-    amb_w_bool(&buffer, n > most);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, world.state.revision);
+    amb_cbor_write_string(&buffer, "truncated");
+    amb_cbor_write_bool(&buffer, n > most);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, world.state.revision);
     sim_call_answer(call, 200, &buffer);
 }
 
@@ -425,11 +426,11 @@
         return;
     }
     struct amb_buf body = {0};
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "value");
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "value");
     put_value(&body, &world.state.keys[k].value);
-    amb_w_str(&body, "stamp");
-    amb_w_uint(&body, world.state.keys[k].stamp);
+    amb_cbor_write_string(&body, "stamp");
+    amb_cbor_write_uint(&body, world.state.keys[k].stamp);
     sim_call_answer(call, 200, &body);
 }
 
@@ -443,7 +444,7 @@
 static void grant_lease(struct sim_call *call) {
     cbor_item_t *body = amb_cbor_parse(call->body, call->len);
     uint64_t ttl = 0;
-    amb_cbor_uint(amb_cbor_get(body, "ttl_ms"), &ttl);
+    amb_cbor_get_uint(amb_cbor_map_get(body, "ttl_ms"), &ttl);
     cbor_decref(&body);
     if (world.state.lease_count == SIM_LEASES) abort();
     struct sim_lease *lease = &world.state.leases[world.state.lease_count++];
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -56,7 +56,7 @@
     struct amb_buf body = {0};
     strcpy(call->method, "POST");
     strcpy(call->path, "/v1/jobs");
-    amb_codec_put_spec(&body, &job->spec);
+    amb_codec_encode_spec(&body, &job->spec);
     sim_put_awaits(&body, job);
     if (spoilt) spoil_field(&body);
     call->body = body.data;
@@ -81,7 +81,7 @@
 static void user_answered(struct sim_call *call) {
     struct sim_job *job = call->user;
     take_answer(call);
-    if (job->timer.slot) return;
+    if (job->timer.position) return;
     bool over = job->brief && job->known == SIM_FINAL;
     amb_ms pause = over ? sim_between(10000, 30000) : sim_between(1000, 4000);
     if (sim_fault_active(SIM_QUESTIONS, -1)) pause /= QUESTIONS_TIMES;
@@ -127,7 +127,7 @@
     for (int n = 0; n < SIM_ERRANDS; n++) {
         world.last_errand = (world.last_errand + 1) % SIM_ERRANDS;
         struct sim_errand *errand = &world.errands[world.last_errand];
-        if (errand->timer.slot) continue;
+        if (errand->timer.position) continue;
         errand->job = job;
         errand->request = request;
         errand->node = node;
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -172,8 +172,8 @@
 
 static void read_order(const cbor_item_t *item, struct order *order) {
     memset(order, 0, sizeof *order);
-    amb_cbor_str(amb_cbor_get(item, "leg"), order->ref, sizeof order->ref);
-    amb_cbor_uint(amb_cbor_get(item, "try"), &order->attempt);
+    amb_cbor_copy_string(amb_cbor_map_get(item, "leg"), order->ref, sizeof order->ref);
+    amb_cbor_get_uint(amb_cbor_map_get(item, "try"), &order->attempt);
     char *slash = strchr(order->ref, '/');
     *slash = 0;
     order->index = (uint32_t)strtoul(slash + 1, NULL, 10);
@@ -182,7 +182,7 @@
 static struct sim_task *task_add(struct sim_machine *machine) {
     if (machine->task_count == machine->task_room) {
         machine->task_room = machine->task_room ? 2 * machine->task_room : 16;
-        machine->tasks = amb_grow(machine->tasks, machine->task_room * sizeof *machine->tasks);
+        machine->tasks = amb_realloc(machine->tasks, machine->task_room * sizeof *machine->tasks);
     }
     struct sim_task *task = &machine->tasks[machine->task_count++];
     memset(task, 0, sizeof *task);
@@ -226,13 +226,13 @@
 }
 
 static void do_orders(struct sim_machine *machine, const cbor_item_t *orders, amb_ms issued) {
-    for (size_t i = 0; i < amb_cbor_len(orders); i++) {
-        const cbor_item_t *item = amb_cbor_at(orders, i), *verb = amb_cbor_get(item, "verb");
+    for (size_t i = 0; i < amb_cbor_list_length(orders); i++) {
+        const cbor_item_t *item = amb_cbor_list_item(orders, i), *verb = amb_cbor_map_get(item, "verb");
         struct order order;
         read_order(item, &order);
-        if (amb_cbor_eq(verb, "run"))
+        if (amb_cbor_equals(verb, "run"))
             run_task(machine, &order, issued);
-        else if (amb_cbor_eq(verb, "halt"))
+        else if (amb_cbor_equals(verb, "halt"))
             halt_task(machine, &order);
         else
             clear_task(machine, &order);
@@ -245,25 +245,25 @@
                                       "error", "full", "busy",    "unknown"};
     char text[AMB_NAME_SIZE + 16];
     machine->seq++;
-    amb_w_map(buffer, 9);
-    amb_w_str(buffer, "rig"), amb_w_str(buffer, machine->name);
+    amb_cbor_write_map(buffer, 9);
+    amb_cbor_write_string(buffer, "rig"), amb_cbor_write_string(buffer, machine->name);
     sim_machine_address((int)(machine - world.machines), text);
-    amb_w_str(buffer, "address"), amb_w_str(buffer, text);
-    amb_w_str(buffer, "hull"), amb_w_str(buffer, "g8");
-    amb_w_str(buffer, "yard"), amb_w_str(buffer, sim_zone_name(machine->zone));
-    amb_w_str(buffer, "driftwood"), amb_w_bool(buffer, machine->spot);
-    amb_w_str(buffer, "watch"), amb_w_uint(buffer, machine->session);
-    amb_w_str(buffer, "tally"), amb_w_uint(buffer, machine->seq);
-    amb_w_str(buffer, "baton"), amb_w_uint(buffer, machine->token);
-    amb_w_str(buffer, "legs"), amb_w_list(buffer, machine->task_count);
+    amb_cbor_write_string(buffer, "address"), amb_cbor_write_string(buffer, text);
+    amb_cbor_write_string(buffer, "hull"), amb_cbor_write_string(buffer, "g8");
+    amb_cbor_write_string(buffer, "yard"), amb_cbor_write_string(buffer, sim_zone_name(machine->zone));
+    amb_cbor_write_string(buffer, "driftwood"), amb_cbor_write_bool(buffer, machine->spot);
+    amb_cbor_write_string(buffer, "watch"), amb_cbor_write_uint(buffer, machine->session);
+    amb_cbor_write_string(buffer, "tally"), amb_cbor_write_uint(buffer, machine->seq);
+    amb_cbor_write_string(buffer, "baton"), amb_cbor_write_uint(buffer, machine->token);
+    amb_cbor_write_string(buffer, "legs"), amb_cbor_write_list(buffer, machine->task_count);
     for (uint32_t k = 0; k < machine->task_count; k++) {
         struct sim_task *task = &machine->tasks[k];
-        amb_w_map(buffer, 4);
+        amb_cbor_write_map(buffer, 4);
         snprintf(text, sizeof text, "%s/%u", task->ref, task->index);
-        amb_w_str(buffer, "leg"), amb_w_str(buffer, text);
-        amb_w_str(buffer, "try"), amb_w_uint(buffer, task->attempt);
-        amb_w_str(buffer, "stance"), amb_w_str(buffer, on[task->on]);
-        amb_w_str(buffer, "cause"), amb_w_str(buffer, why[task->why]);
+        amb_cbor_write_string(buffer, "leg"), amb_cbor_write_string(buffer, text);
+        amb_cbor_write_string(buffer, "try"), amb_cbor_write_uint(buffer, task->attempt);
+        amb_cbor_write_string(buffer, "stance"), amb_cbor_write_string(buffer, on[task->on]);
+        amb_cbor_write_string(buffer, "cause"), amb_cbor_write_string(buffer, why[task->why]);
     }
 }
 
@@ -279,7 +279,7 @@
 
 static bool renews(const struct sim_machine *machine, const struct sent *sent, const struct sim_call *call,
                    const cbor_item_t *body, uint64_t *token) {
-    return call->status == 200 && amb_cbor_uint(amb_cbor_get(body, "baton"), token) &&
+    return call->status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), token) &&
            *token >= machine->token && sent->session == machine->session;
 }
 
@@ -290,7 +290,7 @@
     machine->lease_from = sent->at;
     amb_ms kept = world.now - sent->at;
     uint32_t before = world.result.ordered;
-    do_orders(machine, amb_cbor_get(body, "orders"), issued);
+    do_orders(machine, amb_cbor_map_get(body, "orders"), issued);
     if (kept > world.result.kept_most) world.result.kept_most = kept;
     if (kept > KEPT_MS) world.result.kept_starts += world.result.ordered - before;
     amb_ms next = machine->changed ? CHANGED_MS : next_period();
@@ -305,7 +305,8 @@
     amb_ms next = RETRY_MS;
     if (renews(machine, sent, call, body, &token)) {
         next = take_renewal(machine, sent, body, token, call->answered_at);
-    } else if (call->status == 421 && amb_cbor_str(amb_cbor_get(body, "harbour"), name, sizeof name)) {
+    } else if (call->status == 421 &&
+               amb_cbor_copy_string(amb_cbor_map_get(body, "harbour"), name, sizeof name)) {
         machine->node = name[1] - '0';
         next = sim_between(0, REDIRECT_MS);
     } else if (call->status != 200) {
@@ -347,7 +348,7 @@
     return call;
 }
 
-static void send_report(struct sim_machine *machine, const struct amb_buf *body) {
+static void send_heartbeat(struct sim_machine *machine, const struct amb_buf *body) {
     struct sim_call *call = report_call(machine, machine->node, body);
     struct sent *sent = amb_alloc(sizeof *sent);
     *sent = (struct sent){(int)(machine - world.machines), machine->session, world.now};
@@ -368,7 +369,7 @@
     struct sim_kept_report *kept = &world.kept_reports[world.kept_count++ % SIM_KEPT];
     amb_buf_free(&kept->body);
     kept->machine = machine;
-    amb_buf_add(&kept->body, body->data, body->len);
+    amb_buf_append(&kept->body, body->data, body->len);
 }
 
 /* Half of them at once, half while the leader learns what is where. */
@@ -394,7 +395,7 @@
     struct amb_buf body = {0};
     write_report(machine, &body);
     bool copied = sim_fault_active(SIM_COPIES, index) && sim_random() % 3 == 0;
-    send_report(machine, &body);
+    send_heartbeat(machine, &body);
     if (copied) send_copy(index, sim_random_node(), &body, 3000, 25000);
     if (sim_fault_strikes(SIM_LATE_REPORTS))
         send_copy(index, sim_random_node(), &body, 2000, world.size->lease * 3 / 2);
@@ -415,13 +416,13 @@
     if (!strcmp(call->path, "/commands")) {
         cbor_item_t *body = amb_cbor_parse(call->body, call->len);
         uint64_t token = 0, session = 0;
-        amb_cbor_uint(amb_cbor_get(body, "baton"), &token);
-        amb_cbor_uint(amb_cbor_get(body, "watch"), &session);
+        amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), &token);
+        amb_cbor_get_uint(amb_cbor_map_get(body, "watch"), &session);
         if (token < machine->token || session != machine->session) {
             status = 409;
         } else {
             machine->token = token;
-            do_orders(machine, amb_cbor_get(body, "orders"), world.now);
+            do_orders(machine, amb_cbor_map_get(body, "orders"), world.now);
         }
         cbor_decref(&body);
     }
--- a/tests/support/bare_node.c
+++ b/tests/support/bare_node.c
@@ -7,7 +7,7 @@
 struct amb_node *bare_node_new(void) {
     struct amb_node *node = amb_alloc(sizeof *node);
     amb_controller_attach(node);
-    amb_options_default(&node->options);
+    amb_options_set_defaults(&node->options);
     return node;
 }
 
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -131,22 +131,23 @@
 }
 
 static bool guards_hold(const cbor_item_t *guards) {
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char name[AMB_DUTY_KEY_SIZE];
         uint64_t stamp;
-        const cbor_item_t *guard = amb_cbor_at(guards, i);
-        assert_true(amb_cbor_str(amb_cbor_get(guard, "path"), name, sizeof name));
-        assert_true(amb_cbor_uint(amb_cbor_get(guard, "stamp"), &stamp));
+        const cbor_item_t *guard = amb_cbor_list_item(guards, i);
+        assert_true(amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), name, sizeof name));
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp));
         if (stamp_of(name) != stamp) return false;
     }
     return true;
 }
 
 static bool is_guarded(const cbor_item_t *guards, const char *prefix) {
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char name[AMB_DUTY_KEY_SIZE];
-        const cbor_item_t *path = amb_cbor_get(amb_cbor_at(guards, i), "path");
-        if (amb_cbor_str(path, name, sizeof name) && !strncmp(name, prefix, strlen(prefix))) return true;
+        const cbor_item_t *path = amb_cbor_map_get(amb_cbor_list_item(guards, i), "path");
+        if (amb_cbor_copy_string(path, name, sizeof name) && !strncmp(name, prefix, strlen(prefix)))
+            return true;
     }
     return false;
 }
@@ -163,39 +164,40 @@
  * a duty by its record and, when it claims, by its own key; its own key by that. */
 static void check_guards(const cbor_item_t *guards, const cbor_item_t *change) {
     char name[AMB_DUTY_KEY_SIZE];
-    const cbor_item_t *put = amb_cbor_get(change, "put");
-    const cbor_item_t *state = amb_cbor_get(amb_cbor_get(change, "value"), "state");
-    assert_true(amb_cbor_str(put ? put : amb_cbor_get(change, "remove"), name, sizeof name));
+    const cbor_item_t *put = amb_cbor_map_get(change, "put");
+    const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
+    assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, sizeof name));
     if (!is_guarded(guards, name)) note_unguarded(name, "itself");
     if (!strncmp(name, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)) &&
         !is_guarded(guards, AMB_DUTY_RECORD_KEYS))
         note_unguarded(name, "the claim");
-    if (!strncmp(name, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS)) && amb_cbor_eq(state, "held") &&
-        !is_guarded(guards, AMB_DUTY_MEMBER_KEYS))
+    if (!strncmp(name, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS)) &&
+        amb_cbor_equals(state, "held") && !is_guarded(guards, AMB_DUTY_MEMBER_KEYS))
         note_unguarded(name, "a member");
 }
 
 static int commit(const cbor_item_t *txn) {
-    const cbor_item_t *then = amb_cbor_get(txn, "then");
+    const cbor_item_t *then = amb_cbor_map_get(txn, "then");
     uint64_t lease = 0;
     char name[AMB_DUTY_KEY_SIZE];
-    for (size_t i = 0; i < amb_cbor_len(then); i++)
-        if (amb_cbor_uint(amb_cbor_get(amb_cbor_at(then, i), "tenure"), &lease) && !lease_find(lease))
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++)
+        if (amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(then, i), "tenure"), &lease) &&
+            !lease_find(lease))
             return 400;
-    for (size_t i = 0; i < amb_cbor_len(then); i++)
-        check_guards(amb_cbor_get(txn, "guards"), amb_cbor_at(then, i));
-    if (!guards_hold(amb_cbor_get(txn, "guards"))) return 409;
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++)
+        check_guards(amb_cbor_map_get(txn, "guards"), amb_cbor_list_item(then, i));
+    if (!guards_hold(amb_cbor_map_get(txn, "guards"))) return 409;
     epoch++;
     writes++;
-    for (size_t i = 0; i < amb_cbor_len(then); i++) {
-        const cbor_item_t *change = amb_cbor_at(then, i);
-        if (amb_cbor_str(amb_cbor_get(change, "remove"), name, sizeof name)) {
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
+        const cbor_item_t *change = amb_cbor_list_item(then, i);
+        if (amb_cbor_copy_string(amb_cbor_map_get(change, "remove"), name, sizeof name)) {
             if (key_find(name)) key_remove(key_find(name));
             continue;
         }
-        assert_true(amb_cbor_str(amb_cbor_get(change, "put"), name, sizeof name));
-        if (!amb_cbor_uint(amb_cbor_get(change, "tenure"), &lease)) lease = 0;
-        key_put(name, (cbor_item_t *)amb_cbor_get(change, "value"), lease);
+        assert_true(amb_cbor_copy_string(amb_cbor_map_get(change, "put"), name, sizeof name));
+        if (!amb_cbor_get_uint(amb_cbor_map_get(change, "tenure"), &lease)) lease = 0;
+        key_put(name, (cbor_item_t *)amb_cbor_map_get(change, "value"), lease);
     }
     return 200;
 }
@@ -208,9 +210,9 @@
 
 static void answer_number(struct call *call, int status, const char *field, uint64_t number) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, field);
-    amb_w_uint(&body, number);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, field);
+    amb_cbor_write_uint(&body, number);
     answer_map(call, status, &body);
 }
 
@@ -223,16 +225,16 @@
         if (strncmp(keys[i].name, call->prefix, strlen(call->prefix)) != 0) continue;
         size_t len = cbor_serialize_alloc(keys[i].value, &text, &room);
         count++;
-        amb_w_map(&pairs, 3);
-        amb_w_str(&pairs, "path"), amb_w_str(&pairs, keys[i].name);
-        amb_w_str(&pairs, "stamp"), amb_w_uint(&pairs, keys[i].stamp);
-        amb_w_str(&pairs, "value"), amb_buf_add(&pairs, text, len);
+        amb_cbor_write_map(&pairs, 3);
+        amb_cbor_write_string(&pairs, "path"), amb_cbor_write_string(&pairs, keys[i].name);
+        amb_cbor_write_string(&pairs, "stamp"), amb_cbor_write_uint(&pairs, keys[i].stamp);
+        amb_cbor_write_string(&pairs, "value"), amb_buf_append(&pairs, text, len);
         free(text);
     }
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, epoch);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, count);
-    amb_buf_add(&body, pairs.data, pairs.len);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, epoch);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, count);
+    amb_buf_append(&body, pairs.data, pairs.len);
     amb_buf_free(&pairs);
     answer_map(call, 200, &body);
 }
@@ -361,7 +363,7 @@
 }
 
 static void meet_fate(struct call *call) {
-    enum member_fate fate = planned && plan.call == call->kind ? plan.fate : MEMBER_GOES_ON;
+    enum member_outcome fate = planned && plan.call == call->kind ? plan.fate : MEMBER_GOES_ON;
     if (fate) planned = false;
     if (members[call->member].cut && call->verb != CLOUD)
         lose_answer(call);
@@ -427,12 +429,12 @@
 
 static enum member_call kind_of(const cbor_item_t *change) {
     char key[AMB_DUTY_KEY_SIZE];
-    if (amb_cbor_get(change, "remove")) return MEMBER_CALL_REMOVE;
-    if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key)) return MEMBER_CALL_OTHER;
-    const cbor_item_t *state = amb_cbor_get(amb_cbor_get(change, "value"), "state");
+    if (amb_cbor_map_get(change, "remove")) return MEMBER_CALL_REMOVE;
+    if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) return MEMBER_CALL_OTHER;
+    const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
     if (!strncmp(key, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS))) return MEMBER_CALL_CLAIM;
     if (strncmp(key, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)) != 0) return MEMBER_CALL_OTHER;
-    return amb_cbor_eq(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
+    return amb_cbor_equals(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
 }
 
 static void port_commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
@@ -440,18 +442,18 @@
     struct call *call = call_new(context, COMMIT);
     struct amb_buf body = {0};
     (void)urgency;
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "guards");
-    amb_w_list(&body, transaction->compare_count);
-    amb_buf_add(&body, transaction->compares.data, transaction->compares.len);
-    amb_w_str(&body, "then");
-    amb_w_list(&body, transaction->operation_count);
-    amb_buf_add(&body, transaction->operations.data, transaction->operations.len);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "guards");
+    amb_cbor_write_list(&body, transaction->compare_count);
+    amb_buf_append(&body, transaction->compares.data, transaction->compares.len);
+    amb_cbor_write_string(&body, "then");
+    amb_cbor_write_list(&body, transaction->operation_count);
+    amb_buf_append(&body, transaction->operations.data, transaction->operations.len);
     call->body = amb_cbor_parse(body.data, body.len);
     amb_buf_free(&body);
     amb_buf_free(&transaction->compares);
     amb_buf_free(&transaction->operations);
-    call->kind = kind_of(amb_cbor_at(amb_cbor_get(call->body, "then"), 0));
+    call->kind = kind_of(amb_cbor_list_item(amb_cbor_map_get(call->body, "then"), 0));
     call->done = done;
     call->arg = arg;
 }
--- a/tests/support/duty_members.h
+++ b/tests/support/duty_members.h
@@ -17,7 +17,7 @@
     MEMBER_CALL_OTHER,
 };
 
-enum member_fate {
+enum member_outcome {
     MEMBER_GOES_ON,
     MEMBER_ENDS_BEFORE,  /* the call is not carried out, and its member ends */
     MEMBER_ENDS_AFTER,   /* it is carried out, and its member ends before the answer comes */
@@ -28,7 +28,7 @@
 /* The fate of the next call of this kind, of whichever member. */
 struct member_plan {
     enum member_call call;
-    enum member_fate fate;
+    enum member_outcome fate;
 };
 
 struct member {
--- a/tests/support/fake_clock.c
+++ b/tests/support/fake_clock.c
@@ -26,26 +26,26 @@
 
 void amb_loop_init(void) {}
 
-void amb_timer_stop(struct amb_timer *t) {
-    if (!t->slot) return;
+void amb_timer_stop(struct amb_timer *timer) {
+    if (!timer->position) return;
     struct amb_timer *last = timers[--ntimers];
-    timers[t->slot - 1] = last;
-    last->slot = t->slot;
-    t->slot = 0;
+    timers[timer->position - 1] = last;
+    last->position = timer->position;
+    timer->position = 0;
 }
 
-void amb_timer_set(struct amb_timer *t, amb_ms at, void (*fn)(void *), void *arg) {
-    t->at = at;
-    t->fn = fn;
-    t->arg = arg;
-    if (t->slot) return;
+void amb_timer_set(struct amb_timer *timer, amb_ms at, void (*fn)(void *), void *arg) {
+    timer->at = at;
+    timer->fn = fn;
+    timer->arg = arg;
+    if (timer->position) return;
     assert_true(ntimers < TIMERS);
-    timers[ntimers++] = t;
-    t->slot = ntimers;
+    timers[ntimers++] = timer;
+    timer->position = ntimers;
 }
 
-void amb_timer_in(struct amb_timer *t, amb_ms delay, void (*fn)(void *), void *arg) {
-    amb_timer_set(t, clock_ms + delay, fn, arg);
+void amb_timer_in(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
+    amb_timer_set(timer, clock_ms + delay, fn, arg);
 }
 
 static struct amb_timer *next_timer(amb_ms until) {
@@ -57,10 +57,10 @@
 
 void fake_clock_advance(amb_ms by) {
     amb_ms until = clock_ms + by;
-    for (struct amb_timer *t; (t = next_timer(until));) {
-        if (t->at > clock_ms) clock_ms = t->at;
-        amb_timer_stop(t);
-        t->fn(t->arg);
+    for (struct amb_timer *timer; (timer = next_timer(until));) {
+        if (timer->at > clock_ms) clock_ms = timer->at;
+        amb_timer_stop(timer);
+        timer->fn(timer->arg);
     }
     clock_ms = until;
 }
--- a/tests/support/fake_http.c
+++ b/tests/support/fake_http.c
@@ -9,27 +9,28 @@
 
 enum { SERVERS = 4 };
 
-struct amb_server {
+struct amb_http_server {
     char addr[AMB_NAME_SIZE];
     amb_http_handler handler;
     void *arg;
 };
-static struct amb_server servers[SERVERS];
+static struct amb_http_server servers[SERVERS];
 static size_t nservers;
 
-struct amb_call *amb_http_call(const char *addr, const char *method, const char *path, const char *type,
-                               const void *body, size_t len, amb_ms timeout, amb_http_done fn, void *arg) {
-    (void)type, (void)timeout;
+struct amb_http_client_connection *amb_http_call(const char *addr, const char *method, const char *path,
+                                                 const char *type, const void *body, size_t len,
+                                                 amb_ms timeout_ms, amb_http_done on_done, void *arg) {
+    (void)type, (void)timeout_ms;
     if (ncalls == FAKE_CALLS) abort();
-    struct fake_call *call = &calls[ncalls++];
-    memset(call, 0, sizeof *call);
-    snprintf(call->addr, sizeof call->addr, "%s", addr);
-    snprintf(call->method, sizeof call->method, "%s", method);
-    snprintf(call->path, sizeof call->path, "%s", path);
-    if (len) amb_buf_add(&call->body, body, len);
-    call->map = len ? amb_cbor_parse(body, len) : NULL;
-    call->fn = fn;
-    call->arg = arg;
+    struct fake_call *client = &calls[ncalls++];
+    memset(client, 0, sizeof *client);
+    snprintf(client->addr, sizeof client->addr, "%s", addr);
+    snprintf(client->method, sizeof client->method, "%s", method);
+    snprintf(client->path, sizeof client->path, "%s", path);
+    if (len) amb_buf_append(&client->body, body, len);
+    client->map = len ? amb_cbor_parse(body, len) : NULL;
+    client->fn = on_done;
+    client->arg = arg;
     return NULL;
 }
 
@@ -37,23 +38,23 @@
     (void)bytes;
 }
 
-void amb_http_client_limit(int max_connections) {
-    (void)max_connections;
+void amb_http_client_limit(int connections) {
+    (void)connections;
 }
 
-struct amb_server *amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                   amb_http_handler fn, void *arg) {
-    (void)max, (void)body_max, (void)idle_ms;
+struct amb_http_server *amb_server_open(const char *addr, int max_connections, size_t max_body_bytes,
+                                        amb_ms idle_ms, amb_http_handler handler, void *arg) {
+    (void)max_connections, (void)max_body_bytes, (void)idle_ms;
     if (nservers == SERVERS) abort();
-    struct amb_server *server = &servers[nservers++];
+    struct amb_http_server *server = &servers[nservers++];
     snprintf(server->addr, sizeof server->addr, "%s", addr);
-    server->handler = fn;
+    server->handler = handler;
     server->arg = arg;
     return server;
 }
 
 void fake_serve(const char *addr, struct amb_http_req *request) {
-    struct amb_server *server = servers;
+    struct amb_http_server *server = servers;
     while (server < servers + nservers && strcmp(server->addr, addr) != 0) server++;
     if (server == servers + nservers) abort();
     server->handler(server->arg, request);
@@ -61,12 +62,12 @@
 
 void amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body, size_t len,
                     int retry_after_s) {
-    struct fake_reply *reply = (struct fake_reply *)(void *)request->conn;
+    struct fake_reply *reply = (struct fake_reply *)(void *)request->connection;
     (void)type;
     if (reply) { /* or else whoever asked has hung up */
         reply->status = status;
         reply->retry_after_s = retry_after_s;
-        if (len) amb_buf_add(&reply->body, body, len);
+        if (len) amb_buf_append(&reply->body, body, len);
     }
     free(request->body);
     free(request);
@@ -76,7 +77,7 @@
                                   struct fake_reply *reply) {
     struct amb_http_req *request = amb_alloc(sizeof *request);
     memset(reply, 0, sizeof *reply);
-    request->conn = (struct amb_conn *)(void *)reply;
+    request->connection = (struct amb_http_connection *)(void *)reply;
     snprintf(request->method, sizeof request->method, "%s", method);
     snprintf(request->path, sizeof request->path, "%s", path);
     request->body_len = body ? body->len : 0;
@@ -106,15 +107,15 @@
 }
 
 size_t fake_calls_open(const char *method, const char *path_prefix) {
-    size_t n = 0;
-    for (size_t i = 0; i < ncalls; i++) n += is_open(&calls[i], NULL, method, path_prefix);
-    return n;
+    size_t count = 0;
+    for (size_t i = 0; i < ncalls; i++) count += is_open(&calls[i], NULL, method, path_prefix);
+    return count;
 }
 
 size_t fake_calls_sent(const char *path_prefix) {
-    size_t n = 0;
-    for (size_t i = 0; i < ncalls; i++) n += begins(calls[i].path, path_prefix);
-    return n;
+    size_t count = 0;
+    for (size_t i = 0; i < ncalls; i++) count += begins(calls[i].path, path_prefix);
+    return count;
 }
 
 void fake_answer(struct fake_call *call, int status, struct amb_buf *body) {
@@ -138,32 +139,32 @@
 
 /* ---- transactions ---- */
 
-uint64_t fake_txn_guard(const struct fake_call *call, const char *key) {
-    const cbor_item_t *guards = amb_cbor_get(call->map, "guards");
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
-        const cbor_item_t *guard = amb_cbor_at(guards, i);
+uint64_t fake_txn_compared_revision(const struct fake_call *call, const char *key) {
+    const cbor_item_t *guards = amb_cbor_map_get(call->map, "guards");
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
+        const cbor_item_t *guard = amb_cbor_list_item(guards, i);
         uint64_t stamp;
-        if (amb_cbor_eq(amb_cbor_get(guard, "path"), key) &&
-            amb_cbor_uint(amb_cbor_get(guard, "stamp"), &stamp))
+        if (amb_cbor_equals(amb_cbor_map_get(guard, "path"), key) &&
+            amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp))
             return stamp;
     }
     return FAKE_NOT_GUARDED;
 }
 
 const cbor_item_t *fake_txn_put(const struct fake_call *call, const char *key, uint64_t *lease) {
-    const cbor_item_t *changes = amb_cbor_get(call->map, "then");
-    for (size_t i = 0; i < amb_cbor_len(changes); i++) {
-        const cbor_item_t *change = amb_cbor_at(changes, i);
-        if (!amb_cbor_eq(amb_cbor_get(change, "put"), key)) continue;
-        if (lease && !amb_cbor_uint(amb_cbor_get(change, "tenure"), lease)) *lease = 0;
-        return amb_cbor_get(change, "value");
+    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++) {
+        const cbor_item_t *change = amb_cbor_list_item(changes, i);
+        if (!amb_cbor_equals(amb_cbor_map_get(change, "put"), key)) continue;
+        if (lease && !amb_cbor_get_uint(amb_cbor_map_get(change, "tenure"), lease)) *lease = 0;
+        return amb_cbor_map_get(change, "value");
     }
     return NULL;
 }
 
 bool fake_txn_removes(const struct fake_call *call, const char *key) {
-    const cbor_item_t *changes = amb_cbor_get(call->map, "then");
-    for (size_t i = 0; i < amb_cbor_len(changes); i++)
-        if (amb_cbor_eq(amb_cbor_get(amb_cbor_at(changes, i), "remove"), key)) return true;
+    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++)
+        if (amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(changes, i), "remove"), key)) return true;
     return false;
 }
--- a/tests/support/fake_http.h
+++ b/tests/support/fake_http.h
@@ -46,7 +46,7 @@
 /* What a transaction holds: the stamp that a key is guarded with, the value that is put there (NULL: none)
  * with its lease (0: none), and whether the key is removed. */
 #define FAKE_NOT_GUARDED UINT64_MAX
-uint64_t fake_txn_guard(const struct fake_call *call, const char *key);
+uint64_t fake_txn_compared_revision(const struct fake_call *call, const char *key);
 const cbor_item_t *fake_txn_put(const struct fake_call *call, const char *key, uint64_t *lease);
 bool fake_txn_removes(const struct fake_call *call, const char *key);
 
--- a/tests/support/fake_state.c
+++ b/tests/support/fake_state.c
@@ -16,25 +16,25 @@
 static size_t nkeys, nlate, largest;
 static cbor_item_t *late[LATE];
 static uint64_t epoch;
-static struct fake_state_limits limits;
+static struct fake_store_limits limits;
 static uint32_t changes;
 static size_t answers[STATUSES];
 
-void fake_state_reset(void) {
+void fake_store_reset(void) {
     for (size_t i = 0; i < nkeys; i++) cbor_decref(&keys[i].value);
     for (size_t i = 0; i < nlate; i++) cbor_decref(&late[i]);
     nkeys = nlate = largest = 0;
     epoch = 100;
     changes = 0;
-    limits = (struct fake_state_limits){.value_kb = 64};
+    limits = (struct fake_store_limits){.value_kb = 64};
     memset(answers, 0, sizeof answers);
 }
 
-void fake_state_limits(struct fake_state_limits to) {
-    limits = to;
+void fake_store_set_limits(struct fake_store_limits new_limits) {
+    limits = new_limits;
 }
 
-void fake_state_refill(void) {
+void fake_store_refill(void) {
     changes = 0;
 }
 
@@ -75,7 +75,7 @@
     memmove(key, key + 1, (--nkeys - i) * sizeof *keys);
 }
 
-uint64_t fake_state_put(const char *name, const struct amb_buf *value) {
+uint64_t fake_store_put(const char *name, const struct amb_buf *value) {
     epoch++;
     if (!value) {
         unset(name);
@@ -87,26 +87,26 @@
     return epoch;
 }
 
-uint64_t fake_state_stamp(const char *name) {
+uint64_t fake_store_revision(const char *name) {
     const struct key *key = find(name);
     return key ? key->stamp : 0;
 }
 
-const cbor_item_t *fake_state_value(const char *name) {
+const cbor_item_t *fake_store_value(const char *name) {
     const struct key *key = find(name);
     return key ? key->value : NULL;
 }
 
-const char *fake_state_key(const char *prefix, size_t index) {
+const char *fake_store_key(const char *prefix, size_t index) {
     for (size_t i = 0; i < nkeys; i++)
         if (!strncmp(keys[i].name, prefix, strlen(prefix)) && !index--) return keys[i].name;
     return NULL;
 }
 
-size_t fake_state_count(const char *prefix) {
-    size_t n = 0;
-    while (fake_state_key(prefix, n)) n++;
-    return n;
+size_t fake_store_count(const char *prefix) {
+    size_t count = 0;
+    while (fake_store_key(prefix, count)) count++;
+    return count;
 }
 
 /* ---- sizes, written apart from the library's own count ---- */
@@ -121,7 +121,7 @@
     if (cbor_isa_array(item)) {
         size_t count = cbor_array_size(item);
         separators = count ? count - 1 : 0;
-        for (size_t i = 0; i < count; i++) stack[(*depth)++] = amb_cbor_at(item, i);
+        for (size_t i = 0; i < count; i++) stack[(*depth)++] = amb_cbor_list_item(item, i);
     } else if (cbor_isa_map(item)) {
         size_t count = cbor_map_size(item);
         const struct cbor_pair *pairs = cbor_map_handle(item);
@@ -149,44 +149,44 @@
 /* ---- calls ---- */
 
 static const cbor_item_t *change_key(const cbor_item_t *change, char *name, size_t cap) {
-    const cbor_item_t *put = amb_cbor_get(change, "put");
-    assert_true(amb_cbor_str(put ? put : amb_cbor_get(change, "remove"), name, cap));
-    return put ? amb_cbor_get(change, "value") : NULL;
+    const cbor_item_t *put = amb_cbor_map_get(change, "put");
+    assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, cap));
+    return put ? amb_cbor_map_get(change, "value") : NULL;
 }
 
 static bool within_limits(const cbor_item_t *then) {
-    if (limits.txn_ops && amb_cbor_len(then) > limits.txn_ops) return false;
-    for (size_t i = 0; i < amb_cbor_len(then); i++) {
+    if (limits.txn_ops && amb_cbor_list_length(then) > limits.txn_ops) return false;
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
         char name[256];
-        const cbor_item_t *value = change_key(amb_cbor_at(then, i), name, sizeof name);
+        const cbor_item_t *value = change_key(amb_cbor_list_item(then, i), name, sizeof name);
         if (value && (double)json_size(value) > limits.value_kb * 1024) return false;
     }
     return true;
 }
 
 static bool guards_hold(const cbor_item_t *guards) {
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char name[256];
         uint64_t stamp;
-        const cbor_item_t *guard = amb_cbor_at(guards, i);
-        assert_true(amb_cbor_str(amb_cbor_get(guard, "path"), name, sizeof name));
-        assert_true(amb_cbor_uint(amb_cbor_get(guard, "stamp"), &stamp));
-        if (fake_state_stamp(name) != stamp) return false;
+        const cbor_item_t *guard = amb_cbor_list_item(guards, i);
+        assert_true(amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), name, sizeof name));
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp));
+        if (fake_store_revision(name) != stamp) return false;
     }
     return true;
 }
 
 /* The status that the transaction is answered with. */
 static int carry_out(const cbor_item_t *txn) {
-    const cbor_item_t *then = amb_cbor_get(txn, "then");
+    const cbor_item_t *then = amb_cbor_map_get(txn, "then");
     if (!within_limits(then)) return 400;
-    if (limits.burst && changes + amb_cbor_len(then) > limits.burst) return 429;
-    changes += (uint32_t)amb_cbor_len(then);
-    if (!guards_hold(amb_cbor_get(txn, "guards"))) return 409;
+    if (limits.burst && changes + amb_cbor_list_length(then) > limits.burst) return 429;
+    changes += (uint32_t)amb_cbor_list_length(then);
+    if (!guards_hold(amb_cbor_map_get(txn, "guards"))) return 409;
     epoch++;
-    for (size_t i = 0; i < amb_cbor_len(then); i++) {
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
         char name[256];
-        const cbor_item_t *value = change_key(amb_cbor_at(then, i), name, sizeof name);
+        const cbor_item_t *value = change_key(amb_cbor_list_item(then, i), name, sizeof name);
         if (!value) {
             unset(name);
             continue;
@@ -200,9 +200,9 @@
 static void answer(struct fake_call *call, int status) {
     struct amb_buf body = {0};
     answers[status]++;
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, epoch);
-    amb_w_str(&body, "failed"), amb_w_list(&body, 0);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, epoch);
+    amb_cbor_write_string(&body, "failed"), amb_cbor_write_list(&body, 0);
     fake_answer(call, status, &body);
 }
 
@@ -215,25 +215,25 @@
     struct amb_buf body = {0};
     unsigned char *text = NULL;
     size_t room = 0, len = cbor_serialize_alloc(key->value, &text, &room);
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "stamp"), amb_w_uint(&body, key->stamp);
-    amb_w_str(&body, "value"), amb_buf_add(&body, text, len);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "stamp"), amb_cbor_write_uint(&body, key->stamp);
+    amb_cbor_write_string(&body, "value"), amb_buf_append(&body, text, len);
     free(text);
     answers[200]++;
     fake_answer(call, 200, &body);
 }
 
-bool fake_state_serve(enum fake_fate fate) {
+bool fake_store_serve(enum fake_outcome fate) {
     struct fake_call *call = fake_call_open("/commit"), *read = fake_call_open("/store/");
     if (!call || (read && read < call)) call = read; /* calls are kept in their order */
     if (!call) return false;
     bool commit = call != read;
-    int status = commit && (fate == FAKE_CARRIED_OUT || fate == FAKE_ANSWER_LOST) ? carry_out(call->map) : 0;
-    if (commit && fate == FAKE_CARRIED_OUT_LATE) {
+    int status = commit && (fate == FAKE_APPLIED || fate == FAKE_ANSWER_LOST) ? carry_out(call->map) : 0;
+    if (commit && fate == FAKE_APPLIED_LATE) {
         assert_true(nlate < LATE);
         late[nlate++] = cbor_incref(call->map);
     }
-    if (fate != FAKE_CARRIED_OUT)
+    if (fate != FAKE_APPLIED)
         fake_answer(call, 0, NULL);
     else if (commit)
         answer(call, status);
@@ -242,7 +242,7 @@
     return true;
 }
 
-void fake_state_late(size_t *refused, size_t *carried_out) {
+void fake_store_serve_late(size_t *refused, size_t *carried_out) {
     *refused = *carried_out = 0;
     for (size_t i = 0; i < nlate; i++) {
         int status = carry_out(late[i]);
@@ -253,17 +253,17 @@
     nlate = 0;
 }
 
-size_t fake_state_answers(int status) {
+size_t fake_store_answers(int status) {
     return answers[status];
 }
 
-size_t fake_state_largest(void) {
+size_t fake_store_largest(void) {
     return largest;
 }
 
-void fake_state_load_records(struct amb_node *node) {
+void fake_store_load_records(struct amb_node *node) {
     const char *name;
-    for (size_t i = 0; (name = fake_state_key("b/", i)); i++) {
+    for (size_t i = 0; (name = fake_store_key("b/", i)); i++) {
         const struct key *key = find(name);
         amb_placement_log_restore(node, key->name, key->value, key->stamp);
     }
--- a/tests/support/json_cbor.c
+++ b/tests/support/json_cbor.c
@@ -6,11 +6,11 @@
 
 static void put_integer(struct amb_buf *out, json_int_t value) {
     if (value >= 0) {
-        amb_w_uint(out, (uint64_t)value);
+        amb_cbor_write_uint(out, (uint64_t)value);
         return;
     }
     unsigned char head[16];
-    amb_buf_add(out, head, cbor_encode_negint((uint64_t)(-1 - value), head, sizeof head));
+    amb_buf_append(out, head, cbor_encode_negint((uint64_t)(-1 - value), head, sizeof head));
 }
 
 /* NOLINTNEXTLINE(misc-no-recursion): the tests' own messages are not deep */
@@ -20,22 +20,22 @@
     size_t i;
     switch (json_typeof(value)) {
     case JSON_OBJECT:
-        amb_w_map(out, json_object_size(value));
+        amb_cbor_write_map(out, json_object_size(value));
         json_object_foreach((json_t *)value, key, item) {
-            amb_w_str(out, key);
+            amb_cbor_write_string(out, key);
             cbor_from_json(out, item);
         }
         break;
     case JSON_ARRAY:
-        amb_w_list(out, json_array_size(value));
+        amb_cbor_write_list(out, json_array_size(value));
         json_array_foreach((json_t *)value, i, item) cbor_from_json(out, item);
         break;
-    case JSON_STRING: amb_w_strn(out, json_string_value(value), json_string_length(value)); break;
+    case JSON_STRING: amb_cbor_write_text(out, json_string_value(value), json_string_length(value)); break;
     case JSON_INTEGER: put_integer(out, json_integer_value(value)); break;
-    case JSON_REAL: amb_w_num(out, json_real_value(value)); break;
-    case JSON_TRUE: amb_w_bool(out, true); break;
-    case JSON_FALSE: amb_w_bool(out, false); break;
-    case JSON_NULL: amb_w_null(out); break;
+    case JSON_REAL: amb_cbor_write_number(out, json_real_value(value)); break;
+    case JSON_TRUE: amb_cbor_write_bool(out, true); break;
+    case JSON_FALSE: amb_cbor_write_bool(out, false); break;
+    case JSON_NULL: amb_cbor_write_null(out); break;
     }
 }
 
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -29,9 +29,9 @@
 }
 
 size_t answers(void) {
-    size_t n = 0;
-    for (size_t i = 0; i < nrequests; i++) n += replies[i].status != 0;
-    return n;
+    size_t count = 0;
+    for (size_t i = 0; i < nrequests; i++) count += replies[i].status != 0;
+    return count;
 }
 
 const cbor_item_t *latest_map(void) {
@@ -64,16 +64,16 @@
     strcpy(node->settings.member, "n-0");
     strcpy(node->election.member, "n-0");
     strcpy(node->settings.zone, "a");
-    strcpy(node->settings.state, "state:1");
-    strcpy(node->settings.cloud, "cloud:1");
+    strcpy(node->settings.store_addr, "state:1");
+    strcpy(node->settings.cloud_addr, "cloud:1");
     strcpy(node->settings.peer_listen, PEER_LISTEN);
     strcpy(node->settings.teams[0].name, "t");
-    node->settings.npeers = PEERS;
+    node->settings.peer_count = PEERS;
     for (int i = 0; i < PEERS; i++) {
         snprintf(node->settings.peers[i].member, AMB_NAME_SIZE, "n-%d", i + 1);
         snprintf(node->settings.peers[i].addr, AMB_NAME_SIZE, "n-%d:1", i + 1);
     }
-    node->settings.state_rps = node->settings.state_write_rps = 3000;
+    node->settings.store_rps = node->settings.store_write_rps = 3000;
     node->settings.cloud_rps = 100;
     node->settings.list_lag_s = 5;
     amb_store_init(&node->store, &node->settings, 1000);
@@ -120,42 +120,42 @@
 
 void answer_epoch(struct fake_call *call, uint64_t epoch) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, epoch);
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, epoch);
     fake_answer(call, 200, &buffer);
 }
 
 void answer_lease(struct fake_call *call, uint64_t lease) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "tenure");
-    amb_w_uint(&buffer, lease);
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "tenure");
+    amb_cbor_write_uint(&buffer, lease);
     fake_answer(call, 200, &buffer);
 }
 
 void answer_refused(struct fake_call *call, const char *key) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, "failed");
-    amb_w_list(&buffer, 1);
-    amb_w_str(&buffer, key);
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "failed");
+    amb_cbor_write_list(&buffer, 1);
+    amb_cbor_write_string(&buffer, key);
     fake_answer(call, 409, &buffer);
 }
 
 void answer_value(struct fake_call *call, const char *field, const char *text, uint64_t number,
                   uint64_t stamp) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "value");
-    amb_w_map(&buffer, 1);
-    amb_w_str(&buffer, field);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "value");
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, field);
     if (text)
-        amb_w_str(&buffer, text);
+        amb_cbor_write_string(&buffer, text);
     else
-        amb_w_uint(&buffer, number);
-    amb_w_str(&buffer, "stamp");
-    amb_w_uint(&buffer, stamp);
+        amb_cbor_write_uint(&buffer, number);
+    amb_cbor_write_string(&buffer, "stamp");
+    amb_cbor_write_uint(&buffer, stamp);
     fake_answer(call, 200, &buffer);
 }
 
@@ -176,64 +176,65 @@
                  uint64_t stamp) {
     struct amb_buf buffer = {0};
     char key[AMB_NAME_SIZE + 16];
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, epoch);
-    amb_w_str(&buffer, "news");
-    amb_w_list(&buffer, ref ? 1 : 0);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, epoch);
+    amb_cbor_write_string(&buffer, "news");
+    amb_cbor_write_list(&buffer, ref ? 1 : 0);
     if (ref) {
         amb_job_format_key(key, sizeof key, ref);
-        amb_w_map(&buffer, 3);
-        amb_w_str(&buffer, "put");
-        amb_w_str(&buffer, key);
-        amb_w_str(&buffer, "value");
+        amb_cbor_write_map(&buffer, 3);
+        amb_cbor_write_string(&buffer, "put");
+        amb_cbor_write_string(&buffer, key);
+        amb_cbor_write_string(&buffer, "value");
         put_job_value(&buffer, ref, state);
-        amb_w_str(&buffer, "stamp");
-        amb_w_uint(&buffer, stamp);
+        amb_cbor_write_string(&buffer, "stamp");
+        amb_cbor_write_uint(&buffer, stamp);
     }
     fake_answer(call, 200, &buffer);
 }
 
 /* ---- workers' reports, over HTTP ---- */
 
-struct amb_http_req *send_report(struct sent_report r) {
+struct amb_http_req *send_heartbeat(struct sent_heartbeat heartbeat) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 9);
-    amb_w_str(&buffer, "rig"), amb_w_str(&buffer, r.machine);
-    amb_w_str(&buffer, "address"), amb_w_str(&buffer, "worker:1");
-    amb_w_str(&buffer, "hull"), amb_w_str(&buffer, "g8");
-    amb_w_str(&buffer, "yard"), amb_w_str(&buffer, r.zone ? r.zone : "a");
-    amb_w_str(&buffer, "driftwood"), amb_w_bool(&buffer, false);
-    amb_w_str(&buffer, "watch"), amb_w_uint(&buffer, r.session);
-    amb_w_str(&buffer, "tally"), amb_w_uint(&buffer, r.seq);
-    amb_w_str(&buffer, "baton"), amb_w_uint(&buffer, r.token);
-    amb_w_str(&buffer, "legs"), amb_w_list(&buffer, r.task ? 1 : 0);
-    if (r.task) {
-        amb_w_map(&buffer, 3);
-        amb_w_str(&buffer, "leg"), amb_w_str(&buffer, r.task);
-        amb_w_str(&buffer, "try"), amb_w_uint(&buffer, r.attempt);
-        amb_w_str(&buffer, "stance"), amb_w_str(&buffer, r.stance);
+    amb_cbor_write_map(&buffer, 9);
+    amb_cbor_write_string(&buffer, "rig"), amb_cbor_write_string(&buffer, heartbeat.machine);
+    amb_cbor_write_string(&buffer, "address"), amb_cbor_write_string(&buffer, "worker:1");
+    amb_cbor_write_string(&buffer, "hull"), amb_cbor_write_string(&buffer, "g8");
+    amb_cbor_write_string(&buffer, "yard"),
+        amb_cbor_write_string(&buffer, heartbeat.zone ? heartbeat.zone : "a");
+    amb_cbor_write_string(&buffer, "driftwood"), amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "watch"), amb_cbor_write_uint(&buffer, heartbeat.session);
+    amb_cbor_write_string(&buffer, "tally"), amb_cbor_write_uint(&buffer, heartbeat.seq);
+    amb_cbor_write_string(&buffer, "baton"), amb_cbor_write_uint(&buffer, heartbeat.token);
+    amb_cbor_write_string(&buffer, "legs"), amb_cbor_write_list(&buffer, heartbeat.task ? 1 : 0);
+    if (heartbeat.task) {
+        amb_cbor_write_map(&buffer, 3);
+        amb_cbor_write_string(&buffer, "leg"), amb_cbor_write_string(&buffer, heartbeat.task);
+        amb_cbor_write_string(&buffer, "try"), amb_cbor_write_uint(&buffer, heartbeat.attempt);
+        amb_cbor_write_string(&buffer, "stance"), amb_cbor_write_string(&buffer, heartbeat.stance);
     }
     struct amb_http_req *request = new_request("POST", "/hello", &buffer);
     assert_true(amb_agent_handle_request(node, request));
     return request;
 }
 
-size_t orders_in(const cbor_item_t *body, const char *verb) {
-    const cbor_item_t *list = amb_cbor_get(body, "orders");
-    size_t n = 0;
-    for (size_t i = 0; i < amb_cbor_len(list); i++)
-        n += amb_cbor_eq(amb_cbor_get(amb_cbor_at(list, i), "verb"), verb);
-    return n;
+size_t commands_in(const cbor_item_t *body, const char *verb) {
+    const cbor_item_t *list = amb_cbor_map_get(body, "orders");
+    size_t count = 0;
+    for (size_t i = 0; i < amb_cbor_list_length(list); i++)
+        count += amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(list, i), "verb"), verb);
+    return count;
 }
 
-size_t replied_orders(const char *verb) {
-    return orders_in(latest_map(), verb);
+size_t replied_commands(const char *verb) {
+    return commands_in(latest_map(), verb);
 }
 
 uint64_t replied_token(void) {
     uint64_t token = 0;
-    amb_cbor_uint(amb_cbor_get(latest_map(), "baton"), &token);
+    amb_cbor_get_uint(amb_cbor_map_get(latest_map(), "baton"), &token);
     return token;
 }
 
@@ -259,11 +260,11 @@
 
 static struct amb_buf said_text(int peer, struct said said) {
     struct amb_buf buffer = {0};
-    amb_buf_fmt(&buffer,
-                "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
-                "\"reports_arrive\":false,\"cancelled\":[%s]}",
-                peer + 1, said.unloaded ? "false" : "true", (unsigned long long)said.term,
-                said.leading ? "true" : "false", said.cancelled ? said.cancelled : "");
+    amb_buf_append_format(&buffer,
+                          "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
+                          "\"reports_arrive\":false,\"cancelled\":[%s]}",
+                          peer + 1, said.unloaded ? "false" : "true", (unsigned long long)said.term,
+                          said.leading ? "true" : "false", said.cancelled ? said.cancelled : "");
     return buffer;
 }
 
--- a/tests/support/leader_fixture.h
+++ b/tests/support/leader_fixture.h
@@ -59,7 +59,7 @@
 
 /* ---- workers' reports, over HTTP ---- */
 
-struct sent_report {
+struct sent_heartbeat {
     const char *machine, *zone;
     uint64_t session, seq, token;
     const char *task; /* NULL: lists none */
@@ -67,10 +67,10 @@
     const char *stance;
 };
 
-struct amb_http_req *send_report(struct sent_report r);
+struct amb_http_req *send_heartbeat(struct sent_heartbeat heartbeat);
 /* How many orders with this verb a body holds; the same of the latest reply. */
-size_t orders_in(const cbor_item_t *body, const char *verb);
-size_t replied_orders(const char *verb);
+size_t commands_in(const cbor_item_t *body, const char *verb);
+size_t replied_commands(const char *verb);
 /* The token that the latest reply gives the worker. */
 uint64_t replied_token(void);
 
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -28,9 +28,9 @@
     (void)state;
     amb_loop_init();
     node = bare_node_new();
-    node->settings.nteams = 1;
-    node->settings.report_s = 1;
-    node->settings.lease_s = 10;
+    node->settings.team_count = 1;
+    node->settings.heartbeat_s = 1;
+    node->settings.agent_lease_s = 10;
     node->settings.cancel_s = 30;
     node->settings.value_kb = 8;
     node->settings.memory_mb = 40;
@@ -73,10 +73,10 @@
     return amb_heartbeat_process(node, &heartbeat, now, orders, ROWS(orders), &norders);
 }
 
-size_t count_orders(enum amb_agent_command_kind op) {
-    size_t n = 0;
-    for (size_t i = 0; i < norders; i++) n += orders[i].kind == op;
-    return n;
+size_t count_commands(enum amb_agent_command_kind op) {
+    size_t count = 0;
+    for (size_t i = 0; i < norders; i++) count += orders[i].kind == op;
+    return count;
 }
 
 struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt) {
@@ -84,9 +84,10 @@
     return &job->tasks[i];
 }
 
-struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_agent_task_state on,
-                              enum amb_exit_reason why) {
-    struct amb_agent_task s = {.index = index, .attempt = attempt, .state = on, .exit_reason = why};
-    strcpy(s.job_ref, ref);
-    return s;
+struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt,
+                              enum amb_agent_task_state agent_state, enum amb_exit_reason exit_reason) {
+    struct amb_agent_task agent_task = {
+        .index = index, .attempt = attempt, .state = agent_state, .exit_reason = exit_reason};
+    strcpy(agent_task.job_ref, ref);
+    return agent_task;
 }
--- a/tests/support/node_fixture.h
+++ b/tests/support/node_fixture.h
@@ -23,14 +23,14 @@
 struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt);
 
 /* A task as a report lists it. */
-struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt, enum amb_agent_task_state on,
-                              enum amb_exit_reason why);
+struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt,
+                              enum amb_agent_task_state agent_state, enum amb_exit_reason exit_reason);
 
 /* The machine reports: false if the report shows a higher term than ours. */
 bool report(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
             const struct amb_agent_task *tasks, size_t ntasks);
 
 /* How many orders of this kind the latest answer holds. */
-size_t count_orders(enum amb_agent_command_kind op);
+size_t count_commands(enum amb_agent_command_kind op);
 
 #endif
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -43,19 +43,19 @@
 static void put_change(struct amb_buf *buffer, const struct record *record, const char *key_field) {
     char key[AMB_NAME_SIZE + 16];
     amb_job_format_key(key, sizeof key, job_name(letter_of(record)));
-    amb_w_map(buffer, 3);
-    amb_w_str(buffer, key_field);
-    amb_w_str(buffer, key);
-    amb_w_str(buffer, "value");
-    amb_buf_add(buffer, record->value.data, record->value.len);
-    amb_w_str(buffer, "stamp");
-    amb_w_uint(buffer, record->stamp);
+    amb_cbor_write_map(buffer, 3);
+    amb_cbor_write_string(buffer, key_field);
+    amb_cbor_write_string(buffer, key);
+    amb_cbor_write_string(buffer, "value");
+    amb_buf_append(buffer, record->value.data, record->value.len);
+    amb_cbor_write_string(buffer, "stamp");
+    amb_cbor_write_uint(buffer, record->stamp);
 }
 
 static void put_changes(struct amb_buf *buffer, uint64_t after, const char *key_field) {
     size_t count = 0;
     for (size_t i = 0; i < LETTERS; i++) count += records[i].stamp > after;
-    amb_w_list(buffer, count);
+    amb_cbor_write_list(buffer, count);
     for (size_t i = 0; i < LETTERS; i++)
         if (records[i].stamp > after) put_change(buffer, &records[i], key_field);
 }
@@ -64,33 +64,33 @@
     struct amb_buf buffer = {0};
     const char *after = strstr(call->path, "after=");
     assert_non_null(after);
-    amb_w_map(&buffer, 2);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, service.epoch);
-    amb_w_str(&buffer, "news");
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_string(&buffer, "news");
     put_changes(&buffer, strtoull(after + 6, NULL, 10), "put");
     fake_answer(call, 200, &buffer);
 }
 
 static void answer_listing(struct fake_call *call, bool jobs) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 3);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, service.epoch);
-    amb_w_str(&buffer, "truncated");
-    amb_w_bool(&buffer, false);
-    amb_w_str(&buffer, "pairs");
+    amb_cbor_write_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_string(&buffer, "truncated");
+    amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "pairs");
     put_changes(&buffer, jobs ? 0 : UINT64_MAX, "path");
     fake_answer(call, 200, &buffer);
 }
 
 static bool guards_hold(const struct fake_call *call) {
-    const cbor_item_t *guards = amb_cbor_get(call->map, "guards");
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
+    const cbor_item_t *guards = amb_cbor_map_get(call->map, "guards");
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char key[128];
         uint64_t stamp = 0;
-        amb_cbor_str(amb_cbor_get(amb_cbor_at(guards, i), "path"), key, sizeof key);
-        amb_cbor_uint(amb_cbor_get(amb_cbor_at(guards, i), "stamp"), &stamp);
+        amb_cbor_copy_string(amb_cbor_map_get(amb_cbor_list_item(guards, i), "path"), key, sizeof key);
+        amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, i), "stamp"), &stamp);
         const struct record *record = record_of(key);
         if (record ? record->stamp != stamp : !strcmp(key, LEADER_KEY) && stamp != TERM) return false;
     }
@@ -100,27 +100,27 @@
 static void carry_out(struct fake_call *call) {
     struct amb_buf buffer = {0};
     bool holds = guards_hold(call);
-    const cbor_item_t *changes = amb_cbor_get(call->map, "then");
+    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
     service.epoch += holds;
-    for (size_t i = 0; holds && i < amb_cbor_len(changes); i++) {
+    for (size_t i = 0; holds && i < amb_cbor_list_length(changes); i++) {
         char key[128];
-        const cbor_item_t *change = amb_cbor_at(changes, i);
-        if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key)) continue;
+        const cbor_item_t *change = amb_cbor_list_item(changes, i);
+        if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) continue;
         struct record *record = record_of(key);
         if (!record) continue;
         unsigned char bytes[VALUE_BYTES];
-        size_t len = cbor_serialize(amb_cbor_get(change, "value"), bytes, sizeof bytes);
+        size_t len = cbor_serialize(amb_cbor_map_get(change, "value"), bytes, sizeof bytes);
         assert_true(len > 0);
         amb_buf_free(&record->value);
-        amb_buf_add(&record->value, bytes, len);
+        amb_buf_append(&record->value, bytes, len);
         record->stamp = service.epoch;
     }
-    amb_w_map(&buffer, holds ? 1 : 2);
-    amb_w_str(&buffer, "epoch");
-    amb_w_uint(&buffer, service.epoch);
+    amb_cbor_write_map(&buffer, holds ? 1 : 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, service.epoch);
     if (!holds) {
-        amb_w_str(&buffer, "failed");
-        amb_w_list(&buffer, 0);
+        amb_cbor_write_string(&buffer, "failed");
+        amb_cbor_write_list(&buffer, 0);
     }
     bool lost = service.loses;
     service.loses = false;
@@ -199,9 +199,9 @@
     return submission_text;
 }
 
-static void request(const char *method, const char *path, struct amb_buf *body) {
+static void send_request(const char *method, const char *path, struct amb_buf *body) {
     assert_true(nreplies < REPLIES);
-    assert_true(amb_user_request(node, fake_request(method, path, body, &replies[nreplies++])));
+    assert_true(amb_api_handle_request(node, fake_request(method, path, body, &replies[nreplies++])));
     if (body) amb_buf_free(body);
     settle();
 }
@@ -212,20 +212,20 @@
 
 void submit_text(const char *text) {
     struct amb_buf body = cbor_from_text("%s", text);
-    request("POST", "/v1/jobs", &body);
+    send_request("POST", "/v1/jobs", &body);
 }
 
 void submit_json(json_t *job) {
     struct amb_buf body = {0};
     cbor_from_json(&body, job);
     json_decref(job);
-    request("POST", "/v1/jobs", &body);
+    send_request("POST", "/v1/jobs", &body);
 }
 
 static void ask(char letter, bool cancel) {
     char path[AMB_NAME_SIZE + 32];
     snprintf(path, sizeof path, "/v1/jobs/%s%s", job_name(letter), cancel ? "/cancel" : "");
-    request(cancel ? "POST" : "GET", path, NULL);
+    send_request(cancel ? "POST" : "GET", path, NULL);
 }
 
 const char *answer(void) {
@@ -233,7 +233,7 @@
     const struct fake_reply *reply = &replies[nreplies - 1];
     cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
     char stance[16] = "";
-    amb_cbor_str(amb_cbor_get(body, "stance"), stance, sizeof stance);
+    amb_cbor_copy_string(amb_cbor_map_get(body, "stance"), stance, sizeof stance);
     if (body) cbor_decref(&body);
     snprintf(text, sizeof text, "%d%.1s", reply->status, stance);
     return text;
@@ -278,11 +278,11 @@
     node->controller.ready = false;
     node->controller.restored_at = 0;
     strcpy(node->settings.member, "n-0");
-    strcpy(node->settings.state, "state:1");
-    strcpy(node->settings.front, "front:1");
+    strcpy(node->settings.store_addr, "state:1");
+    strcpy(node->settings.api_listen, "front:1");
     strcpy(node->settings.peer_listen, "peers:1");
     strcpy(node->settings.teams[0].name, "vision");
-    node->settings.state_rps = node->settings.state_write_rps = 3000;
+    node->settings.store_rps = node->settings.store_write_rps = 3000;
     node->settings.cloud_rps = 100;
     node->catalog.types[0].zone_count = 1;
     strcpy(node->catalog.types[0].zones[0], "a");
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -15,8 +15,8 @@
 int begin(void **state) {
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
-    node->settings.state_rps = 1000;
-    node->settings.state_write_rps = 1000;
+    node->settings.store_rps = 1000;
+    node->settings.store_write_rps = 1000;
     strcpy(node->settings.teams[0].name, "vision");
     node->settings.teams[0].limit.gpus = 16;
     amb_catalog_find_or_add_zone(&node->catalog, "a");
@@ -63,7 +63,7 @@
 
 void request(int user, const char *method, const char *path, struct amb_buf *body) {
     amb_buf_free(&replies[user].body);
-    assert_true(amb_user_request(node, fake_request(method, path, body, &replies[user])));
+    assert_true(amb_api_handle_request(node, fake_request(method, path, body, &replies[user])));
     if (body) amb_buf_free(body);
 }
 
@@ -81,11 +81,13 @@
 }
 
 void expect(const char *what, int user, int status, const char *stance) {
-    const struct fake_reply *r = &replies[user];
-    cbor_item_t *body = r->body.len ? amb_cbor_parse(r->body.data, r->body.len) : NULL;
-    bool right = r->status == status && (!stance || amb_cbor_eq(amb_cbor_get(body, "stance"), stance));
+    const struct fake_reply *reply = &replies[user];
+    cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
+    bool right =
+        reply->status == status && (!stance || amb_cbor_equals(amb_cbor_map_get(body, "stance"), stance));
     if (body) cbor_decref(&body);
-    if (!right) fail_msg("%s: answer %d where %d %s was due", what, r->status, status, stance ? stance : "");
+    if (!right)
+        fail_msg("%s: answer %d where %d %s was due", what, reply->status, status, stance ? stance : "");
 }
 
 void expect_waiting(const char *what, int user) {
@@ -128,7 +130,7 @@
 }
 
 void fire(struct amb_timer *timer) {
-    assert_true(timer->slot);
+    assert_true(timer->position);
     amb_timer_stop(timer);
     timer->fn(timer->arg);
 }
@@ -136,11 +138,11 @@
 uint64_t guarded_stamp(void) {
     struct fake_call *call = open_call(COMMIT);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
-    const cbor_item_t *guards = amb_cbor_get(body, "guards");
+    const cbor_item_t *guards = amb_cbor_map_get(body, "guards");
     uint64_t stamp = UINT64_MAX;
-    assert_int_equal(amb_cbor_len(guards), 1);
-    assert_true(amb_cbor_eq(amb_cbor_get(amb_cbor_at(guards, 0), "path"), "a/job/" JOB));
-    assert_true(amb_cbor_uint(amb_cbor_get(amb_cbor_at(guards, 0), "stamp"), &stamp));
+    assert_int_equal(amb_cbor_list_length(guards), 1);
+    assert_true(amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "path"), "a/job/" JOB));
+    assert_true(amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "stamp"), &stamp));
     cbor_decref(&body);
     return stamp;
 }
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -29,14 +29,14 @@
         {"train, sort", 0.5, 2, 10, "o.xml: zone-recovery-order: 'sort' is no class that objectives name"},
         {"train serve,train", 0.5, 2, 10, "o.xml: zone-recovery-order: 'train' stands there twice"},
     };
-    node->settings.nobjectives = 2;
+    node->settings.objective_count = 2;
     strcpy(node->settings.objectives[0].class_name, "train");
     strcpy(node->settings.objectives[1].class_name, "serve");
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_options options = {.zone_recovery = 1,
-                                      .zone_steady = rows[i].steady,
-                                      .zone_steady_longest = rows[i].longest,
-                                      .zone_loss_forgotten = rows[i].forgotten};
+                                      .zone_steady_share = rows[i].steady,
+                                      .zone_steady_max_share = rows[i].longest,
+                                      .zone_loss_expiry_share = rows[i].forgotten};
         char err[256] = "";
         strcpy(options.zone_recovery_order, rows[i].order);
         bool good = amb_zone_recovery_check(&node->settings, &options, "o.xml", err, sizeof err);
@@ -50,11 +50,11 @@
 /* ---- a leader with two zones ---- */
 
 static void enable_recovery(void) {
-    amb_options_default(&node->options);
+    amb_options_set_defaults(&node->options);
     node->options.zone_recovery = 1;
     node->formats.recorded = AMB_FORMAT_2;
     amb_zone_recovery_init(node);
-    amb_wdrr_prepare(node->settings.teams, node->settings.nteams, true);
+    amb_wdrr_prepare(node->settings.teams, node->settings.team_count, true);
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     amb_catalog_find_or_add_zone(&node->catalog, "b");
     for (int i = 0; i < 2 * MACHINES; i++) {
@@ -231,15 +231,16 @@
 /* ---- the record ---- */
 
 static bool on_record(const cbor_item_t *value, const char *state_name) {
-    return amb_cbor_eq(amb_cbor_get(amb_cbor_at(amb_cbor_get(value, "zones"), 0), "verdict"), state_name);
+    return amb_cbor_equals(
+        amb_cbor_map_get(amb_cbor_list_item(amb_cbor_map_get(value, "zones"), 0), "verdict"), state_name);
 }
 
 static struct fake_call *expect_write(const char *state_name, uint64_t revision) {
     struct fake_call *commit = open_call("POST", "/commit");
     const cbor_item_t *value = fake_txn_put(commit, ZONES_KEY, NULL);
     assert_non_null(value);
-    assert_int_equal(fake_txn_guard(commit, LEADER_KEY), TERM);
-    assert_int_equal(fake_txn_guard(commit, ZONES_KEY), revision);
+    assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
+    assert_int_equal(fake_txn_compared_revision(commit, ZONES_KEY), revision);
     assert_true(on_record(value, state_name));
     return commit;
 }
@@ -271,18 +272,18 @@
 
 static cbor_item_t *record_value(uint64_t version) {
     struct amb_buf buffer = {0};
-    amb_w_map(&buffer, 3);
-    amb_w_str(&buffer, "form"), amb_w_uint(&buffer, version);
-    amb_w_str(&buffer, "zones"), amb_w_list(&buffer, 1), amb_w_map(&buffer, 3);
-    amb_w_str(&buffer, "zone"), amb_w_str(&buffer, "b");
-    amb_w_str(&buffer, "verdict"), amb_w_str(&buffer, "returning");
-    amb_w_str(&buffer, "losses"), amb_w_uint(&buffer, 3);
-    amb_w_str(&buffer, "steps"), amb_w_list(&buffer, 2);
+    amb_cbor_write_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "form"), amb_cbor_write_uint(&buffer, version);
+    amb_cbor_write_string(&buffer, "zones"), amb_cbor_write_list(&buffer, 1), amb_cbor_write_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "zone"), amb_cbor_write_string(&buffer, "b");
+    amb_cbor_write_string(&buffer, "verdict"), amb_cbor_write_string(&buffer, "returning");
+    amb_cbor_write_string(&buffer, "losses"), amb_cbor_write_uint(&buffer, 3);
+    amb_cbor_write_string(&buffer, "steps"), amb_cbor_write_list(&buffer, 2);
     static const char *const classes[] = {"drafts", "assistant"}; /* as an earlier loss had it */
     for (uint64_t i = 0; i < 2; i++) {
-        amb_w_map(&buffer, 2);
-        amb_w_str(&buffer, "class"), amb_w_str(&buffer, classes[i]);
-        amb_w_str(&buffer, "priority"), amb_w_uint(&buffer, AMB_PRIORITY_HIGH + i);
+        amb_cbor_write_map(&buffer, 2);
+        amb_cbor_write_string(&buffer, "class"), amb_cbor_write_string(&buffer, classes[i]);
+        amb_cbor_write_string(&buffer, "priority"), amb_cbor_write_uint(&buffer, AMB_PRIORITY_HIGH + i);
     }
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
     amb_buf_free(&buffer);
