--- a/bench/bench.c
+++ b/bench/bench.c
@@ -33,54 +33,55 @@
                                       bench_follow_cases, bench_load_cases,  bench_tick_cases};
 enum { SOURCES = sizeof sources / sizeof *sources };
 
-static void case_name(char out[CASE_NAME], const struct bench_case *c) {
-    snprintf(out, CASE_NAME, "%s%s%s", c->name, c->size ? "/" : "", c->size ? c->size->name : "");
+static void case_name(char out[CASE_NAME], const struct bench_case *bench) {
+    snprintf(out, CASE_NAME, "%s%s%s", bench->name, bench->size ? "/" : "",
+             bench->size ? bench->size->name : "");
 }
 
 /* ---- measuring ---- */
 
-static double time_runs(const struct bench_case *c, void *input, long runs) {
+static double time_runs(const struct bench_case *bench, void *input, long runs) {
     double start = bench_cpu_ns();
-    for (long i = 0; i < runs; i++) c->run(input);
+    for (long i = 0; i < runs; i++) bench->run(input);
     return (bench_cpu_ns() - start) / (double)runs;
 }
 
-static double time_fresh_run(const struct bench_case *c) {
-    void *input = c->prepare(c->size);
-    double ns = time_runs(c, input, 1);
-    c->finish(input);
+static double time_fresh_run(const struct bench_case *bench) {
+    void *input = bench->prepare(bench->size);
+    double ns = time_runs(bench, input, 1);
+    bench->finish(input);
     return ns;
 }
 
 /* A sample is the median of some runs, each on its own input. */
-static double sample_fresh(const struct bench_case *c, bool once) {
+static double sample_fresh(const struct bench_case *bench, bool once) {
     double runs[FRESH_SAMPLES_MAX];
     size_t count = 0;
     double total = 0;
     while (count < FRESH_SAMPLES_MAX && total < FRESH_SAMPLES_NS) {
-        total += runs[count++] = time_fresh_run(c);
+        total += runs[count++] = time_fresh_run(bench);
         if (once) break;
     }
     return bench_quantile(runs, count, 0.5);
 }
 
-static long runs_for_sample(const struct bench_case *c, void *input) {
-    time_runs(c, input, 1); /* caches and allocator warm */
-    double ns = time_runs(c, input, 3);
+static long runs_for_sample(const struct bench_case *bench, void *input) {
+    time_runs(bench, input, 1); /* caches and allocator warm */
+    double ns = time_runs(bench, input, 3);
     long runs = ns > 0 ? (long)(SAMPLE_NS / ns) : 1000;
     return runs > 0 ? runs : 1;
 }
 
-static size_t measure(const struct bench_case *c, const struct arguments *args, double *samples) {
+static size_t measure(const struct bench_case *bench, const struct arguments *args, double *samples) {
     size_t count = args->once ? 1 : (size_t)args->samples;
-    if (c->fresh) {
-        for (size_t i = 0; i < count; i++) samples[i] = sample_fresh(c, args->once);
+    if (bench->fresh) {
+        for (size_t i = 0; i < count; i++) samples[i] = sample_fresh(bench, args->once);
         return count;
     }
-    void *input = c->prepare(c->size);
-    long runs = args->once ? 1 : runs_for_sample(c, input);
-    for (size_t i = 0; i < count; i++) samples[i] = time_runs(c, input, runs);
-    c->finish(input);
+    void *input = bench->prepare(bench->size);
+    long runs = args->once ? 1 : runs_for_sample(bench, input);
+    for (size_t i = 0; i < count; i++) samples[i] = time_runs(bench, input, runs);
+    bench->finish(input);
     return count;
 }
 
@@ -115,25 +116,25 @@
         }
         ratio[i] = own[i] / other[i];
     }
-    size_t n = (size_t)args->samples;
-    double low = bench_quantile(ratio, n, 0.25), middle = bench_quantile(ratio, n, 0.5),
-           high = bench_quantile(ratio, n, 0.75);
-    printf("%-40s %12.0f %12.0f %8.3f  (%.3f to %.3f)\n", name, bench_quantile(other, n, 0.5),
-           bench_quantile(own, n, 0.5), middle, low, high);
+    size_t count = (size_t)args->samples;
+    double low = bench_quantile(ratio, count, 0.25), middle = bench_quantile(ratio, count, 0.5),
+           high = bench_quantile(ratio, count, 0.75);
+    printf("%-40s %12.0f %12.0f %8.3f  (%.3f to %.3f)\n", name, bench_quantile(other, count, 0.5),
+           bench_quantile(own, count, 0.5), middle, low, high);
     fflush(stdout);
 }
 
 /* ---- the program ---- */
 
-static void report(const struct bench_case *c, const char *name, const struct arguments *args) {
+static void report(const struct bench_case *bench, const char *name, const struct arguments *args) {
     double samples[SAMPLES_MAX];
-    size_t n = measure(c, args, samples);
-    double middle = bench_quantile(samples, n, 0.5);
+    size_t count = measure(bench, args, samples);
+    double middle = bench_quantile(samples, count, 0.5);
     if (args->raw)
         printf("%s %.1f\n", name, middle);
     else
-        printf("%-40s %12.0f  (%.0f to %.0f)\n", name, middle, bench_quantile(samples, n, 0.25),
-               bench_quantile(samples, n, 0.75));
+        printf("%-40s %12.0f  (%.0f to %.0f)\n", name, middle, bench_quantile(samples, count, 0.25),
+               bench_quantile(samples, count, 0.75));
     fflush(stdout);
 }
 
@@ -142,16 +143,16 @@
     return args->raw ? !strcmp(name, args->filter) : strstr(name, args->filter) != NULL;
 }
 
-static void visit(const struct bench_case *c, const struct arguments *args) {
+static void visit(const struct bench_case *bench, const struct arguments *args) {
     char name[CASE_NAME];
-    case_name(name, c);
+    case_name(name, bench);
     if (!wanted(name, args)) return;
     if (args->list)
         puts(name);
     else if (args->against)
         compare(name, args);
     else
-        report(c, name, args);
+        report(bench, name, args);
 }
 
 static void print_head(const struct arguments *args) {
@@ -199,8 +200,8 @@
     if (!args.samples) args.samples = args.against ? DEFAULT_PAIRS : DEFAULT_SAMPLES;
     amb_log_init("error");
     print_head(&args);
-    for (size_t s = 0; s < SOURCES; s++) {
-        struct bench_cases cases = sources[s]();
+    for (size_t size = 0; size < SOURCES; size++) {
+        struct bench_cases cases = sources[size]();
         for (size_t i = 0; i < cases.count; i++) visit(&cases.list[i], &args);
     }
     return 0;
--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -44,13 +44,13 @@
 };
 
 static struct receiving *receiver(const struct world_size *size, struct amb_node *sender) {
-    struct receiving *r = amb_alloc(sizeof *r);
-    r->node = follower(size, 2);
-    amb_peer_start(r->node);
-    r->server = world_last_server();
-    for (int i = 0; i < MESSAGES; i++) r->messages[i] = amb_peer_encode_heartbeat(sender);
+    struct receiving *receiving = amb_alloc(sizeof *receiving);
+    receiving->node = follower(size, 2);
+    amb_peer_start(receiving->node);
+    receiving->server = world_last_server();
+    for (int i = 0; i < MESSAGES; i++) receiving->messages[i] = amb_peer_encode_heartbeat(sender);
     world_free(sender);
-    return r;
+    return receiving;
 }
 
 static void *from_leader(const struct world_size *size) {
@@ -62,17 +62,18 @@
 }
 
 static void receive(void *input) {
-    struct receiving *r = input;
-    const char *text = r->messages[r->next++ % MESSAGES];
-    r->server.handler(r->server.arg, world_request("POST", "/peer/heartbeat", text, strlen(text)));
+    struct receiving *receiving = input;
+    const char *text = receiving->messages[receiving->next++ % MESSAGES];
+    receiving->server.handler(receiving->server.arg,
+                              world_request("POST", "/peer/heartbeat", text, strlen(text)));
 }
 
 static void finish_receiving(void *input) {
-    struct receiving *r = input;
+    struct receiving *receiving = input;
     if (world_last_status() != 200) abort();
-    world_free(r->node);
-    for (int i = 0; i < MESSAGES; i++) free(r->messages[i]);
-    free(r);
+    world_free(receiving->node);
+    for (int i = 0; i < MESSAGES; i++) free(receiving->messages[i]);
+    free(receiving);
 }
 
 /* The answer to a leader that lacks the newest cancellation only. */
@@ -82,25 +83,25 @@
 };
 
 static void *asked(const struct world_size *size) {
-    struct asking *a = amb_alloc(sizeof *a);
+    struct asking *asking = amb_alloc(sizeof *asking);
     uint64_t newest = 0;
-    a->node = follower(size, 1);
-    for (const struct amb_job *job = a->node->jobs.all; job; job = job->hh.next)
+    asking->node = follower(size, 1);
+    for (const struct amb_job *job = asking->node->jobs.all; job; job = job->hh.next)
         if (job->cancel_revision > newest) newest = job->cancel_revision;
-    a->question = json_pack("{s:I}", "epoch", (json_int_t)newest - 1);
-    return a;
+    asking->question = json_pack("{s:I}", "epoch", (json_int_t)newest - 1);
+    return asking;
 }
 
 static void answer(void *input) {
-    struct asking *a = input;
-    json_decref(amb_peer_encode_reply(a->node, a->question));
+    struct asking *asking = input;
+    json_decref(amb_peer_encode_reply(asking->node, asking->question));
 }
 
 static void finish_asking(void *input) {
-    struct asking *a = input;
-    world_free(a->node);
-    json_decref(a->question);
-    free(a);
+    struct asking *asking = input;
+    world_free(asking->node);
+    json_decref(asking->question);
+    free(asking);
 }
 
 /* The grown size when it has run for half a day. */
--- a/bench/case_load.c
+++ b/bench/case_load.c
@@ -9,38 +9,38 @@
 };
 
 static void *start(const struct world_size *size) {
-    struct loading *l = amb_alloc(sizeof *l);
-    l->node = world_node(size, 0);
-    l->pages = world_job_pages(size);
-    return l;
+    struct loading *loading = amb_alloc(sizeof *loading);
+    loading->node = world_node(size, 0);
+    loading->pages = world_job_pages(size);
+    return loading;
 }
 
 static void load_jobs(void *input) {
-    struct loading *l = input;
-    world_apply_jobs(l->node, &l->pages);
+    struct loading *loading = input;
+    world_apply_jobs(loading->node, &loading->pages);
 }
 
 static void *take_over(const struct world_size *size) {
-    struct loading *l = amb_alloc(sizeof *l);
+    struct loading *loading = amb_alloc(sizeof *loading);
     struct world_pages jobs = world_job_pages(size);
-    l->node = world_node(size, 0);
-    world_apply_jobs(l->node, &jobs);
+    loading->node = world_node(size, 0);
+    world_apply_jobs(loading->node, &jobs);
     world_pages_free(&jobs);
-    world_make_leader(l->node);
-    l->pages = world_placement_pages(size);
-    return l;
+    world_make_leader(loading->node);
+    loading->pages = world_placement_pages(size);
+    return loading;
 }
 
 static void load_placements(void *input) {
-    struct loading *l = input;
-    world_apply_placements(l->node, &l->pages);
+    struct loading *loading = input;
+    world_apply_placements(loading->node, &loading->pages);
 }
 
 static void finish(void *input) {
-    struct loading *l = input;
-    world_free(l->node);
-    world_pages_free(&l->pages);
-    free(l);
+    struct loading *loading = input;
+    world_free(loading->node);
+    world_pages_free(&loading->pages);
+    free(loading);
 }
 
 static const struct bench_case cases[] = {
--- a/bench/case_report.c
+++ b/bench/case_report.c
@@ -13,12 +13,12 @@
 };
 
 static struct reporting *reporting_to(struct amb_node *node, const struct world_size *size, int status) {
-    struct reporting *r = amb_alloc(sizeof *r);
-    r->node = node;
-    r->seq = 1;
-    r->status = status;
-    world_put_report(&r->body, size, 0, r->seq, &r->seq_at);
-    return r;
+    struct reporting *reporting = amb_alloc(sizeof *reporting);
+    reporting->node = node;
+    reporting->seq = 1;
+    reporting->status = status;
+    world_put_report(&reporting->body, size, 0, reporting->seq, &reporting->seq_at);
+    return reporting;
 }
 
 static void *to_leader(const struct world_size *size) {
@@ -44,11 +44,11 @@
 }
 
 static void finish(void *input) {
-    struct reporting *r = input;
-    if (world_last_status() != r->status) abort();
-    amb_buf_free(&r->body);
-    world_free(r->node);
-    free(r);
+    struct reporting *reporting = input;
+    if (world_last_status() != reporting->status) abort();
+    amb_buf_free(&reporting->body);
+    world_free(reporting->node);
+    free(reporting);
 }
 
 static const struct bench_case cases[] = {
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -15,17 +15,17 @@
 };
 
 static void *to_follower(const struct world_size *size) {
-    struct submitting *s = amb_alloc(sizeof *s);
+    struct submitting *submitting = amb_alloc(sizeof *submitting);
     struct world_pages jobs = world_job_pages(size);
-    s->node = world_node(size, 1);
-    world_apply_jobs(s->node, &jobs);
+    submitting->node = world_node(size, 1);
+    world_apply_jobs(submitting->node, &jobs);
     world_pages_free(&jobs);
-    s->node->election.role = AMB_ROLE_FOLLOWER;
-    s->node->election.highest_term = WORLD_TERM;
-    s->node->jobs.loaded = true;
-    s->node->settings.memory_mb = 4096; /* each run adds a job */
-    world_spec(&s->spec, size, 0);
-    return s;
+    submitting->node->election.role = AMB_ROLE_FOLLOWER;
+    submitting->node->election.highest_term = WORLD_TERM;
+    submitting->node->jobs.loaded = true;
+    submitting->node->settings.memory_mb = 4096; /* each run adds a job */
+    world_spec(&submitting->spec, size, 0);
+    return submitting;
 }
 
 static void fill_budgets(struct amb_store *store) {
@@ -44,21 +44,21 @@
 }
 
 static void submit(void *input) {
-    struct submitting *s = input;
+    struct submitting *submitting = input;
     struct amb_buf body = {0};
-    fill_budgets(&s->node->store);
-    snprintf(s->spec.ref, sizeof s->spec.ref, "wk-new-%u", s->count++);
-    amb_codec_encode_spec(&body, &s->spec);
-    amb_api_handle_request(s->node, world_request("POST", "/v1/jobs", body.data, body.len));
-    answer_commit(1000000 + s->count);
+    fill_budgets(&submitting->node->store);
+    snprintf(submitting->spec.ref, sizeof submitting->spec.ref, "wk-new-%u", submitting->count++);
+    amb_codec_encode_spec(&body, &submitting->spec);
+    amb_api_handle_request(submitting->node, world_request("POST", "/v1/jobs", body.data, body.len));
+    answer_commit(1000000 + submitting->count);
     amb_buf_free(&body);
 }
 
 static void finish(void *input) {
-    struct submitting *s = input;
+    struct submitting *submitting = input;
     if (world_last_status() != 201) abort();
-    world_free(s->node);
-    free(s);
+    world_free(submitting->node);
+    free(submitting);
 }
 
 static const struct bench_case cases[] = {
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -7,6 +7,6 @@
 double bench_cpu_ns(void); /* processor time used by this process so far */
 
 /* Sorts the samples. q: 0 is the least, 0.5 the median, 1 the largest. */
-double bench_quantile(double *samples, size_t count, double q);
+double bench_quantile(double *samples, size_t count, double quantile);
 
 #endif
--- a/bench/world.c
+++ b/bench/world.c
@@ -353,10 +353,10 @@
         snprintf(peer->addr, sizeof peer->addr, "127.0.0.1:%u", 100 + i);
     }
     settings->team_count = 2;
-    for (uint32_t t = 0; t < settings->team_count; t++) {
-        snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
-        settings->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
-        settings->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
+    for (uint32_t team = 0; team < settings->team_count; team++) {
+        snprintf(settings->teams[team].name, AMB_NAME_SIZE, "team-%u", team);
+        settings->teams[team].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
+        settings->teams[team].limit.gpus = size->machines * GPUS_PER_MACHINE;
     }
     settings->heartbeat_s = size->report_s;
     settings->agent_lease_s = size->lease_s;
--- a/include/amberpin/base/util.h
+++ b/include/amberpin/base/util.h
@@ -18,8 +18,8 @@
 }
 
 /* Of two moments, on the same clock. */
-static inline int64_t amb_earlier(int64_t a, int64_t b) {
-    return a < b ? a : b;
+static inline int64_t amb_earlier(int64_t left, int64_t right) {
+    return left < right ? left : right;
 }
 
 void *amb_alloc(size_t size); /* zeroed; ends the process when there is no memory */
--- a/lib/codec/submission.c
+++ b/lib/codec/submission.c
@@ -95,8 +95,8 @@
     return read ? AMB_CODEC_OK : AMB_CODEC_MALFORMED;
 }
 
-static int compare_names(const void *a, const void *b) {
-    return strcmp(a, b);
+static int compare_names(const void *left, const void *right) {
+    return strcmp(left, right);
 }
 
 /* Sorts the names and keeps each once. */
--- a/lib/config/options.c
+++ b/lib/config/options.c
@@ -31,11 +31,11 @@
 static const char DUTY_NAMES[] = "duty-names", ZONE_RECOVERY_ORDER[] = "zone-recovery-order";
 enum { OPTIONS = sizeof number_options / sizeof number_options[0] };
 
-void amb_options_set_defaults(struct amb_options *o) {
-    memset(o, 0, sizeof *o);
+void amb_options_set_defaults(struct amb_options *defaults) {
+    memset(defaults, 0, sizeof *defaults);
     for (size_t i = 0; i < OPTIONS; i++)
-        *(double *)(void *)((char *)o + number_options[i].offset) = number_options[i].default_value;
-    strcpy(o->duty_names, "all");
+        *(double *)(void *)((char *)defaults + number_options[i].offset) = number_options[i].default_value;
+    strcpy(defaults->duty_names, "all");
 }
 
 struct reader {
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -483,17 +483,18 @@
                                     const struct amb_placement_request *request,
                                     const struct amb_preemption_terms *terms, double *cost) {
     struct amb_cycle *cycle = context;
-    const struct amb_slot *s = &cycle->slots[slot_index];
+    const struct amb_slot *candidate = &cycle->slots[slot_index];
     const struct amb_preemption_claim claim = {terms->priority, terms->team, terms->within_guarantee};
-    if (!s->machine || !could_free_enough(s, request) || !amb_placement_is_allowed_ignoring_zone(request, s))
+    if (!candidate->machine || !could_free_enough(candidate, request) ||
+        !amb_placement_is_allowed_ignoring_zone(request, candidate))
         return false;
-    if (terms->cost_kind == AMB_PREEMPTION_COST_LOST_WORK && s->machine->state != AMB_MACHINE_UP)
+    if (terms->cost_kind == AMB_PREEMPTION_COST_LOST_WORK && candidate->machine->state != AMB_MACHINE_UP)
         return false;
     bool has_image = amb_cycle_get_slot(cycle, slot_index)->has_image;
     if (terms->image_only && !has_image) return false;
     return terms->cost_kind == AMB_PREEMPTION_COST_LOST_WORK
-               ? compute_lost_work_cost(cycle, s, request, &claim, cost)
-               : compute_image_cost(s, request, &claim, cost);
+               ? compute_lost_work_cost(cycle, candidate, request, &claim, cost)
+               : compute_image_cost(candidate, request, &claim, cost);
 }
 
 static int find_cheapest_preemption(struct amb_cycle *cycle, const struct amb_placement_request *request,
--- a/tests/api/test_users.c
+++ b/tests/api/test_users.c
@@ -127,17 +127,17 @@
         } sets[] = {{rows[i].good, ROWS(rows[i].good), 0},
                     {rows[i].malformed, ROWS(rows[i].malformed), 400},
                     {rows[i].never, ROWS(rows[i].never), 422}};
-        for (size_t s = 0; s < ROWS(sets); s++)
-            for (size_t k = 0; k < sets[s].count && sets[s].values[k]; k++) {
-                const char *value = sets[s].values[k];
+        for (size_t size = 0; size < ROWS(sets); size++)
+            for (size_t k = 0; k < sets[size].count && sets[size].values[k]; k++) {
+                const char *value = sets[size].values[k];
                 char what[128];
                 snprintf(what, sizeof what, "%s: %s", rows[i].field, value);
                 anew();
                 submit_changed(rows[i].field, strcmp(value, "-") ? value : NULL);
                 if (fake_call_open(SYNC)) answer_sync(0, NULL);
-                expect(what, 0, sets[s].status, NULL);
-                if ((fake_call_open(COMMIT) != NULL) != !sets[s].status)
-                    fail_msg("%s: %s", what, sets[s].status ? "is written" : "is not written");
+                expect(what, 0, sets[size].status, NULL);
+                if ((fake_call_open(COMMIT) != NULL) != !sets[size].status)
+                    fail_msg("%s: %s", what, sets[size].status ? "is written" : "is not written");
             }
     }
 }
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -88,7 +88,7 @@
 static void precedence(void **state) {
     (void)state;
     static const struct {
-        struct amb_placement_block_id a, b;
+        struct amb_placement_block_id first, second;
         bool precedes;
     } rows[] = {
         {{NEW, 58, 0}, {OLD, 327, 0}, true},   {{OLD, 327, 0}, {NEW, 58, 0}, false},
@@ -99,10 +99,11 @@
         {{OLD, 163, 1}, {OLD, 327, 0}, false}, {{OLD, 327, 0}, {OLD, 163, 1}, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        if (amb_placement_block_precedes(rows[i].a, rows[i].b) != rows[i].precedes) fail_msg("row %zu", i);
+        if (amb_placement_block_precedes(rows[i].first, rows[i].second) != rows[i].precedes)
+            fail_msg("row %zu", i);
         char first_key[AMB_BLOCK_KEY_SIZE], second_key[AMB_BLOCK_KEY_SIZE];
-        amb_placement_key_format(first_key, "wk-000001", rows[i].a);
-        amb_placement_key_format(second_key, "wk-000001", rows[i].b);
+        amb_placement_key_format(first_key, "wk-000001", rows[i].first);
+        amb_placement_key_format(second_key, "wk-000001", rows[i].second);
         if (rows[i].precedes && strcmp(first_key, second_key) >= 0)
             fail_msg("row %zu: %s is listed after %s", i, first_key, second_key);
     }
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -24,11 +24,11 @@
     assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "term"), &zone_term));
     assert_int_equal(zone_term, TERM);
     if (lease != 9) fail_msg("the key is on lease %llu", (unsigned long long)lease);
-    struct sent_heartbeat r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
-    send_heartbeat(r);
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    send_heartbeat(heartbeat);
     if (latest()->status != 421) fail_msg("answered %d before the key is written", latest()->status);
     answer_epoch(commit, 60);
-    send_heartbeat(r);
+    send_heartbeat(heartbeat);
     assert_int_equal(latest()->status, 200);
     assert_int_equal(replied_token(), TERM);
     assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(latest_map(), "orders")), 0);
@@ -68,12 +68,12 @@
     struct fake_call *renewal = open_call("POST", "/leases/9/extend");
     fake_clock_advance(1000);
     answer_lease(renewal, 9);
-    struct sent_heartbeat r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
     fake_clock_advance(1699);
-    send_heartbeat(r);
+    send_heartbeat(heartbeat);
     assert_int_equal(latest()->status, 200);
     fake_clock_advance(1);
-    send_heartbeat(r);
+    send_heartbeat(heartbeat);
     if (latest()->status != 421) fail_msg("answered %d a lease after the renewal was sent", latest()->status);
 }
 
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -79,20 +79,20 @@
     size_t len = 0;
     text[0] = 0;
     for (uint32_t i = 0; i < out->action_count; i++) {
-        const struct amb_election_action *a = &out->actions[i];
+        const struct amb_election_action *action = &out->actions[i];
         if (i) len += (size_t)snprintf(text + len, cap - len, ", ");
-        switch (a->type) {
+        switch (action->type) {
         case AMB_ELECTION_GRANT_LEASE: len += (size_t)snprintf(text + len, cap - len, "grant"); break;
         case AMB_ELECTION_COMMIT_CLAIM:
-            len += (size_t)snprintf(text + len, cap - len, "commit on %d over %d", (int)a->lease_id,
-                                    (int)a->expected_revision);
+            len += (size_t)snprintf(text + len, cap - len, "commit on %d over %d", (int)action->lease_id,
+                                    (int)action->expected_revision);
             break;
         case AMB_ELECTION_READ_KEY: len += (size_t)snprintf(text + len, cap - len, "read"); break;
         case AMB_ELECTION_RENEW_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)a->lease_id);
+            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)action->lease_id);
             break;
         case AMB_ELECTION_REVOKE_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)a->lease_id);
+            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)action->lease_id);
             break;
         case AMB_ELECTION_LEADERSHIP_WON: len += (size_t)snprintf(text + len, cap - len, "won"); break;
         case AMB_ELECTION_LEADERSHIP_LOST: len += (size_t)snprintf(text + len, cap - len, "lost"); break;
@@ -104,21 +104,21 @@
 static void play(const struct row *row) {
     struct amb_election election = begin(row->start);
     for (size_t k = 0; k < STEPS && (k == 0 || row->steps[k].in.now); k++) {
-        const struct step *s = &row->steps[k];
+        const struct step *step = &row->steps[k];
         struct amb_election_output out;
         char text[128];
         enum amb_election_role before = election.role;
-        amb_election_step(&election, &s->in, &out);
+        amb_election_step(&election, &step->in, &out);
         as_text(&out, text, sizeof text);
-        if (election.role != s->role || strcmp(text, s->actions ? s->actions : ""))
+        if (election.role != step->role || strcmp(text, step->actions ? step->actions : ""))
             fail_msg("%s, step %zu: role %d, wanted %d; actions '%s', wanted '%s'", row->what, k,
-                     (int)election.role, (int)s->role, text, s->actions ? s->actions : "");
+                     (int)election.role, (int)step->role, text, step->actions ? step->actions : "");
         if ((election.role != before) != (out.cause != NULL)) fail_msg("%s, step %zu: cause", row->what, k);
     }
 }
 
-static void play_all(const struct row *rows, size_t n) {
-    for (size_t i = 0; i < n; i++) play(&rows[i]);
+static void play_all(const struct row *rows, size_t count) {
+    for (size_t i = 0; i < count; i++) play(&rows[i]);
 }
 
 #define STARTING AMB_ROLE_STARTING
--- a/tests/loopback/checker.c
+++ b/tests/loopback/checker.c
@@ -16,16 +16,16 @@
     verdict->violations++;
 }
 
-static bool same_machine(const struct proof_event *a, const struct proof_event *b) {
-    return !strcmp(a->machine, b->machine);
+static bool same_machine(const struct proof_event *left, const struct proof_event *right) {
+    return !strcmp(left->machine, right->machine);
 }
 
-static bool same_order(const struct proof_event *a, const struct proof_event *b) {
-    return !strcmp(a->name, b->name) && !strcmp(a->duty, b->duty);
+static bool same_order(const struct proof_event *left, const struct proof_event *right) {
+    return !strcmp(left->name, right->name) && !strcmp(left->duty, right->duty);
 }
 
-static bool same_duty(const struct proof_event *a, const struct proof_event *b) {
-    return !strcmp(a->duty, b->duty);
+static bool same_duty(const struct proof_event *left, const struct proof_event *right) {
+    return !strcmp(left->duty, right->duty);
 }
 
 /* The latest event of this type before the one that is judged, that is `same`; NULL: none. */
@@ -40,8 +40,8 @@
     return NULL;
 }
 
-static bool is_of_another_moment(const struct proof_event *a, const struct proof_event *b) {
-    return !strcmp(a->name, b->name) && a->at != b->at;
+static bool is_of_another_moment(const struct proof_event *left, const struct proof_event *right) {
+    return !strcmp(left->name, right->name) && left->at != right->at;
 }
 
 /* Its holder was replaced before it took effect. */
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -30,7 +30,7 @@
 }
 
 struct sim_call *sim_call_new(void) {
-    for (int n = 0; n < SIM_CALLS; n++) {
+    for (int index = 0; index < SIM_CALLS; index++) {
         world.last_call = (world.last_call + 1) % SIM_CALLS;
         struct sim_call *call = &world.calls[world.last_call];
         if (call->used) continue;
--- a/tests/loopback/server.c
+++ b/tests/loopback/server.c
@@ -42,17 +42,17 @@
 static bool read_all(struct proof_connection *connection) {
     char chunk[CHUNK];
     for (;;) {
-        ssize_t n = read(connection->watch.fd, chunk, sizeof chunk);
-        if (n > 0) amb_buf_append(&connection->in, chunk, (size_t)n);
-        if (n <= 0) return n < 0 && (errno == EAGAIN || errno == EINTR);
+        ssize_t count = read(connection->watch.fd, chunk, sizeof chunk);
+        if (count > 0) amb_buf_append(&connection->in, chunk, (size_t)count);
+        if (count <= 0) return count < 0 && (errno == EAGAIN || errno == EINTR);
     }
 }
 
 static bool write_some(struct proof_connection *connection) {
     while (connection->out.len) {
-        ssize_t n = send(connection->watch.fd, connection->out.data, connection->out.len, MSG_NOSIGNAL);
-        if (n < 0) return errno == EAGAIN || errno == EINTR;
-        amb_buf_drop_front(&connection->out, (size_t)n);
+        ssize_t count = send(connection->watch.fd, connection->out.data, connection->out.len, MSG_NOSIGNAL);
+        if (count < 0) return errno == EAGAIN || errno == EINTR;
+        amb_buf_drop_front(&connection->out, (size_t)count);
     }
     return true;
 }
--- a/tests/loopback/skewed_clock.c
+++ b/tests/loopback/skewed_clock.c
@@ -12,9 +12,9 @@
 }
 
 static double true_ms(clockid_t clock) {
-    struct timespec t;
-    clock_gettime(clock, &t);
-    return (double)t.tv_sec * 1e3 + (double)t.tv_nsec / 1e6;
+    struct timespec time;
+    clock_gettime(clock, &time);
+    return (double)time.tv_sec * 1e3 + (double)time.tv_nsec / 1e6;
 }
 
 amb_ms amb_now(void) {
--- a/tests/placement/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -44,7 +44,7 @@
     static const struct {
         const char *what;
         double guarantee[3], limit[3];
-        struct queue q;
+        struct queue queue;
         uint32_t want[3];
     } rows[] = {
         {"enough for all", {8, 8, 8}, {0}, {{2, 3, 4}, {1, 1, 1}, {0}, 100, {0}, NULL}, {2, 3, 4}},
@@ -69,19 +69,20 @@
     const struct amb_wdrr_ops proto = {next, admit, skip_team, is_idle, NULL};
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team teams[3] = {0};
-        struct queue queue = rows[i].q;
+        struct queue queue = rows[i].queue;
         struct amb_wdrr_ops ops = proto;
         ops.context = &queue;
-        for (int t = 0; t < 3; t++) {
-            teams[t].guarantee.gpus = rows[i].guarantee[t];
-            teams[t].limit.gpus = rows[i].limit[t];
+        for (int team = 0; team < 3; team++) {
+            teams[team].guarantee.gpus = rows[i].guarantee[team];
+            teams[team].limit.gpus = rows[i].limit[team];
         }
         amb_wdrr_prepare(teams, 3, true);
         queue.teams = teams;
         amb_wdrr_run(teams, 3, 0, &ops);
-        for (int t = 0; t < 3; t++)
-            if (queue.got[t] != rows[i].want[t])
-                fail_msg("%s: team %d got %u instead of %u", rows[i].what, t, queue.got[t], rows[i].want[t]);
+        for (int team = 0; team < 3; team++)
+            if (queue.got[team] != rows[i].want[team])
+                fail_msg("%s: team %d got %u instead of %u", rows[i].what, team, queue.got[team],
+                         rows[i].want[team]);
     }
 }
 
--- a/tests/scenarios/test_large_fleet.c
+++ b/tests/scenarios/test_large_fleet.c
@@ -20,11 +20,11 @@
         {SIM_KILL, 33000, 1, 5},          {SIM_KILL, 33000, 1, 6}};
     const struct sim_plan plan = {
         .size = &crowded, .seed = 3, .length = DAY_MS, .faults = faults, .fault_count = ROWS(faults)};
-    struct sim_result r = sim_play_large(&plan, MEMORY_MB, OVERTIME_MS);
-    if (r.broken[0]) fail_msg("%s", r.broken);
-    if (r.machines_most < MACHINES || r.done < 1000 || r.starts < 20000 || r.open)
-        fail_msg("%d machines at most, %u done, %u starts, %u left open", r.machines_most, r.done, r.starts,
-                 r.open);
+    struct sim_result result = sim_play_large(&plan, MEMORY_MB, OVERTIME_MS);
+    if (result.broken[0]) fail_msg("%s", result.broken);
+    if (result.machines_most < MACHINES || result.done < 1000 || result.starts < 20000 || result.open)
+        fail_msg("%d machines at most, %u done, %u starts, %u left open", result.machines_most, result.done,
+                 result.starts, result.open);
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_late_returns.c
+++ b/tests/scenarios/test_late_returns.c
@@ -14,9 +14,9 @@
                                       .load = load,
                                       .faults = faults,
                                       .fault_count = count};
-        struct sim_result r = sim_play(&plan);
-        if (r.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, r.broken);
-        late += r.late_returns;
+        struct sim_result result = sim_play(&plan);
+        if (result.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.broken);
+        late += result.late_returns;
     }
     if (late < LAST_SEED) fail_msg("%s: only %u calls came late", what, late);
 }
--- a/tests/scenarios/test_meetings_cancel.c
+++ b/tests/scenarios/test_meetings_cancel.c
@@ -13,15 +13,15 @@
 
 static void must_order_nothing_late(const char *what, uint64_t seed, const struct sim_fault *faults,
                                     size_t count) {
-    struct sim_result r = sim_play(&(struct sim_plan){
+    struct sim_result result = sim_play(&(struct sim_plan){
         .size = &many_jobs, .seed = seed, .length = DAY, .faults = faults, .fault_count = count});
-    if (r.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, r.broken);
-    if (r.orders_after_cancel)
+    if (result.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.broken);
+    if (result.orders_after_cancel)
         fail_msg("%s, seed %llu: %u starts ordered after a confirmed cancellation, the latest %lld ms", what,
-                 (unsigned long long)seed, r.orders_after_cancel, (long long)r.latest_order);
-    if (r.accepted < 55 || r.done < 4 || r.cancelled < 20 || r.open)
+                 (unsigned long long)seed, result.orders_after_cancel, (long long)result.latest_order);
+    if (result.accepted < 55 || result.done < 4 || result.cancelled < 20 || result.open)
         fail_msg("%s, seed %llu: %u accepted, %u done, %u cancelled, %u left open", what,
-                 (unsigned long long)seed, r.accepted, r.done, r.cancelled, r.open);
+                 (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.open);
 }
 
 /* Rows 13 and 16: users ask everywhere and cancel, while the leader's news are lost or slow. */
@@ -66,17 +66,18 @@
             {SIM_CANCEL_NOW, cut + 1200, 1, 12},
             {SIM_CANCEL_NOW, cut + 2100, 1, 12},
         };
-        struct sim_result r = sim_play(&(struct sim_plan){.size = &many_jobs,
-                                                          .seed = rows[i].seed,
-                                                          .length = SHORT_DAY,
-                                                          .faults = faults,
-                                                          .fault_count = ROWS(faults)});
-        if (r.broken[0]) fail_msg("seed %llu: %s", (unsigned long long)rows[i].seed, r.broken);
-        if (r.orders_after_cancel)
+        struct sim_result result = sim_play(&(struct sim_plan){.size = &many_jobs,
+                                                               .seed = rows[i].seed,
+                                                               .length = SHORT_DAY,
+                                                               .faults = faults,
+                                                               .fault_count = ROWS(faults)});
+        if (result.broken[0]) fail_msg("seed %llu: %s", (unsigned long long)rows[i].seed, result.broken);
+        if (result.orders_after_cancel)
             fail_msg("seed %llu: %u starts ordered after a confirmed cancellation, the latest %lld ms",
-                     (unsigned long long)rows[i].seed, r.orders_after_cancel, (long long)r.latest_order);
-        if (r.cancelled < 10)
-            fail_msg("seed %llu: %u cancelled", (unsigned long long)rows[i].seed, r.cancelled);
+                     (unsigned long long)rows[i].seed, result.orders_after_cancel,
+                     (long long)result.latest_order);
+        if (result.cancelled < 10)
+            fail_msg("seed %llu: %u cancelled", (unsigned long long)rows[i].seed, result.cancelled);
     }
 }
 
@@ -97,13 +98,14 @@
             {SIM_OUTAGE, 42200, 45000, -1},
         };
         for (uint64_t seed = 1; seed <= 8; seed++) {
-            struct sim_result r = sim_play(&(struct sim_plan){.size = &sim_small,
-                                                              .seed = seed,
-                                                              .length = DAY,
-                                                              .faults = faults,
-                                                              .fault_count = ROWS(faults)});
-            if (r.broken[0]) fail_msg("row %zu, seed %llu: %s", i, (unsigned long long)seed, r.broken);
-            cancelled += r.cancelled;
+            struct sim_result result = sim_play(&(struct sim_plan){.size = &sim_small,
+                                                                   .seed = seed,
+                                                                   .length = DAY,
+                                                                   .faults = faults,
+                                                                   .fault_count = ROWS(faults)});
+            if (result.broken[0])
+                fail_msg("row %zu, seed %llu: %s", i, (unsigned long long)seed, result.broken);
+            cancelled += result.cancelled;
         }
     }
     assert_true(cancelled >= 24);
--- a/tests/scenarios/test_meetings_users.c
+++ b/tests/scenarios/test_meetings_users.c
@@ -24,7 +24,7 @@
 static void must_hold(const char *what, const struct setting *setting, const struct sim_fault *faults,
                       size_t count) {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        struct sim_result r = sim_play(&(struct sim_plan){
+        struct sim_result result = sim_play(&(struct sim_plan){
             .size = setting->size,
             .seed = seed,
             .length = DAY,
@@ -36,16 +36,17 @@
             printf("%s, seed %llu: %u accepted, %u done, %u cancelled, %u refused; after confirmed "
                    "cancellations %u "
                    "orders, the latest %lld ms, and %u starts\n",
-                   what, (unsigned long long)seed, r.accepted, r.done, r.cancelled, r.refused,
-                   r.orders_after_cancel, (long long)r.latest_order, r.starts_after_cancel);
-        if (r.orders_after_cancel)
+                   what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
+                   result.refused, result.orders_after_cancel, (long long)result.latest_order,
+                   result.starts_after_cancel);
+        if (result.orders_after_cancel)
             fail_msg("%s, seed %llu: %u starts ordered after a confirmed cancellation", what,
-                     (unsigned long long)seed, r.orders_after_cancel);
-        if (r.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, r.broken);
-        if (r.accepted < setting->accepted || r.done < setting->done || r.cancelled < setting->cancelled ||
-            r.open)
+                     (unsigned long long)seed, result.orders_after_cancel);
+        if (result.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.broken);
+        if (result.accepted < setting->accepted || result.done < setting->done ||
+            result.cancelled < setting->cancelled || result.open)
             fail_msg("%s, seed %llu: %u accepted, %u done, %u cancelled, %u left open", what,
-                     (unsigned long long)seed, r.accepted, r.done, r.cancelled, r.open);
+                     (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.open);
     }
 }
 
--- a/tests/scenarios/test_small_memory.c
+++ b/tests/scenarios/test_small_memory.c
@@ -15,32 +15,35 @@
 
 static struct sim_result play(uint64_t seed, double memory_mb, const struct sim_fault *faults, size_t count) {
     const struct sim_plan plan = {&size, seed, DAY, SIM_LOAD_FLOOD, faults, count};
-    struct sim_result r = sim_play_with_memory(&plan, memory_mb);
+    struct sim_result result = sim_play_with_memory(&plan, memory_mb);
     if (getenv("SIM_TRACE"))
         printf(
             "seed %llu, %g MB: %u accepted, %u done, %u left open, %u refused for memory, table %zu bytes\n",
-            (unsigned long long)seed, memory_mb, r.accepted, r.done, r.open, r.refused_for_memory,
-            r.job_table_most);
-    if (r.broken[0]) fail_msg("seed %llu, %g MB: %s", (unsigned long long)seed, memory_mb, r.broken);
-    return r;
+            (unsigned long long)seed, memory_mb, result.accepted, result.done, result.open,
+            result.refused_for_memory, result.job_table_most);
+    if (result.broken[0])
+        fail_msg("seed %llu, %g MB: %s", (unsigned long long)seed, memory_mb, result.broken);
+    return result;
 }
 
 /* With ample memory the same day fills more than the share that a small node has. */
 static void ample_memory_refuses_nothing(void **state) {
     (void)state;
     const struct amb_settings small = {.memory_mb = QUARTER_OF_LEAN_MB};
-    struct sim_result r = play(1, AMPLE_MB, NULL, 0);
-    assert_int_equal(r.refused_for_memory, 0);
-    assert_true(r.job_table_most > amb_memory_job_table_bytes(&small));
-    assert_true(r.accepted > FLOOD_JOBS);
-    assert_int_equal(r.open, 0);
+    struct sim_result result = play(1, AMPLE_MB, NULL, 0);
+    assert_int_equal(result.refused_for_memory, 0);
+    assert_true(result.job_table_most > amb_memory_job_table_bytes(&small));
+    assert_true(result.accepted > FLOOD_JOBS);
+    assert_int_equal(result.open, 0);
 }
 
 static void must_refuse_and_lose_nothing(uint64_t seed, const struct sim_fault *faults, size_t count) {
-    struct sim_result r = play(seed, QUARTER_OF_LEAN_MB, faults, count);
-    if (r.refused_for_memory < 100 || r.accepted <= FLOOD_JOBS || r.done < FLOOD_JOBS || r.open)
+    struct sim_result result = play(seed, QUARTER_OF_LEAN_MB, faults, count);
+    if (result.refused_for_memory < 100 || result.accepted <= FLOOD_JOBS || result.done < FLOOD_JOBS ||
+        result.open)
         fail_msg("seed %llu: %u refused for memory, %u accepted, %u done, %u left open",
-                 (unsigned long long)seed, r.refused_for_memory, r.accepted, r.done, r.open);
+                 (unsigned long long)seed, result.refused_for_memory, result.accepted, result.done,
+                 result.open);
 }
 
 static void full_tables_refuse_submissions(void **state) {
--- a/tests/scenarios/test_standin.c
+++ b/tests/scenarios/test_standin.c
@@ -58,19 +58,21 @@
 static void quiet_days(void **state) {
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        struct sim_result r = must_hold("quiet", seed, NULL, 0);
-        if (r.kept_most > 500 || r.kept_starts * 5 < r.ordered)
+        struct sim_result result = must_hold("quiet", seed, NULL, 0);
+        if (result.kept_most > 500 || result.kept_starts * 5 < result.ordered)
             fail_msg("seed %llu: an answer took %lld ms; %u of %u orders in kept answers",
-                     (unsigned long long)seed, (long long)r.kept_most, r.kept_starts, r.ordered);
+                     (unsigned long long)seed, (long long)result.kept_most, result.kept_starts,
+                     result.ordered);
     }
 }
 
 static void single_troubles(enum sim_fault_kind first, enum sim_fault_kind end) {
     for (int kind = (int)first; kind < (int)end; kind++)
         for (uint64_t seed = 1; seed <= 2; seed++) {
-            const struct sim_fault f[] = {{(enum sim_fault_kind)kind, 25000, 20000 + 9000 * (amb_ms)seed, -1},
-                                          {(enum sim_fault_kind)kind, 80000, 25000, -1}};
-            must_hold(names[kind], seed, f, ROWS(f));
+            const struct sim_fault faults[] = {
+                {(enum sim_fault_kind)kind, 25000, 20000 + 9000 * (amb_ms)seed, -1},
+                {(enum sim_fault_kind)kind, 80000, 25000, -1}};
+            must_hold(names[kind], seed, faults, ROWS(faults));
         }
 }
 
@@ -111,9 +113,9 @@
 
 static void unfit_jobs_are_refused(void **state) {
     (void)state;
-    const struct sim_fault f[] = {{SIM_ODD_REQUESTS, 15000, 60000, -1}};
-    struct sim_result r = must_hold("odd requests", 1, f, ROWS(f));
-    if (r.refused < 10) fail_msg("%u unfit jobs refused", r.refused);
+    const struct sim_fault faults[] = {{SIM_ODD_REQUESTS, 15000, 60000, -1}};
+    struct sim_result result = must_hold("odd requests", 1, faults, ROWS(faults));
+    if (result.refused < 10) fail_msg("%u unfit jobs refused", result.refused);
 }
 
 /* What a day's jobs may be like; and each with a leader that ends and a burst of cancellations. */
@@ -134,11 +136,11 @@
     for (size_t i = 0; i < ROWS(rows); i++)
         for (size_t count = 0; count <= ROWS(faults); count += ROWS(faults)) {
             const struct sim_plan plan = {&sim_small, 1, DAY + 60000, rows[i].load, faults, count};
-            struct sim_result r = sim_play(&plan);
-            if (r.broken[0]) fail_msg("%s, %zu faults: %s", rows[i].what, count, r.broken);
-            if (r.accepted < rows[i].accepted || r.done < rows[i].accepted / 4 || r.open)
+            struct sim_result result = sim_play(&plan);
+            if (result.broken[0]) fail_msg("%s, %zu faults: %s", rows[i].what, count, result.broken);
+            if (result.accepted < rows[i].accepted || result.done < rows[i].accepted / 4 || result.open)
                 fail_msg("%s, %zu faults: %u accepted, %u done, %u left open", rows[i].what, count,
-                         r.accepted, r.done, r.open);
+                         result.accepted, result.done, result.open);
         }
 }
 
@@ -147,8 +149,8 @@
     (void)state;
     static const struct {
         const char *what;
-        struct sim_fault f[6];
-        size_t n;
+        struct sim_fault faults[6];
+        size_t fault_count;
     } days[] = {
         {"all controllers lost during an outage",
          {{SIM_OUTAGE, 30000, 30000, -1},
@@ -185,25 +187,26 @@
          2},
     };
     for (size_t i = 0; i < ROWS(days); i++)
-        for (uint64_t seed = 1; seed <= 2; seed++) must_hold(days[i].what, seed, days[i].f, days[i].n);
+        for (uint64_t seed = 1; seed <= 2; seed++)
+            must_hold(days[i].what, seed, days[i].faults, days[i].fault_count);
 }
 
-static void draw_faults(uint64_t seed, struct sim_fault *f, size_t n) {
-    uint64_t x = seed * 0x9e3779b97f4a7c15u;
-    for (size_t i = 0; i < n; i++) {
-        x ^= x << 13, x ^= x >> 7, x ^= x << 17;
-        f[i].kind = (enum sim_fault_kind)(x % DRAWN_KINDS);
-        f[i].at = 15000 + (amb_ms)(x >> 16) % 110000;
-        f[i].lasts = 3000 + (amb_ms)(x >> 40) % 40000;
-        f[i].which = (x >> 60) < 8 ? -1 : (int)((x >> 58) % 3);
+static void draw_faults(uint64_t seed, struct sim_fault *fault, size_t count) {
+    uint64_t state = seed * 0x9e3779b97f4a7c15u;
+    for (size_t i = 0; i < count; i++) {
+        state ^= state << 13, state ^= state >> 7, state ^= state << 17;
+        fault[i].kind = (enum sim_fault_kind)(state % DRAWN_KINDS);
+        fault[i].at = 15000 + (amb_ms)(state >> 16) % 110000;
+        fault[i].lasts = 3000 + (amb_ms)(state >> 40) % 40000;
+        fault[i].which = (state >> 60) < 8 ? -1 : (int)((state >> 58) % 3);
     }
 }
 
 static void play_drawn(uint64_t first, uint64_t last) {
-    struct sim_fault f[8];
+    struct sim_fault faults[8];
     for (uint64_t seed = first; seed <= last; seed++) {
-        draw_faults(seed, f, ROWS(f));
-        must_hold("drawn", seed, f, ROWS(f));
+        draw_faults(seed, faults, ROWS(faults));
+        must_hold("drawn", seed, faults, ROWS(faults));
     }
 }
 
@@ -229,9 +232,9 @@
         {"a job that came while the leader was mute was never taken up", 1035},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct sim_fault f[8];
-        draw_faults(rows[i].seed, f, ROWS(f));
-        must_hold(rows[i].what, rows[i].seed, f, ROWS(f));
+        struct sim_fault faults[8];
+        draw_faults(rows[i].seed, faults, ROWS(faults));
+        must_hold(rows[i].what, rows[i].seed, faults, ROWS(faults));
     }
 }
 
@@ -270,38 +273,41 @@
         struct sim_plan plan = rows[i].plan;
         plan.faults = rows[i].faults;
         plan.fault_count = rows[i].count;
-        struct sim_result r = sim_play(&plan);
-        if (r.broken[0]) fail_msg("%s: %s", rows[i].what, r.broken);
-        if (r.accepted < 12 || r.done < 3 || r.starts < 10)
-            fail_msg("%s: %u accepted, %u done, %u starts", rows[i].what, r.accepted, r.done, r.starts);
+        struct sim_result result = sim_play(&plan);
+        if (result.broken[0]) fail_msg("%s: %s", rows[i].what, result.broken);
+        if (result.accepted < 12 || result.done < 3 || result.starts < 10)
+            fail_msg("%s: %u accepted, %u done, %u starts", rows[i].what, result.accepted, result.done,
+                     result.starts);
     }
 }
 
 /* The size of the grown deployments: seven nodes, over a hundred machines, bursts of hundreds of tasks. */
 static void grown_day(void **state) {
     (void)state;
-    const struct sim_fault f[] = {{SIM_KILL, 30000, 1, -1},
-                                  {SIM_ZONES_APART, 40000, 15000, -1},
-                                  {SIM_OUTAGE, 60000, 12000, -1},
-                                  {SIM_KILL, 65000, 1, -1},
-                                  {SIM_LATE, 75000, 15000, -1},
-                                  {SIM_CUT_BUT_WORKERS, 95000, 15000, -1},
-                                  {SIM_LOSE_ANSWERS, 80000, 9000, -1},
-                                  {SIM_HANG, 85000, 25000, -1}};
-    struct sim_result r = sim_day(&sim_grown, 7, DAY, f, ROWS(f));
-    if (r.broken[0]) fail_msg("%s", r.broken);
-    if (r.accepted < 100 || r.done < 40 || r.starts < 900 || r.open)
-        fail_msg("%u accepted, %u done, %u starts, %u left open", r.accepted, r.done, r.starts, r.open);
+    const struct sim_fault faults[] = {{SIM_KILL, 30000, 1, -1},
+                                       {SIM_ZONES_APART, 40000, 15000, -1},
+                                       {SIM_OUTAGE, 60000, 12000, -1},
+                                       {SIM_KILL, 65000, 1, -1},
+                                       {SIM_LATE, 75000, 15000, -1},
+                                       {SIM_CUT_BUT_WORKERS, 95000, 15000, -1},
+                                       {SIM_LOSE_ANSWERS, 80000, 9000, -1},
+                                       {SIM_HANG, 85000, 25000, -1}};
+    struct sim_result result = sim_day(&sim_grown, 7, DAY, faults, ROWS(faults));
+    if (result.broken[0]) fail_msg("%s", result.broken);
+    if (result.accepted < 100 || result.done < 40 || result.starts < 900 || result.open)
+        fail_msg("%u accepted, %u done, %u starts, %u left open", result.accepted, result.done, result.starts,
+                 result.open);
 }
 
 /* Reports come so seldom that a part of their period is longer than a worker waits for an answer. */
 static void slow_reports(void **state) {
     (void)state;
-    struct sim_result r = sim_day(&sim_slow, 1, DAY + 100000, NULL, 0);
-    if (r.broken[0]) fail_msg("%s", r.broken);
-    if (r.accepted < 12 || r.done < 3 || r.starts < 10 || r.open || r.kept_most > 2000)
-        fail_msg("%u accepted, %u done, %u starts, %u left open, an answer took %lld ms", r.accepted, r.done,
-                 r.starts, r.open, (long long)r.kept_most);
+    struct sim_result result = sim_day(&sim_slow, 1, DAY + 100000, NULL, 0);
+    if (result.broken[0]) fail_msg("%s", result.broken);
+    if (result.accepted < 12 || result.done < 3 || result.starts < 10 || result.open ||
+        result.kept_most > 2000)
+        fail_msg("%u accepted, %u done, %u starts, %u left open, an answer took %lld ms", result.accepted,
+                 result.done, result.starts, result.open, (long long)result.kept_most);
 }
 
 /* The size of the fleet deployments: hundreds of machines, slow reports, long leases. All controllers end
@@ -309,7 +315,7 @@
  * come. */
 static void fleet_day(void **state) {
     (void)state;
-    const struct sim_fault f[] = {
+    const struct sim_fault faults[] = {
         {SIM_KILL, 20000, 1, -1},      {SIM_DEAF, 25000, 30000, -1},
         {SIM_COPIES, 25000, 60000, 3}, {SIM_ZONES_APART, 40000, 30000, -1},
         {SIM_KILL, 45000, 1, -1},      {SIM_HANG, 50000, 30000, -1},
@@ -320,10 +326,11 @@
         {SIM_KILL_BRIEF, 80000, 1, 6}, {SIM_KILL_BRIEF, 84000, 1, -1},
         {SIM_LATE, 95000, 10000, -1},  {SIM_CUT_BUT_WORKERS, 100000, 20000, -1},
     };
-    struct sim_result r = sim_day(&sim_fleet, 3, DAY, f, ROWS(f));
-    if (r.broken[0]) fail_msg("%s", r.broken);
-    if (r.accepted < 600 || r.done < 200 || r.starts < 7000 || r.open)
-        fail_msg("%u accepted, %u done, %u starts, %u left open", r.accepted, r.done, r.starts, r.open);
+    struct sim_result result = sim_day(&sim_fleet, 3, DAY, faults, ROWS(faults));
+    if (result.broken[0]) fail_msg("%s", result.broken);
+    if (result.accepted < 600 || result.done < 200 || result.starts < 7000 || result.open)
+        fail_msg("%u accepted, %u done, %u starts, %u left open", result.accepted, result.done, result.starts,
+                 result.open);
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_standin_duties.c
+++ b/tests/scenarios/test_standin_duties.c
@@ -5,24 +5,25 @@
 
 static void quiet_days(void **state) {
     (void)state;
-    const struct sim_fault f[] = {{SIM_DUTIES, 0, SIM_FOR_GOOD_MS, -1}};
+    const struct sim_fault faults[] = {{SIM_DUTIES, 0, SIM_FOR_GOOD_MS, -1}};
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        struct sim_result r = must_hold("quiet", seed, f, ROWS(f));
-        if (!r.rents_by_duty || !r.returns_by_duty || r.stale_refused)
-            fail_msg("seed %llu: %u rentals, %u returns, %u stale", (unsigned long long)seed, r.rents_by_duty,
-                     r.returns_by_duty, r.stale_refused);
+        struct sim_result result = must_hold("quiet", seed, faults, ROWS(faults));
+        if (!result.rents_by_duty || !result.returns_by_duty || result.stale_refused)
+            fail_msg("seed %llu: %u rentals, %u returns, %u stale", (unsigned long long)seed,
+                     result.rents_by_duty, result.returns_by_duty, result.stale_refused);
     }
 }
 
 static void single_troubles(enum sim_fault_kind first, enum sim_fault_kind end) {
     for (int kind = (int)first; kind < (int)end; kind++)
         for (uint64_t seed = 1; seed <= 2; seed++) {
-            const struct sim_fault f[] = {{SIM_DUTIES, 0, SIM_FOR_GOOD_MS, -1},
-                                          {(enum sim_fault_kind)kind, 25000, 20000 + 9000 * (amb_ms)seed, -1},
-                                          {(enum sim_fault_kind)kind, 80000, 25000, -1}};
+            const struct sim_fault faults[] = {
+                {SIM_DUTIES, 0, SIM_FOR_GOOD_MS, -1},
+                {(enum sim_fault_kind)kind, 25000, 20000 + 9000 * (amb_ms)seed, -1},
+                {(enum sim_fault_kind)kind, 80000, 25000, -1}};
             char what[32];
             snprintf(what, sizeof what, "trouble %d", kind);
-            must_hold(what, seed, f, ROWS(f));
+            must_hold(what, seed, faults, ROWS(faults));
         }
 }
 
@@ -46,7 +47,7 @@
     (void)state;
     static const struct {
         const char *what;
-        struct sim_fault f[4];
+        struct sim_fault faults[4];
         size_t count;
         uint32_t changes;
     } rows[] = {
@@ -68,10 +69,10 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++)
         for (uint64_t seed = 1; seed <= 3; seed++) {
-            struct sim_result r = must_hold(rows[i].what, seed, rows[i].f, rows[i].count);
-            if (!r.handovers || r.mode_changes != rows[i].changes)
+            struct sim_result result = must_hold(rows[i].what, seed, rows[i].faults, rows[i].count);
+            if (!result.handovers || result.mode_changes != rows[i].changes)
                 fail_msg("%s, seed %llu: %u handovers, the mode changed %u times", rows[i].what,
-                         (unsigned long long)seed, r.handovers, r.mode_changes);
+                         (unsigned long long)seed, result.handovers, result.mode_changes);
         }
 }
 
--- a/tests/scenarios/test_standin_pipelines.c
+++ b/tests/scenarios/test_standin_pipelines.c
@@ -32,20 +32,21 @@
 }
 
 static struct sim_result must_hold(const struct day *day, uint64_t seed) {
-    struct sim_result r = play(day, seed);
+    struct sim_result result = play(day, seed);
     if (getenv("SIM_TRACE"))
         printf("%s, seed %llu: %u accepted, %u done, %u cancelled, %u open; of jobs that await others %u "
                "accepted, %u done, %u cancelled with one; %u unknown refused, %u refused for size, %u for "
                "rate; %s\n",
-               day->what, (unsigned long long)seed, r.accepted, r.done, r.cancelled, r.open, r.dependants,
-               r.dependants_done, r.dependants_cancelled, r.unknown_refused, r.size_refusals, r.rate_refusals,
-               r.broken);
-    if (r.broken[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, r.broken);
-    if (r.open) fail_msg("%s, seed %llu: %u left open", day->what, (unsigned long long)seed, r.open);
-    if (r.unknown_refused < 1)
+               day->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
+               result.open, result.dependants, result.dependants_done, result.dependants_cancelled,
+               result.unknown_refused, result.size_refusals, result.rate_refusals, result.broken);
+    if (result.broken[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.broken);
+    if (result.open)
+        fail_msg("%s, seed %llu: %u left open", day->what, (unsigned long long)seed, result.open);
+    if (result.unknown_refused < 1)
         fail_msg("%s, seed %llu: no submission that awaits an unknown job was refused", day->what,
                  (unsigned long long)seed);
-    return r;
+    return result;
 }
 
 /* A day's seeds together hold what the day is for; how a single one shares it out is luck. Where users cancel
@@ -53,10 +54,10 @@
 static void play_seeds(const struct day *day, uint64_t seeds) {
     uint32_t dependants = 0, done = 0, cancelled = 0;
     for (uint64_t seed = 1; seed <= seeds; seed++) {
-        struct sim_result r = must_hold(day, seed);
-        dependants += r.dependants;
-        done += r.dependants_done;
-        cancelled += r.dependants_cancelled;
+        struct sim_result result = must_hold(day, seed);
+        dependants += result.dependants;
+        done += result.dependants_done;
+        cancelled += result.dependants_cancelled;
     }
     if (dependants < 20 * seeds || done < 6 * SEEDS || cancelled < 4 * seeds)
         fail_msg("%s: of jobs that await others %u accepted, %u done, %u cancelled", day->what, dependants,
--- a/tests/scenarios/test_upgrade.c
+++ b/tests/scenarios/test_upgrade.c
@@ -26,7 +26,7 @@
 
 static void must_hold(const struct day *day, uint64_t seed) {
     if (!sim_production_at_hand()) fail_msg("the production version is not in the repository's history");
-    struct sim_result r = sim_play(&(struct sim_plan){
+    struct sim_result result = sim_play(&(struct sim_plan){
         .size = &fleet,
         .seed = seed,
         .length = day->length ? day->length : LENGTH,
@@ -38,19 +38,20 @@
         printf("%s, seed %llu: %u accepted, %u done, %u cancelled, %u open, upgraded at %lld; of jobs that "
                "await others %u "
                "accepted, %u done, %u cancelled with one; %u refused for size, %u for rate; %s\n",
-               day->what, (unsigned long long)seed, r.accepted, r.done, r.cancelled, r.open,
-               (long long)r.upgraded_at, r.dependants, r.dependants_done, r.dependants_cancelled,
-               r.size_refusals, r.rate_refusals, r.broken);
-    if (r.broken[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, r.broken);
+               day->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
+               result.open, (long long)result.upgraded_at, result.dependants, result.dependants_done,
+               result.dependants_cancelled, result.size_refusals, result.rate_refusals, result.broken);
+    if (result.broken[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.broken);
     if ((day->load & SIM_LOAD_PIPELINES) &&
-        (r.dependants < 15 || r.dependants_done < 4 || r.dependants_cancelled < 2))
+        (result.dependants < 15 || result.dependants_done < 4 || result.dependants_cancelled < 2))
         fail_msg("%s, seed %llu: of jobs that await others %u accepted, %u done, %u cancelled", day->what,
-                 (unsigned long long)seed, r.dependants, r.dependants_done, r.dependants_cancelled);
-    if (plans_upgrade(day) && !r.upgraded_at)
+                 (unsigned long long)seed, result.dependants, result.dependants_done,
+                 result.dependants_cancelled);
+    if (plans_upgrade(day) && !result.upgraded_at)
         fail_msg("%s, seed %llu: not all nodes were upgraded", day->what, (unsigned long long)seed);
-    if (r.accepted < 16 || r.done < 8 || r.open)
+    if (result.accepted < 16 || result.done < 8 || result.open)
         fail_msg("%s, seed %llu: %u accepted, %u done, %u left open", day->what, (unsigned long long)seed,
-                 r.accepted, r.done, r.open);
+                 result.accepted, result.done, result.open);
 }
 
 static void play_days(const struct day *days, size_t count) {
--- a/tests/scenarios/test_zone_recovery_days.c
+++ b/tests/scenarios/test_zone_recovery_days.c
@@ -34,9 +34,10 @@
     uint32_t lost = 0;
     for (size_t i = 0; i < count; i++)
         for (uint64_t seed = 1; seed <= seeds; seed++) {
-            struct sim_result r = play(&sim_zonal, &days[i], seed, SIM_LOAD_ZONE_RECOVERY);
-            if (r.broken[0]) fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, r.broken);
-            lost += r.lost_replicas[SIM_ASSISTANT];
+            struct sim_result result = play(&sim_zonal, &days[i], seed, SIM_LOAD_ZONE_RECOVERY);
+            if (result.broken[0])
+                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, result.broken);
+            lost += result.lost_replicas[SIM_ASSISTANT];
         }
     if (lost < count * seeds) fail_msg("only %u replicas were lost in %zu days", lost, count * (size_t)seeds);
 }
@@ -139,10 +140,10 @@
     };
     for (size_t i = 0; i < ROWS(days); i++)
         for (uint64_t seed = 1; seed <= 4; seed++) {
-            struct sim_result r = play(&crowded, &days[i], seed, SIM_LOAD_ZONE_RECOVERY);
-            bool left = strstr(r.broken, "unfinished: ") || strstr(r.broken, "not_served: ");
-            if (r.broken[0] && !left)
-                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, r.broken);
+            struct sim_result result = play(&crowded, &days[i], seed, SIM_LOAD_ZONE_RECOVERY);
+            bool left = strstr(result.broken, "unfinished: ") || strstr(result.broken, "not_served: ");
+            if (result.broken[0] && !left)
+                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, result.broken);
         }
 }
 
@@ -152,8 +153,8 @@
     static const struct zone_day day = {"one cut", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}}};
     uint32_t noticed = 0;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        struct sim_result r = play(&crowded, &day, seed, SIM_LOAD_ZONE_RECOVERY | SIM_LOAD_REVERSED);
-        noticed += strstr(r.broken, "order: ") != NULL;
+        struct sim_result result = play(&crowded, &day, seed, SIM_LOAD_ZONE_RECOVERY | SIM_LOAD_REVERSED);
+        noticed += strstr(result.broken, "order: ") != NULL;
     }
     if (!noticed) fail_msg("no day with the order reversed is noticed");
 }
--- a/tests/standin/clock.c
+++ b/tests/standin/clock.c
@@ -29,28 +29,29 @@
 void amb_loop_init(void) {}
 void amb_loop_run(void) {}
 void amb_loop_stop(void) {}
-int amb_loop_add(struct amb_fd_watch *w, uint32_t e) {
-    (void)w, (void)e;
+int amb_loop_add(struct amb_fd_watch *watch, uint32_t events) {
+    (void)watch, (void)events;
     return 0;
 }
-void amb_loop_mod(struct amb_fd_watch *w, uint32_t e) {
-    (void)w, (void)e;
+void amb_loop_mod(struct amb_fd_watch *watch, uint32_t events) {
+    (void)watch, (void)events;
 }
-void amb_loop_del(struct amb_fd_watch *w) {
-    (void)w;
+void amb_loop_del(struct amb_fd_watch *watch) {
+    (void)watch;
 }
 
-static bool sooner(size_t a, size_t b) {
-    amb_ms x = world.timers[a].timer->at, y = world.timers[b].timer->at;
-    return x < y || (x == y && world.timers[a].serial < world.timers[b].serial);
+static bool sooner(size_t left, size_t right) {
+    amb_ms left_at = world.timers[left].timer->at, right_at = world.timers[right].timer->at;
+    return left_at < right_at ||
+           (left_at == right_at && world.timers[left].serial < world.timers[right].serial);
 }
 
-static void timers_swap(size_t a, size_t b) {
-    struct sim_timer keep = world.timers[a];
-    world.timers[a] = world.timers[b];
-    world.timers[b] = keep;
-    world.timers[a].timer->position = a + 1;
-    world.timers[b].timer->position = b + 1;
+static void timers_swap(size_t left, size_t right) {
+    struct sim_timer keep = world.timers[left];
+    world.timers[left] = world.timers[right];
+    world.timers[right] = keep;
+    world.timers[left].timer->position = left + 1;
+    world.timers[right].timer->position = right + 1;
 }
 
 /* The soonest stands first: children of i at 2i + 1 and 2i + 2. */
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -44,13 +44,13 @@
 
 static void list_machines(struct sim_call *call) {
     struct amb_buf buffer = {0}, list = {0};
-    size_t n = 0;
+    size_t count = 0;
     amb_ms lag = sim_between(0, sim_pace.list_lag * 2), then = world.now - lag;
     for (int i = 0; i < world.machine_count; i++) {
         struct sim_machine *machine = &world.machines[i];
         if (machine->created > then || (!machine->exists && machine->gone_at <= then)) continue;
         char text[AMB_NAME_SIZE];
-        n++;
+        count++;
         amb_cbor_write_map(&list, 7);
         amb_cbor_write_string(&list, "ref"), amb_cbor_write_string(&list, machine->name);
         sim_machine_address(i, text);
@@ -67,7 +67,7 @@
     }
     amb_cbor_write_map(&buffer, 2);
     amb_cbor_write_string(&buffer, "rigs");
-    amb_cbor_write_list(&buffer, n);
+    amb_cbor_write_list(&buffer, count);
     amb_buf_append(&buffer, list.data, list.len);
     amb_buf_free(&list);
     amb_cbor_write_string(&buffer, "truncated");
--- a/tests/standin/large_day.c
+++ b/tests/standin/large_day.c
@@ -130,17 +130,17 @@
     const struct sim_plan plan = {size, seed, length, SIM_LOAD_LONG, faults, count};
     double began = processor_ms();
     sim_watch_switch = watch_turn;
-    struct sim_result r = sim_play_large(&plan, MEMORY_MB, OVERTIME_MS);
-    double day_s = (double)(length + r.overtime) / 1000;
+    struct sim_result result = sim_play_large(&plan, MEMORY_MB, OVERTIME_MS);
+    double day_s = (double)(length + result.overtime) / 1000;
     printf("seed %llu: %u accepted, %u done, %u cancelled, %u starts, %u left open, %d machines at most, "
            "overtime "
            "%.0f s, %u late returns; played in %.0f s of processor; %s\n",
-           (unsigned long long)seed, r.accepted, r.done, r.cancelled, r.starts, r.open, r.machines_most,
-           (double)r.overtime / 1000, r.late_returns, (processor_ms() - began) / 1000,
-           r.broken[0] ? r.broken : "no rule broken");
+           (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.starts,
+           result.open, result.machines_most, (double)result.overtime / 1000, result.late_returns,
+           (processor_ms() - began) / 1000, result.broken[0] ? result.broken : "no rule broken");
     print_turns(day_s, size->nodes);
     fflush(stdout);
-    return r.broken[0] || r.open;
+    return result.broken[0] || result.open;
 }
 
 /* ---- the program ---- */
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -43,10 +43,10 @@
 static void set_teams(struct amb_settings *settings, const struct sim_node_settings *from) {
     int guarantee = from->team_limit / 3;
     settings->team_count = (uint32_t)from->teams;
-    for (uint32_t t = 0; t < settings->team_count; t++) {
-        snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
-        settings->teams[t].guarantee.gpus = guarantee;
-        settings->teams[t].limit.gpus = from->team_limit;
+    for (uint32_t team = 0; team < settings->team_count; team++) {
+        snprintf(settings->teams[team].name, AMB_NAME_SIZE, "team-%u", team);
+        settings->teams[team].guarantee.gpus = guarantee;
+        settings->teams[team].limit.gpus = from->team_limit;
     }
     if (from->guest) settings->teams[settings->team_count - 1].guarantee.gpus = 0;
 }
--- a/tests/standin/recorder.c
+++ b/tests/standin/recorder.c
@@ -24,9 +24,9 @@
 static void part_form(const char *part, size_t len, char out[TEXT_FORM_MOST]) {
     size_t used = 0;
     for (size_t i = 0; i < len && used + 1 < TEXT_FORM_MOST; i++) {
-        unsigned char c = (unsigned char)part[i];
-        char kind = (char)(isdigit(c) ? '9' : isalpha(c) ? 'a' : c);
-        if (used && out[used - 1] == kind && isalnum(c)) continue;
+        unsigned char byte = (unsigned char)part[i];
+        char kind = (char)(isdigit(byte) ? '9' : isalpha(byte) ? 'a' : byte);
+        if (used && out[used - 1] == kind && isalnum(byte)) continue;
         out[used++] = kind;
     }
     out[used] = 0;
--- a/tests/standin/recovery.c
+++ b/tests/standin/recovery.c
@@ -82,13 +82,13 @@
 }
 
 static void note_window(const struct tally *tally) {
-    struct sim_recovery *r = recovery();
+    struct sim_recovery *recent = recovery();
     double share = tally->wanted ? (double)tally->serving / tally->wanted : 1;
-    double *place = &r->window[r->seconds++ % SIM_WINDOW_S];
-    r->window_sum += share - *place;
+    double *place = &recent->window[recent->seconds++ % SIM_WINDOW_S];
+    recent->window_sum += share - *place;
     *place = share;
-    double mean = r->window_sum / SIM_WINDOW_S;
-    if (r->lost_at && r->seconds > SIM_WINDOW_S && mean < world.result.worst_window)
+    double mean = recent->window_sum / SIM_WINDOW_S;
+    if (recent->lost_at && recent->seconds > SIM_WINDOW_S && mean < world.result.worst_window)
         world.result.worst_window = mean;
 }
 
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -70,15 +70,15 @@
 
 static void parameter(const char *path, const char *name, char *out, size_t cap) {
     out[0] = 0;
-    const char *p = strstr(path, name);
-    if (!p) return;
-    p += strlen(name);
-    size_t n = strcspn(p, "&");
-    snprintf(out, cap, "%.*s", (int)n, p);
+    const char *place = strstr(path, name);
+    if (!place) return;
+    place += strlen(name);
+    size_t length = strcspn(place, "&");
+    snprintf(out, cap, "%.*s", (int)length, place);
 }
 
-static void put_value(struct amb_buf *buffer, const struct amb_buf *v) {
-    amb_buf_append(buffer, v->data, v->len);
+static void put_value(struct amb_buf *buffer, const struct amb_buf *value) {
+    amb_buf_append(buffer, value->data, value->len);
 }
 
 static bool follow_answer(struct sim_call *call, bool even_empty) {
@@ -86,13 +86,13 @@
     parameter(call->path, "prefix=", prefix, sizeof prefix);
     parameter(call->path, "after=", after, sizeof after);
     uint64_t from = strtoull(after, NULL, 10);
-    size_t n = 0;
+    size_t count = 0;
     struct amb_buf buffer = {0}, list = {0};
     int first = world.state.change_count; /* stamps only rise */
     while (first && world.state.changes[first - 1].stamp > from) first--;
     for (int i = first; i < world.state.change_count; i++) {
         if (strncmp(world.state.changes[i].key, prefix, strlen(prefix))) continue;
-        n++;
+        count++;
         bool put = world.state.changes[i].value.len > 0;
         amb_cbor_write_map(&list, put ? 3 : 2);
         amb_cbor_write_string(&list, put ? "put" : "remove");
@@ -104,7 +104,7 @@
         amb_cbor_write_string(&list, "stamp");
         amb_cbor_write_uint(&list, world.state.changes[i].stamp);
     }
-    if (!n && !even_empty) {
+    if (!count && !even_empty) {
         amb_buf_free(&list);
         return false;
     }
@@ -112,7 +112,7 @@
     amb_cbor_write_string(&buffer, "epoch");
     amb_cbor_write_uint(&buffer, world.state.revision);
     amb_cbor_write_string(&buffer, "news");
-    amb_cbor_write_list(&buffer, n);
+    amb_cbor_write_list(&buffer, count);
     amb_buf_append(&buffer, list.data, list.len);
     amb_buf_free(&list);
     sim_call_answer(call, 200, &buffer);
@@ -141,11 +141,11 @@
             follow_answer(&world.calls[i], false);
 }
 
-static void number_answer(struct sim_call *call, int status, const char *name, uint64_t v) {
+static void number_answer(struct sim_call *call, int status, const char *name, uint64_t value) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
     amb_cbor_write_string(&buffer, name);
-    amb_cbor_write_uint(&buffer, v);
+    amb_cbor_write_uint(&buffer, value);
     sim_call_answer(call, status, &buffer);
 }
 
@@ -383,27 +383,27 @@
     cbor_decref(&body);
 }
 
-static int by_key(const void *a, const void *b) {
-    return strcmp(world.state.keys[*(const int *)a].key, world.state.keys[*(const int *)b].key);
+static int by_key(const void *left, const void *right) {
+    return strcmp(world.state.keys[*(const int *)left].key, world.state.keys[*(const int *)right].key);
 }
 
 static void list_keys(struct sim_call *call) {
     char prefix[64], after[SIM_KEY_SIZE];
     parameter(call->path, "prefix=", prefix, sizeof prefix);
     parameter(call->path, "after=", after, sizeof after);
-    int found[SIM_KEYS], n = 0;
+    int found[SIM_KEYS], index = 0;
     int most =
         SIM_CAPACITY > 1 ? 200 : 3; /* small pages, so that paging is met; of a large fleet as asked for */
     for (int i = 0; i < world.state.key_count; i++)
         if (!strncmp(world.state.keys[i].key, prefix, strlen(prefix)) &&
             strcmp(world.state.keys[i].key, after) > 0)
-            found[n++] = i;
-    qsort(found, (size_t)n, sizeof *found, by_key);
+            found[index++] = i;
+    qsort(found, (size_t)index, sizeof *found, by_key);
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 3);
     amb_cbor_write_string(&buffer, "pairs");
-    amb_cbor_write_list(&buffer, (size_t)(n < most ? n : most));
-    for (int i = 0; i < n && i < most; i++) {
+    amb_cbor_write_list(&buffer, (size_t)(index < most ? index : most));
+    for (int i = 0; i < index && i < most; i++) {
         amb_cbor_write_map(&buffer, 3);
         amb_cbor_write_string(&buffer, "path");
         amb_cbor_write_string(&buffer, world.state.keys[found[i]].key);
@@ -413,7 +413,7 @@
         amb_cbor_write_uint(&buffer, world.state.keys[found[i]].stamp);
     }
     amb_cbor_write_string(&buffer, "truncated");
-    amb_cbor_write_bool(&buffer, n > most);
+    amb_cbor_write_bool(&buffer, index > most);
     amb_cbor_write_string(&buffer, "epoch");
     amb_cbor_write_uint(&buffer, world.state.revision);
     sim_call_answer(call, 200, &buffer);
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -124,7 +124,7 @@
 }
 
 void sim_errand(struct sim_job *job, enum sim_request request, int node, amb_ms delay) {
-    for (int n = 0; n < SIM_ERRANDS; n++) {
+    for (int index = 0; index < SIM_ERRANDS; index++) {
         world.last_errand = (world.last_errand + 1) % SIM_ERRANDS;
         struct sim_errand *errand = &world.errands[world.last_errand];
         if (errand->timer.position) continue;
--- a/tests/standin/zone_days.c
+++ b/tests/standin/zone_days.c
@@ -47,15 +47,15 @@
     {"machine seconds", 20000, 2000},
 };
 
-static double value_of(enum figure figure, const struct sim_result *r) {
+static double value_of(enum figure figure, const struct sim_result *result) {
     switch (figure) {
-    case ASSISTANT_S: return (double)r->served_after[SIM_ASSISTANT] / 1000;
-    case DRAFTS_S: return (double)r->served_after[SIM_DRAFTS] / 1000;
-    case WORST_WINDOW: return r->worst_window;
-    case KILLED: return r->killed;
-    case KILLED_BATCH: return r->killed_batch;
-    case STARTS: return r->starts;
-    case MACHINE_S: return r->machine_seconds;
+    case ASSISTANT_S: return (double)result->served_after[SIM_ASSISTANT] / 1000;
+    case DRAFTS_S: return (double)result->served_after[SIM_DRAFTS] / 1000;
+    case WORST_WINDOW: return result->worst_window;
+    case KILLED: return result->killed;
+    case KILLED_BATCH: return result->killed_batch;
+    case STARTS: return result->starts;
+    case MACHINE_S: return result->machine_seconds;
     case FIGURES: break;
     }
     return 0;
@@ -64,12 +64,12 @@
 static void play(const struct scenario *scenario, uint64_t seed, bool recovery, gsl_histogram **side) {
     unsigned load = SIM_LOAD_ZONAL | (recovery ? SIM_LOAD_ZONE_RECOVERY : 0);
     const struct sim_plan plan = {&sim_zonal, seed, DAY_MS, load, scenario->faults, scenario->count};
-    struct sim_result r = sim_play_until_done(&plan, OVERTIME_MS);
-    if (r.broken[0])
+    struct sim_result result = sim_play_until_done(&plan, OVERTIME_MS);
+    if (result.broken[0])
         printf("%s, seed %llu, %s: %s\n", scenario->name, (unsigned long long)seed,
-               recovery ? "with" : "without", r.broken);
+               recovery ? "with" : "without", result.broken);
     for (int figure = 0; figure < FIGURES; figure++)
-        gsl_histogram_increment(side[figure], value_of((enum figure)figure, &r));
+        gsl_histogram_increment(side[figure], value_of((enum figure)figure, &result));
 }
 
 static void print(const struct scenario *scenario, gsl_histogram *sides[SIDES][FIGURES]) {
--- a/tests/support/day_table.h
+++ b/tests/support/day_table.h
@@ -17,9 +17,9 @@
 };
 
 static inline size_t fault_count(const struct day *day) {
-    size_t n = 0;
-    while (n < FAULTS && day->faults[n].at) n++;
-    return n;
+    size_t count = 0;
+    while (count < FAULTS && day->faults[count].at) count++;
+    return count;
 }
 
 static inline void play_seeds(const struct day *day, uint64_t first, uint64_t last) {
@@ -31,12 +31,13 @@
                                       .load = day->load,
                                       .faults = day->faults,
                                       .fault_count = fault_count(day)};
-        struct sim_result r = sim_play(&plan);
-        if (r.broken[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, r.broken);
-        if (r.accepted < 12 || r.done < 3 || r.starts < 10 || r.open)
+        struct sim_result result = sim_play(&plan);
+        if (result.broken[0])
+            fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.broken);
+        if (result.accepted < 12 || result.done < 3 || result.starts < 10 || result.open)
             fail_msg("%s, seed %llu: %u accepted, %u done, %u starts, %u left open", day->what,
-                     (unsigned long long)seed, r.accepted, r.done, r.starts, r.open);
-        cancelled += r.cancelled;
+                     (unsigned long long)seed, result.accepted, result.done, result.starts, result.open);
+        cancelled += result.cancelled;
     }
     if (cancelled < day->cancelled) fail_msg("%s: only %u cancellations", day->what, cancelled);
 }
