--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -1,5 +1,5 @@
 /* What grows with the fleet has a bound that holds for thousands of machines, and nothing is lost at it
- * (docs/limits.md). */
+ * (docs/operators/limits.md). */
 #include "amberpin/fleet/agent_commands.h"
 #include "amberpin/node/fleet_capacity.h"
 #include "check.h"
--- a/tests/scenarios/test_meetings_fleet.c
+++ b/tests/scenarios/test_meetings_fleet.c
@@ -1,4 +1,4 @@
-/* Meetings of two troubles about machines, reports and what may start (docs/meetings.md), a function for each
+/* Meetings of two troubles about machines, reports and what may start (docs/design/fault-combinations.md), a function for each
  * row there. Every rule must hold at every moment, and once the troubles are over nothing is left undone. */
 #include "check.h"
 #include "named_tests.h"
--- a/tests/scenarios/test_meetings_leader.c
+++ b/tests/scenarios/test_meetings_leader.c
@@ -1,4 +1,4 @@
-/* Whole days against the stand-in, one test for each meeting of docs/meetings.md that tries who leads and
+/* Whole days against the stand-in, one test for each meeting of docs/design/fault-combinations.md that tries who leads and
  * what a leader without news does. Every rule must hold at every moment, what was accepted must get done, and
  * the day must have brought the meeting about: as many cancellations as the table says, at least. */
 #include "check.h"
--- a/tests/scenarios/test_meetings_users.c
+++ b/tests/scenarios/test_meetings_users.c
@@ -1,4 +1,4 @@
-/* Meetings of troubles (docs/meetings.md) that show in what users are told: whole days of the stand-in, which
+/* Meetings of troubles (docs/design/fault-combinations.md) that show in what users are told: whole days of the stand-in, which
  * checks at every answer that no node says something older than any node had said when the question was sent.
  */
 #include "check.h"
--- a/tests/test_tracepoints.sh
+++ b/tests/test_tracepoints.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The tracepoints of docs/tracing.md and those of the program are the same: test_tracepoints.sh PROGRAM
+# The tracepoints of docs/operators/tracing.md and those of the program are the same: test_tracepoints.sh PROGRAM
 set -euo pipefail
 cd "$(dirname "$0")/.."
-documented=$(sed -n 's/^| `amberpin:\([a-z_]*\)`.*/\1/p' docs/tracing.md | sort)
+documented=$(sed -n 's/^| `amberpin:\([a-z_]*\)`.*/\1/p' docs/operators/tracing.md | sort)
 built=$(readelf -n "$1" | awk '$1 == "Provider:" { ours = $2 == "amberpin" } $1 == "Name:" && ours { print $2 }' | sort -u)
 if [[ -z $documented || $documented != "$built" ]]; then
     echo "documented: ${documented//$'\n'/ }; built: ${built//$'\n'/ }" >&2
