--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -15,8 +15,8 @@
     struct world_pages jobs = world_job_pages(size);
     world_apply_jobs(node, &jobs);
     world_pages_free(&jobs);
-    node->election.role = AMB_ROLE_FOLLOWING;
-    node->election.highest = WORLD_TERM;
+    node->election.role = AMB_ROLE_FOLLOWER;
+    node->election.highest_term = WORLD_TERM;
     node->jobs.loaded = true;
     return node;
 }
@@ -26,7 +26,7 @@
 }
 
 static void build(void *input) {
-    free(amb_peer_say(input));
+    free(amb_peer_encode_heartbeat(input));
 }
 
 static void finish(void *input) {
@@ -46,9 +46,9 @@
 static struct receiving *receiver(const struct world_size *size, struct amb_node *sender) {
     struct receiving *r = amb_alloc(sizeof *r);
     r->node = follower(size, 2);
-    amb_peer_init(r->node);
+    amb_peer_start(r->node);
     r->server = world_last_server();
-    for (int i = 0; i < MESSAGES; i++) r->messages[i] = amb_peer_say(sender);
+    for (int i = 0; i < MESSAGES; i++) r->messages[i] = amb_peer_encode_heartbeat(sender);
     world_free(sender);
     return r;
 }
@@ -86,14 +86,14 @@
     uint64_t newest = 0;
     a->node = follower(size, 1);
     for (const struct amb_job *job = a->node->jobs.all; job; job = job->hh.next)
-        if (job->cancel_stamp > newest) newest = job->cancel_stamp;
+        if (job->cancel_revision > newest) newest = job->cancel_revision;
     a->question = json_pack("{s:I}", "epoch", (json_int_t)newest - 1);
     return a;
 }
 
 static void answer(void *input) {
     struct asking *a = input;
-    json_decref(amb_peer_answer(a->node, a->question));
+    json_decref(amb_peer_encode_reply(a->node, a->question));
 }
 
 static void finish_asking(void *input) {
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -10,7 +10,7 @@
 
 struct submitting {
     struct amb_node *node;
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     uint32_t count;
 };
 
@@ -20,24 +20,24 @@
     s->node = world_node(size, 1);
     world_apply_jobs(s->node, &jobs);
     world_pages_free(&jobs);
-    s->node->election.role = AMB_ROLE_FOLLOWING;
-    s->node->election.highest = WORLD_TERM;
+    s->node->election.role = AMB_ROLE_FOLLOWER;
+    s->node->election.highest_term = WORLD_TERM;
     s->node->jobs.loaded = true;
-    s->node->set.memory_mb = 4096; /* each run adds a job */
+    s->node->settings.memory_mb = 4096; /* each run adds a job */
     world_spec(&s->spec, size, 0);
     return s;
 }
 
 static void fill_budgets(struct amb_store *store) {
-    store->requests.tokens = store->requests.rate;
-    store->user_writes.tokens = store->user_writes.rate;
+    store->request_bucket.tokens = store->request_bucket.tokens_per_second;
+    store->user_write_bucket.tokens = store->user_write_bucket.tokens_per_second;
 }
 
 static void answer_commit(uint64_t epoch) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "epoch");
-    amb_w_uint(&body, epoch);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "epoch");
+    amb_cbor_write_uint(&body, epoch);
     struct world_call call = world_last_call();
     call.done(call.arg, 200, body.data, body.len);
     amb_buf_free(&body);
@@ -48,8 +48,8 @@
     struct amb_buf body = {0};
     fill_budgets(&s->node->store);
     snprintf(s->spec.ref, sizeof s->spec.ref, "wk-new-%u", s->count++);
-    amb_codec_put_spec(&body, &s->spec);
-    amb_user_request(s->node, world_request("POST", "/v1/jobs", body.data, body.len));
+    amb_codec_encode_spec(&body, &s->spec);
+    amb_api_handle_request(s->node, world_request("POST", "/v1/jobs", body.data, body.len));
     answer_commit(1000000 + s->count);
     amb_buf_free(&body);
 }
--- a/bench/case_tick.c
+++ b/bench/case_tick.c
@@ -16,9 +16,9 @@
 
 static void *leader_with_zone_recovery(const struct world_size *size) {
     struct amb_node *node = world_leader(size);
-    node->opt.zone_recovery = 1;
+    node->options.zone_recovery = 1;
     amb_zone_recovery_init(node);
-    node->ctl.leading_since = 0; /* long enough to judge */
+    node->controller.leader_since = 0; /* long enough to judge */
     return node;
 }
 
@@ -27,7 +27,7 @@
 }
 
 static void pump_records(void *input) {
-    amb_record_pump(input);
+    amb_placement_log_flush(input);
 }
 
 static const struct bench_case cases[] = {
--- a/bench/world.c
+++ b/bench/world.c
@@ -48,32 +48,34 @@
 static int last_status;
 
 /* The linker puts these in the place of the library's own (--wrap). */
-struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                          amb_http_handler fn, void *arg);
-void __wrap_amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body,
+struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
+                                               amb_http_handler fn, void *arg);
+void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s);
-struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
-                                      const char *type, const void *body, size_t len, amb_ms timeout,
-                                      amb_http_done fn, void *arg);
+struct amb_http_client_connection *__wrap_amb_http_call(const char *addr, const char *method,
+                                                        const char *path, const char *type, const void *body,
+                                                        size_t len, amb_ms timeout, amb_http_done fn,
+                                                        void *arg);
 
-struct amb_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
-                                          amb_http_handler fn, void *arg) {
+struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
+                                               amb_http_handler fn, void *arg) {
     (void)addr, (void)max, (void)body_max, (void)idle_ms;
     last_server = (struct world_server){fn, arg};
-    return (struct amb_server *)&last_server;
+    return (struct amb_http_server *)&last_server;
 }
 
-void __wrap_amb_http_reply(struct amb_http_req *req, int status, const char *type, const void *body,
+void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
                            size_t len, int retry_after_s) {
     (void)type, (void)body, (void)len, (void)retry_after_s;
     last_status = status;
-    free(req->body);
-    free(req);
+    free(request->body);
+    free(request);
 }
 
-struct amb_call *__wrap_amb_http_call(const char *addr, const char *method, const char *path,
-                                      const char *type, const void *body, size_t len, amb_ms timeout,
-                                      amb_http_done fn, void *arg) {
+struct amb_http_client_connection *__wrap_amb_http_call(const char *addr, const char *method,
+                                                        const char *path, const char *type, const void *body,
+                                                        size_t len, amb_ms timeout, amb_http_done fn,
+                                                        void *arg) {
     (void)addr, (void)method, (void)path, (void)type, (void)body, (void)len, (void)timeout;
     last_call = (struct world_call){fn, arg};
     return NULL;
@@ -92,14 +94,14 @@
 }
 
 struct amb_http_req *world_request(const char *method, const char *path, const void *body, size_t len) {
-    struct amb_http_req *req = amb_alloc(sizeof *req);
-    req->conn = (struct amb_conn *)&last_server; /* somebody waits for the answer */
-    strcpy(req->method, method);
-    strcpy(req->path, path);
-    req->body = amb_alloc(len + 1);
-    memcpy(req->body, body, len);
-    req->body_len = len;
-    return req;
+    struct amb_http_req *request = amb_alloc(sizeof *request);
+    request->connection = (struct amb_http_connection *)&last_server; /* somebody waits for the answer */
+    strcpy(request->method, method);
+    strcpy(request->path, path);
+    request->body = amb_alloc(len + 1);
+    memcpy(request->body, body, len);
+    request->body_len = len;
+    return request;
 }
 
 /* ---- names and specifications ---- */
@@ -117,8 +119,8 @@
     return job >= job_count(size) - size->cancelled_jobs;
 }
 
-void world_spec(struct amb_spec *spec, const struct world_size *size, uint32_t job) {
-    static const enum amb_kind kinds[] = {AMB_ARRAY, AMB_GANG, AMB_SERVICE};
+void world_spec(struct amb_job_spec *spec, const struct world_size *size, uint32_t job) {
+    static const enum amb_job_kind kinds[] = {AMB_JOB_KIND_ARRAY, AMB_JOB_KIND_GANG, AMB_JOB_KIND_SERVICE};
     memset(spec, 0, sizeof *spec);
     snprintf(spec->ref, sizeof spec->ref, "wk-%06u", job);
     spec->kind = kinds[job % 3];
@@ -126,20 +128,20 @@
     snprintf(spec->team, sizeof spec->team, "team-%u", job / 3 % 2);
     snprintf(spec->image, sizeof spec->image, "img-%02u", job % size->images);
     spec->image_gb = 10;
-    spec->priority = spec->kind == AMB_SERVICE ? AMB_PROD : AMB_NORMAL;
-    spec->tasks = size->tasks_per_job;
-    spec->each = (struct amb_res){8, 1, 40};
-    spec->estimate_s = spec->kind == AMB_SERVICE ? 0 : 120;
-    spec->checkpoint_s = spec->kind == AMB_SERVICE ? 0 : 30;
-    spec->save_s = 4;
-    spec->spread = spec->kind == AMB_SERVICE;
-    spec->spot = spec->kind != AMB_SERVICE;
-    spec->ntypes = 1;
-    strcpy(spec->types[0], "g8");
+    spec->priority = spec->kind == AMB_JOB_KIND_SERVICE ? AMB_PRIORITY_PRODUCTION : AMB_PRIORITY_NORMAL;
+    spec->task_count = size->tasks_per_job;
+    spec->task_resources = (struct amb_resources){8, 1, 40};
+    spec->estimated_runtime_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : 120;
+    spec->checkpoint_interval_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : 30;
+    spec->checkpoint_save_s = 4;
+    spec->spread_zones = spec->kind == AMB_JOB_KIND_SERVICE;
+    spec->spot_allowed = spec->kind != AMB_JOB_KIND_SERVICE;
+    spec->allowed_type_count = 1;
+    strcpy(spec->allowed_types[0], "g8");
 }
 
-static void machine_name(char out[AMB_NAME], uint32_t machine) {
-    snprintf(out, AMB_NAME, "m-%06u", machine);
+static void machine_name(char out[AMB_NAME_SIZE], uint32_t machine) {
+    snprintf(out, AMB_NAME_SIZE, "m-%06u", machine);
 }
 
 /* Task by task around the machines, so that tasks of a job lie on many. */
@@ -154,68 +156,68 @@
 /* ---- records ---- */
 
 static void put_job_value(struct amb_buf *out, const struct world_size *size, uint32_t job) {
-    struct amb_spec spec;
+    struct amb_job_spec spec;
     world_spec(&spec, size, job);
     if (is_finished(size, job)) {
-        amb_w_map(out, 2);
-        amb_w_str(out, "s");
-        amb_w_str(out, "done");
-        amb_w_str(out, "n");
-        amb_w_uint(out, spec.tasks);
+        amb_cbor_write_map(out, 2);
+        amb_cbor_write_string(out, "s");
+        amb_cbor_write_string(out, "done");
+        amb_cbor_write_string(out, "n");
+        amb_cbor_write_uint(out, spec.task_count);
         return;
     }
     bool cancelled = is_cancelled(size, job);
-    amb_w_map(out, cancelled ? 4 : 3);
-    amb_w_str(out, "s");
-    amb_w_str(out, cancelled ? "cancelled" : "queued");
+    amb_cbor_write_map(out, cancelled ? 4 : 3);
+    amb_cbor_write_string(out, "s");
+    amb_cbor_write_string(out, cancelled ? "cancelled" : "queued");
     if (cancelled) {
-        amb_w_str(out, "c");
-        amb_w_uint(out, (uint64_t)START_WALL_MS - 20000);
+        amb_cbor_write_string(out, "c");
+        amb_cbor_write_uint(out, (uint64_t)START_WALL_MS - 20000);
     }
-    amb_w_str(out, "a");
-    amb_w_uint(out, (uint64_t)START_WALL_MS - 60000);
-    amb_w_str(out, "d");
-    amb_codec_put_spec(out, &spec);
+    amb_cbor_write_string(out, "a");
+    amb_cbor_write_uint(out, (uint64_t)START_WALL_MS - 60000);
+    amb_cbor_write_string(out, "d");
+    amb_codec_encode_spec(out, &spec);
 }
 
 static void put_placement_value(struct amb_buf *out, const struct world_size *size, uint32_t job) {
     struct amb_buf placed = {0};
     for (uint32_t task = 0; task < size->tasks_per_job; task++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         uint32_t machine = machine_of(size, job, task);
         machine_name(name, machine);
-        amb_buf_fmt(&placed, "%u,%u,%s,0,%u,0;", task, 1, name, machine % 2);
+        amb_buf_append_format(&placed, "%u,%u,%s,0,%u,0;", task, 1, name, machine % 2);
     }
-    amb_w_map(out, 7);
-    amb_w_str(out, "at");
-    amb_w_uint(out, (uint64_t)START_WALL_MS - 30000);
-    amb_w_str(out, "w");
-    amb_w_str(out, "41-1");
-    amb_w_str(out, "n");
-    amb_w_uint(out, 2);
-    amb_w_str(out, "p");
-    amb_w_strn(out, placed.data, placed.len);
-    amb_w_str(out, "d");
-    amb_w_str(out, "");
-    amb_w_str(out, "t");
-    amb_w_list(out, 1);
-    amb_w_str(out, "g8");
-    amb_w_str(out, "z");
-    amb_w_list(out, 2);
-    amb_w_str(out, "a");
-    amb_w_str(out, "b");
+    amb_cbor_write_map(out, 7);
+    amb_cbor_write_string(out, "at");
+    amb_cbor_write_uint(out, (uint64_t)START_WALL_MS - 30000);
+    amb_cbor_write_string(out, "w");
+    amb_cbor_write_string(out, "41-1");
+    amb_cbor_write_string(out, "n");
+    amb_cbor_write_uint(out, 2);
+    amb_cbor_write_string(out, "p");
+    amb_cbor_write_text(out, placed.data, placed.len);
+    amb_cbor_write_string(out, "d");
+    amb_cbor_write_string(out, "");
+    amb_cbor_write_string(out, "t");
+    amb_cbor_write_list(out, 1);
+    amb_cbor_write_string(out, "g8");
+    amb_cbor_write_string(out, "z");
+    amb_cbor_write_list(out, 2);
+    amb_cbor_write_string(out, "a");
+    amb_cbor_write_string(out, "b");
     amb_buf_free(&placed);
 }
 
 static void put_entry(struct amb_buf *out, const struct world_size *size, uint32_t job, bool placement) {
-    char key[AMB_NAME + 16];
+    char key[AMB_NAME_SIZE + 16];
     snprintf(key, sizeof key, placement ? "b/p/wk-%06u/00000" : "a/job/wk-%06u", job);
-    amb_w_map(out, 3);
-    amb_w_str(out, "path");
-    amb_w_str(out, key);
-    amb_w_str(out, "stamp");
-    amb_w_uint(out, 100 + job);
-    amb_w_str(out, "value");
+    amb_cbor_write_map(out, 3);
+    amb_cbor_write_string(out, "path");
+    amb_cbor_write_string(out, key);
+    amb_cbor_write_string(out, "stamp");
+    amb_cbor_write_uint(out, 100 + job);
+    amb_cbor_write_string(out, "value");
     if (placement)
         put_placement_value(out, size, job);
     else
@@ -230,13 +232,13 @@
         struct amb_buf *page = &result.pages[job / PAGE_ENTRIES];
         uint32_t left = jobs - job;
         if (job % PAGE_ENTRIES == 0) {
-            amb_w_map(page, 3);
-            amb_w_str(page, "epoch");
-            amb_w_uint(page, 100 + jobs);
-            amb_w_str(page, "truncated");
-            amb_w_bool(page, left > PAGE_ENTRIES);
-            amb_w_str(page, "pairs");
-            amb_w_list(page, left < PAGE_ENTRIES ? left : PAGE_ENTRIES);
+            amb_cbor_write_map(page, 3);
+            amb_cbor_write_string(page, "epoch");
+            amb_cbor_write_uint(page, 100 + jobs);
+            amb_cbor_write_string(page, "truncated");
+            amb_cbor_write_bool(page, left > PAGE_ENTRIES);
+            amb_cbor_write_string(page, "pairs");
+            amb_cbor_write_list(page, left < PAGE_ENTRIES ? left : PAGE_ENTRIES);
         }
         put_entry(page, size, job, placements);
     }
@@ -261,17 +263,18 @@
 
 static void apply_page(struct amb_node *node, const struct amb_buf *page, bool placements) {
     cbor_item_t *body = amb_cbor_parse(page->data, page->len);
-    const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
-    for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
-        const cbor_item_t *pair = amb_cbor_at(pairs, i);
+    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
+    for (size_t i = 0; i < amb_cbor_list_length(pairs); i++) {
+        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
         char key[256];
         uint64_t stamp = 0;
-        amb_cbor_str(amb_cbor_get(pair, "path"), key, sizeof key);
-        amb_cbor_uint(amb_cbor_get(pair, "stamp"), &stamp);
+        amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), key, sizeof key);
+        amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &stamp);
         if (placements)
-            amb_record_load(node, key, amb_cbor_get(pair, "value"), stamp);
+            amb_placement_log_restore(node, key, amb_cbor_map_get(pair, "value"), stamp);
         else
-            amb_jobs_apply(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_get(pair, "value"), stamp);
+            amb_jobs_apply_item(node, key + sizeof JOB_KEY_PREFIX - 1, amb_cbor_map_get(pair, "value"),
+                                stamp);
     }
     cbor_decref(&body);
 }
@@ -294,122 +297,123 @@
 static void put_long_uint(struct amb_buf *out, uint64_t value) { /* always nine bytes, so it can be changed */
     unsigned char bytes[9] = {0x1b};
     for (int i = 0; i < 8; i++) bytes[1 + i] = (unsigned char)(value >> (56 - 8 * i));
-    amb_buf_add(out, bytes, sizeof bytes);
+    amb_buf_append(out, bytes, sizeof bytes);
 }
 
 void world_put_report(struct amb_buf *body, const struct world_size *size, uint32_t machine, uint64_t seq,
                       size_t *seq_at) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     machine_name(name, machine);
-    amb_w_map(body, 10);
-    amb_w_str(body, "rig");
-    amb_w_str(body, name);
-    amb_w_str(body, "address");
-    amb_w_str(body, "127.0.0.1:1");
-    amb_w_str(body, "hull");
-    amb_w_str(body, "g8");
-    amb_w_str(body, "yard");
-    amb_w_str(body, zone_of(machine));
-    amb_w_str(body, "driftwood");
-    amb_w_bool(body, false);
-    amb_w_str(body, "watch");
-    amb_w_uint(body, 1);
-    amb_w_str(body, "tally");
+    amb_cbor_write_map(body, 10);
+    amb_cbor_write_string(body, "rig");
+    amb_cbor_write_string(body, name);
+    amb_cbor_write_string(body, "address");
+    amb_cbor_write_string(body, "127.0.0.1:1");
+    amb_cbor_write_string(body, "hull");
+    amb_cbor_write_string(body, "g8");
+    amb_cbor_write_string(body, "yard");
+    amb_cbor_write_string(body, zone_of(machine));
+    amb_cbor_write_string(body, "driftwood");
+    amb_cbor_write_bool(body, false);
+    amb_cbor_write_string(body, "watch");
+    amb_cbor_write_uint(body, 1);
+    amb_cbor_write_string(body, "tally");
     if (seq_at) *seq_at = body->len + 1;
     put_long_uint(body, seq);
-    amb_w_str(body, "baton");
-    amb_w_uint(body, WORLD_TERM);
-    amb_w_str(body, "recall_s");
-    amb_w_null(body);
-    amb_w_str(body, "legs");
-    amb_w_list(body, tasks_on(size, machine));
+    amb_cbor_write_string(body, "baton");
+    amb_cbor_write_uint(body, WORLD_TERM);
+    amb_cbor_write_string(body, "recall_s");
+    amb_cbor_write_null(body);
+    amb_cbor_write_string(body, "legs");
+    amb_cbor_write_list(body, tasks_on(size, machine));
     for (uint32_t i = machine; i < size->running_jobs * size->tasks_per_job; i += size->machines) {
-        char task[AMB_NAME];
+        char task[AMB_NAME_SIZE];
         snprintf(task, sizeof task, "wk-%06u/%u", i / size->tasks_per_job, i % size->tasks_per_job);
-        amb_w_map(body, 3);
-        amb_w_str(body, "leg");
-        amb_w_str(body, task);
-        amb_w_str(body, "try");
-        amb_w_uint(body, 1);
-        amb_w_str(body, "stance");
-        amb_w_str(body, "running");
+        amb_cbor_write_map(body, 3);
+        amb_cbor_write_string(body, "leg");
+        amb_cbor_write_string(body, task);
+        amb_cbor_write_string(body, "try");
+        amb_cbor_write_uint(body, 1);
+        amb_cbor_write_string(body, "stance");
+        amb_cbor_write_string(body, "running");
     }
 }
 
 /* ---- nodes ---- */
 
-static void put_settings(struct amb_settings *set, const struct world_size *size, uint32_t member) {
-    snprintf(set->member, sizeof set->member, "n%u", member);
-    strcpy(set->zone, "a");
-    strcpy(set->state, "127.0.0.1:1");
-    strcpy(set->cloud, "127.0.0.1:2");
+static void put_settings(struct amb_settings *settings, const struct world_size *size, uint32_t member) {
+    snprintf(settings->member, sizeof settings->member, "n%u", member);
+    strcpy(settings->zone, "a");
+    strcpy(settings->store_addr, "127.0.0.1:1");
+    strcpy(settings->cloud_addr, "127.0.0.1:2");
     for (uint32_t i = 0; i < size->nodes; i++) {
         if (i == member) continue;
-        struct amb_peer_addr *peer = &set->peers[set->npeers++];
+        struct amb_peer_address *peer = &settings->peers[settings->peer_count++];
         snprintf(peer->member, sizeof peer->member, "n%u", i);
         snprintf(peer->addr, sizeof peer->addr, "127.0.0.1:%u", 100 + i);
     }
-    set->nteams = 2;
-    for (uint32_t t = 0; t < set->nteams; t++) {
-        snprintf(set->teams[t].name, AMB_NAME, "team-%u", t);
-        set->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
-        set->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
+    settings->team_count = 2;
+    for (uint32_t t = 0; t < settings->team_count; t++) {
+        snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
+        settings->teams[t].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
+        settings->teams[t].limit.gpus = size->machines * GPUS_PER_MACHINE;
     }
-    set->report_s = size->report_s;
-    set->lease_s = size->lease_s;
-    set->cancel_s = size->cancel_s;
-    set->gang_wait_s = 20;
-    set->gang_peer_s = 5;
-    set->state_rps = REQUESTS_PER_S;
-    set->state_write_rps = WRITES_PER_S;
-    set->value_kb = VALUE_KB;
-    set->txn_ops = 8;
-    set->cloud_rps = CLOUD_CALLS_PER_S;
-    set->list_lag_s = 5;
-    set->cores = 0.1;
-    set->memory_mb = 40;
-    set->fd_limit = 500;
+    settings->heartbeat_s = size->report_s;
+    settings->agent_lease_s = size->lease_s;
+    settings->cancel_s = size->cancel_s;
+    settings->gang_wait_s = 20;
+    settings->gang_peer_s = 5;
+    settings->store_rps = REQUESTS_PER_S;
+    settings->store_write_rps = WRITES_PER_S;
+    settings->value_kb = VALUE_KB;
+    settings->txn_ops = 8;
+    settings->cloud_rps = CLOUD_CALLS_PER_S;
+    settings->list_lag_s = 5;
+    settings->cores = 0.1;
+    settings->memory_mb = 40;
+    settings->fd_limit = 500;
 }
 
 static void put_catalog(struct amb_catalog *catalog) {
-    struct amb_type *type = &catalog->types[0];
-    catalog->ntypes = 1;
+    struct amb_machine_type *type = &catalog->types[0];
+    catalog->type_count = 1;
     strcpy(type->name, "g8");
-    type->size = (struct amb_res){96, GPUS_PER_MACHINE, 576};
-    type->cache_gb = 200;
-    type->fetch_gb_s = 5;
-    type->price = 12;
-    type->spot_price = 4.5;
+    type->resources = (struct amb_resources){96, GPUS_PER_MACHINE, 576};
+    type->image_cache_gb = 200;
+    type->image_fetch_gb_per_s = 5;
+    type->hourly_price = 12;
+    type->hourly_spot_price = 4.5;
     type->boot_s = 50;
-    type->nzones = 2;
+    type->zone_count = 2;
     strcpy(type->zones[0], "a");
     strcpy(type->zones[1], "b");
-    amb_catalog_zone(catalog, "a");
-    amb_catalog_zone(catalog, "b");
+    amb_catalog_find_or_add_zone(catalog, "a");
+    amb_catalog_find_or_add_zone(catalog, "b");
 }
 
 struct amb_node *world_node(const struct world_size *size, uint32_t member) {
     struct amb_node *node = bare_node_new();
-    put_settings(&node->set, size, member);
+    put_settings(&node->settings, size, member);
     put_catalog(&node->catalog);
-    node->rental.catalog_known = true;
-    node->ctl.turn_s = amb_settings_beat(&node->set);
-    amb_store_init(&node->store, &node->set, 1000);
+    node->cloud.catalog_known = true;
+    node->controller.tick_interval_s = amb_settings_cycle_s(&node->settings);
+    amb_store_init(&node->store, &node->settings, 1000);
     return node;
 }
 
 void world_make_leader(struct amb_node *node) {
-    node->election.role = AMB_ROLE_LEADING;
-    node->election.term = node->election.highest = WORLD_TERM;
+    node->election.role = AMB_ROLE_LEADER;
+    node->election.term = node->election.highest_term = WORLD_TERM;
     node->election.ttl = node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
-    amb_controller_lead(node);
+    amb_controller_start_leading(node);
 }
 
 /* As after a heartbeat that told all other nodes. */
 static void forget_changes(struct amb_node *node) {
-    for (struct amb_job *job = node->jobs.live; job; job = job->next_live) job->shown_changed = false;
-    for (struct amb_machine *m = node->fleet.all; m; m = m->hh.next) m->images_changed = false;
+    for (struct amb_job *job = node->jobs.active; job; job = job->next_active) job->progress_changed = false;
+    for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
+        machine->images_changed = false;
 }
 
 struct amb_node *world_leader(const struct world_size *size) {
@@ -420,16 +424,16 @@
     world_apply_placements(node, &placements);
     struct amb_job *job, *next;
     HASH_ITER(hh, node->jobs.all, job, next) {
-        if (job->state == AMB_JOB_QUEUED) amb_job_take(node, job);
+        if (job->state == AMB_JOB_QUEUED) amb_job_activate(node, job);
     }
     node->jobs.loaded = true;
-    node->ctl.loading = false;
-    node->ctl.loaded_at = amb_now();
-    node->ctl.ready = true;
+    node->controller.restoring = false;
+    node->controller.restored_at = amb_now();
+    node->controller.ready = true;
     for (uint32_t machine = 0; machine < size->machines; machine++) {
         struct amb_buf body = {0};
         world_put_report(&body, size, machine, 1, NULL);
-        amb_fleet_request(node, world_request("POST", "/hello", body.data, body.len));
+        amb_agent_handle_request(node, world_request("POST", "/hello", body.data, body.len));
         amb_buf_free(&body);
     }
     world_pages_free(&jobs);
@@ -439,6 +443,6 @@
 }
 
 void world_free(struct amb_node *node) {
-    amb_controller_stop(node, "the benchmark is over");
+    amb_controller_stop_leading(node, "the benchmark is over");
     bare_node_free(node);
 }
--- a/lib/base/util.c
+++ b/lib/base/util.c
@@ -5,57 +5,57 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void *checked(void *p) {
-    if (!p) {
+static void *abort_if_null(void *memory) {
+    if (!memory) {
         fputs("amberpin: out of memory\n", stderr);
         abort();
     }
-    return p;
+    return memory;
 }
 
-void *amb_alloc(size_t n) {
-    return checked(calloc(1, n ? n : 1));
+void *amb_alloc(size_t size) {
+    return abort_if_null(calloc(1, size ? size : 1));
 }
 
-void *amb_grow(void *p, size_t n) {
-    return checked(realloc(p, n ? n : 1));
+void *amb_realloc(void *memory, size_t size) {
+    return abort_if_null(realloc(memory, size ? size : 1));
 }
 
-void amb_buf_add(struct amb_buf *b, const void *p, size_t n) {
-    if (b->len + n + 1 > b->cap) {
-        size_t cap = b->cap ? b->cap : 256;
-        while (cap < b->len + n + 1) cap *= 2;
-        b->data = amb_grow(b->data, cap);
-        b->cap = cap;
+void amb_buf_append(struct amb_buf *buffer, const void *data, size_t len) {
+    if (buffer->len + len + 1 > buffer->cap) {
+        size_t cap = buffer->cap ? buffer->cap : 256;
+        while (cap < buffer->len + len + 1) cap *= 2;
+        buffer->data = amb_realloc(buffer->data, cap);
+        buffer->cap = cap;
     }
-    if (n) memcpy(b->data + b->len, p, n);
-    b->len += n;
-    b->data[b->len] = 0;
+    if (len) memcpy(buffer->data + buffer->len, data, len);
+    buffer->len += len;
+    buffer->data[buffer->len] = 0;
 }
 
-void amb_buf_str(struct amb_buf *b, const char *s) {
-    amb_buf_add(b, s, strlen(s));
+void amb_buf_append_text(struct amb_buf *buffer, const char *text) {
+    amb_buf_append(buffer, text, strlen(text));
 }
 
-void amb_buf_fmt(struct amb_buf *b, const char *fmt, ...) {
-    char tmp[512];
-    va_list ap;
-    va_start(ap, fmt);
-    int n = vsnprintf(tmp, sizeof tmp, fmt, ap);
-    va_end(ap);
-    if (n > 0) amb_buf_add(b, tmp, (size_t)n < sizeof tmp ? (size_t)n : sizeof tmp - 1);
+void amb_buf_append_format(struct amb_buf *buffer, const char *format, ...) {
+    char text[512];
+    va_list arguments;
+    va_start(arguments, format);
+    int len = vsnprintf(text, sizeof text, format, arguments);
+    va_end(arguments);
+    if (len > 0) amb_buf_append(buffer, text, (size_t)len < sizeof text ? (size_t)len : sizeof text - 1);
 }
 
-void amb_buf_drop(struct amb_buf *b, size_t n) {
-    if (n >= b->len) {
-        b->len = 0;
+void amb_buf_drop_front(struct amb_buf *buffer, size_t len) {
+    if (len >= buffer->len) {
+        buffer->len = 0;
         return;
     }
-    memmove(b->data, b->data + n, b->len - n);
-    b->len -= n;
+    memmove(buffer->data, buffer->data + len, buffer->len - len);
+    buffer->len -= len;
 }
 
-void amb_buf_free(struct amb_buf *b) {
-    free(b->data);
-    memset(b, 0, sizeof *b);
+void amb_buf_free(struct amb_buf *buffer) {
+    free(buffer->data);
+    memset(buffer, 0, sizeof *buffer);
 }
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -11,263 +11,279 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void run_round(void *arg) {
-    struct amb_node *n = arg;
-    struct amb_controller *c = &n->ctl;
-    if (!c->ready || !amb_may_start(n) || !n->rental.catalog_known) return;
+static void run_cycle(void *context) {
+    struct amb_node *node = context;
+    struct amb_controller *controller = &node->controller;
+    if (!controller->ready || !amb_election_may_act(node) || !node->cloud.catalog_known) return;
     amb_ms now = amb_now();
-    amb_wdrr_refill(n->set.teams, n->set.nteams, c->round_at ? (double)(now - c->round_at) / 1000 : 0);
-    c->round_at = now;
-    c->round_wanted = false;
-    struct amb_round *r = amb_round_new(n, now);
-    uint32_t started = amb_round_admit(r);
-    bool planned = now - c->plan_at >= amb_secs(n->ctl.turn_s / 2);
+    amb_wdrr_refill(node->settings.teams, node->settings.team_count,
+                    controller->cycle_at ? (double)(now - controller->cycle_at) / 1000 : 0);
+    controller->cycle_at = now;
+    controller->cycle_requested = false;
+    struct amb_cycle *cycle = amb_cycle_new(node, now);
+    uint32_t placed = amb_cycle_admit(cycle);
+    bool planned = now - controller->plan_at >= amb_seconds_to_ms(node->controller.tick_interval_s / 2);
     if (planned) {
-        c->plan_at = now;
-        amb_plan(r);
+        controller->plan_at = now;
+        amb_capacity_plan_run(cycle);
     }
-    if (amb_log_on(AMB_DEBUG)) {
-        double room = 0;
-        for (uint32_t i = 0; i < r->nslots; i++) room += r->slots[i].room.gpus;
+    if (amb_log_is_enabled(AMB_LOG_DEBUG)) {
+        double available_gpus = 0;
+        for (uint32_t i = 0; i < cycle->slot_count; i++) available_gpus += cycle->slots[i].available.gpus;
         amb_debug("round: %u jobs waited, %u tasks or gangs placed, %u machines, %g GPUs left, %lld ms%s",
-                  r->njobs, started, r->nslots, room, (long long)(amb_now() - now),
+                  cycle->job_count, placed, cycle->slot_count, available_gpus, (long long)(amb_now() - now),
                   planned ? " with a plan" : "");
     }
-    amb_round_free(r);
-    if (started) amb_record_pump(n);
+    amb_cycle_free(cycle);
+    if (placed) amb_placement_log_flush(node);
 }
 
-static void want_round(struct amb_node *n) {
-    n->ctl.round_wanted = true;
-    if (!n->ctl.ready || n->ctl.round_timer.slot) return;
+static void request_cycle(struct amb_node *node) {
+    node->controller.cycle_requested = true;
+    if (!node->controller.ready || node->controller.cycle_timer.position) return;
     /* A moment's patience lets news that comes together be handled together. */
-    amb_timer_in(&n->ctl.round_timer, amb_secs(n->ctl.turn_s * 0.05), run_round, n);
+    amb_timer_in(&node->controller.cycle_timer, amb_seconds_to_ms(node->controller.tick_interval_s * 0.05),
+                 run_cycle, node);
 }
 
 /* ---- taking over ---- */
 
-static void load_next(struct amb_node *n);
+static void load_next_page(struct amb_node *node);
 
-static void loaded_all(struct amb_node *n) {
-    struct amb_job *j, *next;
+static void finish_loading(struct amb_node *node) {
+    struct amb_job *job, *next;
     /* Heard of meanwhile: which machines are being returned must be known before anything is placed. */
-    if (!amb_duties_ready(n)) {
-        n->ctl.load_synced = false;
+    if (!amb_duties_is_ready(node)) {
+        node->controller.restore_synced = false;
         return;
     }
-    amb_duties_take_over(n);
-    HASH_ITER(hh, n->jobs.all, j, next) {
-        amb_plan_demand(n, j);
-        if (j->state == AMB_JOB_QUEUED) amb_job_take_if_room(n, j);
+    amb_duties_restore(node);
+    HASH_ITER(hh, node->jobs.all, job, next) {
+        amb_capacity_plan_note_demand(node, job);
+        if (job->state == AMB_JOB_QUEUED) amb_job_activate_if_room(node, job);
     }
-    n->ctl.loading = false;
-    n->ctl.loaded_at = amb_now();
+    node->controller.restoring = false;
+    node->controller.restored_at = amb_now();
     uint32_t live = 0;
-    for (j = n->jobs.live; j; j = j->next_live) live++;
+    for (job = node->jobs.active; job; job = job->next_active) live++;
     amb_info("controller: records read, %u jobs in care", live);
 }
 
-static void load_page(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *n = arg;
-    if (!amb_holds_lead(n) || !n->ctl.loading || n->ctl.load_term != n->election.term) return;
-    n->ctl.load_busy = false;
-    const cbor_item_t *pairs = amb_cbor_get(body, "pairs");
+static void apply_page(void *context, int status, const cbor_item_t *body) {
+    struct amb_node *node = context;
+    if (!amb_election_has_leader_role(node) || !node->controller.restoring ||
+        node->controller.restore_term != node->election.term)
+        return;
+    node->controller.restore_in_flight = false;
+    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
     if (status != 200 || !pairs) return; /* the tick tries again */
-    for (size_t i = 0; i < amb_cbor_len(pairs); i++) {
-        const cbor_item_t *p = amb_cbor_at(pairs, i);
+    for (size_t i = 0; i < amb_cbor_list_length(pairs); i++) {
+        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
         char key[256];
-        uint64_t stamp;
-        if (!amb_cbor_str(amb_cbor_get(p, "path"), key, sizeof key) ||
-            !amb_cbor_uint(amb_cbor_get(p, "stamp"), &stamp))
+        uint64_t revision;
+        if (!amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), key, sizeof key) ||
+            !amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &revision))
             continue;
-        amb_record_load(n, key, amb_cbor_get(p, "value"), stamp);
-        amb_rental_load(n, key, amb_cbor_get(p, "value"));
-        amb_return_record_load(n, key, amb_cbor_get(p, "value"), stamp);
-        amb_zone_record_load(n, key, amb_cbor_get(p, "value"), stamp);
-        snprintf(n->ctl.load_after, sizeof n->ctl.load_after, "%s", key);
+        amb_placement_log_restore(node, key, amb_cbor_map_get(pair, "value"), revision);
+        amb_scale_out_restore(node, key, amb_cbor_map_get(pair, "value"));
+        amb_scale_in_log_restore(node, key, amb_cbor_map_get(pair, "value"), revision);
+        amb_zone_record_load(node, key, amb_cbor_map_get(pair, "value"), revision);
+        snprintf(node->controller.restore_cursor, sizeof node->controller.restore_cursor, "%s", key);
     }
     bool more = false;
-    amb_cbor_bool(amb_cbor_get(body, "truncated"), &more);
-    if (more && amb_cbor_len(pairs))
-        load_next(n);
+    amb_cbor_get_bool(amb_cbor_map_get(body, "truncated"), &more);
+    if (more && amb_cbor_list_length(pairs))
+        load_next_page(node);
     else
-        loaded_all(n);
+        finish_loading(node);
 }
 
-static void load_next(struct amb_node *n) {
-    n->ctl.load_busy = true;
-    n->ctl.load_at = amb_now();
-    amb_store_list(&n->store, "b/", n->ctl.load_after, load_page, n);
+static void load_next_page(struct amb_node *node) {
+    node->controller.restore_in_flight = true;
+    node->controller.restore_sent_at = amb_now();
+    amb_store_list(&node->store, "b/", node->controller.restore_cursor, apply_page, node);
 }
 
-static void load_synced(void *arg, bool ok) {
-    struct amb_node *n = arg;
-    n->ctl.load_busy = false;
-    if (!amb_holds_lead(n) || !n->ctl.loading || n->ctl.load_synced || !ok) return;
-    n->ctl.load_synced = true;
-    load_next(n);
+static void on_jobs_synced(void *context, bool ok) {
+    struct amb_node *node = context;
+    node->controller.restore_in_flight = false;
+    if (!amb_election_has_leader_role(node) || !node->controller.restoring ||
+        node->controller.restore_synced || !ok)
+        return;
+    node->controller.restore_synced = true;
+    load_next_page(node);
 }
 
-static void load_tick(struct amb_node *n, amb_ms now) {
-    struct amb_controller *c = &n->ctl;
-    if (c->load_busy && now - c->load_at < n->store.call_timeout * 4) return;
+static void continue_loading(struct amb_node *node, amb_ms now) {
+    struct amb_controller *controller = &node->controller;
+    if (controller->restore_in_flight && now - controller->restore_sent_at < node->store.call_timeout * 4)
+        return;
     /* The catalogue first: records name types by its numbers. */
-    if (!n->rental.catalog_known || !amb_duties_ready(n)) return;
-    c->load_at = now;
-    c->load_busy = true;
-    if (!c->load_synced)
-        amb_jobs_sync(n, load_synced, n);
+    if (!node->cloud.catalog_known || !amb_duties_is_ready(node)) return;
+    controller->restore_sent_at = now;
+    controller->restore_in_flight = true;
+    if (!controller->restore_synced)
+        amb_watch_read_fresh(node, on_jobs_synced, node);
     else
-        load_next(n);
+        load_next_page(node);
 }
 
-void amb_controller_lead(struct amb_node *n) {
-    struct amb_controller *c = &n->ctl;
-    c->leading_since = amb_now();
-    c->loaded_at = 0;
-    c->ready = c->load_synced = c->load_busy = false;
-    c->loading = true;
-    c->load_after[0] = 0;
-    c->load_term = n->election.term;
-    amb_duties_clear(n);
-    c->round_at = c->plan_at = c->peak_at = 0;
-    amb_wdrr_prepare(n->set.teams, n->set.nteams, amb_wdrr_by_gpus(n->set.teams, n->set.nteams));
-    for (uint32_t i = 0; i < n->set.nteams; i++)
-        memset(&n->set.teams[i].used, 0, sizeof n->set.teams[i].used);
+void amb_controller_start_leading(struct amb_node *node) {
+    struct amb_controller *controller = &node->controller;
+    controller->leader_since = amb_now();
+    controller->restored_at = 0;
+    controller->ready = controller->restore_synced = controller->restore_in_flight = false;
+    controller->restoring = true;
+    controller->restore_cursor[0] = 0;
+    controller->restore_term = node->election.term;
+    amb_duties_reset(node);
+    controller->cycle_at = controller->plan_at = controller->peak_at = 0;
+    amb_wdrr_prepare(node->settings.teams, node->settings.team_count,
+                     amb_wdrr_is_sized_by_gpus(node->settings.teams, node->settings.team_count));
+    for (uint32_t i = 0; i < node->settings.team_count; i++)
+        memset(&node->settings.teams[i].used, 0, sizeof node->settings.teams[i].used);
 }
 
-void amb_controller_stop(struct amb_node *n, const char *cause) {
-    struct amb_controller *c = &n->ctl;
+void amb_controller_stop_leading(struct amb_node *node, const char *cause) {
+    struct amb_controller *controller = &node->controller;
     amb_info("controller: stops leading: %s", cause);
-    c->loading = c->ready = false;
-    c->loaded_at = 0;
-    amb_timer_stop(&c->round_timer);
-    while (n->jobs.live) {
-        struct amb_job *j = n->jobs.live;
-        j->shown_done = j->ndone;
-        j->shown_running = j->nrunning;
-        amb_job_leave(n, j);
+    controller->restoring = controller->ready = false;
+    controller->restored_at = 0;
+    amb_timer_stop(&controller->cycle_timer);
+    while (node->jobs.active) {
+        struct amb_job *job = node->jobs.active;
+        job->progress_done = job->done_count;
+        job->progress_running = job->running_count;
+        amb_job_deactivate(node, job);
     }
-    amb_rental_clear(n);
-    amb_duties_clear(n);
-    amb_fleet_clear(n);
+    amb_cloud_reset(node);
+    amb_duties_reset(node);
+    amb_fleet_clear(node);
 }
 
 /* ---- events ---- */
 
-static void hand_on(struct amb_node *n, const struct amb_event *event) {
+static void dispatch_event(struct amb_node *node, const struct amb_event *event) {
     switch (event->type) {
-    case AMB_EVENT_LEAD_WON: amb_controller_lead(n); break;
-    case AMB_EVENT_LEAD_LOST: amb_controller_stop(n, event->cause); break;
-    case AMB_EVENT_JOB_KNOWN: amb_plan_demand(n, event->job); break;
-    case AMB_EVENT_JOB_AWAITS: amb_pipeline_accepted(n, event->job); break;
-    case AMB_EVENT_JOB_OVER: amb_pipeline_over(n, event->job); break;
-    case AMB_EVENT_TASK_RECORDED: amb_answer_start(event->task); break;
-    case AMB_EVENT_MACHINE_KNOWN:
-        amb_duties_machine_known(n, event->machine);
-        amb_return_record_machine_known(n, event->machine);
-        amb_peer_images_recall(n, event->machine);
+    case AMB_EVENT_LEADERSHIP_GAINED: amb_controller_start_leading(node); break;
+    case AMB_EVENT_LEADERSHIP_LOST: amb_controller_stop_leading(node, event->cause); break;
+    case AMB_EVENT_JOB_READY: amb_capacity_plan_note_demand(node, event->job); break;
+    case AMB_EVENT_JOB_HAS_DEPENDENCIES: amb_pipeline_add_job(node, event->job); break;
+    case AMB_EVENT_JOB_FINAL: amb_pipeline_remove_final(node, event->job); break;
+    case AMB_EVENT_PLACEMENT_DURABLE: amb_deferred_response_trigger(event->task); break;
+    case AMB_EVENT_MACHINE_ADDED:
+        amb_duties_note_machine(node, event->machine);
+        amb_scale_in_log_note_machine(node, event->machine);
+        amb_image_locations_restore(node, event->machine);
         break;
-    case AMB_EVENT_MACHINE_GONE: amb_machine_gone(n, event->machine, event->proof); break;
+    case AMB_EVENT_MACHINE_REMOVED: amb_machine_confirm_gone(node, event->machine, event->proof); break;
     case AMB_EVENT_DUTY_KEY_CHANGED:
-        amb_duties_key(n, event->change.key, event->change.value, event->change.stamp);
+        amb_duties_apply_change(node, event->change.key, event->change.value, event->change.revision);
         break;
-    case AMB_EVENT_STORE_LISTED: amb_duties_listed(n); break;
-    case AMB_EVENT_ROUND_WANTED: want_round(n); break;
+    case AMB_EVENT_STORE_LISTED: amb_duties_note_listed(node); break;
+    case AMB_EVENT_CYCLE_REQUESTED: request_cycle(node); break;
     }
 }
 
-void amb_controller_attach(struct amb_node *n) {
-    n->on_event = hand_on;
+void amb_controller_attach(struct amb_node *node) {
+    node->on_event = dispatch_event;
 }
 
 /* ---- the leader's turns ---- */
 
 /* Report periods without a turn after which a node says that it stood still. */
-static const double STOOD_STILL_REPORTS = 1;
+static const double STALL_HEARTBEAT_PERIODS = 1;
 
 /* For operators: what this node did not do meanwhile, others have done. (What was decided before acts on
  * nothing: due timers run first, and leases have ended by the clock.) */
-static void note_standstill(struct amb_node *n, amb_ms now) {
-    amb_ms since = now - n->ctl.ticked_at;
-    if (n->ctl.ticked_at && since > amb_secs(n->set.report_s * STOOD_STILL_REPORTS))
-        amb_info("controller: this node stood still for %lld ms", (long long)since);
-    n->ctl.ticked_at = now;
+static void note_stall(struct amb_node *node, amb_ms now) {
+    amb_ms elapsed = now - node->controller.ticked_at;
+    if (node->controller.ticked_at &&
+        elapsed > amb_seconds_to_ms(node->settings.heartbeat_s * STALL_HEARTBEAT_PERIODS))
+        amb_info("controller: this node stood still for %lld ms", (long long)elapsed);
+    node->controller.ticked_at = now;
 }
 
-static void tick(void *arg) {
-    struct amb_node *n = arg;
-    struct amb_controller *c = &n->ctl;
+static void tick(void *context) {
+    struct amb_node *node = context;
+    struct amb_controller *controller = &node->controller;
     amb_ms now = amb_now();
-    note_standstill(n, now);
-    amb_timer_in(&c->timer, amb_secs(n->ctl.turn_s * 0.1), tick, n);
-    amb_rental_tick(n, now);
-    amb_deputy_tick(n, now);
-    amb_format_tick(n, now);
-    amb_duties_tick(n, now);
-    amb_cancellations_drop_descriptions(n, now);
-    if (!amb_leads(n)) return;
-    if (c->loading) load_tick(n, now);
-    amb_jobs_take_left_out(n);
-    amb_ms learn = amb_secs(n->set.report_s * 1.3);
-    bool waited = now - c->leading_since > learn && now - c->loaded_at > learn / 2;
+    note_stall(node, now);
+    amb_timer_in(&controller->timer, amb_seconds_to_ms(node->controller.tick_interval_s * 0.1), tick, node);
+    amb_cloud_tick(node, now);
+    amb_lease_proxy_tick(node, now);
+    amb_format_tick(node, now);
+    amb_duties_tick(node, now);
+    amb_cancellations_drop_specs(node, now);
+    if (!amb_election_is_leader(node)) return;
+    if (controller->restoring) continue_loading(node, now);
+    amb_jobs_activate_unadmitted(node);
+    amb_ms learning_period = amb_seconds_to_ms(node->settings.heartbeat_s * 1.3);
+    bool has_waited = now - controller->leader_since > learning_period &&
+                      now - controller->restored_at > learning_period / 2;
     /* What the wait is for may be known sooner: a fleet that starts has nothing to tell, and workers whose
      * node has died are here within a second or two. With reports every 4 s, waiting all the same cost 5 s of
      * the 10 s in which some work is to start, and of the first boots of a day. */
-    if (c->loaded_at && !c->ready && (waited || (n->rental.listed && amb_fleet_learned(n)))) {
+    if (controller->restored_at && !controller->ready &&
+        (has_waited || (node->cloud.list_completed && amb_fleet_is_acknowledged(node)))) {
         amb_info("controller: ready to place, %lld ms after the lead was won",
-                 (long long)(now - c->leading_since));
-        c->ready = true;
-        want_round(n);
+                 (long long)(now - controller->leader_since));
+        controller->ready = true;
+        request_cycle(node);
     }
-    amb_fleet_tick(n, now);
-    if (c->ready && (c->round_wanted || now - c->round_at > amb_secs(n->ctl.turn_s * 0.5))) want_round(n);
-    amb_record_pump(n);
+    amb_fleet_tick(node, now);
+    if (controller->ready &&
+        (controller->cycle_requested ||
+         now - controller->cycle_at > amb_seconds_to_ms(node->controller.tick_interval_s * 0.5)))
+        request_cycle(node);
+    amb_placement_log_flush(node);
 }
 
 /* ---- the front ---- */
 
-static bool healthy(struct amb_node *n) {
+static bool is_healthy(struct amb_node *node) {
     amb_ms now = amb_now();
-    if (!n->jobs.loaded) return false;
+    if (!node->jobs.loaded) return false;
     /* The store refuses us alone: users are better served elsewhere. When it refuses everybody, staying in
      * lets them have an answer at once. */
-    bool failing =
-        n->store.failed_at > n->store.ok_at && now - n->store.ok_at > amb_secs(n->set.report_s * 3);
-    return !failing || !amb_peer_store_ok(n, now);
+    bool failing = node->store.last_failure_at > node->store.last_success_at &&
+                   now - node->store.last_success_at > amb_seconds_to_ms(node->settings.heartbeat_s * 3);
+    return !failing || !amb_election_peer_reaches_store(node, now);
 }
 
-static void request(void *arg, struct amb_http_req *req) {
-    struct amb_node *n = arg;
-    if (amb_fleet_request(n, req) || amb_user_request(n, req)) return;
-    if (strcmp(req->path, "/healthz"))
-        amb_reply_cbor(req, 404, NULL, 0);
-    else if (strcmp(req->method, "GET"))
-        amb_reply_cbor(req, 405, NULL, 0);
+static void handle_request(void *context, struct amb_http_req *request) {
+    struct amb_node *node = context;
+    if (amb_agent_handle_request(node, request) || amb_api_handle_request(node, request)) return;
+    if (strcmp(request->path, "/healthz"))
+        amb_http_reply_cbor(request, 404, NULL, 0);
+    else if (strcmp(request->method, "GET"))
+        amb_http_reply_cbor(request, 405, NULL, 0);
     else
-        amb_reply_cbor(req, healthy(n) ? 200 : 503, NULL, 0);
+        amb_http_reply_cbor(request, is_healthy(node) ? 200 : 503, NULL, 0);
 }
 
-enum { USER_BODY_MAX = 64 * 1024 }; /* the protocol's limit, workers' too */
+enum { USER_BODY_MAX_BYTES = 64 * 1024 }; /* the protocol's limit, workers' too */
 
-int amb_node_start(struct amb_node *n, char *err, size_t cap) {
-    amb_controller_attach(n);
-    n->ctl.turn_s = amb_settings_beat(&n->set);
-    amb_election_init(n);
-    amb_store_init(&n->store, &n->set, amb_election_patience(n));
-    amb_rental_init(n);
-    amb_zone_recovery_init(n);
-    for (uint32_t i = 0; i < n->set.nzones; i++) amb_catalog_zone(&n->catalog, n->set.zones[i]);
-    amb_http_client_limit(amb_capacity_outgoing(&n->set));
-    amb_http_response_limit(amb_memory_answer(&n->set));
-    n->front = amb_server_open(n->set.front, amb_capacity_incoming(&n->set), USER_BODY_MAX,
-                               amb_secs(n->set.lease_s * 6), request, n);
-    if (!n->front) {
-        snprintf(err, cap, "front %s can't be opened", n->set.front);
+int amb_node_start(struct amb_node *node, char *err, size_t err_size) {
+    amb_controller_attach(node);
+    node->controller.tick_interval_s = amb_settings_cycle_s(&node->settings);
+    amb_election_init(node);
+    amb_store_init(&node->store, &node->settings, amb_election_call_timeout(node));
+    amb_cloud_init(node);
+    amb_zone_recovery_init(node);
+    for (uint32_t i = 0; i < node->settings.zone_count; i++)
+        amb_catalog_find_or_add_zone(&node->catalog, node->settings.zones[i]);
+    amb_http_client_limit(amb_capacity_max_outgoing(&node->settings));
+    amb_http_response_limit(amb_memory_max_response_bytes(&node->settings));
+    node->public_server = amb_server_open(
+        node->settings.api_listen, amb_capacity_max_incoming(&node->settings), USER_BODY_MAX_BYTES,
+        amb_seconds_to_ms(node->settings.agent_lease_s * 6), handle_request, node);
+    if (!node->public_server) {
+        snprintf(err, err_size, "front %s can't be opened", node->settings.api_listen);
         return -1;
     }
-    amb_peer_init(n);
-    amb_jobs_init(n);
-    tick(n);
+    amb_peer_start(node);
+    amb_watch_start(node);
+    tick(node);
     return 0;
 }
--- a/lib/zone_recovery/activation.c
+++ b/lib/zone_recovery/activation.c
@@ -4,36 +4,36 @@
 #include <stdio.h>
 #include <string.h>
 
-static struct amb_zone_settings settings_of(const struct amb_settings *set,
-                                            const struct amb_options *options) {
+static struct amb_zone_settings make_settings(const struct amb_settings *settings,
+                                              const struct amb_options *options) {
     return (struct amb_zone_settings){
-        .report_period = amb_secs(set->report_s),
-        .steady = amb_secs(set->lease_s * options->zone_steady),
-        .steady_longest = amb_secs(set->lease_s * options->zone_steady_longest),
-        .loss_forgotten = amb_secs(set->lease_s * options->zone_loss_forgotten),
+        .heartbeat_period = amb_seconds_to_ms(settings->heartbeat_s),
+        .stability_period = amb_seconds_to_ms(settings->agent_lease_s * options->zone_steady_share),
+        .stability_period_max = amb_seconds_to_ms(settings->agent_lease_s * options->zone_steady_max_share),
+        .loss_expiry = amb_seconds_to_ms(settings->agent_lease_s * options->zone_loss_expiry_share),
     };
 }
 
-static bool is_class(const struct amb_settings *set, const char *name) {
-    for (uint32_t i = 0; i < set->nobjectives; i++)
-        if (!strcmp(set->objectives[i].class_name, name)) return true;
+static bool is_known_class(const struct amb_settings *settings, const char *name) {
+    for (uint32_t i = 0; i < settings->objective_count; i++)
+        if (!strcmp(settings->objectives[i].class_name, name)) return true;
     return false;
 }
 
 /* Names in the list up to the place `end`. */
 static bool is_named_before(const char *list, const char *end, const char *name) {
-    char other[AMB_NAME];
+    char other[AMB_NAME_SIZE];
     while (list < end && amb_zone_settings_next_class(&list, other, sizeof other))
         if (list < end && !strcmp(other, name)) return true;
     return false;
 }
 
-static bool check_order(const struct amb_settings *set, const char *order, const char *file, char *err,
+static bool check_order(const struct amb_settings *settings, const char *order, const char *file, char *err,
                         size_t cap) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     const char *at = order;
     while (amb_zone_settings_next_class(&at, name, sizeof name)) {
-        if (!is_class(set, name)) {
+        if (!is_known_class(settings, name)) {
             snprintf(err, cap, "%s: zone-recovery-order: '%s' is no class that objectives name", file, name);
             return false;
         }
@@ -43,9 +43,9 @@
             return false;
         }
     }
-    if (amb_zone_settings_list_ends(at)) return true;
+    if (amb_zone_settings_list_is_at_end(at)) return true;
     snprintf(err, cap, "%s: zone-recovery-order: a name is longer than the %d bytes of a class", file,
-             AMB_NAME - 1);
+             AMB_NAME_SIZE - 1);
     return false;
 }
 
@@ -53,19 +53,20 @@
                              const char *file, char *err, size_t cap) {
     if (options->zone_recovery == 0) return true;
     if (!file) file = "options";
-    struct amb_zone_settings settings = settings_of(set, options);
+    struct amb_zone_settings settings = make_settings(set, options);
     enum amb_zone_settings_error error = amb_zone_settings_check(&settings);
-    if (error != AMB_ZONE_SETTINGS_GOOD) {
-        snprintf(err, cap, "%s: %s", file, amb_zone_settings_allowed(error));
+    if (error != AMB_ZONE_SETTINGS_OK) {
+        snprintf(err, cap, "%s: %s", file, amb_zone_settings_error_text(error));
         return false;
     }
     return check_order(set, options->zone_recovery_order, file, err, cap);
 }
 
-bool amb_zone_recovery_on(const struct amb_node *node) {
-    return node->opt.zone_recovery != 0;
+bool amb_zone_recovery_is_enabled(const struct amb_node *node) {
+    return node->options.zone_recovery != 0;
 }
 
 void amb_zone_recovery_init(struct amb_node *node) {
-    if (amb_zone_recovery_on(node)) node->zone_recovery.settings = settings_of(&node->set, &node->opt);
+    if (amb_zone_recovery_is_enabled(node))
+        node->zone_recovery.settings = make_settings(&node->settings, &node->options);
 }
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -6,23 +6,26 @@
 #include "leader_fixture.h"
 
 static void ask(const char *method, const char *path, struct amb_buf *body) {
-    assert_true(amb_user_request(node, new_request(method, path, body)));
+    assert_true(amb_api_handle_request(node, new_request(method, path, body)));
 }
 
 static void submit(const char *ref, const char *team) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_buf b = {0};
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, team);
     strcpy(spec.image, "img");
-    amb_codec_put_spec(&b, &spec);
-    ask("POST", "/v1/jobs", &b);
+    amb_codec_encode_spec(&buffer, &spec);
+    ask("POST", "/v1/jobs", &buffer);
 }
 
 static const char *replied_state(void) {
-    static char text[AMB_NAME];
-    if (!amb_cbor_str(amb_cbor_get(latest_map(), "stance"), text, sizeof text)) text[0] = 0;
+    static char text[AMB_NAME_SIZE];
+    if (!amb_cbor_copy_string(amb_cbor_map_get(latest_map(), "stance"), text, sizeof text)) text[0] = 0;
     return text;
 }
 
@@ -37,7 +40,7 @@
         begin_anew();
         submit("wk-000001", "t");
         struct fake_call *commit = open_call("POST", "/commit");
-        uint64_t guard = fake_txn_guard(commit, "a/job/wk-000001");
+        uint64_t guard = fake_txn_compared_revision(commit, "a/job/wk-000001");
         if (guard != 0) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         assert_non_null(fake_txn_put(commit, "a/job/wk-000001", NULL));
         if (answers()) fail_msg("%s: answered %d before", rows[i].what, latest()->status);
@@ -60,20 +63,20 @@
                 {"refused", 503, 503, AMB_JOB_QUEUED}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        struct amb_job *j = add_job("wk-000001", AMB_SERVICE, 1);
-        j->stamp = 20;
+        struct amb_job *job = add_job("wk-000001", AMB_JOB_KIND_SERVICE, 1);
+        job->revision = 20;
         ask("POST", "/v1/jobs/wk-000001/cancel", NULL);
         answer_news(open_call("GET", "/follow"), 20, NULL, 0, 0);
         struct fake_call *commit = open_call("POST", "/commit");
-        uint64_t guard = fake_txn_guard(commit, "a/job/wk-000001");
+        uint64_t guard = fake_txn_compared_revision(commit, "a/job/wk-000001");
         if (guard != 20) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         if (answers()) fail_msg("%s: answered %d before", rows[i].what, latest()->status);
         if (rows[i].written == 200)
             answer_epoch(commit, 60);
         else
             fake_answer(commit, rows[i].written, NULL);
-        if (latest()->status != rows[i].want || j->state != rows[i].state)
-            fail_msg("%s: answered %d, state %d", rows[i].what, latest()->status, j->state);
+        if (latest()->status != rows[i].want || job->state != rows[i].state)
+            fail_msg("%s: answered %d, state %d", rows[i].what, latest()->status, job->state);
     }
 }
 
@@ -81,12 +84,12 @@
 static void answers_come_from_fresh_reads(void **state) {
     (void)state;
     enum known { UNKNOWN, QUEUED, CANCELLED };
-    enum question { GET, CANCEL, SUBMIT_IMPOSSIBLE };
+    enum ranking_query { GET, CANCEL, SUBMIT_IMPOSSIBLE };
     enum { AT_ONCE = -1 };
     static const struct {
         const char *what;
         enum known known;
-        enum question question;
+        enum ranking_query question;
         int read; /* its status; AT_ONCE: none is needed */
         bool news;
         enum amb_job_state becomes; /* by the news */
@@ -112,8 +115,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        if (rows[i].known != UNKNOWN) add_job("wk-000001", AMB_SERVICE, 1)->stamp = 20;
-        if (rows[i].known == CANCELLED) amb_job_cancel_hint(node, "wk-000001", amb_wall_ms(), 61);
+        if (rows[i].known != UNKNOWN) add_job("wk-000001", AMB_JOB_KIND_SERVICE, 1)->revision = 20;
+        if (rows[i].known == CANCELLED) amb_job_apply_cancel_hint(node, "wk-000001", amb_wall_ms(), 61);
         if (rows[i].question == SUBMIT_IMPOSSIBLE)
             submit("wk-000001", "no-such-team");
         else
--- a/tests/api/test_users.c
+++ b/tests/api/test_users.c
@@ -65,7 +65,7 @@
         expect(texts[i], 0, 400, NULL);
     }
     struct amb_buf bytes = {0};
-    amb_buf_add(&bytes, "\xbf\xff\x00garbage", 10);
+    amb_buf_append(&bytes, "\xbf\xff\x00garbage", 10);
     request(0, "POST", "/v1/jobs", &bytes);
     expect("not CBOR", 0, 400, NULL);
     request(0, "POST", "/v1/jobs", NULL);
@@ -167,7 +167,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        node->rental.catalog_known = rows[i].catalog;
+        node->cloud.catalog_known = rows[i].catalog;
         json_t *job = json_loads(GOOD, 0, NULL), *changes = json_loads(rows[i].changes, 0, NULL);
         json_object_update(job, changes);
         struct amb_buf body = {0};
@@ -180,7 +180,7 @@
         assert_int_equal(fake_calls_sent(COMMIT), rows[i].runs);
     }
     anew();
-    node->rental.catalog_known = false;
+    node->cloud.catalog_known = false;
     submit(0, GOOD);
     expect("types unknown: it can't be decided yet", 0, 503, NULL);
 }
@@ -251,7 +251,7 @@
     struct amb_buf failed = cbor_from_text("{\"failed\":[\"a/job/" JOB "\"],\"epoch\":%d}", CHANGED);
     fake_answer(first, 409, &failed);
     if (fake_call_open(SYNC)) answer_sync(0, NULL);
-    if (node->jobs.sync_timer.slot) fire(&node->jobs.sync_timer);
+    if (node->jobs.sync_timer.position) fire(&node->jobs.sync_timer);
     if (fake_call_open(SYNC)) answer_sync(0, NULL);
     expect("the first learns that it is over", 0, 200, "cancelled");
 }
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -10,87 +10,90 @@
 
 static void rental_names_are_never_used_twice(void **state) {
     (void)state;
-    amb_rental_want(node, 0, 0, false, 1);
-    amb_rental_want(node, 0, 0, false, 1);
-    struct amb_rental_request *first = node->rental.requests, *second = first->next;
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    struct amb_scale_out_request *first = node->cloud.requests, *second = first->next;
     if (!strcmp(first->id, second->id)) fail_msg("%s twice under one term", first->id);
     char id[sizeof first->id];
     strcpy(id, first->id);
     begin_anew();
     node->election.term = TERM + 1;
-    amb_rental_want(node, 0, 0, false, 1);
-    if (!strcmp(node->rental.requests->id, id)) fail_msg("%s under two terms", id);
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    if (!strcmp(node->cloud.requests->id, id)) fail_msg("%s under two terms", id);
 }
 
 static void rentals_are_recorded_until_they_must_be_listed(void **state) {
     (void)state;
-    amb_rental_want(node, 0, 0, false, 1);
-    amb_rental_tick(node, amb_now());
+    amb_scale_out_submit(node, 0, 0, false, 1);
+    amb_cloud_tick(node, amb_now());
     if (find_call("POST", "/machines")) fail_msg("asked for before it is recorded");
     struct fake_call *commit = open_call("POST", "/commit");
     assert_non_null(fake_txn_put(commit, "b/r/r-50-1", NULL));
     answer_epoch(commit, 60);
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     struct fake_call *rent = open_call("POST", "/machines");
-    assert_true(amb_cbor_eq(amb_cbor_get(rent->map, "charter"), "r-50-1"));
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "rigs"), amb_w_list(&b, 1), amb_w_str(&b, "m-1");
-    fake_answer(rent, 200, &b);
+    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->map, "charter"), "r-50-1"));
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "rigs"), amb_cbor_write_list(&buffer, 1),
+        amb_cbor_write_string(&buffer, "m-1");
+    fake_answer(rent, 200, &buffer);
     for (amb_ms since = 0; since <= 11000; since += 1000) {
         node->election.renewed_at = amb_now();
-        amb_rental_tick(node, amb_now());
+        amb_cloud_tick(node, amb_now());
         if (find_call("POST", "/commit")) fail_msg("its record is removed after %lld ms", (long long)since);
         fake_clock_advance(1000);
     }
     node->election.renewed_at = amb_now();
-    amb_rental_tick(node, amb_now());
-    amb_rental_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
+    amb_cloud_tick(node, amb_now());
     assert_true(fake_txn_removes(open_call("POST", "/commit"), "b/r/r-50-1"));
 }
 
 static void successors_repeat_rentals(void **state) {
     (void)state;
-    struct amb_buf b = {0};
-    amb_w_map(&b, 4);
-    amb_w_str(&b, "type"), amb_w_str(&b, "g8");
-    amb_w_str(&b, "zone"), amb_w_str(&b, "a");
-    amb_w_str(&b, "spot"), amb_w_bool(&b, false);
-    amb_w_str(&b, "count"), amb_w_uint(&b, 3);
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
-    amb_rental_load(node, "b/r/r-40-7", value);
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 4);
+    amb_cbor_write_string(&buffer, "type"), amb_cbor_write_string(&buffer, "g8");
+    amb_cbor_write_string(&buffer, "zone"), amb_cbor_write_string(&buffer, "a");
+    amb_cbor_write_string(&buffer, "spot"), amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "count"), amb_cbor_write_uint(&buffer, 3);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
+    amb_scale_out_restore(node, "b/r/r-40-7", value);
     cbor_decref(&value);
-    amb_buf_free(&b);
-    amb_rental_tick(node, amb_now());
+    amb_buf_free(&buffer);
+    amb_cloud_tick(node, amb_now());
     struct fake_call *rent = find_call("POST", "/machines");
     if (!rent) fail_msg("an earlier leader's rental is not repeated");
     /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference): fail_msg ends the test */
-    assert_true(amb_cbor_eq(amb_cbor_get(rent->map, "charter"), "r-40-7"));
+    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->map, "charter"), "r-40-7"));
 }
 
 /* ---- the plan ---- */
 
-static uint32_t requests(int *type) {
-    uint32_t n = 0;
-    for (const struct amb_rental_request *c = node->rental.requests; c; c = c->next, n++) *type = c->type;
-    return n;
+static uint32_t count_requests(int *type) {
+    uint32_t count = 0;
+    for (const struct amb_scale_out_request *request = node->cloud.requests; request;
+         request = request->next, count++)
+        *type = request->type;
+    return count;
 }
 
 /* The node begins anew, and may rent machines that take 50 s to boot, in one zone. */
-static void anew_with_a_cloud(void) {
+static void restart_with_cloud(void) {
     end(NULL);
     setup(NULL);
     strcpy(node->catalog.types[0].zones[0], "a");
-    node->catalog.types[0].nzones = 1;
+    node->catalog.types[0].zone_count = 1;
     node->catalog.types[0].boot_s = 50;
-    amb_catalog_zone(&node->catalog, "a");
-    node->rental.calls.tokens = 9;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    node->cloud.call_budget.tokens = 9;
 }
 
-static void plan_now(void) {
-    struct amb_round *r = amb_round_new(node, amb_now());
-    amb_plan(r);
-    amb_round_free(r);
+static void run_plan(void) {
+    struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+    amb_capacity_plan_run(cycle);
+    amb_cycle_free(cycle);
 }
 
 /* No more is asked for than there are calls for, the most urgent first; the rest adds up in the plan. (All of
@@ -103,52 +106,54 @@
         uint32_t calls;
     } rows[] = {{0, 0, 0, 0, 1},   {3.5, 0, 0, 0, 3}, {3.5, 1, 1, 0, 1},
                 {3.5, 0, 0, 2, 3}, {0, 1, 0, 0, 0},   {2, 3, 3, 0, 0}};
-    struct amb_rental *r = &node->rental;
-    node->set.cloud_rps = 3;
+    struct amb_cloud *cloud = &node->cloud;
+    node->settings.cloud_rps = 3;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        r->calls = (struct amb_budget){.tokens = rows[i].tokens};
+        cloud->call_budget = (struct amb_token_bucket){.tokens = rows[i].tokens};
         for (int k = 0; k < rows[i].recording + rows[i].asking + rows[i].asked; k++) {
-            amb_rental_want(node, 0, 0, false, 1);
-            struct amb_rental_request *c = r->requests;
-            while (c->next) c = c->next;
-            c->state = k < rows[i].recording ? AMB_REQUEST_RECORDING : AMB_REQUEST_ASKING;
-            c->busy = k >= rows[i].recording + rows[i].asking;
+            amb_scale_out_submit(node, 0, 0, false, 1);
+            struct amb_scale_out_request *request = cloud->requests;
+            while (request->next) request = request->next;
+            request->state = k < rows[i].recording ? AMB_SCALE_OUT_RECORDING : AMB_SCALE_OUT_REQUESTING;
+            request->in_flight = k >= rows[i].recording + rows[i].asking;
         }
-        uint32_t calls = amb_rental_calls(node, amb_now());
-        amb_rental_clear(node);
+        uint32_t calls = amb_scale_out_available_calls(node, amb_now());
+        amb_cloud_reset(node);
         if (calls != rows[i].calls) fail_msg("row %zu: %u calls", i, calls);
     }
-    node->catalog.ntypes = 2;
-    for (int t = 0; t < 2; t++) {
-        struct amb_type *y = &node->catalog.types[t];
-        *y = (struct amb_type){.size = {96, 8, 576}, .price = 10, .boot_s = 50, .nzones = 1, .zones = {"a"}};
-        strcpy(y->name, t ? "g8" : "g4");
+    node->catalog.type_count = 2;
+    for (int place = 0; place < 2; place++) {
+        struct amb_machine_type *machine_type = &node->catalog.types[place];
+        *machine_type = (struct amb_machine_type){
+            .resources = {96, 8, 576}, .hourly_price = 10, .boot_s = 50, .zone_count = 1, .zones = {"a"}};
+        strcpy(machine_type->name, place ? "g8" : "g4");
     }
-    amb_catalog_zone(&node->catalog, "a");
-    struct amb_job *surge = add_job("wk-1", AMB_SERVICE, 9), *draft = add_job("wk-2", AMB_SERVICE, 1);
-    surge->spec->priority = AMB_HIGH;
-    draft->spec->priority = AMB_PROD;
-    surge->spec->ntypes = draft->spec->ntypes = 1;
-    strcpy(surge->spec->types[0], "g4");
-    strcpy(draft->spec->types[0], "g8");
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    struct amb_job *surge = add_job("wk-1", AMB_JOB_KIND_SERVICE, 9),
+                   *draft = add_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
+    surge->spec->priority = AMB_PRIORITY_HIGH;
+    draft->spec->priority = AMB_PRIORITY_PRODUCTION;
+    surge->spec->allowed_type_count = draft->spec->allowed_type_count = 1;
+    strcpy(surge->spec->allowed_types[0], "g4");
+    strcpy(draft->spec->allowed_types[0], "g8");
     int type = -1;
-    r->calls = (struct amb_budget){.tokens = 1};
-    plan_now();
-    assert_int_equal(requests(&type), 1);
+    cloud->call_budget = (struct amb_token_bucket){.tokens = 1};
+    run_plan();
+    assert_int_equal(count_requests(&type), 1);
     assert_int_equal(type, 1);
-    r->requests->busy = true;
-    r->requests->state = AMB_REQUEST_ASKING;
-    plan_now();
-    assert_int_equal(requests(&type), 2);
+    cloud->requests->in_flight = true;
+    cloud->requests->state = AMB_SCALE_OUT_REQUESTING;
+    run_plan();
+    assert_int_equal(count_requests(&type), 2);
     assert_int_equal(type, 0);
-    assert_int_equal(r->requests->next->count, 2); /* nine tasks, eight to a machine */
+    assert_int_equal(cloud->requests->next->count, 2); /* nine tasks, eight to a machine */
     /* Gangs of any size are planned: those of more than 256 tasks once never got a machine. */
-    amb_rental_clear(node);
+    amb_cloud_reset(node);
     surge->state = draft->state = AMB_JOB_CANCELLED;
-    add_job("wk-3", AMB_GANG, 300);
-    plan_now();
-    assert_int_equal(requests(&type), 1);
-    assert_int_equal(r->requests->count, 19); /* half of 38: the other type costs the same */
+    add_job("wk-3", AMB_JOB_KIND_GANG, 300);
+    run_plan();
+    assert_int_equal(count_requests(&type), 1);
+    assert_int_equal(cloud->requests->count, 19); /* half of 38: the other type costs the same */
 }
 
 /* What classes ask for is known whether this node led or not when it came, and in whatever order it heard. */
@@ -169,21 +174,25 @@
     node->catalog.types[0].boot_s = 50;
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job jobs[4];
-        struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_PROD, .tasks = 2, .class_name = "help"};
-        node->ctl.ndemands = 0;
+        struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                    .priority = AMB_PRIORITY_PRODUCTION,
+                                    .task_count = 2,
+                                    .class_name = "help"};
+        node->controller.demand_count = 0;
         memset(jobs, 0, sizeof jobs);
         for (int k = 0; k < 4; k++) {
             jobs[k].spec = &spec;
-            jobs[k].accepted_wall = amb_wall_ms() - rows[i].ages[k] * 1000L;
-            if (k == 2 && rows[i].lead_between) amb_controller_lead(node);
-            amb_plan_demand(node, &jobs[k]);
+            jobs[k].accepted_wall_ms = amb_wall_ms() - rows[i].ages[k] * 1000L;
+            if (k == 2 && rows[i].lead_between) amb_controller_start_leading(node);
+            amb_capacity_plan_note_demand(node, &jobs[k]);
         }
-        for (int k = 0; k < 4 && rows[i].twice; k++) amb_plan_demand(node, &jobs[k]);
-        assert_int_equal(node->ctl.ndemands, 1);
-        struct amb_demand *d = &node->ctl.demands[0];
+        for (int k = 0; k < 4 && rows[i].twice; k++) amb_capacity_plan_note_demand(node, &jobs[k]);
+        assert_int_equal(node->controller.demand_count, 1);
+        struct amb_demand *demand = &node->controller.demands[0];
         /* The rate holds at the latest arrival that was noted, a moment ago at most. */
-        if (fabs(d->rate - rows[i].rate) > rows[i].rate * 0.01 || d->size2 != 4)
-            fail_msg("%s: %g a second, squares %g", rows[i].what, d->rate, d->size2);
+        if (fabs(demand->tasks_per_s - rows[i].rate) > rows[i].rate * 0.01 || demand->mean_square_tasks != 4)
+            fail_msg("%s: %g a second, squares %g", rows[i].what, demand->tasks_per_s,
+                     demand->mean_square_tasks);
     }
 }
 
@@ -205,28 +214,29 @@
         {"nobody is heard", 7000, false, false, true, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew_with_a_cloud();
+        restart_with_cloud();
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-        bound(j, 0, "m-1", 1);
-        if (rows[i].over) j->state = AMB_JOB_CANCELLED;
-        struct amb_machine *m = amb_machine_get(node, "m-1", false);
-        m->type = m->zone = 0;
-        m->state = AMB_MACHINE_UP;
-        m->token_shown = true;
-        m->reported_at = now - rows[i].silent;
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        bound(job, 0, "m-1", 1);
+        if (rows[i].over) job->state = AMB_JOB_CANCELLED;
+        struct amb_machine *machine = amb_machine_get(node, "m-1", false);
+        machine->type_index = machine->zone_index = 0;
+        machine->state = AMB_MACHINE_UP;
+        machine->token_acknowledged = true;
+        machine->last_heartbeat_at = now - rows[i].silent;
         if (!rows[i].alone) {
             struct amb_machine *other = amb_machine_get(node, "m-2", true);
-            other->reported_at = now - 500;
-            other->release_wanted = true; /* no room there */
+            other->last_heartbeat_at = now - 500;
+            other->release_pending = true; /* no room there */
         }
-        node->deputy.nknown = 1;
-        node->deputy.known[0].present = rows[i].deputy;
-        struct amb_round *r = amb_round_new(node, now);
-        amb_plan(r);
-        amb_round_free(r);
+        node->lease_proxy.known_count = 1;
+        node->lease_proxy.known[0].present = rows[i].deputy;
+        struct amb_cycle *cycle = amb_cycle_new(node, now);
+        amb_capacity_plan_run(cycle);
+        amb_cycle_free(cycle);
         uint32_t wants = 0;
-        for (struct amb_rental_request *c = node->rental.requests; c; c = c->next) wants += c->count;
+        for (struct amb_scale_out_request *request = node->cloud.requests; request; request = request->next)
+            wants += request->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
     }
 }
@@ -246,16 +256,17 @@
         {"broken, a task is tried", true, 1, 0, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew_with_a_cloud();
-        struct amb_job *job = add_job("wk-1", AMB_SERVICE, 3);
+        restart_with_cloud();
+        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
         if (rows[i].bound) bound(job, 0, "m-1", 1);
         job->failures.broken = rows[i].broken;
-        struct amb_round *round = amb_round_new(node, amb_now());
-        if (amb_round_wants_start(round, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
-        amb_plan(round);
-        amb_round_free(round);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        if (amb_cycle_is_schedulable(cycle, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
+        amb_capacity_plan_run(cycle);
+        amb_cycle_free(cycle);
         int type = -1;
-        if (requests(&type) != rows[i].rented) fail_msg("%s: %u rented", rows[i].what, requests(&type));
+        if (count_requests(&type) != rows[i].rented)
+            fail_msg("%s: %u rented", rows[i].what, count_requests(&type));
     }
 }
 
@@ -269,22 +280,22 @@
         bool returned;
     } rows[] = {{"just rented", 5, false}, {"late", 190, false}, {"overdue", 210, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew_with_a_cloud();
+        restart_with_cloud();
         struct amb_machine *machine = amb_machine_get(node, "m-1", true); /* from its predecessor's word */
-        amb_machine_state(machine, AMB_MACHINE_BOOTING, "rented");
-        amb_rental_tick(node, amb_now());
+        amb_machine_set_state(machine, AMB_MACHINE_BOOTING, "rented");
+        amb_cloud_tick(node, amb_now());
         struct amb_buf body = {0};
-        amb_w_map(&body, 2);
-        amb_w_str(&body, "rigs"), amb_w_list(&body, 1), amb_w_map(&body, 5);
-        amb_w_str(&body, "ref"), amb_w_str(&body, "m-1");
-        amb_w_str(&body, "hull"), amb_w_str(&body, node->catalog.types[0].name);
-        amb_w_str(&body, "yard"), amb_w_str(&body, "a");
-        amb_w_str(&body, "stance"), amb_w_str(&body, "booting");
-        amb_w_str(&body, "held_s"), amb_w_num(&body, rows[i].held_s);
-        amb_w_str(&body, "truncated"), amb_w_bool(&body, false);
+        amb_cbor_write_map(&body, 2);
+        amb_cbor_write_string(&body, "rigs"), amb_cbor_write_list(&body, 1), amb_cbor_write_map(&body, 5);
+        amb_cbor_write_string(&body, "ref"), amb_cbor_write_string(&body, "m-1");
+        amb_cbor_write_string(&body, "hull"), amb_cbor_write_string(&body, node->catalog.types[0].name);
+        amb_cbor_write_string(&body, "yard"), amb_cbor_write_string(&body, "a");
+        amb_cbor_write_string(&body, "stance"), amb_cbor_write_string(&body, "booting");
+        amb_cbor_write_string(&body, "held_s"), amb_cbor_write_number(&body, rows[i].held_s);
+        amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, false);
         fake_answer(open_call("GET", "/machines?"), 200, &body);
-        plan_now();
-        if (machine->release_wanted != rows[i].returned) fail_msg("%s", rows[i].what);
+        run_plan();
+        if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -292,16 +303,16 @@
 
 /* One task of the job ends on m-1, which is then idle or being emptied, and the machine reports it. */
 static struct amb_machine *machine_with_an_end(uint32_t tasks, bool drain, amb_ms now) {
-    static struct amb_seen ended;
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, tasks);
+    static struct amb_agent_task ended;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, tasks);
     struct amb_machine *machine = machine_up("m-1", 0);
     machine->drain = drain;
-    job->stamp = 20;
-    job->hold_until = now + 1000000; /* no demand for room */
+    job->revision = 20;
+    job->backoff_until = now + 1000000; /* no demand for room */
     bound(job, 0, "m-1", 1);
-    ended = listing("wk-1", 0, 1, AMB_ON_EXITED, AMB_WHY_DONE);
+    ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
     report("m-1", 1, 1, TERM, now, &ended, 1);
-    machine->idle_since = node->ctl.leading_since = now - 1000000;
+    machine->idle_since = node->controller.leader_since = now - 1000000;
     return machine;
 }
 
@@ -321,23 +332,23 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        const struct amb_seen ended = listing("wk-1", 0, 1, AMB_ON_EXITED, AMB_WHY_DONE);
+        const struct amb_agent_task ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
         struct amb_machine *machine = machine_with_an_end(rows[i].tasks, rows[i].drain, amb_now());
-        plan_now();
-        if (machine->release_wanted) fail_msg("%s: returned before the end is written", rows[i].what);
+        run_plan();
+        if (machine->release_pending) fail_msg("%s: returned before the end is written", rows[i].what);
         /* Results of a job that goes on wait for more to write, but not those of a machine being emptied. */
         fake_clock_advance(rows[i].drain ? 0 : 2500);
         node->election.renewed_at = amb_now();
-        amb_record_pump(node);
+        amb_placement_log_flush(node);
         struct fake_call *commit = open_call("POST", "/commit");
         report("m-1", 1, 2, TERM, amb_now(), &ended, 1);
-        plan_now();
-        if (machine->release_wanted) fail_msg("%s: returned while the end is being written", rows[i].what);
+        run_plan();
+        if (machine->release_pending) fail_msg("%s: returned while the end is being written", rows[i].what);
         answer_epoch(commit, 60);
         report("m-1", 1, 3, TERM, amb_now(), &ended, 1);
-        plan_now();
-        if (count_orders(AMB_OP_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
-        if (!machine->release_wanted) fail_msg("%s: not returned once the end is on record", rows[i].what);
+        run_plan();
+        if (count_commands(AMB_COMMAND_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
+        if (!machine->release_pending) fail_msg("%s: not returned once the end is on record", rows[i].what);
     }
 }
 
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -17,21 +17,22 @@
 /* ---- drawn pages ---- */
 
 static void put_description(struct amb_buf *out, const char *ref) {
-    struct amb_spec spec = {.kind = AMB_ARRAY, .priority = AMB_NORMAL, .tasks = 1 + (uint32_t)draw(9)};
+    struct amb_job_spec spec = {
+        .kind = AMB_JOB_KIND_ARRAY, .priority = AMB_PRIORITY_NORMAL, .task_count = 1 + (uint32_t)draw(9)};
     snprintf(spec.ref, sizeof spec.ref, "%s", ref);
     strcpy(spec.class_name, "sweep");
     strcpy(spec.team, "t");
     strcpy(spec.image, draw(20) ? "img" : "im\xc3\xa1gen"); /* a text that only libcbor reads */
-    spec.each.cpus = 1;
-    amb_codec_put_spec(out, &spec);
+    spec.task_resources.cpus = 1;
+    amb_codec_encode_spec(out, &spec);
 }
 
 static void put_uint(struct amb_buf *out, const char *name, uint64_t value) {
-    amb_w_str(out, name);
+    amb_cbor_write_string(out, name);
     if (draw(40))
-        amb_w_uint(out, value);
+        amb_cbor_write_uint(out, value);
     else
-        amb_w_num(out, (double)value); /* not the kind that belongs there */
+        amb_cbor_write_number(out, (double)value); /* not the kind that belongs there */
 }
 
 /* A job's record, now and then with a field that is missing, unknown or of another kind, or comes twice. */
@@ -39,46 +40,47 @@
     static const char *const states[] = {"queued", "cancelled", "done", "odd"};
     struct amb_buf fields = {0};
     size_t count = 0;
-    if (draw(30)) amb_w_str(&fields, "s"), amb_w_str(&fields, states[draw(4)]), count++;
+    if (draw(30))
+        amb_cbor_write_string(&fields, "s"), amb_cbor_write_string(&fields, states[draw(4)]), count++;
     if (draw(5)) put_uint(&fields, "a", draw(1000)), count++;
     if (!draw(3)) put_uint(&fields, "c", draw(1000)), count++;
     if (!draw(3)) put_uint(&fields, "n", draw(100)), count++;
     if (!draw(25)) put_uint(&fields, "n", draw(100)), count++;
     if (!draw(15)) put_uint(&fields, "later", draw(100)), count++;
     if (draw(3)) {
-        amb_w_str(&fields, "d");
+        amb_cbor_write_string(&fields, "d");
         if (draw(15))
             put_description(&fields, ref);
         else
-            amb_w_null(&fields);
+            amb_cbor_write_null(&fields);
         count++;
     }
-    amb_w_map(out, count);
-    amb_buf_add(out, fields.data, fields.len);
+    amb_cbor_write_map(out, count);
+    amb_buf_append(out, fields.data, fields.len);
     amb_buf_free(&fields);
 }
 
 static void put_change(struct amb_buf *out) {
-    char key[AMB_NAME];
+    char key[AMB_NAME_SIZE];
     snprintf(key, sizeof key, "a/job/wk-%llu", (unsigned long long)draw(JOBS));
     bool removes = !draw(15), stamped = draw(60) != 0, valued = !removes && draw(60);
-    amb_w_map(out, 1u + stamped + valued);
+    amb_cbor_write_map(out, 1u + stamped + valued);
     if (stamped) put_uint(out, "stamp", 1 + draw(STAMPS));
-    amb_w_str(out, removes ? "remove" : "put");
-    amb_w_str(out, key);
+    amb_cbor_write_string(out, removes ? "remove" : "put");
+    amb_cbor_write_string(out, key);
     if (!valued) return;
-    amb_w_str(out, "value");
+    amb_cbor_write_string(out, "value");
     put_record(out, key + strlen("a/job/"));
 }
 
-static struct amb_buf drawn_page(uint64_t epoch) {
+static struct amb_buf drawn_page(uint64_t store_revision) {
     struct amb_buf page = {0};
     size_t changes = draw(PAGE_CHANGES);
-    amb_w_map(&page, 2);
-    amb_w_str(&page, "epoch");
-    amb_w_uint(&page, epoch);
-    amb_w_str(&page, "news");
-    amb_w_list(&page, changes);
+    amb_cbor_write_map(&page, 2);
+    amb_cbor_write_string(&page, "epoch");
+    amb_cbor_write_uint(&page, store_revision);
+    amb_cbor_write_string(&page, "news");
+    amb_cbor_write_list(&page, changes);
     while (changes--) put_change(&page);
     if (!draw(10)) page.len -= draw(page.len);                      /* cut short */
     if (!draw(10)) page.data[draw(page.len + 1)] = (char)draw(256); /* spoilt */
@@ -88,47 +90,48 @@
 /* ---- the two ways ---- */
 
 /* The plain version, which knows every encoding. */
-static bool apply_items(struct amb_node *to, const struct amb_buf *page) {
-    uint64_t epoch, stamp;
+static bool apply_items(struct amb_node *target, const struct amb_buf *page) {
+    uint64_t store_revision, revision;
     cbor_item_t *body = amb_cbor_parse(page->data, page->len);
-    bool understood = amb_cbor_uint(amb_cbor_get(body, "epoch"), &epoch);
-    const cbor_item_t *news = understood ? amb_cbor_get(body, "news") : NULL;
-    for (size_t i = 0; i < amb_cbor_len(news); i++) {
-        char key[AMB_STORE_KEY];
-        const cbor_item_t *change = amb_cbor_at(news, i);
-        if (!amb_cbor_uint(amb_cbor_get(change, "stamp"), &stamp)) continue;
-        if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key) || strncmp(key, "a/job/", 6))
+    bool understood = amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &store_revision);
+    const cbor_item_t *changes = understood ? amb_cbor_map_get(body, "news") : NULL;
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++) {
+        char key[AMB_STORE_KEY_SIZE];
+        const cbor_item_t *change = amb_cbor_list_item(changes, i);
+        if (!amb_cbor_get_uint(amb_cbor_map_get(change, "stamp"), &revision)) continue;
+        if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key) ||
+            strncmp(key, "a/job/", 6))
             continue;
-        amb_jobs_apply(to, key + strlen("a/job/"), amb_cbor_get(change, "value"), stamp);
+        amb_jobs_apply_item(target, key + strlen("a/job/"), amb_cbor_map_get(change, "value"), revision);
     }
     if (body) cbor_decref(&body);
     return understood;
 }
 
-static void assert_same_jobs(struct amb_node *a, struct amb_node *b) {
-    assert_int_equal(HASH_COUNT(a->jobs.all), HASH_COUNT(b->jobs.all));
-    assert_int_equal(a->jobs.described, b->jobs.described);
-    for (const struct amb_job *job = a->jobs.all; job; job = job->hh.next) {
-        const struct amb_job *same = amb_job_find(b, job->ref);
-        assert_non_null(same);
-        assert_int_equal(job->state, same->state);
-        assert_int_equal(job->stamp, same->stamp);
-        assert_int_equal(job->cancel_stamp, same->cancel_stamp);
-        assert_int_equal(job->accepted_wall, same->accepted_wall);
-        assert_int_equal(job->cancelled_wall, same->cancelled_wall);
-        assert_int_equal(job->shown_done, same->shown_done);
-        assert_int_equal(job->spec != NULL, same->spec != NULL);
-        if (job->spec) assert_memory_equal(job->spec, same->spec, sizeof *job->spec);
+static void assert_same_jobs(struct amb_node *expected, struct amb_node *actual) {
+    assert_int_equal(HASH_COUNT(expected->jobs.all), HASH_COUNT(actual->jobs.all));
+    assert_int_equal(expected->jobs.spec_count, actual->jobs.spec_count);
+    for (const struct amb_job *job = expected->jobs.all; job; job = job->hh.next) {
+        const struct amb_job *other = amb_job_find(actual, job->ref);
+        assert_non_null(other);
+        assert_int_equal(job->state, other->state);
+        assert_int_equal(job->revision, other->revision);
+        assert_int_equal(job->cancel_revision, other->cancel_revision);
+        assert_int_equal(job->accepted_wall_ms, other->accepted_wall_ms);
+        assert_int_equal(job->cancelled_wall_ms, other->cancelled_wall_ms);
+        assert_int_equal(job->progress_done, other->progress_done);
+        assert_int_equal(job->spec != NULL, other->spec != NULL);
+        if (job->spec) assert_memory_equal(job->spec, other->spec, sizeof *job->spec);
     }
 }
 
 static int begin(void **state) {
     setup(state);
-    node->election.role = AMB_ROLE_FOLLOWING;
-    strcpy(node->set.state, "S:1");
-    node->set.state_rps = node->set.state_write_rps = 1e9;
-    strcpy(node->set.teams[0].name, "t");
-    amb_store_init(&node->store, &node->set, 1000);
+    node->election.role = AMB_ROLE_FOLLOWER;
+    strcpy(node->settings.store_addr, "S:1");
+    node->settings.store_rps = node->settings.store_write_rps = 1e9;
+    strcpy(node->settings.teams[0].name, "t");
+    amb_store_init(&node->store, &node->settings, 1000);
     node->jobs.loaded = true;
     return 0;
 }
@@ -137,13 +140,13 @@
     fake_answer_all_lost();
     fake_http_reset();
     amb_timer_stop(&node->jobs.sync_timer);
-    amb_timer_stop(&node->jobs.follow_timer);
-    amb_timer_stop(&node->store.pump);
+    amb_timer_stop(&node->jobs.watch_timer);
+    amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
 }
 
-static void note_synced(void *arg, bool ok) {
+static void note_fresh_read(void *arg, bool ok) {
     *(bool *)arg = ok;
 }
 
@@ -151,8 +154,8 @@
 static bool feed(const struct amb_buf *page) {
     struct amb_buf copy = {0};
     bool understood = false;
-    amb_jobs_sync(node, note_synced, &understood);
-    if (page->len) amb_buf_add(&copy, page->data, page->len);
+    amb_watch_read_fresh(node, note_fresh_read, &understood);
+    if (page->len) amb_buf_append(&copy, page->data, page->len);
     fake_answer(fake_call_open("/follow"), 200, &copy);
     return understood;
 }
@@ -162,8 +165,8 @@
 }
 
 static bool is_plain(const struct amb_buf *page) {
-    uint64_t epoch;
-    return amb_change_page_read(page->data, page->len, &epoch, visit_nothing, NULL);
+    uint64_t store_revision;
+    return amb_change_page_decode(page->data, page->len, &store_revision, visit_nothing, NULL);
 }
 
 static void pages_are_applied_as_if_parsed(void **state) {
@@ -205,8 +208,8 @@
 static void note_change(void *context, const struct amb_change *change) {
     struct visited *visited = context;
     size_t len = strlen(visited->text);
-    snprintf(visited->text + len, sizeof visited->text - len, "%s@%d:%zu ", change->key, (int)change->stamp,
-             change->value_len);
+    snprintf(visited->text + len, sizeof visited->text - len, "%s@%d:%zu ", change->key,
+             (int)change->revision, change->value_len);
 }
 
 static void pages_are_read_whole_or_not_at_all(void **state) {
@@ -246,17 +249,17 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_buf page = {0};
         struct visited visited = {0};
-        uint64_t epoch = 0;
+        uint64_t store_revision = 0;
         for (const char *at = rows[i].page; *at; at++) {
             if (*at == ' ') continue;
             const char digits[3] = {at[0], at[1], 0};
             char byte = (char)strtol(digits, NULL, 16);
-            amb_buf_add(&page, &byte, 1);
+            amb_buf_append(&page, &byte, 1);
             at++;
         }
-        bool read = amb_change_page_read(page.data, page.len, &epoch, note_change, &visited);
+        bool read = amb_change_page_decode(page.data, page.len, &store_revision, note_change, &visited);
         if (read != (rows[i].visited != NULL) || strcmp(visited.text, read ? rows[i].visited : "") ||
-            (read && epoch != 7))
+            (read && store_revision != 7))
             fail_msg("%s: %d, visited %s", rows[i].what, read, visited.text);
         amb_buf_free(&page);
     }
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -12,14 +12,14 @@
 static void begin(void) {
     fake_http_reset();
     setup(NULL);
-    strcpy(node->set.member, "n-0");
-    strcpy(node->set.state, "state:1");
-    node->set.state_rps = node->set.state_write_rps = 1000;
-    node->set.npeers = PEERS;
-    amb_store_init(&node->store, &node->set, 1000);
-    amb_store_share(&node->store, true);
+    strcpy(node->settings.member, "n-0");
+    strcpy(node->settings.store_addr, "state:1");
+    node->settings.store_rps = node->settings.store_write_rps = 1000;
+    node->settings.peer_count = PEERS;
+    amb_store_init(&node->store, &node->settings, 1000);
+    amb_store_set_leadership(&node->store, true);
     node->peers.count = PEERS;
-    for (uint32_t i = 0; i < PEERS; i++) snprintf(node->peers.list[i].member, AMB_NAME, "n-%u", i + 1);
+    for (uint32_t i = 0; i < PEERS; i++) snprintf(node->peers.list[i].member, AMB_NAME_SIZE, "n-%u", i + 1);
 }
 
 static void end(void) {
@@ -33,23 +33,23 @@
     json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", 1, "term", (json_int_t)TERM, "leading", 0,
                              "store", 1, "reports_arrive", 0);
     if (format) json_object_set_new(said, "format", json_integer(format));
-    amb_peer_heard(node, &node->peers.list[peer], said, 0);
+    amb_peer_apply_message(node, &node->peers.list[peer], said, 0);
     json_decref(said);
 }
 
 static void answer_epoch(struct fake_call *call) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "epoch");
-    amb_w_uint(&body, WRITTEN);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "epoch");
+    amb_cbor_write_uint(&body, WRITTEN);
     fake_answer(call, 200, &body);
 }
 
 static cbor_item_t *format_value(int format) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, "format");
-    amb_w_uint(&body, (uint64_t)format);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, "format");
+    amb_cbor_write_uint(&body, (uint64_t)format);
     cbor_item_t *value = amb_cbor_parse(body.data, body.len);
     amb_buf_free(&body);
     return value;
@@ -57,7 +57,7 @@
 
 static void news_of_key(int format) {
     cbor_item_t *value = format_value(format);
-    amb_format_key(node, value);
+    amb_format_apply_key(node, value);
     cbor_decref(&value);
 }
 
@@ -73,21 +73,21 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        node->formats.held_at = rows[i].held_at;
+        node->formats.test_override = rows[i].held_at;
         for (int leads = 0; leads < 2; leads++) {
-            node->election.role = leads ? AMB_ROLE_LEADING : AMB_ROLE_FOLLOWING;
-            char *text = amb_peer_say(node);
-            json_t *messages[] = {json_loads(text, 0, NULL), amb_peer_answer(node, NULL)};
-            for (size_t m = 0; m < ROWS(messages); m++) {
-                json_int_t format = json_integer_value(json_object_get(messages[m], "format"));
+            node->election.role = leads ? AMB_ROLE_LEADER : AMB_ROLE_FOLLOWER;
+            char *text = amb_peer_encode_heartbeat(node);
+            json_t *messages[] = {json_loads(text, 0, NULL), amb_peer_encode_reply(node, NULL)};
+            for (size_t member = 0; member < ROWS(messages); member++) {
+                json_int_t format = json_integer_value(json_object_get(messages[member], "format"));
                 if (format != rows[i].want)
                     fail_msg("%s, %s %s: %lld", rows[i].what, leads ? "leading," : "following,",
-                             m ? "answer" : "heartbeat", (long long)format);
-                json_decref(messages[m]);
+                             member ? "answer" : "heartbeat", (long long)format);
+                json_decref(messages[member]);
             }
             free(text);
         }
-        node->election.role = AMB_ROLE_LEADING;
+        node->election.role = AMB_ROLE_LEADER;
         end();
     }
 }
@@ -133,17 +133,18 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        for (uint32_t w = 0; w < rows[i].count; w++) hear(rows[i].words[w].peer, rows[i].words[w].format);
-        if (rows[i].upgrade_over) amb_format_upgrade_over(node, "test");
-        if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWING;
-        if (rows[i].held) node->formats.held_at = AMB_FORMAT_1;
-        if (rows[i].loading) node->ctl.loaded_at = 0;
-        if (amb_format_known_old(node) != rows[i].known_old) fail_msg("%s: known_old", rows[i].what);
+        for (uint32_t word = 0; word < rows[i].count; word++)
+            hear(rows[i].words[word].peer, rows[i].words[word].format);
+        if (rows[i].upgrade_over) amb_format_complete_upgrade(node, "test");
+        if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWER;
+        if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
+        if (rows[i].loading) node->controller.restored_at = 0;
+        if (amb_format_has_older_peer(node) != rows[i].known_old) fail_msg("%s: known_old", rows[i].what);
         amb_format_tick(node, amb_now());
         amb_format_tick(node, amb_now());
         if (fake_calls_open("POST", "/commit") != rows[i].writes) fail_msg("%s: writes", rows[i].what);
-        assert_int_equal(amb_format_in_use(node), AMB_FORMAT_1);
-        node->election.role = AMB_ROLE_LEADING;
+        assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
+        node->election.role = AMB_ROLE_LEADER;
         end();
     }
 }
@@ -158,10 +159,10 @@
     assert_non_null(commit);
     uint64_t lease, format;
     const cbor_item_t *value = fake_txn_put(commit, "a/format", &lease);
-    assert_true(amb_cbor_uint(amb_cbor_get(value, "format"), &format) && format == 2);
+    assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "format"), &format) && format == 2);
     assert_int_equal(lease, 0); /* it stays when its writer ends */
-    assert_int_equal(fake_txn_guard(commit, "a/leader"), TERM);
-    assert_int_equal(fake_txn_guard(commit, "a/format"), 0);
+    assert_int_equal(fake_txn_compared_revision(commit, "a/leader"), TERM);
+    assert_int_equal(fake_txn_compared_revision(commit, "a/format"), 0);
     end();
 }
 
@@ -196,19 +197,19 @@
             answer_epoch(commit);
         else
             fake_answer(commit, rows[i].status, NULL);
-        if (rows[i].held) node->formats.held_at = AMB_FORMAT_1;
+        if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
         if (rows[i].news) news_of_key(rows[i].news);
-        if (amb_format_in_use(node) != rows[i].in_use)
-            fail_msg("%s: %d in use", rows[i].what, (int)amb_format_in_use(node));
-        node->store.held_until = 0;
+        if (amb_format_active(node) != rows[i].in_use)
+            fail_msg("%s: %d in use", rows[i].what, (int)amb_format_active(node));
+        node->store.throttled_until = 0;
         amb_format_tick(node, amb_now() + 60000);
         if (fake_calls_open("POST", "/commit") != rows[i].again) fail_msg("%s: again", rows[i].what);
         /* A late message of an ended process, or news that the key is gone, take nothing back. */
         hear(0, 0);
-        amb_format_key(node, NULL);
+        amb_format_apply_key(node, NULL);
         news_of_key(1);
-        if (amb_format_in_use(node) != rows[i].in_use) fail_msg("%s: taken back", rows[i].what);
-        if (rows[i].in_use == AMB_FORMAT_2 && amb_format_known_old(node))
+        if (amb_format_active(node) != rows[i].in_use) fail_msg("%s: taken back", rows[i].what);
+        if (rows[i].in_use == AMB_FORMAT_2 && amb_format_has_older_peer(node))
             fail_msg("%s: an old node where none can be", rows[i].what);
         end();
     }
@@ -219,22 +220,23 @@
     (void)state;
     begin();
     node->jobs.loaded = false;
-    amb_jobs_init(node);
+    amb_watch_start(node);
     struct fake_call *list = fake_call_open("/store?prefix=a/");
     assert_non_null(list);
     struct amb_buf body = {0};
-    amb_w_map(&body, 3);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, WRITTEN);
-    amb_w_str(&body, "truncated"), amb_w_bool(&body, false);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, 1);
-    amb_w_map(&body, 3);
-    amb_w_str(&body, "path"), amb_w_str(&body, "a/format");
-    amb_w_str(&body, "stamp"), amb_w_uint(&body, WRITTEN);
-    amb_w_str(&body, "value"), amb_w_map(&body, 1), amb_w_str(&body, "format"), amb_w_uint(&body, 2);
-    assert_int_equal(amb_format_in_use(node), AMB_FORMAT_1);
+    amb_cbor_write_map(&body, 3);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, WRITTEN);
+    amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, false);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, 1);
+    amb_cbor_write_map(&body, 3);
+    amb_cbor_write_string(&body, "path"), amb_cbor_write_string(&body, "a/format");
+    amb_cbor_write_string(&body, "stamp"), amb_cbor_write_uint(&body, WRITTEN);
+    amb_cbor_write_string(&body, "value"), amb_cbor_write_map(&body, 1),
+        amb_cbor_write_string(&body, "format"), amb_cbor_write_uint(&body, 2);
+    assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
     fake_answer(list, 200, &body);
-    assert_int_equal(amb_format_in_use(node), AMB_FORMAT_2);
-    amb_timer_stop(&node->jobs.follow_timer);
+    assert_int_equal(amb_format_active(node), AMB_FORMAT_2);
+    amb_timer_stop(&node->jobs.watch_timer);
     end();
 }
 
@@ -252,26 +254,28 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        node->set.state_next.write_rps = rows[i].announced ? 600 : 0;
-        amb_store_init(&node->store, &node->set, 1000);
-        amb_store_share(&node->store, rows[i].leads);
-        json_t *before = amb_peer_answer(node, NULL);
+        node->settings.announced_limits.write_rps = rows[i].announced ? 600 : 0;
+        amb_store_init(&node->store, &node->settings, 1000);
+        amb_store_set_leadership(&node->store, rows[i].leads);
+        json_t *before = amb_peer_encode_reply(node, NULL);
         assert_null(json_object_get(before, "limits_lowered"));
         hear(0, 2);
         assert_false(node->store.limits_lowered);
         json_object_set_new(before, "limits_lowered", json_true());
-        amb_peer_heard(node, &node->peers.list[0], before, 0);
+        amb_peer_apply_message(node, &node->peers.list[0], before, 0);
         json_decref(before);
-        const struct amb_store *s = &node->store;
-        assert_true(s->limits_lowered);
-        if (s->writes.rate != rows[i].own || s->user_writes.rate != rows[i].users)
-            fail_msg("%s: %g of its own, %g for users", rows[i].what, s->writes.rate, s->user_writes.rate);
-        json_t *after = amb_peer_answer(node, NULL);
+        const struct amb_store *store = &node->store;
+        assert_true(store->limits_lowered);
+        if (store->write_bucket.tokens_per_second != rows[i].own ||
+            store->user_write_bucket.tokens_per_second != rows[i].users)
+            fail_msg("%s: %g of its own, %g for users", rows[i].what, store->write_bucket.tokens_per_second,
+                     store->user_write_bucket.tokens_per_second);
+        json_t *after = amb_peer_encode_reply(node, NULL);
         assert_true(json_is_true(json_object_get(after, "limits_lowered")));
         json_decref(after);
         hear(0, 2); /* a node that has not seen it yet takes nothing back */
-        amb_store_share(&node->store, !rows[i].leads);
-        assert_float_equal(s->user_writes.rate, rows[i].users, 1e-9);
+        amb_store_set_leadership(&node->store, !rows[i].leads);
+        assert_float_equal(store->user_write_bucket.tokens_per_second, rows[i].users, 1e-9);
         end();
     }
 }
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -8,86 +8,90 @@
 
 /* ---- answers to workers ---- */
 
-static int answer_status;
-static uint64_t answer_token;
-static size_t answer_halts, answer_starts;
+static int response_status;
+static uint64_t response_token;
+static size_t response_halts, response_starts;
 
-static void read_answer(struct fake_reply *reply) {
-    answer_status = reply->status;
-    answer_token = answer_halts = answer_starts = 0;
+static void read_response(struct fake_reply *reply) {
+    response_status = reply->status;
+    response_token = response_halts = response_starts = 0;
     cbor_item_t *map = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
-    amb_cbor_uint(amb_cbor_get(map, "baton"), &answer_token);
-    const cbor_item_t *list = amb_cbor_get(map, "orders");
-    for (size_t i = 0; i < amb_cbor_len(list); i++) {
-        const cbor_item_t *verb = amb_cbor_get(amb_cbor_at(list, i), "verb");
-        answer_halts += amb_cbor_eq(verb, "halt");
-        answer_starts += amb_cbor_eq(verb, "run");
+    amb_cbor_get_uint(amb_cbor_map_get(map, "baton"), &response_token);
+    const cbor_item_t *list = amb_cbor_map_get(map, "orders");
+    for (size_t i = 0; i < amb_cbor_list_length(list); i++) {
+        const cbor_item_t *verb = amb_cbor_map_get(amb_cbor_list_item(list, i), "verb");
+        response_halts += amb_cbor_equals(verb, "halt");
+        response_starts += amb_cbor_equals(verb, "run");
     }
     if (map) cbor_decref(&map);
     amb_buf_free(&reply->body);
 }
 
-static void w_pair(struct amb_buf *b, const char *name, const char *value) {
-    amb_w_str(b, name);
-    amb_w_str(b, value);
+static void write_pair(struct amb_buf *buffer, const char *name, const char *value) {
+    amb_cbor_write_string(buffer, name);
+    amb_cbor_write_string(buffer, value);
 }
 
 /* A worker of zone a reports one running task over HTTP. */
-static void hello(uint64_t token, const char *task) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 9);
-    w_pair(&b, "rig", "m-1");
-    w_pair(&b, "address", "127.0.0.1:1");
-    w_pair(&b, "hull", "g8");
-    w_pair(&b, "yard", "a");
-    amb_w_str(&b, "driftwood");
-    amb_w_bool(&b, false);
-    amb_w_str(&b, "watch");
-    amb_w_uint(&b, 1);
-    amb_w_str(&b, "tally");
-    amb_w_uint(&b, 1);
-    amb_w_str(&b, "baton");
-    amb_w_uint(&b, token);
-    amb_w_str(&b, "legs");
-    amb_w_list(&b, 1);
-    amb_w_map(&b, 3);
-    w_pair(&b, "leg", task);
-    amb_w_str(&b, "try");
-    amb_w_uint(&b, 1);
-    w_pair(&b, "stance", "running");
+static void post_heartbeat(uint64_t token, const char *task) {
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 9);
+    write_pair(&buffer, "rig", "m-1");
+    write_pair(&buffer, "address", "127.0.0.1:1");
+    write_pair(&buffer, "hull", "g8");
+    write_pair(&buffer, "yard", "a");
+    amb_cbor_write_string(&buffer, "driftwood");
+    amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "watch");
+    amb_cbor_write_uint(&buffer, 1);
+    amb_cbor_write_string(&buffer, "tally");
+    amb_cbor_write_uint(&buffer, 1);
+    amb_cbor_write_string(&buffer, "baton");
+    amb_cbor_write_uint(&buffer, token);
+    amb_cbor_write_string(&buffer, "legs");
+    amb_cbor_write_list(&buffer, 1);
+    amb_cbor_write_map(&buffer, 3);
+    write_pair(&buffer, "leg", task);
+    amb_cbor_write_string(&buffer, "try");
+    amb_cbor_write_uint(&buffer, 1);
+    write_pair(&buffer, "stance", "running");
     struct fake_reply reply = {0};
-    assert_true(amb_fleet_request(node, fake_request("POST", "/hello", &b, &reply)));
-    read_answer(&reply);
-    amb_buf_free(&b);
+    assert_true(amb_agent_handle_request(node, fake_request("POST", "/hello", &buffer, &reply)));
+    read_response(&reply);
+    amb_buf_free(&buffer);
 }
 
 /* ---- jobs as news tell of them ---- */
 
-static void news(const char *ref, enum amb_job_state state, uint64_t stamp, int64_t cancelled_wall) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_job draft = {.spec = &spec, .accepted_wall = 1, .cancelled_wall = cancelled_wall};
-    struct amb_buf b = {0};
+static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t revision,
+                             int64_t cancelled_wall) {
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_job draft = {.spec = &spec, .accepted_wall_ms = 1, .cancelled_wall_ms = cancelled_wall};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(&b, &draft, state);
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
-    amb_jobs_apply(node, ref, item, stamp);
+    amb_job_encode_record(&buffer, &draft, state);
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
+    amb_jobs_apply_item(node, ref, item, revision);
     cbor_decref(&item);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 static enum amb_job_state state_of(const char *ref) {
-    const struct amb_job *j = amb_job_find(node, ref);
-    assert_non_null(j);
-    return j->state;
+    const struct amb_job *job = amb_job_find(node, ref);
+    assert_non_null(job);
+    return job->state;
 }
 
 /* ---- the tests ---- */
 
 /* The answer to a leader's question lists every cancellation that the leader can't know, however old. */
-static void answers_list_what_the_asker_lacks(void **state) {
+static void responses_list_what_the_asker_lacks(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -105,12 +109,12 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         teardown(NULL);
         setup(NULL);
-        news("wk-1", AMB_JOB_QUEUED, 1, 0);
-        news("wk-2", AMB_JOB_QUEUED, 50, 0);
-        news("wk-1", AMB_JOB_CANCELLED, rows[i].stamp, amb_wall_ms() - rows[i].ago_ms);
+        apply_job_change("wk-1", AMB_JOB_QUEUED, 1, 0);
+        apply_job_change("wk-2", AMB_JOB_QUEUED, 50, 0);
+        apply_job_change("wk-1", AMB_JOB_CANCELLED, rows[i].stamp, amb_wall_ms() - rows[i].ago_ms);
         json_t *question = json_object();
         if (rows[i].epoch) json_object_set_new(question, "epoch", json_integer(rows[i].epoch));
-        json_t *answer = amb_peer_answer(node, question);
+        json_t *answer = amb_peer_encode_reply(node, question);
         if (json_array_size(json_object_get(answer, "cancelled")) != rows[i].listed)
             fail_msg("%s", rows[i].what);
         json_decref(answer);
@@ -120,7 +124,7 @@
 
 /* A peer confirms a leader by its answer to a question, if it has read the state service since it began, does
  * not lead and knows no higher term. */
-static void whose_word_counts(void **state) {
+static void which_peers_confirm_the_leader(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -142,31 +146,33 @@
         struct amb_peer *peer = &node->peers.list[0];
         node->peers.count = 1;
         strcpy(peer->member, "peer");
-        json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term,
-                                 "leading", rows[i].leading, "store", 1, "reports_arrive", 0);
-        amb_peer_heard(node, peer, said, rows[i].answer ? asked : 0);
-        if (amb_peer_confirmed(node, amb_now()) != (rows[i].counts ? asked : 0)) fail_msg("%s", rows[i].what);
-        json_decref(said);
+        json_t *message =
+            json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term, "leading",
+                      rows[i].leading, "store", 1, "reports_arrive", 0);
+        amb_peer_apply_message(node, peer, message, rows[i].answer ? asked : 0);
+        if (amb_election_peers_confirmed_at(node, amb_now()) != (rows[i].counts ? asked : 0))
+            fail_msg("%s", rows[i].what);
+        json_decref(message);
     }
 }
 
 /* A peer tells of a cancellation whose job we may not know yet: news of before do not undo it. */
 static void cancellations_known_before_the_job(void **state) {
     (void)state;
-    json_t *said =
+    json_t *message =
         json_pack("{s:b, s:i, s:b, s:b, s:b, s:[[s,I,I]]}", "loaded", 1, "term", TERM, "leading", 0, "store",
                   1, "reports_arrive", 0, "cancelled", "wk-1", (json_int_t)amb_wall_ms(), (json_int_t)40);
     node->peers.count = 1;
-    amb_peer_heard(node, &node->peers.list[0], said, amb_now());
-    json_decref(said);
+    amb_peer_apply_message(node, &node->peers.list[0], message, amb_now());
+    json_decref(message);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
-    struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_OP_HALT), 1);
-    news("wk-1", AMB_JOB_QUEUED, 30, 0);
+    assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
+    apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
-    assert_false(amb_job_find(node, "wk-1")->live);
-    news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
+    assert_false(amb_job_find(node, "wk-1")->active);
+    apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
 }
 
@@ -174,45 +180,45 @@
  * knows to be cancelled. */
 static void reading_records_stops_cancelled_tasks(void **state) {
     (void)state;
-    node->ctl.loaded_at = 0;
-    news("wk-1", AMB_JOB_QUEUED, 30, 0);
-    struct amb_seen seen = listing("wk-1", 0, 1, AMB_ON_RUNNING, AMB_WHY_NONE);
+    node->controller.restored_at = 0;
+    apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
+    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     report("m-1", 1, 1, TERM - 1, amb_now(), &seen, 1);
     assert_int_equal(norders, 0);
-    news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
+    apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
     report("m-1", 1, 2, TERM - 1, amb_now(), &seen, 1);
-    assert_int_equal(count_orders(AMB_OP_HALT), 1);
-    seen.on = AMB_ON_EXITED;
+    assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
+    seen.state = AMB_AGENT_TASK_EXITED;
     report("m-1", 1, 3, TERM, amb_now(), &seen, 1);
     assert_int_equal(norders, 0);
 }
 
 /* So does a deputy, which orders nothing else and answers nobody once it knows a newer term. */
-static void deputies_stop_cancelled_tasks(void **state) {
+static void lease_proxies_stop_cancelled_tasks(void **state) {
     (void)state;
-    node->election.role = AMB_ROLE_FOLLOWING;
+    node->election.role = AMB_ROLE_FOLLOWER;
     node->election.term = 0;
-    node->election.highest = TERM;
+    node->election.highest_term = TERM;
     node->election.ttl = 3000;
-    strcpy(node->set.zone, "a");
-    node->deputy.state = AMB_DEPUTY_ACTIVE;
-    node->deputy.term = TERM;
-    node->deputy.renewed_at = amb_now();
-    news("wk-1", AMB_JOB_QUEUED, 30, 0);
-    hello(TERM, "wk-1/0");
-    assert_int_equal(answer_status, 200);
-    assert_int_equal(answer_token, TERM);
-    assert_int_equal(answer_halts + answer_starts, 0);
-    news("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
-    hello(TERM, "wk-1/0");
-    assert_int_equal(answer_status, 200);
-    assert_int_equal(answer_halts, 1);
-    hello(TERM + 1, "wk-1/0");
-    assert_int_equal(answer_status, 421);
+    strcpy(node->settings.zone, "a");
+    node->lease_proxy.state = AMB_LEASE_PROXY_ACTIVE;
+    node->lease_proxy.term = TERM;
+    node->lease_proxy.renewed_at = amb_now();
+    apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
+    post_heartbeat(TERM, "wk-1/0");
+    assert_int_equal(response_status, 200);
+    assert_int_equal(response_token, TERM);
+    assert_int_equal(response_halts + response_starts, 0);
+    apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
+    post_heartbeat(TERM, "wk-1/0");
+    assert_int_equal(response_status, 200);
+    assert_int_equal(response_halts, 1);
+    post_heartbeat(TERM + 1, "wk-1/0");
+    assert_int_equal(response_status, 421);
 }
 
 /* A leader that stood still answers nothing that came meanwhile, though no tick has found it out yet. */
-static void no_answer_after_a_stall(void **state) {
+static void no_response_after_a_stall(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -228,11 +234,11 @@
         setup(NULL);
         amb_ms now = amb_now();
         node->election.ttl = 3000;
-        node->election.renewed_at = node->jobs.fresh_sent_at = now - rows[i].news_ago;
+        node->election.renewed_at = node->jobs.last_read_sent_at = now - rows[i].news_ago;
         node->peers.count = 1;
         node->peers.list[0].confirmed_at = now - rows[i].word_ago;
-        hello(TERM, "wk-1/0");
-        if (answer_status != rows[i].status) fail_msg("%s: %d", rows[i].what, answer_status);
+        post_heartbeat(TERM, "wk-1/0");
+        if (response_status != rows[i].status) fail_msg("%s: %d", rows[i].what, response_status);
     }
 }
 
@@ -244,8 +250,8 @@
         amb_ms fence_after;
     } rows[] = {{10, 30, 19000}, {22, 42, 19000}, {60, 120, 57000}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        node->set.lease_s = rows[i].lease_s;
-        node->set.cancel_s = rows[i].cancel_s;
+        node->settings.agent_lease_s = rows[i].lease_s;
+        node->settings.cancel_s = rows[i].cancel_s;
         amb_election_init(node);
         if (node->election.fence_after != rows[i].fence_after)
             fail_msg("row %zu: %lld ms", i, (long long)node->election.fence_after);
@@ -254,13 +260,13 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(answers_list_what_the_asker_lacks, setup, teardown),
-        cmocka_unit_test_setup_teardown(whose_word_counts, setup, teardown),
+        cmocka_unit_test_setup_teardown(responses_list_what_the_asker_lacks, setup, teardown),
+        cmocka_unit_test_setup_teardown(which_peers_confirm_the_leader, setup, teardown),
         cmocka_unit_test_setup_teardown(cancellations_known_before_the_job, setup, teardown),
         cmocka_unit_test_setup_teardown(reading_records_stops_cancelled_tasks, setup, teardown),
-        cmocka_unit_test_setup_teardown(no_answer_after_a_stall, setup, teardown),
+        cmocka_unit_test_setup_teardown(no_response_after_a_stall, setup, teardown),
         cmocka_unit_test_setup_teardown(fenced_in_time_for_a_cancellation, setup, teardown),
-        cmocka_unit_test_setup_teardown(deputies_stop_cancelled_tasks, setup, teardown),
+        cmocka_unit_test_setup_teardown(lease_proxies_stop_cancelled_tasks, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -9,16 +9,16 @@
 
 static struct amb_job *job_from(const char *ref, const char *rank, double due_s, double reckon_s, int age_s,
                                 const char *awaits, uint64_t stamp) {
-    struct amb_buf b = cbor_from_text(
+    struct amb_buf buffer = cbor_from_text(
         "{\"s\":\"queued\",\"a\":%lld,\"d\":{\"ref\":\"%s\",\"berth\":\"stage\",\"crew\":\"vision\","
         "\"shape\":\"batch\",\"rank\":\"%s\",\"legs\":1,\"vcpus\":1.0,\"accelerators\":0.0,\"ram_gb\":4.0,"
         "\"cask\":\"img\",\"size_gb\":1.0,\"one_zone\":false,\"scatter\":false,\"driftwood\":true,"
         "\"reckon_s\":%f,\"mark_s\":0.0,\"stow_s\":0.0,\"due_s\":%f,\"awaits\":[%s]}}",
         (long long)amb_wall_ms() - age_s * 1000LL, ref, rank, reckon_s, due_s, awaits);
-    cbor_item_t *value = amb_cbor_parse(b.data, b.len);
-    amb_jobs_apply(node, ref, value, stamp);
+    cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
+    amb_jobs_apply_item(node, ref, value, stamp);
     cbor_decref(&value);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
     return amb_job_find(node, ref);
 }
 
@@ -54,10 +54,10 @@
         job_from("wk-third", rows[i].last_rank, rows[i].due_s, rows[i].reckon_s, rows[i].age_s,
                  "\"wk-second\"", 203);
         job_from("wk-other", rows[i].other_rank, 0, 10, rows[i].other_age_s, "", 204);
-        struct amb_round *round = amb_round_new(node, amb_now());
-        assert_int_equal(round->njobs, 2);
-        if ((round->jobs[0] == first) != rows[i].before) fail_msg("%s", rows[i].what);
-        amb_round_free(round);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        assert_int_equal(cycle->job_count, 2);
+        if ((cycle->jobs[0] == first) != rows[i].before) fail_msg("%s", rows[i].what);
+        amb_cycle_free(cycle);
     }
 }
 
@@ -67,25 +67,25 @@
     lead();
     play("setup", "+a +b:a +c");
     struct amb_job *stage = amb_job_find(node, "wk-b"), *other = amb_job_find(node, "wk-c");
-    int64_t submitted = stage->accepted_wall;
+    int64_t submitted = stage->accepted_wall_ms;
     fake_clock_advance(20000);
     play("the first is done", "!a live=bc");
-    assert_true(amb_job_ready_wall(stage) >= submitted + 20000);
-    assert_true(amb_job_order_wall(stage) >= submitted + 20000);
-    assert_int_equal(amb_job_ready_wall(other), other->accepted_wall);
+    assert_true(amb_job_ready_wall_ms(stage) >= submitted + 20000);
+    assert_true(amb_job_order_wall_ms(stage) >= submitted + 20000);
+    assert_int_equal(amb_job_ready_wall_ms(other), other->accepted_wall_ms);
     stage->spec->deadline_s = 100;
-    assert_int_equal(amb_job_due_wall(stage), submitted + 100000);
+    assert_int_equal(amb_job_due_wall_ms(stage), submitted + 100000);
     /* In time: from the end of the first for an aim, from the submission for a due time. */
-    node->set.nobjectives = 1;
-    strcpy(node->set.objectives[0].kind, "finished");
-    strcpy(node->set.objectives[0].class_name, "stage");
-    node->set.objectives[0].within_s = 45; /* its work is reckoned as 30 */
+    node->settings.objective_count = 1;
+    strcpy(node->settings.objectives[0].kind, "finished");
+    strcpy(node->settings.objectives[0].class_name, "stage");
+    node->settings.objectives[0].within_s = 45; /* its work is reckoned as 30 */
     node->catalog.types[0].boot_s = 0;
     stage->spec->deadline_s = 0;
-    assert_true(amb_start_can_wait(node, stage));
-    assert_false(amb_start_can_wait(node, other));
+    assert_true(amb_start_can_wait_for_capacity(node, stage));
+    assert_false(amb_start_can_wait_for_capacity(node, other));
     stage->spec->deadline_s = 45;
-    assert_false(amb_start_can_wait(node, stage));
+    assert_false(amb_start_can_wait_for_capacity(node, stage));
 }
 
 /* Room is not rented for an early stage as long as the later ones still have their time. */
@@ -107,8 +107,8 @@
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
         job_from("wk-last", "high", rows[i].due_s, rows[i].reckon_s, 0, "\"wk-first\"", 202);
         node->catalog.types[0].boot_s = 30;
-        amb_pipelines_reckon(node);
-        if (amb_start_can_wait(node, first) != rows[i].can_wait) fail_msg("%s", rows[i].what);
+        amb_pipelines_update_priorities(node);
+        if (amb_start_can_wait_for_capacity(node, first) != rows[i].can_wait) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -135,8 +135,8 @@
         struct amb_job *job = job_from("wk-first", rows[i].priority, rows[i].due_s, 20, 0, "", 201);
         node->catalog.types[0].boot_s = 30;
         job->team->opportunistic = rows[i].opportunistic;
-        job->accepted_wall -= amb_secs(rows[i].waited_s);
-        if (amb_start_can_wait(node, job) != rows[i].can_wait) fail_msg("%s", rows[i].what);
+        job->accepted_wall_ms -= amb_seconds_to_ms(rows[i].waited_s);
+        if (amb_start_can_wait_for_capacity(node, job) != rows[i].can_wait) fail_msg("%s", rows[i].what);
         job->team->opportunistic = false;
     }
 }
@@ -152,34 +152,40 @@
         enum amb_priority own_claim;
         bool opportunistic;
     } rows[] = {
-        {"of a high pipeline, for high work", "high", 0, AMB_HIGH, false, AMB_HIGH, false},
-        {"of a high pipeline, for prod work", "high", 0, AMB_PROD, true, AMB_HIGH, false},
-        {"of a normal pipeline, for high work", "normal", 0, AMB_HIGH, true, AMB_NORMAL, false},
-        {"of a prod pipeline, for prod work", "prod", 0, AMB_PROD, false, AMB_PROD, false},
-        {"of a high pipeline that has time", "high", 60, AMB_HIGH, true, AMB_BEST_EFFORT, false},
-        {"of a high pipeline that is late", "high", 44, AMB_HIGH, false, AMB_HIGH, false},
-        {"lower work, for normal work without a guarantee", "best_effort", 0, AMB_NORMAL, false,
-         AMB_BEST_EFFORT, false},
-        {"opportunistic work, for the same", "best_effort", 0, AMB_NORMAL, true, AMB_BEST_EFFORT, true},
-        {"opportunistic work, for its like", "best_effort", 0, AMB_BEST_EFFORT, false, AMB_BEST_EFFORT, true},
+        {"of a high pipeline, for high work", "high", 0, AMB_PRIORITY_HIGH, false, AMB_PRIORITY_HIGH, false},
+        {"of a high pipeline, for prod work", "high", 0, AMB_PRIORITY_PRODUCTION, true, AMB_PRIORITY_HIGH,
+         false},
+        {"of a normal pipeline, for high work", "normal", 0, AMB_PRIORITY_HIGH, true, AMB_PRIORITY_NORMAL,
+         false},
+        {"of a prod pipeline, for prod work", "prod", 0, AMB_PRIORITY_PRODUCTION, false,
+         AMB_PRIORITY_PRODUCTION, false},
+        {"of a high pipeline that has time", "high", 60, AMB_PRIORITY_HIGH, true, AMB_PRIORITY_BEST_EFFORT,
+         false},
+        {"of a high pipeline that is late", "high", 44, AMB_PRIORITY_HIGH, false, AMB_PRIORITY_HIGH, false},
+        {"lower work, for normal work without a guarantee", "best_effort", 0, AMB_PRIORITY_NORMAL, false,
+         AMB_PRIORITY_BEST_EFFORT, false},
+        {"opportunistic work, for the same", "best_effort", 0, AMB_PRIORITY_NORMAL, true,
+         AMB_PRIORITY_BEST_EFFORT, true},
+        {"opportunistic work, for its like", "best_effort", 0, AMB_PRIORITY_BEST_EFFORT, false,
+         AMB_PRIORITY_BEST_EFFORT, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
         lead();
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
         job_from("wk-last", rows[i].last_rank, rows[i].due_s, 10, 0, "\"wk-first\"", 202);
-        amb_pipelines_reckon(node);
+        amb_pipelines_update_priorities(node);
         struct amb_task *task = bound(first, 0, "m-1", 1);
         task->state = AMB_TASK_SEEN;
-        const struct amb_claim claim = {rows[i].claim, NULL, false};
+        const struct amb_preemption_claim claim = {rows[i].claim, NULL, false};
         first->team->opportunistic = rows[i].opportunistic;
-        if (amb_round_makes_way(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
-        assert_int_equal(amb_job_priority(first), rows[i].own_claim);
-        struct amb_round *round = amb_round_new(node, amb_now());
-        struct amb_wish wish;
-        amb_round_wish(round, first, &wish);
-        assert_int_equal(wish.priority, rows[i].own_claim);
-        amb_round_free(round);
+        if (amb_cycle_is_preemptible_by(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
+        assert_int_equal(amb_job_get_effective_priority(first), rows[i].own_claim);
+        struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
+        struct amb_placement_request request;
+        amb_cycle_init_request(cycle, first, &request);
+        assert_int_equal(request.priority, rows[i].own_claim);
+        amb_cycle_free(cycle);
         amb_task_unbind(node, task, "end of row");
         first->team->opportunistic = false;
     }
@@ -191,33 +197,33 @@
     lead();
     struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
     struct amb_job *last = job_from("wk-last", "high", 30, 10, 0, "\"wk-first\"", 202);
-    amb_pipelines_reckon(node);
-    assert_int_equal(amb_job_priority(first), AMB_HIGH);
-    amb_job_cancel_hint(node, last->ref, amb_wall_ms(), 203);
-    amb_pipelines_reckon(node);
-    assert_int_equal(amb_job_priority(first), AMB_BEST_EFFORT);
-    assert_int_equal(amb_job_due_wall(first), AMB_NO_DUE);
+    amb_pipelines_update_priorities(node);
+    assert_int_equal(amb_job_get_effective_priority(first), AMB_PRIORITY_HIGH);
+    amb_job_apply_cancel_hint(node, last->ref, amb_wall_ms(), 203);
+    amb_pipelines_update_priorities(node);
+    assert_int_equal(amb_job_get_effective_priority(first), AMB_PRIORITY_BEST_EFFORT);
+    assert_int_equal(amb_job_due_wall_ms(first), AMB_NO_DUE);
 }
 
 /* What a class asks for is noted when its jobs can run. */
 static void demand_is_noted_when_it_can_run(void **state) {
     (void)state;
     lead();
-    strcpy(node->set.objectives[0].kind, "wait");
-    strcpy(node->set.objectives[0].class_name, "gangs");
-    node->set.objectives[0].within_s = 10;
-    node->set.nobjectives = 1;
+    strcpy(node->settings.objectives[0].kind, "wait");
+    strcpy(node->settings.objectives[0].class_name, "gangs");
+    node->settings.objectives[0].within_s = 10;
+    node->settings.objective_count = 1;
     play("setup", "+a");
     json_t *job = json_loads(describe('b', "a", "ensemble"), 0, NULL);
     json_object_set_new(job, "berth", json_string("gangs"));
     submit_json(job);
     assert_string_equal(answer(), "201q");
-    assert_int_equal(node->ctl.ndemands, 0);
+    assert_int_equal(node->controller.demand_count, 0);
     stop();
     lead(); /* who takes the lead notes what it finds */
-    assert_int_equal(node->ctl.ndemands, 0);
+    assert_int_equal(node->controller.demand_count, 0);
     finish_tasks('a');
-    assert_int_equal(node->ctl.ndemands, 1);
+    assert_int_equal(node->controller.demand_count, 1);
 }
 
 int main(void) {
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -5,19 +5,22 @@
 #include <math.h>
 
 /* What news say of a job, as a node that is not asked for it hears it. */
-static void hear(const char *ref, enum amb_job_state state, uint64_t stamp) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_job draft = {.spec = &spec, .accepted_wall = 1};
-    struct amb_buf b = {0};
+static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t stamp) {
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_job draft = {.spec = &spec, .accepted_wall_ms = 1};
+    struct amb_buf buffer = {0};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(&b, &draft, state);
-    cbor_item_t *item = amb_cbor_parse(b.data, b.len);
-    amb_jobs_apply(node, ref, item, stamp);
+    amb_job_encode_record(&buffer, &draft, state);
+    cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
+    amb_jobs_apply_item(node, ref, item, stamp);
     cbor_decref(&item);
-    amb_buf_free(&b);
+    amb_buf_free(&buffer);
 }
 
 /* All nodes draw on one half of the state service's writes for users: when the half was parted among seven,
@@ -43,30 +46,31 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         teardown(NULL);
         setup(NULL);
-        node->election.role = AMB_ROLE_FOLLOWING;
+        node->election.role = AMB_ROLE_FOLLOWER;
         node->jobs.loaded = true;
-        node->set.npeers = 6;
-        node->set.state_rps = 200;
-        node->set.state_write_rps = 20;
-        amb_store_init(&node->store, &node->set, 1000);
-        node->store.user_writes.at = amb_now() + 3600000; /* no refill meanwhile */
-        char ref[AMB_NAME];
+        node->settings.peer_count = 6;
+        node->settings.store_rps = 200;
+        node->settings.store_write_rps = 20;
+        amb_store_init(&node->store, &node->settings, 1000);
+        node->store.user_write_bucket.refilled_at = amb_now() + 3600000; /* no refill meanwhile */
+        char ref[AMB_NAME_SIZE];
         uint64_t stamp = 1;
         for (uint32_t k = 0; k < rows[i].submitted; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
-            hear(ref, AMB_JOB_QUEUED, stamp + k);
+            apply_job_change(ref, AMB_JOB_QUEUED, stamp + k);
         }
         for (uint32_t k = 0; k < rows[i].copies; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
-            hear(ref, AMB_JOB_QUEUED, stamp + k);
+            apply_job_change(ref, AMB_JOB_QUEUED, stamp + k);
         }
         stamp += 100;
         for (uint32_t k = 0; k < rows[i].cancelled + rows[i].done; k++) {
             snprintf(ref, sizeof ref, "wk-%u", k);
-            hear(ref, k < rows[i].cancelled ? AMB_JOB_CANCELLED : AMB_JOB_DONE, stamp + k);
+            apply_job_change(ref, k < rows[i].cancelled ? AMB_JOB_CANCELLED : AMB_JOB_DONE, stamp + k);
         }
-        if (rows[i].lent > 0) amb_store_lent(&node->store, rows[i].lent);
-        if (amb_store_can_write(&node->store, 1, rows[i].keep) != rows[i].can) fail_msg("%s", rows[i].what);
+        if (rows[i].lent > 0) amb_store_apply_token_loan(&node->store, rows[i].lent);
+        if (amb_store_can_write_for_user(&node->store, 1, rows[i].keep) != rows[i].can)
+            fail_msg("%s", rows[i].what);
     }
 }
 
@@ -76,21 +80,21 @@
     static const struct {
         double own, users, lends;
     } rows[] = {{10, 0, 5}, {10, 8, 2}, {10, 10, 0}, {5, 0, 0}, {5.5, 0, 0}, {8, 3, 3}};
-    node->set.npeers = 6;
-    node->set.state_rps = 200;
-    node->set.state_write_rps = 20;
+    node->settings.peer_count = 6;
+    node->settings.store_rps = 200;
+    node->settings.store_write_rps = 20;
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_store *s = &node->store;
-        amb_store_init(s, &node->set, 1000);
-        amb_store_share(s, true);
-        s->writes.at = s->user_writes.at = amb_now() + 3600000;
-        s->writes.tokens = rows[i].own;
-        s->user_writes.tokens = rows[i].users;
-        assert_float_equal(amb_store_lend(s), rows[i].lends, 1e-9);
-        assert_float_equal(s->writes.tokens, rows[i].own - rows[i].lends, 1e-9);
-        assert_float_equal(s->user_writes.tokens, rows[i].users + rows[i].lends, 1e-9);
-        amb_store_lent(s, 1000); /* a wrong word from a peer fills the bucket and no more */
-        assert_float_equal(s->user_writes.tokens, 10, 1e-9);
+        struct amb_store *store = &node->store;
+        amb_store_init(store, &node->settings, 1000);
+        amb_store_set_leadership(store, true);
+        store->write_bucket.refilled_at = store->user_write_bucket.refilled_at = amb_now() + 3600000;
+        store->write_bucket.tokens = rows[i].own;
+        store->user_write_bucket.tokens = rows[i].users;
+        assert_float_equal(amb_store_lend_tokens(store), rows[i].lends, 1e-9);
+        assert_float_equal(store->write_bucket.tokens, rows[i].own - rows[i].lends, 1e-9);
+        assert_float_equal(store->user_write_bucket.tokens, rows[i].users + rows[i].lends, 1e-9);
+        amb_store_apply_token_loan(store, 1000); /* a wrong word from a peer fills the bucket and no more */
+        assert_float_equal(store->user_write_bucket.tokens, 10, 1e-9);
     }
 }
 
@@ -115,17 +119,19 @@
         {"alone, holding all", 0, true, true, 1, 14},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_store *s = &node->store;
-        node->set.npeers = rows[i].peers;
-        node->set.state_rps = 200;
-        node->set.state_write_rps = 28;
-        amb_store_init(s, &node->set, 1000);
-        amb_store_share_duties(s, rows[i].in_use, rows[i].part);
-        amb_store_share(s, rows[i].leading);
-        if (fabs(s->writes.rate - rows[i].writes) > 1e-9) fail_msg("%s: %g", rows[i].what, s->writes.rate);
-        assert_float_equal(s->user_writes.rate, 14, 1e-9);
-        amb_store_share_duties(s, false, 0);
-        assert_float_equal(s->writes.rate, rows[i].leading ? 14 : 14.0 / (rows[i].peers + 1), 1e-9);
+        struct amb_store *store = &node->store;
+        node->settings.peer_count = rows[i].peers;
+        node->settings.store_rps = 200;
+        node->settings.store_write_rps = 28;
+        amb_store_init(store, &node->settings, 1000);
+        amb_store_set_duty_share(store, rows[i].in_use, rows[i].part);
+        amb_store_set_leadership(store, rows[i].leading);
+        if (fabs(store->write_bucket.tokens_per_second - rows[i].writes) > 1e-9)
+            fail_msg("%s: %g", rows[i].what, store->write_bucket.tokens_per_second);
+        assert_float_equal(store->user_write_bucket.tokens_per_second, 14, 1e-9);
+        amb_store_set_duty_share(store, false, 0);
+        assert_float_equal(store->write_bucket.tokens_per_second,
+                           rows[i].leading ? 14 : 14.0 / (rows[i].peers + 1), 1e-9);
     }
 }
 
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -47,7 +47,7 @@
 static void front_answered(void *arg, int status, const char *body, size_t len) {
     struct sim_call *call = arg;
     call->status = status;
-    if (len) amb_buf_add(&call->answer, body, len);
+    if (len) amb_buf_append(&call->answer, body, len);
     call->answered = true;
     call->answered_at = amb_now();
     call->user_fn(call);
@@ -225,10 +225,10 @@
     carry_out(call);
 }
 
-void sim_machine_address(int index, char out[AMB_NAME]) {
+void sim_machine_address(int index, char out[AMB_NAME_SIZE]) {
     char *address = machine_address[index];
     if (!address[0]) proof_serve(address, on_worker, machine_address + index);
-    snprintf(out, AMB_NAME, "%s", address);
+    snprintf(out, AMB_NAME_SIZE, "%s", address);
 }
 
 /* A transaction was carried out, and is not answered yet. */
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -3,74 +3,75 @@
 #include "json_cbor.h"
 #include "user_fixture.h"
 
-static void come(const char *ref, uint32_t tasks, uint64_t stamp) {
+static void accept_job(const char *ref, uint32_t tasks, uint64_t revision) {
     struct amb_buf value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":%s}", GOOD);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, revision);
     cbor_decref(&item);
     amb_buf_free(&value);
     struct amb_job *job = amb_job_find(node, ref);
     assert_non_null(job);
-    assert_int_equal(job->spec->tasks, tasks);
+    assert_int_equal(job->spec->task_count, tasks);
 }
 
 /* Jobs beyond what memory holds are taken up as soon as others have ended, not by the next leader. */
 static void jobs_left_out_are_taken_up(void **state) {
     (void)state;
-    node->election.role = AMB_ROLE_LEADING;
-    node->set.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
+    node->election.role = AMB_ROLE_LEADER;
+    node->settings.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
     static const char *const refs[] = {"wk-1", "wk-2", "wk-3", "wk-4"};
-    for (uint64_t i = 0; i < ROWS(refs); i++) come(refs[i], 16, ACCEPTED + i);
+    for (uint64_t i = 0; i < ROWS(refs); i++) accept_job(refs[i], 16, ACCEPTED + i);
     const bool taken[] = {true, true, false, false};
-    for (size_t i = 0; i < ROWS(refs); i++) assert_int_equal(amb_job_find(node, refs[i])->live, taken[i]);
-    amb_jobs_take_left_out(node);
-    assert_false(amb_job_find(node, "wk-3")->live);
-    amb_job_leave(node, amb_job_find(node, "wk-1"));
+    for (size_t i = 0; i < ROWS(refs); i++) assert_int_equal(amb_job_find(node, refs[i])->active, taken[i]);
+    amb_jobs_activate_unadmitted(node);
+    assert_false(amb_job_find(node, "wk-3")->active);
+    amb_job_deactivate(node, amb_job_find(node, "wk-1"));
     amb_job_find(node, "wk-1")->state = AMB_JOB_CANCELLED;
-    amb_jobs_take_left_out(node);
-    assert_true(amb_job_find(node, "wk-3")->live);
-    assert_false(amb_job_find(node, "wk-4")->live);
-    amb_job_leave(node, amb_job_find(node, "wk-2"));
+    amb_jobs_activate_unadmitted(node);
+    assert_true(amb_job_find(node, "wk-3")->active);
+    assert_false(amb_job_find(node, "wk-4")->active);
+    amb_job_deactivate(node, amb_job_find(node, "wk-2"));
     amb_job_find(node, "wk-2")->state = AMB_JOB_CANCELLED;
-    node->ctl.loaded_at = 0; /* a new lead: records first */
-    amb_jobs_take_left_out(node);
-    assert_false(amb_job_find(node, "wk-4")->live);
-    node->ctl.loaded_at = 1;
-    amb_jobs_take_left_out(node);
-    assert_true(amb_job_find(node, "wk-4")->live);
+    node->controller.restored_at = 0; /* a new lead: records first */
+    amb_jobs_activate_unadmitted(node);
+    assert_false(amb_job_find(node, "wk-4")->active);
+    node->controller.restored_at = 1;
+    amb_jobs_activate_unadmitted(node);
+    assert_true(amb_job_find(node, "wk-4")->active);
 }
 
-static void commit_ops(enum amb_urgency urgency, uint32_t ops) {
-    struct amb_txn txn = {0};
+static void commit_ops(enum amb_store_priority urgency, uint32_t ops) {
+    struct amb_txn transaction = {0};
     char key[32];
     for (uint32_t i = 0; i < ops; i++) {
         snprintf(key, sizeof key, "b/%d-%u", urgency, i);
-        amb_txn_remove(&txn, key);
+        amb_txn_remove(&transaction, key);
     }
-    amb_store_commit(&node->store, &txn, urgency, NULL, NULL);
+    amb_store_commit(&node->store, &transaction, urgency, NULL, NULL);
 }
 
 /* A write that needs several tokens is not passed by smaller ones that are less urgent: ends of jobs were
  * told minutes late while placements went on. Reads, and users' writes from their own half, may pass it. */
 static void small_writes_do_not_pass(void **state) {
     (void)state;
-    struct amb_store *s = &node->store;
-    s->writes.at = s->user_writes.at = s->requests.at = amb_now() + 3600000; /* no token comes */
-    s->writes.tokens = 1.5;
-    commit_ops(AMB_URGENT_FINAL, 2);
-    commit_ops(AMB_URGENT_PLACE, 1);
+    struct amb_store *store = &node->store;
+    store->write_bucket.refilled_at = store->user_write_bucket.refilled_at =
+        store->request_bucket.refilled_at = amb_now() + 3600000; /* no token comes */
+    store->write_bucket.tokens = 1.5;
+    commit_ops(AMB_STORE_PRIORITY_FINAL_STATE, 2);
+    commit_ops(AMB_STORE_PRIORITY_PLACEMENT, 1);
     assert_int_equal(fake_calls_sent(COMMIT), 0);
-    amb_store_get(s, "a/leader", AMB_URGENT_READ, NULL, NULL);
+    amb_store_get(store, "a/leader", AMB_STORE_PRIORITY_READ, NULL, NULL);
     assert_int_equal(fake_calls_sent("/store/a/leader"), 1);
-    commit_ops(AMB_URGENT_USER, 1);
+    commit_ops(AMB_STORE_PRIORITY_USER, 1);
     assert_int_equal(fake_calls_sent(COMMIT), 1);
-    s->writes.tokens = 3;
-    s->pump.fn(s->pump.arg);
+    store->write_bucket.tokens = 3;
+    store->dispatch_timer.fn(store->dispatch_timer.arg);
     assert_int_equal(fake_calls_sent(COMMIT), 3);
 }
 
 /* Reads of changes wait while the last requests of a second are left, so that a submission finds one. */
-static void news_leave_requests_to_users(void **state) {
+static void watches_leave_requests_to_users(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -84,22 +85,22 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        struct amb_store *s = &node->store;
-        amb_budget_rate(&s->requests, 16);
-        s->requests.at = amb_now() + 3600000; /* no token comes */
-        s->requests.tokens = rows[i].tokens;
+        struct amb_store *store = &node->store;
+        amb_token_bucket_set_rate(&store->request_bucket, 16);
+        store->request_bucket.refilled_at = amb_now() + 3600000; /* no token comes */
+        store->request_bucket.tokens = rows[i].tokens;
         uint32_t before = fake_calls_sent("/follow");
-        amb_store_follow(s, "a/", 1, 0, NULL, NULL);
+        amb_store_watch(store, "a/", 1, 0, NULL, NULL);
         uint32_t sent = fake_calls_sent("/follow") - before;
         if (sent != rows[i].reads_sent) fail_msg("%s: %u", rows[i].what, sent);
-        if (!amb_store_can_write(s, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
-        s->requests.tokens = 16;
-        if (!sent) s->pump.fn(s->pump.arg);
+        if (!amb_store_can_write_for_user(store, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
+        store->request_bucket.tokens = 16;
+        if (!sent) store->dispatch_timer.fn(store->dispatch_timer.arg);
     }
 }
 
 /* The leader's half takes what the users' has to spare, when something of it waits; all nodes are told. */
-static void leader_borrows(void **state) {
+static void leader_borrows_tokens(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -115,22 +116,23 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew();
-        struct amb_store *s = &node->store;
-        amb_budget_rate(&s->writes, 500);
-        s->writes.at = s->user_writes.at = s->requests.at = amb_now() + 3600000;
-        s->user_writes.tokens = rows[i].users;
-        s->user_pending = rows[i].pending;
-        s->writes.tokens = rows[i].own;
-        if (rows[i].waiting) commit_ops(AMB_URGENT_PLACE, rows[i].waiting);
+        struct amb_store *store = &node->store;
+        amb_token_bucket_set_rate(&store->write_bucket, 500);
+        store->write_bucket.refilled_at = store->user_write_bucket.refilled_at =
+            store->request_bucket.refilled_at = amb_now() + 3600000;
+        store->user_write_bucket.tokens = rows[i].users;
+        store->pending_user_writes = rows[i].pending;
+        store->write_bucket.tokens = rows[i].own;
+        if (rows[i].waiting) commit_ops(AMB_STORE_PRIORITY_PLACEMENT, rows[i].waiting);
         assert_int_equal(fake_calls_sent(COMMIT), 0);
-        double lends = amb_store_lend(s);
+        double lends = amb_store_lend_tokens(store);
         if (lends != rows[i].lends) fail_msg("%s: %g", rows[i].what, lends);
-        assert_float_equal(s->user_writes.tokens, rows[i].users + lends, 1e-9);
-        s->user_pending = 0;
-        amb_store_lent(s, -1e9); /* a wrong word from a peer costs a bucket and no more */
-        assert_float_equal(s->user_writes.tokens, -500, 1e-9);
-        s->writes.tokens = 1e6;
-        s->pump.fn ? s->pump.fn(s->pump.arg) : (void)0;
+        assert_float_equal(store->user_write_bucket.tokens, rows[i].users + lends, 1e-9);
+        store->pending_user_writes = 0;
+        amb_store_apply_token_loan(store, -1e9); /* a wrong word from a peer costs a bucket and no more */
+        assert_float_equal(store->user_write_bucket.tokens, -500, 1e-9);
+        store->write_bucket.tokens = 1e6;
+        store->dispatch_timer.fn ? store->dispatch_timer.fn(store->dispatch_timer.arg) : (void)0;
     }
 }
 
@@ -139,29 +141,29 @@
  */
 static void the_end_is_one_write(void **state) {
     (void)state;
-    node->election.role = AMB_ROLE_LEADING;
-    struct amb_job *job = add_job("wk-1", AMB_ARRAY, 2);
-    job->stamp = ACCEPTED;
-    job->blocks[0].stamp = ACCEPTED + 1;
-    for (uint32_t i = 0; i < 2; i++) amb_task_finish(node, &job->tasks[i]);
+    node->election.role = AMB_ROLE_LEADER;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+    job->revision = ACCEPTED;
+    job->blocks[0].revision = ACCEPTED + 1;
+    for (uint32_t i = 0; i < 2; i++) amb_task_mark_done(node, &job->tasks[i]);
     job->blocks[0].dirty = false;
-    amb_record_pump(node);
+    amb_placement_log_flush(node);
     struct fake_call *call = open_call(COMMIT);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(body, "then")), 1);
-    assert_int_equal(amb_cbor_len(amb_cbor_get(body, "guards")), 2);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(body, "then")), 1);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(body, "guards")), 2);
     cbor_decref(&body);
     answer_commit(200, CHANGED);
     assert_int_equal(job->state, AMB_JOB_DONE);
-    assert_true(job->live);
-    amb_record_pump(node);
+    assert_true(job->active);
+    amb_placement_log_flush(node);
     answer_commit(200, CHANGED + 1);
-    amb_record_pump(node);
-    assert_false(job->live);
+    amb_placement_log_flush(node);
+    assert_false(job->active);
     assert_int_equal(fake_calls_sent(COMMIT), 2);
     struct amb_buf empty = cbor_from_text("{}");
     cbor_item_t *item = amb_cbor_parse(empty.data, empty.len);
-    amb_record_load(node, "b/p/wk-1/00000", item, ACCEPTED + 1);
+    amb_placement_log_restore(node, "b/p/wk-1/00000", item, ACCEPTED + 1);
     cbor_decref(&item);
     amb_buf_free(&empty);
     assert_non_null(fake_call_open(COMMIT));
@@ -170,8 +172,10 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        TEST(jobs_left_out_are_taken_up),   TEST(small_writes_do_not_pass),
-        TEST(news_leave_requests_to_users), TEST(leader_borrows),
+        TEST(jobs_left_out_are_taken_up),
+        TEST(small_writes_do_not_pass),
+        TEST(watches_leave_requests_to_users),
+        TEST(leader_borrows_tokens),
         TEST(the_end_is_one_write),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/standin/node_side.c
+++ b/tests/standin/node_side.c
@@ -1,16 +1,18 @@
 /* Starts a controller of the library's version that this file is compiled against: the present one, or with
  * AMB_PRODUCTION_SIDE the production version (tests/standin/CMakeLists.txt). */
-#include "node_side.h"
-
 #ifdef AMB_PRODUCTION_SIDE
 #include "amberpin/log.h"
 #include "amberpin/node.h"
+#include "production_names.h"
 #else
 #include "amberpin/base/log.h"
 #include "amberpin/node/memory_budget.h"
 #include "amberpin/node/node.h"
 #endif
 
+/* After the names of the production version, which are then used in it as well. */
+#include "node_side.h"
+
 #include <stdint.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -22,74 +24,74 @@
 #define SIM_SIDE sim_present_side
 #endif
 
-static void set_names(struct amb_settings *set, const struct sim_node_settings *from) {
-    snprintf(set->member, sizeof set->member, "n%d", from->index);
-    snprintf(set->zone, sizeof set->zone, "%s", from->zone_names[from->zones[from->index]]);
-    snprintf(set->front, sizeof set->front, "F%d:1", from->index);
-    snprintf(set->peer_listen, sizeof set->peer_listen, "P%d:1", from->index);
-    strcpy(set->state, "S:1");
-    strcpy(set->cloud, "C:1");
+static void set_names(struct amb_settings *settings, const struct sim_node_settings *from) {
+    snprintf(settings->member, sizeof settings->member, "n%d", from->index);
+    snprintf(settings->zone, sizeof settings->zone, "%s", from->zone_names[from->zones[from->index]]);
+    snprintf(settings->api_listen, sizeof settings->api_listen, "F%d:1", from->index);
+    snprintf(settings->peer_listen, sizeof settings->peer_listen, "P%d:1", from->index);
+    strcpy(settings->store_addr, "S:1");
+    strcpy(settings->cloud_addr, "C:1");
     for (int k = 0; k < from->nodes; k++) {
         if (k == from->index) continue;
-        snprintf(set->peers[set->npeers].member, AMB_NAME, "n%d", k);
-        snprintf(set->peers[set->npeers++].addr, AMB_NAME, "P%d:1", k);
+        snprintf(settings->peers[settings->peer_count].member, AMB_NAME_SIZE, "n%d", k);
+        snprintf(settings->peers[settings->peer_count++].addr, AMB_NAME_SIZE, "P%d:1", k);
     }
-    set->nzones = (uint32_t)from->zone_count;
-    for (int i = 0; i < from->zone_count; i++) strcpy(set->zones[i], from->zone_names[i]);
+    settings->zone_count = (uint32_t)from->zone_count;
+    for (int i = 0; i < from->zone_count; i++) strcpy(settings->zones[i], from->zone_names[i]);
 }
 
-static void set_teams(struct amb_settings *set, const struct sim_node_settings *from) {
+static void set_teams(struct amb_settings *settings, const struct sim_node_settings *from) {
     int guarantee = from->team_limit / 3;
-    set->nteams = (uint32_t)from->teams;
-    for (uint32_t t = 0; t < set->nteams; t++) {
-        snprintf(set->teams[t].name, AMB_NAME, "team-%u", t);
-        set->teams[t].guarantee.gpus = guarantee;
-        set->teams[t].limit.gpus = from->team_limit;
+    settings->team_count = (uint32_t)from->teams;
+    for (uint32_t t = 0; t < settings->team_count; t++) {
+        snprintf(settings->teams[t].name, AMB_NAME_SIZE, "team-%u", t);
+        settings->teams[t].guarantee.gpus = guarantee;
+        settings->teams[t].limit.gpus = from->team_limit;
     }
-    if (from->guest) set->teams[set->nteams - 1].guarantee.gpus = 0;
+    if (from->guest) settings->teams[settings->team_count - 1].guarantee.gpus = 0;
 }
 
-static void set_limits(struct amb_settings *set, const struct sim_node_settings *from) {
-    set->report_s = from->report_s;
-    set->lease_s = from->lease_s;
-    set->cancel_s = from->cancel_s;
-    set->gang_wait_s = from->gang_wait_s;
-    set->gang_peer_s = 5;
-    set->state_rps = from->state_rps;
-    set->state_write_rps = from->write_rps;
-    set->value_kb = from->value_kb;
-    set->txn_ops = from->txn_ops;
+static void set_limits(struct amb_settings *settings, const struct sim_node_settings *from) {
+    settings->heartbeat_s = from->report_s;
+    settings->agent_lease_s = from->lease_s;
+    settings->cancel_s = from->cancel_s;
+    settings->gang_wait_s = from->gang_wait_s;
+    settings->gang_peer_s = 5;
+    settings->store_rps = from->state_rps;
+    settings->store_write_rps = from->write_rps;
+    settings->value_kb = from->value_kb;
+    settings->txn_ops = from->txn_ops;
 #ifndef AMB_PRODUCTION_SIDE /* which ignores what it does not know */
-    set->state_next = (struct amb_state_limits){
+    settings->announced_limits = (struct amb_store_limits){
         .write_rps = from->next_write_rps, .value_kb = from->next_value_kb, .txn_ops = from->next_txn_ops};
 #endif
-    set->cloud_rps = from->cloud_rps;
-    set->list_lag_s = from->list_lag_s;
-    set->cores = 0.1;
-    set->memory_mb = from->memory_mb;
-    set->fd_limit = 500;
+    settings->cloud_rps = from->cloud_rps;
+    settings->list_lag_s = from->list_lag_s;
+    settings->cores = 0.1;
+    settings->memory_mb = from->memory_mb;
+    settings->fd_limit = 500;
 }
 
 static void *start(const struct sim_node_settings *settings) {
     struct amb_node *node = amb_alloc(sizeof *node);
     char error[128];
     amb_log_init(getenv("LOG_LEVEL") ? getenv("LOG_LEVEL") : "error");
-    amb_options_default(&node->opt);
+    amb_options_set_defaults(&node->options);
 #ifndef AMB_PRODUCTION_SIDE
-    node->opt.duties = settings->duties;
-    if (settings->keep_idle) node->opt.idle_return = 100;
-    node->opt.zone_recovery = settings->zone_recovery;
-    if (settings->recovery_order) strcpy(node->opt.zone_recovery_order, settings->recovery_order);
+    node->options.duties = settings->duties;
+    if (settings->keep_idle) node->options.idle_release_share = 100;
+    node->options.zone_recovery = settings->zone_recovery;
+    if (settings->recovery_order) strcpy(node->options.zone_recovery_order, settings->recovery_order);
 #endif
-    set_names(&node->set, settings);
-    set_teams(&node->set, settings);
-    set_limits(&node->set, settings);
+    set_names(&node->settings, settings);
+    set_teams(&node->settings, settings);
+    set_limits(&node->settings, settings);
     if (amb_node_start(node, error, sizeof error) < 0) abort();
     return node;
 }
 
 static bool leads(const void *node) {
-    return amb_leads(node);
+    return amb_election_is_leader(node);
 }
 
 #ifdef AMB_PRODUCTION_SIDE /* its table knows no bound */
@@ -109,16 +111,16 @@
 }
 #else
 static size_t job_table_used(const void *node) {
-    return amb_memory_job_table_used(node);
+    return amb_memory_job_table_used_bytes(node);
 }
 
 static size_t job_table_most(const void *node) {
-    return amb_memory_job_table(&((const struct amb_node *)node)->set);
+    return amb_memory_job_table_bytes(&((const struct amb_node *)node)->settings);
 }
 
 static bool job_table_has_room(const void *node) {
-    static const struct amb_spec small = {.tasks = 1};
-    return amb_memory_holds(node, &small);
+    static const struct amb_job_spec small = {.task_count = 1};
+    return amb_memory_has_room_for_job(node, &small);
 }
 #endif
 
--- a/tests/standin/pipelines.c
+++ b/tests/standin/pipelines.c
@@ -89,7 +89,8 @@
     for (int i = 0; i < world.job_count; i++) {
         int index = (first + i) % world.job_count;
         const struct sim_job *earlier = &world.jobs[index];
-        if (earlier->accepted && earlier->spec.kind != AMB_SERVICE && earlier->pipeline != job->pipeline)
+        if (earlier->accepted && earlier->spec.kind != AMB_JOB_KIND_SERVICE &&
+            earlier->pipeline != job->pipeline)
             return index;
     }
     return -1;
@@ -117,23 +118,24 @@
 /* What is no list of job names. */
 static void put_malformed(struct amb_buf *body, int choice) {
     switch (choice % 4) {
-    case 0: amb_w_str(body, "wk-000000"); break;
-    case 1: amb_w_uint(body, 7); break;
-    case 2: amb_w_map(body, 0); break;
-    default: amb_w_list(body, 1); amb_w_uint(body, 7);
+    case 0: amb_cbor_write_string(body, "wk-000000"); break;
+    case 1: amb_cbor_write_uint(body, 7); break;
+    case 2: amb_cbor_write_map(body, 0); break;
+    default: amb_cbor_write_list(body, 1); amb_cbor_write_uint(body, 7);
     }
 }
 
 static void put_unknown(struct amb_buf *body, int index) {
-    char name[AMB_NAME];
+    char name[AMB_NAME_SIZE];
     snprintf(name, sizeof name, "wk-%06d", NEVER_ACCEPTED + index);
-    amb_w_list(body, 1);
-    amb_w_str(body, name);
+    amb_cbor_write_list(body, 1);
+    amb_cbor_write_string(body, name);
 }
 
 static void put_names(struct amb_buf *body, const struct sim_job *job) {
-    amb_w_list(body, (size_t)job->await_count);
-    for (int i = 0; i < job->await_count; i++) amb_w_str(body, world.jobs[job->awaits[i]].spec.ref);
+    amb_cbor_write_list(body, (size_t)job->await_count);
+    for (int i = 0; i < job->await_count; i++)
+        amb_cbor_write_string(body, world.jobs[job->awaits[i]].spec.ref);
 }
 
 /* The field is missing, null or an empty list when there is nothing to await. */
@@ -145,34 +147,34 @@
     if (empty && (!job->pipeline || index % 3 == 0)) return;
     if (first < SHORT_MAP || first >= SHORT_MAP_MOST) abort();
     body->data[0] = (char)(first + 1);
-    amb_w_str(body, "awaits");
+    amb_cbor_write_string(body, "awaits");
     if (job->oddity == SIM_AWAITS_UNKNOWN)
         put_unknown(body, index);
     else if (job->oddity == SIM_AWAITS_MALFORMED)
         put_malformed(body, index);
     else if (empty && index % 3 == 1)
-        amb_w_null(body);
+        amb_cbor_write_null(body);
     else
         put_names(body, job);
 }
 
 /* ---- the day's pipelines ---- */
 
-static void draw_stage_spec(struct amb_spec *spec) {
+static void draw_stage_spec(struct amb_job_spec *spec) {
     sim_draw_spec(spec);
-    spec->kind = sim_random() % 4 ? AMB_ARRAY : AMB_GANG;
-    spec->spread = false;
+    spec->kind = sim_random() % 4 ? AMB_JOB_KIND_ARRAY : AMB_JOB_KIND_GANG;
+    spec->spread_zones = false;
     spec->one_zone = false;
-    spec->spot = true;
-    spec->tasks = (uint32_t)sim_between(1, spec->kind == AMB_GANG ? 3 : 6);
-    spec->each.gpus = 1;
-    spec->estimate_s = (double)sim_between(2, 10);
-    spec->priority = AMB_BEST_EFFORT;
+    spec->spot_allowed = true;
+    spec->task_count = (uint32_t)sim_between(1, spec->kind == AMB_JOB_KIND_GANG ? 3 : 6);
+    spec->task_resources.gpus = 1;
+    spec->estimated_runtime_s = (double)sim_between(2, 10);
+    spec->priority = AMB_PRIORITY_BEST_EFFORT;
 }
 
 /* Users set deadline and priority on the last job only. */
 static void make_last(struct sim_job *job) {
-    job->spec.priority = AMB_HIGH;
+    job->spec.priority = AMB_PRIORITY_HIGH;
     job->spec.deadline_s = 120;
     if (sim_random() % 4 == 0) job->moment = SIM_WHEN_OVER;
 }
@@ -219,9 +221,9 @@
 static void draw_big_job(amb_ms at) {
     struct sim_job *job = sim_job_new();
     draw_stage_spec(&job->spec);
-    job->spec.kind = AMB_ARRAY;
-    job->spec.tasks = SIM_JOB_TASKS;
-    job->spec.estimate_s = (double)sim_between(5, 20);
+    job->spec.kind = AMB_JOB_KIND_ARRAY;
+    job->spec.task_count = SIM_JOB_TASKS;
+    job->spec.estimated_runtime_s = (double)sim_between(5, 20);
     job->at = at;
     sim_user_comes(job, at);
 }
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -16,7 +16,7 @@
 };
 
 bool sim_has_started(const struct sim_task *task) {
-    return task->has_image && task->on != AMB_ON_EXITED;
+    return task->has_image && task->on != AMB_AGENT_TASK_EXITED;
 }
 
 static struct sim_task *task_find(struct sim_machine *machine, const char *ref, uint32_t index) {
@@ -32,16 +32,16 @@
     if (!before && sim_all_done(job)) sim_job_ended(job);
 }
 
-static void exit_task(struct sim_machine *machine, struct sim_task *task, enum amb_why why) {
-    task->on = AMB_ON_EXITED;
+static void exit_task(struct sim_machine *machine, struct sim_task *task, enum amb_exit_reason why) {
+    task->on = AMB_AGENT_TASK_EXITED;
     task->why = why;
     machine->changed = true;
-    if (why == AMB_WHY_DONE) task_done(sim_job_of(task->ref), task->index);
+    if (why == AMB_EXIT_DONE) task_done(sim_job_of(task->ref), task->index);
 }
 
 static bool takes_part(const struct sim_job *job, const struct sim_machine *machine,
                        const struct sim_task *task) {
-    return !strcmp(task->ref, job->spec.ref) && task->on != AMB_ON_EXITED && !machine->dead &&
+    return !strcmp(task->ref, job->spec.ref) && task->on != AMB_AGENT_TASK_EXITED && !machine->dead &&
            machine->exists;
 }
 
@@ -61,8 +61,8 @@
     }
     gang->tasks[task->index] = task;
     gang->machines[task->index] = machine;
-    gang->waiting += task->on == AMB_ON_WAITING;
-    gang->running += task->on == AMB_ON_RUNNING;
+    gang->waiting += task->on == AMB_AGENT_TASK_WAITING;
+    gang->running += task->on == AMB_AGENT_TASK_RUNNING;
 }
 
 static void gang_find(struct gang *gang, const struct sim_job *job) {
@@ -72,29 +72,29 @@
 }
 
 static void gang_start(struct gang *gang, const struct sim_job *job) {
-    for (uint32_t i = 0; i < job->spec.tasks; i++) {
-        gang->tasks[i]->on = AMB_ON_RUNNING;
-        gang->tasks[i]->end_at = world.now + (amb_ms)(job->spec.estimate_s * 1000);
+    for (uint32_t i = 0; i < job->spec.task_count; i++) {
+        gang->tasks[i]->on = AMB_AGENT_TASK_RUNNING;
+        gang->tasks[i]->end_at = world.now + (amb_ms)(job->spec.estimated_runtime_s * 1000);
         gang->machines[i]->changed = true;
     }
 }
 
 static void all_tasks_done(struct sim_job *job) {
-    for (uint32_t i = 0; i < job->spec.tasks; i++) task_done(job, i);
+    for (uint32_t i = 0; i < job->spec.task_count; i++) task_done(job, i);
 }
 
 static void gang_task_advance(struct gang *gang, struct sim_job *job, uint32_t index, bool done) {
     struct sim_task *task = gang->tasks[index];
     struct sim_machine *machine = gang->machines[index];
-    uint32_t all = job->spec.tasks;
+    uint32_t all = job->spec.task_count;
     if (!task || !sim_has_started(task)) return;
-    if (task->on == AMB_ON_RUNNING && (done || (gang->running == all && task->end_at <= world.now))) {
+    if (task->on == AMB_AGENT_TASK_RUNNING && (done || (gang->running == all && task->end_at <= world.now))) {
         all_tasks_done(job);
-        exit_task(machine, task, AMB_WHY_DONE);
-    } else if (task->on == AMB_ON_RUNNING && gang->running < all && gang->waiting < all) {
-        exit_task(machine, task, AMB_WHY_PEERS);
-    } else if (task->on == AMB_ON_WAITING && world.now - task->waits_from > SIM_GANG_WAIT_MS) {
-        exit_task(machine, task, AMB_WHY_ALONE);
+        exit_task(machine, task, AMB_EXIT_DONE);
+    } else if (task->on == AMB_AGENT_TASK_RUNNING && gang->running < all && gang->waiting < all) {
+        exit_task(machine, task, AMB_EXIT_GANG_PEER_GONE);
+    } else if (task->on == AMB_AGENT_TASK_WAITING && world.now - task->waits_from > SIM_GANG_WAIT_MS) {
+        exit_task(machine, task, AMB_EXIT_GANG_INCOMPLETE);
     }
 }
 
@@ -102,17 +102,17 @@
     struct gang gang;
     bool done = false;
     gang_find(&gang, job);
-    if (gang.waiting == job->spec.tasks) gang_start(&gang, job);
-    for (uint32_t i = 0; i < job->spec.tasks; i++) done |= job->done[i];
-    for (uint32_t i = 0; i < job->spec.tasks; i++) gang_task_advance(&gang, job, i, done);
+    if (gang.waiting == job->spec.task_count) gang_start(&gang, job);
+    for (uint32_t i = 0; i < job->spec.task_count; i++) done |= job->done[i];
+    for (uint32_t i = 0; i < job->spec.task_count; i++) gang_task_advance(&gang, job, i, done);
 }
 
 static void expire_lease(struct sim_machine *machine) { /* kills all its tasks and forgets them */
     if (world.now - machine->lease_from <= world.size->lease) return;
     for (uint32_t i = 0; i < machine->task_count; i++) {
-        if (machine->tasks[i].on == AMB_ON_EXITED) continue;
+        if (machine->tasks[i].on == AMB_AGENT_TASK_EXITED) continue;
         world.result.killed++;
-        world.result.killed_batch += machine->tasks[i].job->spec.kind != AMB_SERVICE;
+        world.result.killed_batch += machine->tasks[i].job->spec.kind != AMB_JOB_KIND_SERVICE;
     }
     machine->task_count = 0;
     machine->session++;
@@ -123,28 +123,29 @@
 
 static amb_ms run_time(const struct sim_job *job, const struct sim_task *task) {
     if (job->done[task->index]) return 0;
-    if (job->spec.kind == AMB_SERVICE) return FOREVER_MS;
+    if (job->spec.kind == AMB_JOB_KIND_SERVICE) return FOREVER_MS;
     double times = job->uneven ? 1 + 4.0 * task->index : 1;
-    return (amb_ms)(job->spec.estimate_s * times * 1000);
+    return (amb_ms)(job->spec.estimated_runtime_s * times * 1000);
 }
 
 static void start_task(struct sim_machine *machine, struct sim_task *task) {
     const struct sim_job *job = task->job;
     task->has_image = true;
-    task->on = job->spec.kind == AMB_GANG ? AMB_ON_WAITING : AMB_ON_RUNNING;
+    task->on = job->spec.kind == AMB_JOB_KIND_GANG ? AMB_AGENT_TASK_WAITING : AMB_AGENT_TASK_RUNNING;
     task->waits_from = world.now;
     task->end_at = world.now + run_time(job, task);
     machine->changed = true;
     sim_check_start(machine, task);
     if (job->broken || sim_fault_active(SIM_BAD_MACHINE, (int)(machine - world.machines)))
-        exit_task(machine, task, AMB_WHY_ERROR);
+        exit_task(machine, task, AMB_EXIT_ERROR);
 }
 
 static void advance_task(struct sim_machine *machine, struct sim_task *task) {
-    if (task->on == AMB_ON_FETCHING && world.now >= task->image_at)
+    if (task->on == AMB_AGENT_TASK_FETCHING && world.now >= task->image_at)
         start_task(machine, task);
-    else if (task->on == AMB_ON_RUNNING && task->job->spec.kind != AMB_GANG && world.now >= task->end_at)
-        exit_task(machine, task, AMB_WHY_DONE);
+    else if (task->on == AMB_AGENT_TASK_RUNNING && task->job->spec.kind != AMB_JOB_KIND_GANG &&
+             world.now >= task->end_at)
+        exit_task(machine, task, AMB_EXIT_DONE);
     sim_check_task(machine, task);
 }
 
@@ -158,20 +159,21 @@
 static double used_gpus(const struct sim_machine *machine) {
     double gpus = 0;
     for (uint32_t k = 0; k < machine->task_count; k++)
-        if (machine->tasks[k].on != AMB_ON_EXITED) gpus += machine->tasks[k].job->spec.each.gpus;
+        if (machine->tasks[k].on != AMB_AGENT_TASK_EXITED)
+            gpus += machine->tasks[k].job->spec.task_resources.gpus;
     return gpus;
 }
 
 struct order {
-    char ref[AMB_NAME];
+    char ref[AMB_NAME_SIZE];
     uint32_t index;
     uint64_t attempt;
 };
 
 static void read_order(const cbor_item_t *item, struct order *order) {
     memset(order, 0, sizeof *order);
-    amb_cbor_str(amb_cbor_get(item, "leg"), order->ref, sizeof order->ref);
-    amb_cbor_uint(amb_cbor_get(item, "try"), &order->attempt);
+    amb_cbor_copy_string(amb_cbor_map_get(item, "leg"), order->ref, sizeof order->ref);
+    amb_cbor_get_uint(amb_cbor_map_get(item, "try"), &order->attempt);
     char *slash = strchr(order->ref, '/');
     *slash = 0;
     order->index = (uint32_t)strtoul(slash + 1, NULL, 10);
@@ -180,7 +182,7 @@
 static struct sim_task *task_add(struct sim_machine *machine) {
     if (machine->task_count == machine->task_room) {
         machine->task_room = machine->task_room ? 2 * machine->task_room : 16;
-        machine->tasks = amb_grow(machine->tasks, machine->task_room * sizeof *machine->tasks);
+        machine->tasks = amb_realloc(machine->tasks, machine->task_room * sizeof *machine->tasks);
     }
     struct sim_task *task = &machine->tasks[machine->task_count++];
     memset(task, 0, sizeof *task);
@@ -190,78 +192,78 @@
 static void run_task(struct sim_machine *machine, const struct order *order, amb_ms issued) {
     const struct sim_task *known = task_find(machine, order->ref, order->index);
     if (known && known->attempt == order->attempt) return;
-    bool busy = known && known->on != AMB_ON_EXITED;
-    bool full = used_gpus(machine) + sim_job_of(order->ref)->spec.each.gpus > SIM_MACHINE_GPUS;
+    bool busy = known && known->on != AMB_AGENT_TASK_EXITED;
+    bool full = used_gpus(machine) + sim_job_of(order->ref)->spec.task_resources.gpus > SIM_MACHINE_GPUS;
     struct sim_task *task = task_add(machine);
     task->job = sim_job_of(order->ref);
     memcpy(task->ref, order->ref, sizeof task->ref);
     task->index = order->index;
     task->attempt = order->attempt;
     task->token = machine->token;
-    task->on = AMB_ON_FETCHING;
+    task->on = AMB_AGENT_TASK_FETCHING;
     task->image_at = world.now + sim_pace.fetch;
     world.result.ordered++;
     sim_check_order(sim_job_of(order->ref), issued);
     sim_check_recovery(machine, task);
     if (busy)
-        exit_task(machine, task, AMB_WHY_BUSY);
+        exit_task(machine, task, AMB_EXIT_ATTEMPT_CONFLICT);
     else if (full)
-        exit_task(machine, task, AMB_WHY_NO_ROOM);
+        exit_task(machine, task, AMB_EXIT_MACHINE_FULL);
     machine->changed = true;
 }
 
 static void halt_task(struct sim_machine *machine, const struct order *order) {
     struct sim_task *task = task_find(machine, order->ref, order->index);
-    if (task && task->attempt == order->attempt && task->on != AMB_ON_EXITED)
-        exit_task(machine, task, AMB_WHY_STOPPED);
+    if (task && task->attempt == order->attempt && task->on != AMB_AGENT_TASK_EXITED)
+        exit_task(machine, task, AMB_EXIT_STOPPED);
 }
 
 static void clear_task(struct sim_machine *machine, const struct order *order) {
     struct sim_task *task = task_find(machine, order->ref, order->index);
-    if (!task || task->attempt != order->attempt || task->on != AMB_ON_EXITED) return;
+    if (!task || task->attempt != order->attempt || task->on != AMB_AGENT_TASK_EXITED) return;
     *task = machine->tasks[--machine->task_count];
     machine->changed = true;
 }
 
 static void do_orders(struct sim_machine *machine, const cbor_item_t *orders, amb_ms issued) {
-    for (size_t i = 0; i < amb_cbor_len(orders); i++) {
-        const cbor_item_t *item = amb_cbor_at(orders, i), *verb = amb_cbor_get(item, "verb");
+    for (size_t i = 0; i < amb_cbor_list_length(orders); i++) {
+        const cbor_item_t *item = amb_cbor_list_item(orders, i), *verb = amb_cbor_map_get(item, "verb");
         struct order order;
         read_order(item, &order);
-        if (amb_cbor_eq(verb, "run"))
+        if (amb_cbor_equals(verb, "run"))
             run_task(machine, &order, issued);
-        else if (amb_cbor_eq(verb, "halt"))
+        else if (amb_cbor_equals(verb, "halt"))
             halt_task(machine, &order);
         else
             clear_task(machine, &order);
     }
 }
 
-static void write_report(struct sim_machine *machine, struct amb_buf *b) {
+static void write_report(struct sim_machine *machine, struct amb_buf *buffer) {
     static const char *const on[] = {"fetching", "waiting", "running", "saving", "exited"};
     static const char *const why[] = {"?",     "done", "stopped", "peers",  "incomplete",
                                       "error", "full", "busy",    "unknown"};
-    char text[AMB_NAME + 16];
+    char text[AMB_NAME_SIZE + 16];
     machine->seq++;
-    amb_w_map(b, 9);
-    amb_w_str(b, "rig"), amb_w_str(b, machine->name);
+    amb_cbor_write_map(buffer, 9);
+    amb_cbor_write_string(buffer, "rig"), amb_cbor_write_string(buffer, machine->name);
     sim_machine_address((int)(machine - world.machines), text);
-    amb_w_str(b, "address"), amb_w_str(b, text);
-    amb_w_str(b, "hull"), amb_w_str(b, "g8");
-    amb_w_str(b, "yard"), amb_w_str(b, sim_zone_name(machine->zone));
-    amb_w_str(b, "driftwood"), amb_w_bool(b, machine->spot);
-    amb_w_str(b, "watch"), amb_w_uint(b, machine->session);
-    amb_w_str(b, "tally"), amb_w_uint(b, machine->seq);
-    amb_w_str(b, "baton"), amb_w_uint(b, machine->token);
-    amb_w_str(b, "legs"), amb_w_list(b, machine->task_count);
+    amb_cbor_write_string(buffer, "address"), amb_cbor_write_string(buffer, text);
+    amb_cbor_write_string(buffer, "hull"), amb_cbor_write_string(buffer, "g8");
+    amb_cbor_write_string(buffer, "yard"), amb_cbor_write_string(buffer, sim_zone_name(machine->zone));
+    amb_cbor_write_string(buffer, "driftwood"), amb_cbor_write_bool(buffer, machine->spot);
+    amb_cbor_write_string(buffer, "watch"), amb_cbor_write_uint(buffer, machine->session);
+    amb_cbor_write_string(buffer, "tally"), amb_cbor_write_uint(buffer, machine->seq);
+    amb_cbor_write_string(buffer, "baton"), amb_cbor_write_uint(buffer, machine->token);
+    amb_cbor_write_string(buffer, "legs"), amb_cbor_write_list(buffer, machine->task_count);
     for (uint32_t k = 0; k < machine->task_count; k++) {
         struct sim_task *task = &machine->tasks[k];
-        amb_w_map(b, 4);
+        amb_cbor_write_map(buffer, 4);
         snprintf(text, sizeof text, "%s/%u", task->ref, task->index);
-        amb_w_str(b, "leg"), amb_w_str(b, text);
-        amb_w_str(b, "try"), amb_w_uint(b, task->attempt);
-        amb_w_str(b, "stance"), amb_w_str(b, on[task->on]);
-        amb_w_str(b, "cause"), amb_w_str(b, why[task->why]);
+        amb_cbor_write_string(buffer, "leg"), amb_cbor_write_string(buffer, text);
+        amb_cbor_write_string(buffer, "try"), amb_cbor_write_uint(buffer, task->attempt);
+        amb_cbor_write_string(buffer, "stance"), amb_cbor_write_string(buffer, on[task->on]);
+        amb_cbor_write_string(buffer, "cause"), amb_cbor_write_string(buffer, why[task->why]);
     }
 }
 
@@ -277,7 +279,7 @@
 
 static bool renews(const struct sim_machine *machine, const struct sent *sent, const struct sim_call *call,
                    const cbor_item_t *body, uint64_t *token) {
-    return call->status == 200 && amb_cbor_uint(amb_cbor_get(body, "baton"), token) &&
+    return call->status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), token) &&
            *token >= machine->token && sent->session == machine->session;
 }
 
@@ -288,7 +290,7 @@
     machine->lease_from = sent->at;
     amb_ms kept = world.now - sent->at;
     uint32_t before = world.result.ordered;
-    do_orders(machine, amb_cbor_get(body, "orders"), issued);
+    do_orders(machine, amb_cbor_map_get(body, "orders"), issued);
     if (kept > world.result.kept_most) world.result.kept_most = kept;
     if (kept > KEPT_MS) world.result.kept_starts += world.result.ordered - before;
     amb_ms next = machine->changed ? CHANGED_MS : next_period();
@@ -299,11 +301,12 @@
 static amb_ms take_answer(struct sim_machine *machine, const struct sent *sent, const struct sim_call *call) {
     cbor_item_t *body = call->answer.len ? amb_cbor_parse(call->answer.data, call->answer.len) : NULL;
     uint64_t token = 0;
-    char name[AMB_NAME] = "";
+    char name[AMB_NAME_SIZE] = "";
     amb_ms next = RETRY_MS;
     if (renews(machine, sent, call, body, &token)) {
         next = take_renewal(machine, sent, body, token, call->answered_at);
-    } else if (call->status == 421 && amb_cbor_str(amb_cbor_get(body, "harbour"), name, sizeof name)) {
+    } else if (call->status == 421 &&
+               amb_cbor_copy_string(amb_cbor_map_get(body, "harbour"), name, sizeof name)) {
         machine->node = name[1] - '0';
         next = sim_between(0, REDIRECT_MS);
     } else if (call->status != 200) {
@@ -345,7 +348,7 @@
     return call;
 }
 
-static void send_report(struct sim_machine *machine, const struct amb_buf *body) {
+static void send_heartbeat(struct sim_machine *machine, const struct amb_buf *body) {
     struct sim_call *call = report_call(machine, machine->node, body);
     struct sent *sent = amb_alloc(sizeof *sent);
     *sent = (struct sent){(int)(machine - world.machines), machine->session, world.now};
@@ -366,7 +369,7 @@
     struct sim_kept_report *kept = &world.kept_reports[world.kept_count++ % SIM_KEPT];
     amb_buf_free(&kept->body);
     kept->machine = machine;
-    amb_buf_add(&kept->body, body->data, body->len);
+    amb_buf_append(&kept->body, body->data, body->len);
 }
 
 /* Half of them at once, half while the leader learns what is where. */
@@ -392,7 +395,7 @@
     struct amb_buf body = {0};
     write_report(machine, &body);
     bool copied = sim_fault_active(SIM_COPIES, index) && sim_random() % 3 == 0;
-    send_report(machine, &body);
+    send_heartbeat(machine, &body);
     if (copied) send_copy(index, sim_random_node(), &body, 3000, 25000);
     if (sim_fault_strikes(SIM_LATE_REPORTS))
         send_copy(index, sim_random_node(), &body, 2000, world.size->lease * 3 / 2);
@@ -413,17 +416,17 @@
     if (!strcmp(call->path, "/commands")) {
         cbor_item_t *body = amb_cbor_parse(call->body, call->len);
         uint64_t token = 0, session = 0;
-        amb_cbor_uint(amb_cbor_get(body, "baton"), &token);
-        amb_cbor_uint(amb_cbor_get(body, "watch"), &session);
+        amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), &token);
+        amb_cbor_get_uint(amb_cbor_map_get(body, "watch"), &session);
         if (token < machine->token || session != machine->session) {
             status = 409;
         } else {
             machine->token = token;
-            do_orders(machine, amb_cbor_get(body, "orders"), world.now);
+            do_orders(machine, amb_cbor_map_get(body, "orders"), world.now);
         }
         cbor_decref(&body);
     }
-    struct amb_buf b = {0};
-    write_report(machine, &b);
-    sim_call_answer(call, status, &b);
+    struct amb_buf buffer = {0};
+    write_report(machine, &buffer);
+    sim_call_answer(call, status, &buffer);
 }
