--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -11,7 +11,7 @@
 };
 
 struct key {
-    char name[AMB_DUTY_KEY];
+    char name[AMB_DUTY_KEY_SIZE];
     cbor_item_t *value;
     uint64_t stamp, lease;
 };
@@ -22,7 +22,7 @@
 };
 
 struct news {
-    char name[AMB_DUTY_KEY];
+    char name[AMB_DUTY_KEY_SIZE];
     cbor_item_t *value;
     uint64_t stamp;
 };
@@ -36,13 +36,13 @@
     uint64_t life; /* of the member, when it was sent */
     amb_ms ttl;
     uint64_t lease, token;
-    char prefix[AMB_DUTY_KEY];
+    char prefix[AMB_DUTY_KEY_SIZE];
     cbor_item_t *body;
     enum member_call kind;
-    struct amb_duty_order_record order;
+    struct amb_duty_intent_record order;
     uint32_t count, machine_count;
-    char machines[AMB_DUTY_MACHINES][AMB_NAME];
-    amb_store_done done;
+    char machines[AMB_DUTY_MAX_MACHINES][AMB_NAME_SIZE];
+    amb_store_callback done;
     amb_duty_cloud_done cloud_done;
     void *arg;
     bool carried_out, hold;
@@ -65,11 +65,11 @@
 static uint64_t lives[MEMBERS];
 static uint64_t epoch, lease_serial;
 static uint32_t writes;
-static char unguarded[AMB_DUTY_KEY * 2];
+static char unguarded[AMB_DUTY_KEY_SIZE * 2];
 static amb_ms now_ms;
 static struct member_plan plan;
 static bool planned;
-static char rentals[RENTALS_MOST][AMB_DUTY_ORDER_ID];
+static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID];
 
 /* ---- the state service ---- */
 
@@ -131,22 +131,23 @@
 }
 
 static bool guards_hold(const cbor_item_t *guards) {
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
-        char name[AMB_DUTY_KEY];
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
+        char name[AMB_DUTY_KEY_SIZE];
         uint64_t stamp;
-        const cbor_item_t *guard = amb_cbor_at(guards, i);
-        assert_true(amb_cbor_str(amb_cbor_get(guard, "path"), name, sizeof name));
-        assert_true(amb_cbor_uint(amb_cbor_get(guard, "stamp"), &stamp));
+        const cbor_item_t *guard = amb_cbor_list_item(guards, i);
+        assert_true(amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), name, sizeof name));
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp));
         if (stamp_of(name) != stamp) return false;
     }
     return true;
 }
 
 static bool is_guarded(const cbor_item_t *guards, const char *prefix) {
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
-        char name[AMB_DUTY_KEY];
-        const cbor_item_t *path = amb_cbor_get(amb_cbor_at(guards, i), "path");
-        if (amb_cbor_str(path, name, sizeof name) && !strncmp(name, prefix, strlen(prefix))) return true;
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
+        char name[AMB_DUTY_KEY_SIZE];
+        const cbor_item_t *path = amb_cbor_map_get(amb_cbor_list_item(guards, i), "path");
+        if (amb_cbor_copy_string(path, name, sizeof name) && !strncmp(name, prefix, strlen(prefix)))
+            return true;
     }
     return false;
 }
@@ -162,40 +163,41 @@
 /* What a member changes it guards by what it has read of it: an order by the order and the claim of its duty,
  * a duty by its record and, when it claims, by its own key; its own key by that. */
 static void check_guards(const cbor_item_t *guards, const cbor_item_t *change) {
-    char name[AMB_DUTY_KEY];
-    const cbor_item_t *put = amb_cbor_get(change, "put");
-    const cbor_item_t *state = amb_cbor_get(amb_cbor_get(change, "value"), "state");
-    assert_true(amb_cbor_str(put ? put : amb_cbor_get(change, "remove"), name, sizeof name));
+    char name[AMB_DUTY_KEY_SIZE];
+    const cbor_item_t *put = amb_cbor_map_get(change, "put");
+    const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
+    assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, sizeof name));
     if (!is_guarded(guards, name)) note_unguarded(name, "itself");
     if (!strncmp(name, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)) &&
         !is_guarded(guards, AMB_DUTY_RECORD_KEYS))
         note_unguarded(name, "the claim");
-    if (!strncmp(name, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS)) && amb_cbor_eq(state, "held") &&
-        !is_guarded(guards, AMB_DUTY_MEMBER_KEYS))
+    if (!strncmp(name, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS)) &&
+        amb_cbor_equals(state, "held") && !is_guarded(guards, AMB_DUTY_MEMBER_KEYS))
         note_unguarded(name, "a member");
 }
 
 static int commit(const cbor_item_t *txn) {
-    const cbor_item_t *then = amb_cbor_get(txn, "then");
+    const cbor_item_t *then = amb_cbor_map_get(txn, "then");
     uint64_t lease = 0;
-    char name[AMB_DUTY_KEY];
-    for (size_t i = 0; i < amb_cbor_len(then); i++)
-        if (amb_cbor_uint(amb_cbor_get(amb_cbor_at(then, i), "tenure"), &lease) && !lease_find(lease))
+    char name[AMB_DUTY_KEY_SIZE];
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++)
+        if (amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(then, i), "tenure"), &lease) &&
+            !lease_find(lease))
             return 400;
-    for (size_t i = 0; i < amb_cbor_len(then); i++)
-        check_guards(amb_cbor_get(txn, "guards"), amb_cbor_at(then, i));
-    if (!guards_hold(amb_cbor_get(txn, "guards"))) return 409;
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++)
+        check_guards(amb_cbor_map_get(txn, "guards"), amb_cbor_list_item(then, i));
+    if (!guards_hold(amb_cbor_map_get(txn, "guards"))) return 409;
     epoch++;
     writes++;
-    for (size_t i = 0; i < amb_cbor_len(then); i++) {
-        const cbor_item_t *change = amb_cbor_at(then, i);
-        if (amb_cbor_str(amb_cbor_get(change, "remove"), name, sizeof name)) {
+    for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
+        const cbor_item_t *change = amb_cbor_list_item(then, i);
+        if (amb_cbor_copy_string(amb_cbor_map_get(change, "remove"), name, sizeof name)) {
             if (key_find(name)) key_remove(key_find(name));
             continue;
         }
-        assert_true(amb_cbor_str(amb_cbor_get(change, "put"), name, sizeof name));
-        if (!amb_cbor_uint(amb_cbor_get(change, "tenure"), &lease)) lease = 0;
-        key_put(name, (cbor_item_t *)amb_cbor_get(change, "value"), lease);
+        assert_true(amb_cbor_copy_string(amb_cbor_map_get(change, "put"), name, sizeof name));
+        if (!amb_cbor_get_uint(amb_cbor_map_get(change, "tenure"), &lease)) lease = 0;
+        key_put(name, (cbor_item_t *)amb_cbor_map_get(change, "value"), lease);
     }
     return 200;
 }
@@ -208,9 +210,9 @@
 
 static void answer_number(struct call *call, int status, const char *field, uint64_t number) {
     struct amb_buf body = {0};
-    amb_w_map(&body, 1);
-    amb_w_str(&body, field);
-    amb_w_uint(&body, number);
+    amb_cbor_write_map(&body, 1);
+    amb_cbor_write_string(&body, field);
+    amb_cbor_write_uint(&body, number);
     answer_map(call, status, &body);
 }
 
@@ -223,16 +225,16 @@
         if (strncmp(keys[i].name, call->prefix, strlen(call->prefix)) != 0) continue;
         size_t len = cbor_serialize_alloc(keys[i].value, &text, &room);
         count++;
-        amb_w_map(&pairs, 3);
-        amb_w_str(&pairs, "path"), amb_w_str(&pairs, keys[i].name);
-        amb_w_str(&pairs, "stamp"), amb_w_uint(&pairs, keys[i].stamp);
-        amb_w_str(&pairs, "value"), amb_buf_add(&pairs, text, len);
+        amb_cbor_write_map(&pairs, 3);
+        amb_cbor_write_string(&pairs, "path"), amb_cbor_write_string(&pairs, keys[i].name);
+        amb_cbor_write_string(&pairs, "stamp"), amb_cbor_write_uint(&pairs, keys[i].stamp);
+        amb_cbor_write_string(&pairs, "value"), amb_buf_append(&pairs, text, len);
         free(text);
     }
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "epoch"), amb_w_uint(&body, epoch);
-    amb_w_str(&body, "pairs"), amb_w_list(&body, count);
-    amb_buf_add(&body, pairs.data, pairs.len);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, epoch);
+    amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, count);
+    amb_buf_append(&body, pairs.data, pairs.len);
     amb_buf_free(&pairs);
     answer_map(call, 200, &body);
 }
@@ -253,9 +255,9 @@
     }
     call->reply.answer = AMB_DUTY_CLOUD_DONE;
     for (uint32_t k = 0; k < call->count; k++) {
-        char name[AMB_NAME];
+        char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%u-%u", i, k);
-        amb_duty_work_add_machine(&call->reply.rented, name);
+        amb_duty_work_order_add_machine(&call->reply.acquired, name);
     }
 }
 
@@ -263,7 +265,7 @@
     member_cloud.calls++;
     if (call->token < member_cloud.highest[call->order.duty]) {
         member_cloud.stale++;
-        call->reply.answer = AMB_DUTY_CLOUD_STALE;
+        call->reply.answer = AMB_DUTY_CLOUD_FENCED;
         return;
     }
     member_cloud.highest[call->order.duty] = call->token;
@@ -298,7 +300,7 @@
 static void call_free(struct call *call) {
     if (call->body) cbor_decref(&call->body);
     if (call->answer) cbor_decref(&call->answer);
-    amb_duty_work_free(&call->reply.rented);
+    amb_duty_work_order_free(&call->reply.acquired);
     call->used = false;
 }
 
@@ -356,12 +358,12 @@
     call->status = 0;
     if (call->answer) cbor_decref(&call->answer);
     call->answer = NULL;
-    amb_duty_work_free(&call->reply.rented);
-    call->reply.answer = AMB_DUTY_CLOUD_LOST;
+    amb_duty_work_order_free(&call->reply.acquired);
+    call->reply.answer = AMB_DUTY_CLOUD_NO_ANSWER;
 }
 
 static void meet_fate(struct call *call) {
-    enum member_fate fate = planned && plan.call == call->kind ? plan.fate : MEMBER_GOES_ON;
+    enum member_outcome fate = planned && plan.call == call->kind ? plan.fate : MEMBER_GOES_ON;
     if (fate) planned = false;
     if (members[call->member].cut && call->verb != CLOUD)
         lose_answer(call);
@@ -398,14 +400,14 @@
     return now;
 }
 
-static void port_grant(void *context, amb_ms ttl, amb_store_done done, void *arg) {
+static void port_grant(void *context, amb_ms ttl, amb_store_callback done, void *arg) {
     struct call *call = call_new(context, GRANT);
     call->ttl = ttl;
     call->done = done;
     call->arg = arg;
 }
 
-static void port_extend(void *context, uint64_t lease, amb_store_done done, void *arg) {
+static void port_extend(void *context, uint64_t lease, amb_store_callback done, void *arg) {
     struct call *call = call_new(context, EXTEND);
     call->lease = lease;
     call->done = done;
@@ -416,7 +418,8 @@
     call_new(context, DROP)->lease = lease;
 }
 
-static void port_list(void *context, const char *prefix, const char *after, amb_store_done done, void *arg) {
+static void port_list(void *context, const char *prefix, const char *after, amb_store_callback done,
+                      void *arg) {
     struct call *call = call_new(context, LIST);
     (void)after; /* all keys go into one page */
     strcpy(call->prefix, prefix);
@@ -425,38 +428,38 @@
 }
 
 static enum member_call kind_of(const cbor_item_t *change) {
-    char key[AMB_DUTY_KEY];
-    if (amb_cbor_get(change, "remove")) return MEMBER_CALL_REMOVE;
-    if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key)) return MEMBER_CALL_OTHER;
-    const cbor_item_t *state = amb_cbor_get(amb_cbor_get(change, "value"), "state");
+    char key[AMB_DUTY_KEY_SIZE];
+    if (amb_cbor_map_get(change, "remove")) return MEMBER_CALL_REMOVE;
+    if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) return MEMBER_CALL_OTHER;
+    const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
     if (!strncmp(key, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS))) return MEMBER_CALL_CLAIM;
     if (strncmp(key, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)) != 0) return MEMBER_CALL_OTHER;
-    return amb_cbor_eq(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
+    return amb_cbor_equals(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
 }
 
-static void port_commit(void *context, struct amb_txn *txn, enum amb_urgency urgency, amb_store_done done,
-                        void *arg) {
+static void port_commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
+                        amb_store_callback done, void *arg) {
     struct call *call = call_new(context, COMMIT);
     struct amb_buf body = {0};
     (void)urgency;
-    amb_w_map(&body, 2);
-    amb_w_str(&body, "guards");
-    amb_w_list(&body, txn->nguards);
-    amb_buf_add(&body, txn->guards.data, txn->guards.len);
-    amb_w_str(&body, "then");
-    amb_w_list(&body, txn->nops);
-    amb_buf_add(&body, txn->then.data, txn->then.len);
+    amb_cbor_write_map(&body, 2);
+    amb_cbor_write_string(&body, "guards");
+    amb_cbor_write_list(&body, transaction->compare_count);
+    amb_buf_append(&body, transaction->compares.data, transaction->compares.len);
+    amb_cbor_write_string(&body, "then");
+    amb_cbor_write_list(&body, transaction->operation_count);
+    amb_buf_append(&body, transaction->operations.data, transaction->operations.len);
     call->body = amb_cbor_parse(body.data, body.len);
     amb_buf_free(&body);
-    amb_buf_free(&txn->guards);
-    amb_buf_free(&txn->then);
-    call->kind = kind_of(amb_cbor_at(amb_cbor_get(call->body, "then"), 0));
+    amb_buf_free(&transaction->compares);
+    amb_buf_free(&transaction->operations);
+    call->kind = kind_of(amb_cbor_list_item(amb_cbor_map_get(call->body, "then"), 0));
     call->done = done;
     call->arg = arg;
 }
 
-static bool port_call_cloud(void *context, const struct amb_duty_order_record *order,
-                            const struct amb_duty_work *work, uint64_t token, amb_duty_cloud_done done,
+static bool port_call_cloud(void *context, const struct amb_duty_intent_record *order,
+                            const struct amb_duty_work_order *work, uint64_t token, amb_duty_cloud_done done,
                             void *arg) {
     struct call *call = call_new(context, CLOUD);
     call->kind = MEMBER_CALL_CLOUD;
@@ -468,13 +471,13 @@
     return true;
 }
 
-static bool port_proved_gone(void *context, const struct amb_duty_work *work) {
+static bool port_proved_gone(void *context, const struct amb_duty_work_order *work) {
     const struct member *member = context;
     return member->proves_gone && work->machine_count;
 }
 
-static void port_order_changed(void *context, const struct amb_duty_order_record *order,
-                               const struct amb_duty_work *work) {
+static void port_order_changed(void *context, const struct amb_duty_intent_record *order,
+                               const struct amb_duty_work_order *work) {
     (void)context, (void)order, (void)work;
 }
 
@@ -494,7 +497,7 @@
     if (!member->alive || member->stopped || member->cut || member->news_held) return;
     while (news_read[index] < news_count) {
         const struct news *item = &news[news_read[index]++];
-        amb_duty_service_news(&member->service, item->name, item->value, item->stamp);
+        amb_duty_service_apply_change(&member->service, item->name, item->value, item->stamp);
     }
 }
 
@@ -520,21 +523,21 @@
 
 void members_start(int index) {
     struct member *member = &members[index];
-    const struct amb_duty_ports ports = {.state = {.context = member,
-                                                   .grant = port_grant,
-                                                   .extend = port_extend,
-                                                   .drop = port_drop,
-                                                   .list = port_list,
-                                                   .commit = port_commit},
+    const struct amb_duty_ports ports = {.kvstore = {.context = member,
+                                                     .grant = port_grant,
+                                                     .extend = port_extend,
+                                                     .revoke = port_drop,
+                                                     .list = port_list,
+                                                     .commit = port_commit},
                                          .context = member,
                                          .now = port_now,
                                          .call_cloud = port_call_cloud,
-                                         .proved_gone = port_proved_gone,
-                                         .order_changed = port_order_changed,
+                                         .is_proved_gone = port_proved_gone,
+                                         .intent_changed = port_order_changed,
                                          .loaded = port_loaded,
                                          .log = port_log};
     struct amb_duty_settings settings = amb_duty_settings_default(MEMBER_TTL_MS, MEMBER_LIST_MS);
-    amb_duty_service_end(&member->service);
+    amb_duty_service_abort(&member->service);
     snprintf(member->name, sizeof member->name, "n-%d", index);
     member->alive = true;
     member->stopped = member->cut = member->news_held = member->lists_held = member->proves_gone = false;
@@ -554,7 +557,7 @@
 }
 
 void members_end(void) {
-    for (int i = 0; i < MEMBERS; i++) amb_duty_service_end(&members[i].service);
+    for (int i = 0; i < MEMBERS; i++) amb_duty_service_abort(&members[i].service);
     for (size_t i = 0; i < CALLS_MOST; i++) {
         if (!calls[i].used) continue;
         free(calls[i].arg);
@@ -573,7 +576,7 @@
 }
 
 int members_holder(enum amb_duty_name duty) {
-    char key[AMB_DUTY_KEY];
+    char key[AMB_DUTY_KEY_SIZE];
     struct amb_duty_record record = {0};
     amb_duty_record_key(key, duty);
     const cbor_item_t *value = members_value(key);
@@ -599,24 +602,24 @@
     return key ? key->value : NULL;
 }
 
-void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_work *work) {
-    char key[AMB_DUTY_KEY];
+void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_work_order *work) {
+    char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
-    struct amb_duty_order_record order = {.duty = duty};
-    amb_duty_order_key(key, duty, id);
-    amb_duty_encode_order(&value, &order, work);
+    struct amb_duty_intent_record order = {.duty = duty};
+    amb_duty_intent_key(key, duty, id);
+    amb_duty_encode_intent(&value, &order, work);
     members_put(key, &value);
     amb_buf_free(&value);
 }
 
-bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_order_record *out,
-                        struct amb_duty_work *work) {
-    char key[AMB_DUTY_KEY];
-    amb_duty_order_key(key, duty, id);
+bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
+                        struct amb_duty_work_order *work) {
+    char key[AMB_DUTY_KEY_SIZE];
+    amb_duty_intent_key(key, duty, id);
     const cbor_item_t *value = members_value(key);
     memset(out, 0, sizeof *out);
     out->duty = duty;
-    return value && amb_duty_decode_order(value, out, work) == AMB_DUTY_DECODED;
+    return value && amb_duty_decode_intent(value, out, work) == AMB_DUTY_DECODED;
 }
 
 uint32_t members_writes(void) {
--- a/tests/support/fake_http.h
+++ b/tests/support/fake_http.h
@@ -10,7 +10,7 @@
 enum { FAKE_CALLS = 1024 };
 
 struct fake_call { /* a request that the node has sent */
-    char addr[AMB_NAME], method[8], path[400];
+    char addr[AMB_NAME_SIZE], method[8], path[400];
     struct amb_buf body;
     cbor_item_t *map; /* the body, if it is CBOR */
     amb_http_done fn;
@@ -41,12 +41,12 @@
 struct amb_http_req *fake_request(const char *method, const char *path, const struct amb_buf *body,
                                   struct fake_reply *reply);
 /* Hands a request to the server that the node has opened at this address. */
-void fake_serve(const char *addr, struct amb_http_req *req);
+void fake_serve(const char *addr, struct amb_http_req *request);
 
 /* What a transaction holds: the stamp that a key is guarded with, the value that is put there (NULL: none)
  * with its lease (0: none), and whether the key is removed. */
 #define FAKE_NOT_GUARDED UINT64_MAX
-uint64_t fake_txn_guard(const struct fake_call *call, const char *key);
+uint64_t fake_txn_compared_revision(const struct fake_call *call, const char *key);
 const cbor_item_t *fake_txn_put(const struct fake_call *call, const char *key, uint64_t *lease);
 bool fake_txn_removes(const struct fake_call *call, const char *key);
 
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -18,9 +18,9 @@
 
 struct amb_http_req *new_request(const char *method, const char *path, struct amb_buf *body) {
     assert_true(nrequests < REQUESTS);
-    struct amb_http_req *req = fake_request(method, path, body, &replies[nrequests++]);
+    struct amb_http_req *request = fake_request(method, path, body, &replies[nrequests++]);
     if (body) amb_buf_free(body);
-    return req;
+    return request;
 }
 
 struct fake_reply *latest(void) {
@@ -29,9 +29,9 @@
 }
 
 size_t answers(void) {
-    size_t n = 0;
-    for (size_t i = 0; i < nrequests; i++) n += replies[i].status != 0;
-    return n;
+    size_t count = 0;
+    for (size_t i = 0; i < nrequests; i++) count += replies[i].status != 0;
+    return count;
 }
 
 const cbor_item_t *latest_map(void) {
@@ -61,38 +61,38 @@
     forget_replies();
     setup(state);
     amb_ms now = amb_now();
-    strcpy(node->set.member, "n-0");
+    strcpy(node->settings.member, "n-0");
     strcpy(node->election.member, "n-0");
-    strcpy(node->set.zone, "a");
-    strcpy(node->set.state, "state:1");
-    strcpy(node->set.cloud, "cloud:1");
-    strcpy(node->set.peer_listen, PEER_LISTEN);
-    strcpy(node->set.teams[0].name, "t");
-    node->set.npeers = PEERS;
+    strcpy(node->settings.zone, "a");
+    strcpy(node->settings.store_addr, "state:1");
+    strcpy(node->settings.cloud_addr, "cloud:1");
+    strcpy(node->settings.peer_listen, PEER_LISTEN);
+    strcpy(node->settings.teams[0].name, "t");
+    node->settings.peer_count = PEERS;
     for (int i = 0; i < PEERS; i++) {
-        snprintf(node->set.peers[i].member, AMB_NAME, "n-%d", i + 1);
-        snprintf(node->set.peers[i].addr, AMB_NAME, "n-%d:1", i + 1);
+        snprintf(node->settings.peers[i].member, AMB_NAME_SIZE, "n-%d", i + 1);
+        snprintf(node->settings.peers[i].addr, AMB_NAME_SIZE, "n-%d:1", i + 1);
     }
-    node->set.state_rps = node->set.state_write_rps = 3000;
-    node->set.cloud_rps = 100;
-    node->set.list_lag_s = 5;
-    amb_store_init(&node->store, &node->set, 1000);
-    amb_store_share(&node->store, true);
-    node->rental.calls.tokens = 100;
-    node->rental.catalog_at = now;
-    amb_catalog_zone(&node->catalog, "a");
-    amb_catalog_zone(&node->catalog, "b");
-    node->ctl.turn_s = 1;
-    node->ctl.leading_since = node->ctl.loaded_at = now;
+    node->settings.store_rps = node->settings.store_write_rps = 3000;
+    node->settings.cloud_rps = 100;
+    node->settings.list_lag_s = 5;
+    amb_store_init(&node->store, &node->settings, 1000);
+    amb_store_set_leadership(&node->store, true);
+    node->cloud.call_budget.tokens = 100;
+    node->cloud.catalog_requested_at = now;
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "b");
+    node->controller.tick_interval_s = 1;
+    node->controller.leader_since = node->controller.restored_at = now;
     node->jobs.loaded = true;
-    node->jobs.fresh_at = node->jobs.fresh_sent_at = now;
-    struct amb_election *e = &node->election;
-    e->ttl = TTL;
-    e->renewed_at = e->renew_sent_at = now;
-    e->highest = e->holder_stamp = TERM;
-    e->nonce = e->holder_nonce = 1;
-    e->key_known = true;
-    strcpy(e->holder, "n-0");
+    node->jobs.last_read_at = node->jobs.last_read_sent_at = now;
+    struct amb_election *election = &node->election;
+    election->ttl = TTL;
+    election->renewed_at = election->renewal_sent_at = now;
+    election->highest_term = election->holder_revision = TERM;
+    election->nonce = election->holder_nonce = 1;
+    election->key_known = true;
+    strcpy(election->holder, "n-0");
     return 0;
 }
 
@@ -110,184 +110,188 @@
 }
 
 void follow(const char *leader, uint64_t term) {
-    struct amb_election *e = &node->election;
-    e->role = AMB_ROLE_FOLLOWING;
-    strcpy(e->holder, leader);
-    e->holder_stamp = e->highest = term;
+    struct amb_election *election = &node->election;
+    election->role = AMB_ROLE_FOLLOWER;
+    strcpy(election->holder, leader);
+    election->holder_revision = election->highest_term = term;
 }
 
 /* ---- what the state service answers ---- */
 
 void answer_epoch(struct fake_call *call, uint64_t epoch) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, epoch);
-    fake_answer(call, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, epoch);
+    fake_answer(call, 200, &buffer);
 }
 
 void answer_lease(struct fake_call *call, uint64_t lease) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "tenure");
-    amb_w_uint(&b, lease);
-    fake_answer(call, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "tenure");
+    amb_cbor_write_uint(&buffer, lease);
+    fake_answer(call, 200, &buffer);
 }
 
 void answer_refused(struct fake_call *call, const char *key) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 1);
-    amb_w_str(&b, "failed");
-    amb_w_list(&b, 1);
-    amb_w_str(&b, key);
-    fake_answer(call, 409, &b);
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, "failed");
+    amb_cbor_write_list(&buffer, 1);
+    amb_cbor_write_string(&buffer, key);
+    fake_answer(call, 409, &buffer);
 }
 
 void answer_value(struct fake_call *call, const char *field, const char *text, uint64_t number,
                   uint64_t stamp) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "value");
-    amb_w_map(&b, 1);
-    amb_w_str(&b, field);
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "value");
+    amb_cbor_write_map(&buffer, 1);
+    amb_cbor_write_string(&buffer, field);
     if (text)
-        amb_w_str(&b, text);
+        amb_cbor_write_string(&buffer, text);
     else
-        amb_w_uint(&b, number);
-    amb_w_str(&b, "stamp");
-    amb_w_uint(&b, stamp);
-    fake_answer(call, 200, &b);
+        amb_cbor_write_uint(&buffer, number);
+    amb_cbor_write_string(&buffer, "stamp");
+    amb_cbor_write_uint(&buffer, stamp);
+    fake_answer(call, 200, &buffer);
 }
 
-static void put_job_value(struct amb_buf *b, const char *ref, enum amb_job_state state) {
-    struct amb_spec spec = {.kind = AMB_SERVICE, .priority = AMB_HIGH, .tasks = 1, .each = {8, 1, 40}};
-    struct amb_job draft = {.spec = &spec, .accepted_wall = 1, .cancelled_wall = amb_wall_ms()};
+static void put_job_value(struct amb_buf *buffer, const char *ref, enum amb_job_state state) {
+    struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
+                                .priority = AMB_PRIORITY_HIGH,
+                                .task_count = 1,
+                                .task_resources = {8, 1, 40}};
+    struct amb_job draft = {.spec = &spec, .accepted_wall_ms = 1, .cancelled_wall_ms = amb_wall_ms()};
     strcpy(spec.ref, ref);
     strcpy(spec.class_name, "c");
     strcpy(spec.team, "t");
     strcpy(spec.image, "img");
-    amb_job_value(b, &draft, state);
+    amb_job_encode_record(buffer, &draft, state);
 }
 
 void answer_news(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
                  uint64_t stamp) {
-    struct amb_buf b = {0};
-    char key[AMB_NAME + 16];
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, epoch);
-    amb_w_str(&b, "news");
-    amb_w_list(&b, ref ? 1 : 0);
+    struct amb_buf buffer = {0};
+    char key[AMB_NAME_SIZE + 16];
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, epoch);
+    amb_cbor_write_string(&buffer, "news");
+    amb_cbor_write_list(&buffer, ref ? 1 : 0);
     if (ref) {
-        amb_job_key(key, sizeof key, ref);
-        amb_w_map(&b, 3);
-        amb_w_str(&b, "put");
-        amb_w_str(&b, key);
-        amb_w_str(&b, "value");
-        put_job_value(&b, ref, state);
-        amb_w_str(&b, "stamp");
-        amb_w_uint(&b, stamp);
+        amb_job_format_key(key, sizeof key, ref);
+        amb_cbor_write_map(&buffer, 3);
+        amb_cbor_write_string(&buffer, "put");
+        amb_cbor_write_string(&buffer, key);
+        amb_cbor_write_string(&buffer, "value");
+        put_job_value(&buffer, ref, state);
+        amb_cbor_write_string(&buffer, "stamp");
+        amb_cbor_write_uint(&buffer, stamp);
     }
-    fake_answer(call, 200, &b);
+    fake_answer(call, 200, &buffer);
 }
 
 /* ---- workers' reports, over HTTP ---- */
 
-struct amb_http_req *send_report(struct sent_report r) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 9);
-    amb_w_str(&b, "rig"), amb_w_str(&b, r.machine);
-    amb_w_str(&b, "address"), amb_w_str(&b, "worker:1");
-    amb_w_str(&b, "hull"), amb_w_str(&b, "g8");
-    amb_w_str(&b, "yard"), amb_w_str(&b, r.zone ? r.zone : "a");
-    amb_w_str(&b, "driftwood"), amb_w_bool(&b, false);
-    amb_w_str(&b, "watch"), amb_w_uint(&b, r.session);
-    amb_w_str(&b, "tally"), amb_w_uint(&b, r.seq);
-    amb_w_str(&b, "baton"), amb_w_uint(&b, r.token);
-    amb_w_str(&b, "legs"), amb_w_list(&b, r.task ? 1 : 0);
-    if (r.task) {
-        amb_w_map(&b, 3);
-        amb_w_str(&b, "leg"), amb_w_str(&b, r.task);
-        amb_w_str(&b, "try"), amb_w_uint(&b, r.attempt);
-        amb_w_str(&b, "stance"), amb_w_str(&b, r.stance);
+struct amb_http_req *send_heartbeat(struct sent_heartbeat heartbeat) {
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 9);
+    amb_cbor_write_string(&buffer, "rig"), amb_cbor_write_string(&buffer, heartbeat.machine);
+    amb_cbor_write_string(&buffer, "address"), amb_cbor_write_string(&buffer, "worker:1");
+    amb_cbor_write_string(&buffer, "hull"), amb_cbor_write_string(&buffer, "g8");
+    amb_cbor_write_string(&buffer, "yard"),
+        amb_cbor_write_string(&buffer, heartbeat.zone ? heartbeat.zone : "a");
+    amb_cbor_write_string(&buffer, "driftwood"), amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "watch"), amb_cbor_write_uint(&buffer, heartbeat.session);
+    amb_cbor_write_string(&buffer, "tally"), amb_cbor_write_uint(&buffer, heartbeat.seq);
+    amb_cbor_write_string(&buffer, "baton"), amb_cbor_write_uint(&buffer, heartbeat.token);
+    amb_cbor_write_string(&buffer, "legs"), amb_cbor_write_list(&buffer, heartbeat.task ? 1 : 0);
+    if (heartbeat.task) {
+        amb_cbor_write_map(&buffer, 3);
+        amb_cbor_write_string(&buffer, "leg"), amb_cbor_write_string(&buffer, heartbeat.task);
+        amb_cbor_write_string(&buffer, "try"), amb_cbor_write_uint(&buffer, heartbeat.attempt);
+        amb_cbor_write_string(&buffer, "stance"), amb_cbor_write_string(&buffer, heartbeat.stance);
     }
-    struct amb_http_req *req = new_request("POST", "/hello", &b);
-    assert_true(amb_fleet_request(node, req));
-    return req;
+    struct amb_http_req *request = new_request("POST", "/hello", &buffer);
+    assert_true(amb_agent_handle_request(node, request));
+    return request;
 }
 
-size_t orders_in(const cbor_item_t *body, const char *verb) {
-    const cbor_item_t *list = amb_cbor_get(body, "orders");
-    size_t n = 0;
-    for (size_t i = 0; i < amb_cbor_len(list); i++)
-        n += amb_cbor_eq(amb_cbor_get(amb_cbor_at(list, i), "verb"), verb);
-    return n;
+size_t commands_in(const cbor_item_t *body, const char *verb) {
+    const cbor_item_t *list = amb_cbor_map_get(body, "orders");
+    size_t count = 0;
+    for (size_t i = 0; i < amb_cbor_list_length(list); i++)
+        count += amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(list, i), "verb"), verb);
+    return count;
 }
 
-size_t replied_orders(const char *verb) {
-    return orders_in(latest_map(), verb);
+size_t replied_commands(const char *verb) {
+    return commands_in(latest_map(), verb);
 }
 
 uint64_t replied_token(void) {
     uint64_t token = 0;
-    amb_cbor_uint(amb_cbor_get(latest_map(), "baton"), &token);
+    amb_cbor_get_uint(amb_cbor_map_get(latest_map(), "baton"), &token);
     return token;
 }
 
 /* ---- machines ---- */
 
 struct amb_machine *machine_in(const char *name, int zone) {
-    struct amb_machine *m = amb_machine_get(node, name, true);
-    m->type = 0;
-    m->zone = zone;
-    return m;
+    struct amb_machine *machine = amb_machine_get(node, name, true);
+    machine->type_index = 0;
+    machine->zone_index = zone;
+    return machine;
 }
 
 struct amb_machine *machine_up(const char *name, int zone) {
-    struct amb_machine *m = machine_in(name, zone);
-    m->state = AMB_MACHINE_UP;
-    m->token_shown = true;
-    m->reported_at = m->answered_at = amb_now();
-    strcpy(m->addr, "worker:1");
-    return m;
+    struct amb_machine *machine = machine_in(name, zone);
+    machine->state = AMB_MACHINE_UP;
+    machine->token_acknowledged = true;
+    machine->last_heartbeat_at = machine->last_response_at = amb_now();
+    strcpy(machine->address, "worker:1");
+    return machine;
 }
 
 /* ---- peers ---- */
 
 static struct amb_buf said_text(int peer, struct said said) {
-    struct amb_buf b = {0};
-    amb_buf_fmt(&b,
-                "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
-                "\"reports_arrive\":false,\"cancelled\":[%s]}",
-                peer + 1, said.unloaded ? "false" : "true", (unsigned long long)said.term,
-                said.leading ? "true" : "false", said.cancelled ? said.cancelled : "");
-    return b;
+    struct amb_buf buffer = {0};
+    amb_buf_append_format(&buffer,
+                          "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
+                          "\"reports_arrive\":false,\"cancelled\":[%s]}",
+                          peer + 1, said.unloaded ? "false" : "true", (unsigned long long)said.term,
+                          said.leading ? "true" : "false", said.cancelled ? said.cancelled : "");
+    return buffer;
 }
 
 void peer_answers(int peer, struct said said) {
-    struct amb_buf b = said_text(peer, said);
-    fake_answer(fake_call_find(node->set.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &b);
+    struct amb_buf buffer = said_text(peer, said);
+    fake_answer(fake_call_find(node->settings.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &buffer);
 }
 
 void peer_speaks(int peer, struct said said) {
-    struct amb_buf b = said_text(peer, said);
-    fake_serve(PEER_LISTEN, new_request("POST", "/peer/heartbeat", &b));
+    struct amb_buf buffer = said_text(peer, said);
+    fake_serve(PEER_LISTEN, new_request("POST", "/peer/heartbeat", &buffer));
 }
 
 void ask_peers(void) {
-    amb_peer_init(node);
+    amb_peer_start(node);
 }
 
 /* ---- records ---- */
 
 struct fake_call *begin_block(void) {
-    struct amb_job *j = add_job("wk-1", AMB_SERVICE, 1);
-    j->stamp = 20;
-    j->blocks[0].stamp = 33;
+    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    job->revision = 20;
+    job->blocks[0].revision = 33;
     machine_up("m-1", 0);
-    struct amb_task *t = bound(j, 0, "m-1", 1);
-    t->state = AMB_TASK_PLACED;
-    amb_record_dirty(node, t, true);
-    amb_record_pump(node);
+    struct amb_task *task = bound(job, 0, "m-1", 1);
+    task->state = AMB_TASK_PLACED;
+    amb_placement_block_mark_dirty(node, task, true);
+    amb_placement_log_flush(node);
     return open_call("POST", "/commit");
 }
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -22,10 +22,10 @@
 }
 
 static const char *job_name(char letter) {
-    static char names[4][AMB_NAME];
+    static char names[4][AMB_NAME_SIZE];
     static size_t at;
     char *name = names[at++ % ROWS(names)];
-    snprintf(name, AMB_NAME, "wk-%c", letter);
+    snprintf(name, AMB_NAME_SIZE, "wk-%c", letter);
     return name;
 }
 
@@ -40,57 +40,57 @@
     return (char)('a' + (record - records));
 }
 
-static void put_change(struct amb_buf *b, const struct record *record, const char *key_field) {
-    char key[AMB_NAME + 16];
-    amb_job_key(key, sizeof key, job_name(letter_of(record)));
-    amb_w_map(b, 3);
-    amb_w_str(b, key_field);
-    amb_w_str(b, key);
-    amb_w_str(b, "value");
-    amb_buf_add(b, record->value.data, record->value.len);
-    amb_w_str(b, "stamp");
-    amb_w_uint(b, record->stamp);
+static void put_change(struct amb_buf *buffer, const struct record *record, const char *key_field) {
+    char key[AMB_NAME_SIZE + 16];
+    amb_job_format_key(key, sizeof key, job_name(letter_of(record)));
+    amb_cbor_write_map(buffer, 3);
+    amb_cbor_write_string(buffer, key_field);
+    amb_cbor_write_string(buffer, key);
+    amb_cbor_write_string(buffer, "value");
+    amb_buf_append(buffer, record->value.data, record->value.len);
+    amb_cbor_write_string(buffer, "stamp");
+    amb_cbor_write_uint(buffer, record->stamp);
 }
 
-static void put_changes(struct amb_buf *b, uint64_t after, const char *key_field) {
+static void put_changes(struct amb_buf *buffer, uint64_t after, const char *key_field) {
     size_t count = 0;
     for (size_t i = 0; i < LETTERS; i++) count += records[i].stamp > after;
-    amb_w_list(b, count);
+    amb_cbor_write_list(buffer, count);
     for (size_t i = 0; i < LETTERS; i++)
-        if (records[i].stamp > after) put_change(b, &records[i], key_field);
+        if (records[i].stamp > after) put_change(buffer, &records[i], key_field);
 }
 
 static void answer_changes(struct fake_call *call) {
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     const char *after = strstr(call->path, "after=");
     assert_non_null(after);
-    amb_w_map(&b, 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, service.epoch);
-    amb_w_str(&b, "news");
-    put_changes(&b, strtoull(after + 6, NULL, 10), "put");
-    fake_answer(call, 200, &b);
+    amb_cbor_write_map(&buffer, 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_string(&buffer, "news");
+    put_changes(&buffer, strtoull(after + 6, NULL, 10), "put");
+    fake_answer(call, 200, &buffer);
 }
 
 static void answer_listing(struct fake_call *call, bool jobs) {
-    struct amb_buf b = {0};
-    amb_w_map(&b, 3);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, service.epoch);
-    amb_w_str(&b, "truncated");
-    amb_w_bool(&b, false);
-    amb_w_str(&b, "pairs");
-    put_changes(&b, jobs ? 0 : UINT64_MAX, "path");
-    fake_answer(call, 200, &b);
+    struct amb_buf buffer = {0};
+    amb_cbor_write_map(&buffer, 3);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_string(&buffer, "truncated");
+    amb_cbor_write_bool(&buffer, false);
+    amb_cbor_write_string(&buffer, "pairs");
+    put_changes(&buffer, jobs ? 0 : UINT64_MAX, "path");
+    fake_answer(call, 200, &buffer);
 }
 
 static bool guards_hold(const struct fake_call *call) {
-    const cbor_item_t *guards = amb_cbor_get(call->map, "guards");
-    for (size_t i = 0; i < amb_cbor_len(guards); i++) {
+    const cbor_item_t *guards = amb_cbor_map_get(call->map, "guards");
+    for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char key[128];
         uint64_t stamp = 0;
-        amb_cbor_str(amb_cbor_get(amb_cbor_at(guards, i), "path"), key, sizeof key);
-        amb_cbor_uint(amb_cbor_get(amb_cbor_at(guards, i), "stamp"), &stamp);
+        amb_cbor_copy_string(amb_cbor_map_get(amb_cbor_list_item(guards, i), "path"), key, sizeof key);
+        amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, i), "stamp"), &stamp);
         const struct record *record = record_of(key);
         if (record ? record->stamp != stamp : !strcmp(key, LEADER_KEY) && stamp != TERM) return false;
     }
@@ -98,33 +98,33 @@
 }
 
 static void carry_out(struct fake_call *call) {
-    struct amb_buf b = {0};
+    struct amb_buf buffer = {0};
     bool holds = guards_hold(call);
-    const cbor_item_t *changes = amb_cbor_get(call->map, "then");
+    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
     service.epoch += holds;
-    for (size_t i = 0; holds && i < amb_cbor_len(changes); i++) {
+    for (size_t i = 0; holds && i < amb_cbor_list_length(changes); i++) {
         char key[128];
-        const cbor_item_t *change = amb_cbor_at(changes, i);
-        if (!amb_cbor_str(amb_cbor_get(change, "put"), key, sizeof key)) continue;
+        const cbor_item_t *change = amb_cbor_list_item(changes, i);
+        if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) continue;
         struct record *record = record_of(key);
         if (!record) continue;
         unsigned char bytes[VALUE_BYTES];
-        size_t len = cbor_serialize(amb_cbor_get(change, "value"), bytes, sizeof bytes);
+        size_t len = cbor_serialize(amb_cbor_map_get(change, "value"), bytes, sizeof bytes);
         assert_true(len > 0);
         amb_buf_free(&record->value);
-        amb_buf_add(&record->value, bytes, len);
+        amb_buf_append(&record->value, bytes, len);
         record->stamp = service.epoch;
     }
-    amb_w_map(&b, holds ? 1 : 2);
-    amb_w_str(&b, "epoch");
-    amb_w_uint(&b, service.epoch);
+    amb_cbor_write_map(&buffer, holds ? 1 : 2);
+    amb_cbor_write_string(&buffer, "epoch");
+    amb_cbor_write_uint(&buffer, service.epoch);
     if (!holds) {
-        amb_w_str(&b, "failed");
-        amb_w_list(&b, 0);
+        amb_cbor_write_string(&buffer, "failed");
+        amb_cbor_write_list(&buffer, 0);
     }
     bool lost = service.loses;
     service.loses = false;
-    fake_answer(call, lost ? 0 : holds ? 200 : 409, &b);
+    fake_answer(call, lost ? 0 : holds ? 200 : 409, &buffer);
 }
 
 static bool is_watch(const struct fake_call *call) {
@@ -199,9 +199,9 @@
     return submission_text;
 }
 
-static void request(const char *method, const char *path, struct amb_buf *body) {
+static void send_request(const char *method, const char *path, struct amb_buf *body) {
     assert_true(nreplies < REPLIES);
-    assert_true(amb_user_request(node, fake_request(method, path, body, &replies[nreplies++])));
+    assert_true(amb_api_handle_request(node, fake_request(method, path, body, &replies[nreplies++])));
     if (body) amb_buf_free(body);
     settle();
 }
@@ -212,20 +212,20 @@
 
 void submit_text(const char *text) {
     struct amb_buf body = cbor_from_text("%s", text);
-    request("POST", "/v1/jobs", &body);
+    send_request("POST", "/v1/jobs", &body);
 }
 
 void submit_json(json_t *job) {
     struct amb_buf body = {0};
     cbor_from_json(&body, job);
     json_decref(job);
-    request("POST", "/v1/jobs", &body);
+    send_request("POST", "/v1/jobs", &body);
 }
 
 static void ask(char letter, bool cancel) {
-    char path[AMB_NAME + 32];
+    char path[AMB_NAME_SIZE + 32];
     snprintf(path, sizeof path, "/v1/jobs/%s%s", job_name(letter), cancel ? "/cancel" : "");
-    request(cancel ? "POST" : "GET", path, NULL);
+    send_request(cancel ? "POST" : "GET", path, NULL);
 }
 
 const char *answer(void) {
@@ -233,7 +233,7 @@
     const struct fake_reply *reply = &replies[nreplies - 1];
     cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
     char stance[16] = "";
-    amb_cbor_str(amb_cbor_get(body, "stance"), stance, sizeof stance);
+    amb_cbor_copy_string(amb_cbor_map_get(body, "stance"), stance, sizeof stance);
     if (body) cbor_decref(&body);
     snprintf(text, sizeof text, "%d%.1s", reply->status, stance);
     return text;
@@ -264,7 +264,7 @@
 }
 
 static void hear_hint(char letter) {
-    amb_job_cancel_hint(node, job_name(letter), amb_wall_ms(), records[letter - 'a'].stamp);
+    amb_job_apply_cancel_hint(node, job_name(letter), amb_wall_ms(), records[letter - 'a'].stamp);
 }
 
 /* ---- the node ---- */
@@ -274,19 +274,19 @@
     fake_clock_reset();
     forget_records();
     setup(state);
-    node->election.role = AMB_ROLE_FOLLOWING;
-    node->ctl.ready = false;
-    node->ctl.loaded_at = 0;
-    strcpy(node->set.member, "n-0");
-    strcpy(node->set.state, "state:1");
-    strcpy(node->set.front, "front:1");
-    strcpy(node->set.peer_listen, "peers:1");
-    strcpy(node->set.teams[0].name, "vision");
-    node->set.state_rps = node->set.state_write_rps = 3000;
-    node->set.cloud_rps = 100;
-    node->catalog.types[0].nzones = 1;
+    node->election.role = AMB_ROLE_FOLLOWER;
+    node->controller.ready = false;
+    node->controller.restored_at = 0;
+    strcpy(node->settings.member, "n-0");
+    strcpy(node->settings.store_addr, "state:1");
+    strcpy(node->settings.api_listen, "front:1");
+    strcpy(node->settings.peer_listen, "peers:1");
+    strcpy(node->settings.teams[0].name, "vision");
+    node->settings.store_rps = node->settings.store_write_rps = 3000;
+    node->settings.cloud_rps = 100;
+    node->catalog.types[0].zone_count = 1;
     strcpy(node->catalog.types[0].zones[0], "a");
-    amb_catalog_zone(&node->catalog, "a");
+    amb_catalog_find_or_add_zone(&node->catalog, "a");
     char err[128];
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
     settle();
@@ -310,26 +310,26 @@
 }
 
 void lead(void) {
-    node->election.role = AMB_ROLE_LEADING;
-    node->election.term = node->election.highest = TERM;
+    node->election.role = AMB_ROLE_LEADER;
+    node->election.term = node->election.highest_term = TERM;
     node->election.ttl = 3600000;
     node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
-    amb_controller_lead(node);
+    amb_controller_start_leading(node);
     settle();
-    if (!service.out && !node->ctl.loaded_at) fail_msg("the records are not read");
+    if (!service.out && !node->controller.restored_at) fail_msg("the records are not read");
 }
 
 void stop(void) {
-    amb_controller_stop(node, "test");
-    node->election.role = AMB_ROLE_FOLLOWING;
+    amb_controller_stop_leading(node, "test");
+    node->election.role = AMB_ROLE_FOLLOWER;
 }
 
 void finish_tasks(char letter) {
     struct amb_job *job = amb_job_find(node, job_name(letter));
-    assert_true(job && job->live);
-    for (uint32_t i = 0; i < job->spec->tasks; i++) amb_task_finish(node, &job->tasks[i]);
-    amb_record_pump(node);
+    assert_true(job && job->active);
+    for (uint32_t i = 0; i < job->spec->task_count; i++) amb_task_mark_done(node, &job->tasks[i]);
+    amb_placement_log_flush(node);
     settle();
 }
 
@@ -339,7 +339,7 @@
     for (size_t i = 0; i < LETTERS; i++) {
         char letter = letter_of(&records[i]);
         const struct amb_job *job = amb_job_find(node, job_name(letter));
-        if (job && job->live && job->state == AMB_JOB_QUEUED) text[len++] = letter;
+        if (job && job->active && job->state == AMB_JOB_QUEUED) text[len++] = letter;
     }
     text[len] = 0;
     return text;
