--- a/include/amberpin/placement/slot_ranking.h
+++ b/include/amberpin/placement/slot_ranking.h
@@ -18,14 +18,26 @@
     bool ignores_image;       /* where the image is does not matter */
 };
 
-/* On what terms other work makes way for the wish; what it costs is the round's to say. */
+/* On what grounds a job may have other work stopped. */
+struct amb_preemption_claim {
+    enum amb_priority priority;
+    const struct amb_team *team; /* borrowed; NULL: unknown */
+    bool within_guarantee;       /* the job fits into what its team is guaranteed */
+};
+
+/* What a preemption costs. */
+enum amb_preemption_cost {
+    AMB_PREEMPTION_COST_LOST_WORK, /* seconds of work lost; only machines that are up */
+    AMB_PREEMPTION_COST_IMAGE,     /* whether the image is missing */
+};
+
+/* On what terms other work is stopped for a request. */
 struct amb_preemption_terms {
-    enum amb_preemption_cost { AMB_PREEMPTION_COST_LOST_WORK, AMB_PREEMPTION_COST_IMAGE } cost_kind;
-    enum amb_priority priority; /* the claim's, as in struct amb_preemption_claim */
-    const struct amb_team *team;
-    bool within_guarantee;
-    bool image_only;       /* only where the image is */
-    uint64_t placed_tasks; /* in the round so far: what teams use has changed since */
+    enum amb_preemption_cost cost_kind;
+    struct amb_preemption_claim claim;
+    bool image_only; /* only where the image is */
+    uint64_t
+        placed_tasks; /* in the cycle so far: what teams use, and so what is preemptible, has changed since */
 };
 
 /* The slots of a round. They may change and grow in number, but keep their order and zones. */
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -80,9 +80,13 @@
            key->can_wait == request->can_wait && key->opportunistic == request->opportunistic;
 }
 
+static bool is_same_claim(const struct amb_preemption_claim *left, const struct amb_preemption_claim *right) {
+    return left->priority == right->priority && left->team == right->team &&
+           left->within_guarantee == right->within_guarantee;
+}
+
 static bool is_same_terms(const struct amb_preemption_terms *left, const struct amb_preemption_terms *right) {
-    return left->cost_kind == right->cost_kind && left->priority == right->priority &&
-           left->team == right->team && left->within_guarantee == right->within_guarantee &&
+    return left->cost_kind == right->cost_kind && is_same_claim(&left->claim, &right->claim) &&
            left->image_only == right->image_only && left->placed_tasks == right->placed_tasks;
 }
 
