--- /dev/null
+++ b/lib/scheduler/demand_forecast.c
@@ -0,0 +1,132 @@
+/* Demand: how often jobs of a class come and how large they are, as decaying averages, and the latest peak of
+ * what all teams used. */
+#include "plan_internal.h"
+
+#include "amberpin/base/log.h"
+#include "amberpin/scheduler/start_deadline.h"
+
+#include <math.h>
+#include <string.h>
+
+/* Over how many boot times arrivals are averaged and forgotten. */
+static const double ARRIVAL_DECAY_BOOTS = 4;
+/* The weight of the latest job in the mean size of its class's jobs. */
+static const double SIZE_WEIGHT = 0.1;
+/* Of gangs some surely end while a machine boots; services run until they are cancelled. */
+static const double GANG_SHARE = 2.0 / 3;
+/* Over how many boot times the peak decays. */
+static const double PEAK_DECAY_BOOTS = 1.5;
+
+double amb_demand_longest_boot_s(const struct amb_node *node) {
+    double longest_s = 0;
+    for (uint32_t i = 0; i < node->catalog.type_count; i++)
+        longest_s = fmax(longest_s, node->catalog.types[i].boot_s);
+    return longest_s;
+}
+
+/* ---- demand of a class ---- */
+
+/* The place of the class that has not been asked for longest. */
+static struct amb_demand *evict_oldest_demand(struct amb_controller *controller) {
+    struct amb_demand *oldest = &controller->demands[0];
+    for (uint32_t i = 1; i < controller->demand_count; i++)
+        if (controller->demands[i].updated_at < oldest->updated_at) oldest = &controller->demands[i];
+    amb_debug("class %s is no longer expected: more than %d classes are asked for", oldest->class_name,
+              AMB_DEMANDS_MAX);
+    return oldest;
+}
+
+static struct amb_demand *get_demand(struct amb_controller *controller, const char *class_name, amb_ms now) {
+    for (uint32_t i = 0; i < controller->demand_count; i++)
+        if (!strcmp(controller->demands[i].class_name, class_name)) return &controller->demands[i];
+    struct amb_demand *demand = controller->demand_count < AMB_DEMANDS_MAX
+                                    ? &controller->demands[controller->demand_count++]
+                                    : evict_oldest_demand(controller);
+    memset(demand, 0, sizeof *demand);
+    strcpy(demand->class_name, class_name);
+    demand->updated_at = now;
+    return demand;
+}
+
+/* Jobs may be heard of in another order than that in which they came. */
+static void count_arrival(struct amb_demand *demand, const struct amb_job_spec *spec, amb_ms ready_at,
+                          double decay_s) {
+    double elapsed_s = (double)(ready_at - demand->updated_at) / 1000;
+    if (elapsed_s >= 0) {
+        demand->tasks_per_s = demand->tasks_per_s * exp(-elapsed_s / decay_s) + 1 / decay_s;
+        demand->updated_at = ready_at;
+        demand->last_spec = *spec;
+    } else {
+        demand->tasks_per_s += exp(elapsed_s / decay_s) / decay_s;
+    }
+}
+
+static void count_size(struct amb_demand *demand, const struct amb_job_spec *spec) {
+    double squared_tasks = (double)spec->task_count * spec->task_count;
+    double mean = demand->mean_square_tasks;
+    demand->mean_square_tasks =
+        mean > 0 ? mean * (1 - SIZE_WEIGHT) + squared_tasks * SIZE_WEIGHT : squared_tasks;
+}
+
+/* Work that starts late misses its objective, and a machine takes longer to boot than it may wait. Of arrays
+ * nothing is expected. */
+static bool is_capacity_reserved_for(const struct amb_node *node, const struct amb_job_spec *spec) {
+    if (spec->priority < AMB_PRIORITY_HIGH && !amb_start_find_objective(node, spec)) return false;
+    return spec->kind != AMB_JOB_KIND_ARRAY;
+}
+
+void amb_capacity_plan_note_demand(struct amb_node *node, struct amb_job *job) {
+    const struct amb_job_spec *spec = job->spec;
+    if (job->demand_recorded || job->dependencies_pending || !spec || !node->cloud.catalog_known) return;
+    job->demand_recorded = true;
+    if (!is_capacity_reserved_for(node, spec)) return;
+    int64_t age_ms = amb_wall_ms() - amb_job_ready_wall_ms(job);
+    amb_ms ready_at = amb_now() - (age_ms > 0 ? age_ms : 0);
+    double decay_s =
+        fmax(ARRIVAL_DECAY_BOOTS * amb_demand_longest_boot_s(node), node->settings.agent_lease_s);
+    struct amb_demand *demand = get_demand(&node->controller, spec->class_name, ready_at);
+    count_arrival(demand, spec, ready_at, decay_s);
+    count_size(demand, spec);
+    amb_recent_names_add(demand->images, NULL, &demand->image_count, AMB_DEMAND_IMAGES_MAX, spec->image, 0);
+}
+
+/* Arrivals come and tasks end about as often: what is left to cover is their standard deviation. */
+double amb_demand_expected_tasks(const struct amb_node *node, const struct amb_demand *demand, double boot_s,
+                                 amb_ms now) {
+    double age_s = (double)(now - demand->updated_at) / 1000;
+    double decay = exp(-age_s / (ARRIVAL_DECAY_BOOTS * boot_s));
+    double share = demand->last_spec.kind == AMB_JOB_KIND_GANG ? GANG_SHARE : 1;
+    return node->options.headroom_deviations * share *
+           sqrt(demand->tasks_per_s * decay * boot_s * demand->mean_square_tasks);
+}
+
+/* ---- the peak ---- */
+
+static double decay_peak(double peak, double usage, double retained_share) {
+    return fmax(usage, usage + (peak - usage) * retained_share);
+}
+
+static struct amb_resources sum_usage(const struct amb_capacity_plan *plan) {
+    const struct amb_settings *settings = &plan->cycle->node->settings;
+    struct amb_resources usage = {0, 0, 0};
+    for (uint32_t i = 0; i < settings->team_count; i++) {
+        amb_resources_add(&usage, &settings->teams[i].used, 1);
+        amb_resources_add(&usage, &plan->planned_usage[i], 1);
+    }
+    return usage;
+}
+
+/* Batch work comes in bursts: what it used a little while ago it will use again. */
+void amb_demand_update_peak(struct amb_capacity_plan *plan) {
+    struct amb_node *node = plan->cycle->node;
+    struct amb_controller *controller = &node->controller;
+    const struct amb_resources usage = sum_usage(plan);
+    double elapsed_s = (double)(plan->cycle->now - controller->peak_at) / 1000;
+    double decay_s = PEAK_DECAY_BOOTS * amb_demand_longest_boot_s(node) + 1;
+    double retained_share = controller->peak_at ? exp(-elapsed_s / decay_s) : 0;
+    struct amb_resources *peak = &controller->peak_usage;
+    peak->cpus = decay_peak(peak->cpus, usage.cpus, retained_share);
+    peak->gpus = decay_peak(peak->gpus, usage.gpus, retained_share);
+    peak->memory_gb = decay_peak(peak->memory_gb, usage.memory_gb, retained_share);
+    controller->peak_at = plan->cycle->now;
+}
