--- /dev/null
+++ b/lib/controller/start.c
@@ -0,0 +1,73 @@
+/* A node's start-up: its modules in their order, and the server that users and agents call. */
+#include "internal.h"
+
+#include "amberpin/api/user_api.h"
+#include "amberpin/node/fleet_capacity.h"
+#include "amberpin/node/memory_budget.h"
+
+#include <stdio.h>
+#include <string.h>
+
+enum { HTTP_OK = 200, HTTP_NOT_FOUND = 404, HTTP_METHOD_NOT_ALLOWED = 405, HTTP_UNAVAILABLE = 503 };
+enum { REQUEST_BODY_MAX_BYTES = 64 * 1024 }; /* the protocol's limit, for users and agents */
+
+/* How long an idle connection stays open, in agent leases. */
+static const double CONNECTION_LEASES = 6;
+/* Without a success of the state service for so many heartbeat periods it counts as failing. */
+static const double STORE_FAILURE_HEARTBEAT_PERIODS = 3;
+
+static bool is_store_failing(const struct amb_node *node, amb_ms now) {
+    const struct amb_store *store = &node->store;
+    amb_ms limit = amb_seconds_to_ms(node->settings.heartbeat_s * STORE_FAILURE_HEARTBEAT_PERIODS);
+    return store->last_failure_at > store->last_success_at && now - store->last_success_at > limit;
+}
+
+/* Where the state service refuses this node alone, users are better served elsewhere. When it refuses all
+ * nodes, this one stays in, so that users get an answer at once. */
+static bool is_healthy(struct amb_node *node) {
+    amb_ms now = amb_now();
+    if (!node->jobs.loaded) return false;
+    return !is_store_failing(node, now) || !amb_election_peer_reaches_store(node, now);
+}
+
+static int health_status(struct amb_node *node, const struct amb_http_req *request) {
+    if (strcmp(request->path, "/healthz")) return HTTP_NOT_FOUND;
+    if (strcmp(request->method, "GET")) return HTTP_METHOD_NOT_ALLOWED;
+    return is_healthy(node) ? HTTP_OK : HTTP_UNAVAILABLE;
+}
+
+static void handle_request(void *context, struct amb_http_req *request) {
+    struct amb_node *node = context;
+    if (amb_agent_handle_request(node, request) || amb_api_handle_request(node, request)) return;
+    amb_http_reply_cbor(request, health_status(node, request), NULL, 0);
+}
+
+static bool open_public_server(struct amb_node *node) {
+    const struct amb_settings *settings = &node->settings;
+    amb_ms idle_timeout = amb_seconds_to_ms(settings->agent_lease_s * CONNECTION_LEASES);
+    node->public_server = amb_server_open(settings->api_listen, amb_capacity_max_incoming(settings),
+                                          REQUEST_BODY_MAX_BYTES, idle_timeout, handle_request, node);
+    return node->public_server != NULL;
+}
+
+int amb_node_start(struct amb_node *node, char *err, size_t err_size) {
+    const struct amb_settings *settings = &node->settings;
+    amb_controller_attach(node);
+    node->controller.tick_interval_s = amb_settings_cycle_s(settings);
+    amb_election_init(node);
+    amb_store_init(&node->store, settings, amb_election_call_timeout(node));
+    amb_cloud_init(node);
+    amb_zone_recovery_init(node);
+    for (uint32_t i = 0; i < settings->zone_count; i++)
+        amb_catalog_find_or_add_zone(&node->catalog, settings->zones[i]);
+    amb_http_client_limit(amb_capacity_max_outgoing(settings));
+    amb_http_response_limit(amb_memory_max_response_bytes(settings));
+    if (!open_public_server(node)) {
+        snprintf(err, err_size, "front %s can't be opened", settings->api_listen);
+        return -1;
+    }
+    amb_peer_start(node);
+    amb_watch_start(node);
+    amb_controller_tick(node);
+    return 0;
+}
