--- /dev/null
+++ b/lib/placement/winner_tree.h
@@ -0,0 +1,32 @@
+/* A winner tree (tournament tree): the largest of many scores, updated in logarithmic time when one of them
+ * changes. */
+#ifndef AMBERPIN_PLACEMENT_WINNER_TREE_H
+#define AMBERPIN_PLACEMENT_WINNER_TREE_H
+
+#include <float.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+/* The score of a candidate that must not win. */
+#define AMB_SCORE_INFEASIBLE (-DBL_MAX)
+
+/* winners[1] is the leaf with the largest score, winners[i] the better of winners[2i] and winners[2i + 1];
+ * the level of the leaves is not stored. All zero: an empty tree. */
+struct amb_winner_tree {
+    double *scores; /* by leaf; owned */
+    uint32_t *winners;
+    uint32_t capacity; /* leaves; 0 or a power of two */
+};
+
+struct amb_winner {
+    uint32_t leaf;
+    double score; /* AMB_SCORE_INFEASIBLE: there is no winner */
+};
+
+void amb_winner_tree_set(struct amb_winner_tree *tree, uint32_t leaf, double score);
+/* Of equal scores that of the smallest leaf wins. */
+struct amb_winner amb_winner_tree_get_winner(const struct amb_winner_tree *tree);
+/* Frees what the tree owns, not the tree. */
+void amb_winner_tree_free(struct amb_winner_tree *tree);
+
+#endif
