--- a/include/amberpin/model/model.h
+++ b/include/amberpin/model/model.h
@@ -65,7 +65,7 @@
 
 enum amb_job_state { AMB_JOB_QUEUED, AMB_JOB_DONE, AMB_JOB_CANCELLED };
 
-enum amb_task_set_state {
+enum amb_task_state {
     AMB_TASK_WAITING, /* on no machine */
     AMB_TASK_PLACED,  /* machine chosen, record not yet durable: no order may go out */
     AMB_TASK_BOUND,   /* record durable; may be on its machine, not seen there yet */
@@ -125,7 +125,7 @@
 struct amb_deferred_response; /* a report whose answer waits for something to say */
 
 struct amb_task {
-    enum amb_task_set_state state;
+    enum amb_task_state state;
     enum amb_agent_task_state agent_state; /* when SEEN */
     bool done;                             /* completed */
     bool done_write_pending, done_durable; /* and in a record being written; and surely written */
@@ -173,7 +173,7 @@
     struct amb_task_range task_range; /* that it holds, or may hold */
 };
 
-enum amb_gang_set_state {
+enum amb_gang_state {
     AMB_GANG_IDLE,
     AMB_GANG_STARTING,
     AMB_GANG_RUNNING,
@@ -219,7 +219,7 @@
     uint32_t block_count, done_count, bound_count, running_count, first_waiting_task;
     uint32_t zone_task_counts[AMB_ZONES_MAX];
     uint64_t next_attempt;
-    enum amb_gang_set_state gang_state;
+    enum amb_gang_state gang_state;
     amb_ms backoff_until; /* after errors: no new start before */
     struct {              /* task_failures.h */
         struct amb_failure_set machines;
@@ -234,7 +234,7 @@
     uint8_t recovery_step;   /* at which it has its turn in this round (zone_recovery.h) */
 };
 
-enum amb_machine_set_state {
+enum amb_machine_state {
     AMB_MACHINE_BOOTING,   /* rented, has not reported to us */
     AMB_MACHINE_UNPROVEN,  /* known from a record, a list or a report; has not shown our token */
     AMB_MACHINE_UP,        /* reports, and carries our token */
@@ -245,7 +245,7 @@
 struct amb_machine {
     char name[AMB_NAME_SIZE], address[AMB_NAME_SIZE];
     uint32_t number; /* of this machine only, while this node runs */
-    enum amb_machine_set_state state;
+    enum amb_machine_state state;
     int type_index, zone_index; /* places in the catalog and the zone table; -1: unknown */
     bool spot, token_acknowledged, listed, release_pending;
     bool scale_in_planned;      /* with release_wanted: it is not needed, nothing is wrong with it */
