--- a/include/amberpin/codec/messages.h
+++ b/include/amberpin/codec/messages.h
@@ -35,10 +35,21 @@
  */
 bool amb_codec_decode_heartbeat_fast(const void *data, size_t len, struct amb_agent_heartbeat *out);
 void amb_codec_free_heartbeat(struct amb_agent_heartbeat *heartbeat);
-
-/* ---- orders to workers (agent_commands.c) ---- */
-
-void amb_codec_encode_commands(struct amb_buf *out, const struct amb_agent_command *orders, size_t count);
+/* Decodes an agent's answer to an inspection, of which only its incarnation is used. False: it has none. */
+bool amb_codec_decode_incarnation(const cbor_item_t *map, uint64_t *incarnation);
+
+/* ---- commands to agents (commands.c) ---- */
+
+/* A list of commands, without what surrounds it in a message. */
+void amb_codec_encode_commands(struct amb_buf *out, const struct amb_agent_command *commands, size_t count);
+/* The body of the response to a heartbeat: the responder's term as the fencing token, and commands. */
+void amb_codec_encode_heartbeat_response(struct amb_buf *out, uint64_t term,
+                                         const struct amb_agent_command *commands, size_t count);
+/* The body of a response that sends the agent to the leader. leader: its member name; NULL if unknown. */
+void amb_codec_encode_heartbeat_redirect(struct amb_buf *out, const char *leader);
+/* The body of a command request, which only this incarnation of the agent carries out. */
+void amb_codec_encode_command_request(struct amb_buf *out, uint64_t term, uint64_t incarnation,
+                                      const struct amb_agent_command *commands, size_t count);
 
 /* ---- the cloud's catalogue (catalog.c) ---- */
 
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -3,6 +3,7 @@
 #include "amberpin/agent/heartbeats.h"
 #include "amberpin/codec/messages.h"
 #include "amberpin/fleet/deferred_responses.h"
+#include "amberpin/fleet/heartbeat_response.h"
 #include "amberpin/node/node.h"
 
 #include <string.h>
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -201,6 +201,10 @@
     return parsed;
 }
 
+bool amb_codec_decode_incarnation(const cbor_item_t *map, uint64_t *incarnation) {
+    return amb_cbor_get_uint(amb_cbor_map_get(map, "watch"), incarnation);
+}
+
 void amb_codec_free_heartbeat(struct amb_agent_heartbeat *heartbeat) {
     free(heartbeat->tasks);
     heartbeat->tasks = NULL;
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -6,21 +6,27 @@
 
 #include <string.h>
 
-enum { STOPS_MAX = 32 };
+enum { STOPS_MAX = 32 /* in one request */ };
 
-/* ---- what is ordered ---- */
+/* ---- the list ---- */
 
-void amb_command_list_add(struct amb_command_list *list, enum amb_agent_command_kind kind, const char *ref,
-                          uint32_t index, uint64_t attempt, double grace_s) {
-    if (list->count == list->capacity) return;
+static bool is_full(const struct amb_command_list *list) {
+    return list->count == list->capacity;
+}
+
+void amb_command_list_add(struct amb_command_list *list, enum amb_agent_command_kind kind,
+                          const char *job_ref, uint32_t index, uint64_t attempt, double grace_s) {
+    if (is_full(list)) return;
     struct amb_agent_command *command = &list->commands[list->count++];
     command->kind = kind;
-    strcpy(command->job_ref, ref);
+    strcpy(command->job_ref, job_ref);
     command->index = index;
     command->attempt = attempt;
     command->grace_s = grace_s;
 }
 
+/* ---- starts ---- */
+
 bool amb_gang_is_recorded(const struct amb_job *job) {
     for (uint32_t i = 0; i < job->spec->task_count; i++) {
         const struct amb_task *task = &job->tasks[i];
@@ -36,68 +42,38 @@
     if (machine->release_pending || machine->state == AMB_MACHINE_RELEASING) return;
     if (job->spec->kind == AMB_JOB_KIND_GANG && !amb_gang_is_recorded(job)) return;
     if (amb_cancellation_is_pending(node, job)) return;
-    if (list->count == list->capacity) return; /* not sent: it goes out with the next report */
+    if (is_full(list)) return; /* not marked as sent, so the next heartbeat's response carries it */
     task->start_sent = true;
     amb_command_list_add(list, AMB_COMMAND_RUN, job->ref, task->index, task->attempt, 0);
 }
 
-/* ---- answers to reports ---- */
-
-void amb_heartbeat_reply_commands(struct amb_http_req *request, uint64_t term,
-                                  const struct amb_command_list *list) {
-    struct amb_buf buffer = {0};
-    amb_cbor_write_map(&buffer, 2);
-    amb_cbor_write_string(&buffer, "baton");
-    amb_cbor_write_uint(&buffer, term);
-    amb_cbor_write_string(&buffer, "orders");
-    amb_codec_encode_commands(&buffer, list->commands, list->count);
-    amb_http_reply_cbor(request, 200, &buffer, 0);
-}
-
-void amb_heartbeat_reply_redirect(struct amb_node *node, struct amb_http_req *request) {
-    const char *leader = amb_election_leader_name(node);
-    if (node->election.role == AMB_ROLE_FENCED) {
-        amb_http_reply_cbor(request, 503, NULL, 1);
-        return;
-    }
-    struct amb_buf buffer = {0};
-    amb_cbor_write_map(&buffer, leader ? 1 : 0);
-    if (leader) {
-        amb_cbor_write_string(&buffer, "harbour");
-        amb_cbor_write_string(&buffer, leader);
-    }
-    amb_http_reply_cbor(request, 421, &buffer, 0);
-}
-
-/* ---- /commands ---- */
+/* ---- command requests ---- */
 
+/* What counts is the heartbeat that the machine sends next. */
 static void ignore_reply(void *context, int status, const char *body, size_t length) {
-    /* What counts is the report that the machine sends next. */
     (void)context, (void)status, (void)body, (void)length;
 }
 
 void amb_machine_send_commands(struct amb_node *node, const struct amb_machine *machine, uint64_t incarnation,
                                const struct amb_command_list *list) {
-    struct amb_buf buffer = {0};
-    amb_cbor_write_map(&buffer, 3);
-    amb_cbor_write_string(&buffer, "baton");
-    amb_cbor_write_uint(&buffer, node->election.term);
-    amb_cbor_write_string(&buffer, "watch");
-    amb_cbor_write_uint(&buffer, incarnation);
-    amb_cbor_write_string(&buffer, "orders");
-    amb_codec_encode_commands(&buffer, list->commands, list->count);
-    amb_http_call(machine->address, "POST", "/commands", "application/cbor", buffer.data, buffer.len,
+    struct amb_buf body = {0};
+    amb_codec_encode_command_request(&body, node->election.term, incarnation, list->commands, list->count);
+    amb_http_call(machine->address, "POST", "/commands", "application/cbor", body.data, body.len,
                   amb_seconds_to_ms(node->settings.heartbeat_s), ignore_reply, NULL);
-    amb_buf_free(&buffer);
+    amb_buf_free(&body);
+}
+
+static bool is_stopping(const struct amb_task *task) {
+    return task->stop_requested && task->state == AMB_TASK_SEEN;
 }
 
-/* A late stop does no harm: it names an attempt that was to stop anyway. (Starts only ever go out in
- * answers.) */
+/* A late stop does no harm: it names an attempt that was to stop anyway. Starts are never sent here. */
 void amb_machine_send_stops(struct amb_node *node, struct amb_machine *machine) {
-    struct amb_command_list stops = {(struct amb_agent_command[STOPS_MAX]){{0}}, STOPS_MAX, 0};
+    struct amb_agent_command commands[STOPS_MAX];
+    struct amb_command_list stops = {commands, STOPS_MAX, 0};
     machine->stops_due = false;
-    for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
-        if (task->stop_requested && task->state == AMB_TASK_SEEN)
+    for (const struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
+        if (is_stopping(task))
             amb_command_list_add(&stops, AMB_COMMAND_STOP, task->job->ref, task->index, task->attempt,
                                  task->grace_s);
     if (!stops.count || !machine->token_acknowledged || !machine->address[0]) return;
--- a/lib/fleet/deferred_responses.c
+++ b/lib/fleet/deferred_responses.c
@@ -1,22 +1,24 @@
 #include "amberpin/fleet/deferred_responses.h"
 
 #include "amberpin/fleet/agent_commands.h"
+#include "amberpin/fleet/heartbeat_response.h"
 #include "amberpin/node/node.h"
 
 #include <stdlib.h>
 
-/* Of the report period: the answer is back before the next report may come. */
+/* Of the heartbeat period: the response arrives before the next heartbeat may be sent. */
 static const double DEFERRED_SHARE = 0.4;
-/* The protocol: a worker drops an answer that comes after 4 s, however seldom it reports. */
+/* By the protocol an agent drops a response that takes longer, however rarely it sends heartbeats. */
 static const double AGENT_TIMEOUT_S = 4;
 
 struct amb_deferred_response {
-    struct amb_node *node;
-    struct amb_machine *machine;
-    struct amb_http_req *req;
-    struct amb_timer timer;
+    struct amb_node *node;        /* borrowed */
+    struct amb_machine *machine;  /* borrowed; it owns this */
+    struct amb_http_req *request; /* borrowed until it is replied to */
+    struct amb_timer timer;       /* sends the response */
 };
 
+/* Frees the deferred response. Its request is still to be replied to. */
 static void discard(struct amb_machine *machine) {
     amb_timer_stop(&machine->deferred_response->timer);
     free(machine->deferred_response);
@@ -25,14 +27,14 @@
 
 void amb_deferred_response_finish(struct amb_node *node, struct amb_machine *machine) {
     if (!machine->deferred_response) return;
-    struct amb_http_req *request = machine->deferred_response->req;
+    struct amb_http_req *request = machine->deferred_response->request;
     discard(machine);
-    if (amb_election_is_leader(node)) {
-        machine->last_response_at = amb_now();
-        amb_heartbeat_reply_commands(request, node->election.term, &(struct amb_command_list){0});
-    } else {
+    if (!amb_election_is_leader(node)) {
         amb_heartbeat_reply_redirect(node, request);
+        return;
     }
+    machine->last_response_at = amb_now();
+    amb_heartbeat_reply_commands(request, node->election.term, &(struct amb_command_list){0});
 }
 
 static bool may_start_now(const struct amb_task *task) {
@@ -40,49 +42,53 @@
            task->job->state == AMB_JOB_QUEUED;
 }
 
+static void send_starts(struct amb_node *node, struct amb_machine *machine, struct amb_http_req *request) {
+    static struct amb_agent_command commands[AMB_COMMANDS_MAX];
+    struct amb_command_list starts = {commands, AMB_COMMANDS_MAX, 0};
+    machine->last_response_at = amb_now();
+    for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
+        if (may_start_now(task)) amb_command_list_add_start(node, task, &starts);
+    amb_heartbeat_reply_commands(request, node->election.term, &starts);
+}
+
 static void send_deferred(void *context) {
-    static struct amb_agent_command entries[AMB_COMMANDS_MAX];
-    struct amb_deferred_response *deferred = context;
+    const struct amb_deferred_response *deferred = context;
     struct amb_node *node = deferred->node;
     struct amb_machine *machine = deferred->machine;
-    struct amb_http_req *request = deferred->req;
-    struct amb_command_list starts = {entries, AMB_COMMANDS_MAX, 0};
-    if (!amb_election_is_leader(node) || !request->connection) { /* nobody would hear an order */
+    struct amb_http_req *request = deferred->request;
+    if (!amb_election_is_leader(node) || !request->connection) { /* nobody would receive a start */
         amb_deferred_response_finish(node, machine);
         return;
     }
     discard(machine);
-    machine->last_response_at = amb_now();
-    for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
-        if (may_start_now(task)) amb_command_list_add_start(node, task, &starts);
-    amb_heartbeat_reply_commands(request, node->election.term, &starts);
+    send_starts(node, machine, request);
 }
 
 void amb_deferred_response_begin(struct amb_node *node, struct amb_machine *machine,
                                  struct amb_http_req *request) {
+    double period_s = node->settings.heartbeat_s;
+    double bound_s = period_s < AGENT_TIMEOUT_S ? period_s : AGENT_TIMEOUT_S;
     struct amb_deferred_response *deferred = amb_alloc(sizeof *deferred);
     deferred->node = node;
     deferred->machine = machine;
-    deferred->req = request;
+    deferred->request = request;
     machine->deferred_response = deferred;
     request->deferred = true;
-    double period_s = node->settings.heartbeat_s;
-    amb_timer_in(
-        &deferred->timer,
-        amb_seconds_to_ms(DEFERRED_SHARE * (period_s < AGENT_TIMEOUT_S ? period_s : AGENT_TIMEOUT_S)),
-        send_deferred, deferred);
+    amb_timer_in(&deferred->timer, amb_seconds_to_ms(DEFERRED_SHARE * bound_s), send_deferred, deferred);
+}
+
+/* From the event loop, so that nothing changes within the caller's iteration over tasks or machines. */
+static void trigger_machine(const struct amb_machine *machine) {
+    if (!machine || !machine->deferred_response) return;
+    amb_timer_in(&machine->deferred_response->timer, 0, send_deferred, machine->deferred_response);
 }
 
 void amb_deferred_response_trigger(struct amb_task *task) {
-    struct amb_job *job = task->job;
-    bool gang = job->spec->kind == AMB_JOB_KIND_GANG;
-    if (gang && !amb_gang_is_recorded(job)) return;
-    uint32_t first = gang ? 0 : task->index;
-    uint32_t last = gang ? job->spec->task_count - 1 : task->index;
-    /* From the loop, so that whoever calls this finds nothing changed under its hands. */
-    for (uint32_t i = first; i <= last; i++) {
-        struct amb_deferred_response *deferred =
-            job->tasks[i].machine ? job->tasks[i].machine->deferred_response : NULL;
-        if (deferred) amb_timer_in(&deferred->timer, 0, send_deferred, deferred);
+    const struct amb_job *job = task->job;
+    if (job->spec->kind != AMB_JOB_KIND_GANG) {
+        trigger_machine(task->machine);
+        return;
     }
+    if (!amb_gang_is_recorded(job)) return;
+    for (uint32_t i = 0; i < job->spec->task_count; i++) trigger_machine(job->tasks[i].machine);
 }
--- a/lib/fleet/machine_probe.c
+++ b/lib/fleet/machine_probe.c
@@ -1,5 +1,6 @@
 #include "amberpin/fleet/machine_probe.h"
 
+#include "amberpin/codec/messages.h"
 #include "amberpin/fleet/agent_commands.h"
 #include "amberpin/fleet/machines.h"
 #include "amberpin/node/node.h"
@@ -7,29 +8,40 @@
 #include <stdlib.h>
 #include <string.h>
 
+enum { HTTP_OK = 200, PROBE_INTERVAL_HEARTBEATS = 2 };
+
 struct probe {
-    struct amb_node *node;
-    uint64_t term;
+    struct amb_node *node; /* borrowed */
+    uint64_t term;         /* that the probe was sent under */
     char machine_name[AMB_NAME_SIZE];
 };
 
+static bool is_current(const struct probe *probe) {
+    return amb_election_is_leader(probe->node) && probe->node->election.term == probe->term;
+}
+
+static bool read_incarnation(int status, const char *body, size_t length, uint64_t *incarnation) {
+    cbor_item_t *reply = status == HTTP_OK ? amb_cbor_parse(body, length) : NULL;
+    if (!reply) return false;
+    bool found = amb_codec_decode_incarnation(reply, incarnation);
+    cbor_decref(&reply);
+    return found;
+}
+
 static void probe_answered(void *context, int status, const char *body, size_t length) {
     struct probe probe = *(struct probe *)context;
     struct amb_node *node = probe.node;
     free(context);
     const struct amb_machine *machine = amb_machine_get(node, probe.machine_name, false);
-    cbor_item_t *reply = status == 200 ? amb_cbor_parse(body, length) : NULL;
     uint64_t incarnation;
-    /* No orders, only the token. */
-    if (machine && amb_election_is_leader(node) && node->election.term == probe.term &&
-        amb_cbor_get_uint(amb_cbor_map_get(reply, "watch"), &incarnation))
-        amb_machine_send_commands(node, machine, incarnation, &(struct amb_command_list){0});
-    if (reply) cbor_decref(&reply);
+    if (!machine || !is_current(&probe) || !read_incarnation(status, body, length, &incarnation)) return;
+    /* No commands, only the token. */
+    amb_machine_send_commands(node, machine, incarnation, &(struct amb_command_list){0});
 }
 
 void amb_machine_probe(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
-    if (!machine->address[0] || now - machine->probe_at < amb_seconds_to_ms(node->settings.heartbeat_s * 2))
-        return;
+    amb_ms interval = amb_seconds_to_ms(node->settings.heartbeat_s * PROBE_INTERVAL_HEARTBEATS);
+    if (!machine->address[0] || now - machine->probe_at < interval) return;
     machine->probe_at = now;
     struct probe *probe = amb_alloc(sizeof *probe);
     probe->node = node;
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -13,6 +13,11 @@
     UT_hash_handle hh;
 };
 
+enum {
+    ENTRY_OVERHEAD_BYTES = 32, /* of an allocation and of a slot in the hash table */
+    FRESH_HEARTBEATS = 3,      /* heartbeat periods for which a machine's latest heartbeat counts */
+};
+
 /* ---- the table ---- */
 
 bool amb_machine_was_removed(const struct amb_node *node, const char *name) {
@@ -21,18 +26,25 @@
     return removed != NULL;
 }
 
+/* All that is known of it is that it exists. */
+static struct amb_machine *new_machine(struct amb_node *node, const char *name) {
+    amb_ms now = amb_now();
+    struct amb_machine *machine = amb_alloc(sizeof *machine);
+    strcpy(machine->name, name);
+    machine->number = node->fleet.next_number++;
+    machine->state = AMB_MACHINE_UNPROVEN;
+    machine->type_index = machine->zone_index = machine->reserved_priority = -1;
+    machine->exists_since = machine->first_known_at = machine->created_at = now;
+    machine->state_since = machine->idle_since = now;
+    return machine;
+}
+
 struct amb_machine *amb_machine_get(struct amb_node *node, const char *name, bool add_if_missing) {
     struct amb_machine *machine;
     HASH_FIND_STR(node->fleet.machines, name, machine);
     if (machine || !add_if_missing || amb_machine_was_removed(node, name) || strlen(name) >= AMB_NAME_SIZE)
         return machine;
-    machine = amb_alloc(sizeof *machine);
-    strcpy(machine->name, name);
-    machine->number = node->fleet.next_number++;
-    machine->state = AMB_MACHINE_UNPROVEN;
-    machine->type_index = machine->zone_index = machine->reserved_priority = -1;
-    machine->exists_since = machine->first_known_at = machine->created_at = machine->state_since =
-        machine->idle_since = amb_now();
+    machine = new_machine(node, name);
     HASH_ADD_STR(node->fleet.machines, name, machine);
     amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_MACHINE_ADDED, .machine = machine});
     return machine;
@@ -45,13 +57,12 @@
 }
 
 size_t amb_machines_removed_limit(const struct amb_node *node) {
-    enum { ENTRY_OVERHEAD_BYTES = 32 }; /* of an allocation and of a place in the table */
     return amb_memory_removed_machines_bytes(&node->settings) /
            (sizeof(struct amb_removed_machine) + ENTRY_OVERHEAD_BYTES);
 }
 
-/* The longest gone is forgotten first. A late copy of its report would make it known again: as a machine that
- * nothing is recorded on, that can't be reached, and that is returned for it. */
+/* The oldest name is forgotten first. A late copy of that machine's heartbeat would add it again: as a
+ * machine without recorded tasks that can't be reached, and is released for it. */
 static void forget_oldest_removed(struct amb_node *node) {
     struct amb_removed_machine *oldest = node->fleet.removed_machines;
     if (!oldest || HASH_COUNT(node->fleet.removed_machines) < amb_machines_removed_limit(node)) return;
@@ -97,7 +108,7 @@
 void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_state state, const char *cause) {
     static const char *const names[] = {"booting", "unproven", "up", "silent", "releasing"};
     if (machine->state == state) return;
-    /* A release that was asked for may still be carried out. */
+    /* A release that was requested may still be carried out. */
     if (machine->state == AMB_MACHINE_RELEASING) return;
     amb_info("machine %s: %s -> %s: %s", machine->name, names[machine->state], names[state], cause);
     machine->state = state;
@@ -116,7 +127,7 @@
         task->job->zone_task_counts[zone]++;
 }
 
-/* type: that is not in the catalogue; NULL: the zone is at fault. */
+/* Once for each machine. type: that is not in the catalogue; NULL: the zone is beyond the limit. */
 static void log_beyond_limits(struct amb_machine *machine, const char *type, const char *zone) {
     if (machine->beyond_catalog) return;
     machine->beyond_catalog = true;
@@ -134,7 +145,7 @@
     if (machine->type_index < 0 && type[0]) machine->type_index = amb_catalog_find_type(&node->catalog, type);
     if (machine->zone_index < 0)
         amb_machine_set_zone(machine, amb_catalog_find_or_add_zone(&node->catalog, zone));
-    /* (A leader that had just started called every machine it heard of unusable.) */
+    /* While the catalogue is not known yet, no type of it can be missing. */
     bool type_missing = machine->type_index < 0 && type[0] && node->cloud.catalog_known;
     bool zone_missing = machine->zone_index < 0 && zone[0];
     if (type_missing || zone_missing) log_beyond_limits(machine, type_missing ? type : NULL, zone);
@@ -147,40 +158,8 @@
 }
 
 bool amb_machine_is_schedulable(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
+    amb_ms fresh_span = amb_seconds_to_ms(node->settings.heartbeat_s * FRESH_HEARTBEATS);
     return machine->state == AMB_MACHINE_UP && !machine->release_pending && !machine->drain &&
            !machine->reclaim_at && now >= machine->avoid_until && machine->type_index >= 0 &&
-           machine->zone_index >= 0 &&
-           now - machine->last_heartbeat_at < amb_seconds_to_ms(node->settings.heartbeat_s * 3);
-}
-
-void amb_machine_reserve_images(struct amb_machine *machine, uint32_t images) {
-    enum { INITIAL_CAPACITY = 4 };
-    if (images > AMB_IMAGES_MAX) images = AMB_IMAGES_MAX;
-    if (images <= machine->image_capacity) return;
-    uint32_t capacity = machine->image_capacity ? machine->image_capacity : INITIAL_CAPACITY;
-    while (capacity < images) capacity *= 2;
-    machine->image_capacity = capacity < AMB_IMAGES_MAX ? capacity : AMB_IMAGES_MAX;
-    machine->images = amb_realloc(machine->images, machine->image_capacity * sizeof *machine->images);
-    machine->image_sizes_gb =
-        amb_realloc(machine->image_sizes_gb, machine->image_capacity * sizeof *machine->image_sizes_gb);
-}
-
-bool amb_machine_has_image(const struct amb_machine *machine, const char *image) {
-    for (uint32_t i = 0; i < machine->image_count; i++)
-        if (!strcmp(machine->images[i], image)) return true;
-    return false;
-}
-
-/* What the machine's cache is thought to hold: the most recently used images that fit in it. */
-void amb_machine_record_image_use(struct amb_node *node, struct amb_machine *machine, const char *image,
-                                  double gb) {
-    amb_machine_reserve_images(machine, machine->image_count + 1);
-    if (amb_recent_names_add(machine->images, machine->image_sizes_gb, &machine->image_count, AMB_IMAGES_MAX,
-                             image, gb))
-        machine->images_changed = true;
-    double free_gb = machine->type_index >= 0 ? node->catalog.types[machine->type_index].image_cache_gb : 0;
-    for (uint32_t i = 0; free_gb > 0 && i < machine->image_count; i++) {
-        free_gb -= machine->image_sizes_gb[i];
-        if (free_gb < 0 && i) machine->image_count = i;
-    }
+           machine->zone_index >= 0 && now - machine->last_heartbeat_at < fresh_span;
 }
