--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -13,6 +13,8 @@
 #include "amberpin/election/format_version.h"
 #include "amberpin/election/lease_proxy.h"
 #include "amberpin/fleet/deferred_responses.h"
+#include "amberpin/fleet/fleet.h"
+#include "amberpin/fleet/machines.h"
 #include "amberpin/http/http.h"
 #include "amberpin/job/jobs.h"
 #include "amberpin/job/pipelines.h"
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -8,19 +8,23 @@
 
 #include <string.h>
 
-/* To a leader: what the report leads to, now or a little later. */
+enum { HTTP_BAD_REQUEST = 400, HTTP_METHOD_NOT_ALLOWED = 405 };
+
+/* Is the machine one that a start may be found for while its response is deferred? */
+static bool may_defer_response(const struct amb_node *node, const struct amb_machine *machine) {
+    return node->controller.ready && machine->state == AMB_MACHINE_UP && !machine->release_pending;
+}
+
 static void respond_as_leader(struct amb_node *node, struct amb_http_req *request,
                               const struct amb_agent_heartbeat *heartbeat,
                               struct amb_command_list *commands) {
     struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, false);
     bool is_newer = machine && amb_heartbeat_is_newer(heartbeat, machine);
-    if (is_newer) amb_deferred_response_finish(node, machine); /* the worker no longer waits for that one */
+    if (is_newer) amb_deferred_response_finish(node, machine); /* the agent no longer waits for that one */
     if (!amb_election_is_leader(node) ||
-        !amb_heartbeat_process(node, heartbeat, amb_now(), commands->commands, commands->capacity,
-                               &commands->count))
+        amb_heartbeat_process(node, heartbeat, amb_now(), commands) != AMB_HEARTBEAT_PROCESSED)
         amb_heartbeat_reply_redirect(node, request);
-    else if (is_newer && !commands->count && node->controller.ready && machine->state == AMB_MACHINE_UP &&
-             !machine->release_pending)
+    else if (is_newer && !commands->count && may_defer_response(node, machine))
         amb_deferred_response_begin(node, machine, request);
     else
         amb_heartbeat_reply_commands(request, node->election.term, commands);
@@ -33,7 +37,7 @@
     if (amb_election_is_leader(node)) {
         respond_as_leader(node, request, heartbeat, &commands);
     } else if (amb_lease_proxy_may_answer(node, heartbeat)) {
-        /* The leader can't be reached from here, but the workers of this zone can be kept alive. */
+        /* The leader can't be reached from here, but the tasks of this zone can be kept running. */
         amb_heartbeat_stop_cancelled(node, heartbeat, &commands);
         amb_heartbeat_reply_commands(request, node->lease_proxy.term, &commands);
     } else {
@@ -41,20 +45,23 @@
     }
 }
 
-bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request) {
-    if (strcmp(request->path, "/hello")) return false;
-    if (strcmp(request->method, "POST")) {
-        amb_http_reply_cbor(request, 405, NULL, 0);
-        return true;
-    }
+static void handle_heartbeat(struct amb_node *node, struct amb_http_req *request) {
     struct amb_agent_heartbeat heartbeat;
     if (amb_codec_decode_heartbeat(request->body, request->body_len, &heartbeat) != AMB_CODEC_OK) {
-        amb_http_reply_cbor(request, 400, NULL, 0);
-        return true;
+        amb_http_reply_cbor(request, HTTP_BAD_REQUEST, NULL, 0);
+        return;
     }
     node->fleet.last_heartbeat_at = amb_now();
     amb_election_observe_term(node, heartbeat.fencing_token, heartbeat.machine);
     respond(node, request, &heartbeat);
     amb_codec_free_heartbeat(&heartbeat);
+}
+
+bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request) {
+    if (strcmp(request->path, "/hello") != 0) return false;
+    if (strcmp(request->method, "POST") != 0)
+        amb_http_reply_cbor(request, HTTP_METHOD_NOT_ALLOWED, NULL, 0);
+    else
+        handle_heartbeat(node, request);
     return true;
 }
--- a/lib/agent/heartbeats.c
+++ b/lib/agent/heartbeats.c
@@ -3,6 +3,7 @@
 #include "amberpin/agent/task_status.h"
 #include "amberpin/base/log.h"
 #include "amberpin/node/node.h"
+#include "reclaim_notice.h"
 
 #include <string.h>
 
@@ -29,34 +30,7 @@
     }
 }
 
-/* ---- the cloud takes the machine back ---- */
-
-static void checkpoint_gang(struct amb_node *node, struct amb_job *job) {
-    if (job->gang_state != AMB_GANG_RUNNING) return;
-    amb_gang_set_state(job, AMB_GANG_STOPPING, "a machine of it is taken back");
-    for (uint32_t i = 0; i < job->spec->task_count; i++)
-        amb_task_request_stop(node, &job->tasks[i], job->spec->checkpoint_save_s, "its gang saves");
-}
-
-static void handle_interruption_notice(struct amb_node *node, struct amb_machine *machine, double left_s,
-                                       amb_ms now) {
-    bool first = !machine->reclaim_at;
-    if (first) amb_info("machine %s: the cloud takes it back in %g s", machine->name, left_s);
-    machine->reclaim_at = now + amb_seconds_to_ms(left_s);
-    if (!first) return;
-    for (struct amb_task *task = machine->tasks, *next; task; task = next) {
-        next = task->next_on_machine;
-        struct amb_job *job = task->job;
-        if (job->spec->checkpoint_interval_s <= 0 || job->spec->checkpoint_save_s >= left_s)
-            continue; /* nothing to save in time */
-        if (job->spec->kind == AMB_JOB_KIND_GANG)
-            checkpoint_gang(node, job);
-        else
-            amb_task_request_stop(node, task, job->spec->checkpoint_save_s, "its machine is taken back");
-    }
-}
-
-/* ---- the report ---- */
+/* ---- the machine ---- */
 
 static void update_machine(struct amb_node *node, struct amb_machine *machine,
                            const struct amb_agent_heartbeat *heartbeat) {
@@ -65,6 +39,13 @@
     strcpy(machine->address, heartbeat->address);
 }
 
+static void update_position(struct amb_machine *machine, const struct amb_agent_heartbeat *heartbeat,
+                            amb_ms now) {
+    machine->incarnation = heartbeat->incarnation;
+    machine->sequence = heartbeat->sequence;
+    machine->last_heartbeat_at = now;
+}
+
 static void update_token_state(struct amb_machine *machine, bool acknowledged) {
     if (acknowledged) {
         machine->token_acknowledged = true;
@@ -74,27 +55,49 @@
     }
 }
 
-/* The tasks that should be there and that the report does not name. */
+/* ---- its tasks ---- */
+
+/* The tasks that should be on the machine and that the heartbeat does not list. */
 static void process_unlisted(struct amb_node *node, struct amb_machine *machine,
                              struct amb_heartbeat_evidence evidence, struct amb_command_list *commands) {
     for (struct amb_task *task = machine->tasks, *next; task; task = next) {
         next = task->next_on_machine;
         if (task->last_listed_in == node->fleet.heartbeats_processed) continue;
         task->last_listed_in = node->fleet.heartbeats_processed;
-        uint32_t ntasks_before = machine->task_count;
+        uint32_t count_before = machine->task_count;
         amb_task_handle_unlisted(node, task, evidence, commands);
         /* A gang torn down meanwhile may take this machine's other tasks with it: begin again. */
-        if (machine->task_count != ntasks_before) next = machine->tasks;
+        if (machine->task_count != count_before) next = machine->tasks;
     }
 }
 
+static void process_tasks(struct amb_node *node, struct amb_machine *machine,
+                          const struct amb_agent_heartbeat *heartbeat, struct amb_heartbeat_order previous,
+                          struct amb_command_list *commands) {
+    const struct amb_heartbeat_evidence evidence = {
+        .order = position_of(heartbeat),
+        .newest_seen = previous,
+        .heartbeat_term = heartbeat->fencing_token,
+        .own_term = node->election.term,
+    };
+    bool acknowledged = evidence.heartbeat_term == evidence.own_term;
+    node->fleet.heartbeats_processed++;
+    update_token_state(machine, acknowledged);
+    machine->has_unrecorded_result = false;
+    for (size_t i = 0; i < heartbeat->task_count; i++)
+        amb_task_handle_listed(node, machine, &heartbeat->tasks[i], evidence, commands);
+    if (acknowledged) process_unlisted(node, machine, evidence, commands);
+}
+
+/* ---- the heartbeat ---- */
+
 static void process_heartbeat(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat, amb_ms now,
                               struct amb_command_list *commands) {
     struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, true);
-    if (!machine) return; /* gone: a late copy */
+    if (!machine) return; /* removed: this is a late copy */
     update_machine(node, machine, heartbeat);
-    /* Whoever asked gets an answer and may take it as a renewal: so the lease counts from now, even when
-     * the report turns out to be a late copy. */
+    /* The agent is answered and may take that as a renewal: so the lease counts from now, even when the
+     * heartbeat turns out to be a late copy. */
     machine->last_response_at = now;
     struct amb_heartbeat_order previous = newest_position(machine);
     if (!amb_heartbeat_is_newer(heartbeat, machine)) {
@@ -102,34 +105,20 @@
                   (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->sequence);
         return;
     }
-    machine->incarnation = heartbeat->incarnation;
-    machine->sequence = heartbeat->sequence;
-    machine->last_heartbeat_at = now;
+    update_position(machine, heartbeat, now);
     if (!node->controller.restored_at) { /* the records are still being read */
         amb_heartbeat_stop_cancelled(node, heartbeat, commands);
         return;
     }
-    bool acknowledged = heartbeat->fencing_token == node->election.term;
-    update_token_state(machine, acknowledged);
-    node->fleet.heartbeats_processed++;
-    const struct amb_heartbeat_evidence evidence = {.order = position_of(heartbeat),
-                                                    .newest_seen = previous,
-                                                    .heartbeat_term = heartbeat->fencing_token,
-                                                    .own_term = node->election.term};
-    machine->has_unrecorded_result = false;
-    for (size_t i = 0; i < heartbeat->task_count; i++)
-        amb_task_handle_listed(node, machine, &heartbeat->tasks[i], evidence, commands);
-    if (acknowledged) process_unlisted(node, machine, evidence, commands);
+    process_tasks(node, machine, heartbeat, previous, commands);
     if (heartbeat->reclaim_notice_s >= 0)
-        handle_interruption_notice(node, machine, heartbeat->reclaim_notice_s, now);
+        amb_machine_handle_reclaim_notice(node, machine, heartbeat->reclaim_notice_s, now);
 }
 
-bool amb_heartbeat_process(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat, amb_ms now,
-                           struct amb_agent_command *commands, size_t capacity, size_t *count) {
-    struct amb_command_list list = {commands, capacity, 0};
-    *count = 0;
-    if (heartbeat->fencing_token > node->election.term) return false;
-    process_heartbeat(node, heartbeat, now, &list);
-    *count = list.count;
-    return true;
+enum amb_heartbeat_result amb_heartbeat_process(struct amb_node *node,
+                                                const struct amb_agent_heartbeat *heartbeat, amb_ms now,
+                                                struct amb_command_list *commands) {
+    if (heartbeat->fencing_token > node->election.term) return AMB_HEARTBEAT_HIGHER_TERM;
+    process_heartbeat(node, heartbeat, now, commands);
+    return AMB_HEARTBEAT_PROCESSED;
 }
--- /dev/null
+++ b/lib/agent/lease_expiry.h
@@ -0,0 +1,14 @@
+/* Proof of absence by the end of an agent's lease (docs/safety.md): an agent stops its tasks when nobody has
+ * answered its heartbeats for as long as its lease lasts. */
+#ifndef AMBERPIN_AGENT_LEASE_EXPIRY_H
+#define AMBERPIN_AGENT_LEASE_EXPIRY_H
+
+#include "amberpin/base/util.h"
+
+struct amb_machine;
+struct amb_node;
+
+/* Declares the machine unresponsive and unbinds its tasks once its lease has provably expired. */
+void amb_machine_check_lease(struct amb_node *node, struct amb_machine *machine, amb_ms now);
+
+#endif
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -7,12 +7,12 @@
 #include <string.h>
 
 enum {
-    MACHINE_FAILURES_MAX = 3,  /* faults of a machine without a success that cost it its place */
+    MACHINE_FAILURES_MAX = 3,  /* a machine without a success is released after so many */
     BACKOFF_DOUBLINGS_MAX = 6, /* of the time until a broken job is tried again */
-    QUARANTINE_HEARTBEATS = 2, /* report periods that a machine rests when it is not known what is at fault */
+    QUARANTINE_HEARTBEATS = 2, /* heartbeat periods, for each failure that can't be attributed */
 };
 
-/* The longest time between two tries of a broken job, in leases. */
+/* The longest backoff of a broken job, in leases. */
 static const double BACKOFF_MAX_LEASES = 4;
 
 bool amb_job_is_broken(const struct amb_job *job) {
@@ -21,11 +21,11 @@
 
 static void back_off(const struct amb_node *node, struct amb_job *job) {
     amb_ms now = amb_now();
-    if (now < job->backoff_until) return; /* others of the same try */
-    uint32_t doublings =
-        job->failures.retries < BACKOFF_DOUBLINGS_MAX ? job->failures.retries : BACKOFF_DOUBLINGS_MAX;
-    double backoff_s = fmin(node->settings.heartbeat_s * (double)(1u << doublings),
-                            node->settings.agent_lease_s * BACKOFF_MAX_LEASES);
+    if (now < job->backoff_until) return; /* another task of the same try */
+    uint32_t retries = job->failures.retries;
+    uint32_t doublings = retries < BACKOFF_DOUBLINGS_MAX ? retries : BACKOFF_DOUBLINGS_MAX;
+    double longest_s = node->settings.agent_lease_s * BACKOFF_MAX_LEASES;
+    double backoff_s = fmin(node->settings.heartbeat_s * (double)(1u << doublings), longest_s);
     job->failures.retries++;
     job->backoff_until = now + amb_seconds_to_ms(backoff_s);
 }
@@ -46,17 +46,17 @@
         amb_cloud_release(node, machine, "tasks keep failing on it");
 }
 
-/* The job is to be tried elsewhere: where it fails again the next time tells which of them it was. */
+/* The task is tried on another machine, where its next failure or success tells which of the two it was. */
 static void quarantine_suspect(const struct amb_node *node, struct amb_machine *machine) {
-    double quarantine_s =
-        node->settings.heartbeat_s * QUARANTINE_HEARTBEATS * ++machine->unattributed_failures;
+    machine->unattributed_failures++;
+    double quarantine_s = node->settings.heartbeat_s * QUARANTINE_HEARTBEATS * machine->unattributed_failures;
     amb_machine_quarantine(machine, fmin(quarantine_s, node->settings.agent_lease_s),
                            "a task failed, on it alone");
 }
 
 void amb_task_record_failure(struct amb_node *node, struct amb_job *job, struct amb_machine *machine) {
     amb_failure_set_add(&job->failures.machines, machine->number);
-    /* What is known to be broken tells nothing of a machine. */
+    /* A job that is known to be broken is no evidence against a machine. */
     if (!job->failures.broken) amb_failure_set_add(&machine->failed_jobs, job->hh.hashv);
     const struct amb_failure_evidence evidence = {
         .failed_machines = job->failures.machines.count,
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -7,14 +7,21 @@
 #include "amberpin/placement/wdrr.h"
 
 enum {
-    MISSED_HEARTBEATS_MAX = 2, /* reports that fail to list a task which was ordered */
-    STABLE_HEARTBEATS = 5,     /* report periods that a task runs before its machine counts as good */
+    MISSED_HEARTBEATS_MAX = 2,         /* heartbeats that fail to list a task whose start was sent */
+    STABLE_HEARTBEATS = 5,             /* heartbeat periods after which a running task counts as a success */
+    REFUSAL_QUARANTINE_HEARTBEATS = 2, /* heartbeat periods for which a machine that refused a task rests */
+    UNKNOWN_JOB_BACKOFF_HEARTBEATS =
+        2, /* heartbeat periods until a job unknown to the agent is tried again */
 };
 
 static bool is_gang(const struct amb_job *job) {
     return job->spec->kind == AMB_JOB_KIND_GANG;
 }
 
+static amb_ms heartbeat_periods(const struct amb_node *node, uint32_t periods) {
+    return amb_seconds_to_ms(node->settings.heartbeat_s * periods);
+}
+
 /* ---- exits ---- */
 
 static void complete_task(struct amb_node *node, struct amb_task *task) {
@@ -31,20 +38,26 @@
              listed->checkpoint_saved ? ", saved" : "");
 }
 
+/* What the reason of an exit means for the task's job and machine. */
+static void apply_exit_reason(struct amb_node *node, struct amb_task *task, enum amb_exit_reason reason) {
+    struct amb_job *job = task->job;
+    if (reason == AMB_EXIT_ERROR) amb_task_record_failure(node, job, task->machine);
+    if (reason == AMB_EXIT_MACHINE_FULL || reason == AMB_EXIT_ATTEMPT_CONFLICT)
+        amb_machine_quarantine(task->machine, node->settings.heartbeat_s * REFUSAL_QUARANTINE_HEARTBEATS,
+                               "it refused a task");
+    if (reason == AMB_EXIT_UNKNOWN_JOB)
+        job->backoff_until = amb_now() + heartbeat_periods(node, UNKNOWN_JOB_BACKOFF_HEARTBEATS);
+}
+
 static void handle_exit(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
-    struct amb_machine *machine = task->machine;
     struct amb_job *job = task->job;
     bool stopping = task->stop_requested;
     enum amb_exit_reason reason = listed->exit_reason;
     log_exit(task, listed);
     if (reason == AMB_EXIT_DONE) complete_task(node, task);
-    /* The cause decides before the task is let go, so that the next round knows it. */
+    /* Before the task is unbound, so that the next scheduling cycle knows it. */
     if (job->state == AMB_JOB_QUEUED) {
-        if (reason == AMB_EXIT_ERROR) amb_task_record_failure(node, job, machine);
-        if (reason == AMB_EXIT_MACHINE_FULL || reason == AMB_EXIT_ATTEMPT_CONFLICT)
-            amb_machine_quarantine(machine, node->settings.heartbeat_s * 2, "it refused a task");
-        if (reason == AMB_EXIT_UNKNOWN_JOB)
-            job->backoff_until = amb_now() + amb_seconds_to_ms(node->settings.heartbeat_s * 2);
+        apply_exit_reason(node, task, reason);
         if (reason != AMB_EXIT_DONE && !stopping) task->interrupted = true;
     }
     amb_task_unbind(node, task, "it exited");
@@ -53,7 +66,7 @@
         amb_gang_tear_down(node, job, "a task of the attempt exited");
 }
 
-/* ---- tasks at work ---- */
+/* ---- active tasks ---- */
 
 static void update_gang_state(struct amb_job *job) {
     if (job->gang_state != AMB_GANG_STARTING) return;
@@ -64,6 +77,16 @@
     amb_gang_set_state(job, AMB_GANG_RUNNING, "all its tasks run");
 }
 
+static void update_running(struct amb_task *task, const struct amb_agent_task *listed) {
+    bool is_running = listed->state == AMB_AGENT_TASK_RUNNING || listed->state == AMB_AGENT_TASK_SAVING;
+    if (is_running && !task->running_at) {
+        amb_info("task %s/%u try %llu on %s: runs", task->job->ref, task->index,
+                 (unsigned long long)task->attempt, task->machine->name);
+        task->interrupted = false;
+    }
+    amb_task_set_running(task, is_running);
+}
+
 static void handle_active(struct amb_node *node, struct amb_task *task, const struct amb_agent_task *listed) {
     struct amb_job *job = task->job;
     if (task->state != AMB_TASK_SEEN) {
@@ -71,26 +94,20 @@
         task->missed_heartbeats = 0;
     }
     task->agent_state = listed->state;
-    bool is_running = listed->state == AMB_AGENT_TASK_RUNNING || listed->state == AMB_AGENT_TASK_SAVING;
-    if (is_running && !task->running_at) {
-        amb_info("task %s/%u try %llu on %s: runs", job->ref, task->index, (unsigned long long)task->attempt,
-                 task->machine->name);
-        task->interrupted = false;
-    }
-    amb_task_set_running(task, is_running);
+    update_running(task, listed);
     if (listed->state != AMB_AGENT_TASK_FETCHING)
         amb_machine_record_image_use(node, task->machine, job->spec->image, job->spec->image_gb);
     if (is_gang(job)) update_gang_state(job);
-    if (task->running_at &&
-        amb_now() - task->running_at > amb_seconds_to_ms(node->settings.heartbeat_s * STABLE_HEARTBEATS))
+    if (task->running_at && amb_now() - task->running_at > heartbeat_periods(node, STABLE_HEARTBEATS))
         amb_task_record_success(job, task->machine);
 }
 
-/* ---- a task that the report names ---- */
+/* ---- a task that the heartbeat lists ---- */
 
-/* listed: as the report names the task with this attempt; NULL: it does not. */
-static enum amb_absence absence_by_report(struct amb_heartbeat_evidence evidence, const struct amb_task *task,
-                                          const struct amb_agent_task *listed) {
+/* listed: the task with this attempt, as the heartbeat lists it; NULL: it does not. */
+static enum amb_absence absence_by_heartbeat(struct amb_heartbeat_evidence evidence,
+                                             const struct amb_task *task,
+                                             const struct amb_agent_task *listed) {
     evidence.placement_durable = task->state == AMB_TASK_BOUND || task->state == AMB_TASK_SEEN;
     evidence.listed = listed != NULL;
     evidence.exited = listed && listed->state == AMB_AGENT_TASK_EXITED;
@@ -102,8 +119,8 @@
     return task && task->done && !task->done_durable && task->job->state == AMB_JOB_QUEUED;
 }
 
-/* A result is cleared only once it is on record, or else a new leader would run the task again. job, task:
- * NULL if not known. */
+/* May the agent forget the exit? A result only once it is on record, or else a new leader would run the task
+ * again. job, task: NULL if not known. */
 static bool may_clear(const struct amb_job *job, const struct amb_task *task,
                       const struct amb_agent_task *listed) {
     if (listed->exit_reason != AMB_EXIT_DONE) return true;
@@ -111,42 +128,53 @@
     return task || job; /* the cache may be behind */
 }
 
+/* NULL: the job is not active here, or has no such task. */
+static struct amb_task *find_task(struct amb_job *job, const struct amb_agent_task *listed) {
+    if (!job || !job->active || listed->index >= job->spec->task_count) return NULL;
+    return &job->tasks[listed->index];
+}
+
+/* Does a record put the listed attempt on this machine? task: NULL if not known. */
+static bool is_recorded_attempt(const struct amb_task *task, const struct amb_machine *machine,
+                                const struct amb_agent_task *listed) {
+    return task && task->machine == machine && task->attempt == listed->attempt &&
+           task->state != AMB_TASK_PLACED;
+}
+
+static void add_command(struct amb_command_list *commands, enum amb_agent_command_kind kind,
+                        const struct amb_agent_task *listed, double grace_s) {
+    amb_command_list_add(commands, kind, listed->job_ref, listed->index, listed->attempt, grace_s);
+}
+
 void amb_task_handle_listed(struct amb_node *node, struct amb_machine *machine,
                             const struct amb_agent_task *listed, struct amb_heartbeat_evidence evidence,
                             struct amb_command_list *commands) {
     bool acknowledged = evidence.heartbeat_term == evidence.own_term;
     struct amb_job *job = amb_job_find(node, listed->job_ref);
-    struct amb_task *task =
-        job && job->active && listed->index < job->spec->task_count ? &job->tasks[listed->index] : NULL;
-    if (task && task->machine == machine && task->attempt == listed->attempt &&
-        task->state != AMB_TASK_PLACED) {
-        task->last_listed_in = node->fleet.heartbeats_processed;
-        if (listed->state != AMB_AGENT_TASK_EXITED) {
-            handle_active(node, task, listed);
-            if (acknowledged && task->stop_requested)
-                amb_command_list_add(commands, AMB_COMMAND_STOP, listed->job_ref, listed->index,
-                                     listed->attempt, task->grace_s);
-            return;
-        }
-        if (!amb_absence_is_proven(absence_by_report(evidence, task, listed))) return;
-        handle_exit(node, task, listed);
-    } else if (listed->state != AMB_AGENT_TASK_EXITED) {
-        /* Nothing on record puts it here: an attempt that was given up. */
-        if (acknowledged)
-            amb_command_list_add(commands, AMB_COMMAND_STOP, listed->job_ref, listed->index, listed->attempt,
-                                 0);
+    struct amb_task *task = find_task(job, listed);
+    bool is_recorded = is_recorded_attempt(task, machine, listed);
+    if (is_recorded) task->last_listed_in = node->fleet.heartbeats_processed;
+    if (listed->state != AMB_AGENT_TASK_EXITED) {
+        if (is_recorded) handle_active(node, task, listed);
+        /* An attempt that is not on record was given up. */
+        if (acknowledged && (!is_recorded || task->stop_requested))
+            add_command(commands, AMB_COMMAND_STOP, listed, is_recorded ? task->grace_s : 0);
         return;
     }
+    if (is_recorded) {
+        if (!amb_absence_is_proven(absence_by_heartbeat(evidence, task, listed))) return;
+        handle_exit(node, task, listed);
+    }
     if (listed->exit_reason == AMB_EXIT_DONE && has_unrecorded_completion(task))
         machine->has_unrecorded_result = true;
-    if (acknowledged && may_clear(job, task, listed))
-        amb_command_list_add(commands, AMB_COMMAND_CLEAR, listed->job_ref, listed->index, listed->attempt, 0);
+    if (acknowledged && may_clear(job, task, listed)) add_command(commands, AMB_COMMAND_CLEAR, listed, 0);
 }
 
-/* ---- a task that it does not name ---- */
+/* ---- a task that the heartbeat does not list ---- */
 
-/* An earlier leader may have known the task gone and given its room away: records are not written for every
- * exit. It may start where the record says only if the limits hold with all that is not proven absent. */
+/* May a task that an earlier leader placed still start where its record says? That leader may have known the
+ * task gone and given its resources away, since records are not written for every exit. So the limits must
+ * hold with all that is not proven absent. */
 static bool still_fits(const struct amb_node *node, const struct amb_task *task) {
     const struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
@@ -160,7 +188,7 @@
     return !job->spec->one_zone || job->zone_task_counts[machine->zone_index] == job->bound_count;
 }
 
-/* It is off its machine; a gang's others go too. */
+/* The task is absent from its machine; the other tasks of its gang's attempt are stopped, too. */
 static void unbind_gone(struct amb_node *node, struct amb_task *task, const char *cause,
                         const char *gang_cause) {
     struct amb_job *job = task->job;
@@ -168,17 +196,22 @@
     if (is_gang(job) && job->bound_count) amb_gang_tear_down(node, job, gang_cause);
 }
 
-void amb_task_handle_unlisted(struct amb_node *node, struct amb_task *task,
-                              struct amb_heartbeat_evidence evidence, struct amb_command_list *commands) {
+static void handle_disappeared(struct amb_node *node, struct amb_task *task) {
+    task->interrupted = true;
+    amb_info("task %s/%u on %s: no longer there", task->job->ref, task->index, task->machine->name);
+    unbind_gone(node, task, "its machine no longer reports it", "a task is lost");
+}
+
+/* The heartbeats arrive, but the machine does not act on the responses. */
+static void handle_not_started(struct amb_node *node, struct amb_task *task) {
+    amb_machine_quarantine(task->machine, node->settings.agent_lease_s, "it does not act on orders");
+    task->interrupted = true;
+    unbind_gone(node, task, "its machine did not start it", "a task was not started");
+}
+
+/* The heartbeat is newer than any response that carried the start, so the task is not there. */
+static void handle_bound(struct amb_node *node, struct amb_task *task, struct amb_command_list *commands) {
     struct amb_job *job = task->job;
-    if (!amb_absence_is_proven(absence_by_report(evidence, task, NULL))) return;
-    if (task->state == AMB_TASK_SEEN) {
-        task->interrupted = true;
-        amb_info("task %s/%u on %s: no longer there", job->ref, task->index, task->machine->name);
-        unbind_gone(node, task, "its machine no longer reports it", "a task is lost");
-        return;
-    }
-    /* BOUND. The report is newer than any answer that carried the order, so the task is not there. */
     if (task->stop_requested || job->state != AMB_JOB_QUEUED) {
         amb_task_unbind(node, task, "told to stop, and not there");
         return;
@@ -190,11 +223,17 @@
         return;
     }
     if (task->start_sent && ++task->missed_heartbeats >= MISSED_HEARTBEATS_MAX) {
-        /* Its reports arrive, but it does not act on answers. */
-        amb_machine_quarantine(task->machine, node->settings.agent_lease_s, "it does not act on orders");
-        task->interrupted = true;
-        unbind_gone(node, task, "its machine did not start it", "a task was not started");
+        handle_not_started(node, task);
         return;
     }
     amb_command_list_add_start(node, task, commands);
 }
+
+void amb_task_handle_unlisted(struct amb_node *node, struct amb_task *task,
+                              struct amb_heartbeat_evidence evidence, struct amb_command_list *commands) {
+    if (!amb_absence_is_proven(absence_by_heartbeat(evidence, task, NULL))) return;
+    if (task->state == AMB_TASK_SEEN)
+        handle_disappeared(node, task);
+    else
+        handle_bound(node, task, commands);
+}
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -1,4 +1,5 @@
 /* Wires the modules: the leader's round in time, take-over, and the front. */
+#include "amberpin/agent/machine_loss.h"
 #include "amberpin/api/user_api.h"
 #include "amberpin/base/log.h"
 #include "amberpin/node/fleet_capacity.h"
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -1,4 +1,5 @@
 /* The leader's table of machines: which may be given work, which are silent, and those that were returned. */
+#include "amberpin/agent/machine_loss.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -1,5 +1,6 @@
 /* What grows with the fleet has a bound that holds for thousands of machines, and nothing is lost at it
  * (docs/limits.md). */
+#include "amberpin/agent/machine_loss.h"
 #include "amberpin/fleet/agent_commands.h"
 #include "amberpin/node/fleet_capacity.h"
 #include "check.h"
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -70,7 +70,10 @@
     strcpy(heartbeat.type, "g8");
     strcpy(heartbeat.zone, "a");
     heartbeat.tasks = (struct amb_agent_task *)tasks;
-    return amb_heartbeat_process(node, &heartbeat, now, orders, ROWS(orders), &norders);
+    struct amb_command_list list = {orders, ROWS(orders), 0};
+    enum amb_heartbeat_result result = amb_heartbeat_process(node, &heartbeat, now, &list);
+    norders = list.count;
+    return result == AMB_HEARTBEAT_PROCESSED;
 }
 
 size_t count_commands(enum amb_agent_command_kind op) {
