--- /dev/null
+++ b/include/amberpin/codec/zone_record.h
@@ -0,0 +1,35 @@
+/* The record of zone health and recovery order in the state service, as CBOR. Its one writer is the leader
+ * (lib/zone_recovery/record.c). */
+#ifndef AMBERPIN_CODEC_ZONE_RECORD_H
+#define AMBERPIN_CODEC_ZONE_RECORD_H
+
+#include "amberpin/model/model.h"
+
+#include <cbor.h>
+
+enum { AMB_ZONE_RECORD_STEPS_MAX = 32 };
+
+struct amb_zone_record_zone {
+    char name[AMB_NAME_SIZE];
+    char state[AMB_NAME_SIZE]; /* the name of its health state */
+    uint32_t losses;
+};
+
+struct amb_zone_record_step {
+    char class_name[AMB_NAME_SIZE];
+    enum amb_priority priority;
+};
+
+struct amb_zone_record_value {
+    uint32_t zone_count, step_count;
+    struct amb_zone_record_zone zones[AMB_ZONES_MAX];
+    struct amb_zone_record_step steps[AMB_ZONE_RECORD_STEPS_MAX]; /* in their order */
+};
+
+void amb_codec_encode_zone_record(struct amb_buf *out, const struct amb_zone_record_value *value);
+
+/* Leaves out zones and steps that are incomplete, and those beyond the limits. False: the record is of a
+ * version that this program does not know, or none at all. */
+bool amb_codec_decode_zone_record(const cbor_item_t *map, struct amb_zone_record_value *value);
+
+#endif
--- a/include/amberpin/fleet/fleet.h
+++ b/include/amberpin/fleet/fleet.h
@@ -4,7 +4,7 @@
 
 #include "amberpin/base/loop.h"
 #include "amberpin/model/model.h"
-#include "amberpin/zone_recovery/zone_silence.h"
+#include "amberpin/zone_recovery/reachability.h"
 
 struct amb_removed_machine;
 
--- a/lib/zone_recovery/activation.c
+++ b/lib/zone_recovery/activation.c
@@ -1,6 +1,7 @@
-#include "amberpin/node/node.h"
 #include "amberpin/zone_recovery/zone_recovery.h"
 
+#include "amberpin/node/node.h"
+
 #include <stdio.h>
 #include <string.h>
 
@@ -20,7 +21,7 @@
     return false;
 }
 
-/* Names in the list up to the place `end`. */
+/* Does the list name the class before the position `end`? */
 static bool is_named_before(const char *list, const char *end, const char *name) {
     char other[AMB_NAME_SIZE];
     while (list < end && amb_zone_settings_next_class(&list, other, sizeof other))
@@ -49,17 +50,17 @@
     return false;
 }
 
-bool amb_zone_recovery_check(const struct amb_settings *set, const struct amb_options *options,
+bool amb_zone_recovery_check(const struct amb_settings *settings, const struct amb_options *options,
                              const char *file, char *err, size_t cap) {
     if (options->zone_recovery == 0) return true;
     if (!file) file = "options";
-    struct amb_zone_settings settings = make_settings(set, options);
-    enum amb_zone_settings_error error = amb_zone_settings_check(&settings);
+    struct amb_zone_settings zone_settings = make_settings(settings, options);
+    enum amb_zone_settings_error error = amb_zone_settings_check(&zone_settings);
     if (error != AMB_ZONE_SETTINGS_OK) {
         snprintf(err, cap, "%s: %s", file, amb_zone_settings_error_text(error));
         return false;
     }
-    return check_order(set, options->zone_recovery_order, file, err, cap);
+    return check_order(settings, options->zone_recovery_order, file, err, cap);
 }
 
 bool amb_zone_recovery_is_enabled(const struct amb_node *node) {
@@ -70,3 +71,11 @@
     if (amb_zone_recovery_is_enabled(node))
         node->zone_recovery.settings = make_settings(&node->settings, &node->options);
 }
+
+void amb_zone_recovery_clear(struct amb_node *node) {
+    struct amb_zone_recovery *recovery = &node->zone_recovery;
+    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) amb_zone_health_free(&recovery->zones[zone]);
+    recovery->order.count = 0;
+    recovery->order_checked_at = 0;
+    recovery->record = (struct amb_zone_record){.state = AMB_ZONE_RECORD_CURRENT};
+}
--- a/lib/zone_recovery/state.c
+++ b/lib/zone_recovery/availability.c
@@ -1,6 +1,6 @@
-/* What the verdicts on the zones mean to the rest of the leader; nothing here changes them. */
+#include "amberpin/zone_recovery/availability.h"
+
 #include "amberpin/node/node.h"
-#include "amberpin/zone_recovery/zone_recovery.h"
 
 bool amb_zone_is_returning(const struct amb_node *node, int zone) {
     return zone >= 0 && node->zone_recovery.zones[zone].state == AMB_ZONE_RETURNING;
--- a/lib/zone_recovery/health.c
+++ b/lib/zone_recovery/health.c
@@ -5,9 +5,9 @@
 static const char *const STATE_NAMES[AMB_ZONE_HEALTH_STATES] = {"healthy", "suspect", "lost", "returning"};
 
 enum {
-    UNRELATED_FAILURES_MAX = 2, /* so many may be silent for reasons of their own */
-    DROPPED_DIVISOR = 10,       /* one in so many that answered steadily and are silent: not steady */
-    DOUBLINGS_MAX = 30,         /* shifts that an amb_ms bears */
+    UNRELATED_FAILURES_MAX = 2, /* so many machines may be unresponsive for reasons of their own */
+    DROPPED_DIVISOR = 10,       /* more than one in so many stable machines dropping out: unstable */
+    DOUBLINGS_MAX = 30,         /* of a period, without overflow */
 };
 
 /* ---- names ---- */
@@ -29,12 +29,14 @@
     return state == AMB_ZONE_HEALTHY || state == AMB_ZONE_SUSPECT;
 }
 
-/* ---- what is heard ---- */
+/* ---- responsiveness ---- */
 
 enum amb_zone_responsiveness amb_zone_classify_responsiveness(uint64_t expected, uint64_t unresponsive) {
     if (unresponsive <= UNRELATED_FAILURES_MAX) return AMB_ZONE_RESPONSIVE;
-    if (unresponsive * 10 >= expected * 9) return AMB_ZONE_UNRESPONSIVE;
-    return unresponsive * 3 > expected ? AMB_ZONE_PARTLY_RESPONSIVE : AMB_ZONE_RESPONSIVE;
+    bool nearly_all = unresponsive * 10 >= expected * 9; /* nine in ten */
+    bool good_part = unresponsive * 3 > expected;        /* one in three */
+    if (nearly_all) return AMB_ZONE_UNRESPONSIVE;
+    return good_part ? AMB_ZONE_PARTLY_RESPONSIVE : AMB_ZONE_RESPONSIVE;
 }
 
 static enum amb_zone_responsiveness classify_evidence(const struct amb_zone_evidence *evidence) {
@@ -43,12 +45,13 @@
     return amb_zone_classify_responsiveness(expected, unresponsive);
 }
 
-/* Silence that says nothing of the zone: a cut between two zones, or a leader that itself hears nobody. */
+/* Does its silence show nothing of the zone? With a lease proxy the network between two zones is at fault,
+ * and when no zone responds it is this leader's. */
 static bool is_excused(const struct amb_zone_evidence *evidence) {
     return evidence->lease_proxy_active || evidence->all_unresponsive;
 }
 
-/* ---- steadiness ---- */
+/* ---- stability ---- */
 
 amb_ms amb_zone_health_stability_period(const struct amb_zone_health *health,
                                         const struct amb_zone_settings *settings) {
@@ -58,7 +61,7 @@
     return settings->stability_period << doublings;
 }
 
-/* The library takes no NULL. (The first leader that lost its lead ended there, with nothing ever lost.) */
+/* The library takes no NULL. */
 static void free_stable(struct amb_zone_health *health) {
     if (health->stable) roaring_bitmap_free(health->stable);
     health->stable = NULL;
@@ -71,8 +74,7 @@
     health->stable_since = now;
 }
 
-/* Have too many fallen silent of the machines that answered? One that is not expected any more was returned.
- */
+/* Have too many of the stable machines dropped out? One that is not expected any more was released. */
 static bool is_unstable(const struct amb_zone_health *health, const struct amb_zone_evidence *evidence) {
     roaring_bitmap_and_inplace(health->stable, evidence->expected);
     uint64_t stable = roaring_bitmap_get_cardinality(health->stable);
@@ -80,14 +82,20 @@
     return dropped > UNRELATED_FAILURES_MAX && dropped * DROPPED_DIVISOR > stable;
 }
 
-/* ---- the verdict ---- */
+/* ---- the state ---- */
+
+/* The state of an available zone. */
+static enum amb_zone_health_state available_state(enum amb_zone_responsiveness responsiveness) {
+    return responsiveness == AMB_ZONE_RESPONSIVE ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
+}
+
+static void expire_losses(struct amb_zone_health *health, amb_ms loss_expiry, amb_ms now) {
+    amb_ms expired_losses = (now - health->available_since) / loss_expiry;
+    health->losses = (amb_ms)health->losses > expired_losses ? health->losses - (uint32_t)expired_losses : 0;
+}
 
 static void mark_lost(struct amb_zone_health *health, const struct amb_zone_settings *settings, amb_ms now) {
-    if (health->state != AMB_ZONE_RETURNING) {
-        amb_ms expired_losses = (now - health->available_since) / settings->loss_expiry;
-        health->losses =
-            (amb_ms)health->losses > expired_losses ? health->losses - (uint32_t)expired_losses : 0;
-    }
+    if (health->state != AMB_ZONE_RETURNING) expire_losses(health, settings->loss_expiry, now);
     health->losses++;
     health->state = AMB_ZONE_LOST;
 }
@@ -98,10 +106,10 @@
     if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_excused(evidence))
         mark_lost(health, settings, now);
     else
-        health->state = responsiveness == AMB_ZONE_RESPONSIVE ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
+        health->state = available_state(responsiveness);
 }
 
-/* A zone without any machine is tried again too: nothing else would ever show that it is back. */
+/* A zone without any machine returns, too: nothing else would ever show that it can be used again. */
 static void update_lost(struct amb_zone_health *health, const struct amb_zone_evidence *evidence,
                         amb_ms now) {
     if (evidence->all_unresponsive) return;
@@ -123,7 +131,7 @@
     }
     roaring_bitmap_or_inplace(health->stable, evidence->responsive);
     if (now - health->stable_since < amb_zone_health_stability_period(health, settings)) return;
-    health->state = responsiveness == AMB_ZONE_RESPONSIVE ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
+    health->state = available_state(responsiveness);
     health->available_since = now;
 }
 
--- a/lib/zone_recovery/verdicts.c
+++ b/lib/zone_recovery/health_tick.c
@@ -1,12 +1,16 @@
-/* Verdicts on the zones, from the leader's table of machines. */
+#include "health_tick.h"
+
 #include "amberpin/base/log.h"
 #include "amberpin/node/node.h"
-#include "amberpin/zone_recovery/zone_recovery.h"
+#include "lost_classes.h"
+#include "machine_evidence.h"
 
-struct zone_machines { /* of machines, by their numbers */
+/* Sets of machines of one zone, by their numbers; owned. */
+struct zone_machines {
     roaring_bitmap_t *expected, *responsive;
 };
 
+/* All zones of the catalogue at one moment. */
 struct survey {
     uint32_t count;
     struct zone_machines zones[AMB_ZONES_MAX];
@@ -38,7 +42,7 @@
     return roaring_bitmap_andnot_cardinality(machines->expected, machines->responsive);
 }
 
-/* No zone is heard: it is this node that is out of reach. */
+/* No zone responds: it is this node that can't be reached. */
 static bool is_all_unresponsive(const struct survey *survey) {
     for (uint32_t zone = 0; zone < survey->count; zone++) {
         const struct zone_machines *machines = &survey->zones[zone];
@@ -49,18 +53,22 @@
     return true;
 }
 
-/* ---- verdicts ---- */
+/* ---- health ---- */
 
 static void publish_reachability(struct amb_node *node, uint32_t zone, amb_ms now) {
-    static const enum amb_zone_reachability reach[AMB_ZONE_HEALTH_STATES] = {
-        AMB_ZONE_REACHABLE, AMB_ZONE_DEGRADED, AMB_ZONE_UNREACHABLE, AMB_ZONE_DEGRADED};
-    node->fleet.zone_reachability[zone] = reach[node->zone_recovery.zones[zone].state];
-    if (node->fleet.zone_reachability[zone] != AMB_ZONE_REACHABLE)
-        node->fleet.zone_last_unreachable_at[zone] = now;
+    static const enum amb_zone_reachability reachability_by_state[AMB_ZONE_HEALTH_STATES] = {
+        [AMB_ZONE_HEALTHY] = AMB_ZONE_REACHABLE,
+        [AMB_ZONE_SUSPECT] = AMB_ZONE_DEGRADED,
+        [AMB_ZONE_LOST] = AMB_ZONE_UNREACHABLE,
+        [AMB_ZONE_RETURNING] = AMB_ZONE_DEGRADED,
+    };
+    enum amb_zone_reachability reachability = reachability_by_state[node->zone_recovery.zones[zone].state];
+    node->fleet.zone_reachability[zone] = reachability;
+    if (reachability != AMB_ZONE_REACHABLE) node->fleet.zone_last_unreachable_at[zone] = now;
 }
 
-static void state_changed(struct amb_node *node, uint32_t zone, enum amb_zone_health_state previous,
-                          const struct zone_machines *machines, amb_ms now) {
+static void log_state(const struct amb_node *node, uint32_t zone, enum amb_zone_health_state previous,
+                      const struct zone_machines *machines) {
     const struct amb_zone_health *health = &node->zone_recovery.zones[zone];
     amb_ms stability_period = amb_zone_health_stability_period(health, &node->zone_recovery.settings);
     amb_info("zone %s: %s -> %s: %llu of %llu machines silent, %u losses count, steady for %lld ms is asked",
@@ -68,8 +76,13 @@
              amb_zone_health_state_name(health->state), (unsigned long long)count_unresponsive(machines),
              (unsigned long long)roaring_bitmap_get_cardinality(machines->expected), health->losses,
              (long long)stability_period);
-    if (health->state == AMB_ZONE_LOST) amb_zone_recovery_handle_loss(node, (int)zone, now);
-    if (!amb_zone_health_state_admits_batch(previous) || !amb_zone_health_state_admits_batch(health->state))
+}
+
+static void state_changed(struct amb_node *node, uint32_t zone, enum amb_zone_health_state previous,
+                          amb_ms now) {
+    enum amb_zone_health_state state = node->zone_recovery.zones[zone].state;
+    if (state == AMB_ZONE_LOST) amb_zone_recovery_handle_loss(node, (int)zone, now);
+    if (!amb_zone_health_state_admits_batch(previous) || !amb_zone_health_state_admits_batch(state))
         amb_zone_record_mark_dirty(node);
 }
 
@@ -83,8 +96,9 @@
         .lease_proxy_active = amb_lease_proxy_is_active_in_zone(node, (int)zone),
         .all_unresponsive = all_unresponsive,
     };
-    if (amb_zone_health_update(health, &node->zone_recovery.settings, &evidence, now))
-        state_changed(node, zone, previous, machines, now);
+    if (!amb_zone_health_update(health, &node->zone_recovery.settings, &evidence, now)) return;
+    log_state(node, zone, previous, machines);
+    state_changed(node, zone, previous, now);
 }
 
 static void update_zones(struct amb_node *node, amb_ms now) {
@@ -100,11 +114,3 @@
     if (!amb_zone_leader_is_warming_up(node, now)) update_zones(node, now);
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) publish_reachability(node, zone, now);
 }
-
-void amb_zone_recovery_clear(struct amb_node *node) {
-    struct amb_zone_recovery *recovery = &node->zone_recovery;
-    for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) amb_zone_health_free(&recovery->zones[zone]);
-    recovery->order.count = 0;
-    recovery->order_checked_at = 0;
-    recovery->record = (struct amb_zone_record){.state = AMB_ZONE_RECORD_CURRENT};
-}
--- /dev/null
+++ b/lib/zone_recovery/lost_classes.h
@@ -0,0 +1,12 @@
+/* Which classes of services lost replicas with a zone, and how their places in the recovery order compare. */
+#ifndef AMBERPIN_ZONE_RECOVERY_LOST_CLASSES_H
+#define AMBERPIN_ZONE_RECOVERY_LOST_CLASSES_H
+
+#include "amberpin/base/util.h"
+
+struct amb_node;
+
+/* The zone is lost: extends the recovery order by the classes that had replicas there. */
+void amb_zone_recovery_handle_loss(struct amb_node *node, int zone, amb_ms now);
+
+#endif
--- a/lib/zone_recovery/zone_silence.c
+++ b/lib/zone_recovery/reachability.c
@@ -1,11 +1,14 @@
-#include "amberpin/zone_recovery/zone_silence.h"
+#include "amberpin/zone_recovery/reachability.h"
 
 #include "amberpin/base/log.h"
 #include "amberpin/node/node.h"
+#include "health_tick.h"
+#include "machine_evidence.h"
 
 #include <string.h>
 
-struct machine_count { /* of a zone's machines that should report */
+/* Of a zone's machines. */
+struct machine_count {
     uint32_t expected, unresponsive;
 };
 
@@ -37,13 +40,14 @@
     return AMB_ZONE_REACHABLE;
 }
 
-void amb_zones_tick(struct amb_node *node, amb_ms now) {
-    if (amb_zone_recovery_is_enabled(node)) { /* which then judges alone */
-        amb_zone_health_tick(node, now);
-        amb_zone_recovery_order_tick(node, now);
-        amb_zone_record_tick(node, now);
-        return;
-    }
+/* Silence of all zones at once shows nothing of any of them: it is this node that can't be reached. And a
+ * zone with a lease proxy is working. */
+static bool is_excused(const struct amb_node *node, uint32_t zone, uint32_t unreachable_zones) {
+    return unreachable_zones == node->catalog.zone_count ||
+           amb_lease_proxy_is_active_in_zone(node, (int)zone);
+}
+
+static void update_by_counts(struct amb_node *node, amb_ms now) {
     struct machine_count counts[AMB_ZONES_MAX] = {{0}};
     enum amb_zone_reachability reachability[AMB_ZONES_MAX];
     uint32_t unreachable = 0;
@@ -54,15 +58,23 @@
         unreachable += reachability[zone] == AMB_ZONE_UNREACHABLE;
     }
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
-        /* Nobody heard from anywhere shows nothing of any zone; and one with a deputy is at work. */
-        bool excused =
-            unreachable == node->catalog.zone_count || amb_lease_proxy_is_active_in_zone(node, (int)zone);
-        if (excused && reachability[zone] == AMB_ZONE_UNREACHABLE) reachability[zone] = AMB_ZONE_DEGRADED;
+        if (reachability[zone] == AMB_ZONE_UNREACHABLE && is_excused(node, zone, unreachable))
+            reachability[zone] = AMB_ZONE_DEGRADED;
         set_reachability(node, zone, reachability[zone], counts[zone]);
         if (reachability[zone] != AMB_ZONE_REACHABLE) node->fleet.zone_last_unreachable_at[zone] = now;
     }
 }
 
+void amb_zones_tick(struct amb_node *node, amb_ms now) {
+    if (!amb_zone_recovery_is_enabled(node)) {
+        update_by_counts(node, now);
+        return;
+    }
+    amb_zone_health_tick(node, now);
+    amb_zone_recovery_order_tick(node, now);
+    amb_zone_record_tick(node, now);
+}
+
 void amb_zones_clear(struct amb_node *node) {
     memset(node->fleet.zone_reachability, 0, sizeof node->fleet.zone_reachability);
     memset(node->fleet.zone_last_unreachable_at, 0, sizeof node->fleet.zone_last_unreachable_at);
--- a/lib/zone_recovery/recovery_order.c
+++ b/lib/zone_recovery/recovery_order.c
@@ -27,7 +27,7 @@
     return -1;
 }
 
-/* Place of a new step: before the first that comes after it. */
+/* The position of a new step: before the first that comes after it. */
 static uint32_t position_of(const struct amb_recovery_order *order, const struct amb_recovery_class *lost) {
     uint32_t position = 0;
     while (position < order->count && !amb_recovery_class_precedes(lost, &order->steps[position].lost_class))
@@ -50,7 +50,7 @@
     }
     uint32_t position = position_of(order, lost);
     if (position == AMB_RECOVERY_STEPS) return false;
-    if (order->count == AMB_RECOVERY_STEPS) order->count--; /* the last makes way */
+    if (order->count == AMB_RECOVERY_STEPS) order->count--; /* drops the last */
     memmove(&order->steps[position + 1], &order->steps[position],
             (order->count - position) * sizeof *order->steps);
     order->steps[position] = (struct amb_recovery_step){.lost_class = *lost};
