--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -1,6 +1,7 @@
 /* Dispatches the events of the node's modules to the modules above them. */
 #include "internal.h"
 
+#include "amberpin/agent/machine_loss.h"
 #include "amberpin/scheduler/capacity_plan.h"
 
 static void dispatch_machine_added(struct amb_node *node, struct amb_machine *machine) {
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -1,4 +1,5 @@
 /* The leader's table of machines: which may be given work, which are silent, and those that were returned. */
+#include "amberpin/agent/machine_loss.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -42,7 +43,7 @@
     static const struct {
         const char *what;
         bool wanted;
-        enum amb_machine_set_state state;
+        enum amb_machine_state state;
         size_t starts;
     } rows[] = {
         {"at work", false, AMB_MACHINE_UP, 1},
--- a/tests/scenarios/test_meetings_users.c
+++ b/tests/scenarios/test_meetings_users.c
@@ -1,5 +1,6 @@
-/* Meetings of troubles (docs/design/fault-combinations.md) that show in what users are told: whole days of the stand-in, which
- * checks at every answer that no node says something older than any node had said when the question was sent.
+/* Meetings of troubles (docs/design/fault-combinations.md) that show in what users are told: whole days of
+ * the stand-in, which checks at every answer that no node says something older than any node had said when
+ * the question was sent.
  */
 #include "check.h"
 #include "named_tests.h"
