--- /dev/null
+++ b/include/amberpin/codec/kvstore_messages.h
@@ -0,0 +1,77 @@
+/* Requests to the key-value store and its answers: the only place that spells the methods, paths and fields
+ * of its HTTP interface (its pages of changes are read by change_page.c). The layer above speaks of
+ * revisions, compares, leases and entries. */
+#ifndef AMBERPIN_KVSTORE_MESSAGES_H
+#define AMBERPIN_KVSTORE_MESSAGES_H
+
+#include "amberpin/base/util.h"
+
+#include <cbor.h>
+
+/* HTTP statuses of the store's answers that its client tells apart. */
+enum amb_kvstore_status {
+    AMB_KVSTORE_STATUS_NO_ANSWER = 0, /* in place of a status: the connection gave none in time */
+    AMB_KVSTORE_STATUS_OK = 200,
+    AMB_KVSTORE_STATUS_NOT_FOUND = 404,         /* no such key or lease */
+    AMB_KVSTORE_STATUS_CONFLICT = 409,          /* a compare of the transaction failed */
+    AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS = 429, /* over the limit of requests or of changes a second */
+    AMB_KVSTORE_STATUS_UNAVAILABLE = 503,       /* not carried out */
+};
+
+enum { AMB_KVSTORE_PATH_SIZE = 320 };
+
+/* One HTTP request. The body's memory is the message's. */
+struct amb_kvstore_message {
+    const char *method; /* static text */
+    char path[AMB_KVSTORE_PATH_SIZE];
+    struct amb_buf body; /* CBOR; empty: none */
+};
+
+/* ---- requests: each fills an empty message ---- */
+
+/* Reads one key. */
+void amb_kvstore_encode_get(const char *key, struct amb_kvstore_message *message);
+
+/* Lists a page of the keys with a prefix, in order; `after`: the last key of the page before, NULL or empty
+ * for the first page. */
+void amb_kvstore_encode_list(const char *prefix, const char *after, struct amb_kvstore_message *message);
+
+/* Asks for the changes after a store revision, to be answered when there are any or after `wait`. */
+void amb_kvstore_encode_watch(const char *prefix, uint64_t after, amb_ms wait,
+                              struct amb_kvstore_message *message);
+
+/* Commits a transaction whose compares and operations were encoded one after another by the functions
+ * below. */
+void amb_kvstore_encode_commit(const struct amb_buf *compares, uint32_t compare_count,
+                               const struct amb_buf *operations, uint32_t operation_count,
+                               struct amb_kvstore_message *message);
+
+void amb_kvstore_encode_grant_lease(amb_ms ttl, struct amb_kvstore_message *message);
+void amb_kvstore_encode_renew_lease(uint64_t lease_id, struct amb_kvstore_message *message);
+void amb_kvstore_encode_revoke_lease(uint64_t lease_id, struct amb_kvstore_message *message);
+
+/* ---- parts of a transaction: each appends one ---- */
+
+/* Commits only if the key has this revision; 0: if there is no such key. */
+void amb_kvstore_encode_compare(const char *key, uint64_t revision, struct amb_buf *compares);
+
+/* Sets a key to a value of CBOR; lease_id 0: on no lease. */
+void amb_kvstore_encode_put(const char *key, const struct amb_buf *value, uint64_t lease_id,
+                            struct amb_buf *operations);
+
+void amb_kvstore_encode_remove(const char *key, struct amb_buf *operations);
+
+/* ---- answers of success: false, and nothing set, if the body is not of that form ---- */
+
+/* A key as it was read. The value is borrowed from the body. */
+struct amb_kvstore_entry {
+    const cbor_item_t *value;
+    uint64_t revision;
+};
+
+bool amb_kvstore_decode_entry(const cbor_item_t *body, struct amb_kvstore_entry *entry);
+/* The store revision of a commit, which is the revision of every key that it has put. */
+bool amb_kvstore_decode_commit(const cbor_item_t *body, uint64_t *revision);
+bool amb_kvstore_decode_lease(const cbor_item_t *body, uint64_t *lease_id);
+
+#endif
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -18,6 +18,7 @@
 #include "amberpin/job/pipelines.h"
 #include "amberpin/job/tasks.h"
 #include "amberpin/kvstore/client.h"
+#include "amberpin/kvstore/token_budget.h"
 #include "amberpin/node/events.h"
 #include "amberpin/peer/peers.h"
 #include "amberpin/placement_log/placement_log.h"
--- /dev/null
+++ b/lib/kvstore/request_queue.c
@@ -0,0 +1,191 @@
+/* The queue of requests to the key-value store, a list for each priority: sends each as soon as there are
+ * tokens for it, and hands on its answer. */
+#include "internal.h"
+
+#include "amberpin/http/http.h"
+#include "amberpin/kvstore/token_budget.h"
+
+#include <stdlib.h>
+
+static const char CONTENT_TYPE[] = "application/cbor";
+
+/* After "too many requests" nothing more is sent for this part of a call's timeout. */
+enum { THROTTLES_PER_CALL_TIMEOUT = 4 };
+
+/* What reads of changes leave of the requests of a second. One read answers all questions that wait for it,
+ * so nothing is lost if it is a little later. (While jobs came and ended fast, and while users asked many
+ * times as often, a follower had no request left for one submission in three.) */
+static const double WATCH_RESERVED_SHARE = 0.25;
+
+struct amb_store_request *store_request_new(struct amb_store *store, enum amb_store_priority priority,
+                                            amb_store_callback on_done, void *arg) {
+    struct amb_store_request *request = amb_alloc(sizeof *request);
+    request->store = store;
+    request->timeout = store->call_timeout;
+    request->priority = priority;
+    request->on_done = on_done;
+    request->arg = arg;
+    return request;
+}
+
+static void request_free(struct amb_store_request *request) {
+    amb_buf_free(&request->message.body);
+    free(request);
+}
+
+/* ---- answers ---- */
+
+static void update_health(struct amb_store *store, int status, amb_ms now) {
+    if (status == AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS)
+        store->throttled_until = now + store->call_timeout / THROTTLES_PER_CALL_TIMEOUT;
+    else if (status == AMB_KVSTORE_STATUS_NO_ANSWER || status == AMB_KVSTORE_STATUS_UNAVAILABLE)
+        store->last_failure_at = now;
+    else
+        store->last_success_at = now;
+}
+
+static void settle_user_write(struct amb_store *store, const struct amb_store_request *request, int status) {
+    if (request->priority != AMB_STORE_PRIORITY_USER) return;
+    store->pending_user_writes -= request->write_count;
+    /* Else it is counted when it is seen among the changes. */
+    if (status != AMB_KVSTORE_STATUS_OK) store->user_write_bucket.tokens -= request->write_count;
+}
+
+static void deliver_parsed(struct amb_store_request *request, int status, const char *body, size_t len) {
+    cbor_item_t *item = len ? amb_cbor_parse(body, len) : NULL;
+    /* An answer that can't be read proves nothing about what was done. */
+    if (status == AMB_KVSTORE_STATUS_OK && !item) status = AMB_KVSTORE_STATUS_NO_ANSWER;
+    if (request->on_done) request->on_done(request->arg, status, item);
+    if (item) cbor_decref(&item);
+}
+
+static void deliver(struct amb_store_request *request, int status, const char *body, size_t len) {
+    if (request->on_bytes) {
+        request->on_bytes(request->arg, status, body, len);
+        return;
+    }
+    /* Only a watch is told that its answer is too long, since it must list all keys instead; what another
+     * call's answer said is not known. */
+    if (status == AMB_HTTP_RESPONSE_TOO_LARGE) status = AMB_KVSTORE_STATUS_NO_ANSWER;
+    deliver_parsed(request, status, body, len);
+}
+
+static void on_response(void *arg, int status, const char *body, size_t len) {
+    struct amb_store_request *request = arg;
+    struct amb_store *store = request->store;
+    update_health(store, status, amb_now());
+    if (status == AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS && request->write_count)
+        amb_store_lower_limits(store, "too many changes");
+    settle_user_write(store, request, status);
+    deliver(request, status, body, len);
+    request_free(request);
+}
+
+/* ---- sending ---- */
+
+static void request_send(struct amb_store_request *request) {
+    struct amb_store *store = request->store;
+    const struct amb_kvstore_message *message = &request->message;
+    store->request_bucket.tokens -= 1;
+    if (request->priority == AMB_STORE_PRIORITY_USER)
+        store->pending_user_writes += request->write_count;
+    else
+        store->write_bucket.tokens -= request->write_count;
+    amb_http_call(store->address, message->method, message->path, CONTENT_TYPE, message->body.data,
+                  message->body.len, request->timeout, on_response, request);
+}
+
+static amb_ms longer_of(amb_ms first, amb_ms second) {
+    return first > second ? first : second;
+}
+
+static amb_ms request_delay(const struct amb_store *store, const struct amb_store_request *request) {
+    bool is_watch = request->priority == AMB_STORE_PRIORITY_WATCH;
+    double reserved = is_watch ? store->request_bucket.tokens_per_second * WATCH_RESERVED_SHARE : 0;
+    return amb_token_bucket_delay(&store->request_bucket, 1 + reserved);
+}
+
+static amb_ms write_delay(const struct amb_store *store, const struct amb_store_request *request) {
+    if (!request->write_count) return 0;
+    if (request->priority == AMB_STORE_PRIORITY_USER)
+        return store_user_write_delay(store, request->write_count, 0);
+    return amb_token_bucket_delay(&store->write_bucket, request->write_count);
+}
+
+/* How long until the request may be sent; 0: now. */
+static amb_ms dispatch_delay(const struct amb_store *store, const struct amb_store_request *request,
+                             amb_ms now) {
+    if (request->priority == AMB_STORE_PRIORITY_LEASE) return 0; /* leadership never waits for tokens */
+    amb_ms delay = longer_of(request_delay(store, request), write_delay(store, request));
+    return longer_of(delay, store->throttled_until - now);
+}
+
+static struct amb_store_request *dequeue(struct amb_store *store, enum amb_store_priority priority) {
+    struct amb_store_request *request = store->queue_head[priority];
+    store->queue_head[priority] = request->next;
+    if (!request->next) store->queue_tail[priority] = NULL;
+    return request;
+}
+
+/* One pass over the queues, the most urgent first. */
+struct dispatch_pass {
+    amb_ms now;
+    amb_ms next_attempt_in; /* 0: nothing waits for time to pass */
+    bool own_write_waits;   /* of this node's own half, in a more urgent class */
+};
+
+static void note_delay(struct dispatch_pass *pass, const struct amb_store_request *request, amb_ms delay) {
+    if (!pass->next_attempt_in || delay < pass->next_attempt_in) pass->next_attempt_in = delay;
+    if (request->write_count && request->priority != AMB_STORE_PRIORITY_USER) pass->own_write_waits = true;
+}
+
+/* Sends a class in its order until a request has to wait; a read of a later class may overtake a write that
+ * waits. */
+static void dispatch_class(struct amb_store *store, enum amb_store_priority priority,
+                           struct dispatch_pass *pass) {
+    while (store->queue_head[priority]) {
+        const struct amb_store_request *request = store->queue_head[priority];
+        /* Else small writes would take each token as it comes, and a larger one never find enough: jobs that
+         * had ended were called done minutes late while placements went on. */
+        if (pass->own_write_waits && request->write_count) return;
+        amb_ms delay = dispatch_delay(store, request, pass->now);
+        if (delay > 0) {
+            note_delay(pass, request, delay);
+            return;
+        }
+        request_send(dequeue(store, priority));
+    }
+}
+
+static void on_dispatch_timer(void *arg) {
+    store_dispatch(arg);
+}
+
+void store_dispatch(struct amb_store *store) {
+    struct dispatch_pass pass = {.now = amb_now()};
+    store_refill_buckets(store);
+    for (int priority = 0; priority < AMB_STORE_PRIORITIES; priority++)
+        dispatch_class(store, (enum amb_store_priority)priority, &pass);
+    if (pass.next_attempt_in)
+        amb_timer_in(&store->dispatch_timer, pass.next_attempt_in, on_dispatch_timer, store);
+}
+
+void store_request_enqueue(struct amb_store_request *request) {
+    struct amb_store *store = request->store;
+    struct amb_store_request *tail = store->queue_tail[request->priority];
+    request->next = NULL;
+    if (tail)
+        tail->next = request;
+    else
+        store->queue_head[request->priority] = request;
+    store->queue_tail[request->priority] = request;
+    store_dispatch(store);
+}
+
+bool store_has_own_write_waiting(const struct amb_store *store) {
+    for (int priority = AMB_STORE_PRIORITY_FINAL_STATE; priority < AMB_STORE_PRIORITIES; priority++)
+        for (const struct amb_store_request *request = store->queue_head[priority]; request;
+             request = request->next)
+            if (request->write_count) return true;
+    return false;
+}
