--- a/include/amberpin/peer/peers.h
+++ b/include/amberpin/peer/peers.h
@@ -70,12 +70,5 @@
 /* What another node says of itself; sent_at: when we asked, 0 when it spoke first. */
 void amb_peer_apply_message(struct amb_node *node, struct amb_peer *peer, const struct json_t *message,
                             amb_ms asked_at);
-/* Do workers come to another node, or can no other node be reached at all? */
-bool amb_election_has_better_placed_peer(const struct amb_node *node, amb_ms now);
-amb_ms amb_election_peers_confirmed_at(const struct amb_node *node,
-                                       amb_ms now); /* since when all peers last confirmed our lead */
-/* Since when no other node can have answered a machine under an older term than ours; 0: one still might. */
-amb_ms amb_election_peers_fenced_at(const struct amb_node *node);
-bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now);
 
 #endif
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -1,225 +1,193 @@
+/* Wires the election's state machine to the key-value store, the timer and the events of the node. */
 #include "amberpin/election/election.h"
 
 #include "amberpin/base/log.h"
 #include "amberpin/base/trace.h"
+#include "amberpin/codec/election_records.h"
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
+#include "internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Of the time that a cancellation leaves after a worker's lease, what a leader without news may use. */
+/* Of the time that a cancellation leaves after an agent's lease, what a leader without contact may use. */
 static const double FENCE_SHARE = 0.95;
-/* Lease checks and renewals: ticks within a lease. */
-enum { TICKS_PER_LEASE = 20 };
 
-static const char *role_name(enum amb_election_role role) {
-    static const char *const names[] = {"starting", "following", "claiming", "checking",
-                                        "leading",  "unsure",    "fenced"};
-    return names[role];
-}
+enum {
+    TICKS_PER_LEASE = 20,   /* how often the lease is looked at */
+    CALLS_PER_LEASE = 3,    /* a call is given up in time for two more */
+    MIN_LEASE_TTL_MS = 100, /* what the store allows */
+    MAX_LEASE_TTL_MS = 600000,
+};
 
-/* ---- what others ask ---- */
+/* ---- settings ---- */
 
-bool amb_election_has_leader_role(const struct amb_node *node) {
-    return node->election.role >= AMB_ROLE_LEADER;
+static amb_ms leader_lease_ttl(const struct amb_node *node) {
+    double base_s = amb_settings_lease_base_s(&node->settings);
+    amb_ms ttl = amb_seconds_to_ms(node->options.leader_lease_share * base_s);
+    if (ttl < MIN_LEASE_TTL_MS) return MIN_LEASE_TTL_MS;
+    return ttl > MAX_LEASE_TTL_MS ? MAX_LEASE_TTL_MS : ttl;
 }
 
-bool amb_election_may_act(const struct amb_node *node) {
-    return amb_election_has_valid_lease(&node->election, amb_now());
+void amb_election_init(struct amb_node *node) {
+    struct amb_election *election = &node->election;
+    strcpy(election->member, node->settings.member);
+    election->ttl = leader_lease_ttl(node);
+    election->fence_after =
+        (amb_ms)((node->settings.cancel_s - node->settings.agent_lease_s) * 1000 * FENCE_SHARE);
+    election->yield_for = (amb_ms)(node->settings.agent_lease_s * 1000);
 }
 
-bool amb_election_may_start_tasks(const struct amb_node *node) {
-    return amb_election_may_act(node) && amb_election_has_recent_renewal(&node->election, amb_now());
+/* One renewal without an answer must not cost the leadership: with calls given up after a heartbeat period of
+ * 4 s it would have cost a lease of 3 s. */
+amb_ms amb_election_call_timeout(const struct amb_node *node) {
+    amb_ms heartbeat_period = amb_seconds_to_ms(node->settings.heartbeat_s);
+    return amb_earlier(node->election.ttl / CALLS_PER_LEASE, heartbeat_period);
 }
 
-/* Sending a worker to a node that is gone costs it seconds of its lease. */
-static bool was_heard_recently(const struct amb_node *node, const char *member) {
-    amb_ms patience = (amb_ms)(node->settings.heartbeat_s * 2500);
-    for (uint32_t i = 0; i < node->peers.count; i++)
-        if (!strcmp(node->peers.list[i].member, member))
-            return amb_now() - node->peers.list[i].last_heard_at < patience;
-    return false;
-}
+/* ---- steps of the state machine ---- */
 
-const char *amb_election_leader_name(const struct amb_node *node) {
-    const struct amb_election *election = &node->election;
-    if (amb_election_is_leader(node)) return node->settings.member;
-    const char *name = election->holder[0] ? election->holder : NULL;
-    uint64_t term = election->holder_revision;
-    for (uint32_t i = 0; i < node->peers.count; i++) {
-        const struct amb_peer *peer = &node->peers.list[i];
-        if (peer->is_leader && peer->term > term) {
-            name = peer->member;
-            term = peer->term;
-        }
-    }
-    if (!name || !strcmp(name, node->settings.member) || !was_heard_recently(node, name)) return NULL;
-    return name;
-}
+static void perform_action(struct amb_node *node, const struct amb_election_action *action,
+                           const char *cause);
 
-/* ---- the core's inputs and actions ---- */
-
-/* A leader that no worker reaches serves nobody while it holds the lease: when the workers come to another
- * node, or when no node can be reached either, somebody else should lead. */
-static bool is_unreachable_by_agents(const struct amb_node *node, amb_ms now) {
-    amb_ms silence = (amb_ms)(node->settings.heartbeat_s * 3000);
-    if (node->election.role != AMB_ROLE_LEADER || now - node->fleet.last_heartbeat_at < silence ||
-        now - node->controller.leader_since < silence || !node->controller.restored_at)
-        return false;
-    for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
-        if (machine->state == AMB_MACHINE_UP || machine->task_count)
-            return amb_election_has_better_placed_peer(node, now);
-    return false;
+static void log_role_change(const struct amb_node *node, enum amb_election_role before, const char *cause) {
+    const struct amb_election *election = &node->election;
+    uint64_t term = amb_election_has_leader_role(node) ? election->term : election->highest_term;
+    amb_info("election: %s -> %s, term %llu: %s", amb_election_role_name(before),
+             amb_election_role_name(election->role), (unsigned long long)term, cause);
+    AMB_TRACE3(election_role, before, election->role, term);
 }
 
-bool amb_election_is_leader(const struct amb_node *node) {
-    amb_ms now = amb_now();
-    const struct amb_election_evidence evidence = {.watch_sent_at = node->jobs.last_read_sent_at,
-                                                   .peers_queried_at =
-                                                       amb_election_peers_confirmed_at(node, now)};
-    return amb_election_may_answer_agents(&node->election, now, &evidence);
+/* input.now 0: now. */
+static void step_election(struct amb_node *node, struct amb_election_input input) {
+    struct amb_election_output output;
+    enum amb_election_role before = node->election.role;
+    if (!input.now) input.now = amb_now();
+    amb_election_step(&node->election, &input, &output);
+    if (node->election.role != before) log_role_change(node, before, output.cause);
+    for (uint32_t i = 0; i < output.action_count; i++) perform_action(node, &output.actions[i], output.cause);
 }
 
-static struct amb_election_evidence current_evidence(const struct amb_node *node, amb_ms now) {
-    return (struct amb_election_evidence){.watch_sent_at = node->jobs.last_read_sent_at,
-                                          .peers_queried_at = amb_election_peers_confirmed_at(node, now),
-                                          .unreachable = is_unreachable_by_agents(node, now)};
-}
+/* ---- calls to the store ---- */
 
-/* A call to the state service under way. Its answer comes back with what it was for: the node may have given
- * that up, and begun anew, since. */
+/* A call under way. Its answer comes back with what it was for: the node may have given that up, and begun
+ * anew, since. */
 struct pending_call {
     struct amb_node *node;
     uint64_t claim_id, lease_id, nonce;
 };
 
-static void perform_action(struct amb_node *node, const struct amb_election_action *action,
-                           const char *cause);
-
-static void step_election(struct amb_node *node, struct amb_election_input input) {
-    struct amb_election *election = &node->election;
-    struct amb_election_output output;
-    enum amb_election_role before = election->role;
-    input.now = input.now ? input.now : amb_now();
-    amb_election_step(election, &input, &output);
-    if (election->role != before) {
-        uint64_t term = amb_election_has_leader_role(node) ? election->term : election->highest_term;
-        amb_info("election: %s -> %s, term %llu: %s", role_name(before), role_name(election->role),
-                 (unsigned long long)term, output.cause);
-        AMB_TRACE3(election_role, before, election->role, term);
-    }
-    for (uint32_t i = 0; i < output.action_count; i++) perform_action(node, &output.actions[i], output.cause);
+static struct pending_call *pending_call_new(struct amb_node *node,
+                                             const struct amb_election_action *action) {
+    struct pending_call *call = amb_alloc(sizeof *call);
+    *call = (struct pending_call){
+        .node = node, .claim_id = action->claim_id, .lease_id = action->lease_id, .nonce = action->nonce};
+    return call;
 }
 
-/* The input that an answer makes; frees the call's memory. */
-static struct amb_election_input take_answer(struct pending_call *call, enum amb_election_event event,
-                                             int status) {
-    struct amb_election_input input = {.event = event,
-                                       .result = amb_store_call_result(status),
-                                       .claim_id = call->claim_id,
-                                       .lease_id = call->lease_id,
-                                       .nonce = call->nonce};
+/* Frees the call, and returns whose it was. */
+static struct amb_node *pending_call_take(struct pending_call *call, enum amb_election_event event,
+                                          struct amb_election_input *input) {
+    struct amb_node *node = call->node;
+    *input = (struct amb_election_input){
+        .event = event, .claim_id = call->claim_id, .lease_id = call->lease_id, .nonce = call->nonce};
     free(call);
-    return input;
+    return node;
 }
 
-static struct amb_election_apply_key decode_leader_key(const cbor_item_t *value, uint64_t revision) {
-    struct amb_election_apply_key key = {.present = value != NULL, .revision = revision};
-    if (!value) return key;
-    amb_cbor_copy_string(amb_cbor_map_get(value, "member"), key.member, sizeof key.member);
-    amb_cbor_get_uint(amb_cbor_map_get(value, "nonce"), &key.nonce);
+/* Without a value: there is no such key. */
+static struct amb_leader_key decode_leader_key(const cbor_item_t *value, uint64_t revision) {
+    struct amb_leader_record record;
+    struct amb_leader_key key = {.present = value != NULL, .revision = revision};
+    amb_leader_record_decode(value, &record);
+    strcpy(key.member, record.member);
+    key.nonce = record.nonce;
     return key;
 }
 
 static void on_lease_granted(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node = ((struct pending_call *)arg)->node;
-    struct amb_election_input input = take_answer(arg, AMB_ELECTION_LEASE_GRANTED, status);
-    if (input.result == AMB_CALL_OK && !amb_cbor_get_uint(amb_cbor_map_get(body, "tenure"), &input.lease_id))
-        input.result = AMB_CALL_NO_ANSWER;
+    struct amb_election_input input;
+    struct amb_node *node = pending_call_take(arg, AMB_ELECTION_LEASE_GRANTED, &input);
+    input.result = amb_store_lease_result(status, body, &input.lease_id);
     step_election(node, input);
 }
 
 static void on_claim_answered(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node = ((struct pending_call *)arg)->node;
-    struct amb_election_input input = take_answer(arg, AMB_ELECTION_CLAIM_ANSWERED, status);
-    if (input.result == AMB_CALL_OK && !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &input.revision))
-        input.result = AMB_CALL_NO_ANSWER;
+    struct amb_election_input input;
+    struct amb_node *node = pending_call_take(arg, AMB_ELECTION_CLAIM_ANSWERED, &input);
+    input.result = amb_store_commit_result(status, body, &input.revision);
     step_election(node, input);
 }
 
 static void on_key_read(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node = ((struct pending_call *)arg)->node;
-    struct amb_election_input input = take_answer(arg, AMB_ELECTION_KEY_READ, status);
-    uint64_t revision = 0;
-    if (input.result == AMB_CALL_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &revision))
-        input.key = decode_leader_key(amb_cbor_map_get(body, "value"), revision);
+    struct amb_election_input input;
+    struct amb_kvstore_entry entry;
+    struct amb_node *node = pending_call_take(arg, AMB_ELECTION_KEY_READ, &input);
+    input.result = amb_store_call_result(status);
+    if (input.result == AMB_CALL_OK && amb_kvstore_decode_entry(body, &entry))
+        input.key = decode_leader_key(entry.value, entry.revision);
     step_election(node, input);
 }
 
 static void on_lease_renewed(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node = ((struct pending_call *)arg)->node;
-    struct amb_election_input input = take_answer(arg, AMB_ELECTION_LEASE_RENEWED, status);
+    struct amb_election_input input;
+    struct amb_node *node = pending_call_take(arg, AMB_ELECTION_LEASE_RENEWED, &input);
     (void)body;
+    input.result = amb_store_call_result(status);
     input.now = amb_now();
-    input.evidence = current_evidence(node, input.now);
+    input.evidence = election_full_evidence(node, input.now);
     step_election(node, input);
 }
 
-static void commit_claim(struct amb_node *node, const struct amb_election_action *action,
-                         struct pending_call *call) {
+static void grant_lease(struct amb_node *node, const struct amb_election_action *action) {
+    struct pending_call *call = pending_call_new(node, action);
+    call->nonce = amb_nonce(); /* tells the key of this claim from all others */
+    amb_store_grant_lease(&node->store, node->election.ttl, on_lease_granted, call);
+}
+
+static void commit_claim(struct amb_node *node, const struct amb_election_action *action) {
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
     amb_txn_compare(&transaction, AMB_LEADER_KEY, action->expected_revision);
-    amb_cbor_write_map(&value, 2);
-    amb_cbor_write_string(&value, "member");
-    amb_cbor_write_string(&value, node->settings.member);
-    amb_cbor_write_string(&value, "nonce");
-    amb_cbor_write_uint(&value, action->nonce);
+    amb_leader_record_encode(node->settings.member, action->nonce, &value);
     amb_txn_put(&transaction, AMB_LEADER_KEY, &value, action->lease_id);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_LEASE, on_claim_answered, call);
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_LEASE, on_claim_answered,
+                     pending_call_new(node, action));
 }
 
-static struct pending_call *pending_call_new(struct amb_node *node,
-                                             const struct amb_election_action *action) {
-    struct pending_call *call = amb_alloc(sizeof *call);
-    *call = (struct pending_call){
-        .node = node, .claim_id = action->claim_id, .lease_id = action->lease_id, .nonce = action->nonce};
-    return call;
+static void read_leader_key(struct amb_node *node, const struct amb_election_action *action) {
+    amb_store_get(&node->store, AMB_LEADER_KEY, AMB_STORE_PRIORITY_LEASE, on_key_read,
+                  pending_call_new(node, action));
+}
+
+static void renew_lease(struct amb_node *node, const struct amb_election_action *action) {
+    amb_store_renew_lease(&node->store, action->lease_id, on_lease_renewed, pending_call_new(node, action));
+}
+
+static void announce_leadership(struct amb_node *node, bool is_leader, const char *cause) {
+    amb_store_set_leadership(&node->store, is_leader);
+    amb_event_post(
+        node, &(struct amb_event){.type = is_leader ? AMB_EVENT_LEADERSHIP_GAINED : AMB_EVENT_LEADERSHIP_LOST,
+                                  .cause = is_leader ? NULL : cause});
 }
 
 static void perform_action(struct amb_node *node, const struct amb_election_action *action,
                            const char *cause) {
-    struct amb_store *store = &node->store;
-    struct pending_call *call;
     switch (action->type) {
-    case AMB_ELECTION_GRANT_LEASE:
-        call = pending_call_new(node, action);
-        call->nonce = amb_nonce(); /* tells the key of this claim from all others */
-        amb_store_grant_lease(store, node->election.ttl, on_lease_granted, call);
-        break;
-    case AMB_ELECTION_COMMIT_CLAIM: commit_claim(node, action, pending_call_new(node, action)); break;
-    case AMB_ELECTION_READ_KEY:
-        amb_store_get(store, AMB_LEADER_KEY, AMB_STORE_PRIORITY_LEASE, on_key_read,
-                      pending_call_new(node, action));
-        break;
-    case AMB_ELECTION_RENEW_LEASE:
-        amb_store_renew_lease(store, action->lease_id, on_lease_renewed, pending_call_new(node, action));
-        break;
-    case AMB_ELECTION_REVOKE_LEASE: amb_store_revoke_lease(store, action->lease_id); break;
-    case AMB_ELECTION_LEADERSHIP_WON:
-        amb_store_set_leadership(store, true);
-        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_LEADERSHIP_GAINED});
-        break;
-    case AMB_ELECTION_LEADERSHIP_LOST:
-        amb_store_set_leadership(store, false);
-        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_LEADERSHIP_LOST, .cause = cause});
-        break;
+    case AMB_ELECTION_GRANT_LEASE: grant_lease(node, action); break;
+    case AMB_ELECTION_COMMIT_CLAIM: commit_claim(node, action); break;
+    case AMB_ELECTION_READ_KEY: read_leader_key(node, action); break;
+    case AMB_ELECTION_RENEW_LEASE: renew_lease(node, action); break;
+    case AMB_ELECTION_REVOKE_LEASE: amb_store_revoke_lease(&node->store, action->lease_id); break;
+    case AMB_ELECTION_LEADERSHIP_WON: announce_leadership(node, true, cause); break;
+    case AMB_ELECTION_LEADERSHIP_LOST: announce_leadership(node, false, cause); break;
     }
 }
 
-/* ---- what others tell ---- */
+/* ---- what the node is told ---- */
 
 void amb_election_observe_term(struct amb_node *node, uint64_t term, const char *source) {
     if (amb_election_has_leader_role(node) && term > node->election.term)
@@ -236,8 +204,9 @@
 }
 
 void amb_election_tick(struct amb_node *node, amb_ms now) {
-    step_election(node, (struct amb_election_input){
-                            .event = AMB_ELECTION_TICK, .now = now, .evidence = current_evidence(node, now)});
+    step_election(node, (struct amb_election_input){.event = AMB_ELECTION_TICK,
+                                                    .now = now,
+                                                    .evidence = election_full_evidence(node, now)});
 }
 
 static void on_election_timer(void *arg) {
@@ -254,28 +223,3 @@
     step_election(node, (struct amb_election_input){.event = AMB_ELECTION_STORE_READ});
     if (!node->election_timer.position) on_election_timer(node);
 }
-
-/* ---- settings ---- */
-
-static amb_ms leader_lease_ttl(const struct amb_node *node) {
-    enum { SHORTEST = 100, LONGEST = 600000 }; /* what the state service allows */
-    amb_ms ttl =
-        amb_seconds_to_ms(node->options.leader_lease_share * amb_settings_lease_base_s(&node->settings));
-    return ttl < SHORTEST ? SHORTEST : ttl > LONGEST ? LONGEST : ttl;
-}
-
-void amb_election_init(struct amb_node *node) {
-    struct amb_election *election = &node->election;
-    strcpy(election->member, node->settings.member);
-    election->ttl = leader_lease_ttl(node);
-    election->fence_after =
-        (amb_ms)((node->settings.cancel_s - node->settings.agent_lease_s) * 1000 * FENCE_SHARE);
-    election->yield_for = (amb_ms)(node->settings.agent_lease_s * 1000);
-}
-
-/* One renewal without an answer must not cost the lead: with calls given up after a report period of 4 s it
- * would have cost a lease of 3 s. */
-amb_ms amb_election_call_timeout(const struct amb_node *node) {
-    amb_ms third = node->election.ttl / 3, report = amb_seconds_to_ms(node->settings.heartbeat_s);
-    return third < report ? third : report;
-}
--- a/lib/election/format_version.c
+++ b/lib/election/format_version.c
@@ -1,8 +1,7 @@
-/* Which form of records and messages the cluster uses: what each node speaks, and the key that says what all
- * of them do. */
 #include "amberpin/election/format_version.h"
 
 #include "amberpin/base/log.h"
+#include "amberpin/codec/election_records.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 
@@ -18,7 +17,7 @@
 }
 
 bool amb_format_has_older_peer(const struct amb_node *node) {
-    /* Nobody comes back old once the key is written: an older word is a message that came late. */
+    /* No node comes back old once the key is written: an older format is in a message that came late. */
     if (amb_format_active(node) == AMB_FORMAT_LATEST) return false;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         enum amb_format peer_format = node->peers.list[i].format;
@@ -35,10 +34,8 @@
 
 void amb_format_apply_key(struct amb_node *node, const cbor_item_t *value) {
     uint64_t recorded;
-    if (!amb_cbor_get_uint(amb_cbor_map_get(value, "format"), &recorded))
-        return; /* never removed: written for good */
-    if (recorded > AMB_FORMAT_LATEST)
-        recorded = AMB_FORMAT_LATEST; /* of a later version that has been taken back */
+    if (!amb_format_record_decode(value, &recorded)) return; /* never removed: it is written for good */
+    if (recorded > AMB_FORMAT_LATEST) recorded = AMB_FORMAT_LATEST; /* a later version was rolled back */
     if (recorded <= node->formats.recorded) return;
     node->formats.recorded = (enum amb_format)recorded;
     amb_info("format %d is in use", (int)amb_format_active(node));
@@ -49,8 +46,8 @@
     node->formats.upgrade_complete = true;
 }
 
-/* Each peer's last word counts, however old: a process that was new comes back new. One that was never heard
- * of may be old, and may take the lead from a side that we do not reach. */
+/* Each peer's last message counts, however old: a process that was new comes back new. A peer that was never
+ * heard of may be old, and may become leader on a side of the network that this node does not reach. */
 static bool all_peers_support_latest(const struct amb_node *node) {
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (node->peers.list[i].format < AMB_FORMAT_LATEST) return false;
@@ -61,8 +58,8 @@
     struct amb_node *node = arg;
     (void)body;
     node->formats.write_pending = false;
-    /* Without an answer news tells whether it was written; until then nothing relies on it. */
-    if (status == 200) {
+    /* Without an answer the watch tells whether it was written; until then nothing relies on it. */
+    if (amb_store_call_result(status) == AMB_CALL_OK) {
         node->formats.recorded = AMB_FORMAT_LATEST;
         amb_info("format %d is in use: written by this node", (int)AMB_FORMAT_LATEST);
     }
@@ -72,9 +69,7 @@
 static void write_format_key(struct amb_node *node) {
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    amb_cbor_write_map(&value, 1);
-    amb_cbor_write_string(&value, "format");
-    amb_cbor_write_uint(&value, AMB_FORMAT_LATEST);
+    amb_format_record_encode(AMB_FORMAT_LATEST, &value);
     amb_txn_require_leadership(&transaction, node);
     amb_txn_compare(&transaction, FORMAT_KEY, 0);
     amb_txn_put(&transaction, FORMAT_KEY, &value, 0);
@@ -85,10 +80,9 @@
 
 void amb_format_tick(struct amb_node *node, amb_ms now) {
     struct amb_format_negotiation *negotiation = &node->formats;
-    if (!amb_election_may_act(node) || !node->controller.restored_at || negotiation->write_pending ||
-        now < negotiation->retry_at)
-        return;
-    if (amb_format_supported(node) < AMB_FORMAT_LATEST || amb_format_active(node) == AMB_FORMAT_LATEST)
-        return;
+    if (!amb_election_may_act(node) || !node->controller.restored_at) return;
+    if (negotiation->write_pending || now < negotiation->retry_at) return;
+    if (amb_format_supported(node) < AMB_FORMAT_LATEST) return;
+    if (amb_format_active(node) == AMB_FORMAT_LATEST) return;
     if (negotiation->upgrade_complete || all_peers_support_latest(node)) write_format_key(node);
 }
--- a/lib/election/peer_confirmation.c
+++ b/lib/election/peer_confirmation.c
@@ -1,14 +1,18 @@
-/* What the peers' last words show of this node's lead and place. Nothing is asked or changed here. */
+#include "amberpin/election/peer_confirmation.h"
+
 #include "amberpin/node/node.h"
 
-static amb_ms heartbeat_timeout(const struct amb_node *node) {
-    return (amb_ms)(node->settings.heartbeat_s * 3000);
+enum { SILENCE_HEARTBEATS = 3, MS_PER_S = 1000 };
+
+amb_ms amb_election_silence_timeout(const struct amb_node *node) {
+    return (amb_ms)(node->settings.heartbeat_s * (SILENCE_HEARTBEATS * MS_PER_S));
 }
 
 bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now) {
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
-        if (peer->store_reachable && now - peer->last_heard_at < heartbeat_timeout(node)) return true;
+        if (peer->store_reachable && now - peer->last_heard_at < amb_election_silence_timeout(node))
+            return true;
     }
     return false;
 }
@@ -22,8 +26,8 @@
     return oldest;
 }
 
-/* A node that knows our term and does not lead answers no report under an older one, nor can it ever again:
- * it would have to be elected, under a newer. */
+/* A node that knows this term and does not lead answers no agent under an older one, nor can it ever again:
+ * it would have to be elected, under a newer one. */
 amb_ms amb_election_peers_fenced_at(const struct amb_node *node) {
     amb_ms fenced_at = node->controller.leader_since;
     for (uint32_t i = 0; i < node->peers.count; i++) {
@@ -38,7 +42,7 @@
     bool any_heard = false;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
-        if (now - peer->last_heard_at > heartbeat_timeout(node)) continue;
+        if (now - peer->last_heard_at > amb_election_silence_timeout(node)) continue;
         any_heard = true;
         if (peer->receives_agent_heartbeats) return true;
     }
--- a/lib/election/state_machine.c
+++ b/lib/election/state_machine.c
@@ -5,8 +5,16 @@
 enum {
     ATTEMPTS_PER_LEASE = 4,       /* renewals and claims */
     RENEWAL_OVERDUE_PERCENT = 35, /* of a lease, after which the next renewal should have been answered */
+    LEASE_MARGIN_DIVISOR = 10,    /* a tenth of a lease is kept for clock drift and for work under way */
+    VERIFY_FOR_LEASES = 2,        /* how long a claim without an answer is read back */
 };
 
+const char *amb_election_role_name(enum amb_election_role role) {
+    static const char *const names[] = {"starting", "following", "claiming", "checking",
+                                        "leading",  "unsure",    "fenced"};
+    return names[role];
+}
+
 static void add_action(struct amb_election_output *output, struct amb_election_action action) {
     output->actions[output->action_count++] = action;
 }
@@ -26,14 +34,13 @@
     return first > second ? first : second;
 }
 
-static amb_ms earlier_of(amb_ms first, amb_ms second) {
-    return first < second ? first : second;
+amb_ms amb_election_safe_lease(amb_ms ttl) {
+    return ttl - ttl / LEASE_MARGIN_DIVISOR;
 }
 
 bool amb_election_has_valid_lease(const struct amb_election *election, amb_ms now) {
-    /* Counted from when the renewal was sent; less a tenth for drift and for work already under way. */
     return election->role == AMB_ROLE_LEADER &&
-           now < election->renewed_at + election->ttl - election->ttl / 10;
+           now < election->renewed_at + amb_election_safe_lease(election->ttl);
 }
 
 bool amb_election_has_recent_renewal(const struct amb_election *election, amb_ms now) {
@@ -73,8 +80,8 @@
 
 static void begin_leadership(struct amb_election *election, struct amb_election_output *output,
                              uint64_t revision) {
-    /* The answer may come late, when another leads, or the key is gone: whoever has told it that it knows of
-     * a newer term must not answer machines under an older one (amb_election_peers_fenced_at). */
+    /* The answer may come late, when another node leads or the key is gone. A node that has told others that
+     * it knows of a newer term must not answer agents under an older one (amb_election_peers_fenced_at). */
     if (revision < election->highest_term || revision < election->holder_revision) {
         become_follower(election, output, "the claim is older than what is known of the lead");
         return;
@@ -89,7 +96,7 @@
     add_action(output, (struct amb_election_action){.type = AMB_ELECTION_LEADERSHIP_WON});
 }
 
-/* Others are better placed: they get the time of a lease to claim first. */
+/* Other nodes are better placed: they get the time of a lease to become leader first. */
 static void yield_leadership(struct amb_election *election, struct amb_election_output *output, amb_ms now) {
     election->yield_until = now + election->yield_for;
     election->vacant_since = now;
@@ -97,14 +104,15 @@
     become_follower(election, output, "no worker reaches this node");
 }
 
-/* After this a leader answers no report. Another node may have promised that a cancelled task is gone within
- * cancel_s, and a worker keeps a task for lease_s after our last answer. So when neither news nor word from
- * every peer comes (which would tell of the cancellation, or of another leader), we stop in time for that:
- * not much sooner, since when a cut lasts 30 s every task that reports here hangs on the last seconds
- * (docs/safety.md has the sum). News count only as long as renewals come too. */
+/* After this moment a leader answers no agent. Another node may have promised that a cancelled task is gone
+ * within cancel_s, and an agent keeps a task for its lease after the last answer. So a leader that neither
+ * the store nor every peer answers (which would tell it of the cancellation, or of another leader) stops in
+ * time for that promise. Not much sooner: in a network cut of 30 s, all tasks that depend on this node's
+ * answers are saved or lost in the last seconds (docs/safety.md has the sum). Reads of changes count only as
+ * long as renewals succeed too. */
 static amb_ms fencing_deadline(const struct amb_election *election,
                                const struct amb_election_evidence *evidence) {
-    amb_ms store_contact_at = earlier_of(election->renewed_at, evidence->watch_sent_at);
+    amb_ms store_contact_at = amb_earlier(election->renewed_at, evidence->watch_sent_at);
     return later_of(store_contact_at, evidence->peers_queried_at) +
            later_of(election->fence_after, election->ttl);
 }
@@ -115,18 +123,18 @@
            now <= fencing_deadline(election, evidence);
 }
 
-/* Leading, unsure or fenced? */
+/* Of a node that has the leader role: leader, unsure or fenced. */
 static void update_role(struct amb_election *election, struct amb_election_output *output, amb_ms now,
                         const struct amb_election_evidence *evidence) {
     if (now > fencing_deadline(election, evidence))
         change_role(election, output, AMB_ROLE_FENCED, "neither news nor the peers' word that we still lead");
-    else if (now >= election->renewed_at + election->ttl - election->ttl / 10)
+    else if (now >= election->renewed_at + amb_election_safe_lease(election->ttl))
         change_role(election, output, AMB_ROLE_UNSURE, "the lease could not be renewed in time");
     else
         change_role(election, output, AMB_ROLE_LEADER, "the lease is renewed");
 }
 
-/* ---- what happens ---- */
+/* ---- events ---- */
 
 static void on_lease_granted(struct amb_election *election, const struct amb_election_input *input,
                              struct amb_election_output *output) {
@@ -161,7 +169,7 @@
     if (input->result == AMB_CALL_OK && input->key.present && input->key.nonce == election->nonce)
         begin_leadership(election, output, input->key.revision);
     else if (input->result == AMB_CALL_OK || input->result == AMB_CALL_NOT_FOUND)
-        /* A late claim can't be applied any more once its lease is dropped. */
+        /* A late claim can't be applied any more once its lease is revoked. */
         become_follower(election, output, "the claim was not carried out");
     else if (input->now - election->claimed_at > election->ttl)
         become_follower(election, output, "the claim can't be checked in time");
@@ -169,7 +177,7 @@
 
 static void on_lease_renewed(struct amb_election *election, const struct amb_election_input *input,
                              struct amb_election_output *output) {
-    /* The answer may be to a renewal of an earlier lead, whose lease was another. */
+    /* The answer may be to a renewal of an earlier leadership, whose lease was another. */
     if (!election->renewal_pending || input->lease_id != election->lease_id) return;
     election->renewal_pending = false;
     if (!has_leader_role(election)) return;
@@ -181,7 +189,7 @@
     }
 }
 
-static void on_key_changed(struct amb_election *election, const struct amb_election_apply_key *key,
+static void on_key_changed(struct amb_election *election, const struct amb_leader_key *key,
                            struct amb_election_output *output) {
     if (key->revision < election->holder_revision) return; /* older than what is known */
     election->key_known = true;
@@ -191,9 +199,7 @@
     strcpy(election->holder, key->member);
     election->holder_revision = key->revision;
     election->holder_nonce = key->nonce;
-    if (key->present)
-        election->highest_term =
-            key->revision > election->highest_term ? key->revision : election->highest_term;
+    if (key->present && key->revision > election->highest_term) election->highest_term = key->revision;
     if (has_leader_role(election) && key->revision > election->term &&
         (!key->present || key->nonce != election->nonce))
         become_follower(election, output,
@@ -208,22 +214,21 @@
 
 static void tick_follower(struct amb_election *election, amb_ms now, struct amb_election_output *output) {
     bool is_yielding = now < election->yield_until && now - election->vacant_since < election->ttl;
-    if (!election->key_known || now - election->claimed_at <= election->ttl / ATTEMPTS_PER_LEASE ||
-        is_yielding)
-        return;
+    bool claimed_lately = now - election->claimed_at <= election->ttl / ATTEMPTS_PER_LEASE;
+    if (!election->key_known || claimed_lately || is_yielding) return;
     if (!election->holder[0])
         begin_claim(election, output, now, 0, "nobody leads");
     else if (!strcmp(election->holder, election->member) &&
              election->holder_revision >= election->highest_term)
-        /* Not when a higher term is known: then it is our news of the key that is old, as with a node that
-         * the state service refuses alone, which would claim in vain four times a lease. */
+        /* Not when a higher term is known: then it is what we know of the key that is old, as on a node that
+         * the store alone refuses, which would claim in vain four times a lease. */
         begin_claim(election, output, now, election->holder_revision,
-                    "the key names this node's former self"); /* it is dead */
+                    "the key names this node's former self");
 }
 
 static void tick_leader(struct amb_election *election, const struct amb_election_input *input,
                         struct amb_election_output *output) {
-    /* Only while the lease is sure: in an outage nobody else could be elected. */
+    /* Only while the lease is valid: in an outage no other node could be elected. */
     if (election->role == AMB_ROLE_LEADER && input->evidence.unreachable) {
         yield_leadership(election, output, input->now);
         return;
@@ -249,7 +254,8 @@
         if (claim_age > election->ttl) become_follower(election, output, "the claim took too long");
         break;
     case AMB_ROLE_VERIFYING_CLAIM:
-        if (claim_age > 2 * election->ttl) become_follower(election, output, "the claim can't be checked");
+        if (claim_age > VERIFY_FOR_LEASES * election->ttl)
+            become_follower(election, output, "the claim can't be checked");
         break;
     default: tick_leader(election, input, output);
     }
