--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -75,24 +75,24 @@
     return election;
 }
 
-static const char *as_text(const struct amb_election_output *out, char *text, size_t cap) {
+static const char *as_text(const struct amb_election_output *output, char *text, size_t cap) {
     size_t len = 0;
     text[0] = 0;
-    for (uint32_t i = 0; i < out->action_count; i++) {
-        const struct amb_election_action *a = &out->actions[i];
+    for (uint32_t i = 0; i < output->action_count; i++) {
+        const struct amb_election_action *action = &output->actions[i];
         if (i) len += (size_t)snprintf(text + len, cap - len, ", ");
-        switch (a->type) {
+        switch (action->type) {
         case AMB_ELECTION_GRANT_LEASE: len += (size_t)snprintf(text + len, cap - len, "grant"); break;
         case AMB_ELECTION_COMMIT_CLAIM:
-            len += (size_t)snprintf(text + len, cap - len, "commit on %d over %d", (int)a->lease_id,
-                                    (int)a->expected_revision);
+            len += (size_t)snprintf(text + len, cap - len, "commit on %d over %d", (int)action->lease_id,
+                                    (int)action->expected_revision);
             break;
         case AMB_ELECTION_READ_KEY: len += (size_t)snprintf(text + len, cap - len, "read"); break;
         case AMB_ELECTION_RENEW_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)a->lease_id);
+            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)action->lease_id);
             break;
         case AMB_ELECTION_REVOKE_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)a->lease_id);
+            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)action->lease_id);
             break;
         case AMB_ELECTION_LEADERSHIP_WON: len += (size_t)snprintf(text + len, cap - len, "won"); break;
         case AMB_ELECTION_LEADERSHIP_LOST: len += (size_t)snprintf(text + len, cap - len, "lost"); break;
@@ -104,16 +104,17 @@
 static void play(const struct row *row) {
     struct amb_election election = begin(row->start);
     for (size_t k = 0; k < STEPS && (k == 0 || row->steps[k].in.now); k++) {
-        const struct step *s = &row->steps[k];
-        struct amb_election_output out;
+        const struct step *step = &row->steps[k];
+        struct amb_election_output output;
         char text[128];
         enum amb_election_role before = election.role;
-        amb_election_step(&election, &s->in, &out);
-        as_text(&out, text, sizeof text);
-        if (election.role != s->role || strcmp(text, s->actions ? s->actions : ""))
+        amb_election_step(&election, &step->in, &output);
+        as_text(&output, text, sizeof text);
+        if (election.role != step->role || strcmp(text, step->actions ? step->actions : ""))
             fail_msg("%s, step %zu: role %d, wanted %d; actions '%s', wanted '%s'", row->what, k,
-                     (int)election.role, (int)s->role, text, s->actions ? s->actions : "");
-        if ((election.role != before) != (out.cause != NULL)) fail_msg("%s, step %zu: cause", row->what, k);
+                     (int)election.role, (int)step->role, text, step->actions ? step->actions : "");
+        if ((election.role != before) != (output.cause != NULL))
+            fail_msg("%s, step %zu: cause", row->what, k);
     }
 }
 
@@ -411,8 +412,8 @@
         {.event = AMB_ELECTION_LEASE_GRANTED, .now = START + 1, .claim_id = 1, .lease_id = LEASE},
         {.event = AMB_ELECTION_CLAIM_ANSWERED, .now = START + 2, .claim_id = 1, .revision = TERM},
     };
-    struct amb_election_output out;
-    for (size_t i = 0; i < ROWS(inputs); i++) amb_election_step(&election, &inputs[i], &out);
+    struct amb_election_output output;
+    for (size_t i = 0; i < ROWS(inputs); i++) amb_election_step(&election, &inputs[i], &output);
     assert_int_equal(election.role, LEADING);
     assert_int_equal(election.term, TERM);
     assert_int_equal(election.highest_term, TERM);
@@ -421,7 +422,7 @@
     /* That the key is gone is nobody's term. */
     const struct amb_election_input gone = {
         .event = AMB_ELECTION_KEY_CHANGED, .now = START, .key = {.revision = TERM + 5}};
-    amb_election_step(&election, &gone, &out);
+    amb_election_step(&election, &gone, &output);
     assert_int_equal(election.role, FOLLOWING);
     assert_int_equal(election.highest_term, TERM);
 }
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_lease_proxies.c
@@ -1,10 +1,10 @@
-/* Deputies: which workers a deputy answers and when, and what a leader makes of it. */
+/* Lease proxies: which agents a proxy answers and when, and what a leader concludes from one. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-/* The leader n-1 is silent, and news are fresh: the node stands in for it in zone a. */
+/* The leader n-1 is silent, and the watch is current: the node becomes its lease proxy in zone a. */
 static struct fake_call *begin_lease_proxy(void) {
     follow("n-1", TERM);
     node->peers.count = 1;
@@ -18,17 +18,17 @@
 static void proxies_write_before_they_answer(void **state) {
     (void)state;
     struct fake_call *commit = begin_lease_proxy();
-    uint64_t lease = 0, zone_term = 0;
+    uint64_t lease = 0, term = 0;
     if (fake_txn_compared_revision(commit, LEADER_KEY) != TERM) fail_msg("no guard on the leader's term");
     const cbor_item_t *value = fake_txn_put(commit, "a/deputy/n-0", &lease);
-    assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "term"), &zone_term));
-    assert_int_equal(zone_term, TERM);
+    assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "term"), &term));
+    assert_int_equal(term, TERM);
     if (lease != 9) fail_msg("the key is on lease %llu", (unsigned long long)lease);
-    struct sent_heartbeat r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
-    send_heartbeat(r);
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    send_heartbeat(heartbeat);
     if (latest()->status != 421) fail_msg("answered %d before the key is written", latest()->status);
     answer_epoch(commit, 60);
-    send_heartbeat(r);
+    send_heartbeat(heartbeat);
     assert_int_equal(latest()->status, 200);
     assert_int_equal(replied_token(), TERM);
     assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(latest_map(), "orders")), 0);
@@ -68,16 +68,16 @@
     struct fake_call *renewal = open_call("POST", "/leases/9/extend");
     fake_clock_advance(1000);
     answer_lease(renewal, 9);
-    struct sent_heartbeat r = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
     fake_clock_advance(1699);
-    send_heartbeat(r);
+    send_heartbeat(heartbeat);
     assert_int_equal(latest()->status, 200);
     fake_clock_advance(1);
-    send_heartbeat(r);
+    send_heartbeat(heartbeat);
     if (latest()->status != 421) fail_msg("answered %d a lease after the renewal was sent", latest()->status);
 }
 
-/* News: n-1 stands in for the leader in zone a. */
+/* The watch shows that n-1 is a lease proxy in zone a. */
 static void proxy_key_appears(void) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
@@ -89,7 +89,7 @@
     cbor_decref(&value);
 }
 
-/* As long as the deputy's key stands its workers may be alive, however long they are silent here. */
+/* As long as the proxy's key stands, agents of its zone may be alive, however long they are silent here. */
 static void known_proxies_keep_their_zone_alive(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -111,7 +111,7 @@
     assert_null(task->machine);
 }
 
-/* A deputy that came and went within a moment may have answered its zone's workers. */
+/* A proxy that came and went within a moment may have answered its zone's agents. */
 static void short_lived_proxies_count(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -130,7 +130,7 @@
     assert_null(job->tasks[0].machine);
 }
 
-/* Nor is it known, of a machine whose zone is not, whether a deputy answers it. */
+/* Whether a proxy answers a machine whose zone is unknown can't be known either. */
 static void proxies_of_any_zone_count_for_unknown_ones(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -1,11 +1,14 @@
-/* How the nodes share the writes that the state service allows. */
+/* How the nodes share the writes that the key-value store allows. */
 #include "check.h"
 #include "node_fixture.h"
 
 #include <math.h>
 
-/* What news say of a job, as a node that is not asked for it hears it. */
-static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t stamp) {
+/* Later than any test: no bucket gains tokens until then. */
+enum { NO_REFILL_FOR_MS = 3600000 };
+
+/* A change of a job's record, as a node sees it that its user has not turned to. */
+static void apply_job_change(const char *ref, enum amb_job_state state, uint64_t revision) {
     struct amb_job_spec spec = {.kind = AMB_JOB_KIND_SERVICE,
                                 .priority = AMB_PRIORITY_HIGH,
                                 .task_count = 1,
@@ -18,11 +21,20 @@
     strcpy(spec.image, "img");
     amb_job_encode_record(&buffer, &draft, state);
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
-    amb_jobs_apply_item(node, ref, item, stamp);
+    amb_jobs_apply_item(node, ref, item, revision);
     cbor_decref(&item);
     amb_buf_free(&buffer);
 }
 
+/* One change each of the jobs from number `first` on; `revision`: what job 0 would have. */
+static void apply_job_changes(uint32_t first, uint32_t count, enum amb_job_state state, uint64_t revision) {
+    char ref[AMB_NAME_SIZE];
+    for (uint32_t i = first; i < first + count; i++) {
+        snprintf(ref, sizeof ref, "wk-%u", i);
+        apply_job_change(ref, state, revision + i);
+    }
+}
+
 /* All nodes draw on one half of the state service's writes for users: when the half was parted among seven,
  * two submissions to one node within 0.6 s had the second refused, at 1.3 tokens a second of 20 in use. */
 static void users_share_writes(void **state) {
@@ -52,22 +64,11 @@
         node->settings.store_rps = 200;
         node->settings.store_write_rps = 20;
         amb_store_init(&node->store, &node->settings, 1000);
-        node->store.user_write_bucket.refilled_at = amb_now() + 3600000; /* no refill meanwhile */
-        char ref[AMB_NAME_SIZE];
-        uint64_t stamp = 1;
-        for (uint32_t k = 0; k < rows[i].submitted; k++) {
-            snprintf(ref, sizeof ref, "wk-%u", k);
-            apply_job_change(ref, AMB_JOB_QUEUED, stamp + k);
-        }
-        for (uint32_t k = 0; k < rows[i].copies; k++) {
-            snprintf(ref, sizeof ref, "wk-%u", k);
-            apply_job_change(ref, AMB_JOB_QUEUED, stamp + k);
-        }
-        stamp += 100;
-        for (uint32_t k = 0; k < rows[i].cancelled + rows[i].done; k++) {
-            snprintf(ref, sizeof ref, "wk-%u", k);
-            apply_job_change(ref, k < rows[i].cancelled ? AMB_JOB_CANCELLED : AMB_JOB_DONE, stamp + k);
-        }
+        node->store.user_write_bucket.refilled_at = amb_now() + NO_REFILL_FOR_MS;
+        apply_job_changes(0, rows[i].submitted, AMB_JOB_QUEUED, 1);
+        apply_job_changes(0, rows[i].copies, AMB_JOB_QUEUED, 1);
+        apply_job_changes(0, rows[i].cancelled, AMB_JOB_CANCELLED, 101);
+        apply_job_changes(rows[i].cancelled, rows[i].done, AMB_JOB_DONE, 101);
         if (rows[i].lent > 0) amb_store_apply_token_loan(&node->store, rows[i].lent);
         if (amb_store_can_write_for_user(&node->store, 1, rows[i].keep) != rows[i].can)
             fail_msg("%s", rows[i].what);
@@ -87,13 +88,13 @@
         struct amb_store *store = &node->store;
         amb_store_init(store, &node->settings, 1000);
         amb_store_set_leadership(store, true);
-        store->write_bucket.refilled_at = store->user_write_bucket.refilled_at = amb_now() + 3600000;
+        store->write_bucket.refilled_at = store->user_write_bucket.refilled_at = amb_now() + NO_REFILL_FOR_MS;
         store->write_bucket.tokens = rows[i].own;
         store->user_write_bucket.tokens = rows[i].users;
         assert_float_equal(amb_store_lend_tokens(store), rows[i].lends, 1e-9);
         assert_float_equal(store->write_bucket.tokens, rows[i].own - rows[i].lends, 1e-9);
         assert_float_equal(store->user_write_bucket.tokens, rows[i].users + rows[i].lends, 1e-9);
-        amb_store_apply_token_loan(store, 1000); /* a wrong word from a peer fills the bucket and no more */
+        amb_store_apply_token_loan(store, 1000); /* a wrong loan fills the bucket and no more */
         assert_float_equal(store->user_write_bucket.tokens, 10, 1e-9);
     }
 }
