--- a/include/amberpin/election/election.h
+++ b/include/amberpin/election/election.h
@@ -30,7 +30,7 @@
  * when it was seen to be missing. */
 void amb_election_apply_key(struct amb_node *node, const cbor_item_t *value, uint64_t revision);
 
-/* A message named a term; `source` says whose, for the log. A leader under a lower term steps down. */
+/* A message named a term; `source` names its sender in the log. A leader under a lower term steps down. */
 void amb_election_observe_term(struct amb_node *node, uint64_t term, const char *source);
 
 /* ---- leadership ---- */
@@ -50,7 +50,7 @@
 bool amb_election_may_start_tasks(const struct amb_node *node);
 
 /* The member that agents should turn to; NULL: none is known, or none that was heard of lately. Borrowed,
- * until the node is next told something. */
+ * until the next event. */
 const char *amb_election_leader_name(const struct amb_node *node);
 
 #endif
--- a/include/amberpin/election/format_version.h
+++ b/include/amberpin/election/format_version.h
@@ -1,7 +1,8 @@
-/* Which format of records and messages the cluster uses while nodes of two versions run. Every node says in
- * its heartbeats, and in the answers to them, up to which format it reads and writes. Once the last message
- * of each peer has named the newer one, the leader writes that down under `a/format`, for good; only then
- * does any node write what an older one can't read. docs/safety.md, "Formats and records", has the reasoning.
+/* Which format of records and messages the cluster uses while nodes of two versions run. Every node names in
+ * its heartbeats, and in the answers to them, the latest format that it reads and writes. Once the last
+ * message of each peer has named the newer one, the leader writes that down under `a/format`, for good; only
+ * then does any node write what an older one can't read. docs/safety.md, "Formats and records", has the
+ * reasoning.
  */
 #ifndef AMBERPIN_FORMAT_VERSION_H
 #define AMBERPIN_FORMAT_VERSION_H
@@ -44,7 +45,7 @@
 /* `a/format` was read or has changed; value NULL: there is no such key. */
 void amb_format_apply_key(struct amb_node *node, const cbor_item_t *value);
 
-/* The store behaves as only after the upgrade; `evidence` says how, for the log. */
+/* The store behaves as only after the upgrade; `evidence` goes to the log. */
 void amb_format_complete_upgrade(struct amb_node *node, const char *evidence);
 
 /* The leader's: writes the key as soon as every node supports the latest format. */
--- a/include/amberpin/kvstore/client.h
+++ b/include/amberpin/kvstore/client.h
@@ -39,7 +39,7 @@
 /* Leases: keys that are put on one are removed when it is revoked, or not renewed for its time to live. */
 void amb_store_grant_lease(struct amb_store *store, amb_ms ttl, amb_store_callback on_done, void *arg);
 void amb_store_renew_lease(struct amb_store *store, uint64_t lease_id, amb_store_callback on_done, void *arg);
-/* Nobody is told whether it could be revoked: else it expires. */
+/* Without an answer: a lease that could not be revoked expires. */
 void amb_store_revoke_lease(struct amb_store *store, uint64_t lease_id);
 
 #endif
--- a/include/amberpin/kvstore/responses.h
+++ b/include/amberpin/kvstore/responses.h
@@ -1,4 +1,4 @@
-/* What the store's answer to a call says, as typed results for those who act on it. */
+/* Typed results of the store's answers, for those who act on them. */
 #ifndef AMBERPIN_KVSTORE_RESPONSES_H
 #define AMBERPIN_KVSTORE_RESPONSES_H
 
@@ -7,7 +7,7 @@
 #include <cbor.h>
 #include <stdint.h>
 
-/* What an HTTP status says of the call. */
+/* What an HTTP status means for the call. */
 enum amb_call_result amb_store_call_result(int status);
 
 /* The same, and what the answer holds. Without the value an answer of success proves nothing about what was
--- a/include/amberpin/kvstore/token_budget.h
+++ b/include/amberpin/kvstore/token_budget.h
@@ -13,7 +13,7 @@
  * here may use. */
 void amb_store_set_duty_share(struct amb_store *store, bool in_use, double share);
 
-/* The store has been seen to have lowered its limits, which is for good; `evidence` says how, for the log. */
+/* The store has been seen to have lowered its limits, which is for good; `evidence` goes to the log. */
 void amb_store_lower_limits(struct amb_store *store, const char *evidence);
 
 /* Whether a write for a user could be sent now, and leave a part of the users' bucket (reserved_share, 0 to
@@ -24,7 +24,7 @@
 void amb_store_count_user_write(struct amb_store *store);
 
 /* The leader's: lends write tokens that one half does not need to the other. Returns how many went to the
- * users' half, to be told to every node; negative: were taken from it. */
+ * users' half, for every node to apply; negative: were taken from it. */
 double amb_store_lend_tokens(struct amb_store *store);
 
 /* Applies to the users' half what the leader has lent to it, or taken from it if negative. */
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -143,7 +143,7 @@
 
 static void grant_lease(struct amb_node *node, const struct amb_election_action *action) {
     struct pending_call *call = pending_call_new(node, action);
-    call->nonce = amb_nonce(); /* tells the key of this claim from all others */
+    call->nonce = amb_nonce(); /* distinguishes the key of this claim from all others */
     amb_store_grant_lease(&node->store, node->election.ttl, on_lease_granted, call);
 }
 
@@ -187,7 +187,7 @@
     }
 }
 
-/* ---- what the node is told ---- */
+/* ---- events from outside ---- */
 
 void amb_election_observe_term(struct amb_node *node, uint64_t term, const char *source) {
     if (amb_election_has_leader_role(node) && term > node->election.term)
--- a/lib/election/evidence.c
+++ b/lib/election/evidence.c
@@ -1,4 +1,4 @@
-/* What the election's state machine is told of the node's contact with the store, its peers and its agents.
+/* Evidence for the election's state machine: the node's contact with the store, its peers and its agents.
  */
 #include "internal.h"
 
--- a/lib/election/internal.h
+++ b/lib/election/internal.h
@@ -6,6 +6,11 @@
 
 struct amb_node;
 
+/* ---- peer_confirmation.c ---- */
+
+/* So many of the agents' heartbeat periods. */
+amb_ms election_heartbeat_periods(const struct amb_node *node, double count);
+
 /* ---- evidence.c ---- */
 
 /* When this node last had proof of what happens elsewhere. */
--- a/lib/election/leadership.c
+++ b/lib/election/leadership.c
@@ -6,8 +6,6 @@
 
 #include <string.h>
 
-enum { MS_PER_S = 1000 };
-
 /* Sending an agent to a node that is gone costs it seconds of its lease: one that was not heard of for so
  * many heartbeat periods is not named. */
 static const double LEADER_HEARD_WITHIN_HEARTBEATS = 2.5;
@@ -31,7 +29,7 @@
 }
 
 static bool was_heard_recently(const struct amb_node *node, const char *member) {
-    amb_ms timeout = (amb_ms)(node->settings.heartbeat_s * (LEADER_HEARD_WITHIN_HEARTBEATS * MS_PER_S));
+    amb_ms timeout = election_heartbeat_periods(node, LEADER_HEARD_WITHIN_HEARTBEATS);
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
         if (!strcmp(peer->member, member)) return amb_now() - peer->last_heard_at < timeout;
@@ -39,7 +37,7 @@
     return false;
 }
 
-/* Whom the leader key names, or a peer that claims to lead under a higher term; NULL: nobody. */
+/* The member that the leader key names, or a peer that leads under a higher term; NULL: none. */
 static const char *latest_known_leader(const struct amb_node *node) {
     const struct amb_election *election = &node->election;
     const char *leader = election->holder[0] ? election->holder : NULL;
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -15,11 +15,15 @@
 
 /* ---- state ---- */
 
-static void set_state(struct amb_node *node, enum amb_lease_proxy_state new_state, const char *cause) {
+static const char *state_name(enum amb_lease_proxy_state state) {
     static const char *const names[] = {"off", "asking", "active"};
+    return names[state];
+}
+
+static void set_state(struct amb_node *node, enum amb_lease_proxy_state new_state, const char *cause) {
     struct amb_lease_proxy *proxy = &node->lease_proxy;
     if (proxy->state == new_state) return;
-    amb_info("deputy: %s -> %s for term %llu: %s", names[proxy->state], names[new_state],
+    amb_info("deputy: %s -> %s for term %llu: %s", state_name(proxy->state), state_name(new_state),
              (unsigned long long)proxy->term, cause);
     proxy->state = new_state;
 }
@@ -102,7 +106,7 @@
 }
 
 static amb_ms heartbeat_period(const struct amb_node *node) {
-    return (amb_ms)(node->settings.heartbeat_s * 1000);
+    return amb_seconds_to_ms(node->settings.heartbeat_s);
 }
 
 /* How long the leader must be silent. The key outlives a leader that has died by its lease, and peers'
--- a/lib/election/peer_confirmation.c
+++ b/lib/election/peer_confirmation.c
@@ -1,11 +1,16 @@
 #include "amberpin/election/peer_confirmation.h"
 
 #include "amberpin/node/node.h"
+#include "internal.h"
 
-enum { SILENCE_HEARTBEATS = 3, MS_PER_S = 1000 };
+static const double SILENCE_HEARTBEATS = 3;
+
+amb_ms election_heartbeat_periods(const struct amb_node *node, double count) {
+    return (amb_ms)(node->settings.heartbeat_s * (count * 1000));
+}
 
 amb_ms amb_election_silence_timeout(const struct amb_node *node) {
-    return (amb_ms)(node->settings.heartbeat_s * (SILENCE_HEARTBEATS * MS_PER_S));
+    return election_heartbeat_periods(node, SILENCE_HEARTBEATS);
 }
 
 bool amb_election_peer_reaches_store(const struct amb_node *node, amb_ms now) {
--- a/lib/kvstore/client.c
+++ b/lib/kvstore/client.c
@@ -1,3 +1,4 @@
+/* The calls: each encodes its message and queues it by its priority. */
 #include "amberpin/kvstore/client.h"
 
 #include "internal.h"
--- a/lib/kvstore/internal.h
+++ b/lib/kvstore/internal.h
@@ -28,7 +28,7 @@
     uint32_t write_count; /* puts and removes */
     amb_ms timeout;
     enum amb_store_priority priority;
-    amb_store_callback on_done;        /* NULL: nobody is told */
+    amb_store_callback on_done;        /* NULL: the answer is dropped */
     amb_store_bytes_callback on_bytes; /* instead of on_done: the answer is not parsed */
     void *arg;
 };
--- a/lib/kvstore/responses.c
+++ b/lib/kvstore/responses.c
@@ -1,3 +1,4 @@
+/* Typed results of the answers to calls. */
 #include "amberpin/kvstore/responses.h"
 
 #include "amberpin/codec/kvstore_messages.h"
--- a/lib/kvstore/token_bucket.c
+++ b/lib/kvstore/token_bucket.c
@@ -1,3 +1,4 @@
+/* Token buckets. Tokens are counted in fractions, so that no time between two refills is lost. */
 #include "amberpin/kvstore/token_bucket.h"
 
 #include <math.h>
