--- a/include/amberpin/fleet/machines.h
+++ b/include/amberpin/fleet/machines.h
@@ -21,7 +21,7 @@
 /* The names of those that were removed are forgotten. */
 void amb_machines_forget_removed(struct amb_node *node);
 
-void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_set_state state, const char *cause);
+void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_state state, const char *cause);
 /* A return of it is on record: it is never used again. */
 void amb_machine_mark_releasing(struct amb_machine *machine, const char *cause);
 /* The zone, when it was not known yet; the tasks that are on record there count in it from now on. */
--- a/include/amberpin/job/tasks.h
+++ b/include/amberpin/job/tasks.h
@@ -16,15 +16,15 @@
 void amb_job_deactivate(struct amb_node *node, struct amb_job *job); /* out of it */
 
 void amb_task_bind(struct amb_node *node, struct amb_task *task, struct amb_machine *machine,
-                   uint64_t attempt, enum amb_task_set_state state);
-void amb_task_set_state(struct amb_node *node, struct amb_task *task, enum amb_task_set_state new_state,
+                   uint64_t attempt, enum amb_task_state state);
+void amb_task_set_state(struct amb_node *node, struct amb_task *task, enum amb_task_state new_state,
                         const char *cause);
 void amb_task_unbind(struct amb_node *node, struct amb_task *task, const char *cause); /* proven absent */
 void amb_task_set_running(struct amb_task *task, bool running);
 void amb_task_mark_done(struct amb_node *node, struct amb_task *task);
 void amb_task_request_stop(struct amb_node *node, struct amb_task *task, double grace_s, const char *cause);
 
-void amb_gang_set_state(struct amb_job *job, enum amb_gang_set_state new_state, const char *cause);
+void amb_gang_set_state(struct amb_job *job, enum amb_gang_state new_state, const char *cause);
 void amb_gang_tear_down(struct amb_node *node, struct amb_job *job, const char *cause);
 
 #endif
--- /dev/null
+++ b/include/amberpin/model/job_spec.h
@@ -0,0 +1,60 @@
+/* A job as its user described it. The description never changes after submission. */
+#ifndef AMBERPIN_MODEL_JOB_SPEC_H
+#define AMBERPIN_MODEL_JOB_SPEC_H
+
+#include "amberpin/model/limits.h"
+#include "amberpin/model/resources.h"
+
+#include <stdint.h>
+
+enum amb_job_kind {
+    AMB_JOB_KIND_ARRAY,   /* independent tasks */
+    AMB_JOB_KIND_GANG,    /* tasks that run all together or not at all */
+    AMB_JOB_KIND_SERVICE, /* replicas that run until they are cancelled */
+};
+
+/* Ascending. */
+enum amb_priority {
+    AMB_PRIORITY_BEST_EFFORT,
+    AMB_PRIORITY_NORMAL,
+    AMB_PRIORITY_HIGH,
+    AMB_PRIORITY_PRODUCTION
+};
+
+struct amb_job_spec {
+    char ref[AMB_NAME_SIZE], class_name[AMB_NAME_SIZE], team[AMB_NAME_SIZE], image[AMB_NAME_SIZE];
+    char zone[AMB_NAME_SIZE]; /* the only zone in which it may run; empty: any */
+    enum amb_job_kind kind;
+    enum amb_priority priority;
+    uint32_t task_count;
+    struct amb_resources task_resources; /* of each task */
+    double image_gb;
+    double estimated_runtime_s;   /* of a task, as the user estimates it */
+    double checkpoint_interval_s; /* 0: tasks write no checkpoints */
+    double checkpoint_save_s;     /* how long saving one takes */
+    double deadline_s;            /* from submission to completion; 0: none */
+    bool one_zone;                /* all tasks in one zone */
+    bool spread_zones;            /* at most half of the tasks, rounded up, in one zone */
+    bool spot_allowed;            /* may run on spot instances */
+    uint32_t allowed_type_count;  /* 0: any machine type */
+    char allowed_types[AMB_ALLOWED_TYPES_MAX][AMB_NAME_SIZE];
+};
+
+/* The jobs that a job depends on (DAG dependencies), each named once. */
+struct amb_job_dependencies {
+    uint32_t count;
+    char names[][AMB_NAME_SIZE];
+};
+
+#define AMB_NO_DUE INT64_MAX
+
+/* How urgent a job is, and by when it has to be complete. */
+struct amb_effective_priority {
+    enum amb_priority priority;
+    int64_t due_wall_ms; /* time of day; AMB_NO_DUE: none */
+};
+
+/* Whether the job may run on machines of this type. */
+bool amb_job_spec_allows_type(const struct amb_job_spec *spec, const char *type);
+
+#endif
--- /dev/null
+++ b/include/amberpin/model/task.h
@@ -0,0 +1,43 @@
+/* A task of a job that the leader schedules. A standby controller keeps no tasks. */
+#ifndef AMBERPIN_MODEL_TASK_H
+#define AMBERPIN_MODEL_TASK_H
+
+#include "amberpin/base/util.h"
+#include "amberpin/model/agent_messages.h"
+
+struct amb_job;
+struct amb_machine;
+
+enum amb_task_state {
+    AMB_TASK_WAITING, /* on no machine */
+    AMB_TASK_PLACED,  /* machine chosen, placement not yet durable: no command may be sent */
+    AMB_TASK_BOUND,   /* placement durable; may be on its machine, not listed there yet */
+    AMB_TASK_SEEN,    /* listed by a heartbeat of its machine */
+    AMB_TASK_DONE,    /* completed */
+};
+
+/* There may be AMB_TASKS_MAX of one job and the memory budget counts them: its size matters. */
+struct amb_task {
+    enum amb_task_state state;
+    enum amb_agent_task_state agent_state; /* when SEEN */
+    bool done;                             /* completed */
+    bool done_write_pending;   /* its completion is in a block that is being written, or durable */
+    bool done_durable;         /* its completion is in the state service */
+    bool write_in_flight;      /* PLACED, and in the block that is being written */
+    bool stop_requested;       /* commanded, or to be commanded, to stop */
+    bool interrupted;          /* was running and is gone: to be placed before others */
+    bool start_sent;           /* a run command was sent */
+    bool inherited;            /* placed by an earlier leader, which may have sent one */
+    uint8_t missed_heartbeats; /* heartbeats that should have listed it and did not */
+    uint32_t index;            /* in its job */
+    uint64_t attempt;
+    struct amb_machine *machine; /* borrowed; NULL: on none */
+    struct amb_task *next_on_machine, *prev_on_machine;
+    struct amb_job *job;
+    uint64_t last_listed_in; /* number of the heartbeat that last listed it */
+    amb_ms state_since;
+    amb_ms running_at; /* since when it runs; 0: it does not */
+    double grace_s;    /* of the stop that is requested */
+};
+
+#endif
--- a/lib/cloud/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -27,7 +27,6 @@
     if (!machine) return;
     const cbor_item_t *stance = amb_cbor_map_get(entry, "stance");
     machine->last_listing = node->cloud.list_generation;
-    machine->listed = true;
     machine->last_listed_at = requested_at;
     char type[AMB_NAME_SIZE] = "", zone[AMB_NAME_SIZE] = "";
     amb_cbor_copy_string(amb_cbor_map_get(entry, "hull"), type, sizeof type);
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -94,7 +94,7 @@
 
 /* ---- one machine ---- */
 
-void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_set_state state, const char *cause) {
+void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_state state, const char *cause) {
     static const char *const names[] = {"booting", "unproven", "up", "silent", "releasing"};
     if (machine->state == state) return;
     /* A release that was asked for may still be carried out. */
--- a/lib/job/tasks.c
+++ b/lib/job/tasks.c
@@ -79,12 +79,12 @@
     return job->spec->task_count - job->done_count - job->bound_count;
 }
 
-static const char *task_state_name(enum amb_task_set_state state) {
+static const char *task_state_name(enum amb_task_state state) {
     static const char *const names[] = {"waiting", "placed", "bound", "seen", "done"};
     return names[state];
 }
 
-void amb_task_set_state(struct amb_node *node, struct amb_task *task, enum amb_task_set_state new_state,
+void amb_task_set_state(struct amb_node *node, struct amb_task *task, enum amb_task_state new_state,
                         const char *cause) {
     (void)node;
     if (task->state != new_state && amb_log_is_enabled(AMB_LOG_DEBUG))
@@ -103,7 +103,7 @@
 }
 
 void amb_task_bind(struct amb_node *node, struct amb_task *task, struct amb_machine *machine,
-                   uint64_t attempt, enum amb_task_set_state state) {
+                   uint64_t attempt, enum amb_task_state state) {
     struct amb_job *job = task->job;
     task->machine = machine;
     task->attempt = attempt;
@@ -169,7 +169,7 @@
     (void)node;
 }
 
-void amb_gang_set_state(struct amb_job *job, enum amb_gang_set_state new_state, const char *cause) {
+void amb_gang_set_state(struct amb_job *job, enum amb_gang_state new_state, const char *cause) {
     static const char *const names[] = {"idle", "starting", "running", "stopping", "tearing"};
     if (job->gang_state == new_state) return;
     amb_info("gang %s: %s -> %s: %s", job->ref, names[job->gang_state], names[new_state], cause);
--- a/lib/model/resources.c
+++ b/lib/model/resources.c
@@ -1,9 +1,11 @@
-#include "amberpin/model/model.h"
+#include "amberpin/model/resources.h"
+
+/* Sums of many tasks may be off by what floating point rounds. */
+static const double ROUNDING_SLACK = 1e-6;
 
 bool amb_resources_fit(const struct amb_resources *need, const struct amb_resources *available) {
-    const double slack = 1e-6;
-    return need->cpus <= available->cpus + slack && need->gpus <= available->gpus + slack &&
-           need->memory_gb <= available->memory_gb + slack;
+    return need->cpus <= available->cpus + ROUNDING_SLACK && need->gpus <= available->gpus + ROUNDING_SLACK &&
+           need->memory_gb <= available->memory_gb + ROUNDING_SLACK;
 }
 
 void amb_resources_add(struct amb_resources *sum, const struct amb_resources *part, double factor) {
--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -25,7 +25,7 @@
         enum amb_exit_reason why;
     } task;
     struct expected_commands commands; /* in the answer */
-    enum amb_task_set_state expected_state;
+    enum amb_task_state expected_state;
 };
 
 static bool commands_match(const struct expected_commands *expected) {
@@ -46,7 +46,7 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_task_set_state begin;
+        enum amb_task_state begin;
         bool cancelled, foreign;
         struct step steps[6];
     } rows[] = {
@@ -232,7 +232,7 @@
     enum meanwhile { NOTHING, CANCELLED, SENT_BEFORE, FOREIGN, FENCED, HUNG_UP };
     static const struct {
         const char *what;
-        enum amb_task_set_state state;
+        enum amb_task_state state;
         enum meanwhile meanwhile;
         int status;
         size_t starts;
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -42,7 +42,7 @@
     static const struct {
         const char *what;
         bool wanted;
-        enum amb_machine_set_state state;
+        enum amb_machine_state state;
         size_t starts;
     } rows[] = {
         {"at work", false, AMB_MACHINE_UP, 1},
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -77,7 +77,7 @@
     (void)state;
     static const struct {
         const char *what;
-        enum amb_gang_set_state gang;
+        enum amb_gang_state gang;
         bool one_left, starts;
     } rows[] = {
         {"all are gone", AMB_GANG_IDLE, false, true},
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -87,7 +87,7 @@
         enum read read;
         bool job_changed; /* meanwhile */
         bool sent_again;
-        enum amb_task_set_state state;
+        enum amb_task_state state;
     } rows[] = {
         {"it stands there", OURS, false, false, AMB_TASK_BOUND},
         {"it does not", MISSING, false, true, AMB_TASK_PLACED},
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -116,7 +116,7 @@
 /* ---- what a successor must know ---- */
 
 struct known {
-    enum amb_task_set_state state;
+    enum amb_task_state state;
     bool done, done_saved;
     uint64_t attempt;
     char machine[AMB_NAME_SIZE];
