--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -1,59 +1,65 @@
-/* The table of all jobs, as the state service has them. A job's stamp is that of its last change there; news
- * that is not newer changes nothing. What is final stays so: every writer guards on the stamp of the state
- * that it read. */
+/* The table of all jobs, as the state service has them. A job's revision is that of its last change there; a
+ * change that is not newer is not applied. DONE and CANCELLED are final: every writer compares the revision
+ * of the state that it read. */
 #ifndef AMBERPIN_JOBS_H
 #define AMBERPIN_JOBS_H
 
 #include "amberpin/base/loop.h"
 #include "amberpin/codec/messages.h"
 #include "amberpin/job/cancellations.h"
+#include "amberpin/job/job_record.h"
+#include "amberpin/job/job_specs.h"
 
 struct amb_node;
 struct amb_fresh_read;
 
+enum { AMB_LIST_CURSOR_SIZE = 256 }; /* bytes of a key of the state service, with its terminating zero */
+
 struct amb_jobs {
-    struct amb_job *all;      /* by ref */
+    struct amb_job *all;      /* owned, by ref */
     size_t spec_count;        /* of these, jobs whose description is held */
-    struct amb_job *active;   /* in the leader's care */
-    size_t active_task_count; /* of these */
-    bool has_unadmitted;      /* some jobs are not among them for want of memory */
-    bool memory_freed;        /* a job has left since */
+    struct amb_job *active;   /* of these, linked by next_active */
+    size_t active_task_count; /* of the active jobs */
+    bool has_unadmitted;      /* some jobs are not active for want of memory */
+    bool memory_freed;        /* and a job has been deactivated since */
     struct amb_cancellations cancellations;
-    /* The change feed's: */
-    bool loaded;
-    uint64_t known_revision;  /* everything below a/ up to here is known */
-    amb_ms last_read_at;      /* when news last came */
-    amb_ms last_read_sent_at; /* when the question was sent whose answer came last */
+
+    /* Of the watch on the state service (change_feed.h): */
+    bool loaded;              /* the listing at the start is complete */
+    uint64_t known_revision;  /* every change below a/ up to here is applied */
+    amb_ms last_read_at;      /* when the latest read was answered */
+    amb_ms last_read_sent_at; /* when the latest read that was answered had been sent */
     amb_ms sync_sent_at, watch_sent_at;
     struct amb_fresh_read *queued_syncs, *sent_syncs;
     bool sync_in_flight, watch_in_flight, list_in_flight;
     struct amb_timer watch_timer, sync_timer;
-    char list_cursor[256];
+    char list_cursor[AMB_LIST_CURSOR_SIZE];
     uint64_t list_revision;
     bool leader_key_listed; /* a page of the listing has named the leader key */
 };
 
-struct amb_job *amb_job_find(struct amb_node *node, const char *ref); /* NULL: never heard of */
-void amb_job_format_key(char *out, size_t cap, const char *ref);
-/* The job's value in the state service, if it were in this state. */
-void amb_job_encode_record(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state);
-/* News of a job: its value and the stamp of its change. */
+/* NULL: never heard of. Jobs are never removed from the table. */
+struct amb_job *amb_job_find(struct amb_node *node, const char *ref);
+
+/* Applies a job's value (NULL: none) as of this revision. */
 void amb_jobs_apply_item(struct amb_node *node, const char *ref, const cbor_item_t *value, uint64_t revision);
-/* The same with the value's CBOR (NULL: none), of which only what is news is decoded. */
+/* The same with the value's CBOR, of which only what is not known yet is decoded. */
 void amb_jobs_apply_bytes(struct amb_node *node, const char *ref, const void *value, size_t value_len,
                           uint64_t revision);
-/* This node has written the job in this state: as if news had come of it. */
+/* This node has written the job in this state: as if the change had been read. */
 void amb_job_apply_own_write(struct amb_node *node, const struct amb_job *job, enum amb_job_state state,
                              uint64_t revision);
-/* Nothing keeps the job from starting any more: the leader takes it into its care. */
-void amb_job_handle_ready(struct amb_node *node, struct amb_job *job);
-/* The job awaits another that is cancelled, directly or through others, and so is cancelled without a record
- * of its own, under the stamp and time of that cancellation. */
-void amb_job_cancel_with_dependency(struct amb_node *node, struct amb_job *job, const struct amb_job *cause);
 /* This node has written the job's cancellation. */
 void amb_job_apply_own_cancellation(struct amb_node *node, struct amb_job *job, uint64_t revision);
-/* Another node has told of a cancellation, written under this stamp: final, though news may not reach us. */
+/* A peer has told of a cancellation that was written under this revision: it is final, though the change may
+ * not have been read yet. */
 void amb_job_apply_cancel_hint(struct amb_node *node, const char *ref, int64_t cancelled_wall_ms,
                                uint64_t revision);
+/* A dependency of the job is cancelled, directly or through others, and so is the job: without a record of
+ * its own, under the revision and time of that cancellation. */
+void amb_job_cancel_with_dependency(struct amb_node *node, struct amb_job *job, const struct amb_job *cause);
+
+/* The job is new, or its last dependency is done: unless one is pending, the leader activates it. */
+void amb_job_handle_ready(struct amb_node *node, struct amb_job *job);
 
 #endif
--- a/include/amberpin/node/fleet_capacity.h
+++ b/include/amberpin/node/fleet_capacity.h
@@ -1,17 +1,17 @@
 /* How large a fleet a node's quota holds: sockets and memory. */
-#ifndef AMBERPIN_CAPACITY_H
-#define AMBERPIN_CAPACITY_H
+#ifndef AMBERPIN_NODE_FLEET_CAPACITY_H
+#define AMBERPIN_NODE_FLEET_CAPACITY_H
 
 #include "amberpin/config/options.h"
 #include "amberpin/config/settings.h"
 
-/* Connections that others may have open to this node: workers, all of which may come to one node, and users.
- */
+/* How many connections others may have open to this node: agents, all of which may come to one node, and
+ * users. */
 int amb_capacity_max_incoming(const struct amb_settings *settings);
-/* Connections that this node may have open to others. */
+/* How many connections this node may have open to others. */
 int amb_capacity_max_outgoing(const struct amb_settings *settings);
-/* Does the quota hold the fleet that the operators name (fleet-machines)? Yes if they name none. False: err
- * names the setting, its value and what is needed. */
+/* Whether the quota holds the fleet that the operators name (fleet-machines); true if they name none. False:
+ * `err`, of `cap` bytes, names the file, the setting, its value and what is needed. */
 bool amb_capacity_check(const struct amb_settings *settings, const struct amb_options *options,
                         const char *file, char *err, size_t cap);
 
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -14,6 +14,7 @@
 #include "amberpin/election/lease_proxy.h"
 #include "amberpin/fleet/deferred_responses.h"
 #include "amberpin/http/http.h"
+#include "amberpin/job/job_activation.h"
 #include "amberpin/job/jobs.h"
 #include "amberpin/job/pipelines.h"
 #include "amberpin/job/tasks.h"
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -9,11 +9,11 @@
 
 static const char NOTICE_PATH[] = "/peer/cancellation";
 
-/* Whoever writes a cancellation gives its call up after one call timeout; it may have waited as long for its
- * turn to be sent. */
+/* Whoever writes a cancellation gives its call up after one call timeout; it may have been queued as
+ * long before it was sent. */
 enum { PENDING_CALL_TIMEOUTS = 2 };
 
-/* Nothing waits for it. */
+/* Notices are sent at most once: nothing waits for the response. */
 static void ignore_response(void *arg, int status, const char *body, size_t len) {
     (void)arg, (void)status, (void)body, (void)len;
 }
@@ -23,7 +23,13 @@
                   (amb_ms)(node->settings.heartbeat_s * 1000), ignore_response, NULL);
 }
 
-/* To the leader; to all when nobody is known to lead. `stamp` 0: it is not written yet. */
+static bool is_leader_known(const struct amb_peers *peers) {
+    for (uint32_t i = 0; i < peers->count; i++)
+        if (peers->list[i].is_leader) return true;
+    return false;
+}
+
+/* To the leader; to all peers when none is known to lead. Revision 0: the cancellation is not written yet. */
 static void send_notice(struct amb_node *node, const struct amb_job *job, uint64_t revision) {
     if (amb_election_has_leader_role(node)) return;
     json_t *notice = json_pack("{s:s, s:I, s:I}", "ref", job->ref, "wall", (json_int_t)job->cancelled_wall_ms,
@@ -31,8 +37,7 @@
     char *text = json_dumps(notice, JSON_COMPACT);
     json_decref(notice);
     const struct amb_peers *peers = &node->peers;
-    bool leader_known = false;
-    for (uint32_t i = 0; i < peers->count; i++) leader_known |= peers->list[i].is_leader;
+    bool leader_known = is_leader_known(peers);
     for (uint32_t i = 0; i < peers->count; i++)
         if (peers->list[i].is_leader || !leader_known) send_to(node, &peers->list[i], text);
     free(text);
--- a/lib/job/cancellations.c
+++ b/lib/job/cancellations.c
@@ -1,13 +1,12 @@
-/* Cancelled jobs in order. Entries come nearly in order, so they are put in from the end. */
 #include "amberpin/job/cancellations.h"
 
-#include "amberpin/node/memory_budget.h"
+#include "amberpin/job/job_specs.h"
 #include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a cancelled job may have tasks, in times of `cancel_s`: once would do by the protocol's rule. */
+/* How long a cancelled job may have tasks, in units of `cancel_s`; the protocol itself allows one. */
 enum { TASKS_GONE_AFTER = 2 };
 
 size_t amb_cancellations_find_after(const struct amb_cancellation_list *list, int64_t key) {
@@ -42,7 +41,7 @@
     memmove(&list->entries[at], &list->entries[at + 1], (list->count - at) * sizeof *list->entries);
 }
 
-/* From the end: what changes was heard of a moment ago. */
+/* From the end: a job whose entry changes is usually one of the latest. */
 static void remove_job(struct amb_cancellation_list *list, const struct amb_job *job) {
     for (size_t i = list->count; i-- > 0;) {
         if (list->entries[i].job != job) continue;
@@ -70,7 +69,7 @@
     job->tasks_gone = true;
 }
 
-/* A job that is still in the leader's care is looked at again when as much time has passed. */
+/* A job that is still active is tried again when as much time has passed. */
 void amb_cancellations_drop_specs(struct amb_node *node, amb_ms now) {
     struct amb_cancellation_list *with_spec = &node->jobs.cancellations.with_spec;
     amb_ms heard_by = now - amb_seconds_to_ms(TASKS_GONE_AFTER * node->settings.cancel_s);
--- a/lib/job/dependency_graph.c
+++ b/lib/job/dependency_graph.c
@@ -1,24 +1,27 @@
 #include "amberpin/job/dependency_graph.h"
 
+#include "amberpin/base/util.h"
+
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include <uthash.h>
 
-/* An edge is in two lists: of its dependent's awaited jobs, and of its awaited job's dependents. */
+/* An edge is in two lists: of its dependent's dependencies, and of its dependency's dependents. */
 struct dependency_edge {
     struct amb_graph_job *dependent, *dependency;
     struct dependency_edge *next_dependency, *prev_dependency; /* of the same dependent */
-    struct dependency_edge *next_dependent, *prev_dependent;   /* of the same awaited job */
+    struct dependency_edge *next_dependent, *prev_dependent;   /* of the same dependency */
 };
 
 struct amb_graph_job {
     char name[AMB_NAME_SIZE];
     struct dependency_edge *dependencies, *dependents;
-    struct amb_dependent own; /* of a job that awaits others */
+    struct amb_dependent own; /* of a job that has dependencies */
     bool cancelled;
-    struct amb_graph_job *next_work; /* of a list of work */
-    /* Of a reckoning: */
-    uint32_t pending_dependents; /* dependents whose needs are not known yet */
+    struct amb_graph_job *next_work; /* of a work list */
+    /* While priorities are propagated: */
+    uint32_t pending_dependents; /* dependents whose priority is not known yet */
     struct amb_effective_priority inherited;
     UT_hash_handle hh;
 };
@@ -85,7 +88,7 @@
     free(edge);
 }
 
-/* The job no longer awaits anything. Those that nobody needs any more are told so. */
+/* Removes the job's dependencies. Those that have no dependents any more inherit nothing. */
 static void unlink_dependencies(struct amb_dependency_graph *graph, struct amb_graph_job *job) {
     while (job->dependencies) {
         /* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlink_edge has moved the head */
@@ -98,7 +101,7 @@
     }
 }
 
-/* Cancels every job that needs this one, and forgets them and this one. */
+/* Cancels every job that depends on this one, and removes them and this one. */
 static void cancel_dependents(struct amb_dependency_graph *graph, struct amb_graph_job *first,
                               const char *cause) {
     struct amb_graph_job *work = first;
@@ -122,7 +125,7 @@
     }
 }
 
-/* Links the job to those of the names that are not over. Gives the first that is cancelled; NULL: none is. */
+/* Links the job to those of the names that are not final. Returns the first that is cancelled; NULL: none. */
 static const char *link_dependencies(struct amb_dependency_graph *graph, struct amb_graph_job *job,
                                      const char (*dependencies)[AMB_NAME_SIZE], uint32_t count) {
     const char *cancelled = NULL;
@@ -184,7 +187,7 @@
     free_removed(graph);
 }
 
-/* ---- needs ---- */
+/* ---- inherited priorities ---- */
 
 static void inherit_priority(struct amb_graph_job *dependency, const struct amb_graph_job *dependent) {
     const struct amb_effective_priority *own = &dependent->own.own_priority,
@@ -197,7 +200,7 @@
     if (due_wall_ms < dependency->inherited.due_wall_ms) dependency->inherited.due_wall_ms = due_wall_ms;
 }
 
-/* The jobs that nobody awaits; every other one is prepared. */
+/* Prepares all jobs, and returns a work list of those that have no dependents. */
 static struct amb_graph_job *begin_propagation(struct amb_dependency_graph *graph) {
     struct amb_graph_job *last_jobs = NULL;
     for (struct amb_graph_job *job = graph->by_name; job; job = job->hh.next) {
@@ -216,7 +219,7 @@
     if (graph->priorities_current) return;
     graph->priorities_current = true;
     struct amb_graph_job *work = begin_propagation(graph);
-    while (work) { /* each job after all that need it */
+    while (work) { /* each job after all that depend on it */
         struct amb_graph_job *job = work;
         work = job->next_work;
         if (job->dependents) graph->events->on_priority_inherited(graph->owner, job->name, &job->inherited);
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -12,7 +12,7 @@
     return spec->estimated_runtime_s * ESTIMATE_ERROR_FACTOR;
 }
 
-/* ---- what the graph asks and tells ---- */
+/* ---- the graph's events ---- */
 
 static enum amb_job_outcome get_outcome(void *owner, const char *name) {
     const struct amb_job *job = amb_job_find(owner, name);
@@ -24,7 +24,7 @@
     struct amb_node *node = owner;
     struct amb_job *job = amb_job_find(node, name);
     job->dependencies_pending = false;
-    /* When records are read for the first time it is not known when the last awaited job ended. */
+    /* When records are read for the first time it is not known when the last dependency was done. */
     if (node->jobs.loaded) job->ready_wall_ms = amb_wall_ms();
     amb_info("job %s: all jobs that it awaited are done", name);
     amb_job_handle_ready(node, job);
@@ -53,7 +53,7 @@
     return graph;
 }
 
-/* ---- news of jobs ---- */
+/* ---- changes of jobs ---- */
 
 static struct amb_dependent make_dependent(const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
@@ -88,7 +88,7 @@
 
 void amb_pipelines_update_priorities(struct amb_node *node) {
     if (amb_dependency_graph_is_empty(get_graph(node)))
-        return; /* no job is needed: whether one is late tells nothing */
+        return; /* no job has dependents: whether one is late has no effect */
     amb_dependency_graph_propagate_priorities(get_graph(node));
     int64_t now = amb_wall_ms();
     for (struct amb_job *job = node->jobs.active; job; job = job->next_active) {
@@ -101,7 +101,7 @@
     amb_dependency_graph_clear(get_graph(node));
 }
 
-/* ---- a job's place among others ---- */
+/* ---- the order of jobs ---- */
 
 int64_t amb_job_ready_wall_ms(const struct amb_job *job) {
     return job->ready_wall_ms ? job->ready_wall_ms : job->accepted_wall_ms;
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -14,8 +14,8 @@
     return amb_placement_block_capacity(AMB_LAYOUT_BY_SETTINGS, settings->value_kb);
 }
 
-/* What is written from now on. Before the second format is in use, exactly what a process of the first one
- * reads; after that, what the state service takes also when it has lowered its limits. */
+/* Before the second format is in use, exactly what a process of the first one reads; after that, what the
+ * state service takes also when it has lowered its limits. */
 static enum amb_block_layout layout_in_use(const struct amb_node *node) {
     return amb_format_active(node) >= AMB_FORMAT_2 ? AMB_LAYOUT_BY_KEY : AMB_LAYOUT_BY_SETTINGS;
 }
@@ -93,15 +93,14 @@
 }
 
 /* ---- blocks of another size ----
- * A block that has become too large to write can't be changed any more, not even to say that it counts no
- * longer. So the blocks that replace it count for the tasks that they hold from the moment when they stand
- * there, whatever it says, and it counts for the others: no step of the change needs another one. */
+ * A block that has become too large to write can't be changed any more, not even to mark it as superseded. So
+ * the blocks that replace it are authoritative for the tasks that they hold from the moment when they exist,
+ * whatever it says, and it is for the others: no step of the change depends on another one. */
 
 static bool needs_write(const struct amb_task *task) {
     return task->state == AMB_TASK_PLACED || (task->done && !task->done_durable);
 }
 
-/* What was sent may be carried out still; what it says of its tasks is written anew in any case. */
 void amb_placement_block_abandon_write(struct amb_placement_block *block) {
     block->write_in_flight = false;
     block->revision_uncertain = true;
@@ -113,6 +112,15 @@
     }
 }
 
+/* The block exists in the state service, or may. */
+static void keep_as_superseded(struct amb_job *job, const struct amb_placement_block *old) {
+    struct amb_placement_block *block = amb_placement_blocks_add_superseded(job);
+    block->revision = old->revision;
+    block->revision_uncertain = old->revision_uncertain;
+    block->id = old->id;
+    block->task_range = old->task_range;
+}
+
 void amb_placement_blocks_replace(struct amb_job *job, enum amb_block_layout layout,
                                   uint32_t tasks_per_block) {
     struct amb_placement_block *old = job->blocks;
@@ -121,12 +129,7 @@
              job->tasks_per_block, tasks_per_block);
     for (uint32_t i = 0; i < old_count; i++) {
         if (old[i].write_in_flight) amb_placement_block_abandon_write(&old[i]);
-        if (!old[i].revision && !old[i].revision_uncertain) continue;
-        struct amb_placement_block *block = amb_placement_blocks_add_superseded(job);
-        block->revision = old[i].revision;
-        block->revision_uncertain = old[i].revision_uncertain;
-        block->id = old[i].id;
-        block->task_range = old[i].task_range;
+        if (old[i].revision || old[i].revision_uncertain) keep_as_superseded(job, &old[i]);
     }
     free(old);
     make_blocks(job, layout, tasks_per_block);
@@ -135,7 +138,7 @@
 }
 
 /* The size that is to be written may have changed: the second format has come into use, or a block came out
- * too large. Tasks are never moved to larger blocks, which would not count. */
+ * too large. Tasks are never moved to larger blocks, which would not be authoritative. */
 void amb_placement_blocks_adapt_size(struct amb_node *node, struct amb_job *job) {
     enum amb_block_layout layout = layout_in_use(node);
     uint32_t tasks_per_block = wanted_tasks_per_block(node, job);
--- a/lib/node/memory_budget.c
+++ b/lib/node/memory_budget.c
@@ -1,13 +1,10 @@
-/* The shares of a node's memory quota. */
 #include "amberpin/node/memory_budget.h"
 
 #include "amberpin/node/node.h"
 
-#include <stdlib.h>
-
 /* Shares of the quota. The rest is for the program itself, machines, connections and messages. */
 static const double TASK_SHARE = 1.0 / 3;
-static const double ONE_JOB_SHARE = 0.4; /* the largest job, when the leader cares for no other */
+static const double ONE_JOB_SHARE = 0.4; /* the largest job, when no other is active */
 static const double JOB_TABLE_SHARE = 1.0 / 3;
 static const double MACHINE_SHARE = 1.0 / 4;
 static const double REMOVED_MACHINES_SHARE = 1.0 / 64;
@@ -53,7 +50,7 @@
 enum {
     PAGE_BYTES = 512 * 1024, /* of a listing of the state service (the protocol) */
     MESSAGES_OF_A_PEER = 2,  /* that are kept: its heartbeat, and its answer to ours */
-    CONNECTION_BYTES = 1024, /* the connection of a machine, and its report while it is read */
+    CONNECTION_BYTES = 1024, /* the connection of a machine, and its heartbeat while it is read */
     TOLD_IMAGES = 6,         /* of a machine, as a rule: what a leader and a follower keep in mind of them */
     TOLD_IMAGE_BYTES = 256,  /* as JSON in memory */
     MACHINE_BYTES = sizeof(struct amb_machine) + ALLOCATION_OVERHEAD + HASH_BUCKET + CONNECTION_BYTES +
@@ -77,17 +74,3 @@
 size_t amb_memory_max_machines(const struct amb_settings *settings) {
     return share_of(settings, MACHINE_SHARE) / MACHINE_BYTES;
 }
-
-/* ---- descriptions ---- */
-
-void amb_job_free_spec(struct amb_job *job) {
-    free(job->spec);
-    free(job->dependencies);
-    job->spec = NULL;
-    job->dependencies = NULL;
-}
-
-void amb_job_drop_spec(struct amb_node *node, struct amb_job *job) {
-    if (job->spec) node->jobs.spec_count--;
-    amb_job_free_spec(job);
-}
--- a/tests/job/test_dependencies.c
+++ b/tests/job/test_dependencies.c
@@ -1,4 +1,5 @@
 /* The graph of awaited jobs: tables of small pipelines, drawn ones against a plain oracle, and large ones. */
+#include "amberpin/base/util.h"
 #include "amberpin/job/dependency_graph.h"
 #include "check.h"
 
