--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -1,4 +1,4 @@
-/* One controller node: every module's state, each touched by its own module only (others read). */
+/* One controller node: the state of every module. A module changes its own part only, and reads others'. */
 #ifndef AMBERPIN_NODE_H
 #define AMBERPIN_NODE_H
 
@@ -8,6 +8,7 @@
 #include "amberpin/cloud/cloud.h"
 #include "amberpin/config/options.h"
 #include "amberpin/config/settings.h"
+#include "amberpin/controller/controller.h"
 #include "amberpin/duty/node_duties.h"
 #include "amberpin/election/election.h"
 #include "amberpin/election/format_version.h"
@@ -25,45 +26,6 @@
 #include "amberpin/watch/change_feed.h"
 #include "amberpin/zone_recovery/zone_recovery.h"
 
-/* ---- controller: wires them; the leader's round ---- */
-
-enum { AMB_DEMAND_IMAGES_MAX = 6 };
-
-struct amb_demand { /* what a class of jobs has asked for lately */
-    char class_name[AMB_NAME_SIZE];
-    struct amb_job_spec last_spec;
-    double tasks_per_s;       /* tasks a second, decayed */
-    double mean_square_tasks; /* mean square of a job's tasks */
-    uint32_t image_count;
-    char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* those asked for, latest first */
-    amb_ms updated_at;
-};
-
-enum { AMB_DEMANDS_MAX = 32 };
-
-struct amb_controller {
-    bool restoring, ready, restore_synced, restore_in_flight;
-    amb_ms restore_sent_at, cycle_at;
-    amb_ms leader_since, restored_at;
-    char restore_cursor[256];
-    uint64_t restore_term;
-    bool cycle_requested;
-    uint32_t team_cursor;   /* whose turn comes first */
-    double tick_interval_s; /* what the leader's turns are measured in (amb_settings_cycle_s) */
-    struct amb_timer timer, cycle_timer;
-    amb_ms ticked_at; /* this node's last turn, leader or not */
-    uint32_t demand_count;
-    struct amb_demand demands[AMB_DEMANDS_MAX];
-    amb_ms plan_at;
-    struct amb_resources peak_usage; /* what jobs took and waited for lately, fading */
-    amb_ms peak_at;
-};
-
-/* The events of the node's modules come to the controller: once, before anything else is done with it. */
-void amb_controller_attach(struct amb_node *node);
-void amb_controller_start_leading(struct amb_node *node);
-void amb_controller_stop_leading(struct amb_node *node, const char *cause);
-
 struct amb_node {
     struct amb_settings settings;
     struct amb_options options;
@@ -81,10 +43,12 @@
     struct amb_duties duties;
     struct amb_zone_recovery zone_recovery;
     struct amb_controller controller;
-    struct amb_http_server *public_server, *peer_server;
-    amb_event_handler on_event;
+    struct amb_http_server *public_server; /* for users and agents */
+    struct amb_http_server *peer_server;   /* for other controllers */
+    amb_event_handler on_event;            /* see events.h */
 };
 
+/* Opens the servers and begins to read the state service. 0; or -1, and err says why not. */
 int amb_node_start(struct amb_node *node, char *err, size_t err_size);
 
 #endif
--- /dev/null
+++ b/include/amberpin/scheduler/demand.h
@@ -0,0 +1,23 @@
+/* What a class of jobs has asked for lately, from which the capacity plan expects what it will ask for. */
+#ifndef AMBERPIN_SCHEDULER_DEMAND_H
+#define AMBERPIN_SCHEDULER_DEMAND_H
+
+#include "amberpin/base/util.h"
+#include "amberpin/model/job_spec.h"
+
+enum {
+    AMB_DEMANDS_MAX = 32,      /* classes that are remembered, the latest */
+    AMB_DEMAND_IMAGES_MAX = 6, /* of one class */
+};
+
+struct amb_demand {
+    char class_name[AMB_NAME_SIZE];
+    struct amb_job_spec last_spec; /* of its latest job */
+    double tasks_per_s;            /* decaying average */
+    double mean_square_tasks;      /* of a job's task count */
+    uint32_t image_count;
+    char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* that were asked for, latest first */
+    amb_ms updated_at;
+};
+
+#endif
