--- a/include/amberpin/model/failure_evidence.h
+++ b/include/amberpin/model/failure_evidence.h
@@ -1,11 +1,11 @@
-/* Which is at fault when a task fails: its job, or the machine? Pure, no input or output. */
-#ifndef AMBERPIN_FAILURE_EVIDENCE_H
-#define AMBERPIN_FAILURE_EVIDENCE_H
+/* Attributes the failure of a task to its job or to its machine. Pure: no input or output. */
+#ifndef AMBERPIN_MODEL_FAILURE_EVIDENCE_H
+#define AMBERPIN_MODEL_FAILURE_EVIDENCE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* More different ones than this tell no more. */
+/* More of them than this would tell no more. */
 enum { AMB_FAILURE_SET_MAX = 3 };
 
 /* The machines that a job failed on, or the jobs that failed on a machine, since one last succeeded there. */
--- a/lib/model/absence_proof.c
+++ b/lib/model/absence_proof.c
@@ -48,7 +48,7 @@
     amb_ms renewed_at = later(evidence->last_response_at, evidence->lease_proxy_known_at); /* at the latest */
     if (!evidence->follows_own_term) renewed_at = later(renewed_at, evidence->fenced_at);
     if (evidence->now - renewed_at <= evidence->lease_span) return AMB_ABSENCE_UNPROVEN;
-    /* A deputy that this read does not show came too late to renew the lease. */
+    /* A lease proxy that this read does not show came too late to renew the lease. */
     if (evidence->last_read_sent_at <= renewed_at + evidence->lease_span) return AMB_ABSENCE_READ_NEEDED;
     return evidence->follows_own_term ? AMB_ABSENCE_LEASE_EXPIRED : AMB_ABSENCE_FENCED;
 }
