--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -99,7 +99,8 @@
 
 /* The task is completed, and the state service is not known to have it yet. */
 static bool has_unrecorded_completion(const struct amb_task *task) {
-    return task && task->done && !task->done_durable && task->job->state == AMB_JOB_QUEUED;
+    return task && task->done && task->completion != AMB_COMPLETION_DURABLE &&
+           task->job->state == AMB_JOB_QUEUED;
 }
 
 /* A result is cleared only once it is on record, or else a new leader would run the task again. job, task:
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -98,7 +98,7 @@
  * whatever it says, and it is for the others: no step of the change depends on another one. */
 
 static bool needs_write(const struct amb_task *task) {
-    return task->state == AMB_TASK_PLACED || (task->done && !task->done_durable);
+    return task->state == AMB_TASK_PLACED || (task->done && task->completion != AMB_COMPLETION_DURABLE);
 }
 
 void amb_placement_block_abandon_write(struct amb_placement_block *block) {
@@ -108,7 +108,7 @@
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
         task->write_in_flight = false;
-        if (!task->done_durable) task->done_write_pending = false;
+        if (task->completion == AMB_COMPLETION_WRITING) task->completion = AMB_COMPLETION_UNRECORDED;
     }
 }
 
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -22,7 +22,7 @@
             amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_PLACEMENT_DURABLE, .task = task});
         }
         task->write_in_flight = false;
-        if (task->done_write_pending) task->done_durable = true;
+        if (task->completion == AMB_COMPLETION_WRITING) task->completion = AMB_COMPLETION_DURABLE;
     }
 }
 
@@ -130,7 +130,8 @@
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
         if (task->state == AMB_TASK_PLACED) task->write_in_flight = true;
-        if (task->done) task->done_write_pending = true;
+        if (task->done && task->completion == AMB_COMPLETION_UNRECORDED)
+            task->completion = AMB_COMPLETION_WRITING;
     }
     block->job_revision = block->job->revision;
     block->dirty = block->urgent = false;
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -65,7 +65,8 @@
         for (uint32_t i = done.first; i < done.end && i < restore->range.end; i++) {
             struct amb_task *task = &restore->job->tasks[i];
             if (!is_authoritative_for(restore, i) || task->done) continue;
-            task->done = task->done_write_pending = task->done_durable = true;
+            task->done = true;
+            task->completion = AMB_COMPLETION_DURABLE;
             amb_task_set_state(restore->node, task, AMB_TASK_DONE, "its record says so");
             restore->job->done_count++;
         }
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -212,7 +212,7 @@
     assert_int_equal(job->blocks[0].revision, 77);
     assert_int_equal(job->bound_count, tasks_per_block - 1);
     assert_int_equal(job->done_count, 1);
-    assert_true(job->tasks[3].done && job->tasks[3].done_durable);
+    assert_true(job->tasks[3].done && job->tasks[3].completion == AMB_COMPLETION_DURABLE);
     assert_string_equal(job->tasks[tasks_per_block - 1].machine->name,
                         amb_machine_get(node, job->tasks[tasks_per_block - 1].machine->name, false)->name);
     assert_int_equal(job->tasks[5].attempt, 100005);
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -129,7 +129,8 @@
     bound_attempts = 0;
     for (uint32_t i = 0; i < TASKS; i++) {
         const struct amb_task *task = &job->tasks[i];
-        known[i] = (struct known){task->state, task->done, task->done_durable, task->attempt, ""};
+        known[i] = (struct known){task->state, task->done, task->completion == AMB_COMPLETION_DURABLE,
+                                  task->attempt, ""};
         if (task->machine) strcpy(known[i].machine, task->machine->name);
         if (task->state >= AMB_TASK_BOUND && task->machine && task->attempt >= bound_attempts)
             bound_attempts = task->attempt + 1;
