--- a/bench/case_http.c
+++ b/bench/case_http.c
@@ -1,6 +1,8 @@
 /* The HTTP parser: heads as workers and the state service send them. */
 #include "cases.h"
 
+#include "amberpin/http/parser.h"
+
 #include <stdlib.h>
 #include <string.h>
 
--- /dev/null
+++ b/lib/http/connection.h
@@ -0,0 +1,40 @@
+/* The server's side of a connection, which carries one request at a time. */
+#ifndef AMBERPIN_HTTP_CONNECTION_H
+#define AMBERPIN_HTTP_CONNECTION_H
+
+#include "amberpin/http/http.h"
+#include "stream.h"
+
+enum amb_http_connection_state {
+    AMB_HTTP_CONNECTION_READING,   /* a request, or waiting for one */
+    AMB_HTTP_CONNECTION_ANSWERING, /* the handler has the request */
+    AMB_HTTP_CONNECTION_CLOSING,   /* once what is left of the response is written */
+};
+
+struct amb_http_connection {
+    struct amb_http_stream stream;
+    struct amb_http_server *server;
+    enum amb_http_connection_state state;
+    struct amb_http_req *request; /* that the handler has; NULL: none */
+    struct amb_timer idle_timer;
+    bool close_after_response;
+    struct amb_http_connection *prev, *next; /* in the server's list */
+};
+
+struct amb_http_server {
+    struct amb_fd_watch listener;
+    int max_connections, connection_count;
+    size_t max_body_bytes;
+    amb_ms idle_ms;
+    amb_http_handler handler;
+    void *handler_arg;
+    /* By when their state last changed. */
+    struct amb_http_connection *least_recent, *most_recent;
+};
+
+/* Serves the requests that come over this socket, which it takes over. */
+void amb_http_connection_open(struct amb_http_server *server, int fd);
+/* Closes and frees it. A request that the handler has stays, and its reply goes nowhere. */
+void amb_http_connection_close(struct amb_http_connection *connection);
+
+#endif
--- a/tests/http/test_http.c
+++ b/tests/http/test_http.c
@@ -1,5 +1,5 @@
 /* The HTTP parser: a table of inputs, and the same inputs broken in every place. */
-#include "amberpin/http/http.h"
+#include "amberpin/http/parser.h"
 #include "check.h"
 
 enum { WHOLE = 1 }; /* all of the input is taken */
--- a/tests/loopback/server.c
+++ b/tests/loopback/server.c
@@ -2,6 +2,7 @@
 
 #include "amberpin/base/log.h"
 #include "amberpin/http/http.h"
+#include "amberpin/http/parser.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
