--- a/include/amberpin/api/user_api.h
+++ b/include/amberpin/api/user_api.h
@@ -6,7 +6,8 @@
 
 struct amb_node;
 
-/* Answers the request now or later; false: it is not of this interface. */
-bool amb_api_handle_request(struct amb_node *node, struct amb_http_req *user_request);
+/* Takes the request over and answers it, now or later. False: it is not of this interface, and stays the
+ * caller's. */
+bool amb_api_handle_request(struct amb_node *node, struct amb_http_req *http_request);
 
 #endif
--- a/include/amberpin/codec/messages.h
+++ b/include/amberpin/codec/messages.h
@@ -1,6 +1,6 @@
-/* The messages with users, workers and the cloud, as CBOR. The wire's own names for fields and values stand
- * in the files codec_*.c and nowhere else, so that the rest of the code can speak of jobs, tasks and
- * machines. */
+/* Jobs as users describe them, agents' heartbeats, commands to agents and the cloud's machine types, as CBOR.
+ * The wire's own names for fields and values stand in lib/codec and nowhere else, so that the rest of the
+ * code can speak of jobs, tasks and machines. */
 #ifndef AMBERPIN_CODEC_H
 #define AMBERPIN_CODEC_H
 
@@ -8,40 +8,51 @@
 #include "amberpin/codec/cbor_writer.h"
 #include "amberpin/model/model.h"
 
-enum amb_codec_result { AMB_CODEC_OK, AMB_CODEC_MALFORMED };
+enum amb_codec_result {
+    AMB_CODEC_OK,
+    AMB_CODEC_MALFORMED, /* a field is missing, of another type or out of its bounds */
+};
 
-/* ---- submissions (submission.c) ---- */
+/* ---- jobs (submission.c) ---- */
 
+/* Whether a text can be a job's name: "wk-" and one to 45 letters, digits, hyphens or underscores. */
 bool amb_codec_is_job_ref(const char *ref);
+/* A job's description, of a submission or a job's record. user_messages.h has the same with the cause of a
+ * failure. */
 enum amb_codec_result amb_codec_decode_spec(const cbor_item_t *map, struct amb_job_spec *spec);
-/* What a submission says of the jobs that it awaits, each name once; allocated, NULL: none. */
+/* The jobs that must be done before the job may start, sorted, each once. *out is allocated; NULL: there are
+ * none. */
 enum amb_codec_result amb_codec_decode_dependencies(const cbor_item_t *map,
                                                     struct amb_job_dependencies **out);
 void amb_codec_encode_spec(struct amb_buf *out, const struct amb_job_spec *spec);
-/* A whole submission. Readers that know nothing of `awaits` read the rest as before. */
+/* The description with its dependencies; NULL: none. Readers that know nothing of dependencies read the rest
+ * as before. */
 void amb_codec_encode_job(struct amb_buf *out, const struct amb_job_spec *spec,
-                          const struct amb_job_dependencies *awaits);
-const char *amb_codec_job_state_text(enum amb_job_state state, bool running);
+                          const struct amb_job_dependencies *dependencies);
+/* A job's state as users and records are told; is_running: a task of it runs. */
+const char *amb_codec_job_state_text(enum amb_job_state state, bool is_running);
 
-/* ---- workers' reports (agent_heartbeat.c) ---- */
+/* ---- agents' heartbeats (agent_heartbeat.c) ---- */
 
-enum amb_codec_result
-amb_codec_decode_heartbeat_item(const cbor_item_t *map,
-                                struct amb_agent_heartbeat *heartbeat); /* allocates its tasks */
-/* The same from a body's bytes, mostly without a tree of items. */
+/* Decodes a heartbeat; amb_codec_free_heartbeat frees its tasks. What is malformed holds nothing to free. */
 enum amb_codec_result amb_codec_decode_heartbeat(const void *data, size_t len,
-                                                 struct amb_agent_heartbeat *out);
-/* The part of it that needs none. False: not a report, or one in an encoding that only amb_cbor_parse knows.
- */
-bool amb_codec_decode_heartbeat_fast(const void *data, size_t len, struct amb_agent_heartbeat *out);
+                                                 struct amb_agent_heartbeat *heartbeat);
+/* Its two ways, for tests and measurements: straight from the bytes, which knows the plain encodings of
+ * cbor_reader.h only (false: malformed, or in another encoding), ... */
+bool amb_codec_decode_heartbeat_fast(const void *data, size_t len, struct amb_agent_heartbeat *heartbeat);
+/* ... and from a tree of items, which knows all. */
+enum amb_codec_result amb_codec_decode_heartbeat_item(const cbor_item_t *map,
+                                                      struct amb_agent_heartbeat *heartbeat);
 void amb_codec_free_heartbeat(struct amb_agent_heartbeat *heartbeat);
 
-/* ---- orders to workers (agent_commands.c) ---- */
+/* ---- commands to agents (commands.c) ---- */
 
-void amb_codec_encode_commands(struct amb_buf *out, const struct amb_agent_command *orders, size_t count);
+/* A list of commands, as the response to a heartbeat carries it. */
+void amb_codec_encode_commands(struct amb_buf *out, const struct amb_agent_command *commands, size_t count);
 
-/* ---- the cloud's catalogue (catalog.c) ---- */
+/* ---- the cloud's machine types (catalog.c) ---- */
 
+/* False: its name or its resources are missing or malformed. Other fields that are, are zero. */
 bool amb_codec_decode_machine_type(const cbor_item_t *map, struct amb_machine_type *type);
 
 #endif
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -4,11 +4,11 @@
 
 #include "amberpin/api/admission.h"
 #include "amberpin/base/log.h"
+#include "amberpin/codec/user_messages.h"
 #include "amberpin/job/cancellation_notice.h"
 #include "amberpin/node/memory_budget.h"
 #include "amberpin/node/node.h"
 
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -17,11 +17,13 @@
 struct user_request { /* under way */
     struct amb_node *node;
     struct amb_http_req *http_request;
-    enum { SUBMIT, QUERY, CANCEL } kind;
+    enum amb_user_operation operation;
     char ref[AMB_NAME_SIZE];
-    int tries;             /* cancel: transactions sent */
-    struct amb_job *draft; /* submit: as it is to be accepted; its description is missing if malformed */
-    bool is_sent;          /* submit: the draft was */
+    int tries; /* cancel: transactions sent */
+    /* submit: */
+    struct amb_submission_error error; /* why it is malformed */
+    struct amb_job *draft;             /* as it is to be accepted; without a description if malformed */
+    bool is_sent;                      /* the draft was */
 };
 
 static void request_free(struct user_request *request) {
@@ -30,29 +32,28 @@
     free(request);
 }
 
-static void reply_status(struct user_request *request, int status) {
-    amb_http_reply(request->http_request, status, NULL, NULL, 0, status == 503 ? RETRY_AFTER_S : 0);
+static void reply_status(struct user_request *request, enum amb_http_status status) {
+    int retry_after_s = status == AMB_HTTP_SERVICE_UNAVAILABLE ? RETRY_AFTER_S : 0;
+    amb_http_reply(request->http_request, status, NULL, NULL, 0, retry_after_s);
     request_free(request);
 }
 
-static void reply_job(struct user_request *request, int status, struct amb_job *job, bool brief) {
+/* The leader counts the tasks of active jobs; other nodes know what it last told them. */
+static struct amb_job_status status_of(const struct amb_job *job) {
+    struct amb_job_status status = {.job_ref = job->ref, .state = job->state};
+    status.done_tasks = job->active ? job->done_count : job->progress_done;
+    if (job->state == AMB_JOB_DONE && job->spec) status.done_tasks = job->spec->task_count;
+    if (job->state == AMB_JOB_QUEUED)
+        status.running_tasks = job->active ? job->running_count : job->progress_running;
+    return status;
+}
+
+static void reply_job(struct user_request *request, enum amb_http_status status, struct amb_job *job) {
+    bool is_query = request->operation == AMB_USER_QUERY;
+    const struct amb_job_status job_status = status_of(job);
     struct amb_buf body = {0};
     if (job->state == AMB_JOB_CANCELLED) amb_cancellation_notice_send_cancelled(request->node, job);
-    uint32_t done = job->active ? job->done_count : job->progress_done;
-    uint32_t running = job->active ? job->running_count : job->progress_running;
-    if (job->state != AMB_JOB_QUEUED) running = 0;
-    if (job->state == AMB_JOB_DONE && job->spec) done = job->spec->task_count;
-    amb_cbor_write_map(&body, brief ? 2 : 4);
-    amb_cbor_write_string(&body, "ref");
-    amb_cbor_write_string(&body, request->ref);
-    amb_cbor_write_string(&body, "stance");
-    amb_cbor_write_string(&body, amb_codec_job_state_text(job->state, running > 0));
-    if (!brief) {
-        amb_cbor_write_string(&body, "done");
-        amb_cbor_write_uint(&body, done);
-        amb_cbor_write_string(&body, "running");
-        amb_cbor_write_uint(&body, running);
-    }
+    amb_codec_encode_job_status(&body, &job_status, is_query ? AMB_JOB_STATUS_FULL : AMB_JOB_STATUS_BRIEF);
     amb_http_reply_cbor(request->http_request, status, &body, 0);
     request_free(request);
 }
@@ -67,7 +68,7 @@
     struct user_request *request = arg;
     struct amb_node *node = request->node;
     uint64_t stamp;
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &stamp)) {
+    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &stamp)) {
         const struct amb_job_spec *spec = request->draft->spec;
         amb_job_apply_own_write(node, request->draft, AMB_JOB_QUEUED, stamp);
         amb_info("job %s: accepted for %s, %u tasks of class %s", request->ref, spec->team, spec->task_count,
@@ -76,13 +77,13 @@
                   request->ref, spec->task_resources.cpus, spec->task_resources.gpus,
                   spec->task_resources.memory_gb, spec->image_gb, spec->estimated_runtime_s,
                   spec->deadline_s);
-        reply_job(request, 201, amb_job_find(node, request->ref), true);
-    } else if (status == 409 || amb_job_find(node, request->ref)) {
+        reply_job(request, AMB_HTTP_CREATED, amb_job_find(node, request->ref));
+    } else if (status == AMB_HTTP_CONFLICT || amb_job_find(node, request->ref)) {
         /* Another node was first, or only the answer was lost and news have told of the job since. Such news
          * may be older than the question. */
         request_fresh_read(request);
     } else {
-        reply_status(request, 503);
+        reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     }
 }
 
@@ -91,15 +92,15 @@
     struct amb_node *node = request->node;
     uint64_t stamp;
     struct amb_job *job = amb_job_find(node, request->ref);
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &stamp)) {
+    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &stamp)) {
         amb_job_apply_own_cancellation(node, job, stamp);
-        reply_job(request, 200, job, true);
+        reply_job(request, AMB_HTTP_OK, job);
     } else if (job->state != AMB_JOB_QUEUED) { /* only the answer was lost, or another node was first */
-        reply_job(request, 200, job, true);
-    } else if (status == 409 && request->tries++ < CANCEL_RETRIES) { /* it changed meanwhile */
+        reply_job(request, AMB_HTTP_OK, job);
+    } else if (status == AMB_HTTP_CONFLICT && request->tries++ < CANCEL_RETRIES) { /* it changed meanwhile */
         request_fresh_read(request);
     } else {
-        reply_status(request, 503);
+        reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     }
 }
 
@@ -119,7 +120,7 @@
 
 static void send_cancellation(struct user_request *request, struct amb_job *job) {
     if (!amb_store_can_write_for_user(&request->node->store, 1, 0)) {
-        reply_status(request, 503);
+        reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
         return;
     }
     struct amb_job changed = *job;
@@ -132,10 +133,10 @@
 
 /* No job of that name was accepted when the request came. */
 static void handle_unknown_job(struct user_request *request) {
-    if (request->kind != SUBMIT)
-        reply_status(request, 404);
+    if (request->operation != AMB_USER_SUBMIT)
+        reply_status(request, AMB_HTTP_NOT_FOUND);
     else if (request->is_sent) /* and may still be carried out */
-        reply_status(request, 503);
+        reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     else
         decide_submission(request, true);
 }
@@ -148,15 +149,15 @@
     if (!ok) {
         /* What is final stays so; anything else may have changed unseen. */
         if (job && job->state != AMB_JOB_QUEUED)
-            reply_job(request, 200, job, request->kind != QUERY);
+            reply_job(request, AMB_HTTP_OK, job);
         else
-            reply_status(request, 503);
+            reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     } else if (!job) {
         handle_unknown_job(request);
-    } else if (request->kind == CANCEL && job->state == AMB_JOB_QUEUED) {
+    } else if (request->operation == AMB_USER_CANCEL && job->state == AMB_JOB_QUEUED) {
         send_cancellation(request, job);
     } else {
-        reply_job(request, 200, job, request->kind != QUERY);
+        reply_job(request, AMB_HTTP_OK, job);
     }
 }
 
@@ -172,29 +173,27 @@
     write_job(request, draft, AMB_JOB_QUEUED, on_submission_written);
 }
 
-/* Reads the body into the draft; a readable name goes to the request even if the rest is malformed. */
+/* Decodes the body into the draft. The job's name goes to the request even if the rest is malformed. */
 static void read_submission(struct user_request *request) {
-    cbor_item_t *body = amb_cbor_parse(request->http_request->body, request->http_request->body_len);
-    struct amb_job *draft = request->draft = amb_alloc(sizeof *draft);
-    draft->spec = amb_alloc(sizeof *draft->spec);
-    if (amb_codec_decode_spec(body, draft->spec) != AMB_CODEC_OK ||
-        amb_codec_decode_dependencies(body, &draft->dependencies) != AMB_CODEC_OK)
-        amb_job_free_spec(draft);
-    if (!amb_cbor_copy_string(amb_cbor_map_get(body, "ref"), request->ref, sizeof request->ref))
-        request->ref[0] = 0;
-    strcpy(draft->ref, request->ref);
-    if (body) cbor_decref(&body);
+    const struct amb_http_req *http_request = request->http_request;
+    struct amb_submission submission;
+    request->error = amb_codec_decode_submission(http_request->body, http_request->body_len, &submission);
+    strcpy(request->ref, submission.job_ref);
+    request->draft = amb_alloc(sizeof *request->draft);
+    strcpy(request->draft->ref, submission.job_ref);
+    request->draft->spec = submission.spec;
+    request->draft->dependencies = submission.dependencies;
 }
 
 static enum amb_admission check_admission(const struct user_request *request) {
     const struct amb_job *draft = request->draft;
-    if (!draft->spec) return AMB_ADMISSION_MALFORMED;
+    if (request->error.problem != AMB_SUBMISSION_VALID) return AMB_ADMISSION_MALFORMED;
     enum amb_admission admission = amb_admission_check_job(request->node, draft->spec);
     if (admission == AMB_ADMISSION_NEVER_RUNS) return admission;
     if (amb_admission_check_record(request->node, draft) == AMB_ADMISSION_NEVER_RUNS)
         return AMB_ADMISSION_NEVER_RUNS;
-    enum amb_admission awaits = amb_admission_check_dependencies(request->node, draft->dependencies);
-    return awaits == AMB_ADMISSION_CAN_RUN ? admission : awaits;
+    enum amb_admission by_dependencies = amb_admission_check_dependencies(request->node, draft->dependencies);
+    return by_dependencies == AMB_ADMISSION_CAN_RUN ? admission : by_dependencies;
 }
 
 static bool log_refusal(const struct user_request *request, const char *cause) {
@@ -219,11 +218,12 @@
     enum amb_admission admission = check_admission(request);
     if (admission == AMB_ADMISSION_MALFORMED || admission == AMB_ADMISSION_NEVER_RUNS) {
         if (is_fresh)
-            reply_status(request, admission == AMB_ADMISSION_MALFORMED ? 400 : 422);
+            reply_status(request, admission == AMB_ADMISSION_MALFORMED ? AMB_HTTP_BAD_REQUEST
+                                                                       : AMB_HTTP_UNPROCESSABLE_CONTENT);
         else
             request_fresh_read(request);
     } else if (!can_accept_now(request, admission)) {
-        reply_status(request, 503);
+        reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     } else {
         send_submission(request);
     }
@@ -233,9 +233,9 @@
     read_submission(request);
     struct amb_job *known = amb_job_find(request->node, request->ref);
     if (!amb_codec_is_job_ref(request->ref)) /* no job of that name can have been accepted */
-        reply_status(request, 400);
+        reply_status(request, AMB_HTTP_BAD_REQUEST);
     else if (known && known->state != AMB_JOB_QUEUED)
-        reply_job(request, 200, known, true);
+        reply_job(request, AMB_HTTP_OK, known);
     else if (known)
         request_fresh_read(request);
     else
@@ -245,41 +245,38 @@
 static void look_up(struct user_request *request) {
     struct amb_job *job = amb_job_find(request->node, request->ref);
     if (!amb_codec_is_job_ref(request->ref))
-        reply_status(request, 404);
+        reply_status(request, AMB_HTTP_NOT_FOUND);
     else if (job && job->state != AMB_JOB_QUEUED)
-        reply_job(request, 200, job, request->kind != QUERY);
+        reply_job(request, AMB_HTTP_OK, job);
     else
         request_fresh_read(request);
 }
 
-bool amb_api_handle_request(struct amb_node *node, struct amb_http_req *req) {
-    static const char base[] = "/v1/jobs";
-    const char *path = req->path;
-    if (strncmp(path, base, sizeof base - 1)) return false;
-    const char *rest = path + sizeof base - 1;
-    if (*rest && *rest != '/') return false;
-    struct user_request *user_request = amb_alloc(sizeof *user_request);
-    user_request->node = node;
-    user_request->http_request = req;
-    if (!*rest) {
-        user_request->kind = SUBMIT;
-    } else {
-        const char *slash = strchr(rest + 1, '/');
-        size_t len = slash ? (size_t)(slash - rest - 1) : strlen(rest + 1);
-        user_request->kind = slash ? CANCEL : QUERY;
-        if (!len || len >= sizeof user_request->ref || (slash && strcmp(slash, "/cancel"))) {
-            reply_status(user_request, 404);
-            return true;
-        }
-        memcpy(user_request->ref, rest + 1, len);
-    }
-    if (strcmp(req->method, user_request->kind == QUERY ? "GET" : "POST"))
-        reply_status(user_request, 405);
+static struct user_request *request_new(struct amb_node *node, struct amb_http_req *http_request,
+                                        const struct amb_user_route *route) {
+    struct user_request *request = amb_alloc(sizeof *request);
+    request->node = node;
+    request->http_request = http_request;
+    request->operation = route->operation;
+    strcpy(request->ref, route->job_ref);
+    return request;
+}
+
+bool amb_api_handle_request(struct amb_node *node, struct amb_http_req *http_request) {
+    struct amb_user_route route;
+    enum amb_user_route_result result =
+        amb_codec_decode_user_route(http_request->method, http_request->path, &route);
+    if (result == AMB_USER_ROUTE_FOREIGN) return false;
+    struct user_request *request = request_new(node, http_request, &route);
+    if (result == AMB_USER_ROUTE_UNKNOWN)
+        reply_status(request, AMB_HTTP_NOT_FOUND);
+    else if (result == AMB_USER_ROUTE_WRONG_METHOD)
+        reply_status(request, AMB_HTTP_METHOD_NOT_ALLOWED);
     else if (!node->jobs.loaded)
-        reply_status(user_request, 503);
-    else if (user_request->kind == SUBMIT)
-        submit(user_request);
+        reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
+    else if (route.operation == AMB_USER_SUBMIT)
+        submit(request);
     else
-        look_up(user_request);
+        look_up(request);
     return true;
 }
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -1,6 +1,6 @@
 /* Workers' reports, from a tree of items or, as a rule, straight from their bytes. */
 #include "amberpin/codec/cbor_reader.h"
-#include "amberpin/codec/fields.h"
+#include "fields.h"
 #include "amberpin/codec/messages.h"
 
 #include <ctype.h>
--- a/lib/codec/catalog.c
+++ b/lib/codec/catalog.c
@@ -1,5 +1,5 @@
 /* The catalogue of machine types, as the cloud lists it. */
-#include "amberpin/codec/fields.h"
+#include "fields.h"
 #include "amberpin/codec/messages.h"
 
 #include <string.h>
--- a/lib/codec/commands.c
+++ b/lib/codec/commands.c
@@ -1,6 +1,6 @@
-/* Orders to workers, in the answers to their reports. */
-#include "amberpin/codec/fields.h"
+/* Commands to agents, in the responses to their heartbeats. */
 #include "amberpin/codec/messages.h"
+#include "fields.h"
 
 #include <stdio.h>
 
@@ -14,12 +14,11 @@
     amb_codec_put_text(out, "verb", amb_codec_enum_text(command_kinds, command->kind));
     amb_cbor_write_string(out, "leg");
     amb_cbor_write_text(out, task, (size_t)len);
-    amb_cbor_write_string(out, "try");
-    amb_cbor_write_uint(out, command->attempt);
+    amb_codec_put_uint(out, "try", command->attempt);
     if (command->kind == AMB_COMMAND_STOP) amb_codec_put_amount(out, "easing_s", command->grace_s);
 }
 
-void amb_codec_encode_commands(struct amb_buf *out, const struct amb_agent_command *orders, size_t count) {
+void amb_codec_encode_commands(struct amb_buf *out, const struct amb_agent_command *commands, size_t count) {
     amb_cbor_write_list(out, count);
-    for (size_t i = 0; i < count; i++) put_command(out, &orders[i]);
+    for (size_t i = 0; i < count; i++) put_command(out, &commands[i]);
 }
--- a/lib/codec/fields.c
+++ b/lib/codec/fields.c
@@ -1,19 +1,22 @@
-#include "amberpin/codec/fields.h"
+#include "fields.h"
 
 #include "amberpin/codec/cbor_writer.h"
 
-bool amb_codec_read_enum(const struct amb_codec_enum_name *words, const cbor_item_t *item, int *out) {
-    for (; words->text; words++)
-        if (amb_cbor_equals(item, words->text)) {
-            *out = words->value;
+/* No amount of the protocol comes near it. */
+static const double AMOUNT_MAX = 1e9;
+
+bool amb_codec_read_enum(const struct amb_codec_enum_name *names, const cbor_item_t *item, int *out) {
+    for (; names->text; names++)
+        if (amb_cbor_equals(item, names->text)) {
+            *out = names->value;
             return true;
         }
     return false;
 }
 
-const char *amb_codec_enum_text(const struct amb_codec_enum_name *words, int value) {
-    while (words->text && words->value != value) words++;
-    return words->text ? words->text : "?";
+const char *amb_codec_enum_text(const struct amb_codec_enum_name *names, int value) {
+    while (names->text && names->value != value) names++;
+    return names->text ? names->text : "?";
 }
 
 bool amb_codec_is_plain_name(const char *name) {
@@ -29,7 +32,7 @@
 }
 
 bool amb_codec_read_amount(const cbor_item_t *map, const char *key, double *out) {
-    return amb_cbor_get_number(amb_cbor_map_get(map, key), out) && *out >= 0 && *out <= 1e9;
+    return amb_cbor_get_number(amb_cbor_map_get(map, key), out) && *out >= 0 && *out <= AMOUNT_MAX;
 }
 
 void amb_codec_put_amount(struct amb_buf *out, const char *key, double amount) {
@@ -46,3 +49,8 @@
     amb_cbor_write_string(out, key);
     amb_cbor_write_bool(out, flag);
 }
+
+void amb_codec_put_uint(struct amb_buf *out, const char *key, uint64_t value) {
+    amb_cbor_write_string(out, key);
+    amb_cbor_write_uint(out, value);
+}
--- a/lib/codec/submission.c
+++ b/lib/codec/submission.c
@@ -1,11 +1,16 @@
 /* Submissions: jobs as users describe them, in requests and in a job's record. */
-#include "amberpin/codec/fields.h"
 #include "amberpin/codec/messages.h"
+#include "amberpin/codec/user_messages.h"
+#include "fields.h"
 
 #include <ctype.h>
 #include <stdlib.h>
 #include <string.h>
 
+enum { JOB_REF_LEN_MAX = 48, REQUIRED_FIELDS = 17 };
+
+static const char DEPENDENCIES[] = "awaits";
+
 static const struct amb_codec_enum_name kinds[] = {
     {"batch", AMB_JOB_KIND_ARRAY}, {"ensemble", AMB_JOB_KIND_GANG}, {"daemon", AMB_JOB_KIND_SERVICE}, {0, 0}};
 static const struct amb_codec_enum_name priorities[] = {{"prod", AMB_PRIORITY_PRODUCTION},
@@ -14,141 +19,225 @@
                                                         {"best_effort", AMB_PRIORITY_BEST_EFFORT},
                                                         {0, 0}};
 
-const char *amb_codec_job_state_text(enum amb_job_state state, bool running) {
-    if (state == AMB_JOB_DONE) return "done";
-    if (state == AMB_JOB_CANCELLED) return "cancelled";
-    return running ? "running" : "queued";
-}
-
+/* "wk-" and one to 45 letters, digits, hyphens or underscores. */
 bool amb_codec_is_job_ref(const char *ref) {
+    static const char prefix[] = "wk-";
+    const size_t prefix_len = sizeof prefix - 1;
     size_t len = strlen(ref);
-    if (len < 4 || len > 48 || strncmp(ref, "wk-", 3)) return false;
-    for (const char *character = ref + 3; *character; character++)
+    if (len <= prefix_len || len > JOB_REF_LEN_MAX || strncmp(ref, prefix, prefix_len)) return false;
+    for (const char *character = ref + prefix_len; *character; character++)
         if (!isalnum((unsigned char)*character) && *character != '-' && *character != '_') return false;
     return true;
 }
 
-static bool read_enums(const cbor_item_t *map, struct amb_job_spec *spec) {
+/* ---- decoding ---- */
+
+/* The fields of a submission are read one by one until one is at fault. */
+struct field_reader {
+    const cbor_item_t *map;
+    struct amb_submission_error error;
+};
+
+/* Whether the field could be read; if not, and it is the first such, it is the reader's error. */
+static bool check_field(struct field_reader *reader, const char *key, bool valid) {
+    if (valid) return true;
+    bool is_missing = amb_cbor_is_absent(amb_cbor_map_get(reader->map, key));
+    reader->error.problem = is_missing ? AMB_SUBMISSION_FIELD_MISSING : AMB_SUBMISSION_FIELD_INVALID;
+    reader->error.field = key;
+    return false;
+}
+
+static bool read_name(struct field_reader *reader, const char *key, char out[AMB_NAME_SIZE]) {
+    return check_field(reader, key, amb_codec_read_name(reader->map, key, out));
+}
+
+static bool read_amount(struct field_reader *reader, const char *key, double *out) {
+    return check_field(reader, key, amb_codec_read_amount(reader->map, key, out));
+}
+
+static bool read_flag(struct field_reader *reader, const char *key, bool *out) {
+    return check_field(reader, key, amb_cbor_get_bool(amb_cbor_map_get(reader->map, key), out));
+}
+
+static bool read_enum(struct field_reader *reader, const char *key, const struct amb_codec_enum_name *names,
+                      int *out) {
+    return check_field(reader, key, amb_codec_read_enum(names, amb_cbor_map_get(reader->map, key), out));
+}
+
+static bool is_absent(const struct field_reader *reader, const char *key) {
+    return amb_cbor_is_absent(amb_cbor_map_get(reader->map, key));
+}
+
+static bool read_names(struct field_reader *reader, struct amb_job_spec *spec) {
+    return read_name(reader, "ref", spec->ref) &&
+           check_field(reader, "ref", amb_codec_is_job_ref(spec->ref)) &&
+           read_name(reader, "berth", spec->class_name) && read_name(reader, "crew", spec->team) &&
+           read_name(reader, "cask", spec->image);
+}
+
+static bool read_enums(struct field_reader *reader, struct amb_job_spec *spec) {
     int kind, priority;
-    if (!amb_codec_read_enum(kinds, amb_cbor_map_get(map, "shape"), &kind) ||
-        !amb_codec_read_enum(priorities, amb_cbor_map_get(map, "rank"), &priority))
-        return false;
+    if (!read_enum(reader, "shape", kinds, &kind)) return false;
+    if (!read_enum(reader, "rank", priorities, &priority)) return false;
     spec->kind = (enum amb_job_kind)kind;
     spec->priority = (enum amb_priority)priority;
     return true;
 }
 
-static bool read_task_count(const cbor_item_t *map, struct amb_job_spec *spec) {
-    uint64_t tasks;
-    if (!amb_cbor_get_uint(amb_cbor_map_get(map, "legs"), &tasks) || !tasks || tasks > AMB_TASKS_MAX)
-        return false;
-    spec->task_count = (uint32_t)tasks;
+static bool read_task_count(struct field_reader *reader, struct amb_job_spec *spec) {
+    uint64_t count = 0;
+    bool is_uint = amb_cbor_get_uint(amb_cbor_map_get(reader->map, "legs"), &count);
+    if (!check_field(reader, "legs", is_uint && count && count <= AMB_TASKS_MAX)) return false;
+    spec->task_count = (uint32_t)count;
     return true;
 }
 
-static bool read_amounts(const cbor_item_t *map, struct amb_job_spec *spec) {
-    return amb_codec_read_amount(map, "vcpus", &spec->task_resources.cpus) &&
-           amb_codec_read_amount(map, "accelerators", &spec->task_resources.gpus) &&
-           amb_codec_read_amount(map, "ram_gb", &spec->task_resources.memory_gb) &&
-           amb_codec_read_amount(map, "size_gb", &spec->image_gb) &&
-           amb_codec_read_amount(map, "reckon_s", &spec->estimated_runtime_s) &&
-           amb_codec_read_amount(map, "mark_s", &spec->checkpoint_interval_s) &&
-           amb_codec_read_amount(map, "stow_s", &spec->checkpoint_save_s);
+static bool read_amounts(struct field_reader *reader, struct amb_job_spec *spec) {
+    return read_amount(reader, "vcpus", &spec->task_resources.cpus) &&
+           read_amount(reader, "accelerators", &spec->task_resources.gpus) &&
+           read_amount(reader, "ram_gb", &spec->task_resources.memory_gb) &&
+           read_amount(reader, "size_gb", &spec->image_gb) &&
+           read_amount(reader, "reckon_s", &spec->estimated_runtime_s) &&
+           read_amount(reader, "mark_s", &spec->checkpoint_interval_s) &&
+           read_amount(reader, "stow_s", &spec->checkpoint_save_s);
 }
 
-static bool read_flags(const cbor_item_t *map, struct amb_job_spec *spec) {
-    return amb_cbor_get_bool(amb_cbor_map_get(map, "one_zone"), &spec->one_zone) &&
-           amb_cbor_get_bool(amb_cbor_map_get(map, "scatter"), &spec->spread_zones) &&
-           amb_cbor_get_bool(amb_cbor_map_get(map, "driftwood"), &spec->spot_allowed);
+static bool read_flags(struct field_reader *reader, struct amb_job_spec *spec) {
+    return read_flag(reader, "one_zone", &spec->one_zone) &&
+           read_flag(reader, "scatter", &spec->spread_zones) &&
+           read_flag(reader, "driftwood", &spec->spot_allowed);
 }
 
-static bool read_types(const cbor_item_t *types, struct amb_job_spec *spec) {
-    if (amb_cbor_is_absent(types)) return true;
+static bool decode_types(const cbor_item_t *types, struct amb_job_spec *spec) {
     size_t count = amb_cbor_list_length(types);
-    if (!cbor_isa_array(types) || !count || count > AMB_ALLOWED_TYPES_MAX) return false;
-    for (size_t i = 0; i < count; i++)
-        if (!amb_cbor_copy_string(amb_cbor_list_item(types, i), spec->allowed_types[i], AMB_NAME_SIZE) ||
-            !amb_codec_is_plain_name(spec->allowed_types[i]))
-            return false;
+    if (!count || count > AMB_ALLOWED_TYPES_MAX) return false;
+    for (size_t i = 0; i < count; i++) {
+        char *name = spec->allowed_types[i];
+        if (!amb_cbor_copy_string(amb_cbor_list_item(types, i), name, AMB_NAME_SIZE)) return false;
+        if (!amb_codec_is_plain_name(name)) return false;
+    }
     spec->allowed_type_count = (uint32_t)count;
     return true;
 }
 
-static bool read_limits(const cbor_item_t *map, struct amb_job_spec *spec) {
-    if (!amb_cbor_is_absent(amb_cbor_map_get(map, "yard")) && !amb_codec_read_name(map, "yard", spec->zone))
-        return false;
-    if (!amb_cbor_is_absent(amb_cbor_map_get(map, "due_s")) &&
-        !amb_codec_read_amount(map, "due_s", &spec->deadline_s))
-        return false;
-    return read_types(amb_cbor_map_get(map, "hulls"), spec);
+static bool read_optional_fields(struct field_reader *reader, struct amb_job_spec *spec) {
+    if (!is_absent(reader, "yard") && !read_name(reader, "yard", spec->zone)) return false;
+    if (!is_absent(reader, "due_s") && !read_amount(reader, "due_s", &spec->deadline_s)) return false;
+    if (is_absent(reader, "hulls")) return true;
+    return check_field(reader, "hulls", decode_types(amb_cbor_map_get(reader->map, "hulls"), spec));
 }
 
-enum amb_codec_result amb_codec_decode_spec(const cbor_item_t *map, struct amb_job_spec *spec) {
+static struct amb_submission_error decode_spec(const cbor_item_t *map, struct amb_job_spec *spec) {
+    struct field_reader reader = {.map = map, .error = {AMB_SUBMISSION_VALID, NULL}};
     memset(spec, 0, sizeof *spec);
-    if (!map || !cbor_isa_map(map)) return AMB_CODEC_MALFORMED;
-    bool read = amb_codec_read_name(map, "ref", spec->ref) && amb_codec_is_job_ref(spec->ref) &&
-                amb_codec_read_name(map, "berth", spec->class_name) &&
-                amb_codec_read_name(map, "crew", spec->team) &&
-                amb_codec_read_name(map, "cask", spec->image) && read_enums(map, spec) &&
-                read_task_count(map, spec) && read_amounts(map, spec) && read_flags(map, spec) &&
-                read_limits(map, spec);
-    return read ? AMB_CODEC_OK : AMB_CODEC_MALFORMED;
+    if (!map || !cbor_isa_map(map))
+        reader.error.problem = AMB_SUBMISSION_NOT_A_MAP;
+    else if (read_names(&reader, spec) && read_enums(&reader, spec) && read_task_count(&reader, spec) &&
+             read_amounts(&reader, spec) && read_flags(&reader, spec))
+        read_optional_fields(&reader, spec);
+    return reader.error;
 }
 
-static int compare_names(const void *a, const void *b) {
-    return strcmp(a, b);
+enum amb_codec_result amb_codec_decode_spec(const cbor_item_t *map, struct amb_job_spec *spec) {
+    return decode_spec(map, spec).problem == AMB_SUBMISSION_VALID ? AMB_CODEC_OK : AMB_CODEC_MALFORMED;
+}
+
+static int compare_names(const void *left, const void *right) {
+    return strcmp(left, right);
 }
 
 /* Sorts the names and keeps each once. */
-static void sort_and_deduplicate(struct amb_job_dependencies *awaits) {
+static void sort_and_deduplicate(struct amb_job_dependencies *dependencies) {
     uint32_t kept = 0;
-    qsort(awaits->names, awaits->count, sizeof *awaits->names, compare_names);
-    for (uint32_t i = 0; i < awaits->count; i++) {
-        if (kept && !strcmp(awaits->names[kept - 1], awaits->names[i])) continue;
-        if (kept != i) memcpy(awaits->names[kept], awaits->names[i], AMB_NAME_SIZE);
+    qsort(dependencies->names, dependencies->count, sizeof *dependencies->names, compare_names);
+    for (uint32_t i = 0; i < dependencies->count; i++) {
+        if (kept && !strcmp(dependencies->names[kept - 1], dependencies->names[i])) continue;
+        if (kept != i) memcpy(dependencies->names[kept], dependencies->names[i], AMB_NAME_SIZE);
         kept++;
     }
-    awaits->count = kept;
+    dependencies->count = kept;
 }
 
 enum amb_codec_result amb_codec_decode_dependencies(const cbor_item_t *map,
                                                     struct amb_job_dependencies **out) {
-    const cbor_item_t *list = amb_cbor_map_get(map, "awaits");
+    const cbor_item_t *list = amb_cbor_map_get(map, DEPENDENCIES);
     *out = NULL;
     if (amb_cbor_is_absent(list)) return AMB_CODEC_OK;
     if (!cbor_isa_array(list)) return AMB_CODEC_MALFORMED;
     size_t count = amb_cbor_list_length(list);
     if (!count) return AMB_CODEC_OK;
-    struct amb_job_dependencies *awaits = amb_alloc(sizeof *awaits + count * sizeof *awaits->names);
+    struct amb_job_dependencies *dependencies =
+        amb_alloc(sizeof *dependencies + count * sizeof *dependencies->names);
     for (size_t i = 0; i < count; i++) {
-        char *name = awaits->names[awaits->count++];
+        char *name = dependencies->names[dependencies->count++];
         if (amb_cbor_copy_string(amb_cbor_list_item(list, i), name, AMB_NAME_SIZE) &&
             amb_codec_is_job_ref(name))
             continue;
-        free(awaits);
+        free(dependencies);
         return AMB_CODEC_MALFORMED;
     }
-    sort_and_deduplicate(awaits);
-    *out = awaits;
+    sort_and_deduplicate(dependencies);
+    *out = dependencies;
     return AMB_CODEC_OK;
 }
 
+/* Takes the name also from a submission whose other fields are at fault: its job may have been accepted. */
+static void decode_job_ref(const cbor_item_t *map, char out[AMB_NAME_SIZE]) {
+    if (!amb_cbor_copy_string(amb_cbor_map_get(map, "ref"), out, AMB_NAME_SIZE)) out[0] = 0;
+}
+
+struct amb_submission_error amb_codec_decode_submission(const void *data, size_t len,
+                                                        struct amb_submission *submission) {
+    cbor_item_t *body = amb_cbor_parse(data, len);
+    struct amb_job_spec *spec = amb_alloc(sizeof *spec);
+    memset(submission, 0, sizeof *submission);
+    decode_job_ref(body, submission->job_ref);
+    struct amb_submission_error error = decode_spec(body, spec);
+    if (error.problem == AMB_SUBMISSION_VALID &&
+        amb_codec_decode_dependencies(body, &submission->dependencies) != AMB_CODEC_OK)
+        error = (struct amb_submission_error){AMB_SUBMISSION_FIELD_INVALID, DEPENDENCIES};
+    if (error.problem == AMB_SUBMISSION_VALID)
+        submission->spec = spec;
+    else
+        free(spec);
+    if (body) cbor_decref(&body);
+    return error;
+}
+
+const char *amb_submission_problem_text(enum amb_submission_problem problem) {
+    switch (problem) {
+    case AMB_SUBMISSION_VALID: return "valid";
+    case AMB_SUBMISSION_NOT_A_MAP: return "not a map";
+    case AMB_SUBMISSION_FIELD_MISSING: return "field missing";
+    case AMB_SUBMISSION_FIELD_INVALID: return "field invalid";
+    }
+    return "unknown";
+}
+
+/* ---- encoding ---- */
+
+static void put_list(struct amb_buf *out, const char *key, const char (*names)[AMB_NAME_SIZE],
+                     uint32_t count) {
+    amb_cbor_write_string(out, key);
+    amb_cbor_write_list(out, count);
+    for (uint32_t i = 0; i < count; i++) amb_cbor_write_string(out, names[i]);
+}
+
 void amb_codec_encode_spec(struct amb_buf *out, const struct amb_job_spec *spec) {
     amb_codec_encode_job(out, spec, NULL);
 }
 
 void amb_codec_encode_job(struct amb_buf *out, const struct amb_job_spec *spec,
-                          const struct amb_job_dependencies *awaits) {
-    amb_cbor_write_map(out, 17u + (spec->zone[0] != 0) + (spec->deadline_s > 0) +
-                                (spec->allowed_type_count > 0) + (awaits != NULL));
+                          const struct amb_job_dependencies *dependencies) {
+    amb_cbor_write_map(out, REQUIRED_FIELDS + (spec->zone[0] != 0) + (spec->deadline_s > 0) +
+                                (spec->allowed_type_count > 0) + (dependencies != NULL));
     amb_codec_put_text(out, "ref", spec->ref);
     amb_codec_put_text(out, "berth", spec->class_name);
     amb_codec_put_text(out, "crew", spec->team);
     amb_codec_put_text(out, "cask", spec->image);
     amb_codec_put_text(out, "shape", amb_codec_enum_text(kinds, spec->kind));
     amb_codec_put_text(out, "rank", amb_codec_enum_text(priorities, spec->priority));
-    amb_cbor_write_string(out, "legs");
-    amb_cbor_write_uint(out, spec->task_count);
+    amb_codec_put_uint(out, "legs", spec->task_count);
     amb_codec_put_amount(out, "vcpus", spec->task_resources.cpus);
     amb_codec_put_amount(out, "accelerators", spec->task_resources.gpus);
     amb_codec_put_amount(out, "ram_gb", spec->task_resources.memory_gb);
@@ -161,15 +250,6 @@
     amb_codec_put_bool(out, "driftwood", spec->spot_allowed);
     if (spec->zone[0]) amb_codec_put_text(out, "yard", spec->zone);
     if (spec->deadline_s > 0) amb_codec_put_amount(out, "due_s", spec->deadline_s);
-    if (spec->allowed_type_count) {
-        amb_cbor_write_string(out, "hulls");
-        amb_cbor_write_list(out, spec->allowed_type_count);
-        for (uint32_t i = 0; i < spec->allowed_type_count; i++)
-            amb_cbor_write_string(out, spec->allowed_types[i]);
-    }
-    if (awaits) {
-        amb_cbor_write_string(out, "awaits");
-        amb_cbor_write_list(out, awaits->count);
-        for (uint32_t i = 0; i < awaits->count; i++) amb_cbor_write_string(out, awaits->names[i]);
-    }
+    if (spec->allowed_type_count) put_list(out, "hulls", spec->allowed_types, spec->allowed_type_count);
+    if (dependencies) put_list(out, DEPENDENCIES, dependencies->names, dependencies->count);
 }
