--- a/include/amberpin/config/toml_reader.h
+++ b/include/amberpin/config/toml_reader.h
@@ -1,17 +1,25 @@
-/* The one door to toml++: a file as a flat run of values, each with its path ("params.teams[0].name"). */
-#ifndef AMBERPIN_TOML_SHIM_H
-#define AMBERPIN_TOML_SHIM_H
+/* The one place that uses toml++: a file as a flat run of values, each with its path
+ * ("params.teams[0].name"). */
+#ifndef AMBERPIN_TOML_READER_H
+#define AMBERPIN_TOML_READER_H
 
 #ifdef __cplusplus
 extern "C" {
 #endif
 
 enum amb_toml_kind { AMB_TOML_TEXT, AMB_TOML_NUMBER, AMB_TOML_OTHER };
+
+/* A value: its text ("" if it is none) or its number. Both are good until the function returns. */
 typedef void (*amb_toml_visit)(void *arg, const char *path, enum amb_toml_kind kind, const char *text,
-                               double num);
+                               double number);
+
+/* Failures are negative. */
+enum amb_toml_result { AMB_TOML_OK = 0, AMB_TOML_UNREADABLE = -1, AMB_TOML_MALFORMED = -2 };
 
-/* 0, or -1 with one line in err. */
-int amb_toml_read(const char *path, amb_toml_visit fn, void *arg, char *err, unsigned long cap);
+/* Calls `visit` for each value. A failure leaves one line in error, of error_size bytes; nothing or a part
+ * was visited then. */
+enum amb_toml_result amb_toml_read(const char *path, amb_toml_visit visit, void *arg, char *error,
+                                   unsigned long error_size);
 
 #ifdef __cplusplus
 }
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -1,7 +1,7 @@
 /* Workers' reports, from a tree of items or, as a rule, straight from their bytes. */
 #include "amberpin/codec/cbor_reader.h"
-#include "fields.h"
 #include "amberpin/codec/messages.h"
+#include "fields.h"
 
 #include <ctype.h>
 #include <stdlib.h>
--- a/lib/codec/catalog.c
+++ b/lib/codec/catalog.c
@@ -1,6 +1,6 @@
 /* The catalogue of machine types, as the cloud lists it. */
-#include "fields.h"
 #include "amberpin/codec/messages.h"
+#include "fields.h"
 
 #include <string.h>
 
--- a/lib/config/command_line.c
+++ b/lib/config/command_line.c
@@ -30,6 +30,6 @@
     static const struct argp argp = {
         arguments, parse_argument, 0, "A scheduler for fleets that serve language models.", 0, 0, 0};
     memset(out, 0, sizeof *out);
-    argp_err_exit_status = 2;
+    argp_err_exit_status = AMB_PROCESS_BAD_CONFIGURATION;
     argp_parse(&argp, argc, argv, 0, 0, out);
 }
--- a/src/main.c
+++ b/src/main.c
@@ -1,3 +1,4 @@
+/* The controller process: reads its configuration, starts a node and runs the event loop. */
 #include "amberpin/base/log.h"
 #include "amberpin/config/command_line.h"
 #include "amberpin/node/fleet_capacity.h"
@@ -7,33 +8,54 @@
 #include <stdio.h>
 #include <stdlib.h>
 
+/* Whether the settings and options can be used together. False: text names the file and the field. */
+static bool check_together(const struct amb_node *node, const struct amb_command_line *command_line,
+                           char *text, size_t size) {
+    const struct amb_settings *settings = &node->settings;
+    const struct amb_options *options = &node->options;
+    return amb_duties_check_options(settings, options, command_line->options_path, text, size) &&
+           amb_zone_recovery_check(settings, options, command_line->options_path, text, size) &&
+           amb_capacity_check(settings, options, command_line->settings_path, text, size);
+}
+
+static bool load_configuration(struct amb_node *node, const struct amb_command_line *command_line,
+                               struct amb_config_error *error) {
+    amb_options_set_defaults(&node->options);
+    if (amb_settings_load(command_line->settings_path, &node->settings, error) != AMB_CONFIG_VALID)
+        return false;
+    if (command_line->options_path &&
+        amb_options_load(command_line->options_path, &node->options, error) != AMB_CONFIG_VALID)
+        return false;
+    return check_together(node, command_line, error->text, sizeof error->text);
+}
+
+static enum amb_process_status run(struct amb_node *node) {
+    char error[AMB_CONFIG_ERROR_BYTES];
+    signal(SIGPIPE, SIG_IGN);
+    amb_loop_init();
+    if (amb_node_start(node, error, sizeof error) < 0) {
+        fprintf(stderr, "amberpin: %s\n", error);
+        return AMB_PROCESS_START_FAILED;
+    }
+    amb_info("amberpin %s: node %s serves at %s", AMB_VERSION, node->settings.member,
+             node->settings.api_listen);
+    amb_loop_run();
+    return AMB_PROCESS_OK;
+}
+
 int main(int argc, char **argv) {
     static struct amb_node node;
-    struct amb_command_line cli;
-    char err[512];
-    amb_command_line_parse(argc, argv, &cli);
+    struct amb_command_line command_line;
+    struct amb_config_error error;
+    amb_command_line_parse(argc, argv, &command_line);
     amb_log_init(getenv("LOG_LEVEL"));
-    amb_options_set_defaults(&node.options);
-    if (!amb_settings_load(cli.settings_path, &node.settings, err, sizeof err) ||
-        (cli.options_path && !amb_options_load(cli.options_path, &node.options, err, sizeof err)) ||
-        !amb_duties_check_options(&node.settings, &node.options, cli.options_path, err, sizeof err) ||
-        !amb_zone_recovery_check(&node.settings, &node.options, cli.options_path, err, sizeof err) ||
-        !amb_capacity_check(&node.settings, &node.options, cli.settings_path, err, sizeof err)) {
-        fprintf(stderr, "amberpin: %s\n", err);
-        return 2;
+    if (!load_configuration(&node, &command_line, &error)) {
+        fprintf(stderr, "amberpin: %s\n", error.text);
+        return AMB_PROCESS_BAD_CONFIGURATION;
     }
-    if (cli.check_only) {
-        printf("%s: settings can be used\n", cli.settings_path);
-        return 0;
+    if (command_line.check_only) {
+        printf("%s: settings can be used\n", command_line.settings_path);
+        return AMB_PROCESS_OK;
     }
-    signal(SIGPIPE, SIG_IGN);
-    amb_loop_init();
-    if (amb_node_start(&node, err, sizeof err) < 0) {
-        fprintf(stderr, "amberpin: %s\n", err);
-        return 1;
-    }
-    amb_info("amberpin %s: node %s serves at %s", AMB_VERSION, node.settings.member,
-             node.settings.api_listen);
-    amb_loop_run();
-    return 0;
+    return run(&node);
 }
--- a/tests/config/test_settings.c
+++ b/tests/config/test_settings.c
@@ -26,8 +26,8 @@
 static void good_settings_load(void **state) {
     (void)state;
     struct amb_settings settings;
-    char err[256];
-    if (!amb_settings_load("tests/data/good.toml", &settings, err, sizeof err)) fail_msg("%s", err);
+    struct amb_config_error error;
+    if (amb_settings_load("tests/data/good.toml", &settings, &error)) fail_msg("%s", error.text);
     assert_string_equal(settings.member, "node-0");
     assert_int_equal(settings.peer_count, 1);
     assert_string_equal(settings.peers[0].addr, "127.0.0.1:9");
@@ -58,12 +58,13 @@
     char *at = strstr(good, announcement);
     assert_non_null(at);
     for (size_t i = 0; i < ROWS(rows); i++) {
-        char text[65536], path[64], err[256] = "";
+        char text[65536], path[64];
         struct amb_settings settings;
+        struct amb_config_error error;
         snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good, rows[i].announced,
                  at + strlen(announcement));
         spill(path, text);
-        if (!amb_settings_load(path, &settings, err, sizeof err)) fail_msg("%s: %s", rows[i].what, err);
+        if (amb_settings_load(path, &settings, &error)) fail_msg("%s: %s", rows[i].what, error.text);
         unlink(path);
         struct amb_store_limits got = amb_settings_lowered_limits(&settings);
         if (got.write_rps != rows[i].want.write_rps || got.value_kb != rows[i].want.value_kb ||
@@ -102,39 +103,47 @@
     (void)state;
     static const struct {
         const char *from, *to, *complaint;
+        enum amb_config_problem problem;
     } rows[] = {
-        {"member = \"node-0\"", "", "member: is missing"},
-        {"front = \"127.0.0.1:0\"", "front = 7", "front: must be a short text"},
-        {"lease_s = 10.0", "lease_s = -1.0", "params.workers.lease_s: must be a number within its bounds"},
-        {"lease_s = 10.0", "lease_s = \"ten\"", "params.workers.lease_s: must be a number within its bounds"},
-        {"value_kb = 2.0", "value_kb = 0.5",
-         "params.state.next.value_kb: must be a number within its bounds"},
-        {"write_rps = 15.0", "write_rps = \"few\"", "params.state.next.write_rps: must be a number within"},
-        {"txn_ops = 4", "txn_ops = 0", "params.state.next.txn_ops: must be a number within its bounds"},
-        {"fd_limit = 800", "", "params.quota.fd_limit: is missing"},
-        {"gpus_max = 32.0", "gpus_max = \"all\"", "params.teams[0].gpus_max: must be a number"},
-        {"name = \"vision\"", "", "params.teams[]: needs a name"},
-        {"addr = \"127.0.0.1:9\"", "", "others[]: needs member and addr"},
-        {"[endpoints]", "[endpoints", "line"},
+        {"member = \"node-0\"", "", "member: is missing", AMB_CONFIG_MISSING_VALUE},
+        {"front = \"127.0.0.1:0\"", "front = 7", "front: must be a short text", AMB_CONFIG_INVALID_VALUE},
+        {"lease_s = 10.0", "lease_s = -1.0", "params.workers.lease_s: must be a number within its bounds",
+         AMB_CONFIG_INVALID_VALUE},
+        {"lease_s = 10.0", "lease_s = \"ten\"", "params.workers.lease_s: must be a number within its bounds",
+         AMB_CONFIG_INVALID_VALUE},
+        {"value_kb = 2.0", "value_kb = 0.5", "params.state.next.value_kb: must be a number within its bounds",
+         AMB_CONFIG_INVALID_VALUE},
+        {"write_rps = 15.0", "write_rps = \"few\"", "params.state.next.write_rps: must be a number within",
+         AMB_CONFIG_INVALID_VALUE},
+        {"txn_ops = 4", "txn_ops = 0", "params.state.next.txn_ops: must be a number within its bounds",
+         AMB_CONFIG_INVALID_VALUE},
+        {"fd_limit = 800", "", "params.quota.fd_limit: is missing", AMB_CONFIG_MISSING_VALUE},
+        {"gpus_max = 32.0", "gpus_max = \"all\"", "params.teams[0].gpus_max: must be a number",
+         AMB_CONFIG_INVALID_VALUE},
+        {"name = \"vision\"", "", "params.teams[]: needs a name", AMB_CONFIG_MISSING_VALUE},
+        {"addr = \"127.0.0.1:9\"", "", "others[]: needs member and addr", AMB_CONFIG_MISSING_VALUE},
+        {"[endpoints]", "[endpoints", "line", AMB_CONFIG_SYNTAX},
     };
     char *good = slurp("tests/data/good.toml");
     for (size_t i = 0; i < ROWS(rows); i++) {
-        char text[65536], path[64], err[256] = "";
+        char text[65536], path[64];
         char *at = strstr(good, rows[i].from);
         assert_non_null(at);
         snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good, rows[i].to,
                  at + strlen(rows[i].from));
         spill(path, text);
         struct amb_settings settings;
-        bool ok = amb_settings_load(path, &settings, err, sizeof err);
+        struct amb_config_error error;
+        enum amb_config_problem problem = amb_settings_load(path, &settings, &error);
         unlink(path);
-        if (ok || !strstr(err, rows[i].complaint) || !strstr(err, path))
-            fail_msg("row %zu: '%s' instead of '%s'", i, err, rows[i].complaint);
+        if (problem != rows[i].problem || !strstr(error.text, rows[i].complaint) || !strstr(error.text, path))
+            fail_msg("row %zu: %d, '%s' instead of '%s'", i, problem, error.text, rows[i].complaint);
+        assert_int_equal(error.problem, problem);
     }
     free(good);
-    char err[256];
     struct amb_settings settings;
-    assert_false(amb_settings_load("/nonexistent.toml", &settings, err, sizeof err));
+    struct amb_config_error error;
+    assert_int_equal(amb_settings_load("/nonexistent.toml", &settings, &error), AMB_CONFIG_UNREADABLE);
 }
 
 static void options(void **state) {
@@ -142,42 +151,50 @@
     static const struct {
         const char *xml;
         const char *complaint; /* NULL: fine */
+        enum amb_config_problem problem;
     } rows[] = {
-        {"<amberpin/>", NULL},
-        {"<amberpin><!-- more --><headroom value=\"2.5\"/></amberpin>", NULL},
-        {"<amberpin><headroom value=\"much\"/></amberpin>", "headroom: value is not a number"},
-        {"<amberpin><headroom value=\"-1\"/></amberpin>", "headroom: value is not a number"},
-        {"<amberpin><headroom/></amberpin>", "headroom: takes one attribute"},
-        {"<amberpin><legroom value=\"1\"/></amberpin>", "legroom: unknown setting"},
-        {"<amberpin><duties value=\"1\"/><duty-names value=\"rent, cleanup\"/></amberpin>", NULL},
+        {"<amberpin/>", NULL, AMB_CONFIG_VALID},
+        {"<amberpin><!-- more --><headroom value=\"2.5\"/></amberpin>", NULL, AMB_CONFIG_VALID},
+        {"<amberpin><headroom value=\"much\"/></amberpin>", "headroom: value is not a number",
+         AMB_CONFIG_INVALID_VALUE},
+        {"<amberpin><headroom value=\"-1\"/></amberpin>", "headroom: value is not a number",
+         AMB_CONFIG_INVALID_VALUE},
+        {"<amberpin><headroom/></amberpin>", "headroom: takes one attribute", AMB_CONFIG_INVALID_VALUE},
+        {"<amberpin><legroom value=\"1\"/></amberpin>", "legroom: unknown setting", AMB_CONFIG_UNKNOWN_NAME},
+        {"<amberpin><duties value=\"1\"/><duty-names value=\"rent, cleanup\"/></amberpin>", NULL,
+         AMB_CONFIG_VALID},
         {"<amberpin><duty-names value=\"rent,lead\"/></amberpin>",
-         "line 1: duty-names: 'lead' can't be used; allowed: rent, return, reclaim, cleanup"},
+         "line 1: duty-names: 'lead' can't be used; allowed: rent, return, reclaim, cleanup",
+         AMB_CONFIG_INVALID_VALUE},
         {"<amberpin><duty-names value=\"rent,rent\"/></amberpin>",
-         "line 1: duty-names: 'rent' can't be used; allowed: each duty once"},
+         "line 1: duty-names: 'rent' can't be used; allowed: each duty once", AMB_CONFIG_INVALID_VALUE},
         {"<amberpin><duty-names value=\"\"/></amberpin>",
-         "duty-names: '' can't be used; allowed: at least one"},
-        {"<amberpin><duty-names/></amberpin>", "duty-names: takes one attribute"},
-        {"<amberpin><duties value=\"2\"/></amberpin>", "duties: value is not a number within its bounds"},
-        {"<other/>", "the document must be <amberpin>"},
-        {"<amberpin>", "line 1"},
-        {"", "line 1"},
+         "duty-names: '' can't be used; allowed: at least one", AMB_CONFIG_INVALID_VALUE},
+        {"<amberpin><duty-names/></amberpin>", "duty-names: takes one attribute", AMB_CONFIG_INVALID_VALUE},
+        {"<amberpin><duties value=\"2\"/></amberpin>", "duties: value is not a number within its bounds",
+         AMB_CONFIG_INVALID_VALUE},
+        {"<other/>", "the document must be <amberpin>", AMB_CONFIG_UNKNOWN_NAME},
+        {"<amberpin>", "line 1", AMB_CONFIG_SYNTAX},
+        {"", "line 1", AMB_CONFIG_SYNTAX},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        char path[64], err[256] = "";
+        char path[64];
+        struct amb_config_error error;
         struct amb_options options;
         amb_options_set_defaults(&options);
         spill(path, rows[i].xml);
-        bool ok = amb_options_load(path, &options, err, sizeof err);
+        enum amb_config_problem problem = amb_options_load(path, &options, &error);
         unlink(path);
-        if (ok != !rows[i].complaint || (!ok && !strstr(err, rows[i].complaint)))
-            fail_msg("row %zu: '%s'", i, err);
+        if (problem != rows[i].problem || (rows[i].complaint && !strstr(error.text, rows[i].complaint)))
+            fail_msg("row %zu: %d, '%s'", i, problem, error.text);
+        assert_int_equal(error.problem, problem);
         if (i == 1) assert_true(options.headroom_deviations == 2.5);
     }
     struct amb_options normal, sample;
-    char err[256] = "";
+    struct amb_config_error error;
     amb_options_set_defaults(&normal);
     memset(&sample, 0, sizeof sample);
-    if (!amb_options_load("deploy/options.xml", &sample, err, sizeof err)) fail_msg("%s", err);
+    if (amb_options_load("deploy/options.xml", &sample, &error)) fail_msg("%s", error.text);
     assert_memory_equal(&normal, &sample, sizeof normal); /* the sample states every default */
 }
 
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -35,10 +35,11 @@
     (void)state;
     static const struct {
         const char *memory;
-        bool good;
-    } rows[] = {{"6.75", true}, {"4.0", true}, {"3.9", false}};
+        enum amb_config_problem problem;
+    } rows[] = {{"6.75", AMB_CONFIG_VALID}, {"4.0", AMB_CONFIG_VALID}, {"3.9", AMB_CONFIG_INVALID_VALUE}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        char text[16384], path[] = "/tmp/amberpin-memory-XXXXXX", err[256];
+        char text[16384], path[] = "/tmp/amberpin-memory-XXXXXX";
+        struct amb_config_error error;
         struct amb_settings settings;
         FILE *sample = fopen("tests/data/good.toml", "r"), *out = fdopen(mkstemp(path), "w");
         assert_true(sample && out);
@@ -49,7 +50,7 @@
                 at + strlen("memory_mb = 56.0"));
         fclose(sample);
         fclose(out);
-        assert_int_equal(amb_settings_load(path, &settings, err, sizeof err), rows[i].good);
+        assert_int_equal(amb_settings_load(path, &settings, &error), rows[i].problem);
         unlink(path);
     }
 }
