--- a/include/amberpin/codec/cbor_writer.h
+++ b/include/amberpin/codec/cbor_writer.h
@@ -1,15 +1,17 @@
-/* Writing CBOR straight into a buffer. */
+/* Writes CBOR straight into a buffer. */
 #ifndef AMBERPIN_CBOR_WRITER_H
 #define AMBERPIN_CBOR_WRITER_H
 
 #include "amberpin/base/util.h"
 
+/* Heads: the caller writes as many pairs (a key, then its value) or items after them. */
 void amb_cbor_write_map(struct amb_buf *buffer, size_t pairs);
 void amb_cbor_write_list(struct amb_buf *buffer, size_t items);
-void amb_cbor_write_string(struct amb_buf *buffer, const char *text);
-void amb_cbor_write_text(struct amb_buf *buffer, const char *text, size_t len);
+
+void amb_cbor_write_string(struct amb_buf *buffer, const char *text);           /* terminated */
+void amb_cbor_write_text(struct amb_buf *buffer, const char *text, size_t len); /* of len bytes */
 void amb_cbor_write_uint(struct amb_buf *buffer, uint64_t value);
-void amb_cbor_write_number(struct amb_buf *buffer, double value);
+void amb_cbor_write_number(struct amb_buf *buffer, double value); /* always as a double */
 void amb_cbor_write_bool(struct amb_buf *buffer, bool value);
 void amb_cbor_write_null(struct amb_buf *buffer);
 
--- a/lib/codec/cbor_item.c
+++ b/lib/codec/cbor_item.c
@@ -6,20 +6,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* libcbor makes room for as many items as a list or map says it has before it looks for them: a body of five
- * bytes could take all memory there is. So lengths are held against what is left of the input first. */
-struct scan {
+/* libcbor allocates room for as many items as a list or map claims before it looks for them: a body of five
+ * bytes could take all memory there is. So claimed lengths are compared with what is left of the input first.
+ */
+struct length_check {
     size_t bytes_left;
     bool too_long;
 };
 
 static void check_list_length(void *context, size_t items) {
-    struct scan *check = context;
+    struct length_check *check = context;
     if (items > check->bytes_left) check->too_long = true;
 }
 
 static void check_map_length(void *context, size_t pairs) {
-    struct scan *check = context;
+    struct length_check *check = context;
     if (pairs > check->bytes_left / 2) check->too_long = true;
 }
 
@@ -27,7 +28,7 @@
     struct cbor_callbacks callbacks = cbor_empty_callbacks;
     callbacks.array_start = check_list_length;
     callbacks.map_start = check_map_length;
-    struct scan check = {len, false};
+    struct length_check check = {len, false};
     while (check.bytes_left && !check.too_long) {
         struct cbor_decoder_result result =
             cbor_stream_decode(data + (len - check.bytes_left), check.bytes_left, &callbacks, &check);
@@ -49,21 +50,25 @@
     return item;
 }
 
+static bool is_text(const cbor_item_t *item) {
+    return item && cbor_isa_string(item) && cbor_string_is_definite(item);
+}
+
+static bool is_this_text(const cbor_item_t *item, const char *text, size_t len) {
+    return is_text(item) && cbor_string_length(item) == len && !memcmp(cbor_string_handle(item), text, len);
+}
+
 const cbor_item_t *amb_cbor_map_get(const cbor_item_t *map, const char *key) {
     if (!map || !cbor_isa_map(map)) return NULL;
+    const struct cbor_pair *pairs = cbor_map_handle(map);
     size_t key_len = strlen(key);
-    struct cbor_pair *pairs = cbor_map_handle(map);
-    for (size_t i = 0; i < cbor_map_size(map); i++) {
-        cbor_item_t *pair_key = pairs[i].key;
-        if (cbor_isa_string(pair_key) && cbor_string_is_definite(pair_key) &&
-            cbor_string_length(pair_key) == key_len && !memcmp(cbor_string_handle(pair_key), key, key_len))
-            return pairs[i].value;
-    }
+    for (size_t i = 0; i < cbor_map_size(map); i++)
+        if (is_this_text(pairs[i].key, key, key_len)) return pairs[i].value;
     return NULL;
 }
 
 bool amb_cbor_copy_string(const cbor_item_t *item, char *out, size_t cap) {
-    if (!item || !cbor_isa_string(item) || !cbor_string_is_definite(item)) return false;
+    if (!is_text(item)) return false;
     size_t len = cbor_string_length(item);
     if (len >= cap || (len && memchr(cbor_string_handle(item), 0, len))) return false;
     if (len) memcpy(out, cbor_string_handle(item), len);
@@ -72,7 +77,7 @@
 }
 
 char *amb_cbor_dup_string(const cbor_item_t *item) {
-    if (!item || !cbor_isa_string(item) || !cbor_string_is_definite(item)) return NULL;
+    if (!is_text(item)) return NULL;
     size_t cap = cbor_string_length(item) + 1;
     char *text = amb_alloc(cap);
     if (amb_cbor_copy_string(item, text, cap)) return text;
@@ -81,9 +86,7 @@
 }
 
 bool amb_cbor_equals(const cbor_item_t *item, const char *text) {
-    size_t len = strlen(text);
-    return item && cbor_isa_string(item) && cbor_string_is_definite(item) &&
-           cbor_string_length(item) == len && !memcmp(cbor_string_handle(item), text, len);
+    return is_this_text(item, text, strlen(text));
 }
 
 bool amb_cbor_get_uint(const cbor_item_t *item, uint64_t *out) {
@@ -105,11 +108,14 @@
     return isfinite(*out);
 }
 
+/* No number, but true, false, null or the like. To be asked before cbor_is_bool, which asserts it and so
+ * would end the process. */
+static bool is_simple(const cbor_item_t *item) {
+    return cbor_isa_float_ctrl(item) && cbor_float_get_width(item) == CBOR_FLOAT_0;
+}
+
 bool amb_cbor_get_bool(const cbor_item_t *item, bool *out) {
-    /* The width first: cbor_is_bool asserts that it is no number, and so ends the process. */
-    if (!item || !cbor_isa_float_ctrl(item) || cbor_float_get_width(item) != CBOR_FLOAT_0 ||
-        !cbor_is_bool(item))
-        return false;
+    if (!item || !is_simple(item) || !cbor_is_bool(item)) return false;
     *out = cbor_get_bool(item);
     return true;
 }
@@ -121,7 +127,7 @@
 const cbor_item_t *amb_cbor_list_item(const cbor_item_t *list, size_t index) {
     return cbor_array_handle(list)[index];
 }
+
 bool amb_cbor_is_absent(const cbor_item_t *item) {
-    return !item ||
-           (cbor_isa_float_ctrl(item) && cbor_float_get_width(item) == CBOR_FLOAT_0 && !cbor_is_bool(item));
+    return !item || (is_simple(item) && !cbor_is_bool(item));
 }
--- a/lib/codec/cbor_reader.c
+++ b/lib/codec/cbor_reader.c
@@ -6,7 +6,7 @@
 enum major { MAJOR_UINT = 0, MAJOR_TEXT = 3, MAJOR_LIST = 4, MAJOR_MAP = 5, MAJOR_SIMPLE = 7 };
 enum { BYTE_FALSE = 0xf4, BYTE_TRUE = 0xf5, BYTE_NULL = 0xf6, BYTE_DOUBLE = 0xfb };
 
-struct amb_cbor_reader amb_cbor_reader(const void *data, size_t len) {
+struct amb_cbor_reader amb_cbor_reader_init(const void *data, size_t len) {
     const unsigned char *at = data;
     return (struct amb_cbor_reader){at, at + len, false};
 }
@@ -21,7 +21,8 @@
     return (size_t)(reader->end - reader->at);
 }
 
-static int peek_byte(const struct amb_cbor_reader *reader) { /* -1: none */
+/* -1: none is left. */
+static int peek_byte(const struct amb_cbor_reader *reader) {
     return reader->at < reader->end ? *reader->at : -1;
 }
 
@@ -32,7 +33,7 @@
     return value;
 }
 
-/* The number in the head of a value, which must be of this type: itself, or a length. */
+/* The number in the head of a value of this type: itself, or a length. */
 static uint64_t read_head(struct amb_cbor_reader *reader, enum major major) {
     int byte = peek_byte(reader);
     if (byte < 0 || byte >> 5 != (int)major) return fail(reader);
@@ -43,7 +44,7 @@
     return read_big_endian(reader, (size_t)1 << (info - 24));
 }
 
-/* No more items than bytes are left: nobody makes room for more than there can be. */
+/* Fails where more is claimed than the bytes left can hold: nobody then allocates room for it. */
 static size_t read_count(struct amb_cbor_reader *reader, enum major major, size_t bytes_each) {
     uint64_t count = read_head(reader, major);
     return count <= bytes_left(reader) / bytes_each ? (size_t)count : (size_t)fail(reader);
@@ -63,10 +64,10 @@
     return all < 0x80;
 }
 
-struct amb_cbor_dup_string amb_cbor_read_text(struct amb_cbor_reader *reader) {
+struct amb_cbor_text amb_cbor_read_text(struct amb_cbor_reader *reader) {
     uint64_t len = read_head(reader, MAJOR_TEXT);
     if (len > bytes_left(reader) || !is_ascii(reader->at, (size_t)len)) len = fail(reader);
-    struct amb_cbor_dup_string text = {(const char *)reader->at, (size_t)len};
+    struct amb_cbor_text text = {(const char *)reader->at, (size_t)len};
     reader->at += len;
     return text;
 }
@@ -102,8 +103,8 @@
     return isfinite(value) ? value : (double)fail(reader);
 }
 
-/* One value's head, and its content if it is no list or map. Returns how many values within it come next. */
-static size_t skip_head(struct amb_cbor_reader *reader) {
+/* Passes over a value, but of a list or map over the head alone. Returns how many values within it follow. */
+static size_t skip_shallow(struct amb_cbor_reader *reader) {
     int byte = peek_byte(reader);
     switch (byte < 0 ? -1 : byte >> 5) {
     case MAJOR_UINT: amb_cbor_read_uint(reader); return 0;
@@ -121,17 +122,23 @@
 }
 
 void amb_cbor_skip_value(struct amb_cbor_reader *reader) {
-    /* Each turn takes a byte at least, and no list claims more items than bytes are left. */
+    /* This ends: each step takes a byte at least, and no list claims more items than bytes are left. */
     for (size_t values_left = 1; values_left && !reader->failed; values_left--)
-        values_left += skip_head(reader);
+        values_left += skip_shallow(reader);
 }
 
 /* ---- sizes ---- */
 
-enum { JSON_SEPARATOR = 2, JSON_NUMBER = 25, JSON_ESCAPE = 6 }; /* bytes at most */
+enum {
+    JSON_SEPARATOR = 2,
+    JSON_QUOTES = 2,
+    JSON_BRACKETS = 2,
+    JSON_NUMBER = 25,
+    JSON_ESCAPE = 6
+}; /* bytes at most */
 
-static size_t json_text_size(struct amb_cbor_dup_string text) {
-    size_t size = text.len + 2;
+static size_t json_text_size(struct amb_cbor_text text) {
+    size_t size = text.len + JSON_QUOTES;
     for (size_t i = 0; i < text.len; i++)
         if (text.data[i] < ' ' || text.data[i] == '"' || text.data[i] == '\\' || text.data[i] == 0x7f)
             size += JSON_ESCAPE - 1;
@@ -144,33 +151,32 @@
     return digits;
 }
 
-/* One value without what is within it, of which it says how many values there are. */
-static size_t json_head_size(struct amb_cbor_reader *reader, size_t *within) {
+/* The size of a value, of a list or map without what is within it: so many values, which follow. */
+static size_t json_shallow_size(struct amb_cbor_reader *reader, size_t *within) {
     int byte = peek_byte(reader);
     *within = 0;
     switch (byte < 0 ? -1 : byte >> 5) {
     case MAJOR_UINT: return json_uint_size(amb_cbor_read_uint(reader));
     case MAJOR_TEXT: return json_text_size(amb_cbor_read_text(reader));
-    case MAJOR_LIST: *within = amb_cbor_read_list(reader); return 2;
-    case MAJOR_MAP: *within = 2 * amb_cbor_read_map(reader); return 2;
-    default: skip_head(reader); return JSON_NUMBER;
+    case MAJOR_LIST: *within = amb_cbor_read_list(reader); return JSON_BRACKETS;
+    case MAJOR_MAP: *within = 2 * amb_cbor_read_map(reader); return JSON_BRACKETS;
+    default: skip_shallow(reader); return JSON_NUMBER;
     }
 }
 
 size_t amb_cbor_json_size(const void *data, size_t len) {
-    struct amb_cbor_reader reader = amb_cbor_reader(data, len);
+    struct amb_cbor_reader reader = amb_cbor_reader_init(data, len);
     size_t size = 0, within;
     for (size_t values_left = 1; values_left && !reader.failed; values_left += within - 1)
-        size += json_head_size(&reader, &within) + JSON_SEPARATOR;
+        size += json_shallow_size(&reader, &within) + JSON_SEPARATOR;
     return reader.failed ? len * JSON_ESCAPE : size; /* each byte escaped */
 }
 
-bool amb_cbor_text_equals(struct amb_cbor_dup_string text, const char *expected) {
+bool amb_cbor_text_equals(struct amb_cbor_text text, const char *expected) {
     return strlen(expected) == text.len && !memcmp(text.data, expected, text.len);
 }
 
-bool amb_cbor_copy_text(struct amb_cbor_reader *reader, struct amb_cbor_dup_string text, char *out,
-                        size_t cap) {
+bool amb_cbor_copy_text(struct amb_cbor_reader *reader, struct amb_cbor_text text, char *out, size_t cap) {
     if (reader->failed || text.len >= cap || memchr(text.data, 0, text.len)) {
         fail(reader);
         return false;
--- a/lib/codec/change_page.c
+++ b/lib/codec/change_page.c
@@ -5,7 +5,7 @@
 /* Which of the keys comes next, as a bit; 0: none of them, and its value is to be skipped. A key that comes
  * twice makes the reader odd. */
 static uint32_t decode_field_name(struct amb_cbor_reader *reader, const char *const *names, uint32_t *seen) {
-    struct amb_cbor_dup_string name = amb_cbor_read_text(reader);
+    struct amb_cbor_text name = amb_cbor_read_text(reader);
     for (uint32_t i = 0; names[i]; i++) {
         if (!amb_cbor_text_equals(name, names[i])) continue;
         if (*seen & 1u << i) reader->failed = true;
@@ -58,7 +58,7 @@
 /* With `visit` NULL it is only looked through. */
 static bool decode_page(const void *page, size_t len, uint64_t *store_revision, amb_change_visitor visit,
                         void *context) {
-    struct amb_cbor_reader reader = amb_cbor_reader(page, len);
+    struct amb_cbor_reader reader = amb_cbor_reader_init(page, len);
     uint32_t seen = 0;
     for (size_t pairs = amb_cbor_read_map(&reader); pairs && !reader.failed; pairs--) {
         switch (decode_field_name(&reader, PAGE_FIELDS, &seen)) {
--- a/lib/job/jobs.c
+++ b/lib/job/jobs.c
@@ -111,7 +111,7 @@
     return record;
 }
 
-static enum amb_job_state state_named(struct amb_cbor_dup_string name) {
+static enum amb_job_state state_named(struct amb_cbor_text name) {
     if (amb_cbor_text_equals(name, "done")) return AMB_JOB_DONE;
     return amb_cbor_text_equals(name, "cancelled") ? AMB_JOB_CANCELLED : AMB_JOB_QUEUED;
 }
@@ -124,7 +124,7 @@
 }
 
 static void read_field(struct amb_cbor_reader *reader, struct job_record *record, bool *has_state) {
-    struct amb_cbor_dup_string name = amb_cbor_read_text(reader);
+    struct amb_cbor_text name = amb_cbor_read_text(reader);
     if (amb_cbor_text_equals(name, "s")) {
         if (*has_state) reader->failed = true;
         *has_state = true;
@@ -147,7 +147,7 @@
 
 /* False: in an encoding that only amb_cbor_parse knows. */
 static bool read_record(const void *value, size_t value_len, struct job_record *record) {
-    struct amb_cbor_reader reader = amb_cbor_reader(value, value_len);
+    struct amb_cbor_reader reader = amb_cbor_reader_init(value, value_len);
     bool has_state = false;
     *record = (struct job_record){.state = AMB_JOB_QUEUED};
     for (size_t pairs = amb_cbor_read_map(&reader); pairs && !reader.failed; pairs--)
