--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -1,5 +1,5 @@
-/* Requests of users: submissions, questions, cancellations. A user is answered only what is written in the
- * state service; what is not final is read afresh first. */
+/* Users' requests: submissions, queries, cancellations. A user is told only what is durable in the key-value
+ * store; a job's state that is not final is read afresh from there first. */
 #include "amberpin/api/user_api.h"
 
 #include "amberpin/api/admission.h"
@@ -67,10 +67,10 @@
 static void on_submission_written(void *arg, int status, const cbor_item_t *body) {
     struct user_request *request = arg;
     struct amb_node *node = request->node;
-    uint64_t stamp;
-    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &stamp)) {
+    uint64_t revision;
+    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
         const struct amb_job_spec *spec = request->draft->spec;
-        amb_job_apply_own_write(node, request->draft, AMB_JOB_QUEUED, stamp);
+        amb_job_apply_own_write(node, request->draft, AMB_JOB_QUEUED, revision);
         amb_info("job %s: accepted for %s, %u tasks of class %s", request->ref, spec->team, spec->task_count,
                  spec->class_name);
         amb_debug("job %s: a task takes %g vcpus, %g accelerators, %g GB, image %g GB, for %g s, due in %g s",
@@ -79,8 +79,8 @@
                   spec->deadline_s);
         reply_job(request, AMB_HTTP_CREATED, amb_job_find(node, request->ref));
     } else if (status == AMB_HTTP_CONFLICT || amb_job_find(node, request->ref)) {
-        /* Another node was first, or only the answer was lost and news have told of the job since. Such news
-         * may be older than the question. */
+        /* Another node was first, or only the response was lost and the watch has brought the job since. What
+         * it brought may be older than the request. */
         request_fresh_read(request);
     } else {
         reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
@@ -90,12 +90,12 @@
 static void on_cancellation_written(void *arg, int status, const cbor_item_t *body) {
     struct user_request *request = arg;
     struct amb_node *node = request->node;
-    uint64_t stamp;
+    uint64_t revision;
     struct amb_job *job = amb_job_find(node, request->ref);
-    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &stamp)) {
-        amb_job_apply_own_cancellation(node, job, stamp);
+    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
+        amb_job_apply_own_cancellation(node, job, revision);
         reply_job(request, AMB_HTTP_OK, job);
-    } else if (job->state != AMB_JOB_QUEUED) { /* only the answer was lost, or another node was first */
+    } else if (job->state != AMB_JOB_QUEUED) { /* only the response was lost, or another node was first */
         reply_job(request, AMB_HTTP_OK, job);
     } else if (status == AMB_HTTP_CONFLICT && request->tries++ < CANCEL_RETRIES) { /* it changed meanwhile */
         request_fresh_read(request);
@@ -104,7 +104,7 @@
     }
 }
 
-/* Writes the job in this state, if its stamp in the state service still is what the job says. */
+/* Writes the job in this state, if its revision in the key-value store still is what the job says. */
 static void write_job(struct user_request *request, const struct amb_job *job, enum amb_job_state state,
                       amb_store_callback done) {
     char key[AMB_NAME_SIZE + 16];
@@ -147,7 +147,7 @@
     struct amb_node *node = request->node;
     struct amb_job *job = amb_job_find(node, request->ref);
     if (!ok) {
-        /* What is final stays so; anything else may have changed unseen. */
+        /* A final state stays so; any other may have changed since. */
         if (job && job->state != AMB_JOB_QUEUED)
             reply_job(request, AMB_HTTP_OK, job);
         else
@@ -161,13 +161,14 @@
     }
 }
 
-/* When more comes than can be written, what users wait for most is accepted first. */
+/* The share of the write budget that is left to jobs of higher priority: when more comes than can be written,
+ * they are accepted first. */
 static double reserved_write_share(const struct amb_job_spec *spec) {
     return spec->priority == AMB_PRIORITY_PRODUCTION ? 0 : spec->priority == AMB_PRIORITY_HIGH ? 0.2 : 0.3;
 }
 
 static void send_submission(struct user_request *request) {
-    struct amb_job *draft = request->draft; /* its stamp, 0, guards: the job must be new */
+    struct amb_job *draft = request->draft; /* its revision is 0: the job must be new */
     draft->accepted_wall_ms = amb_wall_ms();
     request->is_sent = true;
     write_job(request, draft, AMB_JOB_QUEUED, on_submission_written);
@@ -211,9 +212,9 @@
     return true;
 }
 
-/* The job is not known here; `read`: nor was it anywhere when the request came. Once accepted, a job is never
- * refused: so a refusal, of a malformed repetition too, needs a fresh read first. So does one for a name that
- * is awaited: another node may just have accepted it. */
+/* The job is not known here; is_fresh: nor was it in the key-value store when the request came. Once
+ * accepted, a job is never refused: so a refusal, of a malformed repetition too, needs a fresh read first. So
+ * does one for a dependency that is not known: another node may just have accepted it. */
 static void decide_submission(struct user_request *request, bool is_fresh) {
     enum amb_admission admission = check_admission(request);
     if (admission == AMB_ADMISSION_MALFORMED || admission == AMB_ADMISSION_NEVER_RUNS) {
--- a/lib/base/loop.c
+++ b/lib/base/loop.c
@@ -8,14 +8,19 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-enum { MAX_EVENTS_PER_BATCH = 64 };
+enum {
+    MAX_EVENTS_PER_BATCH = 64,
+    FIRST_HEAP_CAPACITY = 64,
+    IDLE_WAIT_MS = 1000, /* without a timer */
+    MAX_WAIT_MS = 60000,
+};
 
 static int epoll_fd = -1;
 static bool stopping;
 static struct amb_timer **heap; /* heap[1..count], the soonest first */
 static size_t timer_count, heap_capacity;
-static struct epoll_event
-    ready[MAX_EVENTS_PER_BATCH]; /* events being handed out; a deleted watch is struck out here */
+/* Events being handed out; that of a deleted watch has no pointer any more. */
+static struct epoll_event ready[MAX_EVENTS_PER_BATCH];
 static int ready_count;
 
 void amb_loop_init(void) {
@@ -51,7 +56,7 @@
     timer->at = at;
     if (!timer->position) {
         if (timer_count + 2 > heap_capacity) {
-            heap_capacity = heap_capacity ? heap_capacity * 2 : 64;
+            heap_capacity = heap_capacity ? heap_capacity * 2 : FIRST_HEAP_CAPACITY;
             heap = amb_realloc(heap, heap_capacity * sizeof *heap);
         }
         heap_place(++timer_count, timer);
@@ -107,15 +112,19 @@
     }
 }
 
+static int ms_until_next_timer(void) {
+    amb_ms wait = timer_count ? heap[1]->at - amb_now() : IDLE_WAIT_MS;
+    if (wait < 0) return 0;
+    return (int)(wait > MAX_WAIT_MS ? MAX_WAIT_MS : wait);
+}
+
 void amb_loop_run(void) {
     while (!stopping) {
         run_due_timers();
-        amb_ms wait = timer_count ? heap[1]->at - amb_now() : 1000;
-        if (wait < 0) wait = 0;
-        ready_count = epoll_wait(epoll_fd, ready, MAX_EVENTS_PER_BATCH, (int)(wait > 60000 ? 60000 : wait));
+        ready_count = epoll_wait(epoll_fd, ready, MAX_EVENTS_PER_BATCH, ms_until_next_timer());
         for (int i = 0; i < ready_count; i++) {
-            /* Whatever made us late, a stall in epoll_wait or a slow handler: what fell due meanwhile, such
-             * as a leader's silence, goes before what came meanwhile (docs/safety.md). */
+            /* Whatever delayed us, a stall in epoll_wait or a slow handler: timers that fell due meanwhile,
+             * such as the one that fences a leader, go before events that came meanwhile (docs/safety.md). */
             run_due_timers();
             struct amb_fd_watch *watch = ready[i].data.ptr;
             if (watch) watch->fn(watch, ready[i].events);
--- a/lib/base/util.c
+++ b/lib/base/util.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+enum { FIRST_CAPACITY = 256, FORMAT_BYTES = 512 };
+
 static void *abort_if_null(void *memory) {
     if (!memory) {
         fputs("amberpin: out of memory\n", stderr);
@@ -23,7 +25,7 @@
 
 void amb_buf_append(struct amb_buf *buffer, const void *data, size_t len) {
     if (buffer->len + len + 1 > buffer->cap) {
-        size_t cap = buffer->cap ? buffer->cap : 256;
+        size_t cap = buffer->cap ? buffer->cap : FIRST_CAPACITY;
         while (cap < buffer->len + len + 1) cap *= 2;
         buffer->data = amb_realloc(buffer->data, cap);
         buffer->cap = cap;
@@ -38,7 +40,7 @@
 }
 
 void amb_buf_append_format(struct amb_buf *buffer, const char *format, ...) {
-    char text[512];
+    char text[FORMAT_BYTES];
     va_list arguments;
     va_start(arguments, format);
     int len = vsnprintf(text, sizeof text, format, arguments);
