--- a/lib/codec/commands.c
+++ b/lib/codec/commands.c
@@ -1,6 +1,6 @@
 /* What controllers send to agents: commands, in the response to a heartbeat or in a request of their own. */
-#include "amberpin/codec/fields.h"
 #include "amberpin/codec/messages.h"
+#include "fields.h"
 
 #include <stdio.h>
 
@@ -14,8 +14,7 @@
     amb_codec_put_text(out, "verb", amb_codec_enum_text(command_kinds, command->kind));
     amb_cbor_write_string(out, "leg");
     amb_cbor_write_text(out, task, (size_t)len);
-    amb_cbor_write_string(out, "try");
-    amb_cbor_write_uint(out, command->attempt);
+    amb_codec_put_uint(out, "try", command->attempt);
     if (command->kind == AMB_COMMAND_STOP) amb_codec_put_amount(out, "easing_s", command->grace_s);
 }
 
--- a/lib/codec/zone_record.c
+++ b/lib/codec/zone_record.c
@@ -2,7 +2,7 @@
 
 #include "amberpin/codec/cbor_item.h"
 #include "amberpin/codec/cbor_writer.h"
-#include "amberpin/codec/fields.h"
+#include "fields.h"
 
 #include <string.h>
 
