--- a/lib/node/fleet_capacity.c
+++ b/lib/node/fleet_capacity.c
@@ -10,7 +10,7 @@
  * 1746 that five eighths allowed.) */
 static const double INCOMING_SHARE = 11.0 / 16, OUTGOING_SHARE = 1.0 / 4;
 
-/* Connections for users and health checks, for each of a worker. */
+/* Connections for users and health checks, for each one of an agent. */
 static const double USERS_PER_WORKER = 1.0 / 16;
 
 int amb_capacity_max_incoming(const struct amb_settings *settings) {
--- a/lib/node/memory_budget.c
+++ b/lib/node/memory_budget.c
@@ -9,7 +9,7 @@
 static const double MACHINE_SHARE = 1.0 / 4;
 static const double REMOVED_MACHINES_SHARE = 1.0 / 64;
 static const double RESPONSE_SHARE = 1.0 / 8;
-static const double PEER_MESSAGE_SHARE = 1.0 / 256; /* of all peers' messages that are kept */
+static const double PEER_MESSAGE_SHARE = 1.0 / 256; /* of all peers' messages that are cached */
 
 enum { ALLOCATION_OVERHEAD = 16, HASH_BUCKET = 16 }; /* bytes: of each allocation; of each entry of a table */
 
