--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -10,17 +10,18 @@
     return NULL;
 }
 
-/* Reports every 4 s and starts that are aimed at within 10 s: planning every half report, a round a twentieth
- * and a tick a tenth of one later took 1 to 4 s of those 10 (fleet deployments). */
+/* With heartbeats every 4 s and starts that are aimed at within 10 s, planning every half heartbeat period, a
+ * scheduling cycle a twentieth and a tick a tenth of one later took 1 to 4 s of those 10 (fleet deployments).
+ */
 double amb_settings_cycle_s(const struct amb_settings *settings) {
     double cycle_s = settings->heartbeat_s;
     for (uint32_t i = 0; i < settings->objective_count; i++)
         if (!strcmp(settings->objectives[i].kind, "wait") && settings->objectives[i].within_s > 0)
             cycle_s = fmin(cycle_s, settings->objectives[i].within_s / 10);
-    return fmax(cycle_s, settings->heartbeat_s / 4); /* turns cost processor time */
+    return fmax(cycle_s, settings->heartbeat_s / 4); /* cycles cost processor time */
 }
 
-/* A lease longer than what a cancellation allows for serves nobody while its holder is dead: with workers'
+/* A lease longer than what a cancellation allows for serves nobody while its holder is dead: with agents'
  * leases of 22 s nothing was placed for 6.6 s, of the 10 s in which some work is to start. */
 double amb_settings_lease_base_s(const struct amb_settings *settings) {
     double grace_s = settings->cancel_s - settings->agent_lease_s;
@@ -29,8 +30,8 @@
 
 /* A limit that is not announced stays as it is. One that rises later is of no use to us: we would have to
  * tell by trial that it has risen. */
-static double lowered_limit(double now, double announced) {
-    return announced > 0 ? fmin(now, announced) : now;
+static double lowered_limit(double present, double announced) {
+    return announced > 0 ? fmin(present, announced) : present;
 }
 
 struct amb_store_limits amb_settings_lowered_limits(const struct amb_settings *settings) {
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -71,7 +71,7 @@
 static bool planned;
 static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID];
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
 static struct key *key_find(const char *name) {
     for (size_t i = 0; i < key_count; i++)
--- a/tests/support/duty_members.h
+++ b/tests/support/duty_members.h
@@ -1,6 +1,6 @@
-/* Members of single-holder duties in one process, each the library's duty service, around a state service and
- * a cloud in memory. Time passes when the test says so; calls take a step, and the test may let one of them
- * be lost, or its member end. */
+/* Members of single-holder duties in one process, each the library's duty service, around a key-value store
+ * and a cloud in memory. Time passes when the test says so; calls take a step, and the test may let one of
+ * them be lost, or its member end. */
 #ifndef AMBERPIN_TESTS_DUTY_MEMBERS_H
 #define AMBERPIN_TESTS_DUTY_MEMBERS_H
 
@@ -35,7 +35,7 @@
     struct amb_duty_service service;
     char name[AMB_NAME_SIZE];
     bool alive, stopped;
-    bool cut;          /* from the state service */
+    bool cut;          /* from the key-value store */
     bool news_held;    /* it hears no news until this ends */
     bool lists_held;   /* its reads are carried out, and answered once this ends */
     bool proves_gone;  /* it has proof that the machines of every return are gone */
@@ -57,7 +57,7 @@
 /* Who holds the duty by the record; -1: nobody. */
 int members_holder(enum amb_duty_name duty);
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
 void members_put(const char *name, const struct amb_buf *value);
 const cbor_item_t *members_value(const char *name); /* NULL: there is no such key */
--- a/tests/support/fake_http.h
+++ b/tests/support/fake_http.h
@@ -1,5 +1,5 @@
 /* In place of the library's HTTP: every request that a node sends is kept until the test answers it, and
- * every reply that it gives to a user, a worker or another node is kept to be looked at. Link it into a test
+ * every reply that it gives to a user, an agent or another node is kept to be looked at. Link it into a test
  * beside the library. */
 #ifndef AMBERPIN_TESTS_FAKE_HTTP_H
 #define AMBERPIN_TESTS_FAKE_HTTP_H
--- a/tests/support/fake_state.h
+++ b/tests/support/fake_state.h
@@ -1,4 +1,4 @@
-/* A state service in memory behind fake_http.h: it answers the transactions and reads that a node has sent,
+/* A key-value store in memory behind fake_http.h: it answers the transactions and reads that a node has sent,
  * one at a time and as the test says, under limits that the test may lower. */
 #ifndef AMBERPIN_TESTS_FAKE_STATE_H
 #define AMBERPIN_TESTS_FAKE_STATE_H
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -116,7 +116,7 @@
     election->holder_revision = election->highest_term = term;
 }
 
-/* ---- what the state service answers ---- */
+/* ---- what the key-value store answers ---- */
 
 void answer_epoch(struct fake_call *call, uint64_t epoch) {
     struct amb_buf buffer = {0};
@@ -194,7 +194,7 @@
     fake_answer(call, 200, &buffer);
 }
 
-/* ---- workers' reports, over HTTP ---- */
+/* ---- agents' heartbeats, over HTTP ---- */
 
 struct amb_http_req *send_heartbeat(struct sent_heartbeat heartbeat) {
     struct amb_buf buffer = {0};
--- a/tests/support/leader_fixture.h
+++ b/tests/support/leader_fixture.h
@@ -1,7 +1,7 @@
 /* A node whose messages a test answers: n-0 in zone a, leading under TERM, with two peers that it has heard
- * of before. Its clock and HTTP are the test's own (fake_clock.h, fake_http.h); the state service, the cloud,
- * the workers and the peers answer when the test says so. Link it beside node_fixture.c, fake_clock.c and
- * fake_http.c. */
+ * of before. Its clock and HTTP are the test's own (fake_clock.h, fake_http.h); the key-value store, the
+ * cloud, the agents and the peers answer when the test says so. Link it beside node_fixture.c, fake_clock.c
+ * and fake_http.c. */
 #ifndef AMBERPIN_TESTS_LEADER_FIXTURE_H
 #define AMBERPIN_TESTS_LEADER_FIXTURE_H
 
@@ -42,7 +42,7 @@
 /* The same; the test fails if there is none. */
 struct fake_call *open_call(const char *method, const char *path);
 
-/* ---- what the state service answers ---- */
+/* ---- what the key-value store answers ---- */
 
 /* A transaction was carried out. */
 void answer_epoch(struct fake_call *call, uint64_t epoch);
@@ -57,7 +57,7 @@
 void answer_news(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
                  uint64_t stamp);
 
-/* ---- workers' reports, over HTTP ---- */
+/* ---- agents' heartbeats, over HTTP ---- */
 
 struct sent_heartbeat {
     const char *machine, *zone;
@@ -68,10 +68,10 @@
 };
 
 struct amb_http_req *send_heartbeat(struct sent_heartbeat heartbeat);
-/* How many orders with this verb a body holds; the same of the latest reply. */
+/* How many commands with this verb a body holds; the same of the latest reply. */
 size_t commands_in(const cbor_item_t *body, const char *verb);
 size_t replied_commands(const char *verb);
-/* The token that the latest reply gives the worker. */
+/* The token that the latest reply gives the agent. */
 uint64_t replied_token(void);
 
 /* ---- machines ---- */
--- a/tests/support/node_fixture.h
+++ b/tests/support/node_fixture.h
@@ -8,7 +8,7 @@
 enum { TERM = 50, FIXTURE_ORDERS = 32 };
 
 extern struct amb_node *node;
-/* The orders in the answer to the latest report. */
+/* The commands in the answer to the latest heartbeat. */
 extern struct amb_agent_command orders[FIXTURE_ORDERS];
 extern size_t norders;
 
@@ -22,15 +22,15 @@
 /* Task i of the job, recorded as placed on the machine (which is made up if need be). */
 struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt);
 
-/* A task as a report lists it. */
+/* A task as a heartbeat lists it. */
 struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt,
                               enum amb_agent_task_state agent_state, enum amb_exit_reason exit_reason);
 
-/* The machine reports: false if the report shows a higher term than ours. */
+/* A heartbeat of the machine's agent arrives. False: it shows a higher term than ours. */
 bool report(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
             const struct amb_agent_task *tasks, size_t ntasks);
 
-/* How many orders of this kind the latest answer holds. */
+/* How many commands of this kind the latest answer holds. */
 size_t count_commands(enum amb_agent_command_kind op);
 
 #endif
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -10,7 +10,7 @@
 
 static const char LEADER_KEY[] = "a/leader";
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
 struct record records[LETTERS];
 struct service service;
@@ -169,7 +169,7 @@
     return true;
 }
 
-/* Lets the node go on until the state service has nothing more to answer. */
+/* Lets the node go on until the key-value store has nothing more to answer. */
 static void settle(void) {
     for (int i = 0; i < 20; i++) {
         while (serve_one()) {}
--- a/tests/support/pipeline_fixture.h
+++ b/tests/support/pipeline_fixture.h
@@ -1,4 +1,4 @@
-/* A node with jobs that await others: the test plays the state service, the other nodes and the users by
+/* A node with jobs that await others: the test plays the key-value store, the other nodes and the users by
  * scripts. A job is called by one letter. Steps are parted by blanks; after "=" comes the answer that is due:
  *
  *   +b:a=201q   a user submits job b, which awaits a; -a=200c cancels a; ?a=200q asks for it
@@ -7,7 +7,7 @@
  *   @+b:a       another node accepts it: it is on record, and not heard of here yet; @-a cancels, @!a ends it
  *   ~           the watch brings all news
  *   ^a          another node's heartbeat tells that a is cancelled
- *   out back    the state service refuses all calls, and no more
+ *   out back    the key-value store refuses all calls, and no more
  *   hold release  transactions are not answered yet
  *   lose        the answer to the next transaction is lost
  *   gone        the next read of changes is too old (410): all keys are listed again
@@ -37,7 +37,7 @@
 /* The letters of the jobs in the leader's care. */
 const char *live_jobs(void);
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
 struct record {
     uint64_t stamp; /* 0: not there */
@@ -52,7 +52,7 @@
 extern struct record records[LETTERS];
 extern struct service service;
 
-/* Answers one request to the state service; false: there is none that it answers now. */
+/* Answers one request to the key-value store; false: there is none that it answers now. */
 bool serve_one(void);
 
 /* ---- users ---- */
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -94,9 +94,9 @@
     expect(what, user, 0, NULL);
 }
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
-/* What the state service answers to a read of all changes: nothing new, or one change of the job. */
+/* What the key-value store answers to a read of all changes: nothing new, or one change of the job. */
 struct amb_buf news(uint64_t stamp, const char *state) {
     if (!state) return cbor_from_text("{\"epoch\":%d,\"news\":[]}", EPOCH);
     return cbor_from_text("{\"epoch\":%llu,\"news\":[{\"put\":\"a/job/" JOB "\",\"stamp\":%llu,"
--- a/tests/support/user_fixture.h
+++ b/tests/support/user_fixture.h
@@ -1,6 +1,6 @@
 /* A node that does not lead, and one job that users submit, ask for and cancel there: the test plays the
- * state service and the users, in any order of events that the network allows. Link it beside node_fixture.c,
- * fake_http.c and json_cbor. */
+ * key-value store and the users, in any order of events that the network allows. Link it beside
+ * node_fixture.c, fake_http.c and json_cbor. */
 #ifndef AMBERPIN_TESTS_USER_FIXTURE_H
 #define AMBERPIN_TESTS_USER_FIXTURE_H
 
@@ -38,9 +38,9 @@
 void expect(const char *what, int user, int status, const char *stance);
 void expect_waiting(const char *what, int user);
 
-/* ---- the state service ---- */
+/* ---- the key-value store ---- */
 
-/* What the state service answers to a read of all changes: nothing new, or one change of the job. */
+/* What the key-value store answers to a read of all changes: nothing new, or one change of the job. */
 struct amb_buf news(uint64_t stamp, const char *state);
 /* The oldest call of this path that is not answered; fails if there is none. */
 struct fake_call *open_call(const char *path);
