--- a/lib/cloud/cloud.c
+++ b/lib/cloud/cloud.c
@@ -1,11 +1,9 @@
 #include "amberpin/cloud/cloud.h"
 
-#include "amberpin/cloud/catalog_refresh.h"
-#include "amberpin/cloud/machine_list.h"
-#include "amberpin/cloud/machine_release.h"
-#include "amberpin/cloud/scale_out.h"
 #include "amberpin/node/node.h"
 
+#include "catalog_refresh.h"
+
 #include <string.h>
 
 void amb_cloud_tick(struct amb_node *node, amb_ms now) {
@@ -19,11 +17,12 @@
 void amb_cloud_reset(struct amb_node *node) {
     struct amb_cloud *cloud = &node->cloud;
     amb_scale_out_reset(node);
-    cloud->list_in_progress = cloud->list_page_due = cloud->release_in_flight = cloud->list_completed = false;
-    cloud->release_count = 0;
+    cloud->release.in_flight = false;
+    cloud->release.count = 0;
     amb_scale_in_log_reset(node);
-    cloud->list_started_at = 0;
-    memset(cloud->capacity_backoff, 0, sizeof cloud->capacity_backoff);
+    cloud->list.state = AMB_MACHINE_LIST_IDLE;
+    cloud->list.completed = false;
+    cloud->list.started_at = 0;
 }
 
 void amb_cloud_init(struct amb_node *node) {
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -2,11 +2,13 @@
 
 #include "amberpin/node/node.h"
 
+/* How long an answer is waited for, in heartbeat periods. */
+static const double GET_TIMEOUT_HEARTBEATS = 3, POST_TIMEOUT_HEARTBEATS = 2;
+
 struct amb_cloud_call *amb_cloud_call_new(struct amb_node *node) {
     struct amb_cloud_call *call = amb_alloc(sizeof *call);
     call->node = node;
     call->term = node->election.term;
-    call->started_at = amb_now();
     return call;
 }
 
@@ -20,6 +22,25 @@
     return node;
 }
 
+static void send_call(struct amb_node *node, const char *method, const char *path, const struct amb_buf *body,
+                      double timeout_heartbeats, amb_http_done done, void *arg) {
+    amb_ms timeout = amb_seconds_to_ms(node->settings.heartbeat_s * timeout_heartbeats);
+    const char *content_type = body->len ? "application/cbor" : NULL;
+    amb_http_call(node->settings.cloud_addr, method, path, content_type, body->data, body->len, timeout, done,
+                  arg);
+}
+
+void amb_cloud_get(struct amb_node *node, const char *path, amb_http_done done, void *arg) {
+    const struct amb_buf no_body = {0};
+    send_call(node, "GET", path, &no_body, GET_TIMEOUT_HEARTBEATS, done, arg);
+}
+
+void amb_cloud_post(struct amb_node *node, const char *path, struct amb_buf *body, amb_http_done done,
+                    void *arg) {
+    send_call(node, "POST", path, body, POST_TIMEOUT_HEARTBEATS, done, arg);
+    amb_buf_free(body);
+}
+
 /* The leader makes nearly all calls; the others read the catalogue once. */
 static double share_by_leader(const struct amb_node *node) {
     if (!node->settings.peer_count) return 1.0;
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -2,19 +2,17 @@
 
 #include "amberpin/base/log.h"
 #include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/codec/scaling_records.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-static const char LOG_KEY[] = "b/returns";
+enum { BYTES_PER_KB = 1024 };
 
-enum {
-    FORM = 1,            /* of the records that this version writes */
-    ENVELOPE_BYTES = 64, /* of the record, around the names */
-    BYTES_PER_KB = 1024,
-};
+/* Attempts to write or read the record are a quarter of a store call's timeout apart. */
+enum { RETRIES_PER_TIMEOUT = 4 };
 
 static void set_state(struct amb_node *node, enum amb_scale_in_log_state to, const char *cause) {
     static const char *const names[] = {"unrecorded", "writing", "unsure", "reading", "recorded"};
@@ -24,7 +22,7 @@
 }
 
 static void retry_later(struct amb_node *node) {
-    node->cloud.scale_in_log.retry_at = amb_now() + node->store.call_timeout / 4;
+    node->cloud.scale_in_log.retry_at = amb_now() + node->store.call_timeout / RETRIES_PER_TIMEOUT;
 }
 
 /* The node, if it still leads under the term of the call and waits for it; else NULL. Frees the call. */
@@ -33,27 +31,9 @@
     return node && node->cloud.scale_in_log.state == expected ? node : NULL;
 }
 
-/* ---- the value ---- */
-
 size_t amb_scale_in_log_capacity_bytes(const struct amb_node *node) {
-    return (size_t)(amb_settings_lowered_limits(&node->settings).value_kb * BYTES_PER_KB) - ENVELOPE_BYTES;
-}
-
-static void encode_names(struct amb_buf *out, const struct amb_cloud *cloud) {
-    amb_cbor_write_map(out, 2);
-    amb_cbor_write_string(out, "form");
-    amb_cbor_write_uint(out, FORM);
-    amb_cbor_write_string(out, "machines");
-    amb_cbor_write_list(out, cloud->release_count);
-    for (uint32_t i = 0; i < cloud->release_count; i++) amb_cbor_write_string(out, cloud->release_names[i]);
-}
-
-static bool has_same_names(const cbor_item_t *value, const struct amb_cloud *cloud) {
-    const cbor_item_t *machines = amb_cbor_map_get(value, "machines");
-    if (amb_cbor_list_length(machines) != cloud->release_count) return false;
-    for (uint32_t i = 0; i < cloud->release_count; i++)
-        if (!amb_cbor_equals(amb_cbor_list_item(machines, i), cloud->release_names[i])) return false;
-    return true;
+    double value_bytes = amb_settings_lowered_limits(&node->settings).value_kb * BYTES_PER_KB;
+    return (size_t)value_bytes - AMB_SCALE_IN_ENVELOPE_BYTES;
 }
 
 /* ---- writing ---- */
@@ -72,15 +52,16 @@
     retry_later(node);
 }
 
-/* Under the stamp that the key is known to have: of several copies of a write one is carried out at most, and
- * none once a later one stands there. */
+/* Compared with the revision that the key is known to have: of several copies of a write one is carried out
+ * at most, and none once a later one has been. */
 static void write_record(struct amb_node *node) {
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    encode_names(&value, &node->cloud);
+    const struct amb_machine_release *release = &node->cloud.release;
+    amb_codec_encode_scale_in_record(&value, release->names, release->count);
     amb_txn_require_leadership(&transaction, node);
-    amb_txn_compare(&transaction, LOG_KEY, node->cloud.scale_in_log.revision);
-    amb_txn_put(&transaction, LOG_KEY, &value, 0);
+    amb_txn_compare(&transaction, AMB_SCALE_IN_KEY, node->cloud.scale_in_log.revision);
+    amb_txn_put(&transaction, AMB_SCALE_IN_KEY, &value, 0);
     amb_buf_free(&value);
     set_state(node, AMB_SCALE_IN_LOG_WRITING, "machines are to be returned");
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, handle_write_answer,
@@ -93,7 +74,9 @@
     struct amb_scale_in_log *scale_in_log = &node->cloud.scale_in_log;
     bool is_present =
         status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &scale_in_log->revision);
-    if (is_present && has_same_names(amb_cbor_map_get(body, "value"), &node->cloud)) {
+    const cbor_item_t *value = is_present ? amb_cbor_map_get(body, "value") : NULL;
+    const struct amb_machine_release *release = &node->cloud.release;
+    if (is_present && amb_codec_scale_in_record_equals(value, release->names, release->count)) {
         set_state(node, AMB_SCALE_IN_LOG_RECORDED, "it had been written");
         return;
     }
@@ -105,12 +88,12 @@
 
 static void read_record(struct amb_node *node) {
     set_state(node, AMB_SCALE_IN_LOG_READING, "what stands there is not known");
-    amb_store_get(&node->store, LOG_KEY, AMB_STORE_PRIORITY_FINAL_STATE, handle_read_answer,
+    amb_store_get(&node->store, AMB_SCALE_IN_KEY, AMB_STORE_PRIORITY_FINAL_STATE, handle_read_answer,
                   amb_cloud_call_new(node));
 }
 
-/* An old version would neither write nor heed the record, and one that it left standing could name machines
- * that have been given work since: it is used once no old process can lead any more. */
+/* A program of an old format neither writes nor reads the record, and one that it left behind could name
+ * machines that have been given work since: the log is used once no such process can lead any more. */
 static bool is_in_use(const struct amb_node *node) {
     return amb_format_active(node) >= AMB_FORMAT_2;
 }
@@ -143,24 +126,20 @@
  * written. */
 void amb_scale_in_log_restore(struct amb_node *node, const char *key, const cbor_item_t *value,
                               uint64_t revision) {
-    struct amb_cloud *cloud = &node->cloud;
-    if (strcmp(key, LOG_KEY) != 0) return;
-    cloud->scale_in_log.revision = revision;
-    if (node->duties.mode == AMB_DUTY_MODE_DUTIES || cloud->release_count) return;
-    const cbor_item_t *machines = amb_cbor_map_get(value, "machines");
-    for (size_t i = 0; i < amb_cbor_list_length(machines) && cloud->release_count < AMB_RELEASE_MAX; i++) {
-        char *name = cloud->release_names[cloud->release_count];
-        if (!amb_cbor_copy_string(amb_cbor_list_item(machines, i), name, AMB_NAME_SIZE)) continue;
-        cloud->release_count++;
-        struct amb_machine *machine = amb_machine_get(node, name, false);
+    struct amb_machine_release *release = &node->cloud.release;
+    if (strcmp(key, AMB_SCALE_IN_KEY) != 0) return;
+    node->cloud.scale_in_log.revision = revision;
+    if (node->duties.mode == AMB_DUTY_MODE_DUTIES || release->count) return;
+    release->count = amb_codec_decode_scale_in_record(value, release->names, AMB_RELEASE_MAX);
+    for (uint32_t i = 0; i < release->count; i++) {
+        struct amb_machine *machine = amb_machine_get(node, release->names[i], false);
         if (machine) amb_machine_mark_releasing(machine, RESTORED_CAUSE);
     }
-    if (cloud->release_count) set_state(node, AMB_SCALE_IN_LOG_RECORDED, "written by an earlier leader");
+    if (release->count) set_state(node, AMB_SCALE_IN_LOG_RECORDED, "written by an earlier leader");
 }
 
 void amb_scale_in_log_note_machine(struct amb_node *node, struct amb_machine *machine) {
-    const struct amb_cloud *cloud = &node->cloud;
-    for (uint32_t i = 0; i < cloud->release_count; i++)
-        if (!strcmp(cloud->release_names[i], machine->name))
-            amb_machine_mark_releasing(machine, RESTORED_CAUSE);
+    const struct amb_machine_release *release = &node->cloud.release;
+    for (uint32_t i = 0; i < release->count; i++)
+        if (!strcmp(release->names[i], machine->name)) amb_machine_mark_releasing(machine, RESTORED_CAUSE);
 }
--- a/lib/cloud_duty/orders.c
+++ b/lib/cloud_duty/orders.c
@@ -72,7 +72,7 @@
 }
 
 void amb_duties_write_scale_out(struct amb_node *node, amb_ms now) {
-    for (struct amb_scale_out_request *request = node->cloud.requests; request; request = request->next) {
+    for (struct amb_scale_out_request *request = node->cloud.scale_out.requests; request; request = request->next) {
         bool due =
             request->state == AMB_SCALE_OUT_RECORDING && !request->in_flight && now >= request->retry_at;
         if (request->via_intent && due) create_scale_out(node, request);
@@ -221,7 +221,7 @@
 
 bool amb_duties_has_pending_writes(const struct amb_node *node) {
     if (node->duties.scale_in.id[0]) return true;
-    for (const struct amb_scale_out_request *request = node->cloud.requests; request; request = request->next)
+    for (const struct amb_scale_out_request *request = node->cloud.scale_out.requests; request; request = request->next)
         if (request->via_intent && request->state == AMB_SCALE_OUT_RECORDING) return true;
     return false;
 }
--- a/lib/cloud_duty/wiring.c
+++ b/lib/cloud_duty/wiring.c
@@ -176,8 +176,8 @@
 /* Has the leader a call under way, or to repeat, that the other path must not meet? */
 static bool leader_has_open_calls(const struct amb_node *node) {
     const struct amb_cloud *cloud = &node->cloud;
-    if (cloud->release_count) return true;
-    for (const struct amb_scale_out_request *request = cloud->requests; request; request = request->next)
+    if (cloud->release.count) return true;
+    for (const struct amb_scale_out_request *request = cloud->scale_out.requests; request; request = request->next)
         if (request->state == AMB_SCALE_OUT_RECORDING || request->state == AMB_SCALE_OUT_REQUESTING)
             return true;
     return false;
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -225,7 +225,7 @@
      * node has died are here within a second or two. With reports every 4 s, waiting all the same cost 5 s of
      * the 10 s in which some work is to start, and of the first boots of a day. */
     if (controller->restored_at && !controller->ready &&
-        (has_waited || (node->cloud.list_completed && amb_fleet_is_acknowledged(node)))) {
+        (has_waited || (node->cloud.list.completed && amb_fleet_is_acknowledged(node)))) {
         amb_info("controller: ready to place, %lld ms after the lead was won",
                  (long long)(now - controller->leader_since));
         controller->ready = true;
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -101,7 +101,7 @@
             add_machine_slot(cycle, machine, true);
     }
     if (!pending) return;
-    for (struct amb_scale_out_request *scale_out = cycle->node->cloud.requests; scale_out;
+    for (struct amb_scale_out_request *scale_out = cycle->node->cloud.scale_out.requests; scale_out;
          scale_out = scale_out->next)
         if ((scale_out->state == AMB_SCALE_OUT_RECORDING || scale_out->state == AMB_SCALE_OUT_REQUESTING) &&
             !amb_zone_is_unreachable(cycle->node, scale_out->zone))
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -12,14 +12,14 @@
     (void)state;
     amb_scale_out_submit(node, 0, 0, false, 1);
     amb_scale_out_submit(node, 0, 0, false, 1);
-    struct amb_scale_out_request *first = node->cloud.requests, *second = first->next;
+    struct amb_scale_out_request *first = node->cloud.scale_out.requests, *second = first->next;
     if (!strcmp(first->id, second->id)) fail_msg("%s twice under one term", first->id);
     char id[sizeof first->id];
     strcpy(id, first->id);
     begin_anew();
     node->election.term = TERM + 1;
     amb_scale_out_submit(node, 0, 0, false, 1);
-    if (!strcmp(node->cloud.requests->id, id)) fail_msg("%s under two terms", id);
+    if (!strcmp(node->cloud.scale_out.requests->id, id)) fail_msg("%s under two terms", id);
 }
 
 static void rentals_are_recorded_until_they_must_be_listed(void **state) {
@@ -73,7 +73,7 @@
 
 static uint32_t count_requests(int *type) {
     uint32_t count = 0;
-    for (const struct amb_scale_out_request *request = node->cloud.requests; request;
+    for (const struct amb_scale_out_request *request = node->cloud.scale_out.requests; request;
          request = request->next, count++)
         *type = request->type;
     return count;
@@ -112,7 +112,7 @@
         cloud->call_budget = (struct amb_token_bucket){.tokens = rows[i].tokens};
         for (int k = 0; k < rows[i].recording + rows[i].asking + rows[i].asked; k++) {
             amb_scale_out_submit(node, 0, 0, false, 1);
-            struct amb_scale_out_request *request = cloud->requests;
+            struct amb_scale_out_request *request = cloud->scale_out.requests;
             while (request->next) request = request->next;
             request->state = k < rows[i].recording ? AMB_SCALE_OUT_RECORDING : AMB_SCALE_OUT_REQUESTING;
             request->in_flight = k >= rows[i].recording + rows[i].asking;
@@ -141,19 +141,19 @@
     run_plan();
     assert_int_equal(count_requests(&type), 1);
     assert_int_equal(type, 1);
-    cloud->requests->in_flight = true;
-    cloud->requests->state = AMB_SCALE_OUT_REQUESTING;
+    cloud->scale_out.requests->in_flight = true;
+    cloud->scale_out.requests->state = AMB_SCALE_OUT_REQUESTING;
     run_plan();
     assert_int_equal(count_requests(&type), 2);
     assert_int_equal(type, 0);
-    assert_int_equal(cloud->requests->next->count, 2); /* nine tasks, eight to a machine */
+    assert_int_equal(cloud->scale_out.requests->next->count, 2); /* nine tasks, eight to a machine */
     /* Gangs of any size are planned: those of more than 256 tasks once never got a machine. */
     amb_cloud_reset(node);
     surge->state = draft->state = AMB_JOB_CANCELLED;
     add_job("wk-3", AMB_JOB_KIND_GANG, 300);
     run_plan();
     assert_int_equal(count_requests(&type), 1);
-    assert_int_equal(cloud->requests->count, 19); /* half of 38: the other type costs the same */
+    assert_int_equal(cloud->scale_out.requests->count, 19); /* half of 38: the other type costs the same */
 }
 
 /* What classes ask for is known whether this node led or not when it came, and in whatever order it heard. */
@@ -235,7 +235,7 @@
         amb_capacity_plan_run(cycle);
         amb_cycle_free(cycle);
         uint32_t wants = 0;
-        for (struct amb_scale_out_request *request = node->cloud.requests; request; request = request->next)
+        for (struct amb_scale_out_request *request = node->cloud.scale_out.requests; request; request = request->next)
             wants += request->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
     }
--- a/tests/cloud/test_return_record.c
+++ b/tests/cloud/test_return_record.c
@@ -13,7 +13,7 @@
 
 static void run_tick(void) {
     fake_clock_advance(1000);
-    node->election.renewed_at = node->cloud.list_started_at = amb_now();
+    node->election.renewed_at = node->cloud.list.started_at = amb_now();
     amb_cloud_tick(node, amb_now());
 }
 
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -159,16 +159,16 @@
         begin_duties_anew();
         if (rows[i].renting) {
             amb_scale_out_submit(node, 0, 0, false, 1);
-            node->cloud.requests->state = AMB_SCALE_OUT_REQUESTING;
+            node->cloud.scale_out.requests->state = AMB_SCALE_OUT_REQUESTING;
         }
-        node->cloud.release_count = rows[i].returning;
+        node->cloud.release.count = rows[i].returning;
         node->options.duties = rows[i].own;
         set_peers(rows[i].first, rows[i].second);
         if (rows[i].unsure) node->election.renewed_at -= TTL;
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].written) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
-        node->cloud.release_count = 0;
+        node->cloud.release.count = 0;
         if (!commit) continue;
         assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
         assert_int_equal(fake_txn_compared_revision(commit, MODE_KEY), 0);
@@ -194,7 +194,7 @@
             fake_answer(commit, statuses[i], NULL);
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
         assert_int_equal(amb_scale_out_available_calls(node, amb_now()), 0);
-        node->cloud.list_started_at = amb_now();
+        node->cloud.list.started_at = amb_now();
         amb_cloud_tick(node, amb_now());
         assert_null(find_call("POST", "/machines"));
         fake_clock_advance(2000);
@@ -293,19 +293,19 @@
     assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
     assert_int_equal(fake_txn_compared_revision(commit, "a/order/rent/r-50-1"), 0);
     answer_epoch(commit, 70);
-    node->cloud.list_started_at = amb_now();
+    node->cloud.list.started_at = amb_now();
     for (int i = 0; i < 5; i++) {
         fake_clock_advance(500);
-        node->election.renewed_at = node->cloud.list_started_at = amb_now();
+        node->election.renewed_at = node->cloud.list.started_at = amb_now();
         take_turn();
     }
     assert_null(find_call("POST", "/machines"));
-    assert_int_equal(node->cloud.requests->state,
+    assert_int_equal(node->cloud.scale_out.requests->state,
                      AMB_SCALE_OUT_REQUESTING); /* what is coming counts in plans */
     apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
-    assert_non_null(node->cloud.requests);
+    assert_non_null(node->cloud.scale_out.requests);
     apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 72);
-    assert_null(node->cloud.requests);
+    assert_null(node->cloud.scale_out.requests);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     assert_non_null(machine);
     assert_int_equal(machine->state, AMB_MACHINE_BOOTING);
@@ -316,7 +316,7 @@
     use_duties();
     amb_scale_out_submit(node, 0, 0, false, 1);
     apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_NO_CAPACITY, NULL, 72);
-    assert_null(node->cloud.requests);
+    assert_null(node->cloud.scale_out.requests);
     assert_true(amb_scale_out_is_backing_off(node, 0, 0, false, amb_now()));
 }
 
@@ -326,9 +326,9 @@
     use_duties();
     amb_scale_out_submit(node, 0, 0, false, 1);
     apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
-    assert_non_null(node->cloud.requests);
+    assert_non_null(node->cloud.scale_out.requests);
     apply_change("a/order/rent/r-50-1", NULL, 72);
-    assert_null(node->cloud.requests);
+    assert_null(node->cloud.scale_out.requests);
 }
 
 /* A write without an answer is repeated under the same name. */
@@ -481,7 +481,7 @@
     amb_scale_out_restore(node, "b/r/r-40-7", value);
     cbor_decref(&value);
     amb_buf_free(&buffer);
-    node->cloud.list_started_at = amb_now();
+    node->cloud.list.started_at = amb_now();
     amb_cloud_tick(node, amb_now());
     assert_null(find_call("POST", "/machines"));
 }
@@ -550,7 +550,7 @@
 /* The cloud's list is read, from now: one page that names this machine (NULL: none). */
 static void read_list(const char *machine, const char *stance, bool more) {
     struct amb_buf body = {0};
-    node->cloud.list_started_at = 0;
+    node->cloud.list.started_at = 0;
     amb_cloud_list_tick(node, amb_now());
     amb_cbor_write_map(&body, 2);
     amb_cbor_write_string(&body, "truncated"), amb_cbor_write_bool(&body, more);
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -187,7 +187,7 @@
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         bound(job, 0, "m-1", 1);
         amb_scale_out_submit(node, 0, 0, false, 1);
-        node->cloud.requests->state = AMB_SCALE_OUT_REQUESTING;
+        node->cloud.scale_out.requests->state = AMB_SCALE_OUT_REQUESTING;
         node->election.role = rows[i].role;
         node->election.renewed_at = amb_now() - rows[i].renewed;
         node->peers.count = 1; /* whose word has never come */
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -217,14 +217,14 @@
         open_call("GET", path);
         answer_list_page(page * PAGE, PAGE, page < PAGES - 1);
         if (find_call("GET", "/machines?")) fail_msg("page %u without a call left for it", page + 1);
-        assert_int_equal(node->cloud.list_completed, page == PAGES - 1);
+        assert_int_equal(node->cloud.list.completed, page == PAGES - 1);
         let_time_pass(2500);
     }
     assert_int_equal(HASH_COUNT(node->fleet.machines), PAGES * PAGE);
     /* The next one leaves most calls to others. */
-    amb_ms began = node->cloud.list_started_at;
-    while (node->cloud.list_started_at == began) let_time_pass(500);
-    assert_in_range(node->cloud.list_started_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
+    amb_ms began = node->cloud.list.started_at;
+    while (node->cloud.list.started_at == began) let_time_pass(500);
+    assert_in_range(node->cloud.list.started_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
 }
 
 /* ---- answers to reports ---- */
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -40,7 +40,7 @@
 
 static struct fake_call *begin_rental_removal(void) {
     amb_scale_out_submit(node, 0, 0, false, 1);
-    node->cloud.requests->state = AMB_SCALE_OUT_REMOVING;
+    node->cloud.scale_out.requests->state = AMB_SCALE_OUT_REMOVING;
     amb_cloud_tick(node, amb_now());
     return open_call("POST", "/commit");
 }
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -226,7 +226,7 @@
         const json_t *said = json_object_get(sample, "value");
         cbor_item_t *value = value_of(sample);
         amb_scale_out_restore(node, key_of(sample), value);
-        const struct amb_scale_out_request *request = node->cloud.requests;
+        const struct amb_scale_out_request *request = node->cloud.scale_out.requests;
         while (request && request->next) request = request->next;
         if (!request) {
             fail_msg("%s: not taken up", key_of(sample));
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -71,7 +71,7 @@
         if (machine->zone_index != silent_zone)
             machine->last_heartbeat_at = machine->last_response_at = amb_now();
     node->election.renewed_at = amb_now();
-    node->cloud.list_started_at = amb_now();
+    node->cloud.list.started_at = amb_now();
     amb_zones_tick(node, amb_now());
 }
 
