--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -9,6 +9,7 @@
 #include "amberpin/config/options.h"
 #include "amberpin/config/settings.h"
 #include "amberpin/duty/node_duties.h"
+#include "amberpin/duty/scaling_path.h"
 #include "amberpin/election/election.h"
 #include "amberpin/election/format_version.h"
 #include "amberpin/election/lease_proxy.h"
--- a/include/amberpin/peer/peers.h
+++ b/include/amberpin/peer/peers.h
@@ -4,7 +4,7 @@
 
 #include "amberpin/base/loop.h"
 #include "amberpin/config/settings.h"
-#include "amberpin/duty/node_duties.h"
+#include "amberpin/duty/scaling_path.h"
 #include "amberpin/election/format_version.h"
 #include "amberpin/model/model.h"
 #include "amberpin/peer/image_locations.h"
--- a/lib/cloud_duty/cloud_access.c
+++ b/lib/cloud_duty/cloud_access.c
@@ -1,7 +1,7 @@
-/* Calls to the cloud for the holder of a duty. */
+#include "amberpin/cloud_duty/cloud_access.h"
+
 #include "amberpin/cloud/cloud_calls.h"
 #include "amberpin/codec/cloud_messages.h"
-#include "amberpin/duty/node_duties.h"
 #include "amberpin/node/node.h"
 
 #include <stdlib.h>
--- /dev/null
+++ b/lib/cloud_duty/participation.c
@@ -0,0 +1,129 @@
+#include "amberpin/cloud_duty/participation.h"
+
+#include "amberpin/base/log.h"
+#include "amberpin/cloud_duty/cloud_access.h"
+#include "amberpin/cloud_duty/duty_options.h"
+#include "amberpin/cloud_duty/scaling_intents.h"
+#include "amberpin/cloud_duty/scaling_mode.h"
+#include "amberpin/duty/store_adapter.h"
+#include "amberpin/node/node.h"
+
+#include <string.h>
+
+/* Ticks of the service within a backoff. */
+enum { TICKS_PER_BACKOFF = 4 };
+
+/* ---- what the service needs of the controller ---- */
+
+static amb_ms port_now(void *context) {
+    (void)context;
+    return amb_now();
+}
+
+static bool port_call_cloud(void *context, const struct amb_duty_intent_record *intent,
+                            const struct amb_duty_work_order *work, uint64_t fencing_token,
+                            amb_duty_cloud_done done, void *arg) {
+    return amb_duties_call_cloud(context, intent, work, fencing_token, done, arg);
+}
+
+/* Only leaders read the cloud's list: this controller knows what was proved while it led, and no more. */
+static bool port_proved_gone(void *context, const struct amb_duty_work_order *work) {
+    for (uint32_t i = 0; i < work->machine_count; i++)
+        if (!amb_machine_was_removed(context, work->machines[i])) return false;
+    return work->machine_count > 0;
+}
+
+static void port_order_changed(void *context, const struct amb_duty_intent_record *intent,
+                               const struct amb_duty_work_order *work) {
+    amb_duties_apply_intent(context, intent, work);
+}
+
+static void port_loaded(void *context) {
+    struct amb_node *node = context;
+    amb_info("duties: records read, %u orders open",
+             amb_duty_service_count_open_intents(&node->duties.service));
+}
+
+static void port_log(void *context, const char *line) {
+    (void)context;
+    amb_info("%s", line);
+}
+
+/* ---- taking part ---- */
+
+/* A controller takes part even with duties switched off, as long as the cluster works by them, so that open
+ * intents find a holder, and until the last record of an intent is removed. */
+static bool is_participant(const struct amb_node *node) {
+    const struct amb_duties *duties = &node->duties;
+    return duties->keys_listed && (amb_duties_is_enabled(node) || duties->mode == AMB_DUTY_MODE_DUTIES ||
+                                   duties->records_exist || duties->service.entries);
+}
+
+/* The share of all holders' writes that the duties held here need: scale out takes two writes, as scale in
+ * does, and is more frequent. */
+static double held_write_share(const struct amb_duty_service *service) {
+    static const double parts[AMB_DUTY_NAMES] = {
+        [AMB_DUTY_RENT] = 0.5, [AMB_DUTY_RETURN] = 0.2, [AMB_DUTY_RECLAIM] = 0.2, [AMB_DUTY_CLEANUP] = 0.1};
+    double held = 0;
+    for (int i = 0; i < AMB_DUTY_NAMES; i++)
+        if (amb_duty_service_is_holder(service, (enum amb_duty_name)i)) held += parts[i];
+    return held;
+}
+
+static void share_writes(struct amb_node *node) {
+    const struct amb_duties *duties = &node->duties;
+    bool in_use = duties->service.active && duties->mode == AMB_DUTY_MODE_DUTIES;
+    amb_store_set_duty_share(&node->store, in_use, in_use ? held_write_share(&duties->service) : 0);
+}
+
+static void tick(void *arg) {
+    struct amb_node *node = arg;
+    struct amb_duties *duties = &node->duties;
+    amb_duty_service_tick(&duties->service);
+    if (!is_participant(node)) amb_duty_service_stop(&duties->service);
+    share_writes(node);
+    if (!duties->service.active) return;
+    amb_timer_in(&duties->timer, duties->service.core.settings.backoff / TICKS_PER_BACKOFF, tick, node);
+}
+
+static void participate(struct amb_node *node) {
+    struct amb_duties *duties = &node->duties;
+    if (duties->service.active || !is_participant(node)) return;
+    const struct amb_duty_ports ports = {.kvstore = amb_duty_kvstore_from_client(&node->store),
+                                         .context = node,
+                                         .now = port_now,
+                                         .call_cloud = port_call_cloud,
+                                         .is_proved_gone = port_proved_gone,
+                                         .intent_changed = port_order_changed,
+                                         .loaded = port_loaded,
+                                         .log = port_log};
+    struct amb_duty_settings settings = amb_duties_make_settings(&node->settings, &node->options);
+    duties->records_exist = false;
+    amb_info("duties: this node takes part, lease %lld ms", (long long)settings.ttl);
+    amb_duty_service_start(&duties->service, &ports, &settings, node->settings.member, amb_nonce());
+    tick(node);
+}
+
+bool amb_duties_is_ready(const struct amb_node *node) {
+    return !is_participant(node) || node->duties.service.loaded;
+}
+
+/* ---- records ---- */
+
+void amb_duties_apply_change(struct amb_node *node, const char *key, const cbor_item_t *value,
+                             uint64_t revision) {
+    struct amb_duties *duties = &node->duties;
+    if (!strcmp(key, AMB_DUTY_MODE_KEY))
+        amb_duties_apply_mode(node, value, revision);
+    else if (duties->service.active)
+        amb_duty_service_apply_change(&duties->service, key, value, revision);
+    else if (value && !strncmp(key, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)))
+        duties->records_exist = true;
+    participate(node);
+}
+
+void amb_duties_note_listed(struct amb_node *node) {
+    node->duties.keys_listed = true;
+    amb_duty_service_read_all(&node->duties.service);
+    participate(node);
+}
--- a/lib/cloud_duty/orders.c
+++ b/lib/cloud_duty/scaling_intents.c
@@ -1,64 +1,55 @@
-/* The leader's orders to the holders of duties: rentals that it wants, machines that it gives up, and what
- * came of them. */
+#include "amberpin/cloud_duty/scaling_intents.h"
+
 #include "amberpin/base/log.h"
+#include "amberpin/cloud/cloud_calls.h"
 #include "amberpin/cloud/machine_release.h"
 #include "amberpin/cloud/scale_out.h"
-#include "amberpin/duty/node_duties.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/events.h"
 #include "amberpin/node/node.h"
 
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 
-/* A write of an order under way; whoever gets its answer frees it. */
-struct intent_write {
-    struct amb_node *node;
-    uint64_t term;
-    char id[AMB_DUTY_INTENT_ID];
-};
+_Static_assert((int)AMB_DUTY_INTENT_ID == (int)AMB_CLOUD_REQUEST_ID_SIZE, "a call holds an intent's id");
 
-/* Orders are created under the leader's term, and once: the key must not be there. */
+/* Intents are created under the leader's term, and once: the key must be absent. */
 static void create_intent(struct amb_node *node, enum amb_duty_name duty, const char *id,
                           const struct amb_duty_work_order *work, amb_store_callback done) {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
-    struct amb_duty_intent_record intent = {.duty = duty, .state = AMB_DUTY_INTENT_PENDING};
-    struct intent_write *pending = amb_alloc(sizeof *pending);
-    pending->node = node;
-    pending->term = node->election.term;
-    snprintf(pending->id, sizeof pending->id, "%s", id);
+    const struct amb_duty_intent_record intent = {.duty = duty, .state = AMB_DUTY_INTENT_PENDING};
+    struct amb_cloud_call *call = amb_cloud_call_new(node);
+    strcpy(call->request_id, id);
     amb_duty_intent_key(key, duty, id);
     amb_duty_encode_intent(&value, &intent, work);
     amb_txn_require_leadership(&transaction, node);
     amb_txn_compare(&transaction, key, 0);
     amb_txn_put(&transaction, key, &value, 0);
     amb_buf_free(&value);
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, done, pending);
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, done, call);
 }
 
-/* The node, if it still leads under the term of the call; NULL: not. */
-static struct amb_node *take_call(void *arg, struct intent_write *pending) {
-    *pending = *(struct intent_write *)arg;
-    free(arg);
-    bool ours = amb_election_has_leader_role(pending->node) && pending->node->election.term == pending->term;
-    return ours ? pending->node : NULL;
+/* The node, if it still leads under the term of the call; else NULL. Copies the intent's id, and frees the
+ * call. */
+static struct amb_node *take_call(struct amb_cloud_call *call, char id[AMB_DUTY_INTENT_ID]) {
+    strcpy(id, call->request_id);
+    return amb_cloud_call_take(call);
 }
 
-/* ---- rentals ---- */
+/* ---- scale out ---- */
 
 static void handle_scale_out_created(void *arg, int status, const cbor_item_t *body) {
-    struct intent_write pending;
-    struct amb_node *node = take_call(arg, &pending);
-    struct amb_scale_out_request *request = node ? amb_scale_out_find(node, pending.id) : NULL;
+    char id[AMB_DUTY_INTENT_ID];
+    struct amb_node *node = take_call(arg, id);
+    struct amb_scale_out_request *request = node ? amb_scale_out_find(node, id) : NULL;
     (void)body;
     if (!request) return;
     request->in_flight = false;
     if (status == 200)
         request->state = AMB_SCALE_OUT_REQUESTING;
-    else /* it may be there all the same: news tells, or another try under the same name */
+    else /* it may be there all the same: a change tells, or another try under the same id */
         request->retry_at = amb_now() + node->store.call_timeout;
 }
 
@@ -72,7 +63,8 @@
 }
 
 void amb_duties_write_scale_out(struct amb_node *node, amb_ms now) {
-    for (struct amb_scale_out_request *request = node->cloud.scale_out.requests; request; request = request->next) {
+    for (struct amb_scale_out_request *request = node->cloud.scale_out.requests; request;
+         request = request->next) {
         bool due =
             request->state == AMB_SCALE_OUT_RECORDING && !request->in_flight && now >= request->retry_at;
         if (request->via_intent && due) create_scale_out(node, request);
@@ -123,17 +115,16 @@
     }
 }
 
-/* Its record is gone though its end was not heard of, since changes were missed: the list shows what it
- * brought. */
+/* The record has been removed, and changes were missed before: the list shows the machines. */
 static void forget_scale_out(struct amb_node *node, const struct amb_duty_intent_record *intent) {
     struct amb_scale_out_request *request =
         intent->duty == AMB_DUTY_RENT ? amb_scale_out_find(node, intent->id) : NULL;
     if (request && request->via_intent) amb_scale_out_remove(node, request);
 }
 
-/* ---- returns ---- */
+/* ---- scale in ---- */
 
-/* A machine of a return order is never used again, whatever becomes of the order. */
+/* A machine of a scale-in intent is never used again, whatever becomes of the intent. */
 static void mark_released(struct amb_machine *machine, const char *cause) {
     machine->scale_in_logged = true;
     amb_machine_mark_releasing(machine, cause);
@@ -147,7 +138,7 @@
         struct amb_machine *machine = amb_machine_get(node, work->machines[i], !gone);
         if (!machine) continue;
         mark_released(machine, "a return is on record");
-        /* The cloud did not accept it: the machine is not gone, and is given up anew. */
+        /* If the cloud did not accept the release, the machine is still there and is released anew. */
         if (intent->state == AMB_DUTY_INTENT_SETTLED) machine->scale_in_logged = false;
         if (gone) amb_cloud_post_machine_gone(node, machine, AMB_ABSENCE_RELEASED);
     }
@@ -164,14 +155,14 @@
 }
 
 static void handle_scale_in_created(void *arg, int status, const cbor_item_t *body) {
-    struct intent_write pending;
-    struct amb_node *node = take_call(arg, &pending);
+    char id[AMB_DUTY_INTENT_ID];
+    struct amb_node *node = take_call(arg, id);
     (void)body;
-    if (!node || strcmp(pending.id, node->duties.scale_in.id) != 0) return;
+    if (!node || strcmp(id, node->duties.scale_in.id) != 0) return;
     struct amb_scale_in_intent *intent = &node->duties.scale_in;
     intent->in_flight = false;
     intent->retry_at = amb_now() + node->store.call_timeout;
-    if (status != 200) return; /* news may tell that it is there; else the same again */
+    if (status != 200) return; /* a change may tell that it is there; else the same again */
     for (uint32_t i = 0; i < intent->work.machine_count; i++) {
         struct amb_machine *machine = amb_machine_get(node, intent->work.machines[i], false);
         if (machine) mark_released(machine, "being returned");
@@ -186,7 +177,7 @@
     return intent->duty == duty && !strncmp(intent->work.reason, reason, sizeof intent->work.reason - 1);
 }
 
-/* Machines that are given up for the same reason go into one order. */
+/* Machines that are released for the same reason go into one intent. */
 static bool collect_machines(struct amb_node *node) {
     struct amb_scale_in_intent *intent = &node->duties.scale_in;
     uint32_t most = amb_duty_max_machines(amb_settings_lowered_limits(&node->settings).value_kb);
@@ -217,11 +208,12 @@
     create_intent(node, intent->duty, intent->id, &intent->work, handle_scale_in_created);
 }
 
-/* ---- what is on record ---- */
+/* ---- records ---- */
 
 bool amb_duties_has_pending_writes(const struct amb_node *node) {
     if (node->duties.scale_in.id[0]) return true;
-    for (const struct amb_scale_out_request *request = node->cloud.scale_out.requests; request; request = request->next)
+    for (const struct amb_scale_out_request *request = node->cloud.scale_out.requests; request;
+         request = request->next)
         if (request->via_intent && request->state == AMB_SCALE_OUT_RECORDING) return true;
     return false;
 }
@@ -242,15 +234,15 @@
 
 void amb_duties_apply_intent(struct amb_node *node, const struct amb_duty_intent_record *intent,
                              const struct amb_duty_work_order *work) {
-    struct amb_scale_in_intent *returning = &node->duties.scale_in;
+    struct amb_scale_in_intent *scale_in = &node->duties.scale_in;
     if (!amb_election_has_leader_role(node) || !node->controller.restored_at) return;
     if (!work) {
         forget_scale_out(node, intent);
         return;
     }
-    if (intent->duty != AMB_DUTY_RENT && !strcmp(intent->id, returning->id) && !returning->in_flight) {
-        amb_duty_work_order_free(&returning->work);
-        memset(returning, 0, sizeof *returning);
+    if (intent->duty != AMB_DUTY_RENT && !strcmp(intent->id, scale_in->id) && !scale_in->in_flight) {
+        amb_duty_work_order_free(&scale_in->work);
+        memset(scale_in, 0, sizeof *scale_in);
     }
     apply_intent(node, intent, work);
 }
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -1,6 +1,9 @@
 /* Wires the modules: the leader's round in time, take-over, and the front. */
 #include "amberpin/api/user_api.h"
 #include "amberpin/base/log.h"
+#include "amberpin/cloud_duty/participation.h"
+#include "amberpin/cloud_duty/scaling_intents.h"
+#include "amberpin/cloud_duty/scaling_mode.h"
 #include "amberpin/node/fleet_capacity.h"
 #include "amberpin/node/memory_budget.h"
 #include "amberpin/node/node.h"
--- a/lib/duty/path.c
+++ b/lib/duty/scaling_path.c
@@ -1,4 +1,5 @@
-/* Which way machines are rented and returned: by the leader itself, or by orders to the holders of duties. */
+#include "amberpin/duty/scaling_path.h"
+
 #include "amberpin/node/node.h"
 
 #include <jansson.h>
@@ -12,7 +13,6 @@
     peer->duties = on ? AMB_PEER_DUTIES_ON : AMB_PEER_DUTIES_OFF;
 }
 
-/* Each peer's last word counts, however old. */
 bool amb_duties_is_agreed(const struct amb_node *node) {
     if (!amb_duties_is_enabled(node)) return false;
     for (uint32_t i = 0; i < node->peers.count; i++) {
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -1,6 +1,7 @@
-/* What operators see of duties, and ask for: on the listener for other nodes. */
+#include "amberpin/duty/duty_status.h"
+
 #include "amberpin/base/log.h"
-#include "amberpin/duty/node_duties.h"
+#include "amberpin/duty/scaling_path.h"
 #include "amberpin/http/http.h"
 #include "amberpin/node/node.h"
 
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -1,5 +1,6 @@
 /* The exchange between the nodes: heartbeats to all others, and what they send to us. */
 #include "amberpin/base/log.h"
+#include "amberpin/duty/duty_status.h"
 #include "amberpin/job/cancellation_notice.h"
 #include "amberpin/node/node.h"
 #include "amberpin/peer/messages.h"
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,5 @@
 #include "amberpin/base/log.h"
+#include "amberpin/cloud_duty/duty_options.h"
 #include "amberpin/config/command_line.h"
 #include "amberpin/node/fleet_capacity.h"
 #include "amberpin/node/node.h"
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -235,7 +235,8 @@
         amb_capacity_plan_run(cycle);
         amb_cycle_free(cycle);
         uint32_t wants = 0;
-        for (struct amb_scale_out_request *request = node->cloud.scale_out.requests; request; request = request->next)
+        for (struct amb_scale_out_request *request = node->cloud.scale_out.requests; request;
+             request = request->next)
             wants += request->count;
         if (wants != rows[i].wants) fail_msg("%s: %u", rows[i].what, wants);
     }
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -2,6 +2,12 @@
  * other. */
 #include "amberpin/cloud/machine_list.h"
 #include "amberpin/cloud/scale_out.h"
+#include "amberpin/cloud_duty/cloud_access.h"
+#include "amberpin/cloud_duty/duty_options.h"
+#include "amberpin/cloud_duty/participation.h"
+#include "amberpin/cloud_duty/scaling_intents.h"
+#include "amberpin/cloud_duty/scaling_mode.h"
+#include "amberpin/duty/duty_status.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
