--- a/include/amberpin/duty/core.h
+++ b/include/amberpin/duty/core.h
@@ -13,8 +13,8 @@
 #define AMBERPIN_DUTY_CORE_H
 
 #include "amberpin/duty/assignment.h"
+#include "amberpin/duty/intents.h"
 #include "amberpin/duty/lease.h"
-#include "amberpin/duty/order.h"
 
 enum amb_duty_state {
     AMB_DUTY_IDLE,      /* another holds the duty, or its record is not known yet */
--- a/include/amberpin/duty/order.h
+++ b/include/amberpin/duty/intents.h
@@ -1,6 +1,6 @@
 /* The order ledger: what is known of every order, and what a duty's holder does next with each. */
-#ifndef AMBERPIN_DUTY_ORDER_H
-#define AMBERPIN_DUTY_ORDER_H
+#ifndef AMBERPIN_DUTY_INTENTS_H
+#define AMBERPIN_DUTY_INTENTS_H
 
 #include "amberpin/duty/settings.h"
 
@@ -77,5 +77,11 @@
 void amb_duty_intent_table_remove(struct amb_duty_intent *intent);
 /* Orders of this duty that are not settled. */
 uint32_t amb_duty_intent_table_count_open(const struct amb_duty_intent_table *table, enum amb_duty_name duty);
+/* Is anything of this duty under way here, or sent under this fencing token and not settled? For the
+ * clean-up: is a record being removed? */
+bool amb_duty_intent_table_is_open(const struct amb_duty_intent_table *table, enum amb_duty_name duty,
+                                   uint64_t fencing_token);
+/* The duty is not held by this member any more: what was under way for it is forgotten. */
+void amb_duty_intent_table_reset(struct amb_duty_intent_table *table, enum amb_duty_name duty);
 
 #endif
--- a/lib/duty/core.c
+++ b/lib/duty/core.c
@@ -2,55 +2,57 @@
 
 #include <string.h>
 
-enum {
-    MAX_DOUBLINGS = 4,
-    TIMEOUTS_UNTIL_GIVEN_UP =
-        3, /* an answer that has not come after so many call timeouts is not waited for */
-};
+/* ---- one duty ---- */
 
-struct amb_duty_action *duty_emit(struct duty_step *step, enum amb_duty_action_type type,
-                                  enum amb_duty_name duty) {
-    struct amb_duty_output *out = step->out;
-    if (out->count == AMB_DUTY_MAX_ACTIONS) {
-        out->more = true;
-        return NULL;
+static void advance_duty(struct duty_step *step, enum amb_duty_name name) {
+    struct amb_duty_core *core = step->core;
+    struct amb_duty *duty = &core->duties[name];
+    bool sure = duty_incarnation_is_valid(core, step->now);
+    if (!core->settings.enabled[name]) return;
+    if (!duty_is_owned(duty)) duty_candidacy_update_vacancy(step, duty);
+    switch (duty->state) {
+    case AMB_DUTY_IDLE:
+        if (duty->vacant && sure && !core->stopping) duty_candidacy_begin(step, name);
+        break;
+    case AMB_DUTY_CANDIDATE: duty_candidacy_advance(step, name); break;
+    case AMB_DUTY_HELD:
+        if (core->stopping)
+            duty_drain(step, name, "", "the member stops");
+        else if (!sure)
+            duty_set_state(step, name, AMB_DUTY_FENCED, "the lease may have run out");
+        break;
+    case AMB_DUTY_FENCED:
+        if (sure) duty_set_state(step, name, AMB_DUTY_HELD, "the lease is renewed");
+        break;
+    case AMB_DUTY_DRAINING: duty_handover_advance(step, name); break;
+    case AMB_DUTY_LOST:
+        if (step->now - duty->state_since >= core->settings.backoff)
+            duty_set_state(step, name, AMB_DUTY_IDLE, "the loss is over");
+        break;
     }
-    struct amb_duty_action *action = &out->actions[out->count++];
-    memset(action, 0, sizeof *action);
-    action->type = type;
-    action->duty = duty;
-    return action;
-}
-
-struct amb_duty_action *duty_emit_call(struct duty_step *step, enum amb_duty_action_type type,
-                                       enum amb_duty_name duty) {
-    struct amb_duty_action *action = duty_emit(step, type, duty);
-    if (action) action->call = ++step->core->call_counter;
-    return action;
-}
-
-uint64_t duty_next_random(struct amb_duty_core *core) { /* splitmix64 */
-    uint64_t mixed = core->random_state += 0x9e3779b97f4a7c15ULL;
-    mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
-    return mixed ^ (mixed >> 31);
+    /* The preferred member claims at once. */
+    if (duty->state == AMB_DUTY_CANDIDATE && !duty->call) duty_candidacy_advance(step, name);
 }
 
-amb_ms duty_backoff(struct amb_duty_core *core, uint32_t failures) {
-    uint32_t doublings = failures < MAX_DOUBLINGS ? failures : MAX_DOUBLINGS;
-    amb_ms wait = core->settings.backoff << doublings;
-    return wait + (amb_ms)(duty_next_random(core) % (uint64_t)(wait / 2 + 1));
-}
-
-bool duty_has_timed_out(const struct amb_duty_core *core, amb_ms since, amb_ms now) {
-    return now - since >= core->settings.call_timeout * TIMEOUTS_UNTIL_GIVEN_UP;
+static bool handle_duty_commit(struct duty_step *step) {
+    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+        enum amb_duty_name name = (enum amb_duty_name)i;
+        const struct amb_duty *duty = &step->core->duties[i];
+        if (duty->call != step->event->call) continue;
+        if (duty->state == AMB_DUTY_CANDIDATE)
+            duty_candidacy_handle_answer(step, name);
+        else if (duty->state == AMB_DUTY_DRAINING)
+            duty_handover_handle_answer(step, name);
+        return true;
+    }
+    return false;
 }
 
 /* ---- the step ---- */
 
 static void handle_commit(struct duty_step *step) {
     if (!step->event->call) return;
-    if (duty_incarnation_handle_commit(step) || duty_candidacy_handle_commit(step)) return;
+    if (duty_incarnation_handle_commit(step) || handle_duty_commit(step)) return;
     duty_intents_handle_commit(step);
 }
 
@@ -67,7 +69,7 @@
     case AMB_DUTY_LEASE_EXTENDED: duty_incarnation_handle_renewal(step); break;
     case AMB_DUTY_COMMITTED: handle_commit(step); break;
     case AMB_DUTY_MEMBER_CHANGED: duty_incarnation_apply_member(step); break;
-    case AMB_DUTY_RECORD_CHANGED: duty_candidacy_apply_record(step); break;
+    case AMB_DUTY_RECORD_CHANGED: duty_apply_record(step); break;
     case AMB_DUTY_INTENT_CHANGED:
     case AMB_DUTY_INTENT_READ: duty_intents_apply_record(step); break;
     case AMB_DUTY_CLOUD_ANSWERED: duty_intents_handle_answer(step); break;
@@ -85,25 +87,13 @@
     out->count = 0;
     out->more = false;
     handle_event(&step);
+    if (step.end_cause) duty_lose_all(&step, step.end_cause);
     duty_incarnation_advance(&step);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) duty_candidacy_advance(&step, (enum amb_duty_name)i);
+    for (int i = 0; i < AMB_DUTY_NAMES; i++) advance_duty(&step, (enum amb_duty_name)i);
     duty_rebalance(&step);
     duty_intents_advance(&step);
 }
 
-bool amb_duty_may_call(const struct amb_duty_core *core, enum amb_duty_name name, amb_ms now) {
-    const struct amb_duty *duty = &core->duties[name];
-    bool holds = duty->state == AMB_DUTY_HELD || duty->state == AMB_DUTY_FENCED ||
-                 /* Once the release is on its way, a successor may hold the duty at any moment. */
-                 (duty->state == AMB_DUTY_DRAINING && !duty->call && !duty->release_sent);
-    return holds && duty_incarnation_is_valid(core, now);
-}
-
-bool amb_duty_may_send(const struct amb_duty_core *core, const struct amb_duty_action *call, amb_ms now) {
-    return amb_duty_may_call(core, call->duty, now) &&
-           call->fencing_token == core->duties[call->duty].fencing_token;
-}
-
 void amb_duty_core_init(struct amb_duty_core *core, const struct amb_duty_settings *settings,
                         const char *member, uint64_t seed, struct amb_duty_intent *intents,
                         uint32_t capacity) {
--- a/lib/duty/session.c
+++ b/lib/duty/incarnation.c
@@ -1,4 +1,4 @@
-/* This member's session: its lease, the key on it, and the keys of the others. */
+/* This member's incarnation: its lease and the key on it. Also the keys of the other members. */
 #include "internal.h"
 
 #include <string.h>
@@ -43,7 +43,7 @@
     bool live = incarnation->state == AMB_DUTY_INCARNATION_LIVE;
     memset(incarnation, 0, sizeof *incarnation);
     incarnation->retry_at = step->now + duty_backoff(step->core, 0);
-    if (live) duty_lose_all(step, cause);
+    if (live) step->end_cause = cause;
 }
 
 static void request_lease(struct duty_step *step) {
--- a/lib/duty/order.c
+++ b/lib/duty/intent.c
@@ -1,4 +1,4 @@
-#include "amberpin/duty/order.h"
+#include "amberpin/duty/intents.h"
 
 #include <string.h>
 
@@ -78,43 +78,3 @@
     }
     return intent->result != AMB_DUTY_RESULT_NONE;
 }
-
-/* ---- the ledger ---- */
-
-struct amb_duty_intent *amb_duty_intent_table_find(const struct amb_duty_intent_table *table,
-                                                   enum amb_duty_name duty, const char *id) {
-    for (uint32_t i = 0; i < table->capacity; i++) {
-        struct amb_duty_intent *intent = &table->entries[i];
-        if (intent->record.id[0] && intent->record.duty == duty && !strcmp(intent->record.id, id))
-            return intent;
-    }
-    return NULL;
-}
-
-struct amb_duty_intent *amb_duty_intent_table_add(struct amb_duty_intent_table *table,
-                                                  enum amb_duty_name duty, const char *id) {
-    for (uint32_t i = 0; i < table->capacity; i++) {
-        struct amb_duty_intent *intent = &table->entries[i];
-        if (intent->record.id[0]) continue;
-        memset(intent, 0, sizeof *intent);
-        strcpy(intent->record.id, id);
-        intent->record.duty = duty;
-        return intent;
-    }
-    table->overflowed = true;
-    return NULL;
-}
-
-void amb_duty_intent_table_remove(struct amb_duty_intent *intent) {
-    memset(intent, 0, sizeof *intent);
-}
-
-uint32_t amb_duty_intent_table_count_open(const struct amb_duty_intent_table *table,
-                                          enum amb_duty_name duty) {
-    uint32_t open = 0;
-    for (uint32_t i = 0; i < table->capacity; i++) {
-        const struct amb_duty_intent_record *record = &table->entries[i].record;
-        open += record->id[0] && record->duty == duty && record->state != AMB_DUTY_INTENT_SETTLED;
-    }
-    return open;
-}
--- a/lib/duty/dispatch.c
+++ b/lib/duty/intent_dispatch.c
@@ -30,36 +30,6 @@
     if (read) read->intent = intent->record;
 }
 
-bool duty_intents_are_open(const struct amb_duty_core *core, enum amb_duty_name name,
-                           uint64_t fencing_token) {
-    for (uint32_t i = 0; i < core->intents.capacity; i++) {
-        const struct amb_duty_intent *intent = &core->intents.entries[i];
-        const struct amb_duty_intent_record *record = &intent->record;
-        bool removing = intent->phase == AMB_DUTY_PHASE_REMOVING;
-        if (!record->id[0]) continue;
-        if (name == AMB_DUTY_CLEANUP ? removing : record->duty == name && intent->phase && !removing)
-            return true;
-        if (record->duty == name && record->state == AMB_DUTY_INTENT_SENT &&
-            record->fencing_token == fencing_token)
-            return true;
-    }
-    return false;
-}
-
-void duty_intents_reset(struct amb_duty_core *core, enum amb_duty_name name) {
-    for (uint32_t i = 0; i < core->intents.capacity; i++) {
-        struct amb_duty_intent *intent = &core->intents.entries[i];
-        bool removing = intent->phase == AMB_DUTY_PHASE_REMOVING;
-        bool concerned = name == AMB_DUTY_CLEANUP ? removing : intent->record.duty == name && !removing;
-        if (!intent->record.id[0] || !concerned) continue;
-        intent->phase = AMB_DUTY_PHASE_IDLE;
-        intent->call = 0;
-        intent->retry_at = 0;
-        intent->tries = intent->refusals = intent->unanswered = 0;
-        intent->result = AMB_DUTY_RESULT_NONE;
-    }
-}
-
 /* ---- beginning ---- */
 
 /* Every write is guarded by the stamp of our claim of the duty, and by that of the order. */
--- a/tests/duty/test_duty_parts.c
+++ b/tests/duty/test_duty_parts.c
@@ -1,8 +1,8 @@
 /* The parts of single-holder duties that have no state of their own: settings, the local right, the ranking
  * of members, and the decision for an order. By tables. */
 #include "amberpin/duty/assignment.h"
+#include "amberpin/duty/intents.h"
 #include "amberpin/duty/lease.h"
-#include "amberpin/duty/order.h"
 #include "check.h"
 
 enum { TTL = 3000, LIST_SPAN = 10000, DECAY = 30000 };
