--- a/include/amberpin/duty/assignment.h
+++ b/include/amberpin/duty/assignment.h
@@ -1,5 +1,4 @@
-/* Which member should hold which duty. Only a preference: it decides who campaigns first, never who may hold.
- */
+/* Which member should hold which duty. Only a preference: it decides who claims first, never who may hold. */
 #ifndef AMBERPIN_DUTY_ASSIGNMENT_H
 #define AMBERPIN_DUTY_ASSIGNMENT_H
 
@@ -9,9 +8,9 @@
 struct amb_duty_member {
     char name[AMB_NAME_SIZE]; /* empty: the place is free */
     bool alive;
-    uint64_t incarnation; /* stamp of its key; meaningful while alive */
+    uint64_t incarnation; /* revision of its key; meaningful while alive */
     uint64_t nonce;
-    uint64_t seen_revision; /* highest stamp or revision known of its key */
+    uint64_t seen_revision; /* highest revision known of its key */
     amb_ms alive_since;
     uint32_t lease_losses;   /* of its lease, counted up to two */
     amb_ms last_loss_at;     /* last loss */
@@ -24,7 +23,7 @@
 /* Did it lose its lease twice within `decay`, and is the last loss less than `decay` ago? */
 bool amb_duty_member_is_flapping(const struct amb_duty_member *member, amb_ms decay, amb_ms now);
 
-/* Weight of a member for a duty (rendezvous hashing): the highest is preferred. The order of two members
+/* Weight of a member for a duty (rendezvous hashing): the highest is preferred. How two members compare
  * never depends on the others, so that a change of members moves only the duties of those that come and go.
  */
 uint64_t amb_duty_weight(enum amb_duty_name duty, const char *member);
--- a/include/amberpin/duty/core.h
+++ b/include/amberpin/duty/core.h
@@ -1,14 +1,15 @@
-/* The pure core of single-holder duties for one member: what happened, and when, goes in; what is to be done
- * comes out. No input or output, no clock, no luck of its own, no allocation.
+/* The pure core of single-holder duties for one member: what happened, and when, goes in; what is to be
+ * done comes out. No input or output, no clock or randomness of its own, no allocation.
  *
- * After the first reading of the state service, and after each that follows a gap in the news, the wiring
- * feeds what it found: RECORD_CHANGED for every duty (also one without a record: not present, stamp 0),
- * MEMBER_CHANGED and ORDER_CHANGED for all that are there, and for those that were known and are not.
+ * After the first reading of the key-value store, and after each that follows a gap in its changes, the
+ * wiring feeds what it found: RECORD_CHANGED for every duty (also one without a record: not present,
+ * revision 0), MEMBER_CHANGED and INTENT_CHANGED for all that are there, and for those that were known and
+ * are not.
  *
- * The wiring feeds every answer and all news as events, each with the steady time read just then, and carries
- * out the actions in their order. An answer may come late, twice or never. Immediately before the wiring
- * sends AMB_DUTY_CALL_CLOUD it asks amb_duty_may_send with the time read anew; if that says no, it does not
- * send, and answers AMB_DUTY_CLOUD_NOT_SENT. */
+ * The wiring feeds every answer and every change as events, each with the time of the monotonic clock read
+ * just then, and carries out the actions in their order. An answer may come late, twice or never.
+ * Immediately before the wiring sends AMB_DUTY_CALL_CLOUD it asks amb_duty_may_send with the time read
+ * anew; if that says no, it does not send, and answers AMB_DUTY_CLOUD_NOT_SENT. */
 #ifndef AMBERPIN_DUTY_CORE_H
 #define AMBERPIN_DUTY_CORE_H
 
@@ -19,12 +20,13 @@
 enum amb_duty_state {
     AMB_DUTY_IDLE,      /* another holds the duty, or its record is not known yet */
     AMB_DUTY_CANDIDATE, /* nobody holds it: waiting for our turn, or a claim is under way */
-    AMB_DUTY_HELD,      /* ours, and the lease is surely alive */
-    AMB_DUTY_DRAINING,  /* ours; no new orders, then released */
+    AMB_DUTY_HELD,      /* ours, and the lease is certainly alive */
+    AMB_DUTY_DRAINING,  /* ours; no new intents, then released */
     AMB_DUTY_FENCED,    /* ours by the record, but the lease may have run out: sends nothing */
     AMB_DUTY_LOST,      /* was ours; will be idle after a backoff */
 };
 
+/* The state's name, for logs and status. */
 const char *amb_duty_state_text(enum amb_duty_state state);
 
 /* One duty as this member sees it. Read it freely. */
@@ -50,19 +52,19 @@
     uint64_t fenced_calls; /* calls that the cloud refused as stale */
 };
 
-/* This member's own key at the state service. */
+/* This member's own key at the key-value store. */
 enum amb_duty_incarnation_state {
     AMB_DUTY_INCARNATION_NONE,
     AMB_DUTY_INCARNATION_GRANTING, /* a lease is asked for */
     AMB_DUTY_INCARNATION_WRITING,  /* the member key is being written on it */
-    AMB_DUTY_INCARNATION_READING,  /* the write got no answer, or a guard failed: waiting to read the key */
+    AMB_DUTY_INCARNATION_READING,  /* the write got no answer, or a comparison failed: waiting to read it */
     AMB_DUTY_INCARNATION_LIVE,
 };
 
 struct amb_duty_incarnation {
     enum amb_duty_incarnation_state state;
     struct amb_duty_lease lease;
-    uint64_t nonce, revision; /* of our key; stamp is meaningful while live */
+    uint64_t nonce, revision; /* of our key; revision is meaningful while live */
     uint64_t call;            /* grant or write under way */
     amb_ms called_at;
     amb_ms grant_sent_at;
@@ -87,13 +89,13 @@
     AMB_DUTY_TICK, /* time has passed; at least every quarter of the backoff, and at once if `more` */
     AMB_DUTY_LEASE_GRANTED,   /* answer to GRANT_LEASE: call, result, lease */
     AMB_DUTY_LEASE_EXTENDED,  /* to EXTEND_LEASE: call, result */
-    AMB_DUTY_COMMITTED,       /* to every PUT_, COMMIT_ and REMOVE_ action: call, result, stamp */
-    AMB_DUTY_MEMBER_CHANGED,  /* news or a read of a member key: member */
+    AMB_DUTY_COMMITTED,       /* to every PUT_, COMMIT_ and REMOVE_ action: call, result, revision */
+    AMB_DUTY_MEMBER_CHANGED,  /* a change or a read of a member key: member */
     AMB_DUTY_RECORD_CHANGED,  /* of a duty's record: duty, record */
-    AMB_DUTY_INTENT_CHANGED,  /* of an order: order */
-    AMB_DUTY_INTENT_READ,     /* answer to READ_ORDER: order (not present: gone). It never adds an order */
+    AMB_DUTY_INTENT_CHANGED,  /* of an intent: intent */
+    AMB_DUTY_INTENT_READ,     /* answer to READ_INTENT: intent (not present: gone). It never adds an intent */
     AMB_DUTY_CLOUD_ANSWERED,  /* to CALL_CLOUD: call, answer */
-    AMB_DUTY_PROVED_GONE,     /* the machines of a return are not there any more: duty, order.id */
+    AMB_DUTY_PROVED_GONE,     /* the machines of a scale-in intent are gone: duty, intent.id */
     AMB_DUTY_DRAIN_REQUESTED, /* hand a duty over: duty, successor (or empty), cause */
     AMB_DUTY_STOP_REQUESTED,  /* hand all over, and claim nothing more */
 };
@@ -117,22 +119,23 @@
     AMB_DUTY_GRANT_LEASE,   /* of settings.ttl: call */
     AMB_DUTY_EXTEND_LEASE,  /* call, lease */
     AMB_DUTY_REVOKE_LEASE,  /* lease; no answer is needed */
-    AMB_DUTY_PUT_MEMBER,    /* write a/duty-member/ME on `lease`: call, lease, member, guard_member */
-    AMB_DUTY_READ_MEMBER,   /* read a/duty-member/NAME (guard_member.member), feed MEMBER_CHANGED */
+    AMB_DUTY_PUT_MEMBER,    /* write a/duty-member/ME on `lease`: call, lease, member, expected_member */
+    AMB_DUTY_READ_MEMBER,   /* read a/duty-member/NAME (expected_member.member), feed MEMBER_CHANGED */
     AMB_DUTY_READ_RECORD,   /* read a/duty/NAME, feed RECORD_CHANGED: duty */
-    AMB_DUTY_READ_INTENT,   /* read one order, feed ORDER_READ: duty, order.id */
-    AMB_DUTY_LIST_INTENTS,  /* read all orders, feed ORDER_CHANGED for each */
-    AMB_DUTY_COMMIT_RECORD, /* claim or release: call, duty, record; guards as below */
-    AMB_DUTY_COMMIT_INTENT, /* call, duty, order, guard_stamp (of the duty's record), order.stamp (of the
-                              order) */
-    AMB_DUTY_REMOVE_INTENT, /* the same guards; the duty guarded is cleanup, order.duty is the order's */
-    AMB_DUTY_CALL_CLOUD,    /* call, duty, order (id is the request name), token */
+    AMB_DUTY_READ_INTENT,   /* read one intent, feed INTENT_READ: duty, intent.id */
+    AMB_DUTY_LIST_INTENTS,  /* read all intents, feed INTENT_CHANGED for each */
+    AMB_DUTY_COMMIT_RECORD, /* claim or release: call, duty, record; comparisons as below */
+    AMB_DUTY_COMMIT_INTENT, /* call, duty, intent, expected_revision (of the duty's record), intent.revision
+                              (of the intent) */
+    AMB_DUTY_REMOVE_INTENT, /* likewise; the duty compared is cleanup, intent.duty is the intent's */
+    AMB_DUTY_CALL_CLOUD,    /* call, duty, intent (id is the request name), fencing token */
     AMB_DUTY_STATE_CHANGED, /* to be logged: duty, from, to, cause */
 };
 
-/* Guards of COMMIT_RECORD: a/duty/NAME at guard_stamp (0: absent); and if guard_member.member is not empty,
- * a/duty-member/THAT at guard_member.stamp (0: absent); and if guard_self is not 0, a/duty-member/ME at
- * guard_self. PUT_MEMBER is guarded by its own key at guard_stamp. */
+/* Comparisons of COMMIT_RECORD: a/duty/NAME at expected_revision (0: absent); and if expected_member.member
+ * is not empty, a/duty-member/THAT at expected_member.revision (0: absent); and if expected_incarnation is
+ * not 0, a/duty-member/ME at expected_incarnation. PUT_MEMBER is compared with its own key at
+ * expected_revision. */
 struct amb_duty_action {
     enum amb_duty_action_type type;
     enum amb_duty_name duty;
@@ -153,21 +156,23 @@
     struct amb_duty_action actions[AMB_DUTY_MAX_ACTIONS];
 };
 
-/* `orders` is the storage for `capacity` orders; it must live as long as the core. The seed must differ from
- * member to member and from start to start (the nonces are drawn from it). */
+/* Prepares a core that knows of nothing yet. `intents` is the storage for `capacity` intents; it must live as
+ * long as the core. The seed must differ from member to member and from start to start (the nonces are drawn
+ * from it). */
 void amb_duty_core_init(struct amb_duty_core *core, const struct amb_duty_settings *settings,
                         const char *member, uint64_t seed, struct amb_duty_intent *intents,
                         uint32_t capacity);
 
+/* Takes one event, at the time it carries, and decides what is to be done. */
 void amb_duty_core_step(struct amb_duty_core *core, const struct amb_duty_event *event,
                         struct amb_duty_output *out);
 
-/* Has this member the right to this duty at this moment? */
+/* May this member call the cloud for this duty at this moment? */
 bool amb_duty_may_call(const struct amb_duty_core *core, enum amb_duty_name duty, amb_ms now);
 
 /* May this call of the cloud, decided earlier, be sent at this moment? To be asked immediately before
  * sending. The right alone is not enough: the duty may have been lost and won again since, under a higher
- * token. */
+ * fencing token. */
 bool amb_duty_may_send(const struct amb_duty_core *core, const struct amb_duty_action *call, amb_ms now);
 
 #endif
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -1,6 +1,6 @@
-/* Runs the core of single-holder duties (core.h) for one member: feeds it news, answers and time, and carries
- * out what it decides. Clock, state service, cloud and log are functions that the owner hands over. It also
- * keeps every order as it is on record, whether the core has room for it or not. */
+/* Runs the core of single-holder duties (core.h) for one member: feeds it changes, answers and time, and
+ * carries out what it decides. Clock, key-value store, cloud and log are functions that the owner hands
+ * over. It also keeps every intent as it is on record, whether the core has room for it or not. */
 #ifndef AMBERPIN_DUTY_SERVICE_H
 #define AMBERPIN_DUTY_SERVICE_H
 
@@ -14,12 +14,12 @@
 struct amb_duty_cloud_reply {
     enum amb_duty_cloud_answer answer;
     struct amb_duty_work_order
-        acquired; /* of a rental that was carried out: `machines` only; the service frees it */
+        acquired; /* of a scale out that was carried out: `machines` only; the service frees it */
 };
 
 typedef void (*amb_duty_cloud_done)(void *arg, struct amb_duty_cloud_reply *reply);
 
-/* The state service, as in client.h. `list` answers the keys with the prefix, a page at a time. */
+/* The key-value store, as in client.h. `list` answers the keys with the prefix, a page at a time. */
 struct amb_duty_kvstore {
     void *context;
     void (*grant)(void *context, amb_ms ttl, amb_store_callback done, void *arg);
@@ -34,15 +34,15 @@
 struct amb_duty_ports {
     struct amb_duty_kvstore kvstore;
     void *context;
-    amb_ms (*now)(void *context); /* steady clock */
+    amb_ms (*now)(void *context); /* monotonic clock */
     /* False: it can't be called now, and `done` is not called. */
     bool (*call_cloud)(void *context, const struct amb_duty_intent_record *order,
                        const struct amb_duty_work_order *work, uint64_t token, amb_duty_cloud_done done,
                        void *arg);
-    /* Are all machines of this return proved to be gone, by what the owner itself has seen? Only what stays
-     * true for ever counts: a machine that is listed as failed is still there. */
+    /* Are all machines of this scale-in intent proved to be gone, by what the owner itself has seen? Only
+     * what stays true for ever counts: a machine that is listed as failed is still there. */
     bool (*is_proved_gone)(void *context, const struct amb_duty_work_order *work);
-    /* The record of an order has changed; work NULL: it is gone. */
+    /* The record of an intent has changed; work NULL: it is gone. */
     void (*intent_changed)(void *context, const struct amb_duty_intent_record *order,
                            const struct amb_duty_work_order *work);
     /* Every record has been read. */
@@ -50,7 +50,7 @@
     void (*log)(void *context, const char *line);
 };
 
-/* An order as it is on record. */
+/* An intent as it is on record. */
 struct amb_duty_intent_entry {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_duty_intent_record record; /* not present: removed while all records are being read */
@@ -61,7 +61,7 @@
     UT_hash_handle hh;
 };
 
-/* A change of a duty's holder, as far as this member has heard. */
+/* A change of a duty's holder, as far as this member knows. */
 struct amb_duty_holder_change {
     enum amb_duty_name duty;
     char from[AMB_NAME_SIZE], to[AMB_NAME_SIZE];
@@ -86,9 +86,9 @@
     void (*perform)(struct amb_duty_service *service, const struct amb_duty_action *action);
     struct amb_duty_intent *intent_storage; /* the core's storage */
     struct amb_duty_intent_entry *entries;  /* by key */
-    /* Duties whose record is of a form that is not known: they are left alone. */
+    /* Duties whose record is of a version that is not known: they are left alone. */
     bool unknown_version[AMB_DUTY_NAMES];
-    /* Handovers asked for by operators: the stamp of the latest wish. */
+    /* Handovers asked for by operators: the revision of the latest request. */
     uint64_t handover_revision[AMB_DUTY_NAMES];
     struct amb_duty_handover handover[AMB_DUTY_NAMES];
     struct amb_duty_holder_change holder_history[AMB_DUTY_HOLDER_HISTORY]; /* a ring */
--- a/include/amberpin/duty/settings.h
+++ b/include/amberpin/duty/settings.h
@@ -6,17 +6,17 @@
 
 struct amb_duty_settings {
     bool enabled[AMB_DUTY_NAMES]; /* duties that are filled; see amb_duty_settings_parse_names */
-    amb_ms ttl;                   /* of a member's lease at the state service */
-    uint32_t drift_ppm;           /* most drift of one steady clock, in millionths */
+    amb_ms ttl;                   /* of a member's lease at the key-value store */
+    uint32_t drift_ppm;           /* most drift of one monotonic clock, in millionths */
     amb_ms safety_margin;         /* the local right ends this much before the lease can */
     amb_ms call_timeout;          /* a call without an answer for this long counts as lost */
-    amb_ms expiry_lateness;       /* the state service ends a lease at most this late */
-    amb_ms backoff;               /* between the campaigns of neighbours in rank, and between retries */
+    amb_ms expiry_lateness;       /* the key-value store ends a lease at most this late */
+    amb_ms backoff;               /* between the claims of neighbours in rank, and between retries */
     amb_ms flap_decay;            /* two losses of the lease within this time make a member flap */
-    amb_ms drain_timeout;         /* open orders are waited for this long in a planned handover */
-    amb_ms keep_settled;          /* age at which a settled order's record may be removed */
-    amb_ms keep_uncertain;        /* the same, if a copy of the order was never answered */
-    uint32_t max_refusals;        /* a rental is settled as refused after so many refusals */
+    amb_ms drain_timeout;         /* open intents are waited for this long in a planned handover */
+    amb_ms keep_settled;          /* age at which a settled intent's record may be removed */
+    amb_ms keep_uncertain;        /* the same, if a copy of the intent was never answered */
+    uint32_t max_refusals;        /* scale out is settled as refused after so many refusals */
 };
 
 enum amb_duty_settings_error {
@@ -24,7 +24,7 @@
     AMB_DUTY_SETTINGS_UNKNOWN_NAME,   /* a duty of this name does not exist */
     AMB_DUTY_SETTINGS_DOUBLED_NAME,   /* a duty is named twice */
     AMB_DUTY_SETTINGS_NO_NAME,        /* no duty is named */
-    AMB_DUTY_SETTINGS_TTL_RANGE,      /* the state service takes 100 ms to 600 s */
+    AMB_DUTY_SETTINGS_TTL_RANGE,      /* the key-value store takes 100 ms to 600 s */
     AMB_DUTY_SETTINGS_DRIFT_RANGE,    /* below 100,000 millionths */
     AMB_DUTY_SETTINGS_SHORT_LEASE,    /* what drift and margin leave of the lease is too short to renew it: it
                                        * must be more than the time    between renewals and three calls */
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -1,8 +1,9 @@
-/* Single-holder duties: the words that all modules of lib/duty/ share. docs/duty.md has the reasoning.
+/* Single-holder duties: the types that all files of lib/duty/ share. docs/duty.md has the reasoning.
  *
- * A duty is a task of the whole service that one member at a time may carry out, such as renting machines.
- * The state service holds one durable record per duty (who holds it, under which token), one key per live
- * member (on a lease), and one record per order (something to be done once, such as one rental request). */
+ * A duty is a task of the whole service that one member at a time may carry out, such as scale out. The
+ * key-value store holds one durable record per duty (who holds it, under which fencing token), one key per
+ * live member (on a lease), and one record per intent (something to be done once, such as one request to
+ * scale out). */
 #ifndef AMBERPIN_DUTY_TYPES_H
 #define AMBERPIN_DUTY_TYPES_H
 
@@ -11,7 +12,7 @@
 
 enum {
     AMB_DUTY_MEMBERS = 16,     /* most members that are tracked, this one included */
-    AMB_DUTY_INTENT_ID = 48,   /* bytes of an order's name, with the terminating zero */
+    AMB_DUTY_INTENT_ID = 48,   /* bytes of an intent's name, with the terminating zero */
     AMB_DUTY_CAUSE_LENGTH = 48 /* bytes of the cause in a duty's record, with the terminating zero */
 };
 
@@ -20,22 +21,23 @@
     AMB_DUTY_RENT,    /* asks the cloud for machines */
     AMB_DUTY_RETURN,  /* releases machines that are no longer needed */
     AMB_DUTY_RECLAIM, /* releases machines that were taken back, are silent or faulty */
-    AMB_DUTY_CLEANUP, /* removes records of settled orders */
+    AMB_DUTY_CLEANUP, /* removes records of settled intents */
     AMB_DUTY_NAMES,   /* how many there are */
 };
 
+/* The duty's name in keys and settings. */
 const char *amb_duty_name_text(enum amb_duty_name duty);
 /* False: no duty has this name. */
 bool amb_duty_name_parse(const char *text, enum amb_duty_name *duty);
 
 /* ---- records ---- */
 
-/* `a/duty-member/MEMBER`, on the member's lease: the member is alive. It is written once per session (the
- * life of one lease), so its stamp names the session. */
+/* `a/duty-member/MEMBER`, on the member's lease: the member is alive. It is written once per incarnation
+ * (the life of one lease), so its revision names the incarnation. */
 struct amb_duty_member_record {
     bool present;
     char member[AMB_NAME_SIZE];
-    uint64_t nonce;    /* drawn by the member for this session */
+    uint64_t nonce;    /* drawn by the member for this incarnation */
     uint64_t revision; /* of the key; if it is not present, the revision at which it was seen to be absent */
 };
 
@@ -46,7 +48,7 @@
     bool present;
     enum amb_duty_record_state state;
     char holder[AMB_NAME_SIZE];
-    uint64_t holder_incarnation;   /* stamp of the holder's member key when it claimed */
+    uint64_t holder_incarnation;   /* revision of the holder's member key when it claimed */
     uint64_t fencing_token;        /* one higher at every claim; never falls */
     uint64_t nonce;                /* of the claim, so that its author knows it again */
     char successor[AMB_NAME_SIZE]; /* released: who should claim first; empty: nobody in particular */
@@ -55,7 +57,7 @@
 };
 
 enum amb_duty_intent_state {
-    AMB_DUTY_INTENT_PENDING, /* by the leader; surely not sent to the cloud yet */
+    AMB_DUTY_INTENT_PENDING, /* by the leader; certainly not sent to the cloud yet */
     AMB_DUTY_INTENT_SENT,    /* may have been sent, any number of times, under its one name */
     AMB_DUTY_INTENT_SETTLED, /* its result is known */
 };
@@ -69,11 +71,11 @@
     AMB_DUTY_RESULT_VOID,        /* withdrawn before it was sent: it never took effect */
 };
 
-/* `a/order/DUTY/ID`. The leader creates it (state wanted) under its term. What is to be done (machine type,
- * machine names ...) is part of the stored value, but only the wiring reads it. */
+/* `a/order/DUTY/ID`. The leader creates it (state pending) under its term. What is to be done (machine
+ * type, machine names ...) is part of the stored value, but only the wiring reads it. */
 struct amb_duty_intent_record {
     bool present;
-    char id[AMB_DUTY_INTENT_ID]; /* unique for ever; for a rental, the cloud's request name */
+    char id[AMB_DUTY_INTENT_ID]; /* unique for ever; for scale out, the cloud's request name */
     enum amb_duty_name duty;
     enum amb_duty_intent_state state;
     enum amb_duty_intent_result result;
@@ -90,7 +92,7 @@
     AMB_DUTY_CLOUD_DONE,        /* 200 */
     AMB_DUTY_CLOUD_NO_CAPACITY, /* 503 "no capacity": this copy was not carried out */
     AMB_DUTY_CLOUD_BUSY,        /* 429, 503 "trouble": this copy was not carried out; try again */
-    AMB_DUTY_CLOUD_FENCED,      /* 409: the cloud has seen a higher token */
+    AMB_DUTY_CLOUD_FENCED,      /* 409: the cloud has seen a higher fencing token */
     AMB_DUTY_CLOUD_MALFORMED,   /* 400 */
     AMB_DUTY_CLOUD_NO_ANSWER,   /* no answer: carried out or not, or later */
     AMB_DUTY_CLOUD_NOT_SENT,    /* the wiring did not send it, because amb_duty_may_send said no */
--- a/lib/duty/candidacy.c
+++ b/lib/duty/candidacy.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-/* Does nobody hold it, as far as is known? A member's key of another session than the one that claimed shows
- * that the claim's session is over, as its absence does. */
+/* Does nobody hold it, as far as is known? A member's key of another incarnation than the one that claimed
+ * shows that the claim's incarnation is over, as its absence does. */
 static bool is_vacant(struct amb_duty_core *core, const struct amb_duty *duty) {
     if (!duty->record_known) return false;
     if (!duty->record.present || duty->record.state == AMB_DUTY_RECORD_RELEASED) return true;
@@ -69,7 +69,7 @@
     commit->expected_incarnation = core->incarnation.revision;
     if (duty->record.present && duty->record.state == AMB_DUTY_RECORD_HELD &&
         strcmp(duty->record.holder, core->member) != 0) {
-        /* The session that holds it must be over: its key gone, or that of another session. */
+        /* The incarnation that holds it must be over: its key gone, or that of another incarnation. */
         const struct amb_duty_member *holder = duty_find_member(core, duty->record.holder);
         strcpy(commit->expected_member.member, duty->record.holder);
         commit->expected_member.revision = holder && holder->alive ? holder->incarnation : 0;
@@ -79,7 +79,7 @@
 }
 
 /* The claim may have been carried out, or may be later: only the record tells. A second claim has the same
- * guards, so that one of the two at most is carried out. */
+ * comparisons, so that one of the two at most is carried out. */
 static void handle_claim_timeout(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty *duty = &step->core->duties[name];
     duty->call = 0;
--- a/lib/duty/handover.c
+++ b/lib/duty/handover.c
@@ -17,7 +17,8 @@
 void duty_handle_fenced_call(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty *duty = &step->core->duties[name];
     if (!duty_is_owned(duty)) return;
-    /* If we have been replaced, the release fails by its guard. If not, the next claim has a higher token. */
+    /* If we have been replaced, the release fails by its comparison. If not, the next claim has a higher
+     * fencing token. */
     duty->fenced_calls++;
     duty_drain(step, name, "", "the cloud has seen a higher token");
     duty->drain_deadline = step->now;
@@ -54,7 +55,7 @@
         duty_lose(step, name, "replaced before it was released");
         duty_request_record(step, name);
         break;
-    default: duty_request_record(step, name); /* and tried again, under the same guard */
+    default: duty_request_record(step, name); /* and tried again, under the same comparison */
     }
 }
 
--- a/lib/duty/incarnation.c
+++ b/lib/duty/incarnation.c
@@ -55,8 +55,8 @@
     incarnation->called_at = incarnation->grant_sent_at = step->now;
 }
 
-/* The key is written over what is known of it. A copy of this write that comes late is guarded by the same
- * stamp, and says the same. */
+/* The key is written over what is known of it. A copy of this write that comes late is compared with the
+ * same revision, and says the same. */
 static void write_key(struct duty_step *step) {
     struct amb_duty_core *core = step->core;
     struct amb_duty_incarnation *incarnation = &core->incarnation;
@@ -132,7 +132,7 @@
     }
 }
 
-/* ---- answers and news ---- */
+/* ---- answers and changes ---- */
 
 void duty_incarnation_handle_grant(struct duty_step *step) {
     struct amb_duty_incarnation *incarnation = &step->core->incarnation;
--- a/lib/duty/intent.c
+++ b/lib/duty/intent.c
@@ -5,8 +5,8 @@
 /* A result that an earlier holder, or this one, can't prove by an answer of the cloud alone. */
 static enum amb_duty_intent_result result_from_evidence(const struct amb_duty_intent *intent) {
     const struct amb_duty_intent_record *record = &intent->record;
-    /* Never sent: the mark as sent, which comes before every call, can't be written any more once the record
-     * has been written as void, since both are guarded by the stamp of the record as wanted. */
+    /* Never sent: the mark as sent, which comes before every call, can't be written any more once the
+     * record has been written as void, since both are compared with the revision of the pending record. */
     if (record->withdrawn && record->state == AMB_DUTY_INTENT_PENDING) return AMB_DUTY_RESULT_VOID;
     if (intent->proved_gone && record->duty != AMB_DUTY_RENT) return AMB_DUTY_RESULT_GONE;
     return AMB_DUTY_RESULT_NONE;
--- a/lib/duty/intent_dispatch.c
+++ b/lib/duty/intent_dispatch.c
@@ -1,9 +1,9 @@
-/* The holder's work on its orders: marked as sent, sent, settled; and clean-up of what is settled. */
+/* The holder's work on its intents: marked as sent, sent, settled; and removal of settled records. */
 #include "internal.h"
 
 #include <string.h>
 
-/* Places in the output that orders leave to whatever else an event may need. */
+/* Actions of the output that intents leave to whatever else an event may need. */
 enum { RESERVED_ACTIONS = 4 };
 
 static bool has_room(struct duty_step *step) {
@@ -32,7 +32,7 @@
 
 /* ---- beginning ---- */
 
-/* Every write is guarded by the stamp of our claim of the duty, and by that of the order. */
+/* Every write is compared with the revision of our claim of the duty, and with that of the intent. */
 static void commit_intent(struct duty_step *step, struct amb_duty_intent *intent,
                           const struct amb_duty_intent_record *record, enum amb_duty_intent_phase phase) {
     struct amb_duty_action *commit = duty_emit_call(step, AMB_DUTY_COMMIT_INTENT, intent->record.duty);
@@ -108,7 +108,7 @@
         begin_intent(step, intent);
         if (!intent->phase) remove_if_due(step, intent);
     }
-    /* Without room, from time to time all the same: what fills the ledger may be gone by now. */
+    /* Without room, from time to time all the same: what fills the table may be gone by now. */
     bool due = used < table->capacity || step->now - table->list_requested_at >= step->core->settings.ttl;
     if (!table->overflowed || !due || !has_room(step)) return;
     table->overflowed = false;
@@ -116,7 +116,7 @@
     duty_emit(step, AMB_DUTY_LIST_INTENTS, 0);
 }
 
-/* ---- answers and news ---- */
+/* ---- answers and changes ---- */
 
 static struct amb_duty_intent *find_by_call(struct amb_duty_core *core, uint64_t call) {
     for (uint32_t i = 0; i < core->intents.capacity; i++) {
@@ -187,7 +187,7 @@
         if (intent && record->revision > intent->record.revision) amb_duty_intent_table_remove(intent);
         return;
     }
-    /* Only orders that are known are read: this one has been removed since, of which the news came first.
+    /* Only intents that are known are read: this one has been removed since, which was received first.
      * Added, it would stay for ever. */
     if (!intent && step->event->type == AMB_DUTY_INTENT_READ) return;
     bool missed = table->overflowed;
--- a/lib/duty/internal.h
+++ b/lib/duty/internal.h
@@ -34,7 +34,7 @@
 
 /* NULL: unknown. */
 struct amb_duty_member *duty_find_member(struct amb_duty_core *core, const char *name);
-/* Is the key of this member written, and its lease surely alive? */
+/* Is the key of this member written, and its lease certainly alive? */
 bool duty_incarnation_is_valid(const struct amb_duty_core *core, amb_ms now);
 /* Does what time alone makes due: asks for a lease, writes or reads the key, renews the lease. */
 void duty_incarnation_advance(struct duty_step *step);
--- a/lib/duty/service.c
+++ b/lib/duty/service.c
@@ -41,7 +41,7 @@
     return false;
 }
 
-/* An operator's wish concerns the holder of its time: one that has claimed since is not meant. */
+/* An operator's request concerns the holder at that time: one that has claimed since is not meant. */
 static void apply_handovers(struct amb_duty_service *service) {
     for (int i = 0; i < AMB_DUTY_NAMES; i++) {
         const struct amb_duty *duty = &service->core.duties[i];
@@ -56,14 +56,14 @@
     }
 }
 
-/* A return that this member holds, that may have been sent, and of which no proof has been fed yet. */
+/* A scale-in intent of a duty held here that may have been sent, and of which no proof has been fed yet. */
 static bool needs_proof(const struct amb_duty_service *service, const struct amb_duty_intent *intent) {
     const struct amb_duty_intent_record *record = &intent->record;
     return record->id[0] && record->duty != AMB_DUTY_RENT && record->state == AMB_DUTY_INTENT_SENT &&
            !intent->proved_gone && amb_duty_service_is_holder(service, record->duty);
 }
 
-/* A return whose calls are never answered is settled once its machines are proved to be gone. */
+/* A scale-in intent whose calls are never answered is settled once its machines are proved to be gone. */
 static void feed_proofs(struct amb_duty_service *service) {
     for (uint32_t i = 0; i < service->core.intents.capacity; i++) {
         const struct amb_duty_intent *intent = &service->core.intents.entries[i];
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -7,7 +7,7 @@
 
 /* ---- answers ---- */
 
-/* An answer of the state service that can't be used proves nothing about what was done. */
+/* An answer of the key-value store that can't be used proves nothing about what was done. */
 static enum amb_call_result decode_answer(int status, const cbor_item_t *body, const char *field,
                                           uint64_t *out) {
     enum amb_call_result result = amb_store_call_result(status);
@@ -65,7 +65,7 @@
 
 /* ---- writes ---- */
 
-/* Not even tried: as if the state service had refused it. */
+/* Not even tried: as if the key-value store had refused it. */
 static void refuse_commit(struct amb_duty_service *service, uint64_t number) {
     duty_feed_event(service, &(struct amb_duty_event){
                                  .type = AMB_DUTY_COMMITTED, .call = number, .result = AMB_CALL_REFUSED});
@@ -116,7 +116,7 @@
     send_commit(service, &transaction, AMB_STORE_PRIORITY_LEASE, action->call);
 }
 
-/* Guards of every write of a holder: its claim, and the order as it was read. */
+/* Comparisons of every write of a holder: its claim, and the intent as it was read. */
 static void compare_intent(struct amb_txn *transaction, const struct amb_duty_action *action,
                            const char *order_key) {
     char key[AMB_DUTY_KEY_SIZE];
@@ -164,8 +164,7 @@
 
 /* ---- the cloud ---- */
 
-/* The right is looked at anew, at the last moment: the process may have stood still since the core decided.
- */
+/* The lease is checked again at the last moment: the process may have been stalled since the core decided. */
 static void call_cloud(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_intent_key(key, action->intent.duty, action->intent.id);
--- a/lib/duty/service_internal.h
+++ b/lib/duty/service_internal.h
@@ -1,6 +1,6 @@
-/* What the parts of the duty service share: service.c (start, end and time), service_actions.c (what the core
- * decides, carried out), service_records.c (records as they are read and as news tell), service_queue.c
- * (calls under way, the log, and events into the core). */
+/* What the parts of the duty service share: service.c (start, end and time), service_actions.c (what the
+ * core decides, carried out), service_records.c (records as they are read, and as they change),
+ * service_queue.c (calls under way, the log, and events into the core). */
 #ifndef AMBERPIN_DUTY_SERVICE_INTERNAL_H
 #define AMBERPIN_DUTY_SERVICE_INTERNAL_H
 
@@ -26,7 +26,7 @@
 void duty_perform_action(struct amb_duty_service *service, const struct amb_duty_action *action);
 
 struct amb_duty_intent_entry *duty_find_entry(const struct amb_duty_service *service, const char *key);
-/* Feeds the core all orders: it had no room for some. */
+/* Feeds the core all intents: it had no room for some. */
 void duty_feed_intents(struct amb_duty_service *service);
 void duty_free_entries(struct amb_duty_service *service);
 /* Reads one key again, and feeds the core with what is found. */
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -1,4 +1,4 @@
-/* The records of single-holder duties as this member knows them: read once, and followed by news. */
+/* The records of single-holder duties as this member knows them: read once, and followed by changes. */
 #include "service_internal.h"
 
 #include <stdlib.h>
@@ -8,7 +8,7 @@
     return !strncmp(key, prefix, strlen(prefix));
 }
 
-/* ---- orders ---- */
+/* ---- intents ---- */
 
 struct amb_duty_intent_entry *duty_find_entry(const struct amb_duty_service *service, const char *key) {
     struct amb_duty_intent_entry *entry;
@@ -35,7 +35,7 @@
     HASH_ITER(hh, service->entries, entry, next) free_entry(service, entry);
 }
 
-/* How what is known of an order was learnt: ORDER_CHANGED or ORDER_READ. */
+/* How what is known of an intent was received: INTENT_CHANGED or INTENT_READ. */
 static void feed_intent(struct amb_duty_service *service, enum amb_duty_event_type how,
                         const struct amb_duty_intent_record *record) {
     struct amb_duty_event event = {.type = how, .duty = record->duty, .intent = *record};
@@ -47,7 +47,7 @@
         if (entry->record.present) feed_intent(service, AMB_DUTY_INTENT_CHANGED, &entry->record);
 }
 
-/* While all records are being read, what is removed leaves its stamp behind: a page that was made before
+/* While all records are being read, what is removed leaves its revision behind: a page that was made before
  * would bring it back. */
 static void remove_intent(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
                           struct amb_duty_intent_record *record) {
@@ -148,7 +148,7 @@
     struct amb_duty_event event = {.type = AMB_DUTY_MEMBER_CHANGED, .member = {.revision = revision}};
     if (strlen(member) >= AMB_NAME_SIZE) return;
     strcpy(event.member.member, member);
-    /* One of a form that is not known is alive: its duties are not taken. */
+    /* One of a version that is not known is alive: its duties are not taken. */
     if (value && amb_duty_decode_member(value, &event.member) != AMB_DUTY_DECODED)
         event.member.present = true;
     if (value && !is_listed(service, member) && service->listed_member_count < AMB_DUTY_MEMBERS)
@@ -184,8 +184,8 @@
 
 /* ---- reading ---- */
 
-/* What the read of one key found; value NULL: it is not there. An order that the core has removed meanwhile
- * is not added to its ledger again, though the news of the removal has not come yet. */
+/* What the read of one key found; value NULL: it is not there. An intent that the core has removed
+ * meanwhile is not added to its table again, though the removal has not been received yet. */
 static void apply_read(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
                        uint64_t revision) {
     if (has_prefix(key, AMB_DUTY_ORDER_KEYS))
@@ -208,7 +208,7 @@
             continue;
         const cbor_item_t *value = amb_cbor_map_get(pair, "value");
         if (key && !strcmp(path, key)) *found = true;
-        /* Only orders that are known are read: this one has been removed since, and news of it came first. */
+        /* Only intents that are known are read: this one has been removed since. */
         bool is_order = has_prefix(path, AMB_DUTY_ORDER_KEYS);
         if (key && is_order && !duty_find_entry(service, path)) continue;
         if (key)
@@ -304,7 +304,7 @@
                                 service->listing_cursor, handle_page, duty_call_new(service, 0));
 }
 
-/* One reading at a time. News that comes meanwhile is told from older pages by its stamps. */
+/* One reading at a time. Changes that are received meanwhile are told from older pages by their revisions. */
 void amb_duty_service_read_all(struct amb_duty_service *service) {
     struct amb_duty_intent_entry *entry, *next;
     if (!service->active || service->listing) return;
--- a/lib/duty/settings.c
+++ b/lib/duty/settings.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 enum {
-    TTL_MIN_MS = 100, /* the state service's limits */
+    TTL_MIN_MS = 100, /* the key-value store's limits */
     TTL_MAX_MS = 600000,
     DRIFT_MAX_PPM = 100000,
     CALLS_PER_RENEWAL = 3, /* a renewal may be lost twice */
@@ -105,7 +105,7 @@
 }
 
 amb_ms amb_duty_settings_vacancy_bound(const struct amb_duty_settings *settings, uint32_t members) {
-    /* The lease ends, the news of it comes, the last in rank waits for its turn (with jitter, and up to a
+    /* The lease ends, its change is received, the last in rank waits for its turn (with jitter, and up to a
      * tick), and its claim is answered. */
     amb_ms lease_ends =
         settings->ttl + settings->ttl * settings->drift_ppm / PPM + 1 + settings->expiry_lateness;
