--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -10,6 +10,7 @@
 #include "amberpin/config/settings.h"
 #include "amberpin/controller/controller.h"
 #include "amberpin/duty/node_duties.h"
+#include "amberpin/duty/scaling_path.h"
 #include "amberpin/election/election.h"
 #include "amberpin/election/format_version.h"
 #include "amberpin/election/lease_proxy.h"
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -2,6 +2,8 @@
 #include "internal.h"
 
 #include "amberpin/agent/machine_loss.h"
+#include "amberpin/cloud_duty/participation.h"
+#include "amberpin/cloud_duty/scaling_intents.h"
 #include "amberpin/scheduler/capacity_plan.h"
 
 static void dispatch_machine_added(struct amb_node *node, struct amb_machine *machine) {
--- a/lib/controller/failover.c
+++ b/lib/controller/failover.c
@@ -5,6 +5,9 @@
 #include "internal.h"
 
 #include "amberpin/base/log.h"
+#include "amberpin/cloud_duty/participation.h"
+#include "amberpin/cloud_duty/scaling_intents.h"
+#include "amberpin/cloud_duty/scaling_mode.h"
 #include "amberpin/placement/wdrr.h"
 #include "amberpin/scheduler/capacity_plan.h"
 
--- a/lib/controller/tick.c
+++ b/lib/controller/tick.c
@@ -2,6 +2,7 @@
 #include "internal.h"
 
 #include "amberpin/base/log.h"
+#include "amberpin/cloud_duty/scaling_mode.h"
 
 /* Times between ticks and cycles, as shares of the tick interval. */
 static const double TICK_SHARE = 0.1;
@@ -31,7 +32,7 @@
     amb_ms learning_period = amb_seconds_to_ms(node->settings.heartbeat_s * LEARNING_HEARTBEAT_PERIODS);
     bool has_waited = now - controller->leader_since > learning_period &&
                       now - controller->restored_at > learning_period / 2;
-    return has_waited || (node->cloud.list_completed && amb_fleet_is_acknowledged(node));
+    return has_waited || (node->cloud.list.completed && amb_fleet_is_acknowledged(node));
 }
 
 static void become_ready(struct amb_node *node, amb_ms now) {
--- a/lib/duty/order.c
+++ b/lib/duty/intent.c
@@ -1,12 +1,12 @@
-#include "amberpin/duty/order.h"
+#include "amberpin/duty/intents.h"
 
 #include <string.h>
 
 /* A result that an earlier holder, or this one, can't prove by an answer of the cloud alone. */
 static enum amb_duty_intent_result result_from_evidence(const struct amb_duty_intent *intent) {
     const struct amb_duty_intent_record *record = &intent->record;
-    /* Never sent: the mark as sent, which comes before every call, can't be written any more once the record
-     * has been written as void, since both are guarded by the stamp of the record as wanted. */
+    /* Never sent: the mark as sent, which comes before every call, can't be written any more once the
+     * record has been written as void, since both are compared with the revision of the pending record. */
     if (record->withdrawn && record->state == AMB_DUTY_INTENT_PENDING) return AMB_DUTY_RESULT_VOID;
     if (intent->proved_gone && record->duty != AMB_DUTY_RENT) return AMB_DUTY_RESULT_GONE;
     return AMB_DUTY_RESULT_NONE;
@@ -78,43 +78,3 @@
     }
     return intent->result != AMB_DUTY_RESULT_NONE;
 }
-
-/* ---- the ledger ---- */
-
-struct amb_duty_intent *amb_duty_intent_table_find(const struct amb_duty_intent_table *table,
-                                                   enum amb_duty_name duty, const char *id) {
-    for (uint32_t i = 0; i < table->capacity; i++) {
-        struct amb_duty_intent *intent = &table->entries[i];
-        if (intent->record.id[0] && intent->record.duty == duty && !strcmp(intent->record.id, id))
-            return intent;
-    }
-    return NULL;
-}
-
-struct amb_duty_intent *amb_duty_intent_table_add(struct amb_duty_intent_table *table,
-                                                  enum amb_duty_name duty, const char *id) {
-    for (uint32_t i = 0; i < table->capacity; i++) {
-        struct amb_duty_intent *intent = &table->entries[i];
-        if (intent->record.id[0]) continue;
-        memset(intent, 0, sizeof *intent);
-        strcpy(intent->record.id, id);
-        intent->record.duty = duty;
-        return intent;
-    }
-    table->overflowed = true;
-    return NULL;
-}
-
-void amb_duty_intent_table_remove(struct amb_duty_intent *intent) {
-    memset(intent, 0, sizeof *intent);
-}
-
-uint32_t amb_duty_intent_table_count_open(const struct amb_duty_intent_table *table,
-                                          enum amb_duty_name duty) {
-    uint32_t open = 0;
-    for (uint32_t i = 0; i < table->capacity; i++) {
-        const struct amb_duty_intent_record *record = &table->entries[i].record;
-        open += record->id[0] && record->duty == duty && record->state != AMB_DUTY_INTENT_SETTLED;
-    }
-    return open;
-}
--- a/lib/scheduler/fleet_view.c
+++ b/lib/scheduler/fleet_view.c
@@ -93,6 +93,6 @@
     HASH_ITER(hh, cycle->node->fleet.machines, machine, next) {
         if (is_placeable(machine) && is_pending(cycle, machine)) add_machine_slot(cycle, machine);
     }
-    const struct amb_scale_out_request *scale_out = cycle->node->cloud.requests;
+    const struct amb_scale_out_request *scale_out = cycle->node->cloud.scale_out.requests;
     for (; scale_out; scale_out = scale_out->next) add_requested_machines(cycle, scale_out);
 }
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,6 @@
 /* The controller process: reads its configuration, starts a node and runs the event loop. */
 #include "amberpin/base/log.h"
+#include "amberpin/cloud_duty/duty_options.h"
 #include "amberpin/config/command_line.h"
 #include "amberpin/node/fleet_capacity.h"
 #include "amberpin/node/node.h"
