--- a/lib/scheduler/admission.c
+++ b/lib/scheduler/admission.c
@@ -22,7 +22,8 @@
 /* ---- queues ---- */
 
 static bool is_eligible_in_pass(const struct amb_cycle *cycle, const struct amb_job *job) {
-    if (amb_job_get_effective_priority(job) < cycle->pass.min_priority) return false;
+    bool any_priority = cycle->pass.min_priority == AMB_PRIORITY_BEST_EFFORT; /* the lowest */
+    if (!any_priority && amb_job_get_effective_priority(job) < cycle->pass.min_priority) return false;
     return job->recovery_step <= cycle->pass.max_recovery_step;
 }
 
@@ -200,5 +201,6 @@
     }
     /* What users wait for goes before what may be stopped for it (docs/design.md, exceptions). */
     admitted += run_pass(cycle, urgent, first_team);
-    return admitted + run_pass(cycle, all, first_team);
+    cycle->pass = all;
+    return admitted + serve_queues(cycle, first_team);
 }
