--- a/lib/placement/ranking_key.h
+++ b/lib/placement/ranking_key.h
@@ -1,9 +1,14 @@
-/* The key under which a ranking of slots is cached: all that a score depends on beside the slot. */
+/* The key under which a ranking of slots is cached: all that a score depends on beside the slot.
+ *
+ * Functions are inline, since each query is compared with many keys. They compare member by member: structs
+ * may have padding between their members. */
 #ifndef AMBERPIN_PLACEMENT_RANKING_KEY_H
 #define AMBERPIN_PLACEMENT_RANKING_KEY_H
 
 #include "amberpin/placement/slot_ranking.h"
 
+#include <string.h>
+
 /* What is asked for. All is borrowed. */
 struct amb_ranking_query {
     const struct amb_placement_request *request;
@@ -25,8 +30,65 @@
     char image[AMB_NAME_SIZE];
 };
 
-void amb_ranking_key_init(struct amb_ranking_key *key, const struct amb_ranking_query *query);
+static inline void amb_ranking_key_init(struct amb_ranking_key *key, const struct amb_ranking_query *query) {
+    const struct amb_placement_request *request = query->request;
+    *key = (struct amb_ranking_key){.need = request->need,
+                                    .type_mask = request->type_mask,
+                                    .priority = request->priority,
+                                    .spot_allowed = request->spot_allowed,
+                                    .long_running = request->long_running,
+                                    .deferrable = request->deferrable,
+                                    .can_wait = request->can_wait,
+                                    .opportunistic = request->opportunistic,
+                                    .include_releasing = query->include_releasing,
+                                    .with_preemption = query->terms != NULL,
+                                    .annotation = *query->annotation};
+    if (query->terms) key->terms = *query->terms;
+    if (!query->annotation->ignores_image) strcpy(key->image, query->annotation->image);
+    key->annotation.image = NULL; /* borrowed for the query alone */
+}
+
+static inline bool is_same_annotation(const struct amb_ranking_key *key,
+                                      const struct amb_slot_annotation *annotation) {
+    const struct amb_slot_annotation *cached = &key->annotation;
+    if (cached->ignores_image != annotation->ignores_image) return false;
+    if (annotation->ignores_image) return true;
+    return cached->image_gb == annotation->image_gb && cached->within_s == annotation->within_s &&
+           cached->slack_s == annotation->slack_s && !strcmp(key->image, annotation->image);
+}
+
+static inline bool is_same_need(const struct amb_resources *left, const struct amb_resources *right) {
+    return left->gpus == right->gpus && left->cpus == right->cpus && left->memory_gb == right->memory_gb;
+}
+
+static inline bool is_same_request(const struct amb_ranking_key *key,
+                                   const struct amb_placement_request *request) {
+    return is_same_need(&key->need, &request->need) && key->type_mask == request->type_mask &&
+           key->priority == request->priority && key->spot_allowed == request->spot_allowed &&
+           key->long_running == request->long_running && key->deferrable == request->deferrable &&
+           key->can_wait == request->can_wait && key->opportunistic == request->opportunistic;
+}
+
+static inline bool is_same_claim(const struct amb_preemption_claim *left,
+                                 const struct amb_preemption_claim *right) {
+    return left->priority == right->priority && left->team == right->team &&
+           left->within_guarantee == right->within_guarantee;
+}
+
+static inline bool is_same_terms(const struct amb_preemption_terms *left,
+                                 const struct amb_preemption_terms *right) {
+    return left->cost_kind == right->cost_kind && is_same_claim(&left->claim, &right->claim) &&
+           left->image_only == right->image_only && left->placed_tasks == right->placed_tasks;
+}
+
 /* Is it the key of the query? */
-bool amb_ranking_key_matches(const struct amb_ranking_key *key, const struct amb_ranking_query *query);
+static inline bool amb_ranking_key_matches(const struct amb_ranking_key *key,
+                                           const struct amb_ranking_query *query) {
+    if (!is_same_request(key, query->request)) return false;
+    if (key->include_releasing != query->include_releasing) return false;
+    if (key->with_preemption != (query->terms != NULL)) return false;
+    if (query->terms && !is_same_terms(&key->terms, query->terms)) return false;
+    return is_same_annotation(key, query->annotation);
+}
 
 #endif
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -66,8 +66,8 @@
 
 /* ---- scores ---- */
 
-static double compute_score(const struct amb_ranking_query *query, const struct amb_slot_list *list,
-                            uint32_t slot_index) {
+static inline double compute_score(const struct amb_ranking_query *query, const struct amb_slot_list *list,
+                                   uint32_t slot_index) {
     const struct amb_slot *slot = &list->slots[slot_index];
     if (query->terms) {
         double cost;
@@ -80,9 +80,9 @@
     return amb_placement_score(query->request, slot, query->include_releasing);
 }
 
-static void update_slot_score(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
-                              const struct amb_slot_list *list, const struct amb_ranking_query *query,
-                              uint32_t slot_index) {
+static inline void update_slot_score(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
+                                     const struct amb_slot_list *list, const struct amb_ranking_query *query,
+                                     uint32_t slot_index) {
     int zone = list->slots[slot_index].zone;
     if (zone < 0) return;
     double score = compute_score(query, list, slot_index);
--- a/lib/placement/winner_tree.c
+++ b/lib/placement/winner_tree.c
@@ -34,12 +34,6 @@
         update_winner(tree, position);
 }
 
-struct amb_winner amb_winner_tree_get_winner(const struct amb_winner_tree *tree) {
-    if (!tree->capacity) return (struct amb_winner){0, AMB_SCORE_INFEASIBLE};
-    uint32_t leaf = tree->winners[1];
-    return (struct amb_winner){leaf, tree->scores[leaf]};
-}
-
 void amb_winner_tree_free(struct amb_winner_tree *tree) {
     free(tree->scores);
     free(tree->winners);
--- a/lib/placement/winner_tree.h
+++ b/lib/placement/winner_tree.h
@@ -25,7 +25,12 @@
 
 void amb_winner_tree_set(struct amb_winner_tree *tree, uint32_t leaf, double score);
 /* Of equal scores that of the smallest leaf wins. */
-struct amb_winner amb_winner_tree_get_winner(const struct amb_winner_tree *tree);
+static inline struct amb_winner amb_winner_tree_get_winner(const struct amb_winner_tree *tree) {
+    if (!tree->capacity) return (struct amb_winner){0, AMB_SCORE_INFEASIBLE};
+    uint32_t leaf = tree->winners[1];
+    return (struct amb_winner){leaf, tree->scores[leaf]};
+}
+
 /* Frees what the tree owns, not the tree. */
 void amb_winner_tree_free(struct amb_winner_tree *tree);
 
--- a/lib/scheduler/cycle_internal.h
+++ b/lib/scheduler/cycle_internal.h
@@ -9,9 +9,18 @@
 /* Fills the cycle's jobs and its teams' queues (job_queue.c). */
 void amb_cycle_collect_jobs(struct amb_cycle *cycle);
 
-/* Does the task's machine fetch an image for it that no other task of the machine counts already
- * (image_fetch.c)? */
-bool amb_image_fetch_is_counted(const struct amb_task *task);
+/* Does the task's machine fetch its image, as far as is known? Inline: asked for each task of the fleet. */
+static inline bool amb_image_is_fetching(const struct amb_task *task) {
+    if (task->state == AMB_TASK_PLACED || task->state == AMB_TASK_BOUND) return true;
+    return task->state == AMB_TASK_SEEN && task->agent_state == AMB_AGENT_TASK_FETCHING;
+}
+
+/* Is the image at hand, or counted with an earlier task of the machine (image_fetch.c)? */
+bool amb_image_fetch_is_shared(const struct amb_task *task);
+/* Is it fetched, and counted with this task? */
+static inline bool amb_image_fetch_is_counted(const struct amb_task *task) {
+    return amb_image_is_fetching(task) && !amb_image_fetch_is_shared(task);
+}
 /* About how much of the task's image is still to be fetched, in GB. */
 double amb_image_fetch_remaining_gb(const struct amb_cycle *cycle, const struct amb_task *task);
 
--- a/lib/scheduler/image_fetch.c
+++ b/lib/scheduler/image_fetch.c
@@ -8,28 +8,18 @@
 /* A fetch that should be over counts as this share of the image until the machine says that it is. */
 static const double REMAINING_SHARE_MIN = 0.1;
 
-static bool is_fetching_image(const struct amb_task *task) {
-    if (task->state == AMB_TASK_PLACED || task->state == AMB_TASK_BOUND) return true;
-    return task->state == AMB_TASK_SEEN && task->agent_state == AMB_AGENT_TASK_FETCHING;
-}
-
-/* Is the image at hand, or counted with an earlier task of the machine? */
-static bool is_fetch_shared(const struct amb_task *task) {
+bool amb_image_fetch_is_shared(const struct amb_task *task) {
     bool is_earlier = true;
     for (const struct amb_task *other = task->machine->tasks; other; other = other->next_on_machine) {
         if (other == task)
             is_earlier = false;
-        else if ((is_earlier || !is_fetching_image(other)) &&
+        else if ((is_earlier || !amb_image_is_fetching(other)) &&
                  !strcmp(other->job->spec->image, task->job->spec->image))
             return true;
     }
     return false;
 }
 
-bool amb_image_fetch_is_counted(const struct amb_task *task) {
-    return is_fetching_image(task) && !is_fetch_shared(task);
-}
-
 double amb_image_fetch_remaining_gb(const struct amb_cycle *cycle, const struct amb_task *task) {
     double image_gb = task->job->spec->image_gb;
     double fetch_gb_per_s = cycle->node->catalog.types[task->machine->type_index].image_fetch_gb_per_s;
