--- a/lib/controller/failover.c
+++ b/lib/controller/failover.c
@@ -57,7 +57,7 @@
     snprintf(node->controller.restore_cursor, sizeof node->controller.restore_cursor, "%s", key);
 }
 
-/* Does this node still lead in the term in which it began to read? */
+/* Does this node lead, and has it still records to read? */
 static bool is_restoring(const struct amb_node *node) {
     return amb_election_has_leader_role(node) && node->controller.restoring;
 }
--- a/tests/placement/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -1,5 +1,5 @@
-/* What a round finds without looking at all of its slots each time, against what a look at all finds: marks
- * that are made when a slot is looked at, and picks by rankings. */
+/* What a scheduling cycle finds without a look at all of its slots each time, against what a full scan finds:
+ * annotations that are computed when a slot is accessed, and the best slots of rankings. */
 #include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "node_fixture.h"
@@ -47,7 +47,7 @@
     amb_catalog_find_or_add_zone(&node->catalog, "b");
 }
 
-/* ---- marks ---- */
+/* ---- annotations ---- */
 
 static void expect_same_annotation(struct amb_cycle *cycle, struct amb_cycle *fresh_cycle,
                                    uint32_t slot_index) {
@@ -57,7 +57,7 @@
     assert_true(slot->start_risk == fresh_slot->start_risk);
 }
 
-/* Whatever a slot was marked for before, and whenever it is looked at. */
+/* Whatever a slot was annotated for before, and whenever it is accessed. */
 static void annotations_are_those_of_a_fresh_cycle(void **state) {
     (void)state;
     uint32_t at_hand = 0, elsewhere = 0;
@@ -88,7 +88,7 @@
     assert_true(at_hand > 100 && elsewhere > 100);
 }
 
-/* ---- picks ---- */
+/* ---- best slots ---- */
 
 enum { SHAPES = 250, STEPS = 1500 }; /* more shapes than are kept */
 
@@ -134,7 +134,7 @@
     draw_slot(amb_cycle_add_slot(cycle, (int)draw(2), (int)draw(2), draw(2)));
 }
 
-/* Picks by the rankings, and among all slots, step by step through drawn changes. */
+/* By the rankings, and among all slots, step by step through drawn changes. */
 static void rankings_find_what_a_full_scan_finds(void **state) {
     (void)state;
     uint32_t found = 0, nothing = 0;
