--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -1,11 +1,11 @@
 /* Records while the second format comes into use and the state service lowers its limits: one block of many
  * tasks is replaced by several, and a leader may end between any two transactions. The state service is
- * fake_state.c; a successor reads what stands there and must know all that its predecessor may have ordered.
+ * fake_store.c; a successor reads what stands there and must know all that its predecessor may have ordered.
  */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
-#include "fake_state.h"
+#include "fake_store.h"
 #include "node_fixture.h"
 
 #include "amberpin/codec/placement_block.h"
--- a/tests/support/fake_state.c
+++ b/tests/support/fake_store.c
@@ -1,4 +1,4 @@
-#include "fake_state.h"
+#include "fake_store.h"
 #include "check.h"
 #include "fake_http.h"
 
--- a/tests/support/fake_state.h
+++ b/tests/support/fake_store.h
@@ -1,7 +1,7 @@
 /* A key-value store in memory behind fake_http.h: it answers the transactions and reads that a node has sent,
  * one at a time and as the test says, under limits that the test may lower. */
-#ifndef AMBERPIN_TESTS_FAKE_STATE_H
-#define AMBERPIN_TESTS_FAKE_STATE_H
+#ifndef AMBERPIN_TESTS_FAKE_STORE_H
+#define AMBERPIN_TESTS_FAKE_STORE_H
 
 #include "amberpin/codec/messages.h"
 
