--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -1,7 +1,6 @@
 /* Messages between nodes: what a node says to all others twice a report, and what each does with it. */
 #include "cases.h"
 
-#include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -78,7 +77,7 @@
 /* The answer to a leader that lacks the newest cancellation only. */
 struct asking {
     struct amb_node *node;
-    json_t *question;
+    uint64_t known_revision;
 };
 
 static void *asked(const struct world_size *size) {
@@ -87,19 +86,18 @@
     a->node = follower(size, 1);
     for (const struct amb_job *job = a->node->jobs.all; job; job = job->hh.next)
         if (job->cancel_revision > newest) newest = job->cancel_revision;
-    a->question = json_pack("{s:I}", "epoch", (json_int_t)newest - 1);
+    a->known_revision = newest - 1;
     return a;
 }
 
 static void answer(void *input) {
     struct asking *a = input;
-    json_decref(amb_peer_encode_reply(a->node, a->question));
+    amb_peer_message_release(amb_peer_encode_reply(a->node, a->known_revision));
 }
 
 static void finish_asking(void *input) {
     struct asking *a = input;
     world_free(a->node);
-    json_decref(a->question);
     free(a);
 }
 
--- a/include/amberpin/duty/node_duties.h
+++ b/include/amberpin/duty/node_duties.h
@@ -12,7 +12,6 @@
 struct amb_options;
 struct amb_peer;
 struct amb_scale_out_request;
-struct json_t;
 
 /* What a peer's last word says of duties. */
 enum amb_peer_duties {
@@ -78,7 +77,8 @@
 /* Should duties be in use, by every member's word? They come into use when all say so, and go out of use when
  * one is known to say no: one that has not been heard of since this node began changes nothing. */
 bool amb_duties_is_agreed(const struct amb_node *node);
-void amb_duties_decode_peer(struct amb_peer *peer, const struct json_t *heartbeat);
+/* A message of the peer says whether duties are switched on there. */
+void amb_duties_update_peer(struct amb_peer *peer, bool on);
 enum amb_scaling_path amb_duties_scaling_path(const struct amb_node *node);
 /* The leader's turn: the mode, and orders of returns. */
 void amb_duties_tick(struct amb_node *node, amb_ms now);
--- a/lib/duty/path.c
+++ b/lib/duty/path.c
@@ -1,14 +1,11 @@
 /* Which way machines are rented and returned: by the leader itself, or by orders to the holders of duties. */
 #include "amberpin/node/node.h"
 
-#include <jansson.h>
-
 bool amb_duties_is_enabled(const struct amb_node *node) {
     return node->options.duties != 0;
 }
 
-void amb_duties_decode_peer(struct amb_peer *peer, const json_t *heartbeat) {
-    bool on = json_integer_value(json_object_get(heartbeat, "duties")) > 0;
+void amb_duties_update_peer(struct amb_peer *peer, bool on) {
     peer->duties = on ? AMB_PEER_DUTIES_ON : AMB_PEER_DUTIES_OFF;
 }
 
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -3,7 +3,6 @@
 #include "amberpin/base/log.h"
 #include "amberpin/node/node.h"
 
-#include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -23,13 +22,11 @@
                   (amb_ms)(node->settings.heartbeat_s * 1000), ignore_response, NULL);
 }
 
-/* To the leader; to all when nobody is known to lead. `stamp` 0: it is not written yet. */
+/* To the leader; to all when nobody is known to lead. `revision` 0: it is not written yet. */
 static void send_notice(struct amb_node *node, const struct amb_job *job, uint64_t revision) {
     if (amb_election_has_leader_role(node)) return;
-    json_t *notice = json_pack("{s:s, s:I, s:I}", "ref", job->ref, "wall", (json_int_t)job->cancelled_wall_ms,
-                               "stamp", (json_int_t)revision);
-    char *text = json_dumps(notice, JSON_COMPACT);
-    json_decref(notice);
+    const struct amb_peer_cancellation cancellation = {job->ref, job->cancelled_wall_ms, revision};
+    char *text = amb_peer_notice_to_text(&cancellation);
     const struct amb_peers *peers = &node->peers;
     bool leader_known = false;
     for (uint32_t i = 0; i < peers->count; i++) leader_known |= peers->list[i].is_leader;
@@ -49,18 +46,14 @@
     send_notice(node, job, job->cancel_revision);
 }
 
-bool amb_cancellation_notice_receive(struct amb_node *node, const json_t *notice) {
-    const char *ref = json_string_value(json_object_get(notice, "ref"));
-    const json_t *wall_ms = json_object_get(notice, "wall"), *revision = json_object_get(notice, "stamp");
-    if (!ref || !json_is_integer(wall_ms) || !json_is_integer(revision) || json_integer_value(revision) < 0)
-        return false;
-    struct amb_job *job = amb_job_find(node, ref);
-    if (json_integer_value(revision))
-        amb_job_apply_cancel_hint(node, ref, json_integer_value(wall_ms),
-                                  (uint64_t)json_integer_value(revision));
+void amb_cancellation_notice_receive(struct amb_node *node,
+                                     const struct amb_peer_cancellation *cancellation) {
+    struct amb_job *job = amb_job_find(node, cancellation->ref);
+    if (cancellation->revision)
+        amb_job_apply_cancel_hint(node, cancellation->ref, cancellation->cancelled_wall_ms,
+                                  cancellation->revision);
     else if (job)
         job->cancel_pending_at = amb_now();
-    return true;
 }
 
 bool amb_cancellation_is_pending(const struct amb_node *node, const struct amb_job *job) {
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -1,82 +1,110 @@
-/* The exchange between the nodes: heartbeats to all others, and what they send to us. */
+/* The exchange between controllers: heartbeats to all peers, and what they send to us. */
 #include "amberpin/base/log.h"
 #include "amberpin/job/cancellation_notice.h"
 #include "amberpin/node/node.h"
-#include "amberpin/peer/messages.h"
+#include "heartbeat_received.h"
+#include "received_cache.h"
+#include "reply_cache.h"
 
-#include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
 
+/* ---- our heartbeats ---- */
+
 static void handle_reply(void *arg, int status, const char *body, size_t len) {
     struct amb_peer *peer = arg;
+    struct amb_peer_message *reply;
     peer->heartbeat_in_flight = false;
     if (status != 200) return;
-    json_t *message = amb_peer_parse_reply(peer, body, len);
-    if (message) amb_peer_apply_message(peer->node, peer, message, peer->heartbeat_sent_at);
-    json_decref(message);
+    if (amb_peer_parse_reply(peer, body, len, &reply).fault) return;
+    amb_peer_apply_message(peer->node, peer, reply, peer->heartbeat_sent_at);
+    amb_peer_message_release(reply);
+}
+
+static void send_heartbeat(struct amb_node *node, struct amb_peer *peer, const char *text, amb_ms now) {
+    peer->heartbeat_in_flight = true;
+    peer->heartbeat_sent_at = now;
+    amb_http_call(peer->addr, "POST", "/peer/heartbeat", "application/json", text, strlen(text),
+                  (amb_ms)(node->settings.heartbeat_s * 1000), handle_reply, peer);
 }
 
+/* Twice a heartbeat period of the agents. A peer that has not replied to the last one is left out. */
 static void send_heartbeats(void *arg) {
     struct amb_node *node = arg;
     amb_ms now = amb_now();
     amb_timer_in(&node->peers.heartbeat_timer, (amb_ms)(node->settings.heartbeat_s * 500), send_heartbeats,
                  node);
     char *text = amb_peer_encode_heartbeat(node);
-    size_t len = strlen(text);
     bool sent_to_all = true;
-    amb_debug("heartbeat: %zu bytes", len);
+    amb_debug("heartbeat: %zu bytes", strlen(text));
     for (uint32_t i = 0; i < node->peers.count; i++) {
         struct amb_peer *peer = &node->peers.list[i];
-        if (peer->heartbeat_in_flight) {
+        if (peer->heartbeat_in_flight)
             sent_to_all = false;
-            continue;
-        }
-        peer->heartbeat_in_flight = true;
-        peer->heartbeat_sent_at = now;
-        amb_http_call(peer->addr, "POST", "/peer/heartbeat", "application/json", text, len,
-                      (amb_ms)(node->settings.heartbeat_s * 1000), handle_reply, peer);
+        else
+            send_heartbeat(node, peer, text, now);
     }
     if (sent_to_all) amb_peer_mark_heartbeat_sent(node);
     free(text);
 }
 
-static void receive_cancel_notice(struct amb_node *node, struct amb_http_req *request) {
-    json_t *notice =
-        strcmp(request->method, "POST") ? NULL : json_loadb(request->body, request->body_len, 0, NULL);
-    bool understood = amb_cancellation_notice_receive(node, notice);
-    json_decref(notice);
-    amb_http_reply(request, understood ? 200 : 400, NULL, NULL, 0, 0);
+/* ---- requests of peers ---- */
+
+static bool is_post(const struct amb_http_req *request) {
+    return !strcmp(request->method, "POST");
+}
+
+static void refuse(struct amb_http_req *request) {
+    amb_http_reply(request, 400, NULL, NULL, 0, 0);
+}
+
+static bool receive_cancellation(struct amb_node *node, const struct amb_http_req *request) {
+    struct amb_peer_message *notice;
+    struct amb_peer_cancellation cancellation;
+    if (!is_post(request)) return false;
+    if (amb_peer_message_parse(request->body, request->body_len, &notice).fault) return false;
+    bool is_valid = !amb_peer_message_notice(notice, &cancellation).fault;
+    if (is_valid) amb_cancellation_notice_receive(node, &cancellation);
+    amb_peer_message_release(notice);
+    return is_valid;
+}
+
+static void handle_cancellation(struct amb_node *node, struct amb_http_req *request) {
+    if (receive_cancellation(node, request))
+        amb_http_reply(request, 200, NULL, NULL, 0, 0);
+    else
+        refuse(request);
 }
 
-static void reply_to_heartbeat(struct amb_node *node, struct amb_http_req *request, const json_t *heartbeat) {
+static void reply_to_heartbeat(struct amb_node *node, struct amb_http_req *request,
+                               const struct amb_peer_message *heartbeat) {
     char *owned_text;
-    const char *text = amb_peer_get_reply_text(node, heartbeat, &owned_text);
+    uint64_t known_revision = amb_peer_message_header(heartbeat).known_revision;
+    const char *text = amb_peer_get_reply_text(node, known_revision, &owned_text);
     amb_http_reply(request, 200, "application/json", text, strlen(text), 0);
     free(owned_text);
 }
 
-static void receive_heartbeat(struct amb_node *node, struct amb_http_req *request) {
-    json_t *heartbeat = strcmp(request->method, "POST")
-                            ? NULL
-                            : amb_peer_parse_heartbeat(node, request->body, request->body_len);
-    const char *from = json_string_value(json_object_get(heartbeat, "from"));
-    if (!from) {
-        json_decref(heartbeat);
-        amb_http_reply(request, 400, NULL, NULL, 0, 0);
+static void handle_heartbeat(struct amb_node *node, struct amb_http_req *request) {
+    struct amb_peer_message *heartbeat;
+    const char *sender;
+    if (!is_post(request) ||
+        amb_peer_parse_heartbeat(node, request->body, request->body_len, &heartbeat).fault) {
+        refuse(request);
         return;
     }
-    amb_peer_apply_heartbeat(node, amb_peer_find(node, from), heartbeat);
+    amb_peer_message_sender(heartbeat, &sender);
+    amb_peer_apply_heartbeat(node, amb_peer_find(node, sender), heartbeat);
     reply_to_heartbeat(node, request, heartbeat);
-    json_decref(heartbeat);
+    amb_peer_message_release(heartbeat);
 }
 
 static void handle_request(void *arg, struct amb_http_req *request) {
     struct amb_node *node = arg;
     if (!strcmp(request->path, "/peer/heartbeat"))
-        receive_heartbeat(node, request);
+        handle_heartbeat(node, request);
     else if (!strcmp(request->path, "/peer/cancellation"))
-        receive_cancel_notice(node, request);
+        handle_cancellation(node, request);
     else if (!amb_duties_handle_request(node, request))
         amb_http_reply(request, 404, NULL, NULL, 0, 0);
 }
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -4,6 +4,7 @@
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
+#include "peer_json.h"
 
 #include <jansson.h>
 
@@ -33,7 +34,7 @@
     json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", 1, "term", (json_int_t)TERM, "leading", 0,
                              "store", 1, "reports_arrive", 0);
     if (format) json_object_set_new(said, "format", json_integer(format));
-    amb_peer_apply_message(node, &node->peers.list[peer], said, 0);
+    apply_peer_json(node, &node->peers.list[peer], said, 0);
     json_decref(said);
 }
 
@@ -77,7 +78,7 @@
         for (int leads = 0; leads < 2; leads++) {
             node->election.role = leads ? AMB_ROLE_LEADER : AMB_ROLE_FOLLOWER;
             char *text = amb_peer_encode_heartbeat(node);
-            json_t *messages[] = {json_loads(text, 0, NULL), amb_peer_encode_reply(node, NULL)};
+            json_t *messages[] = {json_loads(text, 0, NULL), peer_reply_json(node, 0)};
             for (size_t member = 0; member < ROWS(messages); member++) {
                 json_int_t format = json_integer_value(json_object_get(messages[member], "format"));
                 if (format != rows[i].want)
@@ -257,12 +258,12 @@
         node->settings.announced_limits.write_rps = rows[i].announced ? 600 : 0;
         amb_store_init(&node->store, &node->settings, 1000);
         amb_store_set_leadership(&node->store, rows[i].leads);
-        json_t *before = amb_peer_encode_reply(node, NULL);
+        json_t *before = peer_reply_json(node, 0);
         assert_null(json_object_get(before, "limits_lowered"));
         hear(0, 2);
         assert_false(node->store.limits_lowered);
         json_object_set_new(before, "limits_lowered", json_true());
-        amb_peer_apply_message(node, &node->peers.list[0], before, 0);
+        apply_peer_json(node, &node->peers.list[0], before, 0);
         json_decref(before);
         const struct amb_store *store = &node->store;
         assert_true(store->limits_lowered);
@@ -270,7 +271,7 @@
             store->user_write_bucket.tokens_per_second != rows[i].users)
             fail_msg("%s: %g of its own, %g for users", rows[i].what, store->write_bucket.tokens_per_second,
                      store->user_write_bucket.tokens_per_second);
-        json_t *after = amb_peer_encode_reply(node, NULL);
+        json_t *after = peer_reply_json(node, 0);
         assert_true(json_is_true(json_object_get(after, "limits_lowered")));
         json_decref(after);
         hear(0, 2); /* a node that has not seen it yet takes nothing back */
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -3,6 +3,7 @@
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
+#include "peer_json.h"
 
 #include <jansson.h>
 
@@ -97,7 +98,7 @@
         const char *what;
         uint64_t stamp;
         int64_t ago_ms; /* when the transaction was sent */
-        json_int_t epoch;
+        uint64_t epoch;
         bool listed;
     } rows[] = {
         {"newer than what the asker knows", 40, 1000, 39, true},
@@ -112,13 +113,10 @@
         apply_job_change("wk-1", AMB_JOB_QUEUED, 1, 0);
         apply_job_change("wk-2", AMB_JOB_QUEUED, 50, 0);
         apply_job_change("wk-1", AMB_JOB_CANCELLED, rows[i].stamp, amb_wall_ms() - rows[i].ago_ms);
-        json_t *question = json_object();
-        if (rows[i].epoch) json_object_set_new(question, "epoch", json_integer(rows[i].epoch));
-        json_t *answer = amb_peer_encode_reply(node, question);
+        json_t *answer = peer_reply_json(node, rows[i].epoch);
         if (json_array_size(json_object_get(answer, "cancelled")) != rows[i].listed)
             fail_msg("%s", rows[i].what);
         json_decref(answer);
-        json_decref(question);
     }
 }
 
@@ -149,7 +147,7 @@
         json_t *message =
             json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", rows[i].loaded, "term", rows[i].term, "leading",
                       rows[i].leading, "store", 1, "reports_arrive", 0);
-        amb_peer_apply_message(node, peer, message, rows[i].answer ? asked : 0);
+        apply_peer_json(node, peer, message, rows[i].answer ? asked : 0);
         if (amb_election_peers_confirmed_at(node, amb_now()) != (rows[i].counts ? asked : 0))
             fail_msg("%s", rows[i].what);
         json_decref(message);
@@ -163,7 +161,7 @@
         json_pack("{s:b, s:i, s:b, s:b, s:b, s:[[s,I,I]]}", "loaded", 1, "term", TERM, "leading", 0, "store",
                   1, "reports_arrive", 0, "cancelled", "wk-1", (json_int_t)amb_wall_ms(), (json_int_t)40);
     node->peers.count = 1;
-    amb_peer_apply_message(node, &node->peers.list[0], message, amb_now());
+    apply_peer_json(node, &node->peers.list[0], message, amb_now());
     json_decref(message);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
     struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_wiring.c
@@ -6,6 +6,7 @@
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
+#include "peer_json.h"
 
 #include <jansson.h>
 #include <math.h>
@@ -129,7 +130,7 @@
     assert_int_equal(json_integer_value(json_object_get(said, "duties")), 1);
     ask_peers();
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_UNKNOWN);
-    amb_peer_apply_message(node, &node->peers.list[0], said, 0);
+    apply_peer_json(node, &node->peers.list[0], said, 0);
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_ON);
     peer_speaks(0, (struct said){.term = TERM}); /* of a version that does not know them */
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_OFF);
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -2,6 +2,7 @@
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
+#include "peer_json.h"
 
 #include <jansson.h>
 
@@ -29,8 +30,7 @@
 }
 
 static void compare(uint64_t epoch, int64_t recent_since) {
-    json_t *question = json_pack("{s:I}", "epoch", (json_int_t)epoch);
-    json_t *answer = amb_peer_encode_reply(node, question);
+    json_t *answer = peer_reply_json(node, epoch);
     const json_t *list = json_object_get(answer, "cancelled");
     size_t expected = 0;
     for (const struct amb_job *job = node->jobs.all; job; job = job->hh.next) {
@@ -41,7 +41,6 @@
     }
     assert_int_equal(json_array_size(list), expected);
     json_decref(answer);
-    json_decref(question);
 }
 
 /* Hints and news of cancellations come in any order, some more than once. */
--- a/tests/job/test_pipeline_submissions.c
+++ b/tests/job/test_pipeline_submissions.c
@@ -1,6 +1,7 @@
 /* Jobs that await others: what submissions may say, and what records and messages say of it. */
 #include "check.h"
 #include "json_cbor.h"
+#include "peer_json.h"
 #include "pipeline_fixture.h"
 
 /* What is malformed and what is not, in the list itself. */
@@ -212,15 +213,12 @@
     const struct amb_job *head = amb_job_find(node, "wk-a"), *last = amb_job_find(node, "wk-c");
     assert_int_equal(last->cancel_revision, records[0].stamp);
     assert_int_equal(last->cancelled_wall_ms, head->cancelled_wall_ms);
-    json_t *question = json_pack("{s:I}", "epoch", (json_int_t)(records[0].stamp - 1));
-    json_t *told = amb_peer_encode_reply(node, question);
+    json_t *told = peer_reply_json(node, records[0].stamp - 1);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 3);
     json_decref(told);
-    json_object_set_new(question, "epoch", json_integer((json_int_t)records[0].stamp));
-    told = amb_peer_encode_reply(node, question);
+    told = peer_reply_json(node, records[0].stamp);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 0);
     json_decref(told);
-    json_decref(question);
 }
 
 int main(void) {
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -35,19 +35,26 @@
 static size_t exchange_heartbeat(void) {
     char *text = amb_peer_encode_heartbeat(node);
     size_t len = strlen(text);
-    json_t *said = json_loads(text, 0, NULL);
+    struct amb_peer_message *heartbeat;
+    assert_false(amb_peer_message_parse(text, len, &heartbeat).fault);
     amb_peer_mark_heartbeat_sent(node);
-    amb_image_locations_apply(node, json_object_get(said, "images"));
-    json_decref(said);
+    amb_image_locations_apply(node, heartbeat);
+    amb_peer_message_release(heartbeat);
     free(text);
     return len;
 }
 
+static bool is_in(struct amb_image_location *table, const char *machine) {
+    struct amb_image_location *location;
+    HASH_FIND_STR(table, machine, location);
+    return location != NULL;
+}
+
 static bool is_known(uint32_t number) {
     char name[AMB_NAME_SIZE];
     fleet_name(name, number);
-    return json_object_get(node->peers.image_locations.current, name) ||
-           json_object_get(node->peers.image_locations.previous, name);
+    return is_in(node->peers.image_locations.current, name) ||
+           is_in(node->peers.image_locations.previous, name);
 }
 
 /* All images have changed, as when a fleet comes up: each heartbeat fits, and all is told in time. */
@@ -88,7 +95,7 @@
     }
     assert_true(is_known(KEPT + (SPIKES - 1) * SPIKE));
     assert_false(is_known(KEPT));
-    assert_in_range(json_object_size(node->peers.image_locations.previous), KEPT, KEPT + 3 * SPIKE);
+    assert_in_range(HASH_COUNT(node->peers.image_locations.previous), KEPT, KEPT + 3 * SPIKE);
 }
 
 /* Counts of a job change faster than there is room to tell them: the rest is told next. */
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -4,6 +4,7 @@
 #include "amberpin/node/node.h"
 #include "bare_node.h"
 #include "check.h"
+#include "peer_json.h"
 
 #include <jansson.h>
 
@@ -233,13 +234,12 @@
         apply_drawn_change(&revision);
         uint64_t known_revision = draw(3) ? draw(3) ? revision : revision - draw(10) : 0;
         snprintf(text, sizeof text, "{\"from\":\"n1\",\"epoch\":%llu}", (unsigned long long)known_revision);
-        json_t *question = json_loads(text, 0, NULL), *answer = amb_peer_encode_reply(node, question);
+        json_t *answer = peer_reply_json(node, known_revision);
         char *want = json_dumps(answer, JSON_COMPACT);
         listed += json_array_size(json_object_get(answer, "cancelled")) > 0;
         receive_heartbeat(text);
         if (strcmp(last_answer, want)) fail_msg("step %d: %s, not %s", i, last_answer, want);
         free(want);
-        json_decref(question);
         json_decref(answer);
     }
     assert_in_range(listed, 400, 3600); /* with cancellations and without */
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_form.c
@@ -5,6 +5,7 @@
 #include "json_cbor.h"
 #include "named_tests.h"
 #include "node_fixture.h"
+#include "peer_json.h"
 #include "recorder.h"
 #include "world.h"
 
@@ -285,7 +286,7 @@
         size_t i, k;
         json_array_foreach(list, i, said) {
             peer->format = AMB_FORMAT_UNKNOWN;
-            amb_peer_apply_message(node, peer, said, 0);
+            apply_peer_json(node, peer, said, 0);
             assert_int_equal(peer->term, whole(said, "term"));
             assert_int_equal(peer->is_leader, json_is_true(json_object_get(said, "leading")));
             assert_int_equal(peer->store_reachable, json_is_true(json_object_get(said, "store")));
--- a/tests/support/pipeline_fixture.h
+++ b/tests/support/pipeline_fixture.h
@@ -21,6 +21,8 @@
 
 #include "node_fixture.h"
 
+struct json_t;
+
 enum { LETTERS = 26, TASKS = 2 };
 
 /* ---- the node ---- */
