--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -6,12 +6,22 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* ---- names on the wire ---- */
+
+static const char WRITTEN_AT[] = "at";
+static const char WRITE_ID[] = "w";
+static const char NEXT_ATTEMPT[] = "n";
+static const char PLACED[] = "p";
+static const char COMPLETED[] = "d";
+static const char TYPES[] = "t"; /* the names that the numbers of types stand for */
+static const char ZONES[] = "z"; /* likewise */
+
 static const char SETTINGS_LAYOUT_PREFIX[] = "b/p/";
 static const char KEY_LAYOUT_PREFIX[] = "b/n/";
 
 /* Bytes of one placement: the longest that there is, by which blocks of the first format are measured for
  * good; and a long one of a large fleet. A block of the later format that comes out larger all the same is
- * split (record.c). */
+ * split (block_write.c). */
 enum { LONGEST_ENTRY_BYTES = 40, USUAL_ENTRY_BYTES = 28 };
 
 /* The rest of a value: its head, and the names of types and zones. */
@@ -127,22 +137,53 @@
                                 struct amb_placement_block_text *text) {
     const struct amb_catalog *catalog = header->catalog;
     amb_cbor_write_map(out, 7);
-    amb_cbor_write_string(out, "at");
+    amb_cbor_write_string(out, WRITTEN_AT);
     amb_cbor_write_uint(out, (uint64_t)header->written_wall_ms);
-    amb_cbor_write_string(out, "w");
+    amb_cbor_write_string(out, WRITE_ID);
     amb_cbor_write_string(out, header->write_id);
-    amb_cbor_write_string(out, "n");
+    amb_cbor_write_string(out, NEXT_ATTEMPT);
     amb_cbor_write_uint(out, header->next_attempt);
-    amb_cbor_write_string(out, "p");
+    amb_cbor_write_string(out, PLACED);
     write_text(out, &text->placed);
-    amb_cbor_write_string(out, "d");
+    amb_cbor_write_string(out, COMPLETED);
     write_text(out, &text->completed);
-    amb_cbor_write_string(out, "t"); /* the names that the numbers of types and zones stand for */
+    amb_cbor_write_string(out, TYPES);
     amb_cbor_write_list(out, catalog->type_count);
     for (uint32_t i = 0; i < catalog->type_count; i++) amb_cbor_write_string(out, catalog->types[i].name);
-    amb_cbor_write_string(out, "z");
+    amb_cbor_write_string(out, ZONES);
     amb_cbor_write_list(out, catalog->zone_count);
     for (uint32_t i = 0; i < catalog->zone_count; i++) amb_cbor_write_string(out, catalog->zones[i]);
     amb_buf_free(&text->placed);
     amb_buf_free(&text->completed);
 }
+
+/* ---- values that were read ---- */
+
+struct amb_placement_block_value amb_placement_block_decode(const cbor_item_t *item) {
+    struct amb_placement_block_value value = {
+        .placed = amb_cbor_dup_string(amb_cbor_map_get(item, PLACED)),
+        .completed = amb_cbor_dup_string(amb_cbor_map_get(item, COMPLETED)),
+        .types = amb_cbor_map_get(item, TYPES),
+        .zones = amb_cbor_map_get(item, ZONES),
+    };
+    uint64_t written_wall_ms = 0;
+    value.has_written_wall_ms = amb_cbor_get_uint(amb_cbor_map_get(item, WRITTEN_AT), &written_wall_ms);
+    value.written_wall_ms = (int64_t)written_wall_ms;
+    if (!amb_cbor_get_uint(amb_cbor_map_get(item, NEXT_ATTEMPT), &value.next_attempt)) value.next_attempt = 0;
+    return value;
+}
+
+void amb_placement_block_value_free(struct amb_placement_block_value *value) {
+    free(value->placed);
+    free(value->completed);
+    memset(value, 0, sizeof *value);
+}
+
+bool amb_placement_block_has_write_id(const cbor_item_t *item, const char *write_id) {
+    return amb_cbor_equals(amb_cbor_map_get(item, WRITE_ID), write_id);
+}
+
+bool amb_placement_block_get_name(const cbor_item_t *names, int position, char name[AMB_NAME_SIZE]) {
+    return position >= 0 && (size_t)position < amb_cbor_list_length(names) &&
+           amb_cbor_copy_string(amb_cbor_list_item(names, (size_t)position), name, AMB_NAME_SIZE);
+}
--- a/lib/peer/image_locations.c
+++ b/lib/peer/image_locations.c
@@ -83,11 +83,13 @@
 /* ---- the other controllers ---- */
 
 static void free_locations(struct amb_image_location **table) {
-    struct amb_image_location *location, *next;
-    HASH_ITER(hh, *table, location, next) {
-        HASH_DEL(*table, location);
+    struct amb_image_location *location = *table;
+    HASH_CLEAR(hh, *table);
+    while (location) {
+        struct amb_image_location *next = location->hh.next;
         free(location->images);
         free(location);
+        location = next;
     }
 }
 
--- a/lib/placement_log/job_end.c
+++ b/lib/placement_log/block_removal.c
@@ -1,9 +1,9 @@
-/* The end of a job: its final state, and its blocks removed when there is nothing else to write. */
-#include "amberpin/placement_log/block_write.h"
+/* Removing the blocks of jobs that are over. */
+#include "block_removal.h"
 
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
-#include "amberpin/placement_log/store_call.h"
+#include "store_call.h"
 
 static void handle_revision_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
@@ -32,18 +32,12 @@
     if (status == 409) amb_placement_log_handle_conflict(node, body);
 }
 
-/* Only once nothing of the job is on any machine. */
-static void send_block_removal(struct amb_node *node, struct amb_placement_block *block) {
-    char key[AMB_BLOCK_KEY_SIZE];
-    amb_placement_block_get_key(key, block);
-    block->write_in_flight = true;
-    block->retry_at = INT64_MAX;
-    amb_buf_free(&block->value);
-    if (block->revision_uncertain) {
-        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_READ, handle_revision_read,
-                      amb_placement_log_call_new(node, block));
-        return;
-    }
+static void read_revision(struct amb_node *node, const struct amb_placement_block *block, const char *key) {
+    amb_store_get(&node->store, key, AMB_STORE_PRIORITY_READ, handle_revision_read,
+                  amb_placement_log_call_new(node, block));
+}
+
+static void commit_removal(struct amb_node *node, const struct amb_placement_block *block, const char *key) {
     struct amb_txn transaction = {0};
     amb_txn_require_leadership(&transaction, node);
     amb_txn_compare(&transaction, key, block->revision);
@@ -52,34 +46,17 @@
                      amb_placement_log_call_new(node, block));
 }
 
-static void handle_job_finished(void *arg, int status, const cbor_item_t *body) {
-    struct amb_node *node;
-    struct amb_job *job = amb_placement_log_call_take_job(arg, &node);
-    if (!job) return;
-    job->completion_in_flight = false;
-    job->completion_retry_at = amb_now() + node->store.call_timeout / 5;
-    uint64_t revision;
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
-        amb_job_apply_own_write(node, job, AMB_JOB_DONE, revision);
-    } else if (status == 409) {
-        /* If it was not the term, the job was cancelled, or an earlier try went through: news tells. */
-        amb_placement_log_handle_conflict(node, body);
-    }
-}
-
-void amb_placement_log_finish_job(struct amb_node *node, struct amb_job *job) {
-    char key[AMB_NAME_SIZE + 32];
-    struct amb_txn transaction = {0};
-    struct amb_buf value = {0};
-    amb_txn_require_leadership(&transaction, node);
-    amb_job_format_key(key, sizeof key, job->ref);
-    amb_txn_compare(&transaction, key, job->revision);
-    amb_job_encode_record(&value, job, AMB_JOB_DONE);
-    amb_txn_put(&transaction, key, &value, 0);
-    amb_buf_free(&value);
-    job->completion_in_flight = true;
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, handle_job_finished,
-                     amb_placement_log_call_new_for_job(node, job));
+/* Only once nothing of the job is on any machine. */
+static void send_block_removal(struct amb_node *node, struct amb_placement_block *block) {
+    char key[AMB_BLOCK_KEY_SIZE];
+    amb_placement_block_get_key(key, block);
+    block->write_in_flight = true;
+    block->retry_at = INT64_MAX;
+    amb_buf_free(&block->value);
+    if (block->revision_uncertain)
+        read_revision(node, block, key);
+    else
+        commit_removal(node, block, key);
 }
 
 bool amb_placement_log_remove_block(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
--- a/lib/placement_log/block_value.c
+++ b/lib/placement_log/block_value.c
@@ -1,19 +1,23 @@
-/* What the value of a block says: which of its tasks are done, and where the others are. */
+/* What the value of a block says: which of its tasks are done, and on which machines the others are. */
 #include "amberpin/node/node.h"
+#include "amberpin/placement_log/placement_log.h"
 
 #include <string.h>
 
-void amb_placement_log_encode_block(struct amb_node *node, const struct amb_placement_block *block,
-                                    struct amb_buf *out) {
-    struct amb_placement_block_text text = {0};
+static void encode_completed(const struct amb_placement_block *block, struct amb_placement_block_text *text) {
     const struct amb_task *tasks = block->job->tasks;
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
-        const struct amb_task *task = &tasks[i];
-        if (task->done && (i == block->task_range.first || !tasks[i - 1].done)) {
-            uint32_t last = i;
-            while (last + 1 < block->task_range.end && tasks[last + 1].done) last++;
-            amb_placement_block_add_completed(&text, (struct amb_task_range){i, last + 1});
-        }
+        if (!tasks[i].done) continue;
+        uint32_t first = i;
+        while (i + 1 < block->task_range.end && tasks[i + 1].done) i++;
+        amb_placement_block_add_completed(text, (struct amb_task_range){first, i + 1});
+    }
+}
+
+static void encode_placements(const struct amb_placement_block *block,
+                              struct amb_placement_block_text *text) {
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
+        const struct amb_task *task = &block->job->tasks[i];
         if (!task->machine || task->done) continue;
         struct amb_placement placement = {.task = i,
                                           .attempt = task->attempt,
@@ -21,11 +25,18 @@
                                           .zone = task->machine->zone_index,
                                           .spot = task->machine->spot};
         strcpy(placement.machine, task->machine->name);
-        amb_placement_block_add_placement(&text, &placement);
+        amb_placement_block_add_placement(text, &placement);
     }
-    const struct amb_placement_block_header block_head = {.written_wall_ms = amb_wall_ms(),
-                                                          .write_id = block->write_id,
-                                                          .next_attempt = block->job->next_attempt,
-                                                          .catalog = &node->catalog};
-    amb_placement_block_encode(out, &block_head, &text);
+}
+
+void amb_placement_log_encode_block(struct amb_node *node, const struct amb_placement_block *block,
+                                    struct amb_buf *out) {
+    struct amb_placement_block_text text = {0};
+    const struct amb_placement_block_header header = {.written_wall_ms = amb_wall_ms(),
+                                                      .write_id = block->write_id,
+                                                      .next_attempt = block->job->next_attempt,
+                                                      .catalog = &node->catalog};
+    encode_completed(block, &text);
+    encode_placements(block, &text);
+    amb_placement_block_encode(out, &header, &text);
 }
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -1,29 +1,31 @@
-/* Writing a block until it is known whether its content stands in the state service. */
-#include "amberpin/placement_log/block_write.h"
+#include "block_write.h"
 
 #include "amberpin/base/log.h"
 #include "amberpin/codec/cbor_reader.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
-#include "amberpin/placement_log/store_call.h"
+#include "amberpin/placement_log/placement_log.h"
+#include "store_call.h"
 
 #include <stdio.h>
 
-/* What was sent is now known to stand there. */
+static void mark_durable(struct amb_node *node, struct amb_task *task) {
+    if (task->write_in_flight && task->state == AMB_TASK_PLACED) {
+        amb_task_set_state(node, task, AMB_TASK_BOUND, "recorded");
+        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_PLACEMENT_DURABLE, .task = task});
+    }
+    task->write_in_flight = false;
+    if (task->done_write_pending) task->done_durable = true;
+}
+
+/* The write in flight is known to have been carried out. */
 static void complete_write(struct amb_node *node, struct amb_placement_block *block, uint64_t revision) {
     block->revision = revision;
     block->write_in_flight = false;
     block->retry_at = 0;
     amb_buf_free(&block->value);
-    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
-        struct amb_task *task = &block->job->tasks[i];
-        if (task->write_in_flight && task->state == AMB_TASK_PLACED) {
-            amb_task_set_state(node, task, AMB_TASK_BOUND, "recorded");
-            amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_PLACEMENT_DURABLE, .task = task});
-        }
-        task->write_in_flight = false;
-        if (task->done_write_pending) task->done_durable = true;
-    }
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++)
+        mark_durable(node, &block->job->tasks[i]);
 }
 
 void amb_placement_log_abandon_write(struct amb_node *node, struct amb_placement_block *block) {
@@ -43,7 +45,7 @@
     uint64_t revision = 0;
     if (!block || block->superseded || !block->write_in_flight) return;
     if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &revision)) {
-        if (amb_cbor_equals(amb_cbor_map_get(amb_cbor_map_get(body, "value"), "w"), block->write_id)) {
+        if (amb_placement_block_has_write_id(amb_cbor_map_get(body, "value"), block->write_id)) {
             complete_write(node, block, revision);
             return;
         }
@@ -52,12 +54,12 @@
             block->revision = revision;
         }
     }
-    /* The very same content is sent again, under the same guards: whichever copy comes first makes every
-     * other fail. Only when the job itself has changed can no copy ever be carried out. */
+    /* The same content is sent again, with the same comparisons: whichever copy comes first makes every other
+     * fail. Only when the job itself has changed can no copy ever be carried out. */
     block->retry_at = amb_now() + node->store.call_timeout / 10;
 }
 
-/* A value that the limits of now allow and the lowered ones don't is refused only once they are lowered,
+/* A value that the present limits allow and the lowered ones don't is refused only once they are lowered,
  * which happens after the upgrade. The block keeps its content until it is replaced by smaller ones. */
 static void handle_refused_value(struct amb_node *node, struct amb_placement_block *block) {
     double size = (double)amb_cbor_json_size(block->value.data, block->value.len);
@@ -71,6 +73,15 @@
     }
 }
 
+/* Whether the write in flight was carried out is not known: it is read back. */
+static void read_back(struct amb_node *node, struct amb_placement_block *block) {
+    char key[AMB_BLOCK_KEY_SIZE];
+    amb_placement_block_get_key(key, block);
+    block->retry_at += node->store.call_timeout;
+    amb_store_get(&node->store, key, AMB_STORE_PRIORITY_PLACEMENT, handle_block_read,
+                  amb_placement_log_call_new(node, block));
+}
+
 static void handle_block_written(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
     struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
@@ -85,15 +96,10 @@
         amb_placement_log_handle_conflict(node, body);
         if (node->election.role < AMB_ROLE_LEADER) return;
     }
-    if (status == 0 || status == 409) {
-        char key[AMB_BLOCK_KEY_SIZE];
-        amb_placement_block_get_key(key, block);
-        block->retry_at += node->store.call_timeout;
-        amb_store_get(&node->store, key, AMB_STORE_PRIORITY_PLACEMENT, handle_block_read,
-                      amb_placement_log_call_new(node, block));
-    } else if (status == 400) {
+    if (status == 0 || status == 409)
+        read_back(node, block);
+    else if (status == 400)
         handle_refused_value(node, block);
-    }
 }
 
 void amb_placement_log_send_block(struct amb_node *node, struct amb_placement_block *block) {
@@ -117,23 +123,32 @@
                amb_placement_blocks_lowered_value_kb(node) * 1024;
 }
 
-void amb_placement_log_write_block(struct amb_node *node, struct amb_placement_block *block) {
+/* Notes which placements and results the value holds that is about to be sent. */
+static void mark_in_flight(struct amb_placement_block *block) {
+    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
+        struct amb_task *task = &block->job->tasks[i];
+        if (task->state == AMB_TASK_PLACED) task->write_in_flight = true;
+        if (task->done) task->done_write_pending = true;
+    }
+    block->job_revision = block->job->revision;
+    block->dirty = block->urgent = false;
+    block->write_in_flight = true;
+}
+
+static void set_write_id(const struct amb_node *node, struct amb_placement_block *block) {
     static uint64_t counter;
     snprintf(block->write_id, sizeof block->write_id, "%llu-%llu", (unsigned long long)node->election.term,
              (unsigned long long)++counter);
+}
+
+void amb_placement_log_write_block(struct amb_node *node, struct amb_placement_block *block) {
+    set_write_id(node, block);
     amb_placement_log_encode_block(node, block, &block->value);
     if (is_too_large(node, block)) {
         amb_buf_free(&block->value);
         block->job->max_tasks_per_block = block->id.tasks_per_block / 2;
         return;
     }
-    for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
-        struct amb_task *task = &block->job->tasks[i];
-        if (task->state == AMB_TASK_PLACED) task->write_in_flight = true;
-        if (task->done) task->done_write_pending = true;
-    }
-    block->job_revision = block->job->revision;
-    block->dirty = block->urgent = false;
-    block->write_in_flight = true;
+    mark_in_flight(block);
     amb_placement_log_send_block(node, block);
 }
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -1,4 +1,4 @@
-#include "amberpin/placement_log/store_call.h"
+#include "store_call.h"
 
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
