--- a/bench/case_follow.c
+++ b/bench/case_follow.c
@@ -36,7 +36,7 @@
     struct news *news = amb_alloc(sizeof *news);
     news->node = world_node(size, 1);
     news->node->election.role = AMB_ROLE_FOLLOWER;
-    news->node->jobs.loaded = true;
+    news->node->watch.loaded = true;
     amb_cbor_write_map(&news->page, 2);
     amb_cbor_write_string(&news->page, "epoch");
     amb_cbor_write_uint(&news->page, NEW_STAMP + changes);
--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -16,7 +16,7 @@
     world_pages_free(&jobs);
     node->election.role = AMB_ROLE_FOLLOWER;
     node->election.highest_term = WORLD_TERM;
-    node->jobs.loaded = true;
+    node->watch.loaded = true;
     return node;
 }
 
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -22,7 +22,7 @@
     world_pages_free(&jobs);
     s->node->election.role = AMB_ROLE_FOLLOWER;
     s->node->election.highest_term = WORLD_TERM;
-    s->node->jobs.loaded = true;
+    s->node->watch.loaded = true;
     s->node->settings.memory_mb = 4096; /* each run adds a job */
     world_spec(&s->spec, size, 0);
     return s;
--- a/bench/world.c
+++ b/bench/world.c
@@ -426,7 +426,7 @@
     HASH_ITER(hh, node->jobs.all, job, next) {
         if (job->state == AMB_JOB_QUEUED) amb_job_activate(node, job);
     }
-    node->jobs.loaded = true;
+    node->watch.loaded = true;
     node->controller.restoring = false;
     node->controller.restored_at = amb_now();
     node->controller.ready = true;
--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -9,7 +9,6 @@
 #include "amberpin/job/cancellations.h"
 
 struct amb_node;
-struct amb_fresh_read;
 
 struct amb_jobs {
     struct amb_job *all;      /* by ref */
@@ -19,18 +18,6 @@
     bool has_unadmitted;      /* some jobs are not among them for want of memory */
     bool memory_freed;        /* a job has left since */
     struct amb_cancellations cancellations;
-    /* The change feed's: */
-    bool loaded;
-    uint64_t known_revision;  /* everything below a/ up to here is known */
-    amb_ms last_read_at;      /* when news last came */
-    amb_ms last_read_sent_at; /* when the question was sent whose answer came last */
-    amb_ms sync_sent_at, watch_sent_at;
-    struct amb_fresh_read *queued_syncs, *sent_syncs;
-    bool sync_in_flight, watch_in_flight, list_in_flight;
-    struct amb_timer watch_timer, sync_timer;
-    char list_cursor[256];
-    uint64_t list_revision;
-    bool leader_key_listed; /* a page of the listing has named the leader key */
 };
 
 struct amb_job *amb_job_find(struct amb_node *node, const char *ref); /* NULL: never heard of */
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -21,7 +21,7 @@
 #include "amberpin/node/events.h"
 #include "amberpin/peer/peers.h"
 #include "amberpin/placement_log/placement_log.h"
-#include "amberpin/watch/change_feed.h"
+#include "amberpin/watch/watch.h"
 #include "amberpin/zone_recovery/zone_recovery.h"
 
 /* ---- controller: wires them; the leader's round ---- */
@@ -71,6 +71,7 @@
     struct amb_election election;
     struct amb_timer election_timer;
     struct amb_lease_proxy lease_proxy;
+    struct amb_watch watch;
     struct amb_jobs jobs;
     struct amb_pipelines pipelines;
     struct amb_fleet fleet;
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -59,10 +59,10 @@
         .follows_own_term = machine->token_acknowledged,
         .fenced_at = machine->token_acknowledged ? 0 : amb_election_peers_fenced_at(node),
         .lease_proxy_known_at = lease_proxy_known_at(node, machine),
-        .last_read_sent_at = node->jobs.last_read_sent_at,
+        .last_read_sent_at = node->watch.last_read_sent_at,
     };
     enum amb_absence absence = amb_absence_by_lease(&evidence);
-    if (absence == AMB_ABSENCE_READ_NEEDED && !node->jobs.queued_syncs && !node->jobs.sync_in_flight)
+    if (absence == AMB_ABSENCE_READ_NEEDED && !node->watch.queued_syncs && !node->watch.sync_in_flight)
         amb_watch_read_fresh(node, ignore_result, NULL);
     return absence;
 }
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -275,7 +275,7 @@
     }
     if (strcmp(req->method, user_request->kind == QUERY ? "GET" : "POST"))
         reply_status(user_request, 405);
-    else if (!node->jobs.loaded)
+    else if (!node->watch.loaded)
         reply_status(user_request, 503);
     else if (user_request->kind == SUBMIT)
         submit(user_request);
--- a/lib/codec/change_page.c
+++ b/lib/codec/change_page.c
@@ -2,6 +2,20 @@
 
 #include "amberpin/codec/cbor_reader.h"
 
+/* ---- names on the wire ---- */
+
+static const char PUT[] = "put";
+static const char REMOVE[] = "remove";
+static const char REVISION[] = "stamp";
+static const char VALUE[] = "value";
+static const char STORE_REVISION[] = "epoch";
+static const char CHANGES[] = "news";
+static const char PAIRS[] = "pairs";
+static const char KEY[] = "path";
+static const char HAS_MORE[] = "truncated";
+
+/* ---- changes, from their bytes ---- */
+
 /* Which of the keys comes next, as a bit; 0: none of them, and its value is to be skipped. A key that comes
  * twice makes the reader odd. */
 static uint32_t decode_field_name(struct amb_cbor_reader *reader, const char *const *names, uint32_t *seen) {
@@ -16,7 +30,7 @@
 }
 
 enum { CHANGE_PUT = 1, CHANGE_REMOVE = 2, CHANGE_REVISION = 4, CHANGE_VALUE = 8 };
-static const char *const CHANGE_FIELDS[] = {"put", "remove", "stamp", "value", NULL};
+static const char *const CHANGE_FIELDS[] = {PUT, REMOVE, REVISION, VALUE, NULL};
 
 static void decode_value(struct amb_cbor_reader *reader, struct amb_change *change) {
     const unsigned char *start = reader->at;
@@ -53,7 +67,7 @@
 }
 
 enum { PAGE_STORE_REVISION = 1, PAGE_CHANGE_LIST = 2 };
-static const char *const PAGE_FIELDS[] = {"epoch", "news", NULL};
+static const char *const PAGE_FIELDS[] = {STORE_REVISION, CHANGES, NULL};
 
 /* With `visit` NULL it is only looked through. */
 static bool decode_page(const void *page, size_t len, uint64_t *store_revision, amb_change_visitor visit,
@@ -79,3 +93,47 @@
     return decode_page(page, len, store_revision, NULL, NULL) &&
            decode_page(page, len, store_revision, visit, context);
 }
+
+/* ---- changes, parsed in full ---- */
+
+static bool decode_parsed_change(const cbor_item_t *item, struct amb_parsed_change *change) {
+    if (!amb_cbor_get_uint(amb_cbor_map_get(item, REVISION), &change->revision)) return false;
+    bool is_put = amb_cbor_copy_string(amb_cbor_map_get(item, PUT), change->key, sizeof change->key);
+    change->value = is_put ? amb_cbor_map_get(item, VALUE) : NULL;
+    return is_put || amb_cbor_copy_string(amb_cbor_map_get(item, REMOVE), change->key, sizeof change->key);
+}
+
+bool amb_change_page_parse(const void *page, size_t len, uint64_t *store_revision,
+                           amb_parsed_change_visitor visit, void *context) {
+    cbor_item_t *body = amb_cbor_parse(page, len);
+    bool is_page = amb_cbor_get_uint(amb_cbor_map_get(body, STORE_REVISION), store_revision);
+    const cbor_item_t *changes = is_page ? amb_cbor_map_get(body, CHANGES) : NULL;
+    struct amb_parsed_change change;
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++)
+        if (decode_parsed_change(amb_cbor_list_item(changes, i), &change)) visit(context, &change);
+    if (body) cbor_decref(&body);
+    return is_page;
+}
+
+/* ---- listings ---- */
+
+bool amb_list_page_decode(const cbor_item_t *body, struct amb_list_page *page) {
+    bool is_truncated = false;
+    if (!amb_cbor_get_uint(amb_cbor_map_get(body, STORE_REVISION), &page->store_revision)) return false;
+    amb_cbor_get_bool(amb_cbor_map_get(body, HAS_MORE), &is_truncated);
+    page->pairs = amb_cbor_map_get(body, PAIRS);
+    page->has_more = is_truncated && amb_cbor_list_length(page->pairs);
+    return true;
+}
+
+static bool decode_pair(const cbor_item_t *item, struct amb_parsed_change *pair) {
+    pair->value = amb_cbor_map_get(item, VALUE);
+    return amb_cbor_copy_string(amb_cbor_map_get(item, KEY), pair->key, sizeof pair->key) &&
+           amb_cbor_get_uint(amb_cbor_map_get(item, REVISION), &pair->revision);
+}
+
+bool amb_list_page_next(const struct amb_list_page *page, size_t *position, struct amb_parsed_change *pair) {
+    while (*position < amb_cbor_list_length(page->pairs))
+        if (decode_pair(amb_cbor_list_item(page->pairs, (*position)++), pair)) return true;
+    return false;
+}
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -243,7 +243,7 @@
 
 static bool is_healthy(struct amb_node *node) {
     amb_ms now = amb_now();
-    if (!node->jobs.loaded) return false;
+    if (!node->watch.loaded) return false;
     /* The store refuses us alone: users are better served elsewhere. When it refuses everybody, staying in
      * lets them have an answer at once. */
     bool failing = node->store.last_failure_at > node->store.last_success_at &&
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -78,7 +78,7 @@
     json_t *status = json_pack(
         "{s:s, s:I, s:b, s:I, s:b, s:s, s:b, s:b}", "node", node->settings.member, "term",
         (json_int_t)(amb_election_has_leader_role(node) ? node->election.term : node->election.highest_term),
-        "leading", (int)amb_election_is_leader(node), "age_ms", (json_int_t)(now - node->jobs.last_read_at),
+        "leading", (int)amb_election_is_leader(node), "age_ms", (json_int_t)(now - node->watch.last_read_at),
         "switched_on", (int)amb_duties_is_enabled(node), "mode", amb_duty_mode_text(node->duties.mode),
         "takes_part", (int)service->active, "records_read", (int)service->loaded);
     if (amb_election_has_leader_role(node))
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -75,14 +75,14 @@
 
 bool amb_election_is_leader(const struct amb_node *node) {
     amb_ms now = amb_now();
-    const struct amb_election_evidence evidence = {.watch_sent_at = node->jobs.last_read_sent_at,
+    const struct amb_election_evidence evidence = {.watch_sent_at = node->watch.last_read_sent_at,
                                                    .peers_queried_at =
                                                        amb_election_peers_confirmed_at(node, now)};
     return amb_election_may_answer_agents(&node->election, now, &evidence);
 }
 
 static struct amb_election_evidence current_evidence(const struct amb_node *node, amb_ms now) {
-    return (struct amb_election_evidence){.watch_sent_at = node->jobs.last_read_sent_at,
+    return (struct amb_election_evidence){.watch_sent_at = node->watch.last_read_sent_at,
                                           .peers_queried_at = amb_election_peers_confirmed_at(node, now),
                                           .unreachable = is_unreachable_by_agents(node, now)};
 }
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -94,7 +94,7 @@
     amb_ms heartbeat_period = (amb_ms)(node->settings.heartbeat_s * 1000);
     bool another_leads = election->role == AMB_ROLE_FOLLOWER && election->holder[0] &&
                          strcmp(election->holder, node->settings.member);
-    bool watch_is_current = now - node->jobs.last_read_at < election->ttl;
+    bool watch_is_current = now - node->watch.last_read_at < election->ttl;
     if (proxy->state == AMB_LEASE_PROXY_OFF) {
         /* The key outlives a leader that has died by its lease, and heartbeats come twice a report: silence
          * must last longer than either, but workers find another node after five seconds and have a lease to
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -59,5 +59,5 @@
 bool amb_cancellation_is_pending(const struct amb_node *node, const struct amb_job *job) {
     if (!job->cancel_pending_at) return false;
     amb_ms decided_at = job->cancel_pending_at + PENDING_CALL_TIMEOUTS * node->store.call_timeout;
-    return node->jobs.last_read_sent_at <= decided_at;
+    return node->watch.last_read_sent_at <= decided_at;
 }
--- a/lib/job/jobs.c
+++ b/lib/job/jobs.c
@@ -197,7 +197,7 @@
      * from another job's may bear an older stamp than the job itself.) */
     if (new_state == AMB_JOB_QUEUED && job->state == AMB_JOB_CANCELLED) new_state = AMB_JOB_CANCELLED;
     /* A user's submission or cancellation, at whichever node. */
-    if (node->jobs.loaded && (is_new || new_state == AMB_JOB_CANCELLED))
+    if (node->watch.loaded && (is_new || new_state == AMB_JOB_CANCELLED))
         amb_store_count_user_write(&node->store);
     set_state(node, job, new_state);
     if (new_state == AMB_JOB_QUEUED && job->dependencies)
@@ -239,7 +239,8 @@
 
 void amb_job_handle_ready(struct amb_node *node, struct amb_job *job) {
     if (job->dependencies_pending) return;
-    if (node->jobs.loaded) amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_JOB_READY, .job = job});
+    if (node->watch.loaded)
+        amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_JOB_READY, .job = job});
     if (amb_election_has_leader_role(node) && node->controller.restored_at && job->state == AMB_JOB_QUEUED) {
         amb_job_activate_if_room(node, job);
         amb_node_request_cycle(node);
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -25,7 +25,7 @@
     struct amb_job *job = amb_job_find(node, name);
     job->dependencies_pending = false;
     /* When records are read for the first time it is not known when the last awaited job ended. */
-    if (node->jobs.loaded) job->ready_wall_ms = amb_wall_ms();
+    if (node->watch.loaded) job->ready_wall_ms = amb_wall_ms();
     amb_info("job %s: all jobs that it awaited are done", name);
     amb_job_handle_ready(node, job);
 }
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -63,7 +63,7 @@
     struct amb_peer_message *heartbeat = new_message(node);
     amb_peer_add_recent_cancellations(node, heartbeat, revision_known_to_all_peers(node),
                                       CANCELLATIONS_MAX_ROWS);
-    amb_peer_message_set_known_revision(heartbeat, node->jobs.known_revision);
+    amb_peer_message_set_known_revision(heartbeat, node->watch.known_revision);
     if (amb_election_is_leader(node)) add_leader_part(node, heartbeat);
     char *text = amb_peer_message_to_text(heartbeat);
     amb_peer_message_release(heartbeat);
--- a/lib/peer/own_status.c
+++ b/lib/peer/own_status.c
@@ -26,7 +26,7 @@
     return (struct amb_peer_status){
         .term = is_leader ? node->election.term : node->election.highest_term,
         .is_leader = is_leader,
-        .has_read_store = node->jobs.loaded,
+        .has_read_store = node->watch.loaded,
         .store_reachable = is_own_store_reachable(node, now),
         .receives_agent_heartbeats = now - node->fleet.last_heartbeat_at < evidence_timeout(node),
         .limits_lowered = node->store.limits_lowered,
--- a/tests/api/test_user_questions.c
+++ b/tests/api/test_user_questions.c
@@ -16,7 +16,7 @@
     answer_sync(0, NULL);
     expect("asked before the read", 0, 200, "queued");
     for (int user = 1; user < 4; user++) expect_waiting("asked after it was sent", user);
-    fire(&node->jobs.sync_timer);
+    fire(&node->watch.sync_timer);
     answer_sync(CHANGED, "cancelled");
     for (int user = 1; user < 4; user++) expect("asked before the second read", user, 200, "cancelled");
     assert_int_equal(fake_calls_sent(COMMIT), 0);
@@ -94,10 +94,10 @@
     hear(CHANGED, "done");
     poll_job(1);
     expect("after another of the same stamp", 1, 200, "cancelled");
-    node->jobs.known_revision = CHANGED;
+    node->watch.known_revision = CHANGED;
     submit(2, "{\"ref\":\"wk-7\"}");
     answer_sync(ACCEPTED, "queued"); /* a read that lags */
-    assert_int_equal(node->jobs.known_revision, CHANGED);
+    assert_int_equal(node->watch.known_revision, CHANGED);
     poll_job(3);
     expect("after a read that lags", 3, 200, "cancelled");
 }
@@ -114,9 +114,9 @@
     static const char queued[] =
         "{\"path\":\"a/job/" JOB "\",\"stamp\":5,\"value\":{\"s\":\"queued\",\"a\":1}}";
     hear(5, "queued");
-    node->jobs.known_revision = 5;
+    node->watch.known_revision = 5;
     for (int user = 0; user < 3; user++) {
-        if (node->jobs.sync_timer.position) fire(&node->jobs.sync_timer);
+        if (node->watch.sync_timer.position) fire(&node->watch.sync_timer);
         poll_job(user);
         fake_answer(open_call(SYNC), status, NULL);
         expect("while it lists", user, 503, NULL);
@@ -125,7 +125,7 @@
     assert_int_equal(fake_calls_sent("/store?"), 2);
     /* The job is cancelled between the pages, at 20010. */
     answer_list(20020, "{\"path\":\"a/leader\",\"stamp\":7,\"value\":{\"member\":\"n\",\"nonce\":1}}", false);
-    assert_int_equal(node->jobs.known_revision, 20000);
+    assert_int_equal(node->watch.known_revision, 20000);
     assert_string_equal(open_call(SYNC)->path, "/follow?prefix=a/&after=20000&wait_ms=2000");
 }
 
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -132,15 +132,15 @@
     node->settings.store_rps = node->settings.store_write_rps = 1e9;
     strcpy(node->settings.teams[0].name, "t");
     amb_store_init(&node->store, &node->settings, 1000);
-    node->jobs.loaded = true;
+    node->watch.loaded = true;
     return 0;
 }
 
 static int end(void **state) {
     fake_answer_all_lost();
     fake_http_reset();
-    amb_timer_stop(&node->jobs.sync_timer);
-    amb_timer_stop(&node->jobs.watch_timer);
+    amb_timer_stop(&node->watch.sync_timer);
+    amb_timer_stop(&node->watch.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -220,7 +220,7 @@
 static void read_at_the_start(void **state) {
     (void)state;
     begin();
-    node->jobs.loaded = false;
+    node->watch.loaded = false;
     amb_watch_start(node);
     struct fake_call *list = fake_call_open("/store?prefix=a/");
     assert_non_null(list);
@@ -237,7 +237,7 @@
     assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
     fake_answer(list, 200, &body);
     assert_int_equal(amb_format_active(node), AMB_FORMAT_2);
-    amb_timer_stop(&node->jobs.watch_timer);
+    amb_timer_stop(&node->watch.watch_timer);
     end();
 }
 
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -232,7 +232,7 @@
         setup(NULL);
         amb_ms now = amb_now();
         node->election.ttl = 3000;
-        node->election.renewed_at = node->jobs.last_read_sent_at = now - rows[i].news_ago;
+        node->election.renewed_at = node->watch.last_read_sent_at = now - rows[i].news_ago;
         node->peers.count = 1;
         node->peers.list[0].confirmed_at = now - rows[i].word_ago;
         post_heartbeat(TERM, "wk-1/0");
--- a/tests/election/test_deputies.c
+++ b/tests/election/test_deputies.c
@@ -99,14 +99,14 @@
     proxy_key_appears();
     for (int i = 0; i < 30; i++) {
         fake_clock_advance(1000);
-        node->jobs.last_read_at = node->jobs.last_read_sent_at = amb_now();
+        node->watch.last_read_at = node->watch.last_read_sent_at = amb_now();
         amb_lease_proxy_tick(node, amb_now());
         amb_fleet_tick(node, amb_now());
         if (!task->machine) fail_msg("lost after %d s, while the deputy's key stands", i + 1);
     }
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(11000);
-    node->jobs.last_read_sent_at = amb_now();
+    node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     assert_null(task->machine);
 }
@@ -121,11 +121,11 @@
     proxy_key_appears();
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(9000);
-    node->jobs.last_read_sent_at = amb_now();
+    node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
     fake_clock_advance(2000);
-    node->jobs.last_read_sent_at = amb_now();
+    node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     assert_null(job->tasks[0].machine);
 }
@@ -139,7 +139,7 @@
     fake_clock_advance(8000);
     proxy_key_appears();
     fake_clock_advance(9000);
-    node->jobs.last_read_sent_at = amb_now();
+    node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
 }
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -205,7 +205,7 @@
     (void)state;
     amb_ms now = amb_now() + 100000;
     node->election.renewal_pending = true;
-    node->jobs.last_read_sent_at = now - 500;
+    node->watch.last_read_sent_at = now - 500;
     node->election.renewed_at = now - 50000;
     node->fleet.last_heartbeat_at = now;
     node->peers.count = 1; /* whose word has never come */
@@ -238,7 +238,7 @@
         node->election.ttl = 3000;
         node->election.renewal_pending = true;
         node->election.renewed_at = node->election.renewal_sent_at = now - rows[i].renewed;
-        node->jobs.last_read_sent_at = now - rows[i].news;
+        node->watch.last_read_sent_at = now - rows[i].news;
         node->peers.count = 1;
         node->peers.list[0].last_heard_at = node->peers.list[0].confirmed_at = now - rows[i].word;
         node->fleet.last_heartbeat_at = now;
@@ -266,7 +266,7 @@
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 100000;
-        node->election.renewed_at = node->election.renewal_sent_at = node->jobs.last_read_sent_at = now;
+        node->election.renewed_at = node->election.renewal_sent_at = node->watch.last_read_sent_at = now;
         node->peers.count = 1;
         node->peers.list[0].last_heard_at = now - rows[i].heard;
         node->peers.list[0].receives_agent_heartbeats = rows[i].peer_reports;
--- a/tests/job/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -37,9 +37,9 @@
     node->settings.store_rps = node->settings.store_write_rps = 1000;
     amb_store_init(&node->store, &node->settings, CALL_TIMEOUT);
     amb_catalog_find_or_add_zone(&node->catalog, "a");
-    node->jobs.loaded = true;
-    node->jobs.known_revision = EPOCH;
-    node->jobs.last_read_sent_at = amb_now();
+    node->watch.loaded = true;
+    node->watch.known_revision = EPOCH;
+    node->watch.last_read_sent_at = amb_now();
     amb_peer_start(node);
     job = add_job(JOB, AMB_JOB_KIND_ARRAY, 1);
     job->revision = EPOCH;
@@ -189,7 +189,7 @@
         report("m-1", 1, 1, TERM - 1, amb_now(), NULL, 0); /* meets our token in the answer */
         if (rows[i].notice != NONE)
             assert_int_equal(receive_stamp(rows[i].notice == WRITTEN_ONE ? WRITTEN : 0), 200);
-        if (rows[i].news_after) node->jobs.last_read_sent_at = amb_now() + rows[i].news_after;
+        if (rows[i].news_after) node->watch.last_read_sent_at = amb_now() + rows[i].news_after;
         report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
         if (count_commands(AMB_COMMAND_RUN) != rows[i].starts)
             fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -89,7 +89,7 @@
     char *text = amb_peer_encode_heartbeat(node);
     json_t *heartbeat = json_loads(text, 0, NULL);
     size_t count = json_array_size(json_object_get(heartbeat, "cancelled"));
-    assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->jobs.known_revision);
+    assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->watch.known_revision);
     json_decref(heartbeat);
     free(text);
     return count;
@@ -123,7 +123,7 @@
             strcpy(node->settings.peers[0].member, "n1");
             strcpy(node->settings.peers[1].member, "n2");
             amb_peer_start(node);
-            node->jobs.known_revision = 60;
+            node->watch.known_revision = 60;
             int64_t ago = rows[i].asked_for == RECENT ? 1000 : 600000;
             amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - ago, 40);
             heartbeat_from("n1", 70); /* the last word counts */
--- a/tests/kvstore/test_write_budget.c
+++ b/tests/kvstore/test_write_budget.c
@@ -47,7 +47,7 @@
         teardown(NULL);
         setup(NULL);
         node->election.role = AMB_ROLE_FOLLOWER;
-        node->jobs.loaded = true;
+        node->watch.loaded = true;
         node->settings.peer_count = 6;
         node->settings.store_rps = 200;
         node->settings.store_write_rps = 20;
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -46,8 +46,8 @@
         amb_ms now = amb_now();
         node->controller.leader_since = now;
         assert_true(report(name, 1, 1, rows[i].token, now, &seen, 1));
-        node->jobs.last_read_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
-        node->jobs.sync_in_flight = true; /* the read that would be asked for is not under test */
+        node->watch.last_read_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
+        node->watch.sync_in_flight = true; /* the read that would be asked for is not under test */
         int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
         node->lease_proxy.zone_covered_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
         amb_fleet_tick(node, now + rows[i].silent);
@@ -64,7 +64,7 @@
     amb_ms now = amb_now();
     assert_true(report("m-1", 1, 2, TERM, now, &seen, 1));
     assert_true(report("m-1", 1, 1, TERM, now + 6000, &seen, 1));
-    node->jobs.last_read_sent_at = now + 20000;
+    node->watch.last_read_sent_at = now + 20000;
     amb_fleet_tick(node, now + 11000);
     assert_non_null(task->machine);
     amb_fleet_tick(node, now + 17000);
@@ -84,7 +84,7 @@
         machine_up("m-1", 0);
         bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
         fake_clock_advance(rows[i].silent);
-        node->jobs.last_read_sent_at = amb_now();
+        node->watch.last_read_sent_at = amb_now();
         amb_fleet_tick(node, amb_now());
         if ((job->tasks[0].machine == NULL) != rows[i].absent)
             fail_msg("after %lld ms: %s", (long long)rows[i].silent,
@@ -119,8 +119,8 @@
         machine->exists_since = machine->first_known_at = now - 20000;
         machine->last_response_at = now - rows[i].answered;
         node->controller.leader_since = now - 20000;
-        node->jobs.last_read_sent_at = now - rows[i].news;
-        node->jobs.sync_in_flight = true; /* no call goes out */
+        node->watch.last_read_sent_at = now - rows[i].news;
+        node->watch.sync_in_flight = true; /* no call goes out */
         node->peers.count = 1;
         node->peers.list[0].fenced_term = rows[i].heeds;
         node->peers.list[0].fenced_at = now - rows[i].quiet;
@@ -308,7 +308,7 @@
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         machine->state_since = now - rows[i].since;
         node->controller.restored_at = now - rows[i].loaded;
-        node->jobs.sync_in_flight = true;
+        node->watch.sync_in_flight = true;
         amb_fleet_tick(node, now);
         if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
     }
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -85,7 +85,7 @@
     strcpy(node->settings.teams[0].name, "t");
     strcpy(node->settings.store_addr, "S:1");
     node->settings.store_rps = node->settings.store_write_rps = 1000;
-    node->jobs.loaded = true;
+    node->watch.loaded = true;
     amb_store_init(&node->store, &node->settings, 1000);
 }
 
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -76,7 +76,7 @@
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
     assert_int_equal(job->state, AMB_JOB_CANCELLED);
-    node->jobs.known_revision = 1234;
+    node->watch.known_revision = 1234;
     ask_peers();
     struct fake_call *heartbeat = open_call("POST", "/peer/heartbeat");
     amb_buf_append(&heartbeat->body, "", 1);
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -214,7 +214,7 @@
         amb_job_apply_cancel_hint(node, ref, amb_wall_ms() - draw(2) * draw(80000),
                                   *revision - draw(2) * draw(20));
         break;
-    case 2: node->jobs.loaded = draw(2); break;
+    case 2: node->watch.loaded = draw(2); break;
     case 3: node->fleet.last_heartbeat_at = now_ms; break;
     case 4: node->store.last_failure_at = now_ms; break;
     case 5: node->store.last_success_at = now_ms + 1; break;
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -84,8 +84,8 @@
     amb_catalog_find_or_add_zone(&node->catalog, "b");
     node->controller.tick_interval_s = 1;
     node->controller.leader_since = node->controller.restored_at = now;
-    node->jobs.loaded = true;
-    node->jobs.last_read_at = node->jobs.last_read_sent_at = now;
+    node->watch.loaded = true;
+    node->watch.last_read_at = node->watch.last_read_sent_at = now;
     struct amb_election *election = &node->election;
     election->ttl = TTL;
     election->renewed_at = election->renewal_sent_at = now;
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -290,7 +290,7 @@
     char err[128];
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
     settle();
-    assert_true(node->jobs.loaded);
+    assert_true(node->watch.loaded);
     return 0;
 }
 
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -31,8 +31,8 @@
     strcpy(node->catalog.types[1].name, "c4");
     node->catalog.types[1].resources = (struct amb_resources){64, 0, 128};
     amb_store_init(&node->store, &node->settings, 1000);
-    node->jobs.loaded = true;
-    node->jobs.known_revision = EPOCH;
+    node->watch.loaded = true;
+    node->watch.known_revision = EPOCH;
     return 0;
 }
 
@@ -47,8 +47,8 @@
     fake_answer_all_lost();
     fake_http_reset();
     forget_replies();
-    amb_timer_stop(&node->jobs.sync_timer);
-    amb_timer_stop(&node->jobs.watch_timer);
+    amb_timer_stop(&node->watch.sync_timer);
+    amb_timer_stop(&node->watch.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
     return teardown(state);
