--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -19,12 +19,12 @@
 static const char SETTINGS_LAYOUT_PREFIX[] = "b/p/";
 static const char KEY_LAYOUT_PREFIX[] = "b/n/";
 
-/* Bytes of one placement: the longest that there is, by which blocks of the first format are measured for
- * good; and a long one of a large fleet. A block of the later format that comes out larger all the same is
- * split (block_write.c). */
+/* Bytes of one placement: the longest possible one, by which the size of blocks of the first format is fixed;
+ * and a long one of a large fleet. A block of the second format that comes out larger all the same is split
+ * (placement_log/block_write.c). */
 enum { LONGEST_ENTRY_BYTES = 40, USUAL_ENTRY_BYTES = 28 };
 
-/* The rest of a value: its head, and the names of types and zones. */
+/* The share of a value that placements may take. The rest is its header, and the names of types and zones. */
 static const double ENTRIES_SHARE = 0.8;
 
 uint32_t amb_placement_block_capacity(enum amb_block_layout layout, double value_kb) {
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -4,8 +4,8 @@
 #include "own_status.h"
 
 /* Bytes of a heartbeat that the images may take, and the progress of jobs. The rest is for cancellations.
- * (With all images changed, as when 4,000 machines come up together, a heartbeat outgrew what the others
- * accept, and they heard nothing of their leader.) */
+ * (With all images changed, as when 4,000 machines come up together, a heartbeat outgrew what the peers
+ * accept, and they took their leader for unreachable.) */
 enum {
     IMAGE_LOCATIONS_MAX_BYTES = AMB_HEARTBEAT_MAX_BYTES / 4,
     PROGRESS_MAX_BYTES = AMB_HEARTBEAT_MAX_BYTES / 4,
--- a/lib/placement_log/block_restore.c
+++ b/lib/placement_log/block_restore.c
@@ -96,7 +96,7 @@
     if (machine->type_index < 0) machine->type_index = find_type(restore, placement->type);
     if (machine->zone_index < 0) amb_machine_set_zone(machine, find_zone(restore, placement->zone));
     /* A list asked for long after that must name the machine: else it is gone, and need not be waited for as
-     * if it had been met just now. */
+     * if it had first been seen just now. */
     if (restore->age > 0 && written_at < machine->first_known_at)
         machine->first_known_at = machine->created_at = written_at;
     machine->spot = placement->spot;
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -29,7 +29,7 @@
 }
 
 void amb_placement_log_abandon_write(struct amb_node *node, struct amb_placement_block *block) {
-    amb_placement_block_abandon_write(block); /* it may have been written before the job changed */
+    amb_placement_block_abandon_write(block); /* a copy may have been written before the job changed */
     block->retry_at = 0;
     block->dirty = true;
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
@@ -49,7 +49,7 @@
             complete_write(node, block, revision);
             return;
         }
-        if (revision != block->revision) { /* cannot be: only one leader at a time writes here */
+        if (revision != block->revision) { /* not expected: only one leader at a time writes here */
             amb_error("block %s/%u: changed by another", block->job->ref, block->id.index);
             block->revision = revision;
         }
--- a/lib/placement_log/job_completion.c
+++ b/lib/placement_log/job_completion.c
@@ -15,7 +15,8 @@
     if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
         amb_job_apply_own_write(node, job, AMB_JOB_DONE, revision);
     } else if (status == 409) {
-        /* If it was not the term, the job was cancelled, or an earlier try went through: news tells. */
+        /* Unless it was the term, the job was cancelled or an earlier try was carried out: the watch will
+         * say. */
         amb_placement_log_handle_conflict(node, body);
     }
 }
--- a/lib/watch/key_changes.c
+++ b/lib/watch/key_changes.c
@@ -41,7 +41,8 @@
         amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_DUTY_KEY_CHANGED, .change = change});
 }
 
-/* The values of jobs are most of a page, and are parsed only where the job's revision is news. */
+/* The values of jobs are most of a page, and are parsed only where the revision is newer than the known one.
+ */
 static void apply_change(void *context, const struct amb_change *change) {
     struct amb_node *node = context;
     const char *ref = strip_prefix(change->key, JOB_PREFIX);
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -1,4 +1,4 @@
-/* Changes applied straight from their bytes, against the same changes parsed into a tree of items. */
+/* Changes decoded straight from their bytes, against the same changes parsed into a tree of items. */
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
@@ -150,7 +150,7 @@
     *(bool *)arg = ok;
 }
 
-/* The node asks for all changes, and this page is the answer. Whether it was understood. */
+/* The node reads all changes, and this page is the response. Returns whether it was understood. */
 static bool feed(const struct amb_buf *page) {
     struct amb_buf copy = {0};
     bool understood = false;
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -1,13 +1,13 @@
-/* The form of the records of placements and results: keys, sizes, which block counts, and the text of values.
- * What the first format's rows say is what the version in production reads and writes. */
+/* The form of blocks of placements and results: keys, sizes, which block counts, and the text of values. The
+ * rows of the first format are what the version in production reads and writes. */
 #include "amberpin/codec/cbor_reader.h"
 #include "amberpin/codec/messages.h"
 #include "amberpin/codec/placement_block.h"
 #include "check.h"
 #include "json_cbor.h"
 
-#define OLD AMB_LAYOUT_BY_SETTINGS
-#define NEW AMB_LAYOUT_BY_KEY
+#define BY_SETTINGS AMB_LAYOUT_BY_SETTINGS
+#define BY_KEY AMB_LAYOUT_BY_KEY
 
 static void sizes(void **state) {
     (void)state;
@@ -16,8 +16,9 @@
         double value_kb;
         uint32_t want;
     } rows[] = {
-        {OLD, 16, 327}, {OLD, 8, 163}, {OLD, 2, 40}, {OLD, 1, 20}, {OLD, 0.01, 1},
-        {NEW, 16, 468}, {NEW, 8, 234}, {NEW, 2, 58}, {NEW, 1, 29}, {NEW, 0.01, 1},
+        {BY_SETTINGS, 16, 327}, {BY_SETTINGS, 8, 163}, {BY_SETTINGS, 2, 40}, {BY_SETTINGS, 1, 20},
+        {BY_SETTINGS, 0.01, 1}, {BY_KEY, 16, 468},     {BY_KEY, 8, 234},     {BY_KEY, 2, 58},
+        {BY_KEY, 1, 29},        {BY_KEY, 0.01, 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         uint32_t got = amb_placement_block_capacity(rows[i].layout, rows[i].value_kb);
@@ -31,13 +32,13 @@
         struct amb_placement_block_id id;
         uint32_t tasks, first, end;
     } rows[] = {
-        {{OLD, 327, 0}, 500, 0, 327},
-        {{OLD, 327, 1}, 500, 327, 500},
-        {{NEW, 58, 0}, 1, 0, 1},
-        {{NEW, 58, 2}, 500, 116, 174},
-        {{NEW, 58, 2}, 116, 116, 116},
-        {{NEW, 58, 100000}, 500, 500, 500},
-        {{NEW, 100000, 100000}, 100000, 100000, 100000},
+        {{BY_SETTINGS, 327, 0}, 500, 0, 327},
+        {{BY_SETTINGS, 327, 1}, 500, 327, 500},
+        {{BY_KEY, 58, 0}, 1, 0, 1},
+        {{BY_KEY, 58, 2}, 500, 116, 174},
+        {{BY_KEY, 58, 2}, 116, 116, 116},
+        {{BY_KEY, 58, 100000}, 500, 500, 500},
+        {{BY_KEY, 100000, 100000}, 100000, 100000, 100000},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_task_range got = amb_placement_block_task_range(rows[i].id, rows[i].tasks);
@@ -52,9 +53,9 @@
         const char *key, *ref; /* NULL: not a block's key */
         struct amb_placement_block_id id;
     } rows[] = {
-        {"b/p/wk-000001/00003", "wk-000001", {OLD, 0, 3}},
-        {"b/n/wk-000001/000058/000003", "wk-000001", {NEW, 58, 3}},
-        {"b/n/wk-000001/000001/099999", "wk-000001", {NEW, 1, 99999}},
+        {"b/p/wk-000001/00003", "wk-000001", {BY_SETTINGS, 0, 3}},
+        {"b/n/wk-000001/000058/000003", "wk-000001", {BY_KEY, 58, 3}},
+        {"b/n/wk-000001/000001/099999", "wk-000001", {BY_KEY, 1, 99999}},
         {"b/r/r-50-1", NULL, {0}},
         {"b/p/wk-000001", NULL, {0}},
         {"b/p/wk-000001/", NULL, {0}},
@@ -88,21 +89,28 @@
 static void precedence(void **state) {
     (void)state;
     static const struct {
-        struct amb_placement_block_id a, b;
+        struct amb_placement_block_id id, other;
         bool precedes;
     } rows[] = {
-        {{NEW, 58, 0}, {OLD, 327, 0}, true},   {{OLD, 327, 0}, {NEW, 58, 0}, false},
-        {{NEW, 58, 0}, {OLD, 40, 0}, true},    {{OLD, 40, 0}, {NEW, 58, 0}, false},
-        {{NEW, 29, 5}, {NEW, 58, 2}, true},    {{NEW, 58, 2}, {NEW, 29, 5}, false},
-        {{NEW, 9, 16}, {NEW, 100, 1}, true},   {{NEW, 58, 2}, {NEW, 58, 2}, false},
-        {{NEW, 58, 1}, {NEW, 58, 2}, false},   {{OLD, 327, 1}, {OLD, 327, 2}, false},
-        {{OLD, 163, 1}, {OLD, 327, 0}, false}, {{OLD, 327, 0}, {OLD, 163, 1}, false},
+        {{BY_KEY, 58, 0}, {BY_SETTINGS, 327, 0}, true},
+        {{BY_SETTINGS, 327, 0}, {BY_KEY, 58, 0}, false},
+        {{BY_KEY, 58, 0}, {BY_SETTINGS, 40, 0}, true},
+        {{BY_SETTINGS, 40, 0}, {BY_KEY, 58, 0}, false},
+        {{BY_KEY, 29, 5}, {BY_KEY, 58, 2}, true},
+        {{BY_KEY, 58, 2}, {BY_KEY, 29, 5}, false},
+        {{BY_KEY, 9, 16}, {BY_KEY, 100, 1}, true},
+        {{BY_KEY, 58, 2}, {BY_KEY, 58, 2}, false},
+        {{BY_KEY, 58, 1}, {BY_KEY, 58, 2}, false},
+        {{BY_SETTINGS, 327, 1}, {BY_SETTINGS, 327, 2}, false},
+        {{BY_SETTINGS, 163, 1}, {BY_SETTINGS, 327, 0}, false},
+        {{BY_SETTINGS, 327, 0}, {BY_SETTINGS, 163, 1}, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        if (amb_placement_block_precedes(rows[i].a, rows[i].b) != rows[i].precedes) fail_msg("row %zu", i);
+        if (amb_placement_block_precedes(rows[i].id, rows[i].other) != rows[i].precedes)
+            fail_msg("row %zu", i);
         char first_key[AMB_BLOCK_KEY_SIZE], second_key[AMB_BLOCK_KEY_SIZE];
-        amb_placement_key_format(first_key, "wk-000001", rows[i].a);
-        amb_placement_key_format(second_key, "wk-000001", rows[i].b);
+        amb_placement_key_format(first_key, "wk-000001", rows[i].id);
+        amb_placement_key_format(second_key, "wk-000001", rows[i].other);
         if (rows[i].precedes && strcmp(first_key, second_key) >= 0)
             fail_msg("row %zu: %s is listed after %s", i, first_key, second_key);
     }
@@ -211,13 +219,13 @@
         const char *machine;
         uint64_t attempt;
     } rows[] = {
-        {OLD, 16, "m-000231-of-the-far", 100000},
-        {OLD, 8, "m-000231-of-the-far", 100000},
-        {OLD, 2, "m-000231-of-the-far", 100000},
-        {NEW, 16, "m-000231", 100},
-        {NEW, 8, "m-000231", 100},
-        {NEW, 2, "m-000231", 100},
-        {NEW, 1, "m-000231", 1},
+        {BY_SETTINGS, 16, "m-000231-of-the-far", 100000},
+        {BY_SETTINGS, 8, "m-000231-of-the-far", 100000},
+        {BY_SETTINGS, 2, "m-000231-of-the-far", 100000},
+        {BY_KEY, 16, "m-000231", 100},
+        {BY_KEY, 8, "m-000231", 100},
+        {BY_KEY, 2, "m-000231", 100},
+        {BY_KEY, 1, "m-000231", 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_placement_block_text text = {0};
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -1,4 +1,4 @@
-/* What nodes tell one another: what a peer's word confirms, and the cancellations that it carries. */
+/* Heartbeats between controllers: what a peer's message confirms, and the cancellations that it carries. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -49,8 +49,8 @@
     }
 }
 
-/* The defence against a state service that refuses the leader alone, and then everybody, while users are told
- * of cancellations by another node. */
+/* The defence against a key-value store that refuses the leader alone, and then everybody, while another
+ * controller confirms cancellations to users. */
 static void cancellations_of_peers_are_applied(void **state) {
     (void)state;
     for (int speaks_first = 0; speaks_first <= 1; speaks_first++) {
@@ -90,7 +90,7 @@
     if (!strstr(latest()->body.data, "wk-1")) fail_msg("an answer to a peer does not name the cancelled job");
 }
 
-/* A peer's word of a cancellation stops the tasks of a leader that the news can't reach. */
+/* A cancellation in a peer's message stops the tasks of a leader that can't read the store's changes. */
 static void cancellation_by_hint(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -103,8 +103,7 @@
     assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
 }
 
-/* What a leader of a large fleet tells the others fits in a message, at its worst and all the more as a rule.
- */
+/* The heartbeat of a large fleet's leader fits in a message, also when everything has changed. */
 static void heartbeats_fit(void **state) {
     (void)state;
     static const struct {
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -1,5 +1,5 @@
-/* Messages between nodes, through the very handlers that the network calls: what a message says is done each
- * time it comes, also when it is, byte for byte, the last one again. */
+/* Messages between controllers, through the handlers that the network calls: a message is applied each time
+ * it comes, also when it is, byte for byte, the last one again. */
 #include "amberpin/codec/messages.h"
 #include "amberpin/node/node.h"
 #include "bare_node.h"
@@ -102,7 +102,7 @@
     handler(node, request);
 }
 
-/* A job as the state service has it, accepted and not over. */
+/* A job as the store has it, accepted and not over. */
 static void accept_job(const char *ref, uint64_t revision) {
     struct amb_job_spec spec = {.kind = AMB_JOB_KIND_ARRAY, .task_count = 1};
     struct amb_buf buffer = {0};
@@ -162,8 +162,9 @@
     }
 }
 
-/* Our view of a job may lie behind, and the word that it is cancelled come before: the same word again finds
- * it, and takes it for cancelled. */
+/* A peer's message may name a cancelled job before this node has read of the job: the same message again
+ * cancels it.
+ */
 static void a_repeated_cancellation_is_applied(void **state) {
     (void)state;
     char text[512];
@@ -176,7 +177,7 @@
     assert_int_equal(job->state, AMB_JOB_CANCELLED);
 }
 
-/* Each answer is a peer's word as of when we asked, also when it is the same as the last. */
+/* Each reply counts from when our heartbeat was sent, also when it is the same as the last. */
 static void a_repeated_answer_confirms_anew(void **state) {
     (void)state;
     char text[512];
@@ -202,7 +203,7 @@
     return (seed >> 8) % below;
 }
 
-/* Something happens to the node that its word may or may not tell of. */
+/* Something happens to the node that its messages may or may not mention. */
 static void apply_drawn_change(uint64_t *revision) {
     char ref[AMB_NAME_SIZE];
     now_ms += draw(4) ? draw(700) : draw(30000);
@@ -224,7 +225,7 @@
     }
 }
 
-/* Answers are kept as text while they would say the same: each must be what would be made anew. */
+/* Replies are cached as text while they would not change: each must equal a new one. */
 static void cached_replies_equal_new_ones(void **state) {
     (void)state;
     char text[256];
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -1,4 +1,4 @@
-/* The leader's care of accepted jobs, and its half of the writes to the state service. */
+/* The leader's active jobs, and its share of the writes to the key-value store. */
 #include "check.h"
 #include "json_cbor.h"
 #include "user_fixture.h"
@@ -14,7 +14,8 @@
     assert_int_equal(job->spec->task_count, tasks);
 }
 
-/* Jobs beyond what memory holds are taken up as soon as others have ended, not by the next leader. */
+/* Jobs that were not admitted for want of memory become active as soon as others have ended, not only under
+ * the next leader. */
 static void jobs_left_out_are_taken_up(void **state) {
     (void)state;
     node->election.role = AMB_ROLE_LEADER;
@@ -50,8 +51,9 @@
     amb_store_commit(&node->store, &transaction, urgency, NULL, NULL);
 }
 
-/* A write that needs several tokens is not passed by smaller ones that are less urgent: ends of jobs were
- * told minutes late while placements went on. Reads, and users' writes from their own half, may pass it. */
+/* A write that needs several tokens is not overtaken by smaller ones of lower priority: ends of jobs were
+ * written minutes late while placements went on. Reads, and users' writes from their own share, may overtake
+ * it. */
 static void small_writes_do_not_pass(void **state) {
     (void)state;
     struct amb_store *store = &node->store;
@@ -70,7 +72,7 @@
     assert_int_equal(fake_calls_sent(COMMIT), 3);
 }
 
-/* Reads of changes wait while the last requests of a second are left, so that a submission finds one. */
+/* Reads of changes leave the last requests of a second to submissions. */
 static void watches_leave_requests_to_users(void **state) {
     (void)state;
     static const struct {
@@ -99,7 +101,8 @@
     }
 }
 
-/* The leader's half takes what the users' has to spare, when something of it waits; all nodes are told. */
+/* The leader's share borrows tokens that the users' share does not need, when one of its writes waits; all
+ * controllers account for it. */
 static void leader_borrows_tokens(void **state) {
     (void)state;
     static const struct {
@@ -136,9 +139,7 @@
     }
 }
 
-/* The end of a job is one write; what stands of its placements is removed later, by the next leader if need
- * be.
- */
+/* The end of a job is one write; its blocks are removed later, by the next leader if need be. */
 static void the_end_is_one_write(void **state) {
     (void)state;
     node->election.role = AMB_ROLE_LEADER;
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -1,11 +1,11 @@
-/* The leader's records: the guards of its writes, writes whose answer is lost, their order, and reading them
- * back. */
+/* The placement log: the comparisons of its writes, writes whose response is lost, their order, and
+ * restoring. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-/* ---- guards ---- */
+/* ---- comparisons ---- */
 
 static struct fake_call *begin_block_removal(void) {
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -128,7 +128,8 @@
     }
 }
 
-/* A block of a job that is not known yet would be taken as over, and its running tasks would not count. */
+/* A block of a job that is not known yet would be taken for that of a job that is over, and its running tasks
+ * would not count. */
 static void records_are_read_after_the_jobs(void **state) {
     (void)state;
     char err[128];
@@ -174,9 +175,9 @@
     assert_int_equal(fake_txn_compared_revision(removal, LEADER_KEY), TERM);
 }
 
-/* ---- reading them back ---- */
+/* ---- restoring ---- */
 
-/* What is recorded is what a new leader reads. */
+/* A new leader restores what was written. */
 static void records_are_read_back(void **state) {
     (void)state;
     uint32_t tasks_per_block = amb_placement_blocks_first_format_size(&node->settings);
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -1,7 +1,7 @@
-/* Records while the second format comes into use and the state service lowers its limits: one block of many
- * tasks is replaced by several, and a leader may end between any two transactions. The state service is
- * fake_state.c; a successor reads what stands there and must know all that its predecessor may have ordered.
- */
+/* The placement log while the second format comes into use and the key-value store lowers its limits: one
+ * block of many tasks is replaced by several, and a leader may end between any two transactions. The store is
+ * fake_state.c; a successor restores what is in it and must know all starts that its predecessor may have
+ * commanded. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -29,7 +29,7 @@
     amb_buf_free(&value);
 }
 
-/* A fresh process has won the lead and read all there is. */
+/* A new process has been elected leader and has restored the log. */
 static void start_leader(double value_kb, double lowered_kb) {
     fake_http_reset();
     setup(NULL);
@@ -99,7 +99,7 @@
     }
 }
 
-/* Lost on its machine, and placed on another. */
+/* The task is lost on its machine, and placed on another. */
 static void move(uint32_t i) {
     struct amb_task *task = &job->tasks[i];
     if (task->state == AMB_TASK_PLACED || task->done) return;
@@ -136,8 +136,8 @@
     }
 }
 
-/* What was ordered, or may have been, is where it was; what was told to be done is done; nothing else is. A
- * task that has gone may still be said to be where it was last. */
+/* A task that was started, or may have been, is where it was; one that was reported as done is done; no other
+ * is. A task that has ended may still be named on its last machine. */
 static void check_known(const char *what, size_t when) {
     for (uint32_t i = 0; i < TASKS; i++) {
         const struct amb_task *task = &job->tasks[i];
@@ -372,7 +372,7 @@
     amb_buf_free(&value);
 }
 
-/* Two blocks speak of a task: what the one says that counts, and nothing that the other does. */
+/* Two blocks name a task: what the preceding one says counts, and nothing of the other. */
 static void one_block_counts(void **state) {
     (void)state;
     static const struct {
@@ -441,7 +441,7 @@
     *(int *)arg = status;
 }
 
-/* Only a refused change shows that fewer are allowed. Whoever made it is told, and makes it again. */
+/* Only a refused write shows that fewer are allowed. Its caller gets the status, and repeats it. */
 static void signs_of_a_lower_rate(void **state) {
     (void)state;
     static const struct {
