--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -1,7 +1,6 @@
 /* Messages between nodes: what a node says to all others twice a report, and what each does with it. */
 #include "cases.h"
 
-#include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -17,7 +16,7 @@
     world_pages_free(&jobs);
     node->election.role = AMB_ROLE_FOLLOWER;
     node->election.highest_term = WORLD_TERM;
-    node->jobs.loaded = true;
+    node->watch.loaded = true;
     return node;
 }
 
@@ -79,7 +78,7 @@
 /* The answer to a leader that lacks the newest cancellation only. */
 struct asking {
     struct amb_node *node;
-    json_t *question;
+    uint64_t known_revision;
 };
 
 static void *asked(const struct world_size *size) {
@@ -88,19 +87,18 @@
     asking->node = follower(size, 1);
     for (const struct amb_job *job = asking->node->jobs.all; job; job = job->hh.next)
         if (job->cancel_revision > newest) newest = job->cancel_revision;
-    asking->question = json_pack("{s:I}", "epoch", (json_int_t)newest - 1);
+    asking->known_revision = newest - 1;
     return asking;
 }
 
 static void answer(void *input) {
     struct asking *asking = input;
-    json_decref(amb_peer_encode_reply(asking->node, asking->question));
+    amb_peer_message_release(amb_peer_encode_reply(asking->node, asking->known_revision));
 }
 
 static void finish_asking(void *input) {
     struct asking *asking = input;
     world_free(asking->node);
-    json_decref(asking->question);
     free(asking);
 }
 
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -22,7 +22,7 @@
     world_pages_free(&jobs);
     submitting->node->election.role = AMB_ROLE_FOLLOWER;
     submitting->node->election.highest_term = WORLD_TERM;
-    submitting->node->jobs.loaded = true;
+    submitting->node->watch.loaded = true;
     submitting->node->settings.memory_mb = 4096; /* each run adds a job */
     world_spec(&submitting->spec, size, 0);
     return submitting;
--- a/include/amberpin/duty/scaling_path.h
+++ b/include/amberpin/duty/scaling_path.h
@@ -6,7 +6,6 @@
 
 struct amb_node;
 struct amb_peer;
-struct json_t;
 
 /* What a peer's latest heartbeat says of duties. */
 enum amb_peer_duties {
@@ -27,8 +26,8 @@
  * say so, and go out of use when one says no: one that has not been heard of since this controller started
  * changes nothing. */
 bool amb_duties_is_agreed(const struct amb_node *node);
-/* Takes over what a peer's heartbeat says of duties. */
-void amb_duties_decode_peer(struct amb_peer *peer, const struct json_t *heartbeat);
+/* Takes over what a message of the peer says: whether duties are switched on there. */
+void amb_duties_update_peer(struct amb_peer *peer, bool on);
 /* The path that is in use now. */
 enum amb_scaling_path amb_duties_scaling_path(const struct amb_node *node);
 
--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -11,7 +11,6 @@
 #include "amberpin/job/job_specs.h"
 
 struct amb_node;
-struct amb_fresh_read;
 
 enum { AMB_LIST_CURSOR_SIZE = 256 }; /* bytes of a key of the state service, with its terminating zero */
 
@@ -23,19 +22,6 @@
     bool has_unadmitted;      /* some jobs are not active for want of memory */
     bool memory_freed;        /* and a job has been deactivated since */
     struct amb_cancellations cancellations;
-
-    /* Of the watch on the state service (change_feed.h): */
-    bool loaded;              /* the listing at the start is complete */
-    uint64_t known_revision;  /* every change below a/ up to here is applied */
-    amb_ms last_read_at;      /* when the latest read was answered */
-    amb_ms last_read_sent_at; /* when the latest read that was answered had been sent */
-    amb_ms sync_sent_at, watch_sent_at;
-    struct amb_fresh_read *queued_syncs, *sent_syncs;
-    bool sync_in_flight, watch_in_flight, list_in_flight;
-    struct amb_timer watch_timer, sync_timer;
-    char list_cursor[AMB_LIST_CURSOR_SIZE];
-    uint64_t list_revision;
-    bool leader_key_listed; /* a page of the listing has named the leader key */
 };
 
 /* NULL: never heard of. Jobs are never removed from the table. */
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -273,7 +273,7 @@
         reply_status(request, AMB_HTTP_NOT_FOUND);
     else if (result == AMB_USER_ROUTE_WRONG_METHOD)
         reply_status(request, AMB_HTTP_METHOD_NOT_ALLOWED);
-    else if (!node->jobs.loaded)
+    else if (!node->watch.loaded)
         reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     else if (route.operation == AMB_USER_SUBMIT)
         submit(request);
--- a/lib/controller/start.c
+++ b/lib/controller/start.c
@@ -26,7 +26,7 @@
  * nodes, this one stays in, so that users get an answer at once. */
 static bool is_healthy(struct amb_node *node) {
     amb_ms now = amb_now();
-    if (!node->jobs.loaded) return false;
+    if (!node->watch.loaded) return false;
     return !is_store_failing(node, now) || !amb_election_peer_reaches_store(node, now);
 }
 
--- a/lib/election/evidence.c
+++ b/lib/election/evidence.c
@@ -22,7 +22,7 @@
 }
 
 struct amb_election_evidence election_contact_evidence(const struct amb_node *node, amb_ms now) {
-    return (struct amb_election_evidence){.watch_sent_at = node->jobs.last_read_sent_at,
+    return (struct amb_election_evidence){.watch_sent_at = node->watch.last_read_sent_at,
                                           .peers_queried_at = amb_election_peers_confirmed_at(node, now)};
 }
 
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -95,7 +95,7 @@
 }
 
 static bool watch_is_current(const struct amb_node *node, amb_ms now) {
-    return now - node->jobs.last_read_at < node->election.ttl;
+    return now - node->watch.last_read_at < node->election.ttl;
 }
 
 static bool was_leader_heard(const struct amb_node *node, amb_ms now, amb_ms within) {
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -2,6 +2,7 @@
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
+#include "peer_json.h"
 
 #include <jansson.h>
 
@@ -29,8 +30,7 @@
 }
 
 static void compare(uint64_t epoch, int64_t recent_since) {
-    json_t *question = json_pack("{s:I}", "epoch", (json_int_t)epoch);
-    json_t *answer = amb_peer_encode_reply(node, question);
+    json_t *answer = peer_reply_json(node, epoch);
     const json_t *list = json_object_get(answer, "cancelled");
     size_t expected = 0;
     for (const struct amb_job *job = node->jobs.all; job; job = job->hh.next) {
@@ -41,7 +41,6 @@
     }
     assert_int_equal(json_array_size(list), expected);
     json_decref(answer);
-    json_decref(question);
 }
 
 /* Hints and news of cancellations come in any order, some more than once. */
@@ -90,7 +89,7 @@
     char *text = amb_peer_encode_heartbeat(node);
     json_t *heartbeat = json_loads(text, 0, NULL);
     size_t count = json_array_size(json_object_get(heartbeat, "cancelled"));
-    assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->jobs.known_revision);
+    assert_int_equal(json_integer_value(json_object_get(heartbeat, "epoch")), node->watch.known_revision);
     json_decref(heartbeat);
     free(text);
     return count;
@@ -124,7 +123,7 @@
             strcpy(node->settings.peers[0].member, "n1");
             strcpy(node->settings.peers[1].member, "n2");
             amb_peer_start(node);
-            node->jobs.known_revision = 60;
+            node->watch.known_revision = 60;
             int64_t ago = rows[i].asked_for == RECENT ? 1000 : 600000;
             amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - ago, 40);
             heartbeat_from("n1", 70); /* the last word counts */
