--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -1,30 +1,32 @@
-/* What a leader makes of workers' reports: what it concludes, what it orders, and what late copies must not
- * do. */
+/* What a leader makes of agents' heartbeats: what it concludes, which commands it sends, and what late copies
+ * must not do. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-/* One task, bound to m-1 as attempt OURS; then reports, one after the other. */
+/* ---- one task ---- */
+
+/* A task is bound to m-1 as attempt OURS; then heartbeats arrive, one after the other. */
 enum { OURS = 7, ANOTHER = 3 };
 enum listed { NOT_LISTED, OUR_ATTEMPT, OTHER_ATTEMPT };
 
 struct expected_commands {
     size_t starts, stops, clears;
 };
-#define NO_ORDERS                                                                                            \
+#define NO_COMMANDS                                                                                          \
     { 0, 0, 0 }
 
 struct step {
     struct {
-        uint64_t session, seq, token;
-    } report;
+        uint64_t incarnation, sequence, token;
+    } heartbeat;
     struct {
         enum listed listed;
-        enum amb_agent_task_state on;
-        enum amb_exit_reason why;
+        enum amb_agent_task_state state;
+        enum amb_exit_reason reason;
     } task;
-    struct expected_commands commands; /* in the answer */
+    struct expected_commands commands; /* in the response */
     enum amb_task_state expected_state;
 };
 
@@ -34,12 +36,12 @@
            count_commands(AMB_COMMAND_CLEAR) == expected->clears;
 }
 
-/* False: a report of a higher term. */
+/* False: the heartbeat is refused for its higher term. */
 static bool send_step(const struct step *step) {
     uint64_t attempt = step->task.listed == OTHER_ATTEMPT ? ANOTHER : OURS;
-    struct amb_agent_task seen = listing("wk-1", 0, attempt, step->task.on, step->task.why);
-    return report("m-1", step->report.session, step->report.seq, step->report.token, amb_now(), &seen,
-                  step->task.listed != NOT_LISTED);
+    struct amb_agent_task seen = listing("wk-1", 0, attempt, step->task.state, step->task.reason);
+    return report("m-1", step->heartbeat.incarnation, step->heartbeat.sequence, step->heartbeat.token,
+                  amb_now(), &seen, step->task.listed != NOT_LISTED);
 }
 
 static void one_task(void **state) {
@@ -47,48 +49,51 @@
     static const struct {
         const char *what;
         enum amb_task_state begin;
-        bool cancelled, foreign;
+        bool cancelled, inherited;
         struct step steps[6];
     } rows[] = {
-        {"no order before our token is shown", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, 0}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND},
+        {"no start before our token is acknowledged", .begin = AMB_TASK_BOUND,
+         .steps = {{{1, 1, 0}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND},
                    {{1, 2, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND}}},
-        {"no order before the record is durable", .begin = AMB_TASK_PLACED,
-         .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_PLACED},
-                   {{1, 2, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_PLACED}}},
-        {"an older leader's token proves nothing", .begin = AMB_TASK_BOUND, .foreign = true,
-         .steps = {{{1, 5, TERM - 1}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND},
-                   {{1, 6, TERM - 1}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND}}},
+        {"no start before the record is durable", .begin = AMB_TASK_PLACED,
+         .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_PLACED},
+                   {{1, 2, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_PLACED}}},
+        {"an earlier leader's token proves nothing", .begin = AMB_TASK_BOUND, .inherited = true,
+         .steps = {{{1, 5, TERM - 1}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND},
+                   {{1, 6, TERM - 1}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND}}},
         {"seen, then gone with our token: absent", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
-                   {{1, 2, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
-        {"seen, then a new session without it: absent", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 9, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
-                   {{2, 1, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
-        {"a late copy neither orders nor undoes", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 5, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_ORDERS, AMB_TASK_SEEN},
-                   {{1, 4, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_SEEN},
-                   {{1, 5, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_SEEN}}},
-        {"a late copy does not get a run order again", .begin = AMB_TASK_BOUND,
+         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
+                   {{1, 2, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
+        {"seen, then a new incarnation without it: absent", .begin = AMB_TASK_BOUND,
+         .steps = {{{1, 9, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
+                   {{2, 1, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
+        {"a late copy neither commands nor undoes", .begin = AMB_TASK_BOUND,
+         .steps = {{{1, 5, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
+                   {{1, 4, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_SEEN},
+                   {{1, 5, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_SEEN}}},
+        {"a late copy does not get a start again", .begin = AMB_TASK_BOUND,
          .steps = {{{1, 5, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
-                   {{1, 5, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_BOUND}}},
-        {"a machine that does not act on answers loses the task", .begin = AMB_TASK_BOUND,
+                   {{1, 5, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND}}},
+        {"a machine that does not act on responses loses the task", .begin = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
                    {{1, 2, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
-                   {{1, 3, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
+                   {{1, 3, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
         {"a result is not cleared before it is on record", .begin = AMB_TASK_BOUND,
          .steps =
-             {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_ORDERS, AMB_TASK_DONE},
-              {{1, 2, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_ORDERS, AMB_TASK_DONE}}},
+             {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_COMMANDS, AMB_TASK_DONE},
+              {{1, 2, TERM},
+               {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
+               NO_COMMANDS,
+               AMB_TASK_DONE}}},
         {"a failed start is cleared", .begin = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM},
                     {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_ERROR},
                     {.clears = 1},
                     AMB_TASK_WAITING}}},
-        {"an exit under an old token is not concluded from", .begin = AMB_TASK_BOUND, .foreign = true,
+        {"an exit under an earlier token proves nothing", .begin = AMB_TASK_BOUND, .inherited = true,
          .steps = {{{1, 1, TERM - 1},
                     {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
-                    NO_ORDERS,
+                    NO_COMMANDS,
                     AMB_TASK_BOUND}}},
         {"cancelled: told to stop until it is gone", .begin = AMB_TASK_BOUND, .cancelled = true,
          .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
@@ -98,7 +103,7 @@
                     {.clears = 1},
                     AMB_TASK_WAITING}}},
         {"cancelled and not there: never started", .begin = AMB_TASK_BOUND, .cancelled = true,
-         .foreign = true, .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_ORDERS, AMB_TASK_WAITING}}},
+         .inherited = true, .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
         {"another attempt of ours on the machine is stopped", .begin = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM},
                     {OTHER_ATTEMPT, AMB_AGENT_TASK_RUNNING},
@@ -110,16 +115,16 @@
         struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
         struct amb_task *task = bound(job, 0, "m-1", OURS);
         task->state = rows[i].begin;
-        task->inherited = rows[i].foreign;
+        task->inherited = rows[i].inherited;
         if (rows[i].cancelled) {
             job->state = AMB_JOB_CANCELLED;
             amb_task_request_stop(node, task, 0, "cancelled");
         }
-        for (size_t k = 0; k < ROWS(rows[i].steps) && rows[i].steps[k].report.session; k++) {
+        for (size_t k = 0; k < ROWS(rows[i].steps) && rows[i].steps[k].heartbeat.incarnation; k++) {
             const struct step *step = &rows[i].steps[k];
             assert_true(send_step(step));
             if (!commands_match(&step->commands) || task->state != step->expected_state)
-                fail_msg("%s, step %zu: %zu runs, %zu halts, %zu clears, state %d", rows[i].what, k,
+                fail_msg("%s, step %zu: %zu starts, %zu stops, %zu clears, state %d", rows[i].what, k,
                          count_commands(AMB_COMMAND_RUN), count_commands(AMB_COMMAND_STOP),
                          count_commands(AMB_COMMAND_CLEAR), task->state);
         }
@@ -127,7 +132,7 @@
     }
 }
 
-/* /commands may be carried out minutes late: what stops a task may go there, what starts one may not. */
+/* A command request may be carried out minutes late: it may stop tasks, but not start them. */
 static void commands_start_nothing(void **state) {
     (void)state;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
@@ -139,13 +144,14 @@
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
     assert_int_equal(commands_in(commands->map, "halt"), 1);
-    if (commands_in(commands->map, "run")) fail_msg("a start goes out by /commands");
+    if (commands_in(commands->map, "run")) fail_msg("a start is sent in a command request");
 }
 
 /* ---- placements of an earlier leader ---- */
 
-/* An earlier leader's placement that its machine does not report is started there only if all limits hold. */
-static void stale_placements(void **state) {
+/* A task that an earlier leader placed, and that its machine does not list, is started there only if all
+ * limits hold. */
+static void inherited_placements_need_limits(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -154,7 +160,7 @@
         uint32_t others; /* tasks of the job bound elsewhere in the zone */
         bool starts;
     } rows[] = {
-        {"room for all", 10, false, 1, true},
+        {"all limits hold", 10, false, 1, true},
         {"the team is over its limit", 2, false, 2, false},
         {"spread is broken", 10, true, 2, false},
     };
@@ -179,8 +185,8 @@
     }
 }
 
-/* An earlier leader's placement that its machine does not report. */
-static void stale_placements_need_room_and_zone(void **state) {
+/* The same for the machine's resources and for jobs within one zone. */
+static void inherited_placements_need_resources_and_zone(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -188,8 +194,8 @@
         bool one_zone, elsewhere;
         bool starts;
     } rows[] = {
-        {"there is room", 7, false, false, true},
-        {"its room was given away", 8, false, false, false},
+        {"its resources are free", 7, false, false, true},
+        {"its resources were given away", 8, false, false, false},
         {"the job is bound to a zone, and all of it is there", 0, true, false, true},
         {"the job is bound to a zone, and has a task elsewhere", 0, true, true, false},
     };
@@ -213,23 +219,23 @@
     }
 }
 
-/* ---- answers that wait for something to say ---- */
+/* ---- deferred responses ---- */
 
-/* A machine that has reported twice and waits for its answer. */
+/* A machine that has sent two heartbeats and waits for the second response. */
 static struct amb_http_req *defer_response(void) {
     struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
     send_heartbeat(heartbeat);
     assert_int_equal(answers(), 1);
     heartbeat.seq = 2;
     struct amb_http_req *request = send_heartbeat(heartbeat);
-    if (answers() != 1) fail_msg("not held");
+    if (answers() != 1) fail_msg("the response is not deferred");
     return request;
 }
 
-/* What the answer says that goes when its time is over. */
+/* The response that is sent when its time is over. */
 static void deferred_responses_are_decided_when_sent(void **state) {
     (void)state;
-    enum meanwhile { NOTHING, CANCELLED, SENT_BEFORE, FOREIGN, FENCED, HUNG_UP };
+    enum meanwhile { NOTHING, CANCELLED, SENT_BEFORE, INHERITED, FENCED, CLOSED };
     static const struct {
         const char *what;
         enum amb_task_state state;
@@ -241,10 +247,10 @@
         {"recorded", AMB_TASK_BOUND, NOTHING, 200, 1, true},
         {"not recorded yet", AMB_TASK_PLACED, NOTHING, 200, 0, false},
         {"cancelled meanwhile", AMB_TASK_BOUND, CANCELLED, 200, 0, false},
-        {"ordered before", AMB_TASK_BOUND, SENT_BEFORE, 200, 0, true},
-        {"placed by an earlier leader", AMB_TASK_BOUND, FOREIGN, 200, 0, false},
+        {"start sent before", AMB_TASK_BOUND, SENT_BEFORE, 200, 0, true},
+        {"placed by an earlier leader", AMB_TASK_BOUND, INHERITED, 200, 0, false},
         {"the node leads no longer", AMB_TASK_BOUND, FENCED, 503, 0, false},
-        {"the machine has hung up", AMB_TASK_BOUND, HUNG_UP, 0, 0, false},
+        {"the agent has closed the connection", AMB_TASK_BOUND, CLOSED, 0, 0, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
@@ -253,10 +259,10 @@
         struct amb_task *task = bound(job, 0, "m-1", 1);
         task->state = rows[i].state;
         task->start_sent = rows[i].meanwhile == SENT_BEFORE;
-        task->inherited = rows[i].meanwhile == FOREIGN;
+        task->inherited = rows[i].meanwhile == INHERITED;
         if (rows[i].meanwhile == CANCELLED) amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
         if (rows[i].meanwhile == FENCED) node->election.role = AMB_ROLE_FENCED;
-        if (rows[i].meanwhile == HUNG_UP) request->connection = NULL;
+        if (rows[i].meanwhile == CLOSED) request->connection = NULL;
         fake_clock_advance(400);
         if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
         if (replied_commands("run") != rows[i].starts || task->start_sent != rows[i].sent)
@@ -267,20 +273,20 @@
 static void deferred_responses_are_sent_in_time(void **state) {
     (void)state;
     static const struct {
-        double report_s;
+        double period_s;
         amb_ms waits;
     } rows[] = {{1, 400}, {4, 1600}, {12, 1600}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_anew();
-        node->settings.heartbeat_s = rows[i].report_s;
+        node->settings.heartbeat_s = rows[i].period_s;
         defer_response();
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         fake_clock_advance(rows[i].waits - 1);
         assert_int_equal(answers(), 1);
         fake_clock_advance(1);
-        if (answers() != 2) fail_msg("reports every %g s: not answered in time", rows[i].report_s);
+        if (answers() != 2) fail_msg("heartbeats every %g s: no response in time", rows[i].period_s);
         if (machine->last_response_at != amb_now())
-            fail_msg("the machine's lease counts from %lld ms before the answer",
+            fail_msg("the machine's lease counts from %lld ms before the response",
                      (long long)(amb_now() - machine->last_response_at));
     }
 }
@@ -289,7 +295,7 @@
     (void)state;
     defer_response();
     send_heartbeat((struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 3, .token = TERM});
-    if (answers() != 2) fail_msg("%zu answers after a newer report", answers());
+    if (answers() != 2) fail_msg("%zu responses after a newer heartbeat", answers());
     fake_clock_advance(400);
     assert_int_equal(answers(), 3);
 }
@@ -298,8 +304,8 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(one_task),
         cmocka_unit_test_setup_teardown(commands_start_nothing, begin, end),
-        cmocka_unit_test_setup_teardown(stale_placements, setup, end),
-        cmocka_unit_test_setup_teardown(stale_placements_need_room_and_zone, begin, end),
+        cmocka_unit_test_setup_teardown(inherited_placements_need_limits, setup, end),
+        cmocka_unit_test_setup_teardown(inherited_placements_need_resources_and_zone, begin, end),
         cmocka_unit_test_setup_teardown(deferred_responses_are_decided_when_sent, begin, end),
         cmocka_unit_test_setup_teardown(deferred_responses_are_sent_in_time, begin, end),
         cmocka_unit_test_setup_teardown(only_the_newest_heartbeat_is_deferred, begin, end),
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -1,5 +1,5 @@
-/* What proves to a leader that a task is off its machine: reports, leases, returns and lists. test_absence.c
- * looks at the decisions alone. */
+/* What proves to a leader that a task is absent from its machine: heartbeats, leases, releases and lists.
+ * test_absence.c tests the decisions alone. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -19,23 +19,24 @@
     assert_true(team->used.gpus == 1 && machine->used.gpus == 1);
 }
 
-/* ---- by the end of a lease ---- */
+/* ---- by lease expiry ---- */
 
-/* Silence proves absence only after the lease, only of a machine that has shown our token, only on the word
- * of a read sent after the lease was over, and only when no deputy may have answered the machine since. */
+/* Silence proves absence only after the lease, only of a machine that has acknowledged our token, only with a
+ * read that was sent after the lease had expired, and only when no lease proxy may have answered the machine
+ * since. */
 static void lease_expiry_proves_absence(void **state) {
     (void)state;
     static const struct {
         uint64_t token;
-        amb_ms silent, read,
-            deputy; /* after the answer; read -1: none; deputy -1: none, else when last known */
+        /* After the response. read -1: none; lease_proxy -1: none, else when it was last known. */
+        amb_ms silent, read, lease_proxy;
         bool absent;
     } rows[] = {
         {TERM, 9000, 9000, -1, false},       {TERM, 10000, 10000, -1, false},  {TERM, 11000, 11000, -1, true},
         {TERM - 1, 11000, 11000, -1, false}, {TERM, 11000, 9000, -1, false},   {TERM, 11000, -1, -1, false},
         {TERM, 11000, 11000, 5000, false},   {TERM, 16000, 16000, 5000, true},
     };
-    node->peers.count = 1; /* which has not heeded our term: it may answer whoever has not shown our token */
+    node->peers.count = 1; /* unfenced: it may answer machines that have not acknowledged our token */
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job *job =
             add_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_JOB_KIND_SERVICE, 1);
@@ -49,7 +50,7 @@
         node->jobs.last_read_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
         node->jobs.sync_in_flight = true; /* the read that would be asked for is not under test */
         int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
-        node->lease_proxy.zone_covered_at[zone] = rows[i].deputy < 0 ? 0 : now + rows[i].deputy;
+        node->lease_proxy.zone_covered_at[zone] = rows[i].lease_proxy < 0 ? 0 : now + rows[i].lease_proxy;
         amb_fleet_tick(node, now + rows[i].silent);
         if ((task->machine == NULL) != rows[i].absent) fail_msg("row %zu", i);
     }
@@ -71,8 +72,8 @@
     assert_null(task->machine);
 }
 
-/* A lease of 10 s, on a clock that may be 1% off, and a quarter report period for work under way. */
-static void leases_end_a_little_later_than_they_should(void **state) {
+/* A lease of 10 s, on a clock that may be 1% off, and a quarter heartbeat period for work under way. */
+static void leases_expire_with_a_margin(void **state) {
     (void)state;
     static const struct {
         amb_ms silent;
@@ -92,21 +93,21 @@
     }
 }
 
-/* A machine that never showed our token is proven to have lost its tasks once no other node can have answered
- * it for a lease: else they once waited for it to be returned. */
+/* A machine that never acknowledged our token is proven to have lost its tasks once no other node can have
+ * answered it for a lease. */
 static void unverified_machine_fenced_by_all_peers(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        amb_ms quiet, answered, news; /* how long ago */
-        uint64_t heeds;               /* the term that the peer has heeded */
+        amb_ms fenced, answered, read; /* how long ago */
+        uint64_t fenced_term;          /* of the peer */
         bool lost;
     } rows[] = {
         {"for longer than a lease", 12000, 90000, 500, TERM, true},
         {"not for a lease yet", 9000, 90000, 500, TERM, false},
-        {"a peer knows an older term only", 12000, 90000, 500, TERM - 1, false},
+        {"a peer is fenced for an earlier term only", 12000, 90000, 500, TERM - 1, false},
         {"we have answered it since", 12000, 5000, 500, TERM, false},
-        {"news are older than the lease's end", 12000, 90000, 3000, TERM, false},
+        {"the read is older than the lease's end", 12000, 90000, 3000, TERM, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         end(NULL);
@@ -119,17 +120,17 @@
         machine->exists_since = machine->first_known_at = now - 20000;
         machine->last_response_at = now - rows[i].answered;
         node->controller.leader_since = now - 20000;
-        node->jobs.last_read_sent_at = now - rows[i].news;
+        node->jobs.last_read_sent_at = now - rows[i].read;
         node->jobs.sync_in_flight = true; /* no call goes out */
         node->peers.count = 1;
-        node->peers.list[0].fenced_term = rows[i].heeds;
-        node->peers.list[0].fenced_at = now - rows[i].quiet;
+        node->peers.list[0].fenced_term = rows[i].fenced_term;
+        node->peers.list[0].fenced_at = now - rows[i].fenced;
         amb_fleet_tick(node, now);
         if ((task->state == AMB_TASK_WAITING) != rows[i].lost) fail_msg("%s", rows[i].what);
     }
 }
 
-/* ---- by a return or a list ---- */
+/* ---- by a release or a list ---- */
 
 static void releases_count_once_they_are_confirmed(void **state) {
     (void)state;
@@ -139,7 +140,7 @@
     amb_cloud_release(node, machine, "test");
     amb_cloud_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 0, NULL);
-    if (!job->tasks[0].machine) fail_msg("taken as absent though the return was not answered");
+    if (!job->tasks[0].machine) fail_msg("taken as absent though the release was not confirmed");
     fake_clock_advance(500);
     amb_cloud_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 200, NULL);
@@ -174,7 +175,7 @@
         {"known and listed long ago, and left out", 60000, 60000, 60000, 0, NULL, true},
         {"never listed, and known long ago", 60000, NEVER, NEVER, 0, NULL, true},
         {"known of late", 11000, NEVER, NEVER, 0, NULL, false},
-        {"reported of late", 60000, 11000, 60000, 0, NULL, false},
+        {"heartbeat of late", 60000, 11000, 60000, 0, NULL, false},
         {"listed of late", 60000, 60000, 11000, 0, NULL, false},
         {"the list comes late", 60000, 11000, 60000, 2500, NULL, false},
         {"listed as running", 60000, 60000, 60000, 0, "running", false},
@@ -198,8 +199,8 @@
     }
 }
 
-/* A list that is not whole leaves nothing out. */
-static void parts_of_lists_prove_nothing(void **state) {
+/* An incomplete list proves nothing by leaving a machine out. */
+static void incomplete_lists_prove_nothing(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -226,7 +227,7 @@
     }
 }
 
-/* ---- machines that have not shown our token ---- */
+/* ---- machines that have not acknowledged our token ---- */
 
 /* What is on a machine may be on record, and the record not read yet. */
 static void nothing_is_concluded_before_the_records_are_read(void **state) {
@@ -248,7 +249,7 @@
     struct amb_machine *machine = machine_in("m-1", 0);
     strcpy(machine->address, "worker:1");
     bound(job, 0, "m-1", 1);
-    node->peers.count = 1; /* which may still answer it */
+    node->peers.count = 1; /* that may still answer it */
     fake_clock_advance(2500);
     amb_fleet_tick(node, amb_now());
     struct amb_buf buffer = {0};
@@ -270,47 +271,48 @@
     fake_clock_advance(1000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!machine->release_pending) fail_msg("not returned after more than 1.5 leases");
+    if (!machine->release_pending) fail_msg("not released after more than 1.5 leases");
 }
 
-/* A machine whose reports come, but which never takes our token: deaf since before we led. */
+/* A machine whose heartbeats arrive, but which never acknowledges our token. */
 static void machine_that_ignores_replies(void **state) {
     (void)state;
     static const struct {
         const char *what;
         uint64_t token;
-        bool has_task, deputy;
-        amb_ms since, loaded, reported; /* how long ago: it became unproven, records were read, it reported */
-        bool returned;
+        bool has_task, lease_proxy;
+        amb_ms since, loaded,
+            reported; /* how long ago: it became unverified, records were restored, it sent a heartbeat */
+        bool released;
     } rows[] = {
         {"a task there, just within 1.5 leases", TERM - 1, true, false, 15000, 60000, 100, false},
         {"a task there, beyond 1.5 leases", TERM - 1, true, false, 15001, 60000, 100, true},
         {"a task there, records read since", TERM - 1, true, false, 60000, 15000, 100, false},
         {"nothing there, within 3 leases", TERM - 1, false, false, 30000, 60000, 100, false},
         {"nothing there, beyond 3 leases", TERM - 1, false, false, 30001, 60000, 100, true},
-        {"it has taken our token", TERM, true, false, 60000, 60000, 100, false},
-        {"a deputy answers it", TERM - 1, true, true, 60000, 60000, 100, false},
-        {"it has not reported lately", TERM - 1, true, false, 60000, 60000, 2001, false},
+        {"it has acknowledged our token", TERM, true, false, 60000, 60000, 100, false},
+        {"a lease proxy answers it", TERM - 1, true, true, 60000, 60000, 100, false},
+        {"no heartbeat lately", TERM - 1, true, false, 60000, 60000, 2001, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         end(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
         node->election.renewed_at = node->controller.leader_since =
-            now;               /* silent machines are not under test */
-        node->peers.count = 1; /* which has not heeded our term */
+            now;               /* unresponsive machines are not under test */
+        node->peers.count = 1; /* unfenced */
         node->lease_proxy.known_count = 1;
-        node->lease_proxy.known[0].present = rows[i].deputy;
+        node->lease_proxy.known[0].present = rows[i].lease_proxy;
         node->lease_proxy.known[0].zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
         if (rows[i].has_task) bound(add_job("wk-1", AMB_JOB_KIND_SERVICE, 1), 0, "m-1", 1);
-        node->controller.ready = false; /* nothing is ordered */
+        node->controller.ready = false; /* no start is sent */
         assert_true(report("m-1", 1, 1, rows[i].token, now - rows[i].reported, NULL, 0));
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         machine->state_since = now - rows[i].since;
         node->controller.restored_at = now - rows[i].loaded;
         node->jobs.sync_in_flight = true;
         amb_fleet_tick(node, now);
-        if (machine->release_pending != rows[i].returned) fail_msg("%s", rows[i].what);
+        if (machine->release_pending != rows[i].released) fail_msg("%s", rows[i].what);
     }
 }
 
@@ -319,11 +321,11 @@
         cmocka_unit_test_setup_teardown(usage_counts_until_absence, setup, end),
         cmocka_unit_test_setup_teardown(lease_expiry_proves_absence, setup, end),
         cmocka_unit_test_setup_teardown(answering_a_copy_counts_as_renewal, setup, end),
-        cmocka_unit_test_setup_teardown(leases_end_a_little_later_than_they_should, begin, end),
+        cmocka_unit_test_setup_teardown(leases_expire_with_a_margin, begin, end),
         cmocka_unit_test_setup_teardown(unverified_machine_fenced_by_all_peers, setup, end),
         cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, begin, end),
         cmocka_unit_test_setup_teardown(what_lists_prove, begin, end),
-        cmocka_unit_test_setup_teardown(parts_of_lists_prove_nothing, begin, end),
+        cmocka_unit_test_setup_teardown(incomplete_lists_prove_nothing, begin, end),
         cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, begin, end),
         cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, begin, end),
         cmocka_unit_test_setup_teardown(machine_that_ignores_replies, setup, end),
--- a/tests/zone_recovery/test_recovery_order.c
+++ b/tests/zone_recovery/test_recovery_order.c
@@ -1,10 +1,10 @@
-/* The order in which classes come back: which goes before which, and that steps keep their places. */
+/* The recovery order: which class precedes which, and that steps keep their positions. */
 #include "amberpin/zone_recovery/recovery_order.h"
 #include "check.h"
 
-/* ---- tables ---- */
+/* ---- precedence and steps ---- */
 
-/* Each row goes before the next, by the one thing in which they differ. */
+/* Each row precedes the next, by the one thing in which they differ. */
 static const struct amb_recovery_class rows[] = {
     {"listed first", 0, AMB_PRIORITY_HIGH, 0.1, false, 2, 9},
     {"listed second", 1, AMB_PRIORITY_PRODUCTION, 1.0, true, 0, 1},
@@ -40,7 +40,7 @@
     assert_true(amb_recovery_order_is_open(&order));
     amb_recovery_order_update(&order, 1, 0, AMB_RECOVERY_WAIT_NONE);
     assert_false(amb_recovery_order_is_open(&order));
-    /* Lost again: it has its old place, and its time counts from now. */
+    /* Lost again: it keeps its position, and its time counts from now. */
     assert_true(amb_recovery_order_extend(&order, &rows[3], 900));
     assert_int_equal(order.count, 2);
     assert_int_equal(order.steps[1].opened_at, 900);
@@ -48,7 +48,7 @@
     assert_true(amb_recovery_order_is_open(&order));
 }
 
-/* ---- drawn losses ---- */
+/* ---- random losses ---- */
 
 static uint64_t seed;
 
@@ -67,20 +67,22 @@
     return lost;
 }
 
-/* A list that is searched for the place each time, and never shortened in the middle. */
+/* A list that is searched for the position each time. */
 struct reference_order {
     struct amb_recovery_class classes[64];
     uint32_t count;
 };
 
-static void reference_extend(struct reference_order *plain, const struct amb_recovery_class *lost) {
-    uint32_t place = 0;
-    for (uint32_t i = 0; i < plain->count; i++)
-        if (!strcmp(plain->classes[i].name, lost->name)) return;
-    while (place < plain->count && !amb_recovery_class_precedes(lost, &plain->classes[place])) place++;
-    for (uint32_t i = plain->count++; i > place; i--) plain->classes[i] = plain->classes[i - 1];
-    plain->classes[place] = *lost;
-    if (plain->count > AMB_RECOVERY_STEPS) plain->count = AMB_RECOVERY_STEPS;
+static void reference_extend(struct reference_order *reference, const struct amb_recovery_class *lost) {
+    uint32_t position = 0;
+    for (uint32_t i = 0; i < reference->count; i++)
+        if (!strcmp(reference->classes[i].name, lost->name)) return;
+    while (position < reference->count && !amb_recovery_class_precedes(lost, &reference->classes[position]))
+        position++;
+    for (uint32_t i = reference->count++; i > position; i--)
+        reference->classes[i] = reference->classes[i - 1];
+    reference->classes[position] = *lost;
+    if (reference->count > AMB_RECOVERY_STEPS) reference->count = AMB_RECOVERY_STEPS;
 }
 
 static void random_losses_match_the_reference(void **state) {
@@ -89,15 +91,15 @@
     for (uint64_t run = 1; run <= 200; run++) {
         seed = run * 0x9e3779b97f4a7c15u;
         struct amb_recovery_order order = {.count = 0};
-        struct reference_order plain = {.count = 0};
+        struct reference_order reference = {.count = 0};
         for (int i = 0; i < 80; i++) {
             const struct amb_recovery_class lost = draw_class();
             bool placed = amb_recovery_order_extend(&order, &lost, i);
-            reference_extend(&plain, &lost);
+            reference_extend(&reference, &lost);
             assert_int_equal(placed, amb_recovery_order_find(&order, lost.name) >= 0);
-            assert_int_equal(order.count, plain.count);
+            assert_int_equal(order.count, reference.count);
             for (uint32_t k = 0; k < order.count; k++)
-                if (strcmp(order.steps[k].lost_class.name, plain.classes[k].name) != 0)
+                if (strcmp(order.steps[k].lost_class.name, reference.classes[k].name) != 0)
                     fail_msg("run %llu, loss %d, step %u", (unsigned long long)run, i, k);
         }
         full += order.count == AMB_RECOVERY_STEPS;
--- a/tests/zone_recovery/test_zone_health.c
+++ b/tests/zone_recovery/test_zone_health.c
@@ -1,11 +1,11 @@
-/* Health of a zone: settings, each change of verdict by tables, and drawn evidence against a plain oracle
+/* Health of a zone: settings, each change of state by tables, and random evidence against a simple oracle
  * that keeps sets as arrays. */
 #include "amberpin/zone_recovery/health.h"
 #include "check.h"
 
-enum { REPORT = 1000, STEADY = 5000, LONGEST = 20000, FORGOTTEN = 100000, MACHINES = 20 };
+enum { HEARTBEAT = 1000, STABLE = 5000, STABLE_MAX = 20000, LOSS_EXPIRY = 100000, MACHINES = 20 };
 
-static const struct amb_zone_settings settings = {REPORT, STEADY, LONGEST, FORGOTTEN};
+static const struct amb_zone_settings settings = {HEARTBEAT, STABLE, STABLE_MAX, LOSS_EXPIRY};
 
 /* ---- settings ---- */
 
@@ -15,11 +15,11 @@
         struct amb_zone_settings settings;
         enum amb_zone_settings_error error;
     } rows[] = {
-        {{REPORT, STEADY, LONGEST, FORGOTTEN}, AMB_ZONE_SETTINGS_OK},
-        {{REPORT, REPORT, REPORT, REPORT}, AMB_ZONE_SETTINGS_OK},
-        {{REPORT, REPORT - 1, LONGEST, FORGOTTEN}, AMB_ZONE_SETTINGS_STABILITY_TOO_SHORT},
-        {{REPORT, STEADY, STEADY - 1, FORGOTTEN}, AMB_ZONE_SETTINGS_STABILITY_MAX_TOO_LOW},
-        {{REPORT, STEADY, LONGEST, LONGEST - 1}, AMB_ZONE_SETTINGS_LOSS_EXPIRY_TOO_SHORT},
+        {{HEARTBEAT, STABLE, STABLE_MAX, LOSS_EXPIRY}, AMB_ZONE_SETTINGS_OK},
+        {{HEARTBEAT, HEARTBEAT, HEARTBEAT, HEARTBEAT}, AMB_ZONE_SETTINGS_OK},
+        {{HEARTBEAT, HEARTBEAT - 1, STABLE_MAX, LOSS_EXPIRY}, AMB_ZONE_SETTINGS_STABILITY_TOO_SHORT},
+        {{HEARTBEAT, STABLE, STABLE - 1, LOSS_EXPIRY}, AMB_ZONE_SETTINGS_STABILITY_MAX_TOO_LOW},
+        {{HEARTBEAT, STABLE, STABLE_MAX, STABLE_MAX - 1}, AMB_ZONE_SETTINGS_LOSS_EXPIRY_TOO_SHORT},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         enum amb_zone_settings_error error = amb_zone_settings_check(&rows[i].settings);
@@ -28,7 +28,7 @@
     }
 }
 
-/* ---- tables ---- */
+/* ---- changes of state ---- */
 
 struct observation { /* at one moment: machines 0 to expected - 1 should answer, those in the list do not */
     amb_ms at;
@@ -67,10 +67,10 @@
         const char *what;
         struct observation looks[LOOKS];
     } rows[] = {
-        {"a few silent machines are no loss", {{1, N, 0, 2, 0, 0, H}, {2, N, 0, 6, 0, 0, H}}},
+        {"a few unresponsive machines are no loss", {{1, N, 0, 2, 0, 0, H}, {2, N, 0, 6, 0, 0, H}}},
         {"a good part is suspected", {{1, N, 0, 7, 0, 0, S}, {2, N, 0, 17, 0, 0, S}, {3, N, 0, 6, 0, 0, H}}},
         {"nine in ten are a loss, at once", {{1, N, 0, 18, 0, 0, L}}},
-        {"a small zone of which two are silent", {{1, 2, 0, 2, 0, 0, H}}},
+        {"a small zone of which two are unresponsive", {{1, 2, 0, 2, 0, 0, H}}},
         {"a cut between zones is no loss", {{1, N, 0, N, 1, 0, S}, {2, N, 0, 0, 0, 0, H}}},
         {"nor is a leader that hears nobody", {{1, N, 0, N, 0, 1, S}, {2, N, 0, N, 0, 0, L}}},
         {"lost, and nobody heard: still lost", {{1, N, 0, N, 0, 0, L}, {2, N, 0, 0, 0, 1, L}}},
@@ -87,7 +87,7 @@
           {7000, 10, 0, 0, 0, 0, H}}},
         {"an empty zone is tried again",
          {{1, N, 0, N, 0, 0, L}, {1000, 0, 0, 0, 0, 0, R}, {6000, 0, 0, 0, 0, 0, H}}},
-        {"machines that fall silent begin the time anew",
+        {"machines that drop out restart the stability period",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {4000, N, 0, 5, 0, 0, R},
@@ -98,7 +98,7 @@
           {1000, N, 0, 0, 0, 0, R},
           {4000, N, 0, 2, 0, 0, R},
           {6000, N, 0, 2, 0, 0, H}}},
-        {"machines that were returned have not fallen silent",
+        {"machines that were released have not dropped out",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {4000, 10, 0, 0, 0, 0, R},
@@ -179,7 +179,7 @@
     assert_false(amb_zone_health_state_parse("gone", &read));
 }
 
-/* ---- drawn evidence ---- */
+/* ---- random evidence ---- */
 
 static uint64_t seed;
 
@@ -188,43 +188,44 @@
     return (uint32_t)(seed % below);
 }
 
-/* What may never happen, by plain arrays: batch work is admitted after a loss only when, for the steady time
- * that the losses ask for, at most two or a tenth of the machines that answered fell silent at once. */
+/* What must hold, by simple arrays: batch tasks are admitted after a loss only when, for the stability period
+ * that the losses require, at most two or a tenth of the machines that responded dropped out at once. */
 struct oracle {
-    bool lost, answered[MACHINES];
-    amb_ms steady_since;
+    bool lost, stable[MACHINES];
+    amb_ms stable_since;
     uint32_t losses;
 };
 
-static uint32_t count_dropped(const struct oracle *oracle, const bool answers[MACHINES], uint32_t *steady) {
+static uint32_t count_dropped(const struct oracle *oracle, const bool responsive[MACHINES],
+                              uint32_t *stable) {
     uint32_t dropped = 0;
-    *steady = 0;
+    *stable = 0;
     for (int i = 0; i < MACHINES; i++) {
-        *steady += oracle->answered[i];
-        dropped += oracle->answered[i] && !answers[i];
+        *stable += oracle->stable[i];
+        dropped += oracle->stable[i] && !responsive[i];
     }
     return dropped;
 }
 
-static void oracle_observe(struct oracle *oracle, const bool answers[MACHINES], amb_ms at) {
-    uint32_t silent = 0, steady;
-    for (int i = 0; i < MACHINES; i++) silent += !answers[i];
-    bool away = silent * 10 >= MACHINES * 9;
-    uint32_t dropped = count_dropped(oracle, answers, &steady);
-    bool anew = away || oracle->lost || (dropped > 2 && dropped * 10 > steady);
-    if (away && !oracle->lost) oracle->losses++;
-    oracle->lost = away;
-    if (anew) oracle->steady_since = at;
-    for (int i = 0; i < MACHINES; i++) oracle->answered[i] = answers[i] || (!anew && oracle->answered[i]);
+static void oracle_observe(struct oracle *oracle, const bool responsive[MACHINES], amb_ms at) {
+    uint32_t unresponsive = 0, stable;
+    for (int i = 0; i < MACHINES; i++) unresponsive += !responsive[i];
+    bool is_lost = unresponsive * 10 >= MACHINES * 9;
+    uint32_t dropped = count_dropped(oracle, responsive, &stable);
+    bool restarts = is_lost || oracle->lost || (dropped > 2 && dropped * 10 > stable);
+    if (is_lost && !oracle->lost) oracle->losses++;
+    oracle->lost = is_lost;
+    if (restarts) oracle->stable_since = at;
+    for (int i = 0; i < MACHINES; i++) oracle->stable[i] = responsive[i] || (!restarts && oracle->stable[i]);
 }
 
 static amb_ms oracle_stability_period(const struct oracle *oracle) {
-    amb_ms period = STEADY;
-    for (uint32_t i = 1; i < oracle->losses && period < LONGEST; i++) period *= 2;
-    return period < LONGEST ? period : LONGEST;
+    amb_ms period = STABLE;
+    for (uint32_t i = 1; i < oracle->losses && period < STABLE_MAX; i++) period *= 2;
+    return period < STABLE_MAX ? period : STABLE_MAX;
 }
 
-static void drawn_evidence_against_a_plain_oracle(void **state) {
+static void random_evidence_matches_the_oracle(void **state) {
     (void)state;
     uint32_t admitted = 0, lost = 0;
     for (uint64_t run = 1; run <= 300; run++) {
@@ -234,16 +235,16 @@
         uint32_t silence = 0;
         for (amb_ms at = 500; at < 60000; at += 500) {
             if (!draw(12)) silence = draw(4) ? draw(5) : 100; /* percent */
-            bool answers[MACHINES];
+            bool responsive[MACHINES];
             roaring_bitmap_t *expected = machines(0, MACHINES), *answering = roaring_bitmap_create();
             for (uint32_t i = 0; i < MACHINES; i++)
-                if ((answers[i] = draw(100) >= silence)) roaring_bitmap_add(answering, i);
+                if ((responsive[i] = draw(100) >= silence)) roaring_bitmap_add(answering, i);
             const struct amb_zone_evidence evidence = {expected, answering, false, false};
             amb_zone_health_update(&health, &settings, &evidence, at);
-            oracle_observe(&oracle, answers, at);
+            oracle_observe(&oracle, responsive, at);
             bool admits = amb_zone_health_state_admits_batch(health.state);
             bool may = !oracle.losses ||
-                       (!oracle.lost && at - oracle.steady_since >= oracle_stability_period(&oracle));
+                       (!oracle.lost && at - oracle.stable_since >= oracle_stability_period(&oracle));
             if (admits && !may && health.available_since == at)
                 fail_msg("run %llu at %lld", (unsigned long long)run, (long long)at);
             if (oracle.lost && admits)
@@ -266,7 +267,7 @@
         cmocka_unit_test(new_leader_restarts_the_stability_period),
         cmocka_unit_test(nothing_is_freed_of_a_zone_that_was_never_lost),
         cmocka_unit_test(names_are_read_back),
-        cmocka_unit_test(drawn_evidence_against_a_plain_oracle),
+        cmocka_unit_test(random_evidence_matches_the_oracle),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -1,5 +1,5 @@
-/* Zone recovery in a leader: what is refused in its settings, which work may start where, what is kept for
- * what was lost, and the record from which a successor goes on. */
+/* Zone recovery on a leader: which settings are refused, which tasks may start where, what is reserved for
+ * lost replicas, and the record from which a new leader goes on. */
 #include "amberpin/placement/wdrr.h"
 #include "amberpin/scheduler/capacity_plan.h"
 #include "amberpin/scheduler/cycle.h"
@@ -65,7 +65,7 @@
     fake_clock_advance(10000);
 }
 
-/* Machines of the other zones have just reported. */
+/* Machines of the other zones have just sent heartbeats. -1: those of all zones. */
 static void silence_zone(int silent_zone) {
     for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         if (machine->zone_index != silent_zone)
@@ -79,7 +79,7 @@
     return node->zone_recovery.zones[zone].state;
 }
 
-/* Zone b is lost, and back but not steady. */
+/* Zone b is lost, and then reachable but not stable. */
 static void lose_and_return(void) {
     silence_zone(ZONE_B);
     assert_int_equal(health_state(ZONE_B), AMB_ZONE_LOST);
@@ -119,7 +119,7 @@
     assert_null(find_call("POST", "/commit"));
 }
 
-/* Replicas at once, batch work only when the zone is steady. */
+/* Replicas at once, batch tasks only when the zone is stable. */
 static void a_returning_zone_takes_replicas_only(void **state) {
     (void)state;
     for (int steady = 0; steady < 2; steady++) {
@@ -147,7 +147,7 @@
     }
 }
 
-/* Machines that idle for it are not returned meanwhile, and nothing is given up before the zone is steady. */
+/* Its idle machines are not released meanwhile, nor its unverified ones before the zone is stable. */
 static void a_returning_zone_keeps_its_machines(void **state) {
     (void)state;
     enable_recovery();
@@ -213,7 +213,7 @@
     assert_int_equal(node->zone_recovery.order.steps[0].wait, AMB_RECOVERY_WAIT_QUOTA);
 }
 
-/* Room that is being made for a replica is not taken by batch work, and less room than it needs is. */
+/* Batch tasks take no capacity that is reserved for a replica, but the rest of it. */
 static void batch_leaves_reserved_room_alone(void **state) {
     (void)state;
     enable_recovery();
@@ -245,7 +245,7 @@
     return commit;
 }
 
-/* Batch work stays out of the zone until it is on record that the zone is healthy. */
+/* Batch tasks stay out of the zone until it is on record that the zone is healthy. */
 static void the_safer_state_counts(void **state) {
     (void)state;
     static const int refusals[] = {503, 409, 0};
@@ -319,7 +319,7 @@
     }
 }
 
-/* An old process would neither write nor heed it; and a leader that is not sure writes nothing. */
+/* A process of the old format would neither write nor read it. */
 static void nothing_is_written_too_early(void **state) {
     (void)state;
     for (int old = 0; old < 2; old++) {
