--- a/include/amberpin/fleet/fleet.h
+++ b/include/amberpin/fleet/fleet.h
@@ -4,10 +4,17 @@
 
 #include "amberpin/base/loop.h"
 #include "amberpin/model/model.h"
-#include "amberpin/zone_recovery/reachability.h"
 
 struct amb_removed_machine;
 
+/* How much of a zone the leader can reach (zone_recovery/reachability.h). */
+enum amb_zone_reachability {
+    AMB_ZONE_REACHABLE,
+    AMB_ZONE_DEGRADED,    /* a good part of its machines is unresponsive */
+    AMB_ZONE_UNREACHABLE, /* nearly all are, and not all zones' */
+};
+
+/* Kept by every node; only a leader knows machines. */
 struct amb_fleet {
     struct amb_machine *machines;                 /* hash table by name (machines.h) */
     struct amb_removed_machine *removed_machines; /* hash table of names that are never used again */
--- a/include/amberpin/zone_recovery/reachability.h
+++ b/include/amberpin/zone_recovery/reachability.h
@@ -3,18 +3,12 @@
 #ifndef AMBERPIN_ZONE_RECOVERY_REACHABILITY_H
 #define AMBERPIN_ZONE_RECOVERY_REACHABILITY_H
 
-#include "amberpin/base/util.h"
+#include "amberpin/fleet/fleet.h"
 
 #include <stdbool.h>
 
 struct amb_node;
 
-enum amb_zone_reachability {
-    AMB_ZONE_REACHABLE,
-    AMB_ZONE_DEGRADED,    /* a good part of its machines is unresponsive */
-    AMB_ZONE_UNREACHABLE, /* nearly all are, and not all zones' */
-};
-
 /* Brings the reachability of all zones up to date: from their health while zone recovery is enabled, which
  * this then drives too, or else from counts of machines. */
 void amb_zones_tick(struct amb_node *node, amb_ms now);
--- a/include/amberpin/zone_recovery/zone_recovery.h
+++ b/include/amberpin/zone_recovery/zone_recovery.h
@@ -7,6 +7,7 @@
 #include "amberpin/model/model.h"
 #include "amberpin/zone_recovery/availability.h"
 #include "amberpin/zone_recovery/health.h"
+#include "amberpin/zone_recovery/reachability.h"
 #include "amberpin/zone_recovery/record.h"
 #include "amberpin/zone_recovery/recovery_order.h"
 #include "amberpin/zone_recovery/replica_recovery.h"
