--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -7,11 +7,14 @@
 #include "amberpin/placement/wdrr.h"
 
 enum {
-    MISSED_HEARTBEATS_MAX = 2,         /* heartbeats that fail to list a task whose start was sent */
-    STABLE_HEARTBEATS = 5,             /* heartbeat periods after which a running task counts as a success */
-    REFUSAL_QUARANTINE_HEARTBEATS = 2, /* heartbeat periods for which a machine that refused a task rests */
-    UNKNOWN_JOB_BACKOFF_HEARTBEATS =
-        2, /* heartbeat periods until a job unknown to the agent is tried again */
+    /* Heartbeats that fail to list a task whose start was sent. */
+    MISSED_HEARTBEATS_MAX = 2,
+    /* Heartbeat periods after which a running task counts as a success. */
+    STABLE_HEARTBEATS = 5,
+    /* Heartbeat periods for which a machine that refused a task is quarantined. */
+    REFUSAL_QUARANTINE_HEARTBEATS = 2,
+    /* Heartbeat periods until a job that the agent did not know is tried again. */
+    UNKNOWN_JOB_BACKOFF_HEARTBEATS = 2,
 };
 
 static bool is_gang(const struct amb_job *job) {
@@ -31,8 +34,17 @@
 }
 
 static void log_exit(const struct amb_task *task, const struct amb_agent_task *listed) {
-    static const char *const names[] = {"?",     "done",    "stopped", "peers",  "incomplete",
-                                        "error", "no room", "busy",    "unknown"};
+    static const char *const names[] = {
+        [AMB_EXIT_NONE] = "?",
+        [AMB_EXIT_DONE] = "done",
+        [AMB_EXIT_STOPPED] = "stopped",
+        [AMB_EXIT_GANG_PEER_GONE] = "peers",
+        [AMB_EXIT_GANG_INCOMPLETE] = "incomplete",
+        [AMB_EXIT_ERROR] = "error",
+        [AMB_EXIT_MACHINE_FULL] = "no room",
+        [AMB_EXIT_ATTEMPT_CONFLICT] = "busy",
+        [AMB_EXIT_UNKNOWN_JOB] = "unknown",
+    };
     amb_info("task %s/%u try %llu on %s: exited, %s%s", task->job->ref, task->index,
              (unsigned long long)task->attempt, task->machine->name, names[listed->exit_reason],
              listed->checkpoint_saved ? ", saved" : "");
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -106,7 +106,10 @@
 /* ---- one machine ---- */
 
 void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_state state, const char *cause) {
-    static const char *const names[] = {"booting", "unproven", "up", "silent", "releasing"};
+    static const char *const names[] = {
+        [AMB_MACHINE_BOOTING] = "booting", [AMB_MACHINE_UNPROVEN] = "unproven",   [AMB_MACHINE_UP] = "up",
+        [AMB_MACHINE_SILENT] = "silent",   [AMB_MACHINE_RELEASING] = "releasing",
+    };
     if (machine->state == state) return;
     /* A release that was requested may still be carried out. */
     if (machine->state == AMB_MACHINE_RELEASING) return;
--- a/lib/zone_recovery/lost_classes.c
+++ b/lib/zone_recovery/lost_classes.c
@@ -60,7 +60,7 @@
     }
 }
 
-/* ---- the classes' places in the order ---- */
+/* ---- positions in the order ---- */
 
 /* The position of the class in the operators' list. */
 static uint32_t list_position(const struct amb_node *node, const char *class_name) {
--- a/lib/zone_recovery/reachability.c
+++ b/lib/zone_recovery/reachability.c
@@ -14,7 +14,11 @@
 
 static void set_reachability(struct amb_node *node, uint32_t zone, enum amb_zone_reachability next,
                              struct machine_count count) {
-    static const char *const names[] = {"reached", "degraded", "unreachable"};
+    static const char *const names[] = {
+        [AMB_ZONE_REACHABLE] = "reached",
+        [AMB_ZONE_DEGRADED] = "degraded",
+        [AMB_ZONE_UNREACHABLE] = "unreachable",
+    };
     enum amb_zone_reachability *current = &node->fleet.zone_reachability[zone];
     if (*current == next) return;
     amb_info("zone %s: %s -> %s: %u of %u machines silent", node->catalog.zones[zone], names[*current],
