--- a/include/amberpin/codec/peer_messages.h
+++ b/include/amberpin/codec/peer_messages.h
@@ -10,6 +10,8 @@
 
 #include "amberpin/model/model.h"
 
+struct json_t;
+
 /* A message that was parsed, or that is being built. Reference counted. */
 struct amb_peer_message;
 
@@ -113,15 +115,24 @@
 struct amb_peer_message_error amb_peer_message_status(const struct amb_peer_message *message,
                                                       struct amb_peer_status *status);
 
-/* The iterators below begin at *position 0 (NULL for images) and return false after the last row. */
+/* Rows of a list that are still to be read; borrowed from the message. */
+struct amb_peer_message_rows {
+    const struct json_t *list;
+    size_t position;
+};
 
-bool amb_peer_message_next_cancellation(const struct amb_peer_message *message, size_t *position,
+struct amb_peer_message_rows amb_peer_message_cancellations(const struct amb_peer_message *message);
+struct amb_peer_message_rows amb_peer_message_progress(const struct amb_peer_message *message);
+/* Read the next row; false: there is none. */
+bool amb_peer_message_next_cancellation(struct amb_peer_message_rows *rows,
                                         struct amb_peer_cancellation *cancellation);
-bool amb_peer_message_next_progress(const struct amb_peer_message *message, size_t *position,
+bool amb_peer_message_next_progress(struct amb_peer_message_rows *rows,
                                     struct amb_peer_job_progress *progress);
+
 /* Does the message say anything about images, even if of no machine? */
 bool amb_peer_message_has_images(const struct amb_peer_message *message);
-/* Skips machines whose names are too long to be names, and what goes beyond AMB_IMAGES_MAX. */
+/* Reads the next machine, from *position NULL on; false: there is none. Skips machines whose names are too
+ * long to be names, and what goes beyond AMB_IMAGES_MAX. */
 bool amb_peer_message_next_machine_images(const struct amb_peer_message *message, void **position,
                                           struct amb_peer_machine_images *images);
 
--- a/lib/codec/peer_messages.c
+++ b/lib/codec/peer_messages.c
@@ -201,6 +201,14 @@
 /* ---- decoding rows ----
  * By getters: json_unpack, which reads its format anew for each row, took most of what a heartbeat costs. */
 
+struct amb_peer_message_rows amb_peer_message_cancellations(const struct amb_peer_message *message) {
+    return (struct amb_peer_message_rows){.list = get_field(message, CANCELLED)};
+}
+
+struct amb_peer_message_rows amb_peer_message_progress(const struct amb_peer_message *message) {
+    return (struct amb_peer_message_rows){.list = get_field(message, JOBS)};
+}
+
 static bool decode_cancellation(const json_t *row, struct amb_peer_cancellation *cancellation) {
     const char *ref = json_string_value(json_array_get(row, 0));
     const json_t *wall = json_array_get(row, 1);
@@ -214,11 +222,10 @@
     return true;
 }
 
-bool amb_peer_message_next_cancellation(const struct amb_peer_message *message, size_t *position,
+bool amb_peer_message_next_cancellation(struct amb_peer_message_rows *rows,
                                         struct amb_peer_cancellation *cancellation) {
-    const json_t *list = get_field(message, CANCELLED);
-    while (*position < json_array_size(list))
-        if (decode_cancellation(json_array_get(list, (*position)++), cancellation)) return true;
+    while (rows->position < json_array_size(rows->list))
+        if (decode_cancellation(json_array_get(rows->list, rows->position++), cancellation)) return true;
     return false;
 }
 
@@ -235,11 +242,10 @@
     return true;
 }
 
-bool amb_peer_message_next_progress(const struct amb_peer_message *message, size_t *position,
+bool amb_peer_message_next_progress(struct amb_peer_message_rows *rows,
                                     struct amb_peer_job_progress *progress) {
-    const json_t *list = get_field(message, JOBS);
-    while (*position < json_array_size(list))
-        if (decode_progress(json_array_get(list, (*position)++), progress)) return true;
+    while (rows->position < json_array_size(rows->list))
+        if (decode_progress(json_array_get(rows->list, rows->position++), progress)) return true;
     return false;
 }
 
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -4,9 +4,9 @@
 #include "amberpin/node/node.h"
 
 static void apply_cancellations(struct amb_node *node, const struct amb_peer_message *message) {
+    struct amb_peer_message_rows rows = amb_peer_message_cancellations(message);
     struct amb_peer_cancellation cancellation;
-    size_t position = 0;
-    while (amb_peer_message_next_cancellation(message, &position, &cancellation))
+    while (amb_peer_message_next_cancellation(&rows, &cancellation))
         amb_job_apply_cancel_hint(node, cancellation.ref, cancellation.cancelled_wall_ms,
                                   cancellation.revision);
 }
@@ -61,9 +61,9 @@
 }
 
 static void apply_progress(struct amb_node *node, const struct amb_peer_message *heartbeat) {
+    struct amb_peer_message_rows rows = amb_peer_message_progress(heartbeat);
     struct amb_peer_job_progress progress;
-    size_t position = 0;
-    while (amb_peer_message_next_progress(heartbeat, &position, &progress)) {
+    while (amb_peer_message_next_progress(&rows, &progress)) {
         struct amb_job *job = amb_job_find(node, progress.ref);
         if (!job) continue;
         job->progress_done = progress.done;
--- a/tests/codec/test_peer_messages.c
+++ b/tests/codec/test_peer_messages.c
@@ -164,13 +164,13 @@
     struct amb_peer_cancellation cancellation;
     struct amb_peer_job_progress progress;
     struct amb_buf got = {0};
-    size_t position = 0;
-    while (amb_peer_message_next_cancellation(message, &position, &cancellation))
+    struct amb_peer_message_rows rows = amb_peer_message_cancellations(message);
+    while (amb_peer_message_next_cancellation(&rows, &cancellation))
         amb_buf_append_format(&got, "%s:%lld:%llu ", cancellation.ref,
                               (long long)cancellation.cancelled_wall_ms,
                               (unsigned long long)cancellation.revision);
-    position = 0;
-    while (amb_peer_message_next_progress(message, &position, &progress))
+    rows = amb_peer_message_progress(message);
+    while (amb_peer_message_next_progress(&rows, &progress))
         amb_buf_append_format(&got, "%s:%u:%u ", progress.ref, progress.done, progress.running);
     amb_buf_append(&got, "", 1);
     assert_string_equal(got.data, "wk-2:5:6 wk-4:7:8 wk-5:1:2 wk-8:3:4 ");
