--- a/include/amberpin/codec/kvstore_messages.h
+++ b/include/amberpin/codec/kvstore_messages.h
@@ -74,4 +74,9 @@
 bool amb_kvstore_decode_commit(const cbor_item_t *body, uint64_t *revision);
 bool amb_kvstore_decode_lease(const cbor_item_t *body, uint64_t *lease_id);
 
+/* ---- the answer to a transaction that was refused for a conflict ---- */
+
+/* Whether the compare of this key is among those that failed. */
+bool amb_kvstore_conflict_is_on(const cbor_item_t *body, const char *key);
+
 #endif
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -1,4 +1,5 @@
-/* Single-holder duties: the types that all files of lib/duty/ share. docs/duty.md has the reasoning.
+/* Single-holder duties: the types that all files of lib/duty/ share. docs/design/duty-core.md has the
+ * reasoning.
  *
  * A duty is a task of the whole service that one member at a time may carry out, such as scale out. The
  * key-value store holds one durable record per duty (who holds it, under which fencing token), one key per
--- a/include/amberpin/job/cancellations.h
+++ b/include/amberpin/job/cancellations.h
@@ -31,7 +31,7 @@
 /* The index of the first entry with a key above this one; `count` if there is none. */
 size_t amb_cancellations_find_after(const struct amb_cancellation_list *list, int64_t key);
 
-/* Frees the descriptions of jobs whose tasks must all be gone by now (docs/memory.md). */
+/* Frees the descriptions of jobs whose tasks must all be gone by now (docs/operators/memory.md). */
 void amb_cancellations_drop_specs(struct amb_node *node, amb_ms now);
 
 /* Frees the indexes, not the jobs. */
--- a/include/amberpin/job/job_specs.h
+++ b/include/amberpin/job/job_specs.h
@@ -1,5 +1,5 @@
 /* The end of jobs' descriptions. A job outlives its description, which is most of its size, so that it can be
- * answered for ever (docs/memory.md). */
+ * answered for ever (docs/operators/memory.md). */
 #ifndef AMBERPIN_JOB_SPECS_H
 #define AMBERPIN_JOB_SPECS_H
 
--- a/include/amberpin/node/memory_budget.h
+++ b/include/amberpin/node/memory_budget.h
@@ -1,6 +1,6 @@
 /* How a node divides its memory quota (`memory_mb` in the settings) among what grows with the work that users
  * submit. What is accepted has to be kept, so a submission that would exceed a share is refused until room is
- * made: jobs end, and the leader deactivates them. docs/memory.md has the table. */
+ * made: jobs end, and the leader deactivates them. docs/operators/memory.md has the table. */
 #ifndef AMBERPIN_NODE_MEMORY_BUDGET_H
 #define AMBERPIN_NODE_MEMORY_BUDGET_H
 
--- a/include/amberpin/zone_recovery/zone_recovery.h
+++ b/include/amberpin/zone_recovery/zone_recovery.h
@@ -1,6 +1,6 @@
 /* Loss and return of zones: the health of each zone, the order in which replicas that were lost with a zone
- * are started again, and the record from which a new leader goes on (docs/zone_recovery.md). All of it runs
- * on the leader, and only if the operators enable it. */
+ * are started again, and the record from which a new leader goes on (docs/design/zone-loss.md). All of it
+ * runs on the leader, and only if the operators enable it. */
 #ifndef AMBERPIN_ZONE_RECOVERY_H
 #define AMBERPIN_ZONE_RECOVERY_H
 
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -4,6 +4,7 @@
 
 #include "amberpin/api/admission.h"
 #include "amberpin/base/log.h"
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/codec/user_messages.h"
 #include "amberpin/job/cancellation_notice.h"
 #include "amberpin/node/memory_budget.h"
@@ -68,7 +69,7 @@
     struct user_request *request = arg;
     struct amb_node *node = request->node;
     uint64_t revision;
-    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
+    if (status == AMB_HTTP_OK && amb_kvstore_decode_commit(body, &revision)) {
         const struct amb_job_spec *spec = request->draft->spec;
         amb_job_apply_own_write(node, request->draft, AMB_JOB_QUEUED, revision);
         amb_info("job %s: accepted for %s, %u tasks of class %s", request->ref, spec->team, spec->task_count,
@@ -92,7 +93,7 @@
     struct amb_node *node = request->node;
     uint64_t revision;
     struct amb_job *job = amb_job_find(node, request->ref);
-    if (status == AMB_HTTP_OK && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
+    if (status == AMB_HTTP_OK && amb_kvstore_decode_commit(body, &revision)) {
         amb_job_apply_own_cancellation(node, job, revision);
         reply_job(request, AMB_HTTP_OK, job);
     } else if (job->state != AMB_JOB_QUEUED) { /* only the response was lost, or another node was first */
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -2,6 +2,7 @@
 
 #include "amberpin/base/log.h"
 #include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/codec/scaling_records.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
@@ -42,7 +43,7 @@
     struct amb_node *node = take_call(arg, AMB_SCALE_IN_LOG_WRITING);
     if (!node) return;
     struct amb_scale_in_log *scale_in_log = &node->cloud.scale_in_log;
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &scale_in_log->revision)) {
+    if (status == 200 && amb_kvstore_decode_commit(body, &scale_in_log->revision)) {
         set_state(node, AMB_SCALE_IN_LOG_RECORDED, "written");
         return;
     }
@@ -72,11 +73,11 @@
     struct amb_node *node = take_call(arg, AMB_SCALE_IN_LOG_READING);
     if (!node) return;
     struct amb_scale_in_log *scale_in_log = &node->cloud.scale_in_log;
-    bool is_present =
-        status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &scale_in_log->revision);
-    const cbor_item_t *value = is_present ? amb_cbor_map_get(body, "value") : NULL;
+    struct amb_kvstore_entry entry;
+    bool is_present = status == 200 && amb_kvstore_decode_entry(body, &entry);
+    if (is_present) scale_in_log->revision = entry.revision;
     const struct amb_machine_release *release = &node->cloud.release;
-    if (is_present && amb_codec_scale_in_record_equals(value, release->names, release->count)) {
+    if (is_present && amb_codec_scale_in_record_equals(entry.value, release->names, release->count)) {
         set_state(node, AMB_SCALE_IN_LOG_RECORDED, "it had been written");
         return;
     }
--- a/lib/codec/kvstore_messages.c
+++ b/lib/codec/kvstore_messages.c
@@ -17,6 +17,7 @@
 static const char FIELD_STORE_REVISION[] = "epoch";
 static const char FIELD_VALUE[] = "value";
 static const char FIELD_LEASE[] = "tenure";
+static const char FIELD_FAILED_COMPARES[] = "failed";
 static const char FIELD_LEASE_TTL_MS[] = "ttl_ms";
 static const char FIELD_COMPARES[] = "guards";
 static const char FIELD_OPERATIONS[] = "then";
@@ -122,3 +123,10 @@
 bool amb_kvstore_decode_lease(const cbor_item_t *body, uint64_t *lease_id) {
     return amb_cbor_get_uint(amb_cbor_map_get(body, FIELD_LEASE), lease_id);
 }
+
+bool amb_kvstore_conflict_is_on(const cbor_item_t *body, const char *key) {
+    const cbor_item_t *failed = amb_cbor_map_get(body, FIELD_FAILED_COMPARES);
+    for (size_t i = 0; i < amb_cbor_list_length(failed); i++)
+        if (amb_cbor_equals(amb_cbor_list_item(failed, i), key)) return true;
+    return false;
+}
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -2,25 +2,17 @@
 #include "service_internal.h"
 
 #include "amberpin/base/trace.h"
+#include "amberpin/kvstore/responses.h"
 
 #include <string.h>
 
 /* ---- answers ---- */
 
-/* An answer of the key-value store that can't be used proves nothing about what was done. */
-static enum amb_call_result decode_answer(int status, const cbor_item_t *body, const char *field,
-                                          uint64_t *out) {
-    enum amb_call_result result = amb_store_call_result(status);
-    if (result == AMB_CALL_OK && !amb_cbor_get_uint(amb_cbor_map_get(body, field), out))
-        return AMB_CALL_NO_ANSWER;
-    return result;
-}
-
 static void handle_grant(void *arg, int status, const cbor_item_t *body) {
     struct duty_call call;
     struct amb_duty_service *service = duty_call_take(arg, &call);
     struct amb_duty_event event = {.type = AMB_DUTY_LEASE_GRANTED, .call = call.number};
-    event.result = decode_answer(status, body, "tenure", &event.lease);
+    event.result = amb_store_lease_result(status, body, &event.lease);
     if (service)
         duty_feed_event(service, &event);
     else if (event.result == AMB_CALL_OK) /* nobody will use it */
@@ -42,7 +34,7 @@
     struct amb_duty_service *service = duty_call_take(arg, &call);
     if (!service) return;
     struct amb_duty_event event = {.type = AMB_DUTY_COMMITTED, .call = call.number};
-    event.result = decode_answer(status, body, "epoch", &event.revision);
+    event.result = amb_store_commit_result(status, body, &event.revision);
     duty_feed_event(service, &event);
 }
 
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -1,6 +1,8 @@
 /* The records of single-holder duties as this member knows them: read once, and followed by changes. */
 #include "service_internal.h"
 
+#include "amberpin/codec/change_page.h"
+
 #include <stdlib.h>
 #include <string.h>
 
@@ -194,41 +196,34 @@
         amb_duty_service_apply_change(service, key, value, revision);
 }
 
-/* Applies a page; its last key goes to `after`. How many keys it has, and whether `key` is among them. */
-static size_t apply_page(struct amb_duty_service *service, const cbor_item_t *body, const char *key,
-                         bool *found, char *after, size_t cap) {
-    const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
-    size_t count = amb_cbor_list_length(pairs);
-    for (size_t i = 0; i < count; i++) {
-        const cbor_item_t *pair = amb_cbor_list_item(pairs, i);
-        char path[256];
-        uint64_t revision;
-        if (!amb_cbor_copy_string(amb_cbor_map_get(pair, "path"), path, sizeof path) ||
-            !amb_cbor_get_uint(amb_cbor_map_get(pair, "stamp"), &revision))
-            continue;
-        const cbor_item_t *value = amb_cbor_map_get(pair, "value");
-        if (key && !strcmp(path, key)) *found = true;
+/* Applies a page; its last key goes to `after`. Whether `key` is among its keys. */
+static bool apply_page(struct amb_duty_service *service, const struct amb_list_page *page, const char *key,
+                       char *after, size_t cap) {
+    struct amb_parsed_change pair;
+    size_t position = 0;
+    bool found = false;
+    while (amb_list_page_next(page, &position, &pair)) {
+        if (key && !strcmp(pair.key, key)) found = true;
         /* Only intents that are known are read: this one has been removed since. */
-        bool is_order = has_prefix(path, AMB_DUTY_ORDER_KEYS);
-        if (key && is_order && !duty_find_entry(service, path)) continue;
+        bool is_intent = has_prefix(pair.key, AMB_DUTY_ORDER_KEYS);
+        if (key && is_intent && !duty_find_entry(service, pair.key)) continue;
         if (key)
-            apply_read(service, path, value, revision);
+            apply_read(service, pair.key, pair.value, pair.revision);
         else
-            amb_duty_service_apply_change(service, path, value, revision);
-        if (after && strlen(path) < cap) strcpy(after, path);
+            amb_duty_service_apply_change(service, pair.key, pair.value, pair.revision);
+        if (after && strlen(pair.key) < cap) strcpy(after, pair.key);
     }
-    return count;
+    return found;
 }
 
 static void handle_read(void *arg, int status, const cbor_item_t *body) {
     struct duty_call call;
     struct amb_duty_service *service = duty_call_take(arg, &call);
-    uint64_t revision;
-    bool found = false;
+    struct amb_list_page page;
     /* The core asks again, in time. */
-    if (!service || status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) return;
-    apply_page(service, body, call.key, &found, NULL, 0);
-    if (!found) apply_read(service, call.key, NULL, revision);
+    if (!service || status != 200 || !amb_list_page_decode(body, &page)) return;
+    bool found = apply_page(service, &page, call.key, NULL, 0);
+    if (!found) apply_read(service, call.key, NULL, page.store_revision);
 }
 
 void duty_read_key(struct amb_duty_service *service, const char *key) {
@@ -278,19 +273,16 @@
 static void handle_page(void *arg, int status, const cbor_item_t *body) {
     struct duty_call call;
     struct amb_duty_service *service = duty_call_take(arg, &call);
-    uint64_t revision;
-    bool found, more = false;
+    struct amb_list_page page;
     if (!service || !service->listing) return;
-    if (status != 200 || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
+    if (status != 200 || !amb_list_page_decode(body, &page)) {
         service->listing_retry_at =
             service->ports.now(service->ports.context) + service->core.settings.call_timeout;
         return;
     }
-    if (!service->listing_revision) service->listing_revision = revision;
-    size_t count =
-        apply_page(service, body, NULL, &found, service->listing_cursor, sizeof service->listing_cursor);
-    amb_cbor_get_bool(amb_cbor_map_get(body, "truncated"), &more);
-    if (more && count)
+    if (!service->listing_revision) service->listing_revision = page.store_revision;
+    apply_page(service, &page, NULL, service->listing_cursor, sizeof service->listing_cursor);
+    if (page.has_more)
         request_next_page(service);
     else if (!strcmp(service->listing_prefix, AMB_DUTY_KEYS))
         finish_duties(service, service->listing_revision);
--- a/lib/placement_log/block_removal.c
+++ b/lib/placement_log/block_removal.c
@@ -1,6 +1,7 @@
 /* Removing the blocks of jobs that are over. */
 #include "block_removal.h"
 
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 #include "store_call.h"
@@ -8,12 +9,14 @@
 static void handle_revision_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
     struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
+    struct amb_kvstore_entry entry;
     if (!block) return;
     block->write_in_flight = false;
     if (status == 404) {
         block->revision = 0;
         block->revision_uncertain = false;
-    } else if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &block->revision)) {
+    } else if (status == 200 && amb_kvstore_decode_entry(body, &entry)) {
+        block->revision = entry.revision;
         block->revision_uncertain = false;
     }
     block->retry_at = amb_now() + node->store.call_timeout / 4;
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -2,6 +2,7 @@
 
 #include "amberpin/base/log.h"
 #include "amberpin/codec/cbor_reader.h"
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 #include "amberpin/placement_log/placement_log.h"
@@ -42,16 +43,16 @@
 static void handle_block_read(void *arg, int status, const cbor_item_t *body) {
     struct amb_node *node;
     struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
-    uint64_t revision = 0;
+    struct amb_kvstore_entry entry;
     if (!block || block->superseded || !block->write_in_flight) return;
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), &revision)) {
-        if (amb_placement_block_has_write_id(amb_cbor_map_get(body, "value"), block->write_id)) {
-            complete_write(node, block, revision);
+    if (status == 200 && amb_kvstore_decode_entry(body, &entry)) {
+        if (amb_placement_block_has_write_id(entry.value, block->write_id)) {
+            complete_write(node, block, entry.revision);
             return;
         }
-        if (revision != block->revision) { /* not expected: only one leader at a time writes here */
+        if (entry.revision != block->revision) { /* not expected: only one leader at a time writes here */
             amb_error("block %s/%u: changed by another", block->job->ref, block->id.index);
-            block->revision = revision;
+            block->revision = entry.revision;
         }
     }
     /* The same content is sent again, with the same comparisons: whichever copy comes first makes every other
@@ -87,7 +88,7 @@
     struct amb_placement_block *block = amb_placement_log_call_take_block(arg, &node);
     uint64_t revision;
     if (!block || block->superseded) return;
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
+    if (status == 200 && amb_kvstore_decode_commit(body, &revision)) {
         complete_write(node, block, revision);
         return;
     }
--- a/lib/placement_log/job_completion.c
+++ b/lib/placement_log/job_completion.c
@@ -1,6 +1,7 @@
 /* Writing that a job is done. */
 #include "job_completion.h"
 
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 #include "store_call.h"
@@ -12,7 +13,7 @@
     job->completion_in_flight = false;
     job->completion_retry_at = amb_now() + node->store.call_timeout / 5;
     uint64_t revision;
-    if (status == 200 && amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &revision)) {
+    if (status == 200 && amb_kvstore_decode_commit(body, &revision)) {
         amb_job_apply_own_write(node, job, AMB_JOB_DONE, revision);
     } else if (status == 409) {
         /* Unless it was the term, the job was cancelled or an earlier try was carried out: the watch will
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -1,5 +1,6 @@
 #include "store_call.h"
 
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 
@@ -53,8 +54,6 @@
 }
 
 void amb_placement_log_handle_conflict(struct amb_node *node, const cbor_item_t *body) {
-    const cbor_item_t *failed = amb_cbor_map_get(body, "failed");
-    for (size_t i = 0; i < amb_cbor_list_length(failed); i++)
-        if (amb_cbor_equals(amb_cbor_list_item(failed, i), AMB_LEADER_KEY))
-            amb_election_observe_term(node, node->election.term + 1, "a refused write");
+    if (amb_kvstore_conflict_is_on(body, AMB_LEADER_KEY))
+        amb_election_observe_term(node, node->election.term + 1, "a refused write");
 }
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -2,6 +2,7 @@
 
 #include "amberpin/base/log.h"
 #include "amberpin/cloud/cloud_calls.h"
+#include "amberpin/codec/kvstore_messages.h"
 #include "amberpin/codec/zone_record.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
@@ -56,7 +57,7 @@
     struct amb_node *node = take_call(context, AMB_ZONE_RECORD_WRITING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
-    if (status != HTTP_OK || !amb_cbor_get_uint(amb_cbor_map_get(body, "epoch"), &record->revision)) {
+    if (status != HTTP_OK || !amb_kvstore_decode_commit(body, &record->revision)) {
         mark_uncertain(node);
         return;
     }
@@ -93,9 +94,14 @@
 /* ---- reading back ---- */
 
 static bool read_revision(int status, const cbor_item_t *body, uint64_t *revision) {
-    if (status == HTTP_OK) return amb_cbor_get_uint(amb_cbor_map_get(body, "stamp"), revision);
-    if (status == HTTP_NOT_FOUND) *revision = 0;
-    return status == HTTP_NOT_FOUND;
+    struct amb_kvstore_entry entry;
+    if (status == HTTP_OK && amb_kvstore_decode_entry(body, &entry))
+        *revision = entry.revision;
+    else if (status == HTTP_NOT_FOUND)
+        *revision = 0;
+    else
+        return false;
+    return true;
 }
 
 static void record_read(void *context, int status, const cbor_item_t *body) {
