--- a/lib/base/loop.c
+++ b/lib/base/loop.c
@@ -36,18 +36,18 @@
     timer->position = index;
 }
 
-static void heap_sift(size_t i) {
-    struct amb_timer *timer = heap[i];
-    for (; i > 1 && heap[i / 2]->at > timer->at; i /= 2) heap_place(i, heap[i / 2]);
+static void heap_sift(size_t index) {
+    struct amb_timer *timer = heap[index];
+    for (; index > 1 && heap[index / 2]->at > timer->at; index /= 2) heap_place(index, heap[index / 2]);
     for (;;) {
-        size_t child = 2 * i;
+        size_t child = 2 * index;
         if (child > timer_count) break;
         if (child < timer_count && heap[child + 1]->at < heap[child]->at) child++;
         if (heap[child]->at >= timer->at) break;
-        heap_place(i, heap[child]);
-        i = child;
+        heap_place(index, heap[child]);
+        index = child;
     }
-    heap_place(i, timer);
+    heap_place(index, timer);
 }
 
 void amb_timer_set(struct amb_timer *timer, amb_ms at, void (*fn)(void *), void *arg) {
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -118,8 +118,8 @@
     }
 }
 
-static void play_all(const struct row *rows, size_t n) {
-    for (size_t i = 0; i < n; i++) play(&rows[i]);
+static void play_all(const struct row *rows, size_t count) {
+    for (size_t i = 0; i < count; i++) play(&rows[i]);
 }
 
 #define STARTING AMB_ROLE_STARTING
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -75,9 +75,9 @@
     start_leader(VALUE_KB, LOWERED_KB);
 }
 
-static struct amb_machine *machine(uint32_t i) {
+static struct amb_machine *machine(uint32_t index) {
     char name[AMB_NAME_SIZE];
-    snprintf(name, sizeof name, machine_names, i % MACHINES); /* NOLINT: one of the formats above */
+    snprintf(name, sizeof name, machine_names, index % MACHINES); /* NOLINT: one of the formats above */
     return amb_machine_get(node, name, true);
 }
 
@@ -100,11 +100,11 @@
 }
 
 /* The task is lost on its machine, and placed on another. */
-static void move(uint32_t i) {
-    struct amb_task *task = &job->tasks[i];
+static void move(uint32_t index) {
+    struct amb_task *task = &job->tasks[index];
     if (task->state == AMB_TASK_PLACED || task->done) return;
     amb_task_unbind(node, task, "lost");
-    place(i, i + 1, 3);
+    place(index, index + 1, 3);
 }
 
 static void flush(void) {
--- a/tests/standin/clock.c
+++ b/tests/standin/clock.c
@@ -55,14 +55,15 @@
 }
 
 /* The soonest stands first: children of i at 2i + 1 and 2i + 2. */
-static void timers_sift(size_t i) {
-    for (; i && sooner(i, (i - 1) / 2); i = (i - 1) / 2) timers_swap(i, (i - 1) / 2);
+static void timers_sift(size_t index) {
+    for (; index && sooner(index, (index - 1) / 2); index = (index - 1) / 2)
+        timers_swap(index, (index - 1) / 2);
     for (;;) {
-        size_t child = 2 * i + 1;
+        size_t child = 2 * index + 1;
         if (child + 1 < world.timer_count && sooner(child + 1, child)) child++;
-        if (child >= world.timer_count || !sooner(child, i)) return;
-        timers_swap(i, child);
-        i = child;
+        if (child >= world.timer_count || !sooner(child, index)) return;
+        timers_swap(index, child);
+        index = child;
     }
 }
 
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -263,8 +263,8 @@
     (void)bytes;
 }
 
-void amb_http_client_limit(int max) {
-    (void)max;
+void amb_http_client_limit(int connections) {
+    (void)connections;
 }
 
 struct amb_http_server *amb_server_open(const char *addr, int max_connections, size_t max_body_bytes,
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -27,11 +27,11 @@
     change->stamp = world.state.revision;
 }
 
-static void key_remove(int i) {
-    note_change(world.state.keys[i].key, NULL);
-    amb_buf_free(&world.state.keys[i].value);
-    world.state.keys[i] = world.state.keys[--world.state.key_count];
-    world.state.key_hashes[i] = world.state.key_hashes[world.state.key_count];
+static void key_remove(int index) {
+    note_change(world.state.keys[index].key, NULL);
+    amb_buf_free(&world.state.keys[index].value);
+    world.state.keys[index] = world.state.keys[--world.state.key_count];
+    world.state.key_hashes[index] = world.state.key_hashes[world.state.key_count];
 }
 
 static void wake_followers(void);
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -82,9 +82,9 @@
     return count;
 }
 
-struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt) {
-    amb_task_bind(node, &job->tasks[i], amb_machine_get(node, machine, true), attempt, AMB_TASK_BOUND);
-    return &job->tasks[i];
+struct amb_task *bound(struct amb_job *job, uint32_t index, const char *machine, uint64_t attempt) {
+    amb_task_bind(node, &job->tasks[index], amb_machine_get(node, machine, true), attempt, AMB_TASK_BOUND);
+    return &job->tasks[index];
 }
 
 struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt,
--- a/tests/support/node_fixture.h
+++ b/tests/support/node_fixture.h
@@ -20,7 +20,7 @@
 struct amb_job *add_job(const char *ref, enum amb_job_kind kind, uint32_t tasks);
 
 /* Task i of the job, recorded as placed on the machine (which is made up if need be). */
-struct amb_task *bound(struct amb_job *job, uint32_t i, const char *machine, uint64_t attempt);
+struct amb_task *bound(struct amb_job *job, uint32_t index, const char *machine, uint64_t attempt);
 
 /* A task as a heartbeat lists it. */
 struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt,
