--- a/include/amberpin/job/jobs.h
+++ b/include/amberpin/job/jobs.h
@@ -12,8 +12,6 @@
 
 struct amb_node;
 
-enum { AMB_LIST_CURSOR_SIZE = 256 }; /* bytes of a key of the state service, with its terminating zero */
-
 struct amb_jobs {
     struct amb_job *all;      /* owned, by ref */
     size_t spec_count;        /* of these, jobs whose description is held */
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -8,8 +8,6 @@
 
 #include <string.h>
 
-enum { HTTP_BAD_REQUEST = 400, HTTP_METHOD_NOT_ALLOWED = 405 };
-
 /* Is the machine one that a start may be found for while its response is deferred? */
 static bool may_defer_response(const struct amb_node *node, const struct amb_machine *machine) {
     return node->controller.ready && machine->state == AMB_MACHINE_UP && !machine->release_pending;
@@ -48,7 +46,7 @@
 static void handle_heartbeat(struct amb_node *node, struct amb_http_req *request) {
     struct amb_agent_heartbeat heartbeat;
     if (amb_codec_decode_heartbeat(request->body, request->body_len, &heartbeat) != AMB_CODEC_OK) {
-        amb_http_reply_cbor(request, HTTP_BAD_REQUEST, NULL, 0);
+        amb_http_reply_cbor(request, AMB_HTTP_BAD_REQUEST, NULL, 0);
         return;
     }
     node->fleet.last_heartbeat_at = amb_now();
@@ -60,7 +58,7 @@
 bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request) {
     if (strcmp(request->path, "/hello") != 0) return false;
     if (strcmp(request->method, "POST") != 0)
-        amb_http_reply_cbor(request, HTTP_METHOD_NOT_ALLOWED, NULL, 0);
+        amb_http_reply_cbor(request, AMB_HTTP_METHOD_NOT_ALLOWED, NULL, 0);
     else
         handle_heartbeat(node, request);
     return true;
--- a/lib/controller/failover.c
+++ b/lib/controller/failover.c
@@ -15,7 +15,7 @@
 #include <string.h>
 
 #define RECORDS_PREFIX "b/"
-enum { HTTP_OK = 200, KEY_SIZE = 256 };
+enum { KEY_SIZE = 256 };
 /* A call that has not been answered after so many call timeouts is sent again. */
 enum { RESEND_AFTER_TIMEOUTS = 4 };
 
@@ -70,7 +70,7 @@
     if (!is_restoring(node) || node->controller.restore_term != node->election.term) return;
     node->controller.restore_in_flight = false;
     const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
-    if (status != HTTP_OK || !pairs) return; /* the tick tries again */
+    if (status != AMB_HTTP_OK || !pairs) return; /* the tick tries again */
     size_t count = amb_cbor_list_length(pairs);
     for (size_t i = 0; i < count; i++) restore_record(node, amb_cbor_list_item(pairs, i));
     bool is_truncated = false;
--- a/lib/controller/start.c
+++ b/lib/controller/start.c
@@ -8,7 +8,6 @@
 #include <stdio.h>
 #include <string.h>
 
-enum { HTTP_OK = 200, HTTP_NOT_FOUND = 404, HTTP_METHOD_NOT_ALLOWED = 405, HTTP_UNAVAILABLE = 503 };
 enum { REQUEST_BODY_MAX_BYTES = 64 * 1024 }; /* the protocol's limit, for users and agents */
 
 /* How long an idle connection stays open, in agent leases. */
@@ -31,9 +30,9 @@
 }
 
 static int health_status(struct amb_node *node, const struct amb_http_req *request) {
-    if (strcmp(request->path, "/healthz")) return HTTP_NOT_FOUND;
-    if (strcmp(request->method, "GET")) return HTTP_METHOD_NOT_ALLOWED;
-    return is_healthy(node) ? HTTP_OK : HTTP_UNAVAILABLE;
+    if (strcmp(request->path, "/healthz")) return AMB_HTTP_NOT_FOUND;
+    if (strcmp(request->method, "GET")) return AMB_HTTP_METHOD_NOT_ALLOWED;
+    return is_healthy(node) ? AMB_HTTP_OK : AMB_HTTP_SERVICE_UNAVAILABLE;
 }
 
 static void handle_request(void *context, struct amb_http_req *request) {
--- a/lib/fleet/machine_probe.c
+++ b/lib/fleet/machine_probe.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { HTTP_OK = 200, PROBE_INTERVAL_HEARTBEATS = 2 };
+enum { PROBE_INTERVAL_HEARTBEATS = 2 };
 
 struct probe {
     struct amb_node *node; /* borrowed */
@@ -21,7 +21,7 @@
 }
 
 static bool read_incarnation(int status, const char *body, size_t length, uint64_t *incarnation) {
-    cbor_item_t *reply = status == HTTP_OK ? amb_cbor_parse(body, length) : NULL;
+    cbor_item_t *reply = status == AMB_HTTP_OK ? amb_cbor_parse(body, length) : NULL;
     if (!reply) return false;
     bool found = amb_codec_decode_incarnation(reply, incarnation);
     cbor_decref(&reply);
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -11,8 +11,6 @@
 
 static const char KEY[] = "b/zones";
 
-enum { HTTP_OK = 200, HTTP_NOT_FOUND = 404 };
-
 _Static_assert((int)AMB_ZONE_RECORD_STEPS_MAX == (int)AMB_RECOVERY_STEPS,
                "the record holds a whole recovery order");
 
@@ -57,7 +55,7 @@
     struct amb_node *node = take_call(context, AMB_ZONE_RECORD_WRITING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
-    if (status != HTTP_OK || !amb_kvstore_decode_commit(body, &record->revision)) {
+    if (status != AMB_HTTP_OK || !amb_kvstore_decode_commit(body, &record->revision)) {
         mark_uncertain(node);
         return;
     }
@@ -95,9 +93,9 @@
 
 static bool read_revision(int status, const cbor_item_t *body, uint64_t *revision) {
     struct amb_kvstore_entry entry;
-    if (status == HTTP_OK && amb_kvstore_decode_entry(body, &entry))
+    if (status == AMB_HTTP_OK && amb_kvstore_decode_entry(body, &entry))
         *revision = entry.revision;
-    else if (status == HTTP_NOT_FOUND)
+    else if (status == AMB_HTTP_NOT_FOUND)
         *revision = 0;
     else
         return false;
