--- a/include/amberpin/election/state_machine.h
+++ b/include/amberpin/election/state_machine.h
@@ -28,7 +28,7 @@
     char member[AMB_NAME_SIZE]; /* this node */
     amb_ms ttl;                 /* of the leadership lease */
     amb_ms fence_after;         /* without contact to the store or all peers (the ttl, if that is longer) */
-    amb_ms yield_for;           /* after giving up leadership since no agent comes: others first */
+    amb_ms yield_duration;      /* after giving up leadership since no agent comes: others first */
     /* role */
     enum amb_election_role role;
     uint64_t term;         /* ours, while we have the leader role */
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -37,7 +37,7 @@
     election->ttl = leader_lease_ttl(node);
     election->fence_after =
         (amb_ms)((node->settings.cancel_s - node->settings.agent_lease_s) * 1000 * FENCE_SHARE);
-    election->yield_for = (amb_ms)(node->settings.agent_lease_s * 1000);
+    election->yield_duration = (amb_ms)(node->settings.agent_lease_s * 1000);
 }
 
 /* One renewal without an answer must not cost the leadership: with calls given up after a heartbeat period of
--- a/lib/election/state_machine.c
+++ b/lib/election/state_machine.c
@@ -98,7 +98,7 @@
 
 /* Other nodes are better placed: they get the time of a lease to become leader first. */
 static void yield_leadership(struct amb_election *election, struct amb_election_output *output, amb_ms now) {
-    election->yield_until = now + election->yield_for;
+    election->yield_until = now + election->yield_duration;
     election->vacant_since = now;
     election->holder[0] = 0;
     become_follower(election, output, "no worker reaches this node");
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -60,7 +60,8 @@
 };
 
 static struct amb_election begin(enum start start) {
-    struct amb_election election = {.member = "n-0", .ttl = TTL, .fence_after = FENCE, .yield_for = SHUN};
+    struct amb_election election = {
+        .member = "n-0", .ttl = TTL, .fence_after = FENCE, .yield_duration = SHUN};
     if (start == NEW) return election;
     election.role = AMB_ROLE_FOLLOWER;
     election.key_known = true;
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -43,7 +43,7 @@
     node->election.term = TERM;
     node->election.ttl = 3600000;
     node->election.fence_after = 19000;
-    node->election.yield_for = 10000;
+    node->election.yield_duration = 10000;
     node->election.renewed_at = amb_now();
     node->controller.restored_at = 1;
     node->controller.ready = true;
