--- a/include/amberpin/placement/slot_ranking.h
+++ b/include/amberpin/placement/slot_ranking.h
@@ -19,7 +19,7 @@
 };
 
 /* On what grounds a job may have other work preempted. */
-struct amb_preemption_claim {
+struct amb_preemptor {
     enum amb_priority priority;
     const struct amb_team *team; /* borrowed; NULL: unknown */
     bool within_guarantee;       /* the job fits into what its team is guaranteed */
@@ -34,7 +34,7 @@
 /* On what terms other work is preempted for a request. */
 struct amb_preemption_terms {
     enum amb_preemption_cost cost_kind;
-    struct amb_preemption_claim claim;
+    struct amb_preemptor claim;
     bool image_only; /* only on machines that hold the image */
     /* How many tasks the cycle has placed: each changes what its team uses, and so what is preemptible. */
     uint64_t placed_tasks;
--- a/include/amberpin/scheduler/capacity_plan.h
+++ b/include/amberpin/scheduler/capacity_plan.h
@@ -10,6 +10,6 @@
 void amb_capacity_plan_run(struct amb_cycle *cycle);
 /* Counts a job that may run now towards the expected demand of its class, each job once. Followers count too:
  * a leader that knew only what came since its election would release what its predecessor had reserved. */
-void amb_capacity_plan_note_demand(struct amb_node *node, struct amb_job *job);
+void amb_capacity_plan_record_demand(struct amb_node *node, struct amb_job *job);
 
 #endif
--- a/include/amberpin/scheduler/cycle.h
+++ b/include/amberpin/scheduler/cycle.h
@@ -93,17 +93,16 @@
 /* ---- preemption (preemption.c) ---- */
 
 /* The claim of a job of this kind; the priority is the job's own. */
-struct amb_preemption_claim amb_cycle_make_claim(const struct amb_job_spec *spec,
-                                                 const struct amb_team *team);
+struct amb_preemptor amb_cycle_make_claim(const struct amb_job_spec *spec, const struct amb_team *team);
 /* Likewise, with the job's effective priority. */
-struct amb_preemption_claim amb_cycle_make_job_claim(const struct amb_job *job);
+struct amb_preemptor amb_cycle_make_job_claim(const struct amb_job *job);
 /* May the task be stopped for a job with the claim? */
-bool amb_cycle_is_preemptible_by(const struct amb_task *task, const struct amb_preemption_claim *claim);
+bool amb_cycle_is_preemptible_by(const struct amb_task *task, const struct amb_preemptor *claim);
 /* A slot with the image and enough available; else the one with the image, or at least any, on which
  * preemptible work leaves enough: that is as good as available. NULL: there is none. */
 struct amb_slot *amb_cycle_find_reservable_slot(struct amb_cycle *cycle,
                                                 const struct amb_placement_request *request,
-                                                const struct amb_preemption_claim *claim);
+                                                const struct amb_preemptor *claim);
 /* Stops the work whose loss costs least and takes the slot for a task of the job. With image_only, only on
  * machines that hold the job's image. NULL: nothing was stopped. */
 struct amb_slot *amb_cycle_preempt_for(struct amb_cycle *cycle, struct amb_job *job,
--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -16,7 +16,7 @@
     switch (event->type) {
     case AMB_EVENT_LEADERSHIP_GAINED: amb_controller_start_leading(node); break;
     case AMB_EVENT_LEADERSHIP_LOST: amb_controller_stop_leading(node, event->cause); break;
-    case AMB_EVENT_JOB_READY: amb_capacity_plan_note_demand(node, event->job); break;
+    case AMB_EVENT_JOB_READY: amb_capacity_plan_record_demand(node, event->job); break;
     case AMB_EVENT_JOB_HAS_DEPENDENCIES: amb_pipeline_add_job(node, event->job); break;
     case AMB_EVENT_JOB_FINAL: amb_pipeline_remove_final(node, event->job); break;
     case AMB_EVENT_PLACEMENT_DURABLE: amb_deferred_response_trigger(event->task); break;
--- a/lib/controller/failover.c
+++ b/lib/controller/failover.c
@@ -38,7 +38,7 @@
     }
     amb_duties_restore(node);
     HASH_ITER(hh, node->jobs.all, job, next) {
-        amb_capacity_plan_note_demand(node, job);
+        amb_capacity_plan_record_demand(node, job);
         if (job->state == AMB_JOB_QUEUED) amb_job_activate_if_room(node, job);
     }
     node->controller.restoring = false;
--- a/lib/placement/ranking_key.h
+++ b/lib/placement/ranking_key.h
@@ -69,8 +69,7 @@
            key->can_wait == request->can_wait && key->opportunistic == request->opportunistic;
 }
 
-static inline bool is_same_claim(const struct amb_preemption_claim *left,
-                                 const struct amb_preemption_claim *right) {
+static inline bool is_same_claim(const struct amb_preemptor *left, const struct amb_preemptor *right) {
     return left->priority == right->priority && left->team == right->team &&
            left->within_guarantee == right->within_guarantee;
 }
--- a/lib/scheduler/admission.c
+++ b/lib/scheduler/admission.c
@@ -107,7 +107,7 @@
                               const struct amb_slot *slot) {
     const struct amb_objective *objective = amb_start_find_objective(cycle->node, job->spec);
     double fetch_gb_per_s = cycle->node->catalog.types[slot->type].image_fetch_gb_per_s;
-    const struct amb_preemption_claim claim = amb_cycle_make_job_claim(job);
+    const struct amb_preemptor claim = amb_cycle_make_job_claim(job);
     if (!objective || fetch_gb_per_s <= 0) return false;
     if (claim.priority < AMB_PRIORITY_HIGH && !claim.within_guarantee) return false;
     return job->spec->image_gb / fetch_gb_per_s > objective->within_s * FETCH_SHARE_MAX;
--- a/lib/scheduler/cycle_internal.h
+++ b/lib/scheduler/cycle_internal.h
@@ -31,10 +31,10 @@
 void amb_cycle_consume_reservation(struct amb_slot *slot, const struct amb_job_spec *spec);
 
 /* Is there any work that might be preempted on this claim? Never a wrong no (preemption.c). */
-bool amb_cycle_may_preempt(const struct amb_cycle *cycle, const struct amb_preemption_claim *claim);
+bool amb_cycle_may_preempt(const struct amb_cycle *cycle, const struct amb_preemptor *claim);
 /* The slot on which stopping work for the request loses least; -1: there is none. */
 int amb_cycle_find_least_lost_work(struct amb_cycle *cycle, const struct amb_placement_request *request,
-                                   const struct amb_preemption_claim *claim, bool image_only);
+                                   const struct amb_preemptor *claim, bool image_only);
 
 /* The order in which tasks of one machine are stopped. */
 enum amb_preemption_order {
@@ -44,7 +44,7 @@
 
 /* Stops tasks of the slot's machine until what was taken from the slot is covered. */
 void amb_cycle_preempt_on_slot(struct amb_cycle *cycle, struct amb_slot *slot,
-                               const struct amb_preemption_claim *claim,
-                               const struct amb_job_spec *waiting_spec, enum amb_preemption_order order);
+                               const struct amb_preemptor *claim, const struct amb_job_spec *waiting_spec,
+                               enum amb_preemption_order order);
 
 #endif
--- a/lib/scheduler/demand_forecast.c
+++ b/lib/scheduler/demand_forecast.c
@@ -75,7 +75,7 @@
     return spec->kind != AMB_JOB_KIND_ARRAY;
 }
 
-void amb_capacity_plan_note_demand(struct amb_node *node, struct amb_job *job) {
+void amb_capacity_plan_record_demand(struct amb_node *node, struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
     if (job->demand_recorded || job->dependencies_pending || !spec || !node->cloud.catalog_known) return;
     job->demand_recorded = true;
--- a/lib/scheduler/gang_placement.c
+++ b/lib/scheduler/gang_placement.c
@@ -7,7 +7,7 @@
  * counts as available. */
 static uint32_t take_slots(struct amb_cycle *cycle, struct amb_job *job,
                            struct amb_placement_request *request, int *slot_indices, bool include_releasing,
-                           const struct amb_preemption_claim *claim) {
+                           const struct amb_preemptor *claim) {
     uint32_t taken = 0;
     for (; taken < job->spec->task_count; taken++) {
         int slot_index = claim ? amb_cycle_find_least_lost_work(cycle, request, claim, false)
@@ -33,7 +33,7 @@
 
 /* Tries zone after zone if the job is to be in one, whichever it is. */
 static bool place_with_claim(struct amb_cycle *cycle, struct amb_job *job, int *slot_indices,
-                             bool include_releasing, const struct amb_preemption_claim *claim) {
+                             bool include_releasing, const struct amb_preemptor *claim) {
     struct amb_placement_request request;
     amb_cycle_init_request(cycle, job, &request);
     bool any_single_zone = job->spec->one_zone && request.zone < 0;
@@ -53,7 +53,7 @@
 }
 
 bool amb_cycle_preempt_for_gang(struct amb_cycle *cycle, struct amb_job *job) {
-    const struct amb_preemption_claim claim = amb_cycle_make_job_claim(job);
+    const struct amb_preemptor claim = amb_cycle_make_job_claim(job);
     if (!amb_cycle_may_preempt(cycle, &claim)) return false;
     int *slot_indices = amb_alloc(job->spec->task_count * sizeof *slot_indices);
     bool is_placed = place_with_claim(cycle, job, slot_indices, true, &claim);
--- a/lib/scheduler/preemption.c
+++ b/lib/scheduler/preemption.c
@@ -16,16 +16,15 @@
 
 /* ---- claims ---- */
 
-struct amb_preemption_claim amb_cycle_make_claim(const struct amb_job_spec *spec,
-                                                 const struct amb_team *team) {
+struct amb_preemptor amb_cycle_make_claim(const struct amb_job_spec *spec, const struct amb_team *team) {
     struct amb_resources need = {0, 0, 0};
     amb_resources_add(&need, &spec->task_resources, spec->kind == AMB_JOB_KIND_GANG ? spec->task_count : 1);
     bool guaranteed = spec->kind != AMB_JOB_KIND_ARRAY && team && amb_wdrr_is_within_guarantee(team, &need);
-    return (struct amb_preemption_claim){spec->priority, team, guaranteed};
+    return (struct amb_preemptor){spec->priority, team, guaranteed};
 }
 
-struct amb_preemption_claim amb_cycle_make_job_claim(const struct amb_job *job) {
-    struct amb_preemption_claim claim = amb_cycle_make_claim(job->spec, job->team);
+struct amb_preemptor amb_cycle_make_job_claim(const struct amb_job *job) {
+    struct amb_preemptor claim = amb_cycle_make_claim(job->spec, job->team);
     claim.priority = amb_job_get_effective_priority(job);
     return claim;
 }
@@ -36,7 +35,7 @@
     return false;
 }
 
-bool amb_cycle_may_preempt(const struct amb_cycle *cycle, const struct amb_preemption_claim *claim) {
+bool amb_cycle_may_preempt(const struct amb_cycle *cycle, const struct amb_preemptor *claim) {
     if (cycle->node->options.preempt < PREEMPT_OPTION_ON) return false;
     if (claim->priority >= AMB_PRIORITY_HIGH || claim->within_guarantee) return true;
     return claim->priority > AMB_PRIORITY_BEST_EFFORT && has_opportunistic_team(&cycle->node->settings);
@@ -52,7 +51,7 @@
  * was preempted for urgent work only, early stages that need no GPUs filled every machine's cores, and gangs
  * within their teams' guarantees waited for machines to boot. Opportunistic work is preempted by all that is
  * higher: when guaranteed work alone did so, 70 machines were requested beside 80 that it had filled.) */
-bool amb_cycle_is_preemptible_by(const struct amb_task *task, const struct amb_preemption_claim *claim) {
+bool amb_cycle_is_preemptible_by(const struct amb_task *task, const struct amb_preemptor *claim) {
     const struct amb_job_spec *spec = task->job->spec;
     if (spec->kind != AMB_JOB_KIND_ARRAY || task->stop_requested || task->state == AMB_TASK_PLACED ||
         task->done)
@@ -76,7 +75,7 @@
 /* Seconds of work that is lost when enough tasks for the request are stopped. */
 static bool compute_lost_work_cost(const struct amb_cycle *cycle, const struct amb_slot *slot,
                                    const struct amb_placement_request *request,
-                                   const struct amb_preemption_claim *claim, double *cost) {
+                                   const struct amb_preemptor *claim, double *cost) {
     struct amb_resources available = amb_placement_available(slot, true);
     *cost = slot->has_image ? 0 : MISSING_IMAGE_COST_S;
     for (const struct amb_task *task = slot->machine->tasks;
@@ -90,7 +89,7 @@
 
 /* Any machine is as good as another if it holds the image, and likewise if it does not. */
 static bool compute_image_cost(const struct amb_slot *slot, const struct amb_placement_request *request,
-                               const struct amb_preemption_claim *claim, double *cost) {
+                               const struct amb_preemptor *claim, double *cost) {
     struct amb_resources available = amb_placement_available(slot, true);
     for (const struct amb_task *task = slot->machine->tasks; task; task = task->next_on_machine)
         if (amb_cycle_is_preemptible_by(task, claim))
@@ -116,8 +115,8 @@
 }
 
 static int find_cheapest_preemption(struct amb_cycle *cycle, const struct amb_placement_request *request,
-                                    const struct amb_preemption_claim *claim,
-                                    enum amb_preemption_cost cost_kind, bool image_only) {
+                                    const struct amb_preemptor *claim, enum amb_preemption_cost cost_kind,
+                                    bool image_only) {
     struct amb_slot_list list = amb_cycle_list_slots(cycle);
     list.compute_cost = compute_preemption_cost;
     const struct amb_preemption_terms terms = {.cost_kind = cost_kind,
@@ -129,13 +128,13 @@
 }
 
 int amb_cycle_find_least_lost_work(struct amb_cycle *cycle, const struct amb_placement_request *request,
-                                   const struct amb_preemption_claim *claim, bool image_only) {
+                                   const struct amb_preemptor *claim, bool image_only) {
     return find_cheapest_preemption(cycle, request, claim, AMB_PREEMPTION_COST_LOST_WORK, image_only);
 }
 
 struct amb_slot *amb_cycle_find_reservable_slot(struct amb_cycle *cycle,
                                                 const struct amb_placement_request *request,
-                                                const struct amb_preemption_claim *claim) {
+                                                const struct amb_preemptor *claim) {
     int found = amb_cycle_find_best_slot(cycle, request, true);
     if (found >= 0 && cycle->slots[found].has_image) return &cycle->slots[found];
     int preemption = find_cheapest_preemption(cycle, request, claim, AMB_PREEMPTION_COST_IMAGE, false);
@@ -160,8 +159,8 @@
 
 /* More was taken from the slot than is available: stops work of at most this priority until it is covered. */
 static void preempt_up_to_priority(struct amb_cycle *cycle, struct amb_slot *slot,
-                                   const struct amb_preemption_claim *claim,
-                                   const struct amb_job_spec *waiting_spec, enum amb_priority max_priority) {
+                                   const struct amb_preemptor *claim, const struct amb_job_spec *waiting_spec,
+                                   enum amb_priority max_priority) {
     static const struct amb_resources nothing = {0, 0, 0};
     struct amb_resources available = amb_placement_available(slot, true);
     amb_cycle_note_slot_change(cycle, slot);
@@ -179,8 +178,8 @@
 }
 
 void amb_cycle_preempt_on_slot(struct amb_cycle *cycle, struct amb_slot *slot,
-                               const struct amb_preemption_claim *claim,
-                               const struct amb_job_spec *waiting_spec, enum amb_preemption_order order) {
+                               const struct amb_preemptor *claim, const struct amb_job_spec *waiting_spec,
+                               enum amb_preemption_order order) {
     int max_priority =
         order == AMB_PREEMPT_LOWEST_PRIORITY_FIRST ? AMB_PRIORITY_BEST_EFFORT : AMB_PRIORITY_PRODUCTION;
     for (; max_priority <= AMB_PRIORITY_PRODUCTION; max_priority++)
@@ -189,7 +188,7 @@
 
 struct amb_slot *amb_cycle_preempt_for(struct amb_cycle *cycle, struct amb_job *job,
                                        const struct amb_placement_request *request, bool image_only) {
-    const struct amb_preemption_claim claim = amb_cycle_make_job_claim(job);
+    const struct amb_preemptor claim = amb_cycle_make_job_claim(job);
     if (amb_job_is_broken(job) || !amb_cycle_may_preempt(cycle, &claim)) return NULL;
     int best = amb_cycle_find_least_lost_work(cycle, request, &claim, image_only);
     if (best < 0) return NULL;
--- a/lib/scheduler/reserved_capacity.c
+++ b/lib/scheduler/reserved_capacity.c
@@ -34,7 +34,7 @@
     const struct allowed_types allowed = find_allowed_types(node, spec);
     uint32_t expected_tasks =
         (uint32_t)ceil(amb_demand_expected_tasks(node, demand, allowed.longest_boot_s, cycle->now));
-    const struct amb_preemption_claim claim =
+    const struct amb_preemptor claim =
         amb_cycle_make_claim(spec, amb_settings_find_team(&node->settings, spec->team));
     const struct amb_placement_request request = {.need = spec->task_resources,
                                                   .type_mask = allowed.mask,
--- a/tests/cloud/test_rentals.c
+++ b/tests/cloud/test_rentals.c
@@ -184,9 +184,9 @@
             jobs[k].spec = &spec;
             jobs[k].accepted_wall_ms = amb_wall_ms() - rows[i].ages[k] * 1000L;
             if (k == 2 && rows[i].lead_between) amb_controller_start_leading(node);
-            amb_capacity_plan_note_demand(node, &jobs[k]);
+            amb_capacity_plan_record_demand(node, &jobs[k]);
         }
-        for (int k = 0; k < 4 && rows[i].twice; k++) amb_capacity_plan_note_demand(node, &jobs[k]);
+        for (int k = 0; k < 4 && rows[i].twice; k++) amb_capacity_plan_record_demand(node, &jobs[k]);
         assert_int_equal(node->controller.demand_count, 1);
         struct amb_demand *demand = &node->controller.demands[0];
         /* The rate holds at the latest arrival that was noted, a moment ago at most. */
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -177,7 +177,7 @@
         amb_pipelines_update_priorities(node);
         struct amb_task *task = bound(first, 0, "m-1", 1);
         task->state = AMB_TASK_SEEN;
-        const struct amb_preemption_claim claim = {rows[i].claim, NULL, false};
+        const struct amb_preemptor claim = {rows[i].claim, NULL, false};
         first->team->opportunistic = rows[i].opportunistic;
         if (amb_cycle_is_preemptible_by(task, &claim) != rows[i].makes_way) fail_msg("%s", rows[i].what);
         assert_int_equal(amb_job_get_effective_priority(first), rows[i].own_claim);
