--- a/include/amberpin/watch/watch.h
+++ b/include/amberpin/watch/watch.h
@@ -34,10 +34,10 @@
     amb_ms watch_sent_at;
     struct amb_timer watch_timer;
     /* Fresh reads: those that wait for the next one to be sent, and those that the one in flight answers. */
-    struct amb_fresh_read *queued_syncs, *sent_syncs;
-    bool sync_in_flight;
-    amb_ms sync_sent_at;
-    struct amb_timer sync_timer;
+    struct amb_fresh_read *queued_fresh_reads, *sent_fresh_reads;
+    bool fresh_read_in_flight;
+    amb_ms fresh_read_sent_at;
+    struct amb_timer fresh_read_timer;
 };
 
 /* Begins to list, and to watch from there on. */
--- a/tests/api/test_user_questions.c
+++ b/tests/api/test_user_questions.c
@@ -16,7 +16,7 @@
     answer_sync(0, NULL);
     expect("asked before the read", 0, 200, "queued");
     for (int user = 1; user < 4; user++) expect_waiting("asked after it was sent", user);
-    fire(&node->watch.sync_timer);
+    fire(&node->watch.fresh_read_timer);
     answer_sync(CHANGED, "cancelled");
     for (int user = 1; user < 4; user++) expect("asked before the second read", user, 200, "cancelled");
     assert_int_equal(fake_calls_sent(COMMIT), 0);
@@ -116,7 +116,7 @@
     hear(5, "queued");
     node->watch.known_revision = 5;
     for (int user = 0; user < 3; user++) {
-        if (node->watch.sync_timer.position) fire(&node->watch.sync_timer);
+        if (node->watch.fresh_read_timer.position) fire(&node->watch.fresh_read_timer);
         poll_job(user);
         fake_answer(open_call(SYNC), status, NULL);
         expect("while it lists", user, 503, NULL);
--- a/tests/api/test_users.c
+++ b/tests/api/test_users.c
@@ -251,7 +251,7 @@
     struct amb_buf failed = cbor_from_text("{\"failed\":[\"a/job/" JOB "\"],\"epoch\":%d}", CHANGED);
     fake_answer(first, 409, &failed);
     if (fake_call_open(SYNC)) answer_sync(0, NULL);
-    if (node->watch.sync_timer.position) fire(&node->watch.sync_timer);
+    if (node->watch.fresh_read_timer.position) fire(&node->watch.fresh_read_timer);
     if (fake_call_open(SYNC)) answer_sync(0, NULL);
     expect("the first learns that it is over", 0, 200, "cancelled");
 }
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -139,7 +139,7 @@
 static int end(void **state) {
     fake_answer_all_lost();
     fake_http_reset();
-    amb_timer_stop(&node->watch.sync_timer);
+    amb_timer_stop(&node->watch.fresh_read_timer);
     amb_timer_stop(&node->watch.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -47,7 +47,7 @@
     fake_answer_all_lost();
     fake_http_reset();
     forget_replies();
-    amb_timer_stop(&node->watch.sync_timer);
+    amb_timer_stop(&node->watch.fresh_read_timer);
     amb_timer_stop(&node->watch.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
     amb_timer_stop(&node->election_timer);
