--- a/include/amberpin/agent/liveness.h
+++ b/include/amberpin/agent/liveness.h
@@ -12,7 +12,7 @@
 
 /* Have nearly all machines that should be working acknowledged this leader's fencing token? Then little is
  * left to learn of what an earlier leader started. */
-bool amb_fleet_is_acknowledged(const struct amb_node *node);
+bool amb_fleet_has_acknowledged_token(const struct amb_node *node);
 
 /* This node leads no more: frees all machines and what is known of zones. Agents that wait for a response are
  * sent to the new leader. */
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -75,7 +75,7 @@
            !machine->failed_by_cloud;
 }
 
-bool amb_fleet_is_acknowledged(const struct amb_node *node) {
+bool amb_fleet_has_acknowledged_token(const struct amb_node *node) {
     uint32_t working = 0, acknowledged = 0;
     for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next) {
         if (!should_be_working(machine)) continue;
--- a/lib/controller/tick.c
+++ b/lib/controller/tick.c
@@ -32,7 +32,7 @@
     amb_ms learning_period = amb_seconds_to_ms(node->settings.heartbeat_s * LEARNING_HEARTBEAT_PERIODS);
     bool has_waited = now - controller->leader_since > learning_period &&
                       now - controller->restored_at > learning_period / 2;
-    return has_waited || (node->cloud.list.completed && amb_fleet_is_acknowledged(node));
+    return has_waited || (node->cloud.list.completed && amb_fleet_has_acknowledged_token(node));
 }
 
 static void become_ready(struct amb_node *node, amb_ms now) {
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -102,7 +102,7 @@
             if (k >= total - rows[i].failed)
                 machine->state = AMB_MACHINE_UNPROVEN, machine->failed_by_cloud = true;
         }
-        if (amb_fleet_is_acknowledged(node) != rows[i].want) fail_msg("%s", rows[i].what);
+        if (amb_fleet_has_acknowledged_token(node) != rows[i].want) fail_msg("%s", rows[i].what);
         amb_fleet_clear(node);
     }
 }
