--- a/include/amberpin/cloud_duty/cloud_access.h
+++ b/include/amberpin/cloud_duty/cloud_access.h
@@ -9,7 +9,7 @@
 /* Calls the cloud for what the intent is for; `done` gets the answer. False: no call may be sent now, and
  * `done` is not called. */
 bool amb_duties_call_cloud(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                           const struct amb_duty_work_order *work, uint64_t fencing_token,
+                           const struct amb_duty_intent_payload *work, uint64_t fencing_token,
                            amb_duty_cloud_done done, void *arg);
 
 #endif
--- a/include/amberpin/cloud_duty/scaling_intents.h
+++ b/include/amberpin/cloud_duty/scaling_intents.h
@@ -5,7 +5,7 @@
 #include "amberpin/base/util.h"
 
 struct amb_duty_intent_record;
-struct amb_duty_work_order;
+struct amb_duty_intent_payload;
 struct amb_machine;
 struct amb_node;
 
@@ -21,6 +21,6 @@
 void amb_duties_note_machine(struct amb_node *node, struct amb_machine *machine);
 /* The record of an intent has changed; work NULL: it has been removed. */
 void amb_duties_apply_intent(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                             const struct amb_duty_work_order *work);
+                             const struct amb_duty_intent_payload *work);
 
 #endif
--- a/include/amberpin/duty/core.h
+++ b/include/amberpin/duty/core.h
@@ -80,7 +80,7 @@
     uint64_t call_counter; /* number of the last call */
     struct amb_duty_incarnation incarnation;
     struct amb_duty_member members[AMB_DUTY_MEMBERS];
-    struct amb_duty duties[AMB_DUTY_NAMES];
+    struct amb_duty duties[AMB_DUTY_COUNT];
     struct amb_duty_intent_table intents;
     bool stopping; /* hands everything over, and claims nothing more */
 };
--- a/include/amberpin/duty/node_duties.h
+++ b/include/amberpin/duty/node_duties.h
@@ -9,9 +9,9 @@
 
 /* A scale-in intent of this leader that is being written. */
 struct amb_scale_in_intent {
-    char id[AMB_DUTY_INTENT_ID]; /* empty: there is none */
-    enum amb_duty_name duty;     /* return or reclaim */
-    struct amb_duty_work_order work;
+    char id[AMB_DUTY_INTENT_ID_SIZE]; /* empty: there is none */
+    enum amb_duty_name duty;          /* return or reclaim */
+    struct amb_duty_intent_payload work;
     bool in_flight;
     amb_ms retry_at;
 };
--- a/include/amberpin/duty/record_codec.h
+++ b/include/amberpin/duty/record_codec.h
@@ -21,7 +21,7 @@
 };
 
 /* What an intent asks for, and what came of it. */
-struct amb_duty_work_order {
+struct amb_duty_intent_payload {
     char type[AMB_NAME_SIZE], zone[AMB_NAME_SIZE]; /* rent */
     bool spot;
     uint32_t count;
@@ -33,9 +33,9 @@
 };
 
 /* Frees the names, and zeroes the rest. */
-void amb_duty_work_order_free(struct amb_duty_work_order *work);
+void amb_duty_intent_payload_free(struct amb_duty_intent_payload *work);
 /* Adds a machine's name. False: there is no room for more. */
-bool amb_duty_work_order_add_machine(struct amb_duty_work_order *work, const char *machine);
+bool amb_duty_intent_payload_add_machine(struct amb_duty_intent_payload *work, const char *machine);
 
 /* How many machines an intent may name, so that its record keeps within values of this size. */
 uint32_t amb_duty_max_machines(double value_kb);
@@ -59,7 +59,7 @@
 void amb_duty_encode_member(struct amb_buf *out, const struct amb_duty_member_record *member);
 void amb_duty_encode_record(struct amb_buf *out, const struct amb_duty_record *record);
 void amb_duty_encode_intent(struct amb_buf *out, const struct amb_duty_intent_record *intent,
-                            const struct amb_duty_work_order *work);
+                            const struct amb_duty_intent_payload *work);
 void amb_duty_encode_mode(struct amb_buf *out, enum amb_duty_mode mode);
 void amb_duty_encode_handover(struct amb_buf *out, const struct amb_duty_handover *handover);
 
@@ -70,7 +70,7 @@
 /* On success the caller frees `work`. */
 enum amb_duty_decode_result amb_duty_decode_intent(const cbor_item_t *value,
                                                    struct amb_duty_intent_record *out,
-                                                   struct amb_duty_work_order *work);
+                                                   struct amb_duty_intent_payload *work);
 enum amb_duty_decode_result amb_duty_decode_mode(const cbor_item_t *value, enum amb_duty_mode *out);
 enum amb_duty_decode_result amb_duty_decode_handover(const cbor_item_t *value, struct amb_duty_handover *out);
 
@@ -80,7 +80,7 @@
 #define AMB_DUTY_MEMBER_KEYS "a/duty-member/"
 #define AMB_DUTY_RECORD_KEYS "a/duty/"
 #define AMB_DUTY_HANDOVER_KEYS "a/duty-handover/"
-#define AMB_DUTY_ORDER_KEYS "a/order/"
+#define AMB_DUTY_INTENT_KEYS "a/order/"
 #define AMB_DUTY_MODE_KEY "a/duty-mode"
 
 void amb_duty_member_key(char out[AMB_DUTY_KEY_SIZE], const char *member);
@@ -88,6 +88,6 @@
 void amb_duty_handover_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty);
 void amb_duty_intent_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty, const char *id);
 /* Parts of an intent's key. False: it is none. */
-bool amb_duty_parse_intent_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_INTENT_ID]);
+bool amb_duty_parse_intent_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_INTENT_ID_SIZE]);
 
 #endif
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -13,7 +13,7 @@
 /* What the cloud said to one call. */
 struct amb_duty_cloud_reply {
     enum amb_duty_cloud_answer answer;
-    struct amb_duty_work_order
+    struct amb_duty_intent_payload
         acquired; /* of a scale out that was carried out: `machines` only; the service frees it */
 };
 
@@ -31,20 +31,20 @@
 };
 
 /* The owner's functions. */
-struct amb_duty_ports {
+struct amb_duty_service_callbacks {
     struct amb_duty_kvstore kvstore;
     void *context;
     amb_ms (*now)(void *context); /* monotonic clock */
     /* False: it can't be called now, and `done` is not called. */
     bool (*call_cloud)(void *context, const struct amb_duty_intent_record *order,
-                       const struct amb_duty_work_order *work, uint64_t token, amb_duty_cloud_done done,
+                       const struct amb_duty_intent_payload *work, uint64_t token, amb_duty_cloud_done done,
                        void *arg);
     /* Are all machines of this scale-in intent proved to be gone, by what the owner itself has seen? Only
      * what stays true for ever counts: a machine that is listed as failed is still there. */
-    bool (*is_proved_gone)(void *context, const struct amb_duty_work_order *work);
+    bool (*is_absence_proven)(void *context, const struct amb_duty_intent_payload *work);
     /* The record of an intent has changed; work NULL: it is gone. */
     void (*intent_changed)(void *context, const struct amb_duty_intent_record *order,
-                           const struct amb_duty_work_order *work);
+                           const struct amb_duty_intent_payload *work);
     /* Every record has been read. */
     void (*loaded)(void *context);
     void (*log)(void *context, const char *line);
@@ -54,8 +54,8 @@
 struct amb_duty_intent_entry {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_duty_intent_record record; /* not present: removed while all records are being read */
-    struct amb_duty_work_order work;
-    struct amb_duty_work_order
+    struct amb_duty_intent_payload work;
+    struct amb_duty_intent_payload
         acquired; /* by the call of this member that was carried out last: to be recorded */
     bool listed;  /* by the reading of all records under way, or the last */
     UT_hash_handle hh;
@@ -77,7 +77,7 @@
 
 /* Read it freely; only the functions below change it. */
 struct amb_duty_service {
-    struct amb_duty_ports ports;
+    struct amb_duty_service_callbacks ports;
     bool active, stopping;
     bool loaded;         /* every record has been read, and what changed since is followed */
     uint64_t activation; /* tells the calls of one activity from those of an earlier one */
@@ -87,10 +87,10 @@
     struct amb_duty_intent *intent_storage; /* the core's storage */
     struct amb_duty_intent_entry *entries;  /* by key */
     /* Duties whose record is of a version that is not known: they are left alone. */
-    bool unknown_version[AMB_DUTY_NAMES];
+    bool unknown_version[AMB_DUTY_COUNT];
     /* Handovers asked for by operators: the revision of the latest request. */
-    uint64_t handover_revision[AMB_DUTY_NAMES];
-    struct amb_duty_handover handover[AMB_DUTY_NAMES];
+    uint64_t handover_revision[AMB_DUTY_COUNT];
+    struct amb_duty_handover handover[AMB_DUTY_COUNT];
     struct amb_duty_holder_change holder_history[AMB_DUTY_HOLDER_HISTORY]; /* a ring */
     uint32_t holder_changes;                                               /* ever seen */
     /* The reading of all records. */
@@ -98,7 +98,7 @@
     uint64_t listing_revision;
     const char *listing_prefix;
     char listing_cursor[256];
-    bool record_listed[AMB_DUTY_NAMES];
+    bool record_listed[AMB_DUTY_COUNT];
     char listed_members[AMB_DUTY_MEMBERS][AMB_NAME_SIZE];
     uint32_t listed_member_count;
     amb_ms listing_retry_at;
@@ -109,7 +109,7 @@
 };
 
 /* The member takes part, once all records are read. The seed differs from start to start. */
-void amb_duty_service_start(struct amb_duty_service *service, const struct amb_duty_ports *ports,
+void amb_duty_service_start(struct amb_duty_service *service, const struct amb_duty_service_callbacks *ports,
                             const struct amb_duty_settings *settings, const char *member, uint64_t seed);
 /* The member hands its duties over and, once it holds none, takes no part any more. */
 void amb_duty_service_stop(struct amb_duty_service *service);
--- a/include/amberpin/duty/settings.h
+++ b/include/amberpin/duty/settings.h
@@ -5,7 +5,7 @@
 #include "amberpin/duty/types.h"
 
 struct amb_duty_settings {
-    bool enabled[AMB_DUTY_NAMES]; /* duties that are filled; see amb_duty_settings_parse_names */
+    bool enabled[AMB_DUTY_COUNT]; /* duties that are filled; see amb_duty_settings_parse_names */
     amb_ms ttl;                   /* of a member's lease at the key-value store */
     uint32_t drift_ppm;           /* most drift of one monotonic clock, in millionths */
     amb_ms safety_margin;         /* the local right ends this much before the lease can */
@@ -20,7 +20,7 @@
 };
 
 enum amb_duty_settings_error {
-    AMB_DUTY_SETTINGS_GOOD,
+    AMB_DUTY_SETTINGS_OK,
     AMB_DUTY_SETTINGS_UNKNOWN_NAME,   /* a duty of this name does not exist */
     AMB_DUTY_SETTINGS_DOUBLED_NAME,   /* a duty is named twice */
     AMB_DUTY_SETTINGS_NO_NAME,        /* no duty is named */
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -12,9 +12,9 @@
 #include "amberpin/model/model.h"
 
 enum {
-    AMB_DUTY_MEMBERS = 16,     /* most members that are tracked, this one included */
-    AMB_DUTY_INTENT_ID = 48,   /* bytes of an intent's name, with the terminating zero */
-    AMB_DUTY_CAUSE_LENGTH = 48 /* bytes of the cause in a duty's record, with the terminating zero */
+    AMB_DUTY_MEMBERS = 16,        /* most members that are tracked, this one included */
+    AMB_DUTY_INTENT_ID_SIZE = 48, /* bytes of an intent's name, with the terminating zero */
+    AMB_DUTY_CAUSE_LENGTH = 48    /* bytes of the cause in a duty's record, with the terminating zero */
 };
 
 /* The duties. Their names in keys and settings are "rent", "return", "reclaim" and "cleanup". */
@@ -23,7 +23,7 @@
     AMB_DUTY_RETURN,  /* releases machines that are no longer needed */
     AMB_DUTY_RECLAIM, /* releases machines that were taken back, are silent or faulty */
     AMB_DUTY_CLEANUP, /* removes records of settled intents */
-    AMB_DUTY_NAMES,   /* how many there are */
+    AMB_DUTY_COUNT,   /* how many there are */
 };
 
 /* The duty's name in keys and settings. */
@@ -76,7 +76,7 @@
  * type, machine names ...) is part of the stored value, but only the wiring reads it. */
 struct amb_duty_intent_record {
     bool present;
-    char id[AMB_DUTY_INTENT_ID]; /* unique for ever; for scale out, the cloud's request name */
+    char id[AMB_DUTY_INTENT_ID_SIZE]; /* unique for ever; for scale out, the cloud's request name */
     enum amb_duty_name duty;
     enum amb_duty_intent_state state;
     enum amb_duty_intent_result result;
--- a/lib/cloud_duty/cloud_access.c
+++ b/lib/cloud_duty/cloud_access.c
@@ -13,11 +13,11 @@
     void *arg;
 };
 
-static void add_machines(const cbor_item_t *body, struct amb_duty_work_order *work) {
+static void add_machines(const cbor_item_t *body, struct amb_duty_intent_payload *work) {
     const struct amb_cloud_acquired acquired = amb_codec_decode_acquired(body);
     for (size_t i = 0; i < acquired.count; i++) {
         char name[AMB_NAME_SIZE];
-        if (amb_codec_acquired_name(&acquired, i, name)) amb_duty_work_order_add_machine(work, name);
+        if (amb_codec_acquired_name(&acquired, i, name)) amb_duty_intent_payload_add_machine(work, name);
     }
 }
 
@@ -47,7 +47,7 @@
 }
 
 static void encode_body(struct amb_buf *body, const struct amb_duty_intent_record *intent,
-                        const struct amb_duty_work_order *work, uint64_t fencing_token) {
+                        const struct amb_duty_intent_payload *work, uint64_t fencing_token) {
     const struct amb_cloud_fence fence = {.duty = amb_duty_name_text(intent->duty),
                                           .fencing_token = fencing_token};
     if (intent->duty == AMB_DUTY_RENT) {
@@ -66,7 +66,7 @@
 }
 
 bool amb_duties_call_cloud(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                           const struct amb_duty_work_order *work, uint64_t fencing_token,
+                           const struct amb_duty_intent_payload *work, uint64_t fencing_token,
                            amb_duty_cloud_done done, void *arg) {
     if (!amb_cloud_take_token(node, amb_now())) return false;
     struct amb_buf body = {0};
--- a/lib/cloud_duty/duty_options.c
+++ b/lib/cloud_duty/duty_options.c
@@ -29,7 +29,7 @@
     if (options->duties == 0) return true;
     struct amb_duty_settings duty_settings = amb_duties_make_settings(settings, options);
     enum amb_duty_settings_error error = amb_duty_settings_check(&duty_settings);
-    if (error == AMB_DUTY_SETTINGS_GOOD) return true;
+    if (error == AMB_DUTY_SETTINGS_OK) return true;
     snprintf(error_text, error_text_size, "%s: duty-lease: makes a lease of %lld ms; %s must be: %s",
              file ? file : "options", (long long)duty_settings.ttl, amb_duty_settings_field(error),
              amb_duty_settings_allowed(error));
--- a/lib/cloud_duty/participation.c
+++ b/lib/cloud_duty/participation.c
@@ -21,20 +21,20 @@
 }
 
 static bool port_call_cloud(void *context, const struct amb_duty_intent_record *intent,
-                            const struct amb_duty_work_order *work, uint64_t fencing_token,
+                            const struct amb_duty_intent_payload *work, uint64_t fencing_token,
                             amb_duty_cloud_done done, void *arg) {
     return amb_duties_call_cloud(context, intent, work, fencing_token, done, arg);
 }
 
 /* Only leaders read the cloud's list: this controller knows what was proved while it led, and no more. */
-static bool port_proved_gone(void *context, const struct amb_duty_work_order *work) {
+static bool port_proved_gone(void *context, const struct amb_duty_intent_payload *work) {
     for (uint32_t i = 0; i < work->machine_count; i++)
         if (!amb_machine_was_removed(context, work->machines[i])) return false;
     return work->machine_count > 0;
 }
 
 static void port_order_changed(void *context, const struct amb_duty_intent_record *intent,
-                               const struct amb_duty_work_order *work) {
+                               const struct amb_duty_intent_payload *work) {
     amb_duties_apply_intent(context, intent, work);
 }
 
@@ -62,10 +62,10 @@
 /* The share of all holders' writes that the duties held here need: scale out takes two writes, as scale in
  * does, and is more frequent. */
 static double held_write_share(const struct amb_duty_service *service) {
-    static const double parts[AMB_DUTY_NAMES] = {
+    static const double parts[AMB_DUTY_COUNT] = {
         [AMB_DUTY_RENT] = 0.5, [AMB_DUTY_RETURN] = 0.2, [AMB_DUTY_RECLAIM] = 0.2, [AMB_DUTY_CLEANUP] = 0.1};
     double held = 0;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++)
+    for (int i = 0; i < AMB_DUTY_COUNT; i++)
         if (amb_duty_service_is_holder(service, (enum amb_duty_name)i)) held += parts[i];
     return held;
 }
@@ -89,14 +89,14 @@
 static void participate(struct amb_node *node) {
     struct amb_duties *duties = &node->duties;
     if (duties->service.active || !is_participant(node)) return;
-    const struct amb_duty_ports ports = {.kvstore = amb_duty_kvstore_from_client(&node->store),
-                                         .context = node,
-                                         .now = port_now,
-                                         .call_cloud = port_call_cloud,
-                                         .is_proved_gone = port_proved_gone,
-                                         .intent_changed = port_order_changed,
-                                         .loaded = port_loaded,
-                                         .log = port_log};
+    const struct amb_duty_service_callbacks ports = {.kvstore = amb_duty_kvstore_from_client(&node->store),
+                                                     .context = node,
+                                                     .now = port_now,
+                                                     .call_cloud = port_call_cloud,
+                                                     .is_absence_proven = port_proved_gone,
+                                                     .intent_changed = port_order_changed,
+                                                     .loaded = port_loaded,
+                                                     .log = port_log};
     struct amb_duty_settings settings = amb_duties_make_settings(&node->settings, &node->options);
     duties->records_exist = false;
     amb_info("duties: this node takes part, lease %lld ms", (long long)settings.ttl);
@@ -117,7 +117,7 @@
         amb_duties_apply_mode(node, value, revision);
     else if (duties->service.active)
         amb_duty_service_apply_change(&duties->service, key, value, revision);
-    else if (value && !strncmp(key, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)))
+    else if (value && !strncmp(key, AMB_DUTY_INTENT_KEYS, strlen(AMB_DUTY_INTENT_KEYS)))
         duties->records_exist = true;
     participate(node);
 }
--- a/lib/cloud_duty/scaling_intents.c
+++ b/lib/cloud_duty/scaling_intents.c
@@ -11,11 +11,11 @@
 #include <stdio.h>
 #include <string.h>
 
-_Static_assert((int)AMB_DUTY_INTENT_ID == (int)AMB_CLOUD_REQUEST_ID_SIZE, "a call holds an intent's id");
+_Static_assert((int)AMB_DUTY_INTENT_ID_SIZE == (int)AMB_CLOUD_REQUEST_ID_SIZE, "a call holds an intent's id");
 
 /* Intents are created under the leader's term, and once: the key must be absent. */
 static void create_intent(struct amb_node *node, enum amb_duty_name duty, const char *id,
-                          const struct amb_duty_work_order *work, amb_store_callback done) {
+                          const struct amb_duty_intent_payload *work, amb_store_callback done) {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
@@ -33,7 +33,7 @@
 
 /* The node, if it still leads under the term of the call; else NULL. Copies the intent's id, and frees the
  * call. */
-static struct amb_node *take_call(struct amb_cloud_call *call, char id[AMB_DUTY_INTENT_ID]) {
+static struct amb_node *take_call(struct amb_cloud_call *call, char id[AMB_DUTY_INTENT_ID_SIZE]) {
     strcpy(id, call->request_id);
     return amb_cloud_call_take(call);
 }
@@ -41,7 +41,7 @@
 /* ---- scale out ---- */
 
 static void handle_scale_out_created(void *arg, int status, const cbor_item_t *body) {
-    char id[AMB_DUTY_INTENT_ID];
+    char id[AMB_DUTY_INTENT_ID_SIZE];
     struct amb_node *node = take_call(arg, id);
     struct amb_scale_out_request *request = node ? amb_scale_out_find(node, id) : NULL;
     (void)body;
@@ -54,7 +54,7 @@
 }
 
 static void create_scale_out(struct amb_node *node, struct amb_scale_out_request *request) {
-    struct amb_duty_work_order work = {
+    struct amb_duty_intent_payload work = {
         .spot = request->spot, .count = request->count, .created_wall_ms = amb_wall_ms()};
     strcpy(work.type, node->catalog.types[request->type].name);
     strcpy(work.zone, node->catalog.zones[request->zone]);
@@ -72,7 +72,7 @@
 }
 
 /* False: the catalogue does not know the type, or there is no room for the zone. */
-static bool read_kind(struct amb_node *node, const struct amb_duty_work_order *work,
+static bool read_kind(struct amb_node *node, const struct amb_duty_intent_payload *work,
                       struct amb_scale_out_kind *out) {
     out->type = amb_catalog_find_type(&node->catalog, work->type);
     out->zone = amb_catalog_find_or_add_zone(&node->catalog, work->zone);
@@ -80,7 +80,7 @@
     return out->type >= 0 && out->zone >= 0;
 }
 
-static void add_machines(struct amb_node *node, const struct amb_duty_work_order *work) {
+static void add_machines(struct amb_node *node, const struct amb_duty_intent_payload *work) {
     struct amb_scale_out_kind kind;
     if (!read_kind(node, work, &kind)) return;
     for (uint32_t i = 0; i < work->machine_count; i++)
@@ -88,7 +88,7 @@
 }
 
 static void settle_scale_out(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                             const struct amb_duty_work_order *work) {
+                             const struct amb_duty_intent_payload *work) {
     struct amb_scale_out_request *request = amb_scale_out_find(node, intent->id);
     if (intent->result == AMB_DUTY_RESULT_DONE) add_machines(node, work);
     if (!request) return;
@@ -103,7 +103,7 @@
 }
 
 static void apply_scale_out(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                            const struct amb_duty_work_order *work) {
+                            const struct amb_duty_intent_payload *work) {
     struct amb_scale_out_request *request = amb_scale_out_find(node, intent->id);
     struct amb_scale_out_kind kind;
     if (intent->state == AMB_DUTY_INTENT_SETTLED) {
@@ -131,7 +131,7 @@
 }
 
 static void apply_scale_in(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                           const struct amb_duty_work_order *work) {
+                           const struct amb_duty_intent_payload *work) {
     bool gone = intent->state == AMB_DUTY_INTENT_SETTLED &&
                 (intent->result == AMB_DUTY_RESULT_DONE || intent->result == AMB_DUTY_RESULT_GONE);
     for (uint32_t i = 0; i < work->machine_count; i++) {
@@ -155,7 +155,7 @@
 }
 
 static void handle_scale_in_created(void *arg, int status, const cbor_item_t *body) {
-    char id[AMB_DUTY_INTENT_ID];
+    char id[AMB_DUTY_INTENT_ID_SIZE];
     struct amb_node *node = take_call(arg, id);
     (void)body;
     if (!node || strcmp(id, node->duties.scale_in.id) != 0) return;
@@ -167,7 +167,7 @@
         struct amb_machine *machine = amb_machine_get(node, intent->work.machines[i], false);
         if (machine) mark_released(machine, "being returned");
     }
-    amb_duty_work_order_free(&intent->work);
+    amb_duty_intent_payload_free(&intent->work);
     memset(intent, 0, sizeof *intent);
 }
 
@@ -190,7 +190,7 @@
             snprintf(intent->work.reason, sizeof intent->work.reason, "%s",
                      machine->release_reason ? machine->release_reason : "");
         }
-        if (fits_intent(intent, machine)) amb_duty_work_order_add_machine(&intent->work, machine->name);
+        if (fits_intent(intent, machine)) amb_duty_intent_payload_add_machine(&intent->work, machine->name);
     }
     return intent->work.machine_count > 0;
 }
@@ -219,7 +219,7 @@
 }
 
 static void apply_intent(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                         const struct amb_duty_work_order *work) {
+                         const struct amb_duty_intent_payload *work) {
     if (intent->duty == AMB_DUTY_RENT)
         apply_scale_out(node, intent, work);
     else
@@ -233,7 +233,7 @@
 }
 
 void amb_duties_apply_intent(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                             const struct amb_duty_work_order *work) {
+                             const struct amb_duty_intent_payload *work) {
     struct amb_scale_in_intent *scale_in = &node->duties.scale_in;
     if (!amb_election_has_leader_role(node) || !node->controller.restored_at) return;
     if (!work) {
@@ -241,7 +241,7 @@
         return;
     }
     if (intent->duty != AMB_DUTY_RENT && !strcmp(intent->id, scale_in->id) && !scale_in->in_flight) {
-        amb_duty_work_order_free(&scale_in->work);
+        amb_duty_intent_payload_free(&scale_in->work);
         memset(scale_in, 0, sizeof *scale_in);
     }
     apply_intent(node, intent, work);
--- a/lib/cloud_duty/scaling_mode.c
+++ b/lib/cloud_duty/scaling_mode.c
@@ -83,6 +83,6 @@
 void amb_duties_reset(struct amb_node *node) {
     struct amb_duties *duties = &node->duties;
     duties->mode_write_pending = false; /* the term is over: what was not carried out never is */
-    amb_duty_work_order_free(&duties->scale_in.work);
+    amb_duty_intent_payload_free(&duties->scale_in.work);
     memset(&duties->scale_in, 0, sizeof duties->scale_in);
 }
--- a/lib/config/options.c
+++ b/lib/config/options.c
@@ -81,7 +81,7 @@
     }
     enum amb_duty_settings_error error =
         amb_duty_settings_parse_names(&settings, names, wrong_name, sizeof wrong_name);
-    if (error == AMB_DUTY_SETTINGS_GOOD) {
+    if (error == AMB_DUTY_SETTINGS_OK) {
         strcpy(reader->options->duty_names, names);
         return;
     }
--- a/lib/duty/core.c
+++ b/lib/duty/core.c
@@ -35,7 +35,7 @@
 }
 
 static bool handle_duty_commit(struct duty_step *step) {
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         enum amb_duty_name name = (enum amb_duty_name)i;
         const struct amb_duty *duty = &step->core->duties[i];
         if (duty->call != step->event->call) continue;
@@ -58,7 +58,7 @@
 
 static void begin_stop(struct duty_step *step) {
     step->core->stopping = true;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) duty_drain(step, (enum amb_duty_name)i, "", "the member stops");
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) duty_drain(step, (enum amb_duty_name)i, "", "the member stops");
 }
 
 static void handle_event(struct duty_step *step) {
@@ -89,7 +89,7 @@
     handle_event(&step);
     if (step.end_cause) duty_lose_all(&step, step.end_cause);
     duty_incarnation_advance(&step);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) advance_duty(&step, (enum amb_duty_name)i);
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) advance_duty(&step, (enum amb_duty_name)i);
     duty_rebalance(&step);
     duty_intents_advance(&step);
 }
--- a/lib/duty/holding.c
+++ b/lib/duty/holding.c
@@ -68,7 +68,7 @@
 }
 
 void duty_lose_all(struct duty_step *step, const char *cause) {
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) duty_lose(step, (enum amb_duty_name)i, cause);
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) duty_lose(step, (enum amb_duty_name)i, cause);
 }
 
 void duty_finish_release(struct duty_step *step, enum amb_duty_name name) {
--- a/lib/duty/names.c
+++ b/lib/duty/names.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-static const char *const duty_names[AMB_DUTY_NAMES] = {"rent", "return", "reclaim", "cleanup"};
+static const char *const duty_names[AMB_DUTY_COUNT] = {"rent", "return", "reclaim", "cleanup"};
 
 const char *amb_duty_name_text(enum amb_duty_name duty) {
-    return duty < AMB_DUTY_NAMES ? duty_names[duty] : "unknown";
+    return duty < AMB_DUTY_COUNT ? duty_names[duty] : "unknown";
 }
 
 bool amb_duty_name_parse(const char *text, enum amb_duty_name *duty) {
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         if (strcmp(text, duty_names[i])) continue;
         *duty = (enum amb_duty_name)i;
         return true;
--- a/lib/duty/rebalance.c
+++ b/lib/duty/rebalance.c
@@ -5,7 +5,7 @@
 
 static uint32_t count_held_by(const struct amb_duty_core *core, const char *member) {
     uint32_t held = 0;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         const struct amb_duty_record *record = &core->duties[i].record;
         held += core->settings.enabled[i] && record->present && record->state == AMB_DUTY_RECORD_HELD &&
                 !strcmp(record->holder, member);
@@ -38,9 +38,9 @@
 void duty_rebalance(struct duty_step *step) {
     struct amb_duty_core *core = step->core;
     uint32_t enabled = 0, held = 0, live_members = 0, worst_rank = 0;
-    enum amb_duty_name worst = AMB_DUTY_NAMES;
+    enum amb_duty_name worst = AMB_DUTY_COUNT;
     for (int i = 0; i < AMB_DUTY_MEMBERS; i++) live_members += core->members[i].alive;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         enum amb_duty_name name = (enum amb_duty_name)i;
         enabled += core->settings.enabled[i];
         if (core->duties[i].state == AMB_DUTY_DRAINING) return; /* one at a time */
@@ -48,7 +48,7 @@
         held++;
         uint32_t rank = amb_duty_rank(core->members, AMB_DUTY_MEMBERS, name, core->member,
                                       core->settings.flap_decay, step->now);
-        if (worst != AMB_DUTY_NAMES && rank <= worst_rank) continue;
+        if (worst != AMB_DUTY_COUNT && rank <= worst_rank) continue;
         worst = name;
         worst_rank = rank;
     }
--- a/lib/duty/record_codec.c
+++ b/lib/duty/record_codec.c
@@ -13,12 +13,12 @@
 
 /* ---- work ---- */
 
-void amb_duty_work_order_free(struct amb_duty_work_order *work) {
+void amb_duty_intent_payload_free(struct amb_duty_intent_payload *work) {
     free(work->machines);
     memset(work, 0, sizeof *work);
 }
 
-bool amb_duty_work_order_add_machine(struct amb_duty_work_order *work, const char *machine) {
+bool amb_duty_intent_payload_add_machine(struct amb_duty_intent_payload *work, const char *machine) {
     if (work->machine_count == AMB_DUTY_MAX_MACHINES || strlen(machine) >= AMB_NAME_SIZE) return false;
     work->machines = amb_realloc(work->machines, (work->machine_count + 1) * sizeof *work->machines);
     strcpy(work->machines[work->machine_count++], machine);
@@ -73,14 +73,14 @@
     put_text(out, "cause", record->cause);
 }
 
-static void put_machines(struct amb_buf *out, const struct amb_duty_work_order *work) {
+static void put_machines(struct amb_buf *out, const struct amb_duty_intent_payload *work) {
     amb_cbor_write_string(out, "machines");
     amb_cbor_write_list(out, work->machine_count);
     for (uint32_t i = 0; i < work->machine_count; i++) amb_cbor_write_string(out, work->machines[i]);
 }
 
 void amb_duty_encode_intent(struct amb_buf *out, const struct amb_duty_intent_record *intent,
-                            const struct amb_duty_work_order *work) {
+                            const struct amb_duty_intent_payload *work) {
     enum { COMMON = 8, OF_RENT = 4, OF_RETURN = 1 };
     bool rents = intent->duty == AMB_DUTY_RENT;
     amb_cbor_write_map(out, COMMON + (rents ? OF_RENT : OF_RETURN));
@@ -168,18 +168,19 @@
     return AMB_DUTY_DECODED;
 }
 
-static bool read_machines(const cbor_item_t *value, struct amb_duty_work_order *work) {
+static bool read_machines(const cbor_item_t *value, struct amb_duty_intent_payload *work) {
     const cbor_item_t *list = amb_cbor_map_get(value, "machines");
     for (size_t i = 0; i < amb_cbor_list_length(list); i++) {
         char name[AMB_NAME_SIZE];
         if (!amb_cbor_copy_string(amb_cbor_list_item(list, i), name, sizeof name) ||
-            !amb_duty_work_order_add_machine(work, name))
+            !amb_duty_intent_payload_add_machine(work, name))
             return false;
     }
     return true;
 }
 
-static bool read_work(const cbor_item_t *value, enum amb_duty_name duty, struct amb_duty_work_order *work) {
+static bool read_work(const cbor_item_t *value, enum amb_duty_name duty,
+                      struct amb_duty_intent_payload *work) {
     uint64_t at;
     if (!read_number(value, "at", &at) || !read_machines(value, work)) return false;
     work->created_wall_ms = (int64_t)at;
@@ -192,7 +193,7 @@
 
 enum amb_duty_decode_result amb_duty_decode_intent(const cbor_item_t *value,
                                                    struct amb_duty_intent_record *out,
-                                                   struct amb_duty_work_order *work) {
+                                                   struct amb_duty_intent_payload *work) {
     memset(work, 0, sizeof *work);
     enum amb_duty_decode_result form = check_version(value);
     if (form != AMB_DUTY_DECODED) return form;
@@ -202,7 +203,7 @@
         !read_count(value, "unanswered", &out->unanswered) ||
         !amb_cbor_get_bool(amb_cbor_map_get(value, "withdrawn"), &out->withdrawn) ||
         !read_work(value, out->duty, work)) {
-        amb_duty_work_order_free(work);
+        amb_duty_intent_payload_free(work);
         return AMB_DUTY_MALFORMED;
     }
     out->state = (enum amb_duty_intent_state)state;
@@ -243,18 +244,18 @@
 }
 
 void amb_duty_intent_key(char out[AMB_DUTY_KEY_SIZE], enum amb_duty_name duty, const char *id) {
-    snprintf(out, AMB_DUTY_KEY_SIZE, "%s%s/%s", AMB_DUTY_ORDER_KEYS, amb_duty_name_text(duty), id);
+    snprintf(out, AMB_DUTY_KEY_SIZE, "%s%s/%s", AMB_DUTY_INTENT_KEYS, amb_duty_name_text(duty), id);
 }
 
-bool amb_duty_parse_intent_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_INTENT_ID]) {
-    enum { PREFIX_LENGTH = sizeof AMB_DUTY_ORDER_KEYS - 1, NAME_MOST = 16 };
-    if (strncmp(key, AMB_DUTY_ORDER_KEYS, PREFIX_LENGTH) != 0) return false;
+bool amb_duty_parse_intent_key(const char *key, enum amb_duty_name *duty, char id[AMB_DUTY_INTENT_ID_SIZE]) {
+    enum { PREFIX_LENGTH = sizeof AMB_DUTY_INTENT_KEYS - 1, NAME_MOST = 16 };
+    if (strncmp(key, AMB_DUTY_INTENT_KEYS, PREFIX_LENGTH) != 0) return false;
     const char *name = key + PREFIX_LENGTH, *slash = strchr(name, '/');
     char text[NAME_MOST];
     if (!slash || (size_t)(slash - name) >= sizeof text || !slash[1] ||
-        strlen(slash + 1) >= AMB_DUTY_INTENT_ID)
+        strlen(slash + 1) >= AMB_DUTY_INTENT_ID_SIZE)
         return false;
     snprintf(text, sizeof text, "%.*s", (int)(slash - name), name);
-    snprintf(id, AMB_DUTY_INTENT_ID, "%s", slash + 1);
+    snprintf(id, AMB_DUTY_INTENT_ID_SIZE, "%s", slash + 1);
     return amb_duty_name_parse(text, duty);
 }
--- a/lib/duty/service.c
+++ b/lib/duty/service.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-void amb_duty_service_start(struct amb_duty_service *service, const struct amb_duty_ports *ports,
+void amb_duty_service_start(struct amb_duty_service *service, const struct amb_duty_service_callbacks *ports,
                             const struct amb_duty_settings *settings, const char *member, uint64_t seed) {
     uint64_t incarnation = service->activation + 1;
     memset(service, 0, sizeof *service);
@@ -36,14 +36,14 @@
 }
 
 static bool holds_any(const struct amb_duty_service *service) {
-    for (int i = 0; i < AMB_DUTY_NAMES; i++)
+    for (int i = 0; i < AMB_DUTY_COUNT; i++)
         if (amb_duty_service_is_holder(service, (enum amb_duty_name)i)) return true;
     return false;
 }
 
 /* An operator's request concerns the holder at that time: one that has claimed since is not meant. */
 static void apply_handovers(struct amb_duty_service *service) {
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         const struct amb_duty *duty = &service->core.duties[i];
         const char *successor = service->handover[i].successor;
         if (duty->state != AMB_DUTY_HELD || service->handover_revision[i] <= duty->revision ||
@@ -71,7 +71,7 @@
         char key[AMB_DUTY_KEY_SIZE];
         amb_duty_intent_key(key, intent->record.duty, intent->record.id);
         const struct amb_duty_intent_entry *entry = duty_find_entry(service, key);
-        if (!entry || !service->ports.is_proved_gone(service->ports.context, &entry->work)) continue;
+        if (!entry || !service->ports.is_absence_proven(service->ports.context, &entry->work)) continue;
         duty_feed_event(service, &(struct amb_duty_event){.type = AMB_DUTY_PROVED_GONE,
                                                           .duty = intent->record.duty,
                                                           .intent = intent->record});
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -43,11 +43,11 @@
     struct amb_duty_service *service = duty_call_take(arg, &call);
     struct amb_duty_intent_entry *entry = service ? duty_find_entry(service, call.key) : NULL;
     if (entry && reply->answer == AMB_DUTY_CLOUD_DONE) {
-        amb_duty_work_order_free(&entry->acquired);
+        amb_duty_intent_payload_free(&entry->acquired);
         entry->acquired = reply->acquired;
         memset(&reply->acquired, 0, sizeof reply->acquired);
     }
-    amb_duty_work_order_free(&reply->acquired);
+    amb_duty_intent_payload_free(&reply->acquired);
     if (!service) return;
     duty_feed_event(service, &(struct amb_duty_event){.type = AMB_DUTY_CLOUD_ANSWERED,
                                                       .duty = call.duty,
@@ -127,7 +127,7 @@
         refuse_commit(service, action->call);
         return;
     }
-    struct amb_duty_work_order work = entry->work;
+    struct amb_duty_intent_payload work = entry->work;
     bool rented = action->intent.duty == AMB_DUTY_RENT && action->intent.result == AMB_DUTY_RESULT_DONE;
     if (rented && entry->acquired.machine_count) {
         work.machine_count = entry->acquired.machine_count;
@@ -165,7 +165,7 @@
     struct duty_call *call = duty_call_new(service, action->call);
     call->duty = action->duty;
     strcpy(call->key, key);
-    const struct amb_duty_ports *ports = &service->ports;
+    const struct amb_duty_service_callbacks *ports = &service->ports;
     bool may_send = known && amb_duty_may_send(&service->core, action, ports->now(ports->context));
     AMB_TRACE3(duty_call, action->intent.id, action->fencing_token, may_send);
     if (may_send && ports->call_cloud(ports->context, &action->intent, &entry->work, action->fencing_token,
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -27,8 +27,8 @@
 
 static void free_entry(struct amb_duty_service *service, struct amb_duty_intent_entry *entry) {
     HASH_DEL(service->entries, entry);
-    amb_duty_work_order_free(&entry->work);
-    amb_duty_work_order_free(&entry->acquired);
+    amb_duty_intent_payload_free(&entry->work);
+    amb_duty_intent_payload_free(&entry->acquired);
     free(entry);
 }
 
@@ -65,7 +65,7 @@
 static void apply_intent(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
                          const cbor_item_t *value, uint64_t revision) {
     struct amb_duty_intent_record record = {.revision = revision};
-    struct amb_duty_work_order work;
+    struct amb_duty_intent_payload work;
     if (!amb_duty_parse_intent_key(key, &record.duty, record.id)) return;
     if (!value) {
         remove_intent(service, how, key, &record);
@@ -85,7 +85,7 @@
     if (!entry) entry = add_entry(service, key);
     entry->listed = true;
     entry->record = record;
-    amb_duty_work_order_free(&entry->work);
+    amb_duty_intent_payload_free(&entry->work);
     entry->work = work;
     feed_intent(service, how, &record);
     service->ports.intent_changed(service->ports.context, &entry->record, &entry->work);
@@ -180,7 +180,7 @@
         apply_member(service, key + strlen(AMB_DUTY_MEMBER_KEYS), value, revision);
     else if (has_prefix(key, AMB_DUTY_HANDOVER_KEYS))
         apply_handover(service, key + strlen(AMB_DUTY_HANDOVER_KEYS), value, revision);
-    else if (has_prefix(key, AMB_DUTY_ORDER_KEYS))
+    else if (has_prefix(key, AMB_DUTY_INTENT_KEYS))
         apply_intent(service, AMB_DUTY_INTENT_CHANGED, key, value, revision);
 }
 
@@ -190,7 +190,7 @@
  * meanwhile is not added to its table again, though the removal has not been received yet. */
 static void apply_read(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
                        uint64_t revision) {
-    if (has_prefix(key, AMB_DUTY_ORDER_KEYS))
+    if (has_prefix(key, AMB_DUTY_INTENT_KEYS))
         apply_intent(service, AMB_DUTY_INTENT_READ, key, value, revision);
     else
         amb_duty_service_apply_change(service, key, value, revision);
@@ -205,7 +205,7 @@
     while (amb_list_page_next(page, &position, &pair)) {
         if (key && !strcmp(pair.key, key)) found = true;
         /* Only intents that are known are read: this one has been removed since. */
-        bool is_intent = has_prefix(pair.key, AMB_DUTY_ORDER_KEYS);
+        bool is_intent = has_prefix(pair.key, AMB_DUTY_INTENT_KEYS);
         if (key && is_intent && !duty_find_entry(service, pair.key)) continue;
         if (key)
             apply_read(service, pair.key, pair.value, pair.revision);
@@ -244,10 +244,10 @@
 
 static void finish_duties(struct amb_duty_service *service, uint64_t revision) {
     finish_members(service, revision);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++)
+    for (int i = 0; i < AMB_DUTY_COUNT; i++)
         if (!service->record_listed[i])
             apply_record(service, amb_duty_name_text((enum amb_duty_name)i), NULL, revision);
-    service->listing_prefix = AMB_DUTY_ORDER_KEYS;
+    service->listing_prefix = AMB_DUTY_INTENT_KEYS;
     service->listing_cursor[0] = 0;
     service->listing_revision = 0;
     request_next_page(service);
--- a/lib/duty/settings.c
+++ b/lib/duty/settings.c
@@ -25,7 +25,7 @@
         .keep_uncertain = list_span * 8,
         .max_refusals = 1,
     };
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) settings.enabled[i] = true;
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) settings.enabled[i] = true;
     return settings;
 }
 
@@ -44,9 +44,9 @@
                                                            size_t wrong_name_size) {
     char name[AMB_NAME_SIZE];
     bool all = !strcmp(names, "all");
-    uint32_t count = all ? AMB_DUTY_NAMES : 0;
+    uint32_t count = all ? AMB_DUTY_COUNT : 0;
     if (wrong_name_size) wrong_name[0] = 0;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) settings->enabled[i] = all;
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) settings->enabled[i] = all;
     for (const char *at = all ? NULL : next_name(names, name, sizeof name); at;
          at = next_name(at, name, sizeof name)) {
         enum amb_duty_name duty;
@@ -58,12 +58,12 @@
         settings->enabled[duty] = true;
         count++;
     }
-    return count ? AMB_DUTY_SETTINGS_GOOD : AMB_DUTY_SETTINGS_NO_NAME;
+    return count ? AMB_DUTY_SETTINGS_OK : AMB_DUTY_SETTINGS_NO_NAME;
 }
 
 enum amb_duty_settings_error amb_duty_settings_check(const struct amb_duty_settings *settings) {
     bool any = false;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) any |= settings->enabled[i];
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) any |= settings->enabled[i];
     if (!any) return AMB_DUTY_SETTINGS_NO_NAME;
     if (settings->ttl < TTL_MIN_MS || settings->ttl > TTL_MAX_MS) return AMB_DUTY_SETTINGS_TTL_RANGE;
     if (settings->drift_ppm > DRIFT_MAX_PPM) return AMB_DUTY_SETTINGS_DRIFT_RANGE;
@@ -76,13 +76,13 @@
     if (settings->keep_settled <= 0 || settings->keep_uncertain < settings->keep_settled)
         return AMB_DUTY_SETTINGS_KEEP_RANGE;
     if (!settings->max_refusals) return AMB_DUTY_SETTINGS_REFUSALS_RANGE;
-    return AMB_DUTY_SETTINGS_GOOD;
+    return AMB_DUTY_SETTINGS_OK;
 }
 
 static const struct {
     const char *field, *allowed;
 } errors[] = {
-    [AMB_DUTY_SETTINGS_GOOD] = {"", ""},
+    [AMB_DUTY_SETTINGS_OK] = {"", ""},
     [AMB_DUTY_SETTINGS_UNKNOWN_NAME] = {"names", "rent, return, reclaim, cleanup, or all"},
     [AMB_DUTY_SETTINGS_DOUBLED_NAME] = {"names", "each duty once"},
     [AMB_DUTY_SETTINGS_NO_NAME] = {"names", "at least one of rent, return, reclaim, cleanup, or all"},
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -89,7 +89,7 @@
                             json_integer(amb_duty_settings_vacancy_bound(&service->core.settings,
                                                                          node->settings.peer_count + 1)));
     json_t *list = json_array();
-    for (int i = 0; i < AMB_DUTY_NAMES && service->active; i++)
+    for (int i = 0; i < AMB_DUTY_COUNT && service->active; i++)
         json_array_append_new(list, describe_duty(service, (enum amb_duty_name)i, now));
     json_object_set_new(status, "duties", list);
     json_object_set_new(status, "handovers", describe_handovers(service, now));
--- a/tests/duty/test_duty_parts.c
+++ b/tests/duty/test_duty_components.c
@@ -15,12 +15,12 @@
         const char *names;
         enum amb_duty_settings_error error;
         const char *wrong;
-        bool enabled[AMB_DUTY_NAMES];
+        bool enabled[AMB_DUTY_COUNT];
     } rows[] = {
-        {"all", AMB_DUTY_SETTINGS_GOOD, "", {true, true, true, true}},
-        {"rent", AMB_DUTY_SETTINGS_GOOD, "", {true}},
-        {"cleanup, return", AMB_DUTY_SETTINGS_GOOD, "", {false, true, false, true}},
-        {" reclaim\t", AMB_DUTY_SETTINGS_GOOD, "", {false, false, true, false}},
+        {"all", AMB_DUTY_SETTINGS_OK, "", {true, true, true, true}},
+        {"rent", AMB_DUTY_SETTINGS_OK, "", {true}},
+        {"cleanup, return", AMB_DUTY_SETTINGS_OK, "", {false, true, false, true}},
+        {" reclaim\t", AMB_DUTY_SETTINGS_OK, "", {false, false, true, false}},
         {"", AMB_DUTY_SETTINGS_NO_NAME, "", {false}},
         {" , ", AMB_DUTY_SETTINGS_NO_NAME, "", {false}},
         {"rent,rent", AMB_DUTY_SETTINGS_DOUBLED_NAME, "rent", {true}},
@@ -40,7 +40,7 @@
     }
 }
 
-static void settings_that_cannot_work(void **state) {
+static void invalid_settings(void **state) {
     (void)state;
     struct amb_duty_settings good = amb_duty_settings_default(TTL, LIST_SPAN);
     struct {
@@ -57,7 +57,7 @@
         struct amb_duty_settings *changed = &rows[count++].settings;                                         \
         __VA_ARGS__;                                                                                         \
     } while (0)
-    ROW("the defaults", GOOD, (void)changed);
+    ROW("the defaults", OK, (void)changed);
     ROW("no duty", NO_NAME, memset(changed->enabled, 0, sizeof changed->enabled));
     ROW("a lease below what the state service takes", TTL_RANGE, changed->ttl = 99);
     ROW("a lease above it", TTL_RANGE, changed->ttl = 600001);
@@ -66,7 +66,7 @@
     ROW("a lease that leaves no more than a renewal and three calls", SHORT_LEASE,
         changed->call_timeout = 699;
         changed->backoff = 700);
-    ROW("and one that leaves just more", GOOD, changed->call_timeout = 698; changed->backoff = 700);
+    ROW("and one that leaves just more", OK, changed->call_timeout = 698; changed->backoff = 700);
     ROW("a lease shorter than drift allows", SHORT_LEASE, changed->drift_ppm = 100000;
         changed->safety_margin = 750);
     ROW("a margin as long as the lease", SHORT_LEASE, changed->safety_margin = TTL);
@@ -84,8 +84,7 @@
         if (error != rows[i].error)
             fail_msg("%s: error %d, wanted %d", rows[i].what, (int)error, (int)rows[i].error);
         bool named = amb_duty_settings_field(error)[0] && amb_duty_settings_allowed(error)[0];
-        if (named != (error != AMB_DUTY_SETTINGS_GOOD))
-            fail_msg("%s: field and what is allowed", rows[i].what);
+        if (named != (error != AMB_DUTY_SETTINGS_OK)) fail_msg("%s: field and what is allowed", rows[i].what);
     }
 }
 
@@ -98,7 +97,7 @@
 
 /* ---- the local right ---- */
 
-static void local_right(void **state) {
+static void local_validity(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -121,7 +120,7 @@
 
 /* The member's clock is slow by the drift while the state service's is fast by it, and the other way about:
  * the right never outlasts the lease. */
-static void right_within_lease(void **state) {
+static void local_validity_within_lease(void **state) {
     (void)state;
     static const uint32_t drifts[] = {0, 1, 500, 10000, 100000};
     static const amb_ms ttls[] = {100, 101, 999, 3000, 5001, 600000};
@@ -142,7 +141,7 @@
     }
 }
 
-static void counted_from_sending(void **state) {
+static void lease_counts_from_sending(void **state) {
     (void)state;
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
     amb_ms span = amb_duty_lease_local_ttl(&settings);
@@ -183,7 +182,7 @@
     (void)state;
     struct amb_duty_member members[MEMBERS];
     fill(members);
-    for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
+    for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) {
         uint32_t seen = 0;
         for (int i = 0; i < MEMBERS; i++)
             seen |=
@@ -201,7 +200,7 @@
     (void)state;
     struct amb_duty_member members[MEMBERS];
     for (int gone = 0; gone < MEMBERS; gone++) {
-        for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
+        for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) {
             fill(members);
             int before = preferred(members, (enum amb_duty_name)duty);
             members[gone].alive = false;
@@ -221,7 +220,7 @@
         struct amb_duty_member members[MEMBERS];
         fill(members);
         for (int i = 0; i < MEMBERS; i++) snprintf(members[i].name, AMB_NAME_SIZE, "c%d-n-%d", fleet, i);
-        for (int duty = 0; duty < AMB_DUTY_NAMES; duty++)
+        for (int duty = 0; duty < AMB_DUTY_COUNT; duty++)
             first[preferred(members, (enum amb_duty_name)duty)]++;
     }
     for (int i = 0; i < MEMBERS; i++) /* 400 each on average */
@@ -494,11 +493,11 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(duty_names),
-        cmocka_unit_test(settings_that_cannot_work),
+        cmocka_unit_test(invalid_settings),
         cmocka_unit_test(vacancy_bound),
-        cmocka_unit_test(local_right),
-        cmocka_unit_test(right_within_lease),
-        cmocka_unit_test(counted_from_sending),
+        cmocka_unit_test(local_validity),
+        cmocka_unit_test(local_validity_within_lease),
+        cmocka_unit_test(lease_counts_from_sending),
         cmocka_unit_test(ranks_are_an_order),
         cmocka_unit_test(ranks_are_stable),
         cmocka_unit_test(duties_are_spread),
--- a/tests/duty/test_duty_core.c
+++ b/tests/duty/test_duty_core.c
@@ -182,7 +182,7 @@
 
 static struct amb_duty_settings settings_for(enum amb_duty_name duty) {
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) settings.enabled[i] = i == (int)duty;
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) settings.enabled[i] = i == (int)duty;
     return settings;
 }
 
@@ -227,7 +227,7 @@
     assert_int_equal(core.incarnation.lease.valid_from, START + TTL / 4);
 }
 
-static void joining_with_trouble(void **state) {
+static void joining_with_failures(void **state) {
     (void)state;
     start();
     step(tick(0));
@@ -252,7 +252,7 @@
     assert_int_equal(core.incarnation.revision, 14);
 }
 
-static void joining_over_a_former_self(void **state) {
+static void joining_over_a_previous_incarnation(void **state) {
     (void)state;
     start();
     step(member(0, "n-0", true, 9, 1234));
@@ -263,7 +263,7 @@
     EXPECT(record(7, "n-0", 9, 3, 8), CANDIDATE, "claim 4 over 8, none 0, self 20");
 }
 
-static void the_key_must_be_written_while_the_lease_is_sure(void **state) {
+static void member_key_is_written_under_a_valid_lease(void **state) {
     (void)state;
     start();
     step(tick(0));
@@ -273,7 +273,7 @@
     assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_NONE);
 }
 
-static void losing_the_session(void **state) {
+static void losing_the_member_lease(void **state) {
     (void)state;
     hold();
     step(tick(TTL / 4));
@@ -311,7 +311,7 @@
     EXPECT(committed(41, AMB_CALL_CONFLICT, 0), HELD, "");  /* a copy of an answer */
 }
 
-static void claiming_over_a_new_session(void **state) {
+static void claiming_over_a_new_incarnation(void **state) {
     (void)state;
     join();
     /* The holder was started again before its absence was heard of. */
@@ -330,7 +330,7 @@
     EXPECT(committed(5, AMB_CALL_OK, CLAIM), HELD, "");
 }
 
-static void claims_that_race(void **state) {
+static void concurrent_claims(void **state) {
     (void)state;
     join();
     step(member(20, "n-1", false, 30, 0));
@@ -365,7 +365,7 @@
     EXPECT(tick(20 + 900), CANDIDATE, "extend 7, read record");
 }
 
-static void others_go_first(void **state) {
+static void higher_ranked_members_claim_first(void **state) {
     (void)state;
     join();
     step(member(5, "n-2", true, 11, 2));
@@ -419,7 +419,7 @@
     }
 }
 
-static void a_named_successor_goes_first(void **state) {
+static void named_successor_claims_first(void **state) {
     (void)state;
     join();
     EXPECT(released(20, "n-1", 3, 30, "n-0"), CANDIDATE, "claim 4 over 30, none 0, self 20");
@@ -431,7 +431,7 @@
     EXPECT(tick(20 + BACKOFF * 7 / 2), CANDIDATE, "extend 7, claim 4 over 30, none 0, self 20");
 }
 
-static void no_claim_without_a_sure_lease(void **state) {
+static void no_claim_without_a_valid_lease(void **state) {
     (void)state;
     join();
     EXPECT(tick(RIGHT), IDLE, "extend 7");
@@ -480,7 +480,7 @@
 
 /* ---- orders ---- */
 
-static void an_order(void **state) {
+static void intent_life_cycle(void **state) {
     (void)state;
     hold();
     EXPECT(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
@@ -523,7 +523,7 @@
     assert_int_equal(storage[0].result, AMB_DUTY_RESULT_NONE);
 }
 
-static void orders_without_answers(void **state) {
+static void intents_without_answers(void **state) {
     (void)state;
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
@@ -560,7 +560,7 @@
     EXPECT(answered(2502, AMB_DUTY_CLOUD_DONE), HELD, "o-1 done by 4 over 50/56, 0 unanswered");
 }
 
-static void orders_of_an_earlier_holder(void **state) {
+static void intents_of_an_earlier_holder(void **state) {
     (void)state;
     join();
     step(intent_event(5, AMB_DUTY_INTENT_SENT, 3, 16));
@@ -579,7 +579,7 @@
     EXPECT(tick(5000), FENCED, "extend 7");
 }
 
-static void more_orders_than_room(void **state) {
+static void more_intents_than_capacity(void **state) {
     (void)state;
     hold();
     for (int i = 0; i <= ORDERS; i++) {
@@ -603,7 +603,7 @@
     EXPECT(tick(21 + TTL), FENCED, "");
 }
 
-static void reads_that_come_late(void **state) {
+static void late_reads(void **state) {
     (void)state;
     hold();
     /* The order was removed, and the news of it came before the answer to a read. */
@@ -708,7 +708,7 @@
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
     step(committed(2, AMB_CALL_OK, SESSION));
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         struct amb_duty_event event = record(3, "", 0, 0, 0);
         event.duty = (enum amb_duty_name)i;
         step(event);
@@ -719,10 +719,10 @@
     step(member(10, "n-1", true, 70, 1));
     step(tick(10 + TTL - 200));
     step(extended(10 + TTL - 199, AMB_CALL_OK));
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) assert_int_equal(core.duties[i].state, AMB_DUTY_HELD);
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) assert_int_equal(core.duties[i].state, AMB_DUTY_HELD);
     step(tick(10 + TTL));
     int drained = 0;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         if (core.duties[i].state != AMB_DUTY_DRAINING) continue;
         drained++;
         assert_string_equal(core.duties[i].successor, "n-1");
@@ -731,7 +731,7 @@
     step(tick(11 + TTL));
     step(committed(12 + TTL, AMB_CALL_OK, 80));
     step(tick(13 + TTL));
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) assert_int_not_equal(core.duties[i].state, AMB_DUTY_DRAINING);
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) assert_int_not_equal(core.duties[i].state, AMB_DUTY_DRAINING);
 }
 
 static void cleaning_up(void **state) {
@@ -762,30 +762,30 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(joining),
-        cmocka_unit_test(joining_with_trouble),
-        cmocka_unit_test(joining_over_a_former_self),
-        cmocka_unit_test(the_key_must_be_written_while_the_lease_is_sure),
-        cmocka_unit_test(losing_the_session),
+        cmocka_unit_test(joining_with_failures),
+        cmocka_unit_test(joining_over_a_previous_incarnation),
+        cmocka_unit_test(member_key_is_written_under_a_valid_lease),
+        cmocka_unit_test(losing_the_member_lease),
         cmocka_unit_test(claiming),
-        cmocka_unit_test(claiming_over_a_new_session),
+        cmocka_unit_test(claiming_over_a_new_incarnation),
         cmocka_unit_test(the_first_claim_ever),
-        cmocka_unit_test(claims_that_race),
+        cmocka_unit_test(concurrent_claims),
         cmocka_unit_test(claims_without_an_answer),
-        cmocka_unit_test(others_go_first),
+        cmocka_unit_test(higher_ranked_members_claim_first),
         cmocka_unit_test(backoff_and_jitter),
-        cmocka_unit_test(a_named_successor_goes_first),
-        cmocka_unit_test(no_claim_without_a_sure_lease),
+        cmocka_unit_test(named_successor_claims_first),
+        cmocka_unit_test(no_claim_without_a_valid_lease),
         cmocka_unit_test(fencing),
         cmocka_unit_test(being_replaced),
         cmocka_unit_test(refused_as_stale),
-        cmocka_unit_test(an_order),
+        cmocka_unit_test(intent_life_cycle),
         cmocka_unit_test(a_pause_before_sending),
         cmocka_unit_test(a_pause_past_the_lease),
-        cmocka_unit_test(orders_without_answers),
+        cmocka_unit_test(intents_without_answers),
         cmocka_unit_test(a_call_that_is_never_answered),
-        cmocka_unit_test(orders_of_an_earlier_holder),
-        cmocka_unit_test(more_orders_than_room),
-        cmocka_unit_test(reads_that_come_late),
+        cmocka_unit_test(intents_of_an_earlier_holder),
+        cmocka_unit_test(more_intents_than_capacity),
+        cmocka_unit_test(late_reads),
         cmocka_unit_test(a_call_decided_before_the_last_claim),
         cmocka_unit_test(draining),
         cmocka_unit_test(draining_past_the_deadline),
--- a/tests/duty/test_duty_explore_small.c
+++ b/tests/duty/test_duty_explore_small.c
@@ -5,7 +5,7 @@
 
 enum { MOST_STATES = 400000, QUIET_EVERY = 97 };
 
-static void every_state_is_well(void **state) {
+static void every_state_is_safe(void **state) {
     (void)state;
     uint64_t states = 0;
     for (size_t i = 0; i < duty_scenario_count; i++) {
@@ -22,7 +22,7 @@
     print_message("%llu states in all\n", (unsigned long long)states);
 }
 
-static void each_mechanism_is_missed(void **state) {
+static void each_mechanism_is_needed(void **state) {
     (void)state;
     static const struct {
         enum world_fault fault;
@@ -50,8 +50,8 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(every_state_is_well),
-        cmocka_unit_test(each_mechanism_is_missed),
+        cmocka_unit_test(every_state_is_safe),
+        cmocka_unit_test(each_mechanism_is_needed),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty/test_duty_wiring.c
+++ b/tests/duty/test_duty_integration.c
@@ -42,12 +42,12 @@
     struct amb_buf value = {0};
     struct amb_duty_intent_record intent = {
         .duty = duty, .state = state, .result = result, .fencing_token = 1};
-    struct amb_duty_work_order work = {
+    struct amb_duty_intent_payload work = {
         .type = "g8", .zone = "a", .count = 1, .reason = "idle", .created_wall_ms = 1};
-    if (machine) amb_duty_work_order_add_machine(&work, machine);
+    if (machine) amb_duty_intent_payload_add_machine(&work, machine);
     amb_duty_intent_key(key, duty, id);
     amb_duty_encode_intent(&value, &intent, &work);
-    amb_duty_work_order_free(&work);
+    amb_duty_intent_payload_free(&work);
     apply_change(key, &value, revision);
 }
 
@@ -128,7 +128,7 @@
     free(said);
 }
 
-static void heartbeats_say_whether_it_is_on(void **state) {
+static void heartbeats_say_whether_duties_are_enabled(void **state) {
     (void)state;
     node->options.duties = 1;
     char *text = amb_peer_encode_heartbeat(node);
@@ -146,7 +146,7 @@
 
 /* ---- the mode ---- */
 
-static void duties_come_into_use_once_all_say_so(void **state) {
+static void duties_come_into_use_once_all_peers_agree(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -216,7 +216,7 @@
     }
 }
 
-static void a_mode_of_a_newer_form_is_not_acted_on(void **state) {
+static void a_mode_of_a_newer_version_is_not_acted_on(void **state) {
     (void)state;
     struct amb_buf value = {0};
     node->options.duties = 1;
@@ -230,7 +230,7 @@
     assert_null(find_commit(MODE_KEY));
 }
 
-static void duties_go_out_of_use_once_orders_are_settled(void **state) {
+static void duties_go_out_of_use_once_intents_are_settled(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -268,7 +268,7 @@
 }
 
 /* A node that is switched off takes part as long as there is something to finish. */
-static void a_node_switched_off_takes_part_until_all_is_done(void **state) {
+static void a_disabled_node_takes_part_until_intents_are_settled(void **state) {
     (void)state;
     apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
     take_part();
@@ -291,7 +291,7 @@
     amb_duties_tick(node, amb_now());
 }
 
-static void rentals_are_ordered(void **state) {
+static void scale_out_intents_are_written(void **state) {
     (void)state;
     use_duties();
     amb_scale_out_submit(node, 0, 0, false, 1);
@@ -318,7 +318,7 @@
     assert_int_equal(machine->state, AMB_MACHINE_BOOTING);
 }
 
-static void refusals_are_heeded(void **state) {
+static void refusals_start_the_capacity_backoff(void **state) {
     (void)state;
     use_duties();
     amb_scale_out_submit(node, 0, 0, false, 1);
@@ -328,7 +328,7 @@
 }
 
 /* Else it would count as coming for ever, and keep duties in use. */
-static void orders_whose_end_was_missed_are_dropped(void **state) {
+static void intents_whose_removal_was_missed_are_dropped(void **state) {
     (void)state;
     use_duties();
     amb_scale_out_submit(node, 0, 0, false, 1);
@@ -339,7 +339,7 @@
 }
 
 /* A write without an answer is repeated under the same name. */
-static void orders_are_written_once(void **state) {
+static void intents_are_written_once(void **state) {
     (void)state;
     use_duties();
     struct amb_machine *machine = machine_up("m-1", 0);
@@ -437,7 +437,7 @@
 
 /* A copy of a report of a machine that is gone may come late, and a list may be old: nothing is started
  * there. */
-static void returned_machines_do_not_come_back(void **state) {
+static void released_machines_do_not_come_back(void **state) {
     (void)state;
     use_duties();
     node->controller.restored_at = 0;
@@ -449,7 +449,7 @@
     assert_int_equal(machine->state, AMB_MACHINE_RELEASING);
 }
 
-static void new_leaders_wait_until_they_know(void **state) {
+static void new_leaders_wait_for_duty_records(void **state) {
     (void)state;
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
@@ -462,7 +462,7 @@
     assert_true(amb_duties_is_ready(node));
 }
 
-static void new_leaders_take_over_rentals(void **state) {
+static void new_leaders_take_over_scale_out_requests(void **state) {
     (void)state;
     use_duties();
     node->controller.restored_at = 0;
@@ -494,7 +494,7 @@
 }
 
 /* From the claim on: a fresh read, the records, and only then the way is free. */
-static void take_over_comes_before_placing(void **state) {
+static void takeover_comes_before_placing(void **state) {
     (void)state;
     char err[128];
     use_duties();
@@ -541,7 +541,7 @@
     (void)state;
     struct amb_buf leader = {0}, order = {0};
     struct amb_duty_intent_record record = {.duty = AMB_DUTY_RETURN};
-    struct amb_duty_work_order work = {.reason = "idle"};
+    struct amb_duty_intent_payload work = {.reason = "idle"};
     amb_cbor_write_map(&leader, 2);
     amb_cbor_write_string(&leader, "member"), amb_cbor_write_string(&leader, "n-0");
     amb_cbor_write_string(&leader, "nonce"), amb_cbor_write_uint(&leader, 1);
@@ -571,7 +571,7 @@
 }
 
 /* Without the cloud's answer a holder settles a return by what this node has seen as leader, no less. */
-static void only_a_list_proves_machines_gone(void **state) {
+static void only_a_machine_list_proves_absence(void **state) {
     (void)state;
     static const struct {
         const char *what, *listed, *stance;
@@ -591,12 +591,12 @@
         begin_duties_anew();
         use_duties();
         fake_answer_all_lost();
-        struct amb_duty_work_order work = {0};
-        const struct amb_duty_ports *ports = &node->duties.service.ports;
-        amb_duty_work_order_add_machine(&work, "m-1");
+        struct amb_duty_intent_payload work = {0};
+        const struct amb_duty_service_callbacks *ports = &node->duties.service.ports;
+        amb_duty_intent_payload_add_machine(&work, "m-1");
         apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
         if (rows[i].second) {
-            amb_duty_work_order_add_machine(&work, "m-2");
+            amb_duty_intent_payload_add_machine(&work, "m-2");
             apply_intent(AMB_DUTY_RETURN, "t-50-2", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-2", 62);
         }
         amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.heartbeat_s);
@@ -604,22 +604,22 @@
         fake_answer_all_lost();
         if (!rows[i].no_list) read_list(rows[i].listed, rows[i].stance, rows[i].more);
         if (rows[i].stops_leading) amb_controller_stop_leading(node, "a test");
-        if (ports->is_proved_gone(node, &work) != rows[i].proved)
+        if (ports->is_absence_proven(node, &work) != rows[i].proved)
             fail_msg("%s: proved: %d", rows[i].what, !rows[i].proved);
-        amb_duty_work_order_free(&work);
+        amb_duty_intent_payload_free(&work);
     }
-    const struct amb_duty_work_order empty = {0};
-    assert_false(node->duties.service.ports.is_proved_gone(node, &empty));
+    const struct amb_duty_intent_payload empty = {0};
+    assert_false(node->duties.service.ports.is_absence_proven(node, &empty));
 }
 
 /* ---- the holder's calls ---- */
 
 static void cloud_done(void *arg, struct amb_duty_cloud_reply *reply) {
     *(enum amb_duty_cloud_answer *)arg = reply->answer;
-    amb_duty_work_order_free(&reply->acquired);
+    amb_duty_intent_payload_free(&reply->acquired);
 }
 
-static void calls_carry_the_token(void **state) {
+static void calls_carry_the_fencing_token(void **state) {
     (void)state;
     static const struct {
         enum amb_duty_name duty;
@@ -641,7 +641,7 @@
         uint64_t fencing_token = 0;
         enum amb_duty_cloud_answer answer = AMB_DUTY_CLOUD_NOT_SENT;
         const struct amb_duty_intent_record intent = {.duty = rows[i].duty, .id = "r-1-1"};
-        const struct amb_duty_work_order work = {.type = "g8", .zone = "a", .count = 1};
+        const struct amb_duty_intent_payload work = {.type = "g8", .zone = "a", .count = 1};
         struct amb_buf body = {0};
         begin_duties_anew();
         assert_true(amb_duties_call_cloud(node, &intent, &work, 7, cloud_done, &answer));
@@ -662,10 +662,10 @@
 
 /* With a follower's share of the writes alone, a rental waited for tokens at its holder. All parts together
  * are one. */
-static void holders_may_write_more(void **state) {
+static void holders_have_a_larger_write_budget(void **state) {
     (void)state;
     static const struct {
-        bool in_use, held[AMB_DUTY_NAMES];
+        bool in_use, held[AMB_DUTY_COUNT];
         double writes; /* of 3000 a second, at one follower of three */
     } rows[] = {
         {false, {[AMB_DUTY_RENT] = true}, 500},   {true, {false}, 250},
@@ -679,10 +679,10 @@
         use_duties();
         if (!rows[i].in_use) apply_mode(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
         struct amb_duty_service *service = &node->duties.service;
-        for (int k = 0; k < AMB_DUTY_NAMES; k++)
+        for (int k = 0; k < AMB_DUTY_COUNT; k++)
             service->core.duties[k].state = rows[i].held[k] ? AMB_DUTY_FENCED : AMB_DUTY_IDLE;
         fake_clock_advance(service->core.settings.backoff / 4);
-        for (int k = 0; k < AMB_DUTY_NAMES; k++)
+        for (int k = 0; k < AMB_DUTY_COUNT; k++)
             assert_int_equal(amb_duty_service_is_holder(service, (enum amb_duty_name)k), rows[i].held[k]);
         if (fabs(node->store.write_bucket.tokens_per_second - rows[i].writes) > 1e-6)
             fail_msg("row %zu: %g", i, node->store.write_bucket.tokens_per_second);
@@ -690,7 +690,7 @@
 }
 
 /* A node that takes part no longer has a follower's share again. */
-static void the_end_of_duties_ends_the_share(void **state) {
+static void larger_write_budget_ends_with_duties(void **state) {
     (void)state;
     amb_store_set_leadership(&node->store, false);
     apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
@@ -706,7 +706,7 @@
 
 /* ---- operators ---- */
 
-static void operators_see_duties(void **state) {
+static void operators_see_duty_status(void **state) {
     (void)state;
     use_duties();
     apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
@@ -765,7 +765,7 @@
 
 /* ---- settings ---- */
 
-static void leases_that_are_too_short_are_refused(void **state) {
+static void too_short_leases_are_refused(void **state) {
     (void)state;
     static const struct {
         double on, lease;
@@ -785,31 +785,32 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(off_costs_nothing, begin, end_duties),
-        cmocka_unit_test_setup_teardown(heartbeats_say_whether_it_is_on, begin, end_duties),
-        cmocka_unit_test_setup_teardown(duties_come_into_use_once_all_say_so, begin, end_duties),
+        cmocka_unit_test_setup_teardown(heartbeats_say_whether_duties_are_enabled, begin, end_duties),
+        cmocka_unit_test_setup_teardown(duties_come_into_use_once_all_peers_agree, begin, end_duties),
         cmocka_unit_test_setup_teardown(nothing_is_begun_while_the_mode_changes, begin, end_duties),
-        cmocka_unit_test_setup_teardown(a_mode_of_a_newer_form_is_not_acted_on, begin, end_duties),
-        cmocka_unit_test_setup_teardown(duties_go_out_of_use_once_orders_are_settled, begin, end_duties),
-        cmocka_unit_test_setup_teardown(a_node_switched_off_takes_part_until_all_is_done, begin, end_duties),
-        cmocka_unit_test_setup_teardown(rentals_are_ordered, begin, end_duties),
-        cmocka_unit_test_setup_teardown(refusals_are_heeded, begin, end_duties),
-        cmocka_unit_test_setup_teardown(orders_whose_end_was_missed_are_dropped, begin, end_duties),
-        cmocka_unit_test_setup_teardown(orders_are_written_once, begin, end_duties),
+        cmocka_unit_test_setup_teardown(a_mode_of_a_newer_version_is_not_acted_on, begin, end_duties),
+        cmocka_unit_test_setup_teardown(duties_go_out_of_use_once_intents_are_settled, begin, end_duties),
+        cmocka_unit_test_setup_teardown(a_disabled_node_takes_part_until_intents_are_settled, begin,
+                                        end_duties),
+        cmocka_unit_test_setup_teardown(scale_out_intents_are_written, begin, end_duties),
+        cmocka_unit_test_setup_teardown(refusals_start_the_capacity_backoff, begin, end_duties),
+        cmocka_unit_test_setup_teardown(intents_whose_removal_was_missed_are_dropped, begin, end_duties),
+        cmocka_unit_test_setup_teardown(intents_are_written_once, begin, end_duties),
         cmocka_unit_test_setup_teardown(machines_are_returned_by_reason, begin, end_duties),
         cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, begin, end_duties),
-        cmocka_unit_test_setup_teardown(returned_machines_do_not_come_back, begin, end_duties),
-        cmocka_unit_test_setup_teardown(new_leaders_wait_until_they_know, begin, end_duties),
-        cmocka_unit_test_setup_teardown(new_leaders_take_over_rentals, begin, end_duties),
+        cmocka_unit_test_setup_teardown(released_machines_do_not_come_back, begin, end_duties),
+        cmocka_unit_test_setup_teardown(new_leaders_wait_for_duty_records, begin, end_duties),
+        cmocka_unit_test_setup_teardown(new_leaders_take_over_scale_out_requests, begin, end_duties),
         cmocka_unit_test_setup_teardown(old_requests_are_not_repeated, begin, end_duties),
-        cmocka_unit_test_setup_teardown(take_over_comes_before_placing, begin, end_duties),
+        cmocka_unit_test_setup_teardown(takeover_comes_before_placing, begin, end_duties),
         cmocka_unit_test_setup_teardown(the_leader_key_may_be_on_an_earlier_page, begin, end_duties),
-        cmocka_unit_test_setup_teardown(only_a_list_proves_machines_gone, begin, end_duties),
-        cmocka_unit_test_setup_teardown(calls_carry_the_token, begin, end_duties),
-        cmocka_unit_test_setup_teardown(holders_may_write_more, begin, end_duties),
-        cmocka_unit_test_setup_teardown(the_end_of_duties_ends_the_share, begin, end_duties),
-        cmocka_unit_test_setup_teardown(operators_see_duties, begin, end_duties),
+        cmocka_unit_test_setup_teardown(only_a_machine_list_proves_absence, begin, end_duties),
+        cmocka_unit_test_setup_teardown(calls_carry_the_fencing_token, begin, end_duties),
+        cmocka_unit_test_setup_teardown(holders_have_a_larger_write_budget, begin, end_duties),
+        cmocka_unit_test_setup_teardown(larger_write_budget_ends_with_duties, begin, end_duties),
+        cmocka_unit_test_setup_teardown(operators_see_duty_status, begin, end_duties),
         cmocka_unit_test_setup_teardown(operators_ask_for_handovers, begin, end_duties),
-        cmocka_unit_test_setup_teardown(leases_that_are_too_short_are_refused, begin, end_duties),
+        cmocka_unit_test_setup_teardown(too_short_leases_are_refused, begin, end_duties),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty/test_duty_records.c
+++ b/tests/duty/test_duty_records.c
@@ -27,7 +27,7 @@
     assert_memory_equal(&out, &record, sizeof out);
 }
 
-static void orders_are_read_back(void **state) {
+static void intents_are_read_back(void **state) {
     (void)state;
     for (int duty = 0; duty < AMB_DUTY_CLEANUP; duty++) {
         struct amb_buf text = {0};
@@ -38,7 +38,7 @@
                                                 .fencing_token = 5,
                                                 .unanswered = 2,
                                                 .withdrawn = true};
-        struct amb_duty_work_order read, work = {.created_wall_ms = 1700000000123};
+        struct amb_duty_intent_payload read, work = {.created_wall_ms = 1700000000123};
         if (duty == AMB_DUTY_RENT) {
             strcpy(work.type, "g8"), strcpy(work.zone, "a");
             work.spot = true;
@@ -46,8 +46,8 @@
         } else {
             strcpy(work.reason, "idle");
         }
-        amb_duty_work_order_add_machine(&work, "m-1");
-        amb_duty_work_order_add_machine(&work, "m-2");
+        amb_duty_intent_payload_add_machine(&work, "m-1");
+        amb_duty_intent_payload_add_machine(&work, "m-2");
         amb_duty_encode_intent(&text, &intent, &work);
         cbor_item_t *item = parse(&text);
         assert_int_equal(amb_duty_decode_intent(item, &out, &read), AMB_DUTY_DECODED);
@@ -61,8 +61,8 @@
         assert_true(read.created_wall_ms == work.created_wall_ms);
         assert_int_equal(read.machine_count, 2);
         assert_string_equal(read.machines[1], "m-2");
-        amb_duty_work_order_free(&work);
-        amb_duty_work_order_free(&read);
+        amb_duty_intent_payload_free(&work);
+        amb_duty_intent_payload_free(&read);
     }
 }
 
@@ -73,7 +73,7 @@
     if (more) amb_cbor_write_string(text, "colour"), amb_cbor_write_string(text, "red");
 }
 
-static void forms_are_heeded(void **state) {
+static void record_versions_are_checked(void **state) {
     (void)state;
     static const struct {
         uint64_t form;
@@ -120,7 +120,7 @@
     cbor_decref(&item);
 }
 
-static void order_keys_are_parsed(void **state) {
+static void intent_keys_are_parsed(void **state) {
     (void)state;
     static const struct {
         const char *key;
@@ -139,7 +139,7 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         enum amb_duty_name duty;
-        char id[AMB_DUTY_INTENT_ID], key[AMB_DUTY_KEY_SIZE];
+        char id[AMB_DUTY_INTENT_ID_SIZE], key[AMB_DUTY_KEY_SIZE];
         bool good = amb_duty_parse_intent_key(rows[i].key, &duty, id);
         if (good != rows[i].good) fail_msg("%s: %d", rows[i].key, good);
         if (!good) continue;
@@ -151,7 +151,7 @@
 }
 
 /* A record must keep within the limit of values, in JSON form, also once it names its machines. */
-static void orders_keep_within_values(void **state) {
+static void intents_fit_the_value_limit(void **state) {
     (void)state;
     static const double limits[] = {1, 2.5, 8, 64};
     for (size_t i = 0; i < ROWS(limits); i++) {
@@ -161,11 +161,11 @@
                                                 .result = AMB_DUTY_RESULT_MALFORMED,
                                                 .fencing_token = UINT32_MAX,
                                                 .unanswered = UINT32_MAX};
-        struct amb_duty_work_order work = {
+        struct amb_duty_intent_payload work = {
             .created_wall_ms = 1700000000123, .count = 50, .type = "g8-large", .zone = "zone-a"};
         uint32_t most = amb_duty_max_machines(limits[i]);
         assert_true(most >= 1 && most <= AMB_DUTY_MAX_MACHINES);
-        for (uint32_t k = 0; k < most; k++) amb_duty_work_order_add_machine(&work, "m-000231-longer");
+        for (uint32_t k = 0; k < most; k++) amb_duty_intent_payload_add_machine(&work, "m-000231-longer");
         amb_duty_encode_intent(&text, &intent, &work);
         cbor_item_t *item = parse(&text);
         unsigned char *bytes = NULL;
@@ -173,15 +173,15 @@
         if ((double)len > limits[i] * 1024) fail_msg("%g KiB: %zu bytes", limits[i], len);
         free(bytes);
         cbor_decref(&item);
-        amb_duty_work_order_free(&work);
+        amb_duty_intent_payload_free(&work);
     }
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(duty_records_are_read_back), cmocka_unit_test(orders_are_read_back),
-        cmocka_unit_test(forms_are_heeded),           cmocka_unit_test(missing_fields_are_noticed),
-        cmocka_unit_test(order_keys_are_parsed),      cmocka_unit_test(orders_keep_within_values),
+        cmocka_unit_test(duty_records_are_read_back),  cmocka_unit_test(intents_are_read_back),
+        cmocka_unit_test(record_versions_are_checked), cmocka_unit_test(missing_fields_are_noticed),
+        cmocka_unit_test(intent_keys_are_parsed),      cmocka_unit_test(intents_fit_the_value_limit),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty/test_duty_service.c
+++ b/tests/duty/test_duty_service.c
@@ -24,31 +24,31 @@
 }
 
 static void create_scale_out(const char *id) {
-    const struct amb_duty_work_order work = {.type = "g8", .zone = "a", .count = 3, .created_wall_ms = 1};
+    const struct amb_duty_intent_payload work = {.type = "g8", .zone = "a", .count = 3, .created_wall_ms = 1};
     members_order(AMB_DUTY_RENT, id, &work);
 }
 
 static void create_scale_in(enum amb_duty_name duty, const char *id) {
-    struct amb_duty_work_order work = {.reason = "idle", .created_wall_ms = 1};
-    amb_duty_work_order_add_machine(&work, "m-1");
-    amb_duty_work_order_add_machine(&work, "m-2");
+    struct amb_duty_intent_payload work = {.reason = "idle", .created_wall_ms = 1};
+    amb_duty_intent_payload_add_machine(&work, "m-1");
+    amb_duty_intent_payload_add_machine(&work, "m-2");
     members_order(duty, id, &work);
-    amb_duty_work_order_free(&work);
+    amb_duty_intent_payload_free(&work);
 }
 
 static struct amb_duty_intent_record read_intent(enum amb_duty_name duty, const char *id,
                                                  uint32_t *machines) {
     struct amb_duty_intent_record record;
-    struct amb_duty_work_order work;
+    struct amb_duty_intent_payload work;
     if (!members_read_order(duty, id, &record, &work)) fail_msg("order %s is not on record", id);
     *machines = work.machine_count;
-    amb_duty_work_order_free(&work);
+    amb_duty_intent_payload_free(&work);
     return record;
 }
 
 static void every_duty_finds_one_holder(void **state) {
     (void)state;
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         int holder = members_holder((enum amb_duty_name)i), holders = 0;
         if (holder < 0) fail_msg("nobody holds %s", amb_duty_name_text((enum amb_duty_name)i));
         for (int k = 0; k < MEMBERS; k++)
@@ -59,7 +59,7 @@
     assert_string_equal(members_unguarded(), "");
 }
 
-static void orders_are_carried_out_and_cleaned_up(void **state) {
+static void intents_are_carried_out_and_cleaned_up(void **state) {
     uint32_t machines;
     (void)state;
     create_scale_out("r-1-1");
@@ -85,7 +85,7 @@
 }
 
 /* Whoever holds a duty ends, stands still, or hears no answer, at each step of an order. */
-static void successors_finish_orders(void **state) {
+static void successors_finish_intents(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -141,7 +141,7 @@
 }
 
 /* A holder settles by its own proof only; without one the call is repeated until it is answered. */
-static void returns_are_settled_by_proof(void **state) {
+static void scale_ins_are_settled_by_proof_of_absence(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -192,7 +192,7 @@
 }
 
 /* The right is looked at when the call is sent, not only when it is decided. */
-static void the_right_is_looked_at_last(void **state) {
+static void validity_is_checked_right_before_sending(void **state) {
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
     create_scale_out("r-1-1");
@@ -220,7 +220,7 @@
     assert_int_equal(member_cloud.calls, 1);
 }
 
-static void refused_rentals_are_settled(void **state) {
+static void refused_scale_outs_are_settled(void **state) {
     uint32_t machines;
     (void)state;
     member_cloud.no_capacity = true;
@@ -237,7 +237,7 @@
 static int member_without_duty(void) {
     for (int i = 0; i < MEMBERS; i++) {
         bool holds = false;
-        for (int k = 0; k < AMB_DUTY_NAMES; k++) holds |= members_holder((enum amb_duty_name)k) == i;
+        for (int k = 0; k < AMB_DUTY_COUNT; k++) holds |= members_holder((enum amb_duty_name)k) == i;
         if (!holds) return i;
     }
     fail_msg("every member holds a duty");
@@ -273,7 +273,7 @@
 }
 
 /* A record of a later version: its duty is left alone, and nothing is called under it. */
-static void newer_forms_are_not_acted_on(void **state) {
+static void newer_record_versions_are_not_acted_on(void **state) {
     (void)state;
     put_record_of_form("a/duty/rent", AMB_DUTY_RECORD_VERSION + 1);
     put_record_of_form("a/order/return/t-1-1", AMB_DUTY_RECORD_VERSION + 1);
@@ -295,11 +295,11 @@
     assert_false(members[first].service.active);
     members[first].alive = false;
     assert_int_not_equal(members_holder(AMB_DUTY_RENT), first);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) assert_true(members_holder((enum amb_duty_name)i) >= 0);
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) assert_true(members_holder((enum amb_duty_name)i) >= 0);
 }
 
 /* What is removed while all is read does not come back by a page that was made before. */
-static void reading_all_again_finds_what_went(void **state) {
+static void reloading_detects_removed_keys(void **state) {
     (void)state;
     create_scale_out("r-1-1");
     members_run(1000);
@@ -315,7 +315,7 @@
     assert_null(members[idle].service.entries);
 }
 
-static void late_reads_bring_nothing_back(void **state) {
+static void late_reads_restore_nothing(void **state) {
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
     members[holder].lists_held = true;
@@ -347,7 +347,7 @@
 }
 
 /* A member removes an order itself, and a read of before is answered before it hears the news of it. */
-static void late_reads_add_nothing_to_the_ledger(void **state) {
+static void late_reads_add_nothing_to_the_intent_table(void **state) {
     (void)state;
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_CLEANUP) || idle == members_holder(AMB_DUTY_RENT)) idle++;
@@ -362,7 +362,7 @@
 }
 
 /* What a read finds of an order that the member still tracks, it learns. */
-static void reads_tell_what_news_has_not(void **state) {
+static void reads_reveal_missed_changes(void **state) {
     (void)state;
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_RENT)) idle++;
@@ -375,20 +375,22 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(every_duty_finds_one_holder, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(orders_are_carried_out_and_cleaned_up, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(successors_finish_orders, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(returns_are_settled_by_proof, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(intents_are_carried_out_and_cleaned_up, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(successors_finish_intents, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(scale_ins_are_settled_by_proof_of_absence, begin_members,
+                                        end_members),
         cmocka_unit_test_setup_teardown(a_pause_before_sending_is_noticed, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(the_right_is_looked_at_last, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(validity_is_checked_right_before_sending, begin_members, end_members),
         cmocka_unit_test_setup_teardown(a_member_cut_off_loses_its_duties, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(refused_rentals_are_settled, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(refused_scale_outs_are_settled, begin_members, end_members),
         cmocka_unit_test_setup_teardown(operators_hand_duties_over, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(newer_forms_are_not_acted_on, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(newer_record_versions_are_not_acted_on, begin_members, end_members),
         cmocka_unit_test_setup_teardown(stopping_hands_over, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(late_reads_bring_nothing_back, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(late_reads_add_nothing_to_the_ledger, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(reads_tell_what_news_has_not, begin_members, end_members),
-        cmocka_unit_test_setup_teardown(reading_all_again_finds_what_went, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(late_reads_restore_nothing, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(late_reads_add_nothing_to_the_intent_table, begin_members,
+                                        end_members),
+        cmocka_unit_test_setup_teardown(reads_reveal_missed_changes, begin_members, end_members),
+        cmocka_unit_test_setup_teardown(reloading_detects_removed_keys, begin_members, end_members),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty/test_duty_days.c
+++ b/tests/duty/test_duty_simulation.c
@@ -5,7 +5,7 @@
 
 enum { DAYS = 24, HANDOVERS_LEAST = 300 };
 
-static void days_are_well(void **state) {
+static void random_days_without_violations(void **state) {
     (void)state;
     uint64_t handovers = 0, intents = 0;
     for (uint64_t seed = 1; seed <= DAYS; seed++) {
@@ -24,7 +24,7 @@
 }
 
 /* Days that went wrong once, with the fault that they showed. */
-static void days_that_went_wrong(void **state) {
+static void days_with_past_failures(void **state) {
     (void)state;
     static const struct {
         uint64_t seed;
@@ -42,7 +42,7 @@
     }
 }
 
-static void each_mechanism_is_missed(void **state) {
+static void each_mechanism_is_needed(void **state) {
     (void)state;
     static const struct {
         enum world_fault fault;
@@ -71,9 +71,9 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(days_are_well),
-        cmocka_unit_test(days_that_went_wrong),
-        cmocka_unit_test(each_mechanism_is_missed),
+        cmocka_unit_test(random_days_without_violations),
+        cmocka_unit_test(days_with_past_failures),
+        cmocka_unit_test(each_mechanism_is_needed),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty_model/explorer.c
+++ b/tests/duty_model/explorer.c
@@ -369,7 +369,7 @@
 
 static struct amb_duty_settings small_settings(const struct explorer_scenario *scenario) {
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, 3 * (amb_ms)TTL);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) settings.enabled[i] = i == (int)scenario->duty;
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) settings.enabled[i] = i == (int)scenario->duty;
     settings.safety_margin = 0; /* so that nothing but the allowance for drift covers drift */
     settings.call_timeout = CALL_TIMEOUT;
     settings.backoff = BACKOFF;
--- a/tests/duty_model/simulation.c
+++ b/tests/duty_model/simulation.c
@@ -30,7 +30,7 @@
     amb_ms losses_until, outage_until, next_order_at;
     amb_ms cut_until[WORLD_MEMBERS], restart_at[WORLD_MEMBERS];
     bool struck[SIMULATION_FAULTS];
-    amb_ms vacant_since[AMB_DUTY_NAMES]; /* -1: it has a holder */
+    amb_ms vacant_since[AMB_DUTY_COUNT]; /* -1: it has a holder */
     struct simulation_result result;
 };
 
@@ -57,7 +57,7 @@
     struct simulation_fault fault = {
         .kind = (enum simulation_fault_kind)below(random, calm ? SIMULATION_CUT : SIMULATION_FAULT_KINDS),
         .moment = (enum simulation_moment)below(random, SIMULATION_MOMENTS),
-        .duty = (enum amb_duty_name)below(random, AMB_DUTY_NAMES),
+        .duty = (enum amb_duty_name)below(random, AMB_DUTY_COUNT),
         .at = BEGIN_FAULTS + below(random, DAY - BEGIN_FAULTS),
         .length = 200 + below(random, 3 * TTL)};
     if (calm && !below(random, 3)) fault.kind = SIMULATION_DRAIN;
@@ -328,7 +328,7 @@
 }
 
 static void watch_vacancies(struct simulation *simulation) {
-    for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
+    for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) {
         bool held = has_right_holder(simulation, (enum amb_duty_name)duty);
         if (!held && simulation->vacant_since[duty] < 0)
             simulation->vacant_since[duty] = simulation->world->now;
@@ -384,7 +384,7 @@
         world->members[i].drift_ppm = (int32_t)below(&simulation->random, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
         world_start(world, i, &simulation->settings, draw(&simulation->random));
     }
-    for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) simulation->vacant_since[duty] = -1;
+    for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) simulation->vacant_since[duty] = -1;
 }
 
 struct simulation_result simulation_play(const struct simulation_day *day) {
@@ -399,7 +399,7 @@
     simulation.result.violation = simulation.world->violation;
     simulation.result.at = simulation.world->now;
     simulation.result.handovers =
-        simulation.world->claims > AMB_DUTY_NAMES ? simulation.world->claims - AMB_DUTY_NAMES : 0;
+        simulation.world->claims > AMB_DUTY_COUNT ? simulation.world->claims - AMB_DUTY_COUNT : 0;
     simulation.result.fenced_calls = simulation.world->fenced_calls;
     free(simulation.world);
     return simulation.result;
--- a/tests/duty_model/world.c
+++ b/tests/duty_model/world.c
@@ -45,7 +45,7 @@
     self->news = 0;
     self->ticked_at = -1;
     amb_duty_core_init(&self->core, settings, name, seed, self->intents, WORLD_INTENTS);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++)
+    for (int i = 0; i < AMB_DUTY_COUNT; i++)
         world_step(world, member,
                    (struct amb_duty_event){.type = AMB_DUTY_RECORD_CHANGED,
                                            .duty = (enum amb_duty_name)i,
@@ -196,7 +196,7 @@
     const struct world_member *self = &world->members[member];
     uint64_t highest = self->core.incarnation.call;
     keep_highest(self->core.incarnation.renewal, &highest);
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) keep_highest(self->core.duties[i].call, &highest);
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) keep_highest(self->core.duties[i].call, &highest);
     for (int i = 0; i < WORLD_INTENTS; i++) keep_highest(self->intents[i].call, &highest);
     for (uint32_t i = 0; i < world->nmessages; i++) {
         const struct world_message *message = &world->messages[i];
@@ -281,7 +281,7 @@
         if (better)
             *event = (struct amb_duty_event){.type = AMB_DUTY_MEMBER_CHANGED, .member = service->members[i]};
     }
-    for (int i = 0; i < AMB_DUTY_NAMES; i++) {
+    for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         keep_earliest(service->duties[i].revision, after, &best, &better);
         if (better)
             *event = (struct amb_duty_event){
@@ -619,7 +619,7 @@
 void world_check(struct world *world) {
     for (uint32_t i = 0; i < world->nmembers; i++) {
         if (!world->members[i].running) continue;
-        for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
+        for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) {
             const struct amb_duty_core *core = &world->members[i].core;
             const struct amb_duty_record *record = &world->service.duties[duty];
             if (!amb_duty_may_call(core, (enum amb_duty_name)duty, world_member_clock(world, i))) continue;
@@ -637,7 +637,7 @@
     for (uint32_t i = 0; i < world->nmembers; i++)
         if (world->members[i].running) settings = &world->members[i].core.settings;
     if (!settings) return;
-    for (int duty = 0; duty < AMB_DUTY_NAMES; duty++) {
+    for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) {
         const struct amb_duty_record *record = &service->duties[duty];
         if (!settings->enabled[duty]) continue;
         if (!record->present || record->state != AMB_DUTY_RECORD_HELD ||
--- a/tests/duty_model/world.h
+++ b/tests/duty_model/world.h
@@ -70,15 +70,15 @@
     struct world_lease leases[WORLD_LEASES];
     struct amb_duty_member_record members[WORLD_MEMBERS];
     uint64_t member_lease[WORLD_MEMBERS];
-    struct amb_duty_record duties[AMB_DUTY_NAMES];
+    struct amb_duty_record duties[AMB_DUTY_COUNT];
     struct amb_duty_intent_record intents[WORLD_INTENTS];
 };
 
 /* What there is to each order outside the state service. */
 struct world_effect {
-    bool machine, placed;             /* of a return: it exists; the leader has placed work on it */
-    char charter[AMB_DUTY_INTENT_ID]; /* of a rental: the name under which machines were rented */
-    uint32_t rented;                  /* how often machines were rented for it */
+    bool machine, placed;                  /* of a return: it exists; the leader has placed work on it */
+    char charter[AMB_DUTY_INTENT_ID_SIZE]; /* of a rental: the name under which machines were rented */
+    uint32_t rented;                       /* how often machines were rented for it */
 };
 
 struct world {
@@ -88,7 +88,7 @@
     uint32_t nmembers, nmessages;
     bool repeatable_random;    /* luck follows from the state alone, so that equal states stay equal */
     bool instant_incarnations; /* leases and member keys are served at once: fewer states */
-    uint64_t cloud_fencing_token[AMB_DUTY_NAMES];
+    uint64_t cloud_fencing_token[AMB_DUTY_COUNT];
     uint64_t fenced_calls, claims, intents_made;
     uint64_t lost_messages; /* for want of room */
     struct world_service service;
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -207,7 +207,7 @@
 struct sim_cloud {
     struct sim_rental rentals[SIM_RENTALS];
     int rental_count;
-    uint64_t tokens[AMB_DUTY_NAMES]; /* the highest that it was shown for each duty */
+    uint64_t tokens[AMB_DUTY_COUNT]; /* the highest that it was shown for each duty */
 };
 
 enum sim_request { SIM_ASK, SIM_REPEAT, SIM_REPEAT_SPOILT, SIM_CANCEL };
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -69,7 +69,7 @@
 static amb_ms now_ms;
 static struct member_plan plan;
 static bool planned;
-static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID];
+static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID_SIZE];
 
 /* ---- the key-value store ---- */
 
@@ -168,7 +168,7 @@
     const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
     assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, sizeof name));
     if (!is_guarded(guards, name)) note_unguarded(name, "itself");
-    if (!strncmp(name, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)) &&
+    if (!strncmp(name, AMB_DUTY_INTENT_KEYS, strlen(AMB_DUTY_INTENT_KEYS)) &&
         !is_guarded(guards, AMB_DUTY_RECORD_KEYS))
         note_unguarded(name, "the claim");
     if (!strncmp(name, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS)) &&
@@ -257,7 +257,7 @@
     for (uint32_t k = 0; k < call->count; k++) {
         char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%u-%u", i, k);
-        amb_duty_work_order_add_machine(&call->reply.acquired, name);
+        amb_duty_intent_payload_add_machine(&call->reply.acquired, name);
     }
 }
 
@@ -300,7 +300,7 @@
 static void call_free(struct call *call) {
     if (call->body) cbor_decref(&call->body);
     if (call->answer) cbor_decref(&call->answer);
-    amb_duty_work_order_free(&call->reply.acquired);
+    amb_duty_intent_payload_free(&call->reply.acquired);
     call->used = false;
 }
 
@@ -358,7 +358,7 @@
     call->status = 0;
     if (call->answer) cbor_decref(&call->answer);
     call->answer = NULL;
-    amb_duty_work_order_free(&call->reply.acquired);
+    amb_duty_intent_payload_free(&call->reply.acquired);
     call->reply.answer = AMB_DUTY_CLOUD_NO_ANSWER;
 }
 
@@ -433,7 +433,7 @@
     if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) return MEMBER_CALL_OTHER;
     const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
     if (!strncmp(key, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS))) return MEMBER_CALL_CLAIM;
-    if (strncmp(key, AMB_DUTY_ORDER_KEYS, strlen(AMB_DUTY_ORDER_KEYS)) != 0) return MEMBER_CALL_OTHER;
+    if (strncmp(key, AMB_DUTY_INTENT_KEYS, strlen(AMB_DUTY_INTENT_KEYS)) != 0) return MEMBER_CALL_OTHER;
     return amb_cbor_equals(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
 }
 
@@ -459,8 +459,8 @@
 }
 
 static bool port_call_cloud(void *context, const struct amb_duty_intent_record *order,
-                            const struct amb_duty_work_order *work, uint64_t token, amb_duty_cloud_done done,
-                            void *arg) {
+                            const struct amb_duty_intent_payload *work, uint64_t token,
+                            amb_duty_cloud_done done, void *arg) {
     struct call *call = call_new(context, CLOUD);
     call->kind = MEMBER_CALL_CLOUD;
     call->order = *order;
@@ -471,13 +471,13 @@
     return true;
 }
 
-static bool port_proved_gone(void *context, const struct amb_duty_work_order *work) {
+static bool port_proved_gone(void *context, const struct amb_duty_intent_payload *work) {
     const struct member *member = context;
     return member->proves_gone && work->machine_count;
 }
 
 static void port_order_changed(void *context, const struct amb_duty_intent_record *order,
-                               const struct amb_duty_work_order *work) {
+                               const struct amb_duty_intent_payload *work) {
     (void)context, (void)order, (void)work;
 }
 
@@ -523,19 +523,19 @@
 
 void members_start(int index) {
     struct member *member = &members[index];
-    const struct amb_duty_ports ports = {.kvstore = {.context = member,
-                                                     .grant = port_grant,
-                                                     .extend = port_extend,
-                                                     .revoke = port_drop,
-                                                     .list = port_list,
-                                                     .commit = port_commit},
-                                         .context = member,
-                                         .now = port_now,
-                                         .call_cloud = port_call_cloud,
-                                         .is_proved_gone = port_proved_gone,
-                                         .intent_changed = port_order_changed,
-                                         .loaded = port_loaded,
-                                         .log = port_log};
+    const struct amb_duty_service_callbacks ports = {.kvstore = {.context = member,
+                                                                 .grant = port_grant,
+                                                                 .extend = port_extend,
+                                                                 .revoke = port_drop,
+                                                                 .list = port_list,
+                                                                 .commit = port_commit},
+                                                     .context = member,
+                                                     .now = port_now,
+                                                     .call_cloud = port_call_cloud,
+                                                     .is_absence_proven = port_proved_gone,
+                                                     .intent_changed = port_order_changed,
+                                                     .loaded = port_loaded,
+                                                     .log = port_log};
     struct amb_duty_settings settings = amb_duty_settings_default(MEMBER_TTL_MS, MEMBER_LIST_MS);
     amb_duty_service_abort(&member->service);
     snprintf(member->name, sizeof member->name, "n-%d", index);
@@ -602,7 +602,7 @@
     return key ? key->value : NULL;
 }
 
-void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_work_order *work) {
+void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_intent_payload *work) {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
     struct amb_duty_intent_record order = {.duty = duty};
@@ -613,7 +613,7 @@
 }
 
 bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
-                        struct amb_duty_work_order *work) {
+                        struct amb_duty_intent_payload *work) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_intent_key(key, duty, id);
     const cbor_item_t *value = members_value(key);
--- a/tests/support/duty_members.h
+++ b/tests/support/duty_members.h
@@ -61,10 +61,10 @@
 
 void members_put(const char *name, const struct amb_buf *value);
 const cbor_item_t *members_value(const char *name); /* NULL: there is no such key */
-void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_work_order *work);
+void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_intent_payload *work);
 /* The order as it is on record; false: it is not there. */
 bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
-                        struct amb_duty_work_order *work);
+                        struct amb_duty_intent_payload *work);
 uint32_t members_writes(void); /* carried out so far */
 /* The first change that lacked a guard that it must have; empty: none did. */
 const char *members_unguarded(void);
@@ -77,7 +77,7 @@
     uint32_t calls;    /* all, repeated ones too */
     uint32_t releases; /* calls */
     uint32_t stale;    /* refused for their token */
-    uint64_t highest[AMB_DUTY_NAMES];
+    uint64_t highest[AMB_DUTY_COUNT];
     bool no_capacity;
     bool silent; /* it carries calls out, and answers none */
     bool released[AMB_DUTY_MAX_MACHINES];
--- a/tests/zone_recovery/test_zone_health.c
+++ b/tests/zone_recovery/test_zone_health.c
@@ -9,7 +9,7 @@
 
 /* ---- settings ---- */
 
-static void settings_that_cannot_work(void **state) {
+static void invalid_settings(void **state) {
     (void)state;
     static const struct {
         struct amb_zone_settings settings;
@@ -262,7 +262,7 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(settings_that_cannot_work),
+        cmocka_unit_test(invalid_settings),
         cmocka_unit_test(health_state_changes),
         cmocka_unit_test(new_leader_restarts_the_stability_period),
         cmocka_unit_test(nothing_is_freed_of_a_zone_that_was_never_lost),
