--- a/include/amberpin/cloud/cloud_calls.h
+++ b/include/amberpin/cloud/cloud_calls.h
@@ -37,6 +37,6 @@
 /* Takes one call from the budget. False: none may be sent now. */
 bool amb_cloud_take_token(struct amb_node *node, amb_ms now);
 /* Heeds the status of an answer: after "too many requests" no call is sent for a while. */
-void amb_cloud_note_status(struct amb_node *node, int status);
+void amb_cloud_handle_status(struct amb_node *node, int status);
 
 #endif
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -31,7 +31,7 @@
     struct amb_cloud_call *call = arg;
     struct amb_node *node = call->node;
     free(call);
-    amb_cloud_note_status(node, status);
+    amb_cloud_handle_status(node, status);
     cbor_item_t *item = status == 200 ? amb_cbor_parse(body, body_size) : NULL;
     const cbor_item_t *types = amb_codec_catalog_types(item);
     for (size_t i = 0; i < amb_cbor_list_length(types); i++) {
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -74,7 +74,7 @@
     return true;
 }
 
-void amb_cloud_note_status(struct amb_node *node, int status) {
+void amb_cloud_handle_status(struct amb_node *node, int status) {
     if (status == 429)
         node->cloud.throttled_until = amb_now() + amb_seconds_to_ms(1.0 / node->settings.cloud_rps);
 }
--- a/lib/cloud/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -102,7 +102,7 @@
     struct amb_node *node = amb_cloud_call_take(arg);
     struct amb_cloud_page page;
     if (!node) return;
-    amb_cloud_note_status(node, status);
+    amb_cloud_handle_status(node, status);
     cbor_item_t *item = status == 200 ? amb_cbor_parse(body, body_size) : NULL;
     if (amb_codec_decode_page(item, &page))
         apply_page(node, &page);
--- a/lib/cloud/machine_release.c
+++ b/lib/cloud/machine_release.c
@@ -62,7 +62,7 @@
     (void)body, (void)body_size;
     if (!node) return;
     struct amb_machine_release *release = &node->cloud.release;
-    amb_cloud_note_status(node, status);
+    amb_cloud_handle_status(node, status);
     release->in_flight = false;
     if (status != 200) {
         release->retry_at = amb_now() + amb_seconds_to_ms(node->settings.heartbeat_s * RETRY_HEARTBEATS);
--- a/lib/cloud/scale_out_call.c
+++ b/lib/cloud/scale_out_call.c
@@ -32,7 +32,7 @@
     struct amb_node *node;
     struct amb_scale_out_request *request = scale_out_call_take(arg, &node);
     if (!request) return;
-    amb_cloud_note_status(node, status);
+    amb_cloud_handle_status(node, status);
     amb_ms now = amb_now();
     cbor_item_t *item = body_size ? amb_cbor_parse(body, body_size) : NULL;
     if (status == 200 && item) {
--- a/lib/cloud_duty/cloud_access.c
+++ b/lib/cloud_duty/cloud_access.c
@@ -38,7 +38,7 @@
     struct cloud_duty_call call = *(struct cloud_duty_call *)arg;
     struct amb_duty_cloud_reply reply = {0};
     free(arg);
-    amb_cloud_note_status(call.node, status);
+    amb_cloud_handle_status(call.node, status);
     cbor_item_t *item = body_size ? amb_cbor_parse(body, body_size) : NULL;
     reply.answer = decode_answer(call.duty, status, item);
     if (call.duty == AMB_DUTY_RENT && status == 200) add_machines(item, &reply.acquired);
