--- a/include/amberpin/base/loop.h
+++ b/include/amberpin/base/loop.h
@@ -36,7 +36,7 @@
 /* Sets the timer, or sets it anew. */
 void amb_timer_set(struct amb_timer *timer, amb_ms at, void (*fn)(void *), void *arg);
 /* The same, to a time from now. */
-void amb_timer_in(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg);
+void amb_timer_set_after(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg);
 /* Does nothing when it is not set. */
 void amb_timer_stop(struct amb_timer *timer);
 
--- a/include/amberpin/codec/peer_messages.h
+++ b/include/amberpin/codec/peer_messages.h
@@ -44,7 +44,7 @@
     bool receives_agent_heartbeats; /* lately */
     bool limits_lowered;            /* it has seen that the store's limits are lowered */
     int64_t format;                 /* the latest that it reads; 0: not named, as by the first version */
-    int64_t duties_form;            /* of the records of single-holder duties; 0: it does not use them */
+    int64_t duties_record_version;  /* of the records of single-holder duties; 0: it does not use them */
 };
 
 /* The other scalar fields of a message. */
--- a/include/amberpin/codec/placement_block.h
+++ b/include/amberpin/codec/placement_block.h
@@ -39,7 +39,7 @@
 };
 
 /* What a value says of tasks, while it is being built. */
-struct amb_placement_block_text {
+struct amb_placement_block_builder {
     struct amb_buf placed, completed;
 };
 
@@ -62,13 +62,13 @@
 
 /* ---- encoding ---- */
 
-void amb_placement_block_add_placement(struct amb_placement_block_text *text,
+void amb_placement_block_add_placement(struct amb_placement_block_builder *text,
                                        const struct amb_placement *placement);
-void amb_placement_block_add_completed(struct amb_placement_block_text *text,
+void amb_placement_block_add_completed(struct amb_placement_block_builder *text,
                                        struct amb_task_range completed);
 /* Appends the value to `out`, and frees the text. */
 void amb_placement_block_encode(struct amb_buf *out, const struct amb_placement_block_header *header,
-                                struct amb_placement_block_text *text);
+                                struct amb_placement_block_builder *text);
 
 /* ---- decoding ---- */
 
--- a/include/amberpin/http/http.h
+++ b/include/amberpin/http/http.h
@@ -20,7 +20,8 @@
     AMB_HTTP_HEAD_TOO_LARGE = 431,
     AMB_HTTP_NOT_IMPLEMENTED = 501,
     AMB_HTTP_SERVICE_UNAVAILABLE = 503,
-    /* In place of a status: the response is longer than amb_http_response_limit allows, and was not read. */
+    /* In place of a status: the response is longer than amb_http_client_set_max_response_bytes allows, and
+       was not read. */
     AMB_HTTP_RESPONSE_TOO_LARGE = 1000,
 };
 
@@ -69,8 +70,8 @@
                                                  const char *type, const void *body, size_t len,
                                                  amb_ms timeout_ms, amb_http_done on_done, void *arg);
 /* How many connections the client may have open; a call beyond it ends without a response. */
-void amb_http_client_limit(int connections);
+void amb_http_client_set_max_connections(int connections);
 /* How many bytes a response may have, with its head. */
-void amb_http_response_limit(size_t bytes);
+void amb_http_client_set_max_response_bytes(size_t bytes);
 
 #endif
--- a/include/amberpin/job/dependency_graph.h
+++ b/include/amberpin/job/dependency_graph.h
@@ -24,7 +24,7 @@
     /* This job is cancelled because `cause` is; both are names. */
     void (*on_cancelled)(void *owner, const char *name, const char *cause);
     /* The highest priority, and the earliest due time less the work still to come, of all jobs that depend
-     * on this one; AMB_PRIORITY_BEST_EFFORT and AMB_NO_DUE once none does. */
+     * on this one; AMB_PRIORITY_BEST_EFFORT and AMB_NO_DUE_TIME once none does. */
     void (*on_priority_inherited)(void *owner, const char *name,
                                   const struct amb_effective_priority *inherited);
 };
--- a/include/amberpin/job/pipelines.h
+++ b/include/amberpin/job/pipelines.h
@@ -33,7 +33,7 @@
 /* The time of day since which the job could run: its submission, or the end of its last
  * dependency. */
 int64_t amb_job_ready_wall_ms(const struct amb_job *job);
-/* When it should be complete, for its own sake or for that of jobs that depend on it; AMB_NO_DUE: no
+/* When it should be complete, for its own sake or for that of jobs that depend on it; AMB_NO_DUE_TIME: no
  * time is set. */
 int64_t amb_job_due_wall_ms(const struct amb_job *job);
 /* The time of day by which it is ordered among jobs of its priority: since when it could run or, in a
--- a/include/amberpin/model/job.h
+++ b/include/amberpin/model/job.h
@@ -28,7 +28,7 @@
 struct amb_job_failures {
     struct amb_failure_set machines; /* that it failed on since its last success */
     uint32_t retries;                /* since it is taken for broken */
-    bool works;                      /* a task of it has succeeded, or has run for long */
+    bool has_succeeded;              /* a task of it has succeeded, or has run for long */
     bool broken;                     /* it fails wherever it runs */
 };
 
--- a/include/amberpin/model/job_spec.h
+++ b/include/amberpin/model/job_spec.h
@@ -46,12 +46,12 @@
     char names[][AMB_NAME_SIZE];
 };
 
-#define AMB_NO_DUE INT64_MAX
+#define AMB_NO_DUE_TIME INT64_MAX
 
 /* How urgent a job is, and by when it has to be complete. */
 struct amb_effective_priority {
     enum amb_priority priority;
-    int64_t due_wall_ms; /* time of day; AMB_NO_DUE: none */
+    int64_t due_wall_ms; /* time of day; AMB_NO_DUE_TIME: none */
 };
 
 /* Whether the job may run on machines of this type. */
--- a/include/amberpin/model/machine.h
+++ b/include/amberpin/model/machine.h
@@ -47,9 +47,9 @@
     uint64_t last_listing;      /* number of the cloud's list that last named it */
     int reserved_priority;      /* of expected work that it is kept for, or AMB_MACHINE_NOT_RESERVED */
     bool claimed_by_gang;       /* within its team's guarantee, which waits for room here */
-    bool stops_due;             /* tasks are to be commanded to stop without waiting for its next heartbeat */
-    bool beyond_catalog;        /* its type or zone has no place in the catalogue, which was logged */
-    bool drain;                 /* being emptied, to be released */
+    bool stop_commands_due;     /* tasks are to be commanded to stop without waiting for its next heartbeat */
+    bool missing_from_catalog;  /* its type or zone has no place in the catalogue, which was logged */
+    bool draining;              /* being emptied, to be released */
     bool failed_by_cloud;       /* the cloud says that it stopped on its own */
     bool has_unrecorded_result; /* its last heartbeat listed a completion that is not durable yet */
     amb_ms reclaim_at;          /* when the cloud takes it back; 0: no notice */
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -54,7 +54,7 @@
 }
 
 static void tick_machine(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
-    if (machine->stops_due) amb_machine_send_stops(node, machine);
+    if (machine->stop_commands_due) amb_machine_send_stops(node, machine);
     if (machine->failed_by_cloud && machine->tasks)
         amb_machine_unbind_lost_tasks(node, machine, AMB_ABSENCE_FAILED);
     amb_machine_check_lease(node, machine, now);
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -61,7 +61,7 @@
     const struct amb_failure_evidence evidence = {
         .failed_machines = job->failures.machines.count,
         .failed_jobs = machine->failed_jobs.count,
-        .job_has_succeeded = job->failures.works,
+        .job_has_succeeded = job->failures.has_succeeded,
     };
     enum amb_fault fault = amb_failure_attribute(&evidence);
     amb_debug("job %s: a task failed on %s: fault %s (%u machines, %u jobs%s)", job->ref, machine->name,
@@ -74,7 +74,7 @@
 
 void amb_task_record_success(struct amb_job *job, struct amb_machine *machine) {
     memset(&job->failures, 0, sizeof job->failures);
-    job->failures.works = true;
+    job->failures.has_succeeded = true;
     machine->failed_jobs.count = 0;
     machine->unattributed_failures = 0;
     machine->success_count++;
--- a/lib/base/loop.c
+++ b/lib/base/loop.c
@@ -64,7 +64,7 @@
     heap_sift(timer->position);
 }
 
-void amb_timer_in(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
+void amb_timer_set_after(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
     amb_timer_set(timer, amb_now() + delay, fn, arg);
 }
 
--- a/lib/cloud_duty/participation.c
+++ b/lib/cloud_duty/participation.c
@@ -83,7 +83,8 @@
     if (!is_participant(node)) amb_duty_service_stop(&duties->service);
     share_writes(node);
     if (!duties->service.active) return;
-    amb_timer_in(&duties->timer, duties->service.core.settings.backoff / TICKS_PER_BACKOFF, tick, node);
+    amb_timer_set_after(&duties->timer, duties->service.core.settings.backoff / TICKS_PER_BACKOFF, tick,
+                        node);
 }
 
 static void participate(struct amb_node *node) {
--- a/lib/codec/peer_messages.c
+++ b/lib/codec/peer_messages.c
@@ -74,7 +74,8 @@
     json_object_set_new(json, REPORTS_ARRIVE, json_boolean(status->receives_agent_heartbeats));
     if (status->format) json_object_set_new(json, FORMAT, json_integer(status->format));
     if (status->limits_lowered) json_object_set_new(json, LIMITS_LOWERED, json_true());
-    if (status->duties_form) json_object_set_new(json, DUTIES, json_integer(status->duties_form));
+    if (status->duties_record_version)
+        json_object_set_new(json, DUTIES, json_integer(status->duties_record_version));
     json_object_set_new(json, CANCELLED, json_array());
     return from_json(json);
 }
@@ -193,7 +194,7 @@
     if (error.fault) return error;
     decoded.limits_lowered = json_is_true(get_field(message, LIMITS_LOWERED));
     decoded.format = json_integer_value(get_field(message, FORMAT));
-    decoded.duties_form = json_integer_value(get_field(message, DUTIES));
+    decoded.duties_record_version = json_integer_value(get_field(message, DUTIES));
     *status = decoded;
     return error;
 }
--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -87,14 +87,14 @@
 
 /* ---- values ---- */
 
-void amb_placement_block_add_placement(struct amb_placement_block_text *text,
+void amb_placement_block_add_placement(struct amb_placement_block_builder *text,
                                        const struct amb_placement *placement) {
     amb_buf_append_format(&text->placed, "%u,%llu,%s,%d,%d,%d;", placement->task,
                           (unsigned long long)placement->attempt, placement->machine, placement->type,
                           placement->zone, placement->spot);
 }
 
-void amb_placement_block_add_completed(struct amb_placement_block_text *text,
+void amb_placement_block_add_completed(struct amb_placement_block_builder *text,
                                        struct amb_task_range completed) {
     amb_buf_append_format(&text->completed, "%u-%u;", completed.first, completed.end - 1);
 }
@@ -134,7 +134,7 @@
 }
 
 void amb_placement_block_encode(struct amb_buf *out, const struct amb_placement_block_header *header,
-                                struct amb_placement_block_text *text) {
+                                struct amb_placement_block_builder *text) {
     const struct amb_catalog *catalog = header->catalog;
     amb_cbor_write_map(out, 7);
     amb_cbor_write_string(out, WRITTEN_AT);
--- a/lib/controller/leader_cycle.c
+++ b/lib/controller/leader_cycle.c
@@ -60,5 +60,5 @@
     bool is_scheduled = controller->cycle_timer.position != 0;
     if (!controller->ready || is_scheduled) return;
     amb_ms delay = amb_seconds_to_ms(controller->tick_interval_s * CYCLE_DELAY_SHARE);
-    amb_timer_in(&controller->cycle_timer, delay, run_cycle, node);
+    amb_timer_set_after(&controller->cycle_timer, delay, run_cycle, node);
 }
--- a/lib/controller/start.c
+++ b/lib/controller/start.c
@@ -44,8 +44,9 @@
 static bool open_public_server(struct amb_node *node) {
     const struct amb_settings *settings = &node->settings;
     amb_ms idle_timeout = amb_seconds_to_ms(settings->agent_lease_s * CONNECTION_LEASES);
-    node->public_server = amb_server_open(settings->api_listen, amb_capacity_max_incoming(settings),
-                                          REQUEST_BODY_MAX_BYTES, idle_timeout, handle_request, node);
+    node->public_server =
+        amb_server_open(settings->api_listen, amb_capacity_max_incoming_connections(settings),
+                        REQUEST_BODY_MAX_BYTES, idle_timeout, handle_request, node);
     return node->public_server != NULL;
 }
 
@@ -59,8 +60,8 @@
     amb_zone_recovery_init(node);
     for (uint32_t i = 0; i < settings->zone_count; i++)
         amb_catalog_find_or_add_zone(&node->catalog, settings->zones[i]);
-    amb_http_client_limit(amb_capacity_max_outgoing(settings));
-    amb_http_response_limit(amb_memory_max_response_bytes(settings));
+    amb_http_client_set_max_connections(amb_capacity_max_outgoing_connections(settings));
+    amb_http_client_set_max_response_bytes(amb_memory_max_response_bytes(settings));
     if (!open_public_server(node)) {
         snprintf(err, err_size, "front %s can't be opened", settings->api_listen);
         return -1;
--- a/lib/controller/tick.c
+++ b/lib/controller/tick.c
@@ -68,8 +68,8 @@
     struct amb_controller *controller = &node->controller;
     amb_ms now = amb_now();
     note_stall(node, now);
-    amb_timer_in(&controller->timer, amb_seconds_to_ms(controller->tick_interval_s * TICK_SHARE),
-                 on_tick_timer, node);
+    amb_timer_set_after(&controller->timer, amb_seconds_to_ms(controller->tick_interval_s * TICK_SHARE),
+                        on_tick_timer, node);
     amb_cloud_tick(node, now);
     amb_lease_proxy_tick(node, now);
     amb_format_tick(node, now);
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -213,7 +213,7 @@
     struct amb_node *node = arg;
     amb_ms now = amb_now(), due = node->election_timer.at;
     bool renewed_before = node->election.renewal_pending;
-    amb_timer_in(&node->election_timer, node->election.ttl / TICKS_PER_LEASE, on_election_timer, node);
+    amb_timer_set_after(&node->election_timer, node->election.ttl / TICKS_PER_LEASE, on_election_timer, node);
     amb_election_tick(node, now);
     if (!renewed_before && node->election.renewal_pending) /* bench/waits.c reads this line */
         amb_debug("election: lease renewal sent %lld ms after it was due", (long long)(amb_now() - due));
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -71,7 +71,7 @@
 void amb_machine_send_stops(struct amb_node *node, struct amb_machine *machine) {
     struct amb_agent_command commands[STOPS_MAX];
     struct amb_command_list stops = {commands, STOPS_MAX, 0};
-    machine->stops_due = false;
+    machine->stop_commands_due = false;
     for (const struct amb_task *task = machine->tasks; task; task = task->next_on_machine)
         if (is_stopping(task))
             amb_command_list_add(&stops, AMB_COMMAND_STOP, task->job->ref, task->index, task->attempt,
--- a/lib/fleet/deferred_responses.c
+++ b/lib/fleet/deferred_responses.c
@@ -74,13 +74,14 @@
     deferred->request = request;
     machine->deferred_response = deferred;
     request->deferred = true;
-    amb_timer_in(&deferred->timer, amb_seconds_to_ms(DEFERRED_SHARE * bound_s), send_deferred, deferred);
+    amb_timer_set_after(&deferred->timer, amb_seconds_to_ms(DEFERRED_SHARE * bound_s), send_deferred,
+                        deferred);
 }
 
 /* From the event loop, so that nothing changes within the caller's iteration over tasks or machines. */
 static void trigger_machine(const struct amb_machine *machine) {
     if (!machine || !machine->deferred_response) return;
-    amb_timer_in(&machine->deferred_response->timer, 0, send_deferred, machine->deferred_response);
+    amb_timer_set_after(&machine->deferred_response->timer, 0, send_deferred, machine->deferred_response);
 }
 
 void amb_deferred_response_trigger(struct amb_task *task) {
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -132,8 +132,8 @@
 
 /* Once for each machine. type: that is not in the catalogue; NULL: the zone is beyond the limit. */
 static void log_beyond_limits(struct amb_machine *machine, const char *type, const char *zone) {
-    if (machine->beyond_catalog) return;
-    machine->beyond_catalog = true;
+    if (machine->missing_from_catalog) return;
+    machine->missing_from_catalog = true;
     if (type)
         amb_error("machine %s can't be used: type %s is not in the catalogue, which holds %d "
                   "(AMB_MACHINE_TYPES_MAX) at most",
@@ -162,7 +162,7 @@
 
 bool amb_machine_is_schedulable(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
     amb_ms fresh_span = amb_seconds_to_ms(node->settings.heartbeat_s * FRESH_HEARTBEATS);
-    return machine->state == AMB_MACHINE_UP && !machine->release_pending && !machine->drain &&
+    return machine->state == AMB_MACHINE_UP && !machine->release_pending && !machine->draining &&
            !machine->reclaim_at && now >= machine->avoid_until && machine->type_index >= 0 &&
            machine->zone_index >= 0 && now - machine->last_heartbeat_at < fresh_span;
 }
--- a/lib/http/client.c
+++ b/lib/http/client.c
@@ -33,11 +33,11 @@
 static int open_connections, max_open_connections = DEFAULT_MAX_CONNECTIONS;
 static size_t max_response_bytes = DEFAULT_MAX_RESPONSE_BYTES;
 
-void amb_http_client_limit(int connections) {
+void amb_http_client_set_max_connections(int connections) {
     max_open_connections = connections;
 }
 
-void amb_http_response_limit(size_t bytes) {
+void amb_http_client_set_max_response_bytes(size_t bytes) {
     max_response_bytes = bytes;
 }
 
@@ -101,7 +101,7 @@
 static void client_keep_idle(struct amb_http_client_connection *client) {
     client->state = CLIENT_IDLE;
     idle_push(client);
-    amb_timer_in(&client->deadline, IDLE_MS, on_deadline, client);
+    amb_timer_set_after(&client->deadline, IDLE_MS, on_deadline, client);
     amb_buf_free(&client->stream.input);
     amb_buf_free(&client->stream.output);
 }
@@ -247,6 +247,6 @@
     amb_buf_append(output, body, len);
     if (is_reused) can_begin = client_send(client) == AMB_HTTP_STREAM_OPEN;
     /* A call that can't even begin fails from the loop like any other: never inside this function. */
-    amb_timer_in(&client->deadline, can_begin ? timeout_ms : 0, on_deadline, client);
+    amb_timer_set_after(&client->deadline, can_begin ? timeout_ms : 0, on_deadline, client);
     return client;
 }
--- a/lib/http/connection.c
+++ b/lib/http/connection.c
@@ -61,7 +61,8 @@
     if (state == AMB_HTTP_CONNECTION_ANSWERING)
         amb_timer_stop(&connection->idle_timer);
     else
-        amb_timer_in(&connection->idle_timer, connection->server->idle_ms, on_idle_timeout, connection);
+        amb_timer_set_after(&connection->idle_timer, connection->server->idle_ms, on_idle_timeout,
+                            connection);
 }
 
 /* ---- responses ---- */
--- a/lib/job/dependency_graph.c
+++ b/lib/job/dependency_graph.c
@@ -26,7 +26,8 @@
     UT_hash_handle hh;
 };
 
-static const struct amb_effective_priority NO_INHERITED_PRIORITY = {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
+static const struct amb_effective_priority NO_INHERITED_PRIORITY = {AMB_PRIORITY_BEST_EFFORT,
+                                                                    AMB_NO_DUE_TIME};
 
 void amb_dependency_graph_init(struct amb_dependency_graph *graph, const struct amb_dependency_events *events,
                                void *owner) {
@@ -195,7 +196,7 @@
     enum amb_priority priority = own->priority > inherited->priority ? own->priority : inherited->priority;
     int64_t due_wall_ms =
         own->due_wall_ms < inherited->due_wall_ms ? own->due_wall_ms : inherited->due_wall_ms;
-    if (due_wall_ms != AMB_NO_DUE) due_wall_ms -= dependent->own.work_ms;
+    if (due_wall_ms != AMB_NO_DUE_TIME) due_wall_ms -= dependent->own.work_ms;
     if (priority > dependency->inherited.priority) dependency->inherited.priority = priority;
     if (due_wall_ms < dependency->inherited.due_wall_ms) dependency->inherited.due_wall_ms = due_wall_ms;
 }
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -6,7 +6,8 @@
 /* Estimates are often wrong by half. */
 static const double ESTIMATE_ERROR_FACTOR = 1.5;
 
-static const struct amb_effective_priority NO_INHERITED_PRIORITY = {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
+static const struct amb_effective_priority NO_INHERITED_PRIORITY = {AMB_PRIORITY_BEST_EFFORT,
+                                                                    AMB_NO_DUE_TIME};
 
 double amb_job_spec_work_s(const struct amb_job_spec *spec) {
     return spec->estimated_runtime_s * ESTIMATE_ERROR_FACTOR;
@@ -58,7 +59,7 @@
 static struct amb_dependent make_dependent(const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
     int64_t due_wall_ms =
-        spec->deadline_s > 0 ? job->accepted_wall_ms + amb_seconds_to_ms(spec->deadline_s) : AMB_NO_DUE;
+        spec->deadline_s > 0 ? job->accepted_wall_ms + amb_seconds_to_ms(spec->deadline_s) : AMB_NO_DUE_TIME;
     return (struct amb_dependent){{spec->priority, due_wall_ms},
                                   amb_seconds_to_ms(amb_job_spec_work_s(spec))};
 }
@@ -83,7 +84,7 @@
 /* The latest time of day at which its tasks may start for the job to be in time. */
 static int64_t latest_start_wall_ms(const struct amb_job *job) {
     int64_t due = amb_job_due_wall_ms(job);
-    return due == AMB_NO_DUE ? AMB_NO_DUE : due - amb_seconds_to_ms(amb_job_spec_work_s(job->spec));
+    return due == AMB_NO_DUE_TIME ? AMB_NO_DUE_TIME : due - amb_seconds_to_ms(amb_job_spec_work_s(job->spec));
 }
 
 void amb_pipelines_update_priorities(struct amb_node *node) {
@@ -92,8 +93,8 @@
     amb_dependency_graph_propagate_priorities(get_graph(node));
     int64_t now = amb_wall_ms();
     for (struct amb_job *job = node->jobs.active; job; job = job->next_active) {
-        int64_t latest = job->inherits_priority ? latest_start_wall_ms(job) : AMB_NO_DUE;
-        job->pipeline_late = job->inherits_priority && (latest == AMB_NO_DUE || latest <= now);
+        int64_t latest = job->inherits_priority ? latest_start_wall_ms(job) : AMB_NO_DUE_TIME;
+        job->pipeline_late = job->inherits_priority && (latest == AMB_NO_DUE_TIME || latest <= now);
     }
 }
 
--- a/lib/job/tasks.c
+++ b/lib/job/tasks.c
@@ -89,7 +89,7 @@
         job->done_count++;
         job->progress_changed = true;
         /* A machine that is drained is kept until its last completion is durable. */
-        amb_placement_block_mark_dirty(node, task, task->machine && task->machine->drain);
+        amb_placement_block_mark_dirty(node, task, task->machine && task->machine->draining);
     }
     amb_node_request_cycle(node);
 }
@@ -102,7 +102,7 @@
     }
     task->stop_requested = true;
     task->grace_s = grace_s;
-    task->machine->stops_due = true;
+    task->machine->stop_commands_due = true;
     (void)node;
 }
 
--- a/lib/kvstore/request_queue.c
+++ b/lib/kvstore/request_queue.c
@@ -167,7 +167,7 @@
     for (int priority = 0; priority < AMB_STORE_PRIORITIES; priority++)
         dispatch_class(store, (enum amb_store_priority)priority, &pass);
     if (pass.next_attempt_in)
-        amb_timer_in(&store->dispatch_timer, pass.next_attempt_in, on_dispatch_timer, store);
+        amb_timer_set_after(&store->dispatch_timer, pass.next_attempt_in, on_dispatch_timer, store);
 }
 
 void store_request_enqueue(struct amb_store_request *request) {
--- a/lib/node/fleet_capacity.c
+++ b/lib/node/fleet_capacity.c
@@ -13,11 +13,11 @@
 /* Connections for users and health checks, for each one of an agent. */
 static const double USERS_PER_WORKER = 1.0 / 16;
 
-int amb_capacity_max_incoming(const struct amb_settings *settings) {
+int amb_capacity_max_incoming_connections(const struct amb_settings *settings) {
     return (int)(settings->fd_limit * INCOMING_SHARE);
 }
 
-int amb_capacity_max_outgoing(const struct amb_settings *settings) {
+int amb_capacity_max_outgoing_connections(const struct amb_settings *settings) {
     return (int)(settings->fd_limit * OUTGOING_SHARE);
 }
 
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -19,7 +19,7 @@
 static void apply_abilities(struct amb_node *node, struct amb_peer *peer,
                             const struct amb_peer_status *status) {
     amb_format_update_peer(peer, to_format(status->format));
-    amb_duties_update_peer(peer, status->duties_form > 0);
+    amb_duties_update_peer(peer, status->duties_record_version > 0);
     if (status->limits_lowered) amb_store_lower_limits(&node->store, "another node says so");
 }
 
--- a/lib/peer/own_status.c
+++ b/lib/peer/own_status.c
@@ -31,7 +31,7 @@
         .receives_agent_heartbeats = now - node->fleet.last_heartbeat_at < evidence_timeout(node),
         .limits_lowered = node->store.limits_lowered,
         .format = format_to_send(node),
-        .duties_form = amb_duties_is_enabled(node) ? AMB_DUTY_RECORD_VERSION : 0,
+        .duties_record_version = amb_duties_is_enabled(node) ? AMB_DUTY_RECORD_VERSION : 0,
     };
 }
 
@@ -41,5 +41,5 @@
            status->store_reachable == other->store_reachable &&
            status->receives_agent_heartbeats == other->receives_agent_heartbeats &&
            status->limits_lowered == other->limits_lowered && status->format == other->format &&
-           status->duties_form == other->duties_form;
+           status->duties_record_version == other->duties_record_version;
 }
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -33,8 +33,8 @@
 static void send_heartbeats(void *arg) {
     struct amb_node *node = arg;
     amb_ms now = amb_now();
-    amb_timer_in(&node->peers.heartbeat_timer, (amb_ms)(node->settings.heartbeat_s * 500), send_heartbeats,
-                 node);
+    amb_timer_set_after(&node->peers.heartbeat_timer, (amb_ms)(node->settings.heartbeat_s * 500),
+                        send_heartbeats, node);
     char *text = amb_peer_encode_heartbeat(node);
     bool sent_to_all = true;
     amb_debug("heartbeat: %zu bytes", strlen(text));
--- a/lib/placement_log/block_value.c
+++ b/lib/placement_log/block_value.c
@@ -4,7 +4,8 @@
 
 #include <string.h>
 
-static void encode_completed(const struct amb_placement_block *block, struct amb_placement_block_text *text) {
+static void encode_completed(const struct amb_placement_block *block,
+                             struct amb_placement_block_builder *text) {
     const struct amb_task *tasks = block->job->tasks;
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         if (!tasks[i].done) continue;
@@ -15,7 +16,7 @@
 }
 
 static void encode_placements(const struct amb_placement_block *block,
-                              struct amb_placement_block_text *text) {
+                              struct amb_placement_block_builder *text) {
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         const struct amb_task *task = &block->job->tasks[i];
         if (!task->machine || task->done) continue;
@@ -31,7 +32,7 @@
 
 void amb_placement_log_encode_block(struct amb_node *node, const struct amb_placement_block *block,
                                     struct amb_buf *out) {
-    struct amb_placement_block_text text = {0};
+    struct amb_placement_block_builder text = {0};
     const struct amb_placement_block_header header = {.written_wall_ms = amb_wall_ms(),
                                                       .write_id = block->write_id,
                                                       .next_attempt = block->job->next_attempt,
--- a/lib/scheduler/consolidation.c
+++ b/lib/scheduler/consolidation.c
@@ -49,7 +49,7 @@
     struct amb_machine *machine, *next;
     uint32_t moves = 0;
     HASH_ITER(hh, cycle->node->fleet.machines, machine, next) {
-        if (!machine->drain || machine->state != AMB_MACHINE_UP) continue;
+        if (!machine->draining || machine->state != AMB_MACHINE_UP) continue;
         struct amb_task *task = machine->tasks;
         for (; task && moves < MOVES_PER_PLAN_MAX; task = task->next_on_machine) {
             if (task->job->spec->kind != AMB_JOB_KIND_SERVICE || !take_slot_for_move(cycle, task)) continue;
@@ -104,7 +104,8 @@
     double remaining_gpus = 0;
     for (uint32_t i = 0; i < cycle->slot_count; i++) {
         const struct amb_machine *machine = cycle->slots[i].machine;
-        if (!machine || machine == excluded || machine->state != AMB_MACHINE_UP || machine->drain) continue;
+        if (!machine || machine == excluded || machine->state != AMB_MACHINE_UP || machine->draining)
+            continue;
         const struct amb_resources *size = &cycle->node->catalog.types[machine->type_index].resources;
         remaining_gpus += size->gpus * usable_share(size, peak);
     }
@@ -128,13 +129,13 @@
     if (!best) return;
     amb_info("machine %s: to be emptied: the rest of the fleet has room for its %u tasks", best->name,
              best->task_count);
-    best->drain = true;
+    best->draining = true;
 }
 
 static void stop_draining(struct amb_node *node) {
     struct amb_machine *machine, *next;
     HASH_ITER(hh, node->fleet.machines, machine, next) {
-        if (!machine->release_pending) machine->drain = false;
+        if (!machine->release_pending) machine->draining = false;
     }
 }
 
@@ -144,7 +145,7 @@
     uint32_t draining = 0, up = 0;
     HASH_ITER(hh, cycle->node->fleet.machines, machine, next) {
         up += machine->state == AMB_MACHINE_UP;
-        draining += machine->drain;
+        draining += machine->draining;
     }
     /* Demand is back: better keep what is up already. */
     if (plan->scale_out_total) {
--- a/lib/scheduler/scale_in.c
+++ b/lib/scheduler/scale_in.c
@@ -30,7 +30,7 @@
     struct amb_machine *machine, *next;
     for (uint32_t i = 0; i < cycle->slot_count; i++) release_idle_machine(cycle, &cycle->slots[i]);
     HASH_ITER(hh, node->fleet.machines, machine, next) {
-        if (machine->drain && is_empty(machine)) amb_cloud_scale_in(node, machine, "emptied");
+        if (machine->draining && is_empty(machine)) amb_cloud_scale_in(node, machine, "emptied");
     }
 }
 
--- a/lib/scheduler/start_deadline.c
+++ b/lib/scheduler/start_deadline.c
@@ -50,7 +50,8 @@
            job->team->opportunistic;
 }
 
-/* When the job is to be done, by its deadline or else by its class's objective; AMB_NO_DUE: at any time. */
+/* When the job is to be done, by its deadline or else by its class's objective; AMB_NO_DUE_TIME: at any time.
+ */
 static int64_t find_due_wall(const struct amb_node *node, const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
     int64_t due_wall = amb_job_due_wall_ms(job);
@@ -73,7 +74,7 @@
     if (spec->kind != AMB_JOB_KIND_ARRAY || spec->priority >= AMB_PRIORITY_HIGH) return false;
     if (amb_start_find_objective(node, spec)) return false;
     int64_t due_wall = find_due_wall(node, job);
-    if (due_wall != AMB_NO_DUE) {
+    if (due_wall != AMB_NO_DUE_TIME) {
         double run_s = scale_out_start_s(node, spec) + amb_job_spec_work_s(spec);
         return amb_wall_ms() + amb_seconds_to_ms(run_s) < due_wall;
     }
--- a/lib/watch/fresh_read.c
+++ b/lib/watch/fresh_read.c
@@ -18,7 +18,7 @@
 /* Spaced out, so that several who ask share a read when they come faster than reads may be made. */
 static void schedule_fresh_read(struct amb_node *node) {
     amb_ms gap = (amb_ms)(4000.0 / node->store.request_bucket.tokens_per_second);
-    amb_timer_in(&node->watch.fresh_read_timer, gap, send_fresh_read, node);
+    amb_timer_set_after(&node->watch.fresh_read_timer, gap, send_fresh_read, node);
 }
 
 static void handle_fresh_page(void *arg, int status, const void *page, size_t len) {
--- a/lib/watch/watch.c
+++ b/lib/watch/watch.c
@@ -57,7 +57,7 @@
     struct amb_watch *watch = &node->watch;
     struct amb_list_page page;
     if (status != 200 || !amb_list_page_decode(body, &page)) {
-        amb_timer_in(&watch->watch_timer, node->store.call_timeout / 5, send_list, node);
+        amb_timer_set_after(&watch->watch_timer, node->store.call_timeout / 5, send_list, node);
         return;
     }
     /* What changes while the pages come is watched from the first page on. */
@@ -85,7 +85,7 @@
     else if (amb_watch_must_relist(status))
         amb_watch_relist(node);
     else
-        amb_timer_in(&watch->watch_timer, node->store.call_timeout / 4, send_watch, node);
+        amb_timer_set_after(&watch->watch_timer, node->store.call_timeout / 4, send_watch, node);
 }
 
 static void send_watch(void *arg) {
--- a/tests/base/test_loop.c
+++ b/tests/base/test_loop.c
@@ -48,7 +48,7 @@
         watches[i] = (struct amb_fd_watch){.fd = ends[i][0], .fn = readable};
         assert_int_equal(amb_loop_add(&watches[i], EPOLLIN), 0);
     }
-    amb_timer_in(&timer, TIMER_MS, due, NULL);
+    amb_timer_set_after(&timer, TIMER_MS, due, NULL);
     amb_loop_run();
     assert_string_equal(called, "ete");
     for (size_t i = 0; i < ROWS(watches); i++) {
--- a/tests/cloud/test_scale_out.c
+++ b/tests/cloud/test_scale_out.c
@@ -307,7 +307,7 @@
     static struct amb_agent_task ended;
     struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, tasks);
     struct amb_machine *machine = machine_up("m-1", 0);
-    machine->drain = drain;
+    machine->draining = drain;
     job->revision = 20;
     job->backoff_until = now + 1000000; /* no demand for room */
     bound(job, 0, "m-1", 1);
--- a/tests/codec/test_peer_messages.c
+++ b/tests/codec/test_peer_messages.c
@@ -40,7 +40,7 @@
     struct amb_peer_status status = STATUS;
     status.has_read_store = status.receives_agent_heartbeats = status.limits_lowered = true;
     status.format = 2;
-    status.duties_form = 1;
+    status.duties_record_version = 1;
     struct amb_peer_message *message = amb_peer_message_new("n-0", &status);
     amb_peer_message_add_cancellation(message, &(struct amb_peer_cancellation){"wk-1", 1700000000000, 61});
     amb_peer_message_set_known_revision(message, 1234);
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -183,7 +183,7 @@
     return &names;
 }
 
-static struct amb_buf value_of(struct amb_placement_block_text *text) {
+static struct amb_buf value_of(struct amb_placement_block_builder *text) {
     struct amb_buf value = {0};
     const struct amb_placement_block_header head = {
         .written_wall_ms = 1700000000000, .write_id = "412-77", .next_attempt = 9, .catalog = catalog()};
@@ -197,7 +197,7 @@
     static const char want[] =
         "{\"at\":1700000000000,\"w\":\"412-77\",\"n\":9,\"p\":\"5,8,m-000231,1,0,1;7,2,m-1,0,1,0;\","
         "\"d\":\"0-4;6-6;\",\"t\":[\"g8\",\"anboto-large\"],\"z\":[\"a\",\"miribilla\"]}";
-    struct amb_placement_block_text text = {0};
+    struct amb_placement_block_builder text = {0};
     amb_placement_block_add_placement(&text, &(struct amb_placement){5, 8, "m-000231", 1, 0, true});
     amb_placement_block_add_placement(&text, &(struct amb_placement){7, 2, "m-1", 0, 1, false});
     amb_placement_block_add_completed(&text, (struct amb_task_range){0, 5});
@@ -228,7 +228,7 @@
         {BY_KEY, 1, "m-000231", 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_placement_block_text text = {0};
+        struct amb_placement_block_builder text = {0};
         uint32_t tasks = amb_placement_block_capacity(rows[i].layout, rows[i].value_kb);
         for (uint32_t task_index = 0; task_index < tasks; task_index++) {
             struct amb_placement placement = {
--- a/tests/http/test_http_calls.c
+++ b/tests/http/test_http_calls.c
@@ -97,7 +97,7 @@
     if (++current == ROWS(plans))
         amb_loop_stop();
     else
-        amb_timer_in(&pause_timer, plans[current].pause, make_calls, NULL);
+        amb_timer_set_after(&pause_timer, plans[current].pause, make_calls, NULL);
 }
 
 static void rude_turn(void *arg) {
@@ -114,7 +114,7 @@
         amb_http_call(*plan->to, "POST", plan->path, "text/plain", body, plan->body,
                       plan->status ? TIMEOUT_MS : 300, answered, (void *)plan);
     calling = false;
-    if (plan->to == &rude && plan->status) amb_timer_in(&rude_timer, 20, rude_turn, NULL);
+    if (plan->to == &rude && plan->status) amb_timer_set_after(&rude_timer, 20, rude_turn, NULL);
 }
 
 static void too_long(void *arg) {
@@ -140,8 +140,8 @@
 static void every_call_is_answered_once(void **state) {
     (void)state;
     amb_loop_init();
-    amb_http_client_limit(64);
-    amb_http_response_limit(ANSWER_LIMIT);
+    amb_http_client_set_max_connections(64);
+    amb_http_client_set_max_response_bytes(ANSWER_LIMIT);
     rude_listener = listen_somewhere(rude_address);
     int taken = listen_somewhere(address); /* the port, for the server to open a moment later */
     close(taken);
@@ -149,7 +149,7 @@
     close(listen_somewhere(closed_address));
     body = malloc(LIMIT);
     for (size_t i = 0; i < LIMIT; i++) body[i] = (char)('a' + i % 26);
-    amb_timer_in(&watchdog, 60000, too_long, NULL);
+    amb_timer_set_after(&watchdog, 60000, too_long, NULL);
     make_calls(NULL);
     amb_loop_run();
     assert_int_equal(current, ROWS(plans));
--- a/tests/job/test_dependencies.c
+++ b/tests/job/test_dependencies.c
@@ -59,7 +59,7 @@
     (void)state;
     world = amb_alloc(sizeof *world);
     for (uint32_t i = 0; i < JOBS_MOST; i++)
-        world->need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
+        world->need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME};
     amb_dependency_graph_init(&world->graph, &events, world);
     return 0;
 }
@@ -87,7 +87,7 @@
 }
 
 static void add(uint32_t job, const uint32_t *awaited, uint32_t count) {
-    add_urgent(job, awaited, count, AMB_PRIORITY_NORMAL, AMB_NO_DUE, 0);
+    add_urgent(job, awaited, count, AMB_PRIORITY_NORMAL, AMB_NO_DUE_TIME, 0);
 }
 
 static void done(uint32_t job) {
@@ -213,10 +213,10 @@
     (void)state;
     static const uint32_t on0[] = {0}, on1[] = {1}, on12[] = {1, 2};
     /* 0 <- 1 <- 3, 0 <- 2 <- 3; 0 <- 4 */
-    add_urgent(1, on0, 1, AMB_PRIORITY_NORMAL, AMB_NO_DUE, 20);
+    add_urgent(1, on0, 1, AMB_PRIORITY_NORMAL, AMB_NO_DUE_TIME, 20);
     add_urgent(2, on0, 1, AMB_PRIORITY_BEST_EFFORT, 500, 30);
     add_urgent(3, on12, 2, AMB_PRIORITY_HIGH, 1000, 7);
-    add_urgent(4, on0, 1, AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE, 5);
+    add_urgent(4, on0, 1, AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME, 5);
     amb_dependency_graph_propagate_priorities(&world->graph);
     static const struct {
         enum amb_priority priority;
@@ -224,7 +224,7 @@
     } due[] = {{AMB_PRIORITY_HIGH, 470},
                {AMB_PRIORITY_HIGH, 993},
                {AMB_PRIORITY_HIGH, 993},
-               {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE}};
+               {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME}};
     for (uint32_t i = 0; i < ROWS(due); i++) {
         assert_int_equal(world->need[i].priority, due[i].priority);
         assert_int_equal(world->need[i].due_wall_ms, due[i].due);
@@ -232,9 +232,9 @@
     cancel(2); /* and 3 with it */
     amb_dependency_graph_propagate_priorities(&world->graph);
     assert_int_equal(world->need[0].priority, AMB_PRIORITY_NORMAL);
-    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE);
+    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE_TIME);
     assert_int_equal(world->need[1].priority, AMB_PRIORITY_BEST_EFFORT);
-    assert_int_equal(world->need[1].due_wall_ms, AMB_NO_DUE);
+    assert_int_equal(world->need[1].due_wall_ms, AMB_NO_DUE_TIME);
     add_urgent(5, on1, 1, AMB_PRIORITY_PRODUCTION, 90, 1); /* a later stage is submitted */
     amb_dependency_graph_propagate_priorities(&world->graph);
     assert_int_equal(world->need[1].priority, AMB_PRIORITY_PRODUCTION);
@@ -245,7 +245,7 @@
     amb_dependency_graph_propagate_priorities(&world->graph);
     assert_int_equal(world->need[0].priority, AMB_PRIORITY_BEST_EFFORT);
     cancel(4);
-    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE);
+    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE_TIME);
     assert_null(world->graph.by_name); /* nothing is kept of what is over */
 }
 
@@ -287,13 +287,13 @@
 static void inherit_priority(struct amb_effective_priority *need, struct amb_effective_priority other,
                              int64_t work) {
     if (other.priority > need->priority) need->priority = other.priority;
-    if (other.due_wall_ms == AMB_NO_DUE) return;
+    if (other.due_wall_ms == AMB_NO_DUE_TIME) return;
     if (other.due_wall_ms - work < need->due_wall_ms) need->due_wall_ms = other.due_wall_ms - work;
 }
 
 static void ask_priorities(void) {
     for (uint32_t i = 0; i < DRAWN; i++)
-        oracle.need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE};
+        oracle.need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME};
     for (uint32_t later = DRAWN; later-- > 0;) {
         if (!drawn.accepted[later] || drawn.done[later] || oracle.cancelled[later]) continue;
         const struct amb_dependent *dependent = &drawn.dependent[later];
@@ -312,7 +312,7 @@
         for (uint32_t k = 0; k < drawn.count[i]; k++) drawn.awaited[i][k] = draw(i);
         bool due = draw(3) == 0;
         drawn.dependent[i] = (struct amb_dependent){{(enum amb_priority)draw(AMB_PRIORITY_PRODUCTION + 1),
-                                                     due ? 1000 + (int64_t)draw(1000) : AMB_NO_DUE},
+                                                     due ? 1000 + (int64_t)draw(1000) : AMB_NO_DUE_TIME},
                                                     (int64_t)draw(50)};
     }
 }
@@ -401,7 +401,7 @@
 static void add_chain(bool backwards) {
     for (uint32_t i = 1; i < DEEP; i++) {
         uint32_t job = backwards ? DEEP - i : i, before = job - 1;
-        add_urgent(job, &before, 1, AMB_PRIORITY_NORMAL, job == DEEP - 1 ? 1000000 : AMB_NO_DUE, 1);
+        add_urgent(job, &before, 1, AMB_PRIORITY_NORMAL, job == DEEP - 1 ? 1000000 : AMB_NO_DUE_TIME, 1);
     }
 }
 
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -202,7 +202,7 @@
     amb_job_apply_cancel_hint(node, last->ref, amb_wall_ms(), 203);
     amb_pipelines_update_priorities(node);
     assert_int_equal(amb_job_get_effective_priority(first), AMB_PRIORITY_BEST_EFFORT);
-    assert_int_equal(amb_job_due_wall_ms(first), AMB_NO_DUE);
+    assert_int_equal(amb_job_due_wall_ms(first), AMB_NO_DUE_TIME);
 }
 
 /* What a class asks for is noted when its jobs can run. */
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -95,7 +95,7 @@
     /* Not at once: the model that answers may go on reading the call. */
     amb_timer_stop(&call->go);
     amb_timer_stop(&call->back);
-    amb_timer_in(&call->deadline, 0, forget, call);
+    amb_timer_set_after(&call->deadline, 0, forget, call);
 }
 
 void sim_call_go(void *arg) {
@@ -122,8 +122,8 @@
     if (call->len) memcpy(copy->body, call->body, call->len);
     copy->len = call->len;
     copy->unanswered = true;
-    amb_timer_in(&copy->deadline, FORGET_MS, forget, copy);
-    amb_timer_in(&copy->go, sim_between(LATE_LEAST_MS, LATE_MOST_MS), sim_call_go, copy);
+    amb_timer_set_after(&copy->deadline, FORGET_MS, forget, copy);
+    amb_timer_set_after(&copy->go, sim_between(LATE_LEAST_MS, LATE_MOST_MS), sim_call_go, copy);
 }
 
 /* For some seconds now and then half of the orders to the cloud arrive late, whoever sends them: a
@@ -182,9 +182,9 @@
     }
     if (treatment.doubled) deliver_again(call);
     if (treatment.unanswered || treatment.delay) call->unanswered = true;
-    amb_timer_in(&call->deadline, FORGET_MS, forget, call);
+    amb_timer_set_after(&call->deadline, FORGET_MS, forget, call);
     if (treatment.delay)
-        amb_timer_in(&call->go, treatment.delay, sim_call_go, call);
+        amb_timer_set_after(&call->go, treatment.delay, sim_call_go, call);
     else
         sim_call_go(call);
 }
@@ -221,7 +221,7 @@
 static void on_worker(void *arg, struct proof_request *request) {
     struct sim_call *call = call_of(request, SIM_AT_WORKER);
     call->machine = (int)((char(*)[PROOF_ADDRESS])arg - machine_address);
-    amb_timer_in(&call->deadline, FORGET_MS, forget, call);
+    amb_timer_set_after(&call->deadline, FORGET_MS, forget, call);
     carry_out(call);
 }
 
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -145,7 +145,7 @@
 
 static void tick(void *arg) {
     (void)arg;
-    amb_timer_in(&tick_timer, TICK_MS, tick, NULL);
+    amb_timer_set_after(&tick_timer, TICK_MS, tick, NULL);
     sim_state_tick();
     proof_witness_tick();
     for (int i = 0; i < world.machine_count; i++) sim_machine_advance(i);
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -160,7 +160,8 @@
         amb_machine_set_location(node, machine, rows[i].type, rows[i].zone);
         if (amb_machine_is_schedulable(node, machine, amb_now()) != rows[i].used)
             fail_msg("%s", rows[i].what);
-        if (machine->beyond_catalog == rows[i].used) fail_msg("%s: said %d", rows[i].what, !rows[i].used);
+        if (machine->missing_from_catalog == rows[i].used)
+            fail_msg("%s: said %d", rows[i].what, !rows[i].used);
     }
 }
 
@@ -175,7 +176,7 @@
     node->catalog.type_count = 0;
     amb_machine_set_location(node, machine, "g8", "a");
     assert_false(amb_machine_is_schedulable(node, machine, amb_now()));
-    assert_false(machine->beyond_catalog);
+    assert_false(machine->missing_from_catalog);
     strcpy(node->catalog.types[0].name, "g8");
     node->catalog.type_count = 1;
     node->cloud.catalog_known = true;
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -362,7 +362,7 @@
 }
 
 static void put_block(const char *key, const char *placed, const char *done) {
-    struct amb_placement_block_text text = {0};
+    struct amb_placement_block_builder text = {0};
     struct amb_buf value = {0};
     amb_buf_append_text(&text.placed, placed);
     amb_buf_append_text(&text.completed, done);
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -31,7 +31,7 @@
     world.machine_count++;
     int there = machines_there();
     if (there > world.result.machines_most) world.result.machines_most = there;
-    amb_timer_in(&machine->report, boots, boot, machine);
+    amb_timer_set_after(&machine->report, boots, boot, machine);
 }
 
 static void machine_end(struct sim_machine *machine) {
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -110,7 +110,7 @@
     call->answered_at = world.now;
     sim_digest_answer(call);
     int keep = sim_switch_to(-1);
-    amb_timer_in(&call->back, travel_time(call), call_back, call);
+    amb_timer_set_after(&call->back, travel_time(call), call_back, call);
     sim_switch_to(keep);
 }
 
@@ -197,14 +197,14 @@
         return;
     }
     if (is_late(call)) {
-        amb_timer_in(&call->go, sim_between(2000, 15000), sim_call_go, call);
+        amb_timer_set_after(&call->go, sim_between(2000, 15000), sim_call_go, call);
         return;
     }
     bool to_node = call->to == SIM_AT_FRONT || call->to == SIM_AT_PEER;
     if (to_node && wait_for_thaw(call->node, &call->go, 1, sim_call_go, call)) return;
     amb_ms held = hold_up(call);
     if (held) {
-        amb_timer_in(&call->go, held, sim_call_go, call);
+        amb_timer_set_after(&call->go, held, sim_call_go, call);
         return;
     }
     switch (call->to) {
@@ -218,8 +218,8 @@
 void sim_call_start(struct sim_call *call, amb_ms timeout) {
     sim_digest_request(call, timeout);
     int keep = sim_switch_to(-1); /* what is under way outlives the node that sent it */
-    amb_timer_in(&call->go, travel_time(call), sim_call_go, call);
-    amb_timer_in(&call->deadline, timeout, call_deadline, call);
+    amb_timer_set_after(&call->go, travel_time(call), sim_call_go, call);
+    amb_timer_set_after(&call->deadline, timeout, call_deadline, call);
     sim_switch_to(keep);
 }
 
@@ -259,11 +259,11 @@
     return NULL;
 }
 
-void amb_http_response_limit(size_t bytes) {
+void amb_http_client_set_max_response_bytes(size_t bytes) {
     (void)bytes;
 }
 
-void amb_http_client_limit(int connections) {
+void amb_http_client_set_max_connections(int connections) {
     (void)connections;
 }
 
--- a/tests/standin/nodes.c
+++ b/tests/standin/nodes.c
@@ -69,7 +69,7 @@
     node->alive = false;
     node->front.handler = node->back.handler = NULL;
     sim_stop_timers(index);
-    amb_timer_in(&node->restart, back, sim_node_start, node);
+    amb_timer_set_after(&node->restart, back, sim_node_start, node);
 }
 
 /* ---- an upgrade while the service runs ---- */
@@ -90,7 +90,7 @@
         sim_node_kill(i, SIM_RESTART_MS);
         ended++;
     }
-    if (ended) amb_timer_in(&world.upgrade_timer, upgrade.every, upgrade_next, NULL);
+    if (ended) amb_timer_set_after(&world.upgrade_timer, upgrade.every, upgrade_next, NULL);
 }
 
 void sim_begin_upgrade(const struct sim_fault *fault) {
@@ -111,7 +111,7 @@
         sim_node_kill(i, SIM_RESTART_MS);
         break;
     }
-    amb_timer_in(&world.duties_timer, SWITCH_EVERY_MS, switch_next, NULL);
+    amb_timer_set_after(&world.duties_timer, SWITCH_EVERY_MS, switch_next, NULL);
 }
 
 amb_ms sim_duties_switched(const struct sim_fault *fault) {
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -438,7 +438,7 @@
     char wait[32];
     parameter(call->path, "wait_ms=", wait, sizeof wait);
     if (!follow_answer(call, !strcmp(wait, "0")))
-        amb_timer_in(&call->back, strtol(wait, NULL, 10), follow_over, call);
+        amb_timer_set_after(&call->back, strtol(wait, NULL, 10), follow_over, call);
 }
 
 static void grant_lease(struct sim_call *call) {
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -85,7 +85,7 @@
     bool over = job->brief && job->known == SIM_FINAL;
     amb_ms pause = over ? sim_between(10000, 30000) : sim_between(1000, 4000);
     if (sim_fault_active(SIM_QUESTIONS, -1)) pause /= QUESTIONS_TIMES;
-    amb_timer_in(&job->timer, pause, user_acts, job);
+    amb_timer_set_after(&job->timer, pause, user_acts, job);
 }
 
 static void user_acts(void *arg) {
@@ -132,7 +132,7 @@
         errand->request = request;
         errand->node = node;
         int keep = sim_switch_to(-1);
-        amb_timer_in(&errand->timer, delay, run_errand, errand);
+        amb_timer_set_after(&errand->timer, delay, run_errand, errand);
         sim_switch_to(keep);
         return;
     }
@@ -240,7 +240,7 @@
         spec->task_count = (uint32_t)(sim_team_limit() / (int)spec->task_resources.gpus) + 1;
     }
     job->at = world.now;
-    amb_timer_in(&job->timer, 0, user_acts, job);
+    amb_timer_set_after(&job->timer, 0, user_acts, job);
 }
 
 static void odd_request(void *arg) {
@@ -254,11 +254,11 @@
         sim_errand(job, SIM_CANCEL, -1, 0);
     else if (choice > 1 && (job = job_some(is_unfinished)))
         sim_errand(job, choice == 2 ? SIM_REPEAT : SIM_REPEAT_SPOILT, -1, 0);
-    amb_timer_in(&world.odd_timer, sim_between(200, 600), odd_request, NULL);
+    amb_timer_set_after(&world.odd_timer, sim_between(200, 600), odd_request, NULL);
 }
 
 void sim_begin_odd_requests(void) {
-    amb_timer_in(&world.odd_timer, 0, odd_request, NULL);
+    amb_timer_set_after(&world.odd_timer, 0, odd_request, NULL);
 }
 
 /* ---- the day's jobs ---- */
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -328,7 +328,7 @@
     }
     free(sent);
     call->user = NULL;
-    if (machine->exists) amb_timer_in(&machine->report, next, sim_report, machine);
+    if (machine->exists) amb_timer_set_after(&machine->report, next, sim_report, machine);
 }
 
 static void ignored(struct sim_call *call) {
@@ -362,7 +362,7 @@
     struct sim_call *call = report_call(&world.machines[machine], node, body);
     call->user_fn = ignored;
     sim_call_start(call, COPY_TIMEOUT_MS);
-    amb_timer_in(&call->go, sim_between(least, most), sim_call_go, call);
+    amb_timer_set_after(&call->go, sim_between(least, most), sim_call_go, call);
 }
 
 static void keep_report(int machine, const struct amb_buf *body) {
--- a/tests/support/fake_clock.c
+++ b/tests/support/fake_clock.c
@@ -44,7 +44,7 @@
     timer->position = ntimers;
 }
 
-void amb_timer_in(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
+void amb_timer_set_after(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
     amb_timer_set(timer, clock_ms + delay, fn, arg);
 }
 
--- a/tests/support/fake_http.c
+++ b/tests/support/fake_http.c
@@ -34,11 +34,11 @@
     return NULL;
 }
 
-void amb_http_response_limit(size_t bytes) {
+void amb_http_client_set_max_response_bytes(size_t bytes) {
     (void)bytes;
 }
 
-void amb_http_client_limit(int connections) {
+void amb_http_client_set_max_connections(int connections) {
     (void)connections;
 }
 
