--- a/tests/duty/test_duty_explore_small.c
+++ b/tests/duty/test_duty_explore_small.c
@@ -14,8 +14,8 @@
         struct explorer_result result = explorer_run(scenario, MOST_STATES, QUIET_EVERY);
         print_message("%s: %llu states, %llu steps, depth %u, %llu played on until quiet\n", scenario->name,
                       (unsigned long long)result.states, (unsigned long long)result.steps, result.depth,
-                      (unsigned long long)result.quieted);
-        if (result.violation) fail_msg("%s: %s after%s", scenario->name, result.violation, result.path);
+                      (unsigned long long)result.quiesced);
+        if (result.violation) fail_msg("%s: %s after%s", scenario->name, result.violation, result.trace);
         if (!result.complete) fail_msg("%s: not complete", scenario->name);
         states += result.states;
     }
@@ -25,26 +25,26 @@
 static void each_mechanism_is_needed(void **state) {
     (void)state;
     static const struct {
-        enum world_fault fault;
+        enum model_mutation fault;
         const char *scenario, *violation;
     } rows[] = {
-        {WORLD_NO_DUTY_COMPARE, "paused", "an order was written by another than the holder"},
-        {WORLD_NEW_NAMES, "paused", "machines were rented twice for one order"},
-        {WORLD_NO_CLOCK_CHECK, "paused", "an order was sent under a stale token"},
-        {WORLD_MARK_IGNORED, "withdrawn", "a machine in use was returned"},
-        {WORLD_NO_MEMBER_COMPARE, "restarted",
+        {MODEL_NO_DUTY_COMPARE, "paused", "an order was written by another than the holder"},
+        {MODEL_REQUEST_NAME_PER_HOLDER, "paused", "machines were rented twice for one order"},
+        {MODEL_NO_CLOCK_CHECK, "paused", "an order was sent under a stale token"},
+        {MODEL_LEAVING_MARK_IGNORED, "withdrawn", "a machine in use was returned"},
+        {MODEL_NO_MEMBER_COMPARE, "restarted",
          "a member relies on a right that the state service does not know of"},
     };
-    assert_int_equal(ROWS(rows), WORLD_FAULTS - 1);
+    assert_int_equal(ROWS(rows), MODEL_MUTATIONS - 1);
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct explorer_scenario scenario = *duty_scenario(rows[i].scenario);
-        scenario.fault = rows[i].fault;
+        struct explorer_scenario scenario = *duty_scenario_find(rows[i].scenario);
+        scenario.mutation = rows[i].fault;
         struct explorer_result result = explorer_run(&scenario, MOST_STATES, 0);
         if (!result.violation || strcmp(result.violation, rows[i].violation) != 0)
             fail_msg("fault %d: %s, wanted: %s", (int)rows[i].fault,
                      result.violation ? result.violation : "nothing", rows[i].violation);
         print_message("fault %d: after %llu states:%s: %s\n", (int)rows[i].fault,
-                      (unsigned long long)result.states, result.path, result.violation);
+                      (unsigned long long)result.states, result.trace, result.violation);
     }
 }
 
--- a/tests/duty/test_duty_simulation.c
+++ b/tests/duty/test_duty_simulation.c
@@ -9,12 +9,12 @@
     (void)state;
     uint64_t handovers = 0, intents = 0;
     for (uint64_t seed = 1; seed <= DAYS; seed++) {
-        struct simulation_day day = simulation_draw(seed);
-        struct simulation_result result = simulation_play(&day);
+        struct simulation_scenario day = simulation_generate(seed);
+        struct simulation_result result = simulation_run(&day);
         handovers += result.handovers;
         intents += result.intents;
         if (!result.violation) continue;
-        struct simulation_day least = simulation_shrink(&day);
+        struct simulation_scenario least = simulation_shrink(&day);
         simulation_print(&least);
         fail_msg("seed %llu: %s", (unsigned long long)seed, result.violation);
     }
@@ -35,8 +35,8 @@
         {769, "the same"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct simulation_day day = simulation_draw(rows[i].seed);
-        struct simulation_result result = simulation_play(&day);
+        struct simulation_scenario day = simulation_generate(rows[i].seed);
+        struct simulation_result result = simulation_run(&day);
         if (result.violation)
             fail_msg("seed %llu (%s): %s", (unsigned long long)rows[i].seed, rows[i].what, result.violation);
     }
@@ -45,25 +45,25 @@
 static void each_mechanism_is_needed(void **state) {
     (void)state;
     static const struct {
-        enum world_fault fault;
+        enum model_mutation fault;
         uint64_t seed;
         const char *violation;
     } rows[] = {
-        {WORLD_NEW_NAMES, 1, "machines were rented twice for one order"},
-        {WORLD_NO_CLOCK_CHECK, 1, "an order was sent under a stale token"},
-        {WORLD_MARK_IGNORED, 1, "a machine in use was returned"},
-        {WORLD_NO_MEMBER_COMPARE, 14, "a member relies on a right that the state service does not know of"},
+        {MODEL_REQUEST_NAME_PER_HOLDER, 1, "machines were rented twice for one order"},
+        {MODEL_NO_CLOCK_CHECK, 1, "an order was sent under a stale token"},
+        {MODEL_LEAVING_MARK_IGNORED, 1, "a machine in use was returned"},
+        {MODEL_NO_MEMBER_COMPARE, 14, "a member relies on a right that the state service does not know of"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct simulation_day day = simulation_draw(rows[i].seed);
-        day.taken_out = rows[i].fault;
-        struct simulation_result result = simulation_play(&day);
+        struct simulation_scenario day = simulation_generate(rows[i].seed);
+        day.mutation = rows[i].fault;
+        struct simulation_result result = simulation_run(&day);
         if (!result.violation || strcmp(result.violation, rows[i].violation) != 0)
             fail_msg("fault %d: %s, wanted: %s", (int)rows[i].fault,
                      result.violation ? result.violation : "nothing", rows[i].violation);
-        struct simulation_day least = simulation_shrink(&day);
+        struct simulation_scenario least = simulation_shrink(&day);
         assert_true(least.nfaults < day.nfaults);
-        assert_non_null(simulation_play(&least).violation);
+        assert_non_null(simulation_run(&least).violation);
         print_message("fault %d: %u of %u faults are needed\n", (int)rows[i].fault, least.nfaults,
                       day.nfaults);
     }
--- a/tests/duty_model/explore_main.c
+++ b/tests/duty_model/explore_main.c
@@ -17,9 +17,9 @@
         struct explorer_result result = explorer_run(scenario, most, quiet_every);
         printf("%s: %llu states, %llu steps, depth %u, %llu played on, %s%s%s%s\n", scenario->name,
                (unsigned long long)result.states, (unsigned long long)result.steps, result.depth,
-               (unsigned long long)result.quieted, result.complete ? "complete" : "NOT complete",
+               (unsigned long long)result.quiesced, result.complete ? "complete" : "NOT complete",
                result.violation ? ": " : "", result.violation ? result.violation : "",
-               result.violation ? result.path : "");
+               result.violation ? result.trace : "");
         if (result.violation) return 1;
     }
     return 0;
--- a/tests/duty_model/explorer.c
+++ b/tests/duty_model/explorer.c
@@ -292,8 +292,8 @@
     uint32_t count = 1;
     for (; at->parent && count < STEPS_SHOWN; at = at->parent) steps[count++] = at->choice;
     size_t length = 0;
-    while (count-- && length < sizeof result->path)
-        length += (size_t)snprintf(result->path + length, sizeof result->path - length, " %s:%u",
+    while (count-- && length < sizeof result->trace)
+        length += (size_t)snprintf(result->trace + length, sizeof result->trace - length, " %s:%u",
                                    choice_names[steps[count].kind], steps[count].index);
 }
 
@@ -361,7 +361,7 @@
 /* Is all well in the end, if no more faults come? */
 static void play_on(struct exploration *exploration, const struct queued *queued, struct state *state) {
     if (!exploration->quiet_every || queued->visited->digest.half[0] % exploration->quiet_every) return;
-    exploration->result.quieted++;
+    exploration->result.quiesced++;
     world_quiet_down(&state->world, QUIET_STEP, QUIET_FOR);
     if (state->world.violation)
         found(exploration, state->world.violation, queued->visited, (struct choice){CHOOSE_ADVANCE, 0});
@@ -392,7 +392,7 @@
         world_start(world, i, &exploration->settings, i);
     }
     world_quiet_down(world, QUIET_STEP, 3 * (amb_ms)TTL);
-    world->fault = scenario->fault;
+    world->fault = scenario->mutation;
     for (uint32_t i = 0; i < scenario->members; i++) world->members[i].ticked_at = 0;
     for (uint32_t i = 0; i < scenario->intents; i++) world_create_intent(world, i, scenario->duty);
     state->left = scenario->limits;
--- a/tests/duty_model/explorer.h
+++ b/tests/duty_model/explorer.h
@@ -22,15 +22,15 @@
     struct explorer_limits limits;
     bool instant_incarnations; /* see struct world */
     bool in_ci;                /* small enough to be explored whenever the tests run */
-    enum world_fault fault;
+    enum model_mutation mutation;
 };
 
 struct explorer_result {
     const char *violation;           /* NULL: none */
     bool complete;                   /* all states of the world were visited */
-    uint64_t states, steps, quieted; /* quieted: states played on to the end */
+    uint64_t states, steps, quiesced; /* quieted: states played on to the end */
     uint32_t depth;
-    char path[1024]; /* steps that lead to the violation */
+    char trace[1024]; /* steps that lead to the violation */
 };
 
 /* Visits at most `most` states. Every quiet_every-th one (0: none) is also played on without faults until all
--- a/tests/duty_model/scenarios.c
+++ b/tests/duty_model/scenarios.c
@@ -36,7 +36,7 @@
 };
 const size_t duty_scenario_count = sizeof duty_scenarios / sizeof *duty_scenarios;
 
-const struct explorer_scenario *duty_scenario(const char *name) {
+const struct explorer_scenario *duty_scenario_find(const char *name) {
     for (size_t i = 0; i < duty_scenario_count; i++)
         if (!strcmp(duty_scenarios[i].name, name)) return &duty_scenarios[i];
     return NULL;
--- a/tests/duty_model/scenarios.h
+++ b/tests/duty_model/scenarios.h
@@ -6,6 +6,6 @@
 
 extern const struct explorer_scenario duty_scenarios[];
 extern const size_t duty_scenario_count;
-const struct explorer_scenario *duty_scenario(const char *name); /* NULL: none */
+const struct explorer_scenario *duty_scenario_find(const char *name); /* NULL: none */
 
 #endif
--- a/tests/duty_model/simulate_main.c
+++ b/tests/duty_model/simulate_main.c
@@ -12,8 +12,8 @@
     struct simulation_result sum = {0};
     uint64_t failed = 0;
     for (uint64_t seed = first; seed < first + count; seed++) {
-        struct simulation_day day = simulation_draw(seed);
-        struct simulation_result result = simulation_play(&day);
+        struct simulation_scenario day = simulation_generate(seed);
+        struct simulation_result result = simulation_run(&day);
         sum.handovers += result.handovers;
         sum.intents += result.intents;
         sum.fenced_calls += result.fenced_calls;
@@ -28,9 +28,9 @@
         printf("seed %llu fails at %lld ms: %s\n", (unsigned long long)seed, (long long)result.at,
                result.violation);
         if (failed > 3) continue;
-        struct simulation_day least = simulation_shrink(&day);
+        struct simulation_scenario least = simulation_shrink(&day);
         simulation_print(&least);
-        printf("  %s\n", simulation_play(&least).violation);
+        printf("  %s\n", simulation_run(&least).violation);
     }
     printf("%llu days, %llu failed; %llu handovers, %llu orders (%llu done, %llu refused, %llu void), %llu "
            "stale "
--- a/tests/duty_model/simulation.c
+++ b/tests/duty_model/simulation.c
@@ -22,7 +22,7 @@
 };
 
 struct simulation {
-    const struct simulation_day *day;
+    const struct simulation_scenario *day;
     struct world *world;
     struct amb_duty_settings settings;
     uint64_t random;
@@ -65,8 +65,8 @@
     return fault;
 }
 
-struct simulation_day simulation_draw(uint64_t seed) {
-    struct simulation_day day = {.seed = seed, .calm = seed % 4 == 0};
+struct simulation_scenario simulation_generate(uint64_t seed) {
+    struct simulation_scenario day = {.seed = seed, .calm = seed % 4 == 0};
     uint64_t random = seed * 0x2545f4914f6cdd1dULL + 1;
     day.members = 3 + below(&random, 5);
     day.nfaults = day.calm ? (DAY - BEGIN_FAULTS) / CALM_GAP : SIMULATION_FAULTS;
@@ -371,14 +371,14 @@
     }
 }
 
-static void begin(struct simulation *simulation, const struct simulation_day *day) {
+static void begin(struct simulation *simulation, const struct simulation_scenario *day) {
     struct world *world = simulation->world;
     simulation->day = day;
     simulation->random = day->seed;
     simulation->settings = amb_duty_settings_default(TTL, LIST_SPAN);
     simulation->result.vacancy_bound = amb_duty_settings_vacancy_bound(&simulation->settings, day->members);
     world_init(world, day->members);
-    world->fault = day->taken_out;
+    world->fault = day->mutation;
     world->service.drift_ppm = (int32_t)below(&simulation->random, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
     for (uint32_t i = 0; i < day->members; i++) {
         world->members[i].drift_ppm = (int32_t)below(&simulation->random, 2 * DRIFT_PPM + 1) - DRIFT_PPM;
@@ -387,7 +387,7 @@
     for (int duty = 0; duty < AMB_DUTY_COUNT; duty++) simulation->vacant_since[duty] = -1;
 }
 
-struct simulation_result simulation_play(const struct simulation_day *day) {
+struct simulation_result simulation_run(const struct simulation_scenario *day) {
     struct simulation simulation = {.world = amb_alloc(sizeof(struct world))};
     begin(&simulation, day);
     run(&simulation, DAY);
@@ -407,16 +407,16 @@
 
 /* ---- shrinking ---- */
 
-struct simulation_day simulation_shrink(const struct simulation_day *day) {
-    struct simulation_day least = *day;
+struct simulation_scenario simulation_shrink(const struct simulation_scenario *day) {
+    struct simulation_scenario least = *day;
     for (uint32_t size = least.nfaults / 2 + 1; size; size = size == 1 ? 0 : (size + 1) / 2) {
         for (uint32_t from = 0; from < least.nfaults;) {
-            struct simulation_day fewer = least;
+            struct simulation_scenario fewer = least;
             uint32_t cut = least.nfaults - from < size ? least.nfaults - from : size;
             memmove(fewer.faults + from, fewer.faults + from + cut,
                     (least.nfaults - from - cut) * sizeof *fewer.faults);
             fewer.nfaults -= cut;
-            if (simulation_play(&fewer).violation)
+            if (simulation_run(&fewer).violation)
                 least = fewer;
             else
                 from += cut;
@@ -425,7 +425,7 @@
     return least;
 }
 
-void simulation_print(const struct simulation_day *day) {
+void simulation_print(const struct simulation_scenario *day) {
     static const char *const kinds[] = {"pause", "kill", "cut", "drain", "outage", "losses"};
     static const char *const moments[] = {"at once",   "at a mark",   "at a send",
                                           "at a call", "at a settle", "at a claim"};
--- a/tests/duty_model/simulation.h
+++ b/tests/duty_model/simulation.h
@@ -36,12 +36,12 @@
     amb_ms at, length;
 };
 
-struct simulation_day {
+struct simulation_scenario {
     uint64_t seed;
     bool calm; /* one fault after the other, and no answer is lost: then the bound on vacancies must hold */
     uint32_t members, nfaults;
     struct simulation_fault faults[SIMULATION_FAULTS];
-    enum world_fault taken_out;
+    enum model_mutation mutation;
 };
 
 struct simulation_result {
@@ -53,10 +53,10 @@
     amb_ms vacancy_sum, vacancy_most, vacancy_bound;
 };
 
-struct simulation_day simulation_draw(uint64_t seed);
-struct simulation_result simulation_play(const struct simulation_day *day);
+struct simulation_scenario simulation_generate(uint64_t seed);
+struct simulation_result simulation_run(const struct simulation_scenario *day);
 /* The day without the faults that its violation does not need. */
-struct simulation_day simulation_shrink(const struct simulation_day *day);
-void simulation_print(const struct simulation_day *day);
+struct simulation_scenario simulation_shrink(const struct simulation_scenario *day);
+void simulation_print(const struct simulation_scenario *day);
 
 #endif
--- a/tests/duty_model/world.c
+++ b/tests/duty_model/world.c
@@ -148,11 +148,11 @@
 /* The action as a core would want it that lacks a mechanism. */
 static struct amb_duty_action at_fault(const struct world *world, const struct amb_duty_action *wanted) {
     struct amb_duty_action action = *wanted;
-    if (world->fault == WORLD_NO_DUTY_COMPARE && action.type == AMB_DUTY_COMMIT_INTENT)
+    if (world->fault == MODEL_NO_DUTY_COMPARE && action.type == AMB_DUTY_COMMIT_INTENT)
         action.expected_revision = UINT64_MAX;
-    if (world->fault == WORLD_NO_MEMBER_COMPARE && action.type == AMB_DUTY_COMMIT_RECORD)
+    if (world->fault == MODEL_NO_MEMBER_COMPARE && action.type == AMB_DUTY_COMMIT_RECORD)
         action.expected_member.member[0] = 0;
-    if (world->fault == WORLD_NEW_NAMES && action.type == AMB_DUTY_CALL_CLOUD) {
+    if (world->fault == MODEL_REQUEST_NAME_PER_HOLDER && action.type == AMB_DUTY_CALL_CLOUD) {
         size_t length = strlen(action.intent.id);
         snprintf(action.intent.id + length, sizeof action.intent.id - length, "%llu",
                  (unsigned long long)action.fencing_token);
@@ -521,7 +521,7 @@
 static void send_call(struct world *world, struct world_message *message) {
     const struct amb_duty_core *core = &world->members[message->member].core;
     const struct amb_duty_action *action = &message->action;
-    if (world->fault == WORLD_NO_CLOCK_CHECK ||
+    if (world->fault == MODEL_NO_CLOCK_CHECK ||
         amb_duty_may_send(core, action, world_member_clock(world, message->member))) {
         if (action->fencing_token != world->service.duties[action->duty].fencing_token)
             violate(world, "an order was sent under a stale token");
@@ -607,7 +607,7 @@
 bool world_place(struct world *world, uint32_t place) {
     const struct amb_duty_intent_record *intent = &world->service.intents[place];
     bool marked =
-        intent->present && intent->result != AMB_DUTY_RESULT_VOID && world->fault != WORLD_MARK_IGNORED;
+        intent->present && intent->result != AMB_DUTY_RESULT_VOID && world->fault != MODEL_LEAVING_MARK_IGNORED;
     if (marked || !intent->id[0] || intent->duty == AMB_DUTY_RENT || world->effects[place].placed)
         return false;
     world->effects[place].placed = true;
--- a/tests/duty_model/world.h
+++ b/tests/duty_model/world.h
@@ -16,14 +16,14 @@
 };
 
 /* A mechanism that is taken out, to see that the rules notice. */
-enum world_fault {
-    WORLD_NO_FAULT,
-    WORLD_NO_DUTY_COMPARE,   /* orders are written without a guard on the duty's record */
-    WORLD_NEW_NAMES,         /* each holder gives a rental a name of its own */
-    WORLD_NO_CLOCK_CHECK,    /* calls are sent without looking at the clock */
-    WORLD_MARK_IGNORED,      /* the leader places work on machines that are marked as leaving */
-    WORLD_NO_MEMBER_COMPARE, /* claims don't ask whether the holder's session is over */
-    WORLD_FAULTS,
+enum model_mutation {
+    MODEL_NO_MUTATION,
+    MODEL_NO_DUTY_COMPARE,   /* orders are written without a guard on the duty's record */
+    MODEL_REQUEST_NAME_PER_HOLDER,         /* each holder gives a rental a name of its own */
+    MODEL_NO_CLOCK_CHECK,    /* calls are sent without looking at the clock */
+    MODEL_LEAVING_MARK_IGNORED,      /* the leader places work on machines that are marked as leaving */
+    MODEL_NO_MEMBER_COMPARE, /* claims don't ask whether the holder's session is over */
+    MODEL_MUTATIONS,
 };
 
 enum world_message_kind {
@@ -83,7 +83,7 @@
 
 struct world {
     const char *violation; /* NULL: none */
-    enum world_fault fault;
+    enum model_mutation fault;
     amb_ms now;
     uint32_t nmembers, nmessages;
     bool repeatable_random;    /* luck follows from the state alone, so that equal states stay equal */
