--- a/bench/case_follow.c
+++ b/bench/case_follow.c
@@ -104,6 +104,6 @@
     {"follow/known-20", &world_sizes[1], echoed, follow, finish, false},
 };
 
-struct bench_cases bench_follow_cases(void) {
+struct bench_cases bench_watch_cases(void) {
     return (struct bench_cases){cases, sizeof cases / sizeof *cases};
 }
--- a/bench/case_round.c
+++ b/bench/case_round.c
@@ -49,6 +49,6 @@
     {"round/admit-and-plan", &world_sizes[6], leader, round_and_plan, finish, true},
 };
 
-struct bench_cases bench_round_cases(void) {
+struct bench_cases bench_scheduling_cycle_cases(void) {
     return (struct bench_cases){cases, sizeof cases / sizeof *cases};
 }
--- a/tests/scenarios/test_meetings_cancel.c
+++ b/tests/scenarios/test_meetings_cancel.c
@@ -25,7 +25,7 @@
 }
 
 /* Rows 13 and 16: users ask everywhere and cancel, while the leader's news are lost or slow. */
-static void leaders_news_come_late(void **state) {
+static void leader_receives_changes_late(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -113,7 +113,7 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(leaders_news_come_late),
+        cmocka_unit_test(leader_receives_changes_late),
         cmocka_unit_test(cut_off_after_a_take_over),
         cmocka_unit_test(confirmed_by_a_node_out_of_reach),
     };
--- a/tests/scenarios/test_meetings_leader.c
+++ b/tests/scenarios/test_meetings_leader.c
@@ -143,7 +143,7 @@
 
 /* Row 6: the leader is cut from the state service and the other controllers, while workers and users reach
  * it; jobs are cancelled through the new one. */
-static void half_cut_leader(void **state) {
+static void leader_cut_off_but_for_agents(void **state) {
     (void)state;
     static const struct day days[] = {
         {"cut but for workers and users",
@@ -261,7 +261,7 @@
 
 /* Row 22: all controllers are away for longer than lease_s. A node that was ended is back after six seconds,
  * and ended again at once. */
-static void all_away_for_longer_than_a_lease(void **state) {
+static void all_controllers_down_longer_than_a_lease(void **state) {
     (void)state;
     static const struct day days[] = {
         {"all away",
@@ -303,11 +303,11 @@
         cmocka_unit_test(gap),
         cmocka_unit_test(ten_leaders),
         cmocka_unit_test(all_end_and_one_returns),
-        cmocka_unit_test(half_cut_leader),
+        cmocka_unit_test(leader_cut_off_but_for_agents),
         cmocka_unit_test(slow_or_refused),
         cmocka_unit_test(cancelled_as_the_leader_is_refused),
         cmocka_unit_test(zone_cut_off),
-        cmocka_unit_test(all_away_for_longer_than_a_lease),
+        cmocka_unit_test(all_controllers_down_longer_than_a_lease),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/scenarios/test_meetings_users.c
+++ b/tests/scenarios/test_meetings_users.c
@@ -52,7 +52,7 @@
 }
 
 /* Row 4: jobs are cancelled in the seconds in which one controller's work changes hands. */
-static void cancelled_while_work_changes_hands(void **state) {
+static void cancelled_during_reassignment(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -90,7 +90,7 @@
 }
 
 /* Row 13: users ask at all nodes within milliseconds, repeat the submission, and some cancel at once. */
-static void close_looks(void **state) {
+static void frequent_status_queries(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -134,7 +134,7 @@
 }
 
 /* Row 20: jobs of two or three tasks, whose ends lie far apart, across changes of leader. */
-static void ends_far_apart(void **state) {
+static void controller_failures_far_apart(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
         {SIM_KILL, 25000, 1, -1},
@@ -163,12 +163,12 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(cancelled_while_work_changes_hands),
+        cmocka_unit_test(cancelled_during_reassignment),
         cmocka_unit_test(cancelled_at_the_end),
-        cmocka_unit_test(close_looks),
+        cmocka_unit_test(frequent_status_queries),
         cmocka_unit_test(only_the_answer_is_lost),
         cmocka_unit_test(carried_out_late),
-        cmocka_unit_test(ends_far_apart),
+        cmocka_unit_test(controller_failures_far_apart),
         cmocka_unit_test(one_task_jobs),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
--- a/tests/scenarios/test_small_memory.c
+++ b/tests/scenarios/test_small_memory.c
@@ -52,7 +52,7 @@
 }
 
 /* The successor reads all that was accepted, which fills its table, and refuses too. */
-static void leaders_end_while_tables_are_full(void **state) {
+static void leader_failures_while_tables_are_full(void **state) {
     (void)state;
     static const struct sim_fault faults[] = {{SIM_KILL, 30000, 1, -1}, {SIM_KILL, 45000, 1, -1}};
     must_refuse_and_lose_nothing(3, faults, ROWS(faults));
@@ -68,7 +68,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(ample_memory_refuses_nothing),
         cmocka_unit_test(full_tables_refuse_submissions),
-        cmocka_unit_test(leaders_end_while_tables_are_full),
+        cmocka_unit_test(leader_failures_while_tables_are_full),
         cmocka_unit_test(outage_while_tables_are_full),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
--- a/tests/scenarios/test_standin.c
+++ b/tests/scenarios/test_standin.c
@@ -55,7 +55,7 @@
 _Static_assert(ROWS(names) == SIM_FAULTS, "a name for each kind of fault");
 
 /* Answers that would say nothing wait for orders, but never so long that a worker would report later. */
-static void quiet_days(void **state) {
+static void days_without_faults(void **state) {
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         struct sim_result result = must_hold("quiet", seed, NULL, 0);
@@ -76,37 +76,37 @@
         }
 }
 
-static void troubles_of_nodes(void **state) {
+static void controller_faults(void **state) {
     (void)state;
     single_troubles(SIM_KILL, SIM_CUT_PEERS);
 }
 
-static void troubles_between_nodes(void **state) {
+static void peer_network_faults(void **state) {
     (void)state;
     single_troubles(SIM_CUT_PEERS, SIM_HANG);
 }
 
-static void troubles_of_machines(void **state) {
+static void machine_faults(void **state) {
     (void)state;
     single_troubles(SIM_HANG, SIM_LOSE_ANSWERS);
 }
 
-static void troubles_of_services(void **state) {
+static void platform_service_faults(void **state) {
     (void)state;
     single_troubles(SIM_LOSE_ANSWERS, SIM_MUTE);
 }
 
-static void troubles_of_messages(void **state) {
+static void message_faults(void **state) {
     (void)state;
     single_troubles(SIM_MUTE, SIM_QUICK_BOOTS);
 }
 
-static void troubles_of_pace(void **state) {
+static void timing_faults(void **state) {
     (void)state;
     single_troubles(SIM_QUICK_BOOTS, SIM_CANCEL_NOW);
 }
 
-static void troubles_of_users(void **state) {
+static void user_faults(void **state) {
     (void)state;
     single_troubles(SIM_CANCEL_NOW, SIM_LOWER_LIMITS); /* that lasts: tests/scenarios/test_upgrade.c */
 }
@@ -145,7 +145,7 @@
 }
 
 /* The combinations that the standard days of a site lack. */
-static void named_days(void **state) {
+static void selected_fault_combinations(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -210,18 +210,18 @@
     }
 }
 
-static void drawn_days(void **state) {
+static void random_days(void **state) {
     (void)state;
     play_drawn(1, 6);
 }
 
-static void more_drawn_days(void **state) {
+static void more_random_days(void **state) {
     (void)state;
     play_drawn(7, 12);
 }
 
 /* Drawn days that once broke something. */
-static void found_days(void **state) {
+static void past_failures(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -239,7 +239,7 @@
 }
 
 /* Days that broke a rule when they were drawn by tests/standin/explore.c, taken apart by it. */
-static void explored_days(void **state) {
+static void past_explorer_failures(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -337,22 +337,22 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(fleet_day),
         cmocka_unit_test(grown_day),
-        cmocka_unit_test(quiet_days),
+        cmocka_unit_test(days_without_faults),
         cmocka_unit_test(slow_reports),
-        cmocka_unit_test(troubles_of_nodes),
-        cmocka_unit_test(troubles_between_nodes),
-        cmocka_unit_test(troubles_of_machines),
-        cmocka_unit_test(troubles_of_services),
-        cmocka_unit_test(troubles_of_messages),
-        cmocka_unit_test(troubles_of_pace),
-        cmocka_unit_test(troubles_of_users),
+        cmocka_unit_test(controller_faults),
+        cmocka_unit_test(peer_network_faults),
+        cmocka_unit_test(machine_faults),
+        cmocka_unit_test(platform_service_faults),
+        cmocka_unit_test(message_faults),
+        cmocka_unit_test(timing_faults),
+        cmocka_unit_test(user_faults),
         cmocka_unit_test(unfit_jobs_are_refused),
         cmocka_unit_test(loads),
-        cmocka_unit_test(named_days),
-        cmocka_unit_test(drawn_days),
-        cmocka_unit_test(more_drawn_days),
-        cmocka_unit_test(found_days),
-        cmocka_unit_test(explored_days),
+        cmocka_unit_test(selected_fault_combinations),
+        cmocka_unit_test(random_days),
+        cmocka_unit_test(more_random_days),
+        cmocka_unit_test(past_failures),
+        cmocka_unit_test(past_explorer_failures),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/scenarios/test_standin_digest.c
+++ b/tests/scenarios/test_standin_digest.c
@@ -84,7 +84,7 @@
     return digest;
 }
 
-static void day_repeats_to_the_digest(void **state) {
+static void same_seed_gives_same_digest(void **state) {
     static const struct sim_fault lost_answers = {
         .kind = SIM_LOSE_ANSWERS, .at = 20000, .lasts = 5000, .which = -1};
     (void)state;
@@ -98,7 +98,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(digest_covers_fields_order_and_time),
         cmocka_unit_test(retry_after_counts),
-        cmocka_unit_test(day_repeats_to_the_digest),
+        cmocka_unit_test(same_seed_gives_same_digest),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/scenarios/test_standin_duties.c
+++ b/tests/scenarios/test_standin_duties.c
@@ -3,7 +3,7 @@
 #include "named_tests.h"
 #include "small_day.h"
 
-static void quiet_days(void **state) {
+static void days_without_faults(void **state) {
     (void)state;
     const struct sim_fault faults[] = {{SIM_DUTIES, 0, SIM_FOR_GOOD_MS, -1}};
     for (uint64_t seed = 1; seed <= 4; seed++) {
@@ -27,17 +27,17 @@
         }
 }
 
-static void troubles_of_nodes(void **state) {
+static void controller_faults(void **state) {
     (void)state;
     single_troubles(SIM_KILL, SIM_HANG);
 }
 
-static void troubles_of_machines_and_services(void **state) {
+static void machine_and_service_faults(void **state) {
     (void)state;
     single_troubles(SIM_HANG, SIM_MUTE);
 }
 
-static void troubles_of_messages(void **state) {
+static void message_faults(void **state) {
     (void)state;
     single_troubles(SIM_MUTE, SIM_LOWER_LIMITS);
 }
@@ -78,10 +78,10 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(quiet_days),
-        cmocka_unit_test(troubles_of_nodes),
-        cmocka_unit_test(troubles_of_machines_and_services),
-        cmocka_unit_test(troubles_of_messages),
+        cmocka_unit_test(days_without_faults),
+        cmocka_unit_test(controller_faults),
+        cmocka_unit_test(machine_and_service_faults),
+        cmocka_unit_test(message_faults),
         cmocka_unit_test(switched_while_it_runs),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
--- a/tests/scenarios/test_standin_pipelines.c
+++ b/tests/scenarios/test_standin_pipelines.c
@@ -68,13 +68,13 @@
     for (size_t i = 0; i < count; i++) play_seeds(&days[i], SEEDS);
 }
 
-static void quiet_days(void **state) {
+static void days_without_faults(void **state) {
     (void)state;
     static const struct day days[] = {{"quiet", 0, {{0}}, 0, 0}};
     play_days(days, ROWS(days));
 }
 
-static void cancelled_in_the_instant_of_an_end(void **state) {
+static void cancelled_as_a_job_finishes(void **state) {
     (void)state;
     static const struct day days[] = {
         {"cancelled as they end", 0, {{SIM_CANCEL_AT_END, 15000, 110000, 25}}, 1, 0},
@@ -92,7 +92,7 @@
     play_days(days, ROWS(days));
 }
 
-static void cancelled_across_leaders(void **state) {
+static void cancelled_across_failovers(void **state) {
     (void)state;
     static const struct day days[] = {
         {"leaders end in turn",
@@ -147,7 +147,7 @@
     play_days(days, ROWS(days));
 }
 
-static void asked_closely(void **state) {
+static void frequent_status_queries(void **state) {
     (void)state;
     static const struct day days[] = {
         {"close looks",
@@ -184,11 +184,11 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(quiet_days),
-        cmocka_unit_test(cancelled_in_the_instant_of_an_end),
-        cmocka_unit_test(cancelled_across_leaders),
+        cmocka_unit_test(days_without_faults),
+        cmocka_unit_test(cancelled_as_a_job_finishes),
+        cmocka_unit_test(cancelled_across_failovers),
         cmocka_unit_test(cancelled_in_a_long_outage),
-        cmocka_unit_test(asked_closely),
+        cmocka_unit_test(frequent_status_queries),
         cmocka_unit_test(beside_other_loads),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
--- a/tests/scenarios/test_upgrade.c
+++ b/tests/scenarios/test_upgrade.c
@@ -71,7 +71,7 @@
 }
 
 /* New and old leaders take turns, and read what the other wrote. */
-static void leaders_end_on_the_way(void **state) {
+static void leader_failures_during_upgrade(void **state) {
     (void)state;
     static const struct day days[] = {
         {"the new leader ends while old nodes live",
@@ -139,7 +139,7 @@
     play_days(days, ROWS(days));
 }
 
-static void troubles_on_the_way(void **state) {
+static void faults_during_upgrade(void **state) {
     (void)state;
     static const struct day days[] = {
         {"late transactions of ended nodes",
@@ -174,7 +174,7 @@
 }
 
 /* The first pipelines come as soon as all nodes are new. */
-static void pipelines_right_after(void **state) {
+static void pipelines_right_after_upgrade(void **state) {
     (void)state;
     static const struct day days[] = {
         {"an upgrade, then pipelines", SIM_LOAD_PIPELINES, {{SIM_UPGRADE, 30000, 15000, -1}}, 1, 0},
@@ -233,7 +233,7 @@
     play_days(days, ROWS(days));
 }
 
-static void limits_lowered_as_leaders_end(void **state) {
+static void limits_lowered_during_leader_failures(void **state) {
     (void)state;
     static const struct day days[] = {
         {"the leader ends as it happens",
@@ -280,12 +280,12 @@
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(one_at_a_time),
-        cmocka_unit_test(leaders_end_on_the_way),
+        cmocka_unit_test(leader_failures_during_upgrade),
         cmocka_unit_test(taken_over_by_the_other_version),
-        cmocka_unit_test(troubles_on_the_way),
-        cmocka_unit_test(pipelines_right_after),
+        cmocka_unit_test(faults_during_upgrade),
+        cmocka_unit_test(pipelines_right_after_upgrade),
         cmocka_unit_test(limits_lowered),
-        cmocka_unit_test(limits_lowered_as_leaders_end),
+        cmocka_unit_test(limits_lowered_during_leader_failures),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/scenarios/test_zone_recovery_days.c
+++ b/tests/scenarios/test_zone_recovery_days.c
@@ -57,7 +57,7 @@
 
 /* Before, at and after each step: the loss is seen after 3 s, proven after 10 s; the zone is steady for 5 s.
  */
-static void leaders_end_during_the_return(void **state) {
+static void leader_failures_during_zone_recovery(void **state) {
     (void)state;
     static const struct zone_day days[] = {
         {"at the loss", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C}, {SIM_KILL, LOSS_MS + 100, 1, LEADER}}},
@@ -105,7 +105,7 @@
     must_hold(days, ROWS(days));
 }
 
-static void other_troubles_meet_the_loss(void **state) {
+static void zone_loss_with_other_faults(void **state) {
     (void)state;
     static const struct zone_day days[] = {
         {"zones cut from each other, deputies at work",
@@ -130,7 +130,7 @@
 
 /* Not all that was lost finds room while the zone is away: what does is of the first class. That some work is
  * then left at the day's end is no fault. */
-static void crowded_days_keep_the_order(void **state) {
+static void recovery_order_holds_when_crowded(void **state) {
     (void)state;
     static const struct zone_day days[] = {
         {"one cut", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}}},
@@ -148,7 +148,7 @@
 }
 
 /* The check of the order is one that can fail: here the operators' list promises the other order. */
-static void a_reversed_order_is_noticed(void **state) {
+static void reversed_recovery_order_is_detected(void **state) {
     (void)state;
     static const struct zone_day day = {"one cut", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}}};
     uint32_t noticed = 0;
@@ -162,11 +162,11 @@
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(a_zone_is_lost_and_comes_back),
-        cmocka_unit_test(leaders_end_during_the_return),
+        cmocka_unit_test(leader_failures_during_zone_recovery),
         cmocka_unit_test(zones_flap),
-        cmocka_unit_test(other_troubles_meet_the_loss),
-        cmocka_unit_test(crowded_days_keep_the_order),
-        cmocka_unit_test(a_reversed_order_is_noticed),
+        cmocka_unit_test(zone_loss_with_other_faults),
+        cmocka_unit_test(recovery_order_holds_when_crowded),
+        cmocka_unit_test(reversed_recovery_order_is_detected),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
     return cmocka_run_group_tests(tests, NULL, NULL);
