--- a/bench/profile.c
+++ b/bench/profile.c
@@ -19,14 +19,14 @@
     .nodes = 5,
     .machines = 167,
     .jobs = 140,
-    .tasks = 40,
+    .max_array_tasks = 40,
     .images = 26,
-    .report = 1000,
-    .lease = 10000,
-    .cancel = 35000,
-    .rps = 200,
-    .writes = 25,
-    .cloud = 8,
+    .heartbeat_ms = 1000,
+    .agent_lease_ms = 10000,
+    .cancel_ms = 35000,
+    .store_rps = 200,
+    .store_write_rps = 25,
+    .cloud_rps = 8,
 };
 
 static bool counts_leader, counting;
@@ -45,10 +45,10 @@
     }
     amb_log_init("error");
     counts_leader = !strcmp(argv[1], "leader");
-    sim_watch_switch = count_role;
+    sim_on_node_switch = count_role;
     uint64_t seed = argc > 2 ? strtoull(argv[2], NULL, 10) : DEFAULT_SEED;
-    struct sim_result result = sim_day(&deployment, seed, DAY_MS, NULL, 0);
+    struct sim_result result = sim_run_default_load(&deployment, seed, DAY_MS, NULL, 0);
     printf("%s: %u jobs accepted, %u done, %u cancelled, %u starts; broken: %s\n", argv[1], result.accepted,
-           result.done, result.cancelled, result.starts, result.broken[0] ? result.broken : "none");
-    return result.broken[0] != 0;
+           result.done, result.cancelled, result.starts, result.violation[0] ? result.violation : "none");
+    return result.violation[0] != 0;
 }
--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -39,8 +39,8 @@
 /* False: the heartbeat is refused for its higher term. */
 static bool send_step(const struct step *step) {
     uint64_t attempt = step->task.listed == OTHER_ATTEMPT ? ANOTHER : OURS;
-    struct amb_agent_task seen = listing("wk-1", 0, attempt, step->task.state, step->task.reason);
-    return report("m-1", step->heartbeat.incarnation, step->heartbeat.sequence, step->heartbeat.token,
+    struct amb_agent_task seen = make_agent_task("wk-1", 0, attempt, step->task.state, step->task.reason);
+    return deliver_heartbeat("m-1", step->heartbeat.incarnation, step->heartbeat.sequence, step->heartbeat.token,
                   amb_now(), &seen, step->task.listed != NOT_LISTED);
 }
 
@@ -112,8 +112,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         setup(NULL);
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
-        struct amb_task *task = bound(job, 0, "m-1", OURS);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+        struct amb_task *task = bind_task(job, 0, "m-1", OURS);
         task->state = rows[i].begin;
         task->inherited = rows[i].inherited;
         if (rows[i].cancelled) {
@@ -128,23 +128,23 @@
                          count_commands(AMB_COMMAND_RUN), count_commands(AMB_COMMAND_STOP),
                          count_commands(AMB_COMMAND_CLEAR), task->state);
         }
-        end(NULL);
+        fixture_teardown(NULL);
     }
 }
 
 /* A command request may be carried out minutes late: it may stop tasks, but not start them. */
 static void commands_start_nothing(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
     machine_up("m-1", 0);
-    bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
-    bound(job, 1, "m-1", 2);
+    bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+    bind_task(job, 1, "m-1", 2);
     amb_task_request_stop(node, &job->tasks[0], 0, "test");
     amb_fleet_tick(node, amb_now());
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
-    assert_int_equal(commands_in(commands->map, "halt"), 1);
-    if (commands_in(commands->map, "run")) fail_msg("a start is sent in a command request");
+    assert_int_equal(count_commands_in(commands->cbor_body, "halt"), 1);
+    if (count_commands_in(commands->cbor_body, "run")) fail_msg("a start is sent in a command request");
 }
 
 /* ---- placements of an earlier leader ---- */
@@ -165,9 +165,9 @@
         {"spread is broken", 10, true, 2, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        end(NULL);
+        fixture_teardown(NULL);
         setup(NULL);
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
         job->spec->spread_zones = rows[i].spread;
         node->settings.teams[0].limit.gpus = rows[i].limit;
         int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
@@ -176,9 +176,9 @@
             struct amb_machine *machine = amb_machine_get(node, names[k], true);
             machine->zone_index = zone;
             machine->type_index = 0;
-            bound(job, k, names[k], 1)->inherited = true;
+            bind_task(job, k, names[k], 1)->inherited = true;
         }
-        report("m-0", 1, 1, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat("m-0", 1, 1, TERM, amb_now(), NULL, 0);
         if ((count_commands(AMB_COMMAND_RUN) == 1) != rows[i].starts ||
             (job->tasks[0].machine != NULL) != rows[i].starts)
             fail_msg("%s", rows[i].what);
@@ -200,20 +200,20 @@
         {"the job is bound to a zone, and has a task elsewhere", 0, true, true, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2),
-                       *other = add_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 2),
+                       *other = add_active_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
         job->spec->one_zone = rows[i].one_zone;
         other->spec->task_resources.gpus = rows[i].others_gpus;
         machine_in("m-1", 0);
         machine_in("m-2", 1);
-        bound(job, 0, "m-1", 1)->inherited = true;
-        if (rows[i].elsewhere) bound(job, 1, "m-2", 2)->inherited = true;
+        bind_task(job, 0, "m-1", 1)->inherited = true;
+        if (rows[i].elsewhere) bind_task(job, 1, "m-2", 2)->inherited = true;
         if (rows[i].others_gpus > 0) {
-            bound(other, 0, "m-1", 1);
+            bind_task(other, 0, "m-1", 1);
             other->tasks[0].state = AMB_TASK_PLACED;
         }
-        report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), NULL, 0);
         if (count_commands(AMB_COMMAND_RUN) != (rows[i].starts ? 1 : 0))
             fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
     }
@@ -223,12 +223,12 @@
 
 /* A machine that has sent two heartbeats and waits for the second response. */
 static struct amb_http_req *defer_response(void) {
-    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM};
     send_heartbeat(heartbeat);
-    assert_int_equal(answers(), 1);
-    heartbeat.seq = 2;
+    assert_int_equal(count_replies(), 1);
+    heartbeat.sequence = 2;
     struct amb_http_req *request = send_heartbeat(heartbeat);
-    if (answers() != 1) fail_msg("the response is not deferred");
+    if (count_replies() != 1) fail_msg("the response is not deferred");
     return request;
 }
 
@@ -253,10 +253,10 @@
         {"the agent has closed the connection", AMB_TASK_BOUND, CLOSED, 0, 0, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         struct amb_http_req *request = defer_response();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-        struct amb_task *task = bound(job, 0, "m-1", 1);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        struct amb_task *task = bind_task(job, 0, "m-1", 1);
         task->state = rows[i].state;
         task->start_sent = rows[i].meanwhile == SENT_BEFORE;
         task->inherited = rows[i].meanwhile == INHERITED;
@@ -264,9 +264,9 @@
         if (rows[i].meanwhile == FENCED) node->election.role = AMB_ROLE_FENCED;
         if (rows[i].meanwhile == CLOSED) request->connection = NULL;
         fake_clock_advance(400);
-        if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
-        if (replied_commands("run") != rows[i].starts || task->start_sent != rows[i].sent)
-            fail_msg("%s: %zu starts, sent %d", rows[i].what, replied_commands("run"), task->start_sent);
+        if (latest_reply()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
+        if (count_replied_commands("run") != rows[i].starts || task->start_sent != rows[i].sent)
+            fail_msg("%s: %zu starts, sent %d", rows[i].what, count_replied_commands("run"), task->start_sent);
     }
 }
 
@@ -277,14 +277,14 @@
         amb_ms waits;
     } rows[] = {{1, 400}, {4, 1600}, {12, 1600}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         node->settings.heartbeat_s = rows[i].period_s;
         defer_response();
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         fake_clock_advance(rows[i].waits - 1);
-        assert_int_equal(answers(), 1);
+        assert_int_equal(count_replies(), 1);
         fake_clock_advance(1);
-        if (answers() != 2) fail_msg("heartbeats every %g s: no response in time", rows[i].period_s);
+        if (count_replies() != 2) fail_msg("heartbeats every %g s: no response in time", rows[i].period_s);
         if (machine->last_response_at != amb_now())
             fail_msg("the machine's lease counts from %lld ms before the response",
                      (long long)(amb_now() - machine->last_response_at));
@@ -294,21 +294,21 @@
 static void only_the_newest_heartbeat_is_deferred(void **state) {
     (void)state;
     defer_response();
-    send_heartbeat((struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 3, .token = TERM});
-    if (answers() != 2) fail_msg("%zu responses after a newer heartbeat", answers());
+    send_heartbeat((struct sent_heartbeat){.machine = "m-1", .incarnation = 1, .sequence = 3, .token = TERM});
+    if (count_replies() != 2) fail_msg("%zu responses after a newer heartbeat", count_replies());
     fake_clock_advance(400);
-    assert_int_equal(answers(), 3);
+    assert_int_equal(count_replies(), 3);
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(one_task),
-        cmocka_unit_test_setup_teardown(commands_start_nothing, begin, end),
-        cmocka_unit_test_setup_teardown(inherited_placements_need_limits, setup, end),
-        cmocka_unit_test_setup_teardown(inherited_placements_need_resources_and_zone, begin, end),
-        cmocka_unit_test_setup_teardown(deferred_responses_are_decided_when_sent, begin, end),
-        cmocka_unit_test_setup_teardown(deferred_responses_are_sent_in_time, begin, end),
-        cmocka_unit_test_setup_teardown(only_the_newest_heartbeat_is_deferred, begin, end),
+        cmocka_unit_test_setup_teardown(commands_start_nothing, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(inherited_placements_need_limits, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(inherited_placements_need_resources_and_zone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(deferred_responses_are_decided_when_sent, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(deferred_responses_are_sent_in_time, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(only_the_newest_heartbeat_is_deferred, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -25,7 +25,7 @@
 
 static const char *replied_state(void) {
     static char text[AMB_NAME_SIZE];
-    if (!amb_cbor_copy_string(amb_cbor_map_get(latest_map(), "stance"), text, sizeof text)) text[0] = 0;
+    if (!amb_cbor_copy_string(amb_cbor_map_get(latest_reply_body(), "stance"), text, sizeof text)) text[0] = 0;
     return text;
 }
 
@@ -37,18 +37,18 @@
         int written, want;
     } rows[] = {{"written", 200, 201}, {"no answer", 0, 503}, {"refused", 503, 503}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         submit("wk-000001", "t");
         struct fake_call *commit = open_call("POST", "/commit");
         uint64_t guard = fake_txn_compared_revision(commit, "a/job/wk-000001");
         if (guard != 0) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         assert_non_null(fake_txn_put(commit, "a/job/wk-000001", NULL));
-        if (answers()) fail_msg("%s: answered %d before", rows[i].what, latest()->status);
+        if (count_replies()) fail_msg("%s: answered %d before", rows[i].what, latest_reply()->status);
         if (rows[i].written == 200)
-            answer_epoch(commit, 60);
+            answer_committed(commit, 60);
         else
             fake_answer(commit, rows[i].written, NULL);
-        if (latest()->status != rows[i].want) fail_msg("%s: answered %d", rows[i].what, latest()->status);
+        if (latest_reply()->status != rows[i].want) fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
     }
 }
 
@@ -62,21 +62,21 @@
                 {"no answer", 0, 503, AMB_JOB_QUEUED},
                 {"refused", 503, 503, AMB_JOB_QUEUED}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-000001", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-000001", AMB_JOB_KIND_SERVICE, 1);
         job->revision = 20;
         ask("POST", "/v1/jobs/wk-000001/cancel", NULL);
-        answer_news(open_call("GET", "/follow"), 20, NULL, 0, 0);
+        answer_change_list(open_call("GET", "/follow"), 20, NULL, 0, 0);
         struct fake_call *commit = open_call("POST", "/commit");
         uint64_t guard = fake_txn_compared_revision(commit, "a/job/wk-000001");
         if (guard != 20) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
-        if (answers()) fail_msg("%s: answered %d before", rows[i].what, latest()->status);
+        if (count_replies()) fail_msg("%s: answered %d before", rows[i].what, latest_reply()->status);
         if (rows[i].written == 200)
-            answer_epoch(commit, 60);
+            answer_committed(commit, 60);
         else
             fake_answer(commit, rows[i].written, NULL);
-        if (latest()->status != rows[i].want || job->state != rows[i].state)
-            fail_msg("%s: answered %d, state %d", rows[i].what, latest()->status, job->state);
+        if (latest_reply()->status != rows[i].want || job->state != rows[i].state)
+            fail_msg("%s: answered %d, state %d", rows[i].what, latest_reply()->status, job->state);
     }
 }
 
@@ -114,8 +114,8 @@
         {"it can't be known", UNKNOWN, SUBMIT_IMPOSSIBLE, 503, false, 0, 503, ""},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        if (rows[i].known != UNKNOWN) add_job("wk-000001", AMB_JOB_KIND_SERVICE, 1)->revision = 20;
+        fixture_reset();
+        if (rows[i].known != UNKNOWN) add_active_job("wk-000001", AMB_JOB_KIND_SERVICE, 1)->revision = 20;
         if (rows[i].known == CANCELLED) amb_job_apply_cancel_hint(node, "wk-000001", amb_wall_ms(), 61);
         if (rows[i].question == SUBMIT_IMPOSSIBLE)
             submit("wk-000001", "no-such-team");
@@ -123,14 +123,14 @@
             ask(rows[i].question == GET ? "GET" : "POST",
                 rows[i].question == GET ? "/v1/jobs/wk-000001" : "/v1/jobs/wk-000001/cancel", NULL);
         struct fake_call *read = find_call("GET", "/follow");
-        if ((read == NULL) != (rows[i].read == AT_ONCE) || (answers() > 0) != (rows[i].read == AT_ONCE))
-            fail_msg("%s: %s, %zu answers", rows[i].what, read ? "a read" : "no read", answers());
+        if ((read == NULL) != (rows[i].read == AT_ONCE) || (count_replies() > 0) != (rows[i].read == AT_ONCE))
+            fail_msg("%s: %s, %zu answers", rows[i].what, read ? "a read" : "no read", count_replies());
         if (read && rows[i].read == 200)
-            answer_news(read, 30, rows[i].news ? "wk-000001" : NULL, rows[i].becomes, 30);
+            answer_change_list(read, 30, rows[i].news ? "wk-000001" : NULL, rows[i].becomes, 30);
         else if (read)
             fake_answer(read, rows[i].read, NULL);
-        if (answers() != 1 || latest()->status != rows[i].want || strcmp(replied_state(), rows[i].state) != 0)
-            fail_msg("%s: %zu answers, %d %s", rows[i].what, answers(), latest()->status, replied_state());
+        if (count_replies() != 1 || latest_reply()->status != rows[i].want || strcmp(replied_state(), rows[i].state) != 0)
+            fail_msg("%s: %zu answers, %d %s", rows[i].what, count_replies(), latest_reply()->status, replied_state());
     }
 }
 
@@ -140,12 +140,12 @@
     struct fake_call *read = open_call("GET", "/follow");
     fake_clock_advance(100);
     ask("GET", "/v1/jobs/wk-000002", NULL);
-    answer_news(read, 30, NULL, 0, 0);
-    if (answers() != 1) fail_msg("%zu answers by a read sent before the second question", answers());
+    answer_change_list(read, 30, NULL, 0, 0);
+    if (count_replies() != 1) fail_msg("%zu answers by a read sent before the second question", count_replies());
     fake_clock_advance(1000);
-    answer_news(open_call("GET", "/follow"), 31, "wk-000002", AMB_JOB_QUEUED, 31);
-    assert_int_equal(answers(), 2);
-    assert_int_equal(latest()->status, 200);
+    answer_change_list(open_call("GET", "/follow"), 31, "wk-000002", AMB_JOB_QUEUED, 31);
+    assert_int_equal(count_replies(), 2);
+    assert_int_equal(latest_reply()->status, 200);
 }
 
 static void older_news_change_nothing(void **state) {
@@ -155,12 +155,12 @@
         const char *shown;
     } rows[] = {{AMB_JOB_CANCELLED, "cancelled"}, {AMB_JOB_DONE, "done"}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         ask("GET", "/v1/jobs/wk-000001", NULL);
-        answer_news(open_call("GET", "/follow"), 30, "wk-000001", rows[i].newer, 30);
+        answer_change_list(open_call("GET", "/follow"), 30, "wk-000001", rows[i].newer, 30);
         ask("GET", "/v1/jobs/wk-000002", NULL);
         fake_clock_advance(1000);
-        answer_news(open_call("GET", "/follow"), 31, "wk-000001", AMB_JOB_QUEUED, 20);
+        answer_change_list(open_call("GET", "/follow"), 31, "wk-000001", AMB_JOB_QUEUED, 20);
         ask("GET", "/v1/jobs/wk-000001", NULL);
         if (strcmp(replied_state(), rows[i].shown) != 0)
             fail_msg("%s, and by older news %s", rows[i].shown, replied_state());
@@ -169,11 +169,11 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(acceptance_is_guarded_and_written_first, begin, end),
-        cmocka_unit_test_setup_teardown(cancellation_is_guarded_and_written_first, begin, end),
-        cmocka_unit_test_setup_teardown(answers_come_from_fresh_reads, begin, end),
-        cmocka_unit_test_setup_teardown(reads_under_way_answer_no_later_question, begin, end),
-        cmocka_unit_test_setup_teardown(older_news_change_nothing, begin, end),
+        cmocka_unit_test_setup_teardown(acceptance_is_guarded_and_written_first, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(cancellation_is_guarded_and_written_first, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(answers_come_from_fresh_reads, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(reads_under_way_answer_no_later_question, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(older_news_change_nothing, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/api/test_user_questions.c
+++ b/tests/api/test_user_questions.c
@@ -6,20 +6,20 @@
 /* Only a read that was sent after the question answers it. */
 static void a_read_sent_before_answers_nobody(void **state) {
     (void)state;
-    hear(ACCEPTED, "queued");
+    apply_watched_change(ACCEPTED_REVISION, "queued");
     poll_job(0);
-    assert_int_equal(fake_calls_sent(SYNC), 1);
+    assert_int_equal(fake_count_sent_calls(CHANGES_PATH), 1);
     poll_job(1); /* the job is cancelled elsewhere after the first read was made, and before this question */
-    cancel(2);
-    submit(3, GOOD);
-    assert_int_equal(fake_calls_sent(SYNC), 1);
-    answer_sync(0, NULL);
-    expect("asked before the read", 0, 200, "queued");
-    for (int user = 1; user < 4; user++) expect_waiting("asked after it was sent", user);
-    fire(&node->watch.fresh_read_timer);
-    answer_sync(CHANGED, "cancelled");
-    for (int user = 1; user < 4; user++) expect("asked before the second read", user, 200, "cancelled");
-    assert_int_equal(fake_calls_sent(COMMIT), 0);
+    user_cancel(2);
+    user_submit(3, VALID_SUBMISSION);
+    assert_int_equal(fake_count_sent_calls(CHANGES_PATH), 1);
+    answer_fresh_read(0, NULL);
+    expect_reply("asked before the read", 0, 200, "queued");
+    for (int user = 1; user < 4; user++) expect_no_reply("asked after it was sent", user);
+    fire_timer(&node->watch.fresh_read_timer);
+    answer_fresh_read(CHANGED_REVISION, "cancelled");
+    for (int user = 1; user < 4; user++) expect_reply("asked before the second read", user, 200, "cancelled");
+    assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 0);
 }
 
 /* What a question is answered, by what the node knows and what a fresh read says. */
@@ -46,18 +46,19 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++)
         for (int kind = 0; kind < 2; kind++) {
-            anew();
-            if (rows[i].known) hear(ACCEPTED, rows[i].known);
-            kind ? cancel(0) : poll_job(0);
-            assert_int_equal(fake_calls_sent(SYNC), rows[i].sync >= 0);
+            fixture_reset();
+            if (rows[i].known) apply_watched_change(ACCEPTED_REVISION, rows[i].known);
+            kind ? user_cancel(0) : poll_job(0);
+            assert_int_equal(fake_count_sent_calls(CHANGES_PATH), rows[i].sync >= 0);
             if (rows[i].sync == 200)
-                answer_sync(CHANGED, rows[i].read);
+                answer_fresh_read(CHANGED_REVISION, rows[i].read);
             else if (rows[i].sync >= 0)
-                fake_answer(open_call(SYNC), rows[i].sync, NULL);
+                fake_answer(open_call(CHANGES_PATH), rows[i].sync, NULL);
             int status = kind ? rows[i].cancel : rows[i].poll;
-            expect(rows[i].what, 0, status, status ? rows[i].stance : NULL);
+            expect_reply(rows[i].what, 0, status, status ? rows[i].stance : NULL);
             if (!status)
-                assert_int_equal(guarded_stamp(), rows[i].known && !rows[i].read ? ACCEPTED : CHANGED);
+                assert_int_equal(compared_revision(),
+                                 rows[i].known && !rows[i].read ? ACCEPTED_REVISION : CHANGED_REVISION);
         }
 }
 
@@ -66,40 +67,40 @@
     (void)state;
     static const char *const states[] = {"done", "cancelled"};
     for (size_t i = 0; i < ROWS(states); i++) {
-        anew();
-        hear(ACCEPTED, "queued");
+        fixture_reset();
+        apply_watched_change(ACCEPTED_REVISION, "queued");
         poll_job(0);
-        hear(CHANGED, states[i]);
-        fake_answer(open_call(SYNC), 0, NULL);
-        expect("final by the watch", 0, 200, states[i]);
+        apply_watched_change(CHANGED_REVISION, states[i]);
+        fake_answer(open_call(CHANGES_PATH), 0, NULL);
+        expect_reply("final by the watch", 0, 200, states[i]);
     }
-    anew();
-    hear(ACCEPTED, "queued");
+    fixture_reset();
+    apply_watched_change(ACCEPTED_REVISION, "queued");
     poll_job(0);
-    amb_job_apply_cancel_hint(node, JOB, amb_wall_ms(), CHANGED);
-    fake_answer(open_call(SYNC), 0, NULL);
-    expect("by a peer's word", 0, 200, "cancelled");
-    hear(CHANGED, "cancelled");
+    amb_job_apply_cancel_hint(node, JOB_REF, amb_wall_ms(), CHANGED_REVISION);
+    fake_answer(open_call(CHANGES_PATH), 0, NULL);
+    expect_reply("by a peer's word", 0, 200, "cancelled");
+    apply_watched_change(CHANGED_REVISION, "cancelled");
     poll_job(1);
-    expect("and when news bring it", 1, 200, "cancelled");
+    expect_reply("and when news bring it", 1, 200, "cancelled");
 }
 
 /* Older news than what is known change nothing, whichever way they come. */
 static void old_news(void **state) {
     (void)state;
-    hear(CHANGED, "cancelled");
-    hear(ACCEPTED, "queued");
+    apply_watched_change(CHANGED_REVISION, "cancelled");
+    apply_watched_change(ACCEPTED_REVISION, "queued");
     poll_job(0);
-    expect("after an older change", 0, 200, "cancelled");
-    hear(CHANGED, "done");
+    expect_reply("after an older change", 0, 200, "cancelled");
+    apply_watched_change(CHANGED_REVISION, "done");
     poll_job(1);
-    expect("after another of the same stamp", 1, 200, "cancelled");
-    node->watch.known_revision = CHANGED;
-    submit(2, "{\"ref\":\"wk-7\"}");
-    answer_sync(ACCEPTED, "queued"); /* a read that lags */
-    assert_int_equal(node->watch.known_revision, CHANGED);
+    expect_reply("after another of the same stamp", 1, 200, "cancelled");
+    node->watch.known_revision = CHANGED_REVISION;
+    user_submit(2, "{\"ref\":\"wk-7\"}");
+    answer_fresh_read(ACCEPTED_REVISION, "queued"); /* a read that lags */
+    assert_int_equal(node->watch.known_revision, CHANGED_REVISION);
     poll_job(3);
-    expect("after a read that lags", 3, 200, "cancelled");
+    expect_reply("after a read that lags", 3, 200, "cancelled");
 }
 
 static void answer_list(int epoch, const char *pairs, bool more) {
@@ -112,21 +113,21 @@
  * followed from where the listing began. */
 static void list_once(int status) {
     static const char queued[] =
-        "{\"path\":\"a/job/" JOB "\",\"stamp\":5,\"value\":{\"s\":\"queued\",\"a\":1}}";
-    hear(5, "queued");
+        "{\"path\":\"a/job/" JOB_REF "\",\"stamp\":5,\"value\":{\"s\":\"queued\",\"a\":1}}";
+    apply_watched_change(5, "queued");
     node->watch.known_revision = 5;
     for (int user = 0; user < 3; user++) {
-        if (node->watch.fresh_read_timer.position) fire(&node->watch.fresh_read_timer);
+        if (node->watch.fresh_read_timer.position) fire_timer(&node->watch.fresh_read_timer);
         poll_job(user);
-        fake_answer(open_call(SYNC), status, NULL);
-        expect("while it lists", user, 503, NULL);
+        fake_answer(open_call(CHANGES_PATH), status, NULL);
+        expect_reply("while it lists", user, 503, NULL);
         if (user == 0) answer_list(20000, queued, true);
     }
-    assert_int_equal(fake_calls_sent("/store?"), 2);
+    assert_int_equal(fake_count_sent_calls("/store?"), 2);
     /* The job is cancelled between the pages, at 20010. */
     answer_list(20020, "{\"path\":\"a/leader\",\"stamp\":7,\"value\":{\"member\":\"n\",\"nonce\":1}}", false);
     assert_int_equal(node->watch.known_revision, 20000);
-    assert_string_equal(open_call(SYNC)->path, "/follow?prefix=a/&after=20000&wait_ms=2000");
+    assert_string_equal(open_call(CHANGES_PATH)->path, "/follow?prefix=a/&after=20000&wait_ms=2000");
 }
 
 static void one_listing_at_a_time(void **state) {
--- a/tests/api/test_users.c
+++ b/tests/api/test_users.c
@@ -10,10 +10,10 @@
         const char *what, *body;
         int unknown; /* what it is answered when no job of the name is known */
     } rows[] = {
-        {"a field is missing", "{\"ref\":\"" JOB "\",\"berth\":\"train\"}", 400},
-        {"nothing but the name", "{\"ref\":\"" JOB "\"}", 400},
+        {"a field is missing", "{\"ref\":\"" JOB_REF "\",\"berth\":\"train\"}", 400},
+        {"nothing but the name", "{\"ref\":\"" JOB_REF "\"}", 400},
         {"an unknown team",
-         "{\"ref\":\"" JOB "\",\"berth\":\"t\",\"crew\":\"nobody\",\"shape\":\"batch\",\"rank\":\"high\","
+         "{\"ref\":\"" JOB_REF "\",\"berth\":\"t\",\"crew\":\"nobody\",\"shape\":\"batch\",\"rank\":\"high\","
          "\"legs\":1,\"vcpus\":1,\"accelerators\":0,\"ram_gb\":1,\"cask\":\"i\",\"size_gb\":1,"
          "\"one_zone\":false,\"scatter\":false,\"driftwood\":false,\"reckon_s\":1,\"mark_s\":0,"
          "\"stow_s\":0}",
@@ -34,15 +34,15 @@
         for (size_t k = 0; k < ROWS(stores); k++) {
             char what[128];
             snprintf(what, sizeof what, "%s, %s", rows[i].what, stores[k].what);
-            anew();
-            submit(0, rows[i].body);
-            expect_waiting(what, 0);
+            fixture_reset();
+            user_submit(0, rows[i].body);
+            expect_no_reply(what, 0);
             if (stores[k].sync == 200)
-                answer_sync(ACCEPTED, stores[k].known);
+                answer_fresh_read(ACCEPTED_REVISION, stores[k].known);
             else
-                fake_answer(open_call(SYNC), stores[k].sync, NULL);
-            expect(what, 0, stores[k].status ? stores[k].status : rows[i].unknown, stores[k].known);
-            assert_int_equal(fake_calls_sent(COMMIT), 0);
+                fake_answer(open_call(CHANGES_PATH), stores[k].sync, NULL);
+            expect_reply(what, 0, stores[k].status ? stores[k].status : rows[i].unknown, stores[k].known);
+            assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 0);
         }
 }
 
@@ -61,27 +61,27 @@
                                         "{\"ref\":\"job-000412\"}",
                                         "{\"ref\":\"wk-4 12\"}"};
     for (size_t i = 0; i < ROWS(texts); i++) {
-        submit(0, texts[i]);
-        expect(texts[i], 0, 400, NULL);
+        user_submit(0, texts[i]);
+        expect_reply(texts[i], 0, 400, NULL);
     }
     struct amb_buf bytes = {0};
     amb_buf_append(&bytes, "\xbf\xff\x00garbage", 10);
-    request(0, "POST", "/v1/jobs", &bytes);
-    expect("not CBOR", 0, 400, NULL);
-    request(0, "POST", "/v1/jobs", NULL);
-    expect("no body", 0, 400, NULL);
-    assert_int_equal(fake_calls_sent(""), 0);
+    issue_request(0, "POST", "/v1/jobs", &bytes);
+    expect_reply("not CBOR", 0, 400, NULL);
+    issue_request(0, "POST", "/v1/jobs", NULL);
+    expect_reply("no body", 0, 400, NULL);
+    assert_int_equal(fake_count_sent_calls(""), 0);
 }
 
 /* One field of a good job changed, or left out where the change is NULL. */
 static void submit_changed(const char *field, const char *change) {
-    json_t *job = json_loads(GOOD, 0, NULL);
+    json_t *job = json_loads(VALID_SUBMISSION, 0, NULL);
     json_object_del(job, field);
     if (change) json_object_set_new(job, field, json_loads(change, JSON_DECODE_ANY, NULL));
     struct amb_buf body = {0};
     cbor_from_json(&body, job);
     json_decref(job);
-    request(0, "POST", "/v1/jobs", &body);
+    issue_request(0, "POST", "/v1/jobs", &body);
 }
 
 /* Every field of the protocol's table: which values are malformed (400), can never run (422), are written. */
@@ -132,11 +132,11 @@
                 const char *value = sets[size].values[k];
                 char what[128];
                 snprintf(what, sizeof what, "%s: %s", rows[i].field, value);
-                anew();
+                fixture_reset();
                 submit_changed(rows[i].field, strcmp(value, "-") ? value : NULL);
-                if (fake_call_open(SYNC)) answer_sync(0, NULL);
-                expect(what, 0, sets[size].status, NULL);
-                if ((fake_call_open(COMMIT) != NULL) != !sets[size].status)
+                if (fake_open_call(CHANGES_PATH)) answer_fresh_read(0, NULL);
+                expect_reply(what, 0, sets[size].status, NULL);
+                if ((fake_open_call(COMMIT_PATH) != NULL) != !sets[size].status)
                     fail_msg("%s: %s", what, sets[size].status ? "is written" : "is not written");
             }
     }
@@ -166,23 +166,23 @@
         {"unknown team, unknown types", "{\"crew\":\"nobody\"}", false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
+        fixture_reset();
         node->cloud.catalog_known = rows[i].catalog;
-        json_t *job = json_loads(GOOD, 0, NULL), *changes = json_loads(rows[i].changes, 0, NULL);
+        json_t *job = json_loads(VALID_SUBMISSION, 0, NULL), *changes = json_loads(rows[i].changes, 0, NULL);
         json_object_update(job, changes);
         struct amb_buf body = {0};
         cbor_from_json(&body, job);
         json_decref(job);
         json_decref(changes);
-        request(0, "POST", "/v1/jobs", &body);
-        if (fake_call_open(SYNC)) answer_sync(0, NULL);
-        expect(rows[i].what, 0, rows[i].runs ? 0 : 422, NULL);
-        assert_int_equal(fake_calls_sent(COMMIT), rows[i].runs);
+        issue_request(0, "POST", "/v1/jobs", &body);
+        if (fake_open_call(CHANGES_PATH)) answer_fresh_read(0, NULL);
+        expect_reply(rows[i].what, 0, rows[i].runs ? 0 : 422, NULL);
+        assert_int_equal(fake_count_sent_calls(COMMIT_PATH), rows[i].runs);
     }
-    anew();
+    fixture_reset();
     node->cloud.catalog_known = false;
-    submit(0, GOOD);
-    expect("types unknown: it can't be decided yet", 0, 503, NULL);
+    user_submit(0, VALID_SUBMISSION);
+    expect_reply("types unknown: it can't be decided yet", 0, 503, NULL);
 }
 
 /* A submission's transaction ends in every way, with news before it and a fresh read after it. */
@@ -198,37 +198,38 @@
         const char *stance;
     } rows[] = {
         {"carried out", NULL, 0, 200, "", 201, "queued"},
-        {"heard of first", "queued", ACCEPTED, 200, "", 201, "queued"},
-        {"cancelled elsewhere meanwhile", "cancelled", CHANGED, 200, "", 201, "cancelled"},
-        {"done meanwhile", "done", CHANGED, 200, "", 201, "done"},
+        {"heard of first", "queued", ACCEPTED_REVISION, 200, "", 201, "queued"},
+        {"cancelled elsewhere meanwhile", "cancelled", CHANGED_REVISION, 200, "", 201, "cancelled"},
+        {"done meanwhile", "done", CHANGED_REVISION, 200, "", 201, "done"},
         {"no answer, nothing heard", NULL, 0, 0, "", 503, NULL},
         {"refused, nothing heard", NULL, 0, 503, "", 503, NULL},
-        {"only the answer lost", "queued", ACCEPTED, 0, "queued", 200, "queued"},
-        {"only the answer lost, and the news is old", "queued", ACCEPTED, 0, "cancelled", 200, "cancelled"},
-        {"only the answer lost, no fresh read", "queued", ACCEPTED, 0, NULL, 503, NULL},
-        {"only the answer lost, over since", "done", CHANGED, 0, NULL, 200, "done"},
+        {"only the answer lost", "queued", ACCEPTED_REVISION, 0, "queued", 200, "queued"},
+        {"only the answer lost, and the news is old", "queued", ACCEPTED_REVISION, 0, "cancelled", 200,
+         "cancelled"},
+        {"only the answer lost, no fresh read", "queued", ACCEPTED_REVISION, 0, NULL, 503, NULL},
+        {"only the answer lost, over since", "done", CHANGED_REVISION, 0, NULL, 200, "done"},
         {"another node was first", NULL, 0, 409, "queued", 200, "queued"},
         {"another node was first, over since", NULL, 0, 409, "cancelled", 200, "cancelled"},
         {"another node was first, no fresh read", NULL, 0, 409, NULL, 503, NULL},
-        {"another node was first, the news is old", "queued", ACCEPTED, 409, "done", 200, "done"},
+        {"another node was first, the news is old", "queued", ACCEPTED_REVISION, 409, "done", 200, "done"},
         {"malformed, says the state service", NULL, 0, 400, "", 503, NULL},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        submit(0, GOOD);
-        assert_int_equal(guarded_stamp(), 0);
-        if (rows[i].heard) hear(rows[i].heard_stamp, rows[i].heard);
-        answer_commit(rows[i].commit, ACCEPTED);
+        fixture_reset();
+        user_submit(0, VALID_SUBMISSION);
+        assert_int_equal(compared_revision(), 0);
+        if (rows[i].heard) apply_watched_change(rows[i].heard_stamp, rows[i].heard);
+        answer_commit(rows[i].commit, ACCEPTED_REVISION);
         if (rows[i].read && !*rows[i].read) {
-            assert_int_equal(fake_calls_sent(SYNC), 0);
+            assert_int_equal(fake_count_sent_calls(CHANGES_PATH), 0);
         } else {
-            expect_waiting(rows[i].what, 0);
+            expect_no_reply(rows[i].what, 0);
             if (rows[i].read)
-                answer_sync(CHANGED, rows[i].read);
+                answer_fresh_read(CHANGED_REVISION, rows[i].read);
             else
-                fake_answer(open_call(SYNC), 0, NULL);
+                fake_answer(open_call(CHANGES_PATH), 0, NULL);
         }
-        expect(rows[i].what, 0, rows[i].status, rows[i].stance);
+        expect_reply(rows[i].what, 0, rows[i].status, rows[i].stance);
         if (rows[i].status == 503) assert_int_equal(replies[0].retry_after_s, 1);
     }
 }
@@ -236,24 +237,25 @@
 /* Two users send one name to one node, and others to other nodes. */
 static void submissions_race(void **state) {
     (void)state;
-    submit(0, GOOD);
-    submit(1, GOOD);
-    struct fake_call *first = open_call(COMMIT);
+    user_submit(0, VALID_SUBMISSION);
+    user_submit(1, VALID_SUBMISSION);
+    struct fake_call *first = open_call(COMMIT_PATH);
     first->answered = true; /* to reach the second */
-    struct fake_call *second = open_call(COMMIT);
-    struct amb_buf epoch = cbor_from_text("{\"epoch\":%d}", ACCEPTED);
+    struct fake_call *second = open_call(COMMIT_PATH);
+    struct amb_buf epoch = cbor_from_text("{\"epoch\":%d}", ACCEPTED_REVISION);
     fake_answer(second, 200, &epoch);
-    expect("the second is written first", 1, 201, "queued");
-    cancel(2);
-    answer_sync(0, NULL);
-    answer_commit(200, CHANGED);
-    expect("and cancelled", 2, 200, "cancelled");
-    struct amb_buf failed = cbor_from_text("{\"failed\":[\"a/job/" JOB "\"],\"epoch\":%d}", CHANGED);
+    expect_reply("the second is written first", 1, 201, "queued");
+    user_cancel(2);
+    answer_fresh_read(0, NULL);
+    answer_commit(200, CHANGED_REVISION);
+    expect_reply("and cancelled", 2, 200, "cancelled");
+    struct amb_buf failed =
+        cbor_from_text("{\"failed\":[\"a/job/" JOB_REF "\"],\"epoch\":%d}", CHANGED_REVISION);
     fake_answer(first, 409, &failed);
-    if (fake_call_open(SYNC)) answer_sync(0, NULL);
-    if (node->watch.fresh_read_timer.position) fire(&node->watch.fresh_read_timer);
-    if (fake_call_open(SYNC)) answer_sync(0, NULL);
-    expect("the first learns that it is over", 0, 200, "cancelled");
+    if (fake_open_call(CHANGES_PATH)) answer_fresh_read(0, NULL);
+    if (node->watch.fresh_read_timer.position) fire_timer(&node->watch.fresh_read_timer);
+    if (fake_open_call(CHANGES_PATH)) answer_fresh_read(0, NULL);
+    expect_reply("the first learns that it is over", 0, 200, "cancelled");
 }
 
 int main(void) {
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -12,8 +12,8 @@
         bool usable;
     } rows[] = {{TERM - 1, false}, {TERM, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        report("m-1", 1, 1, rows[i].token, amb_now(), NULL, 0);
+        fixture_reset();
+        deliver_heartbeat("m-1", 1, 1, rows[i].token, amb_now(), NULL, 0);
         if (amb_machine_is_schedulable(node, amb_machine_get(node, "m-1", false), amb_now()) !=
             rows[i].usable)
             fail_msg("token %llu: usable %d", (unsigned long long)rows[i].token, !rows[i].usable);
@@ -22,17 +22,17 @@
 
 static void machines_that_hear_badly_rest(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-    bound(job, 0, "m-1", 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    bind_task(job, 0, "m-1", 1);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-    for (uint64_t seq = 1; seq <= 3; seq++) report("m-1", 1, seq, TERM, amb_now(), NULL, 0);
+    for (uint64_t seq = 1; seq <= 3; seq++) deliver_heartbeat("m-1", 1, seq, TERM, amb_now(), NULL, 0);
     assert_null(job->tasks[0].machine);
     if (amb_machine_is_schedulable(node, machine, amb_now())) fail_msg("used again at once");
 }
 
 static void machines_nobody_expected_are_known_by_reporting(void **state) {
     (void)state;
-    send_heartbeat((struct sent_heartbeat){.machine = "m-9", .session = 1, .seq = 1, .token = TERM});
+    send_heartbeat((struct sent_heartbeat){.machine = "m-9", .incarnation = 1, .sequence = 1, .token = TERM});
     struct amb_machine *machine = amb_machine_get(node, "m-9", false);
     assert_non_null(machine);
     assert_true(amb_machine_is_schedulable(node, machine, amb_now()));
@@ -51,13 +51,13 @@
         {"its return was asked for", false, AMB_MACHINE_RELEASING, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
-        bound(job, 0, "m-1", 1);
+        bind_task(job, 0, "m-1", 1);
         machine->state = rows[i].state;
         machine->release_pending = rows[i].wanted;
-        report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), NULL, 0);
         if (count_commands(AMB_COMMAND_RUN) != rows[i].starts)
             fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
         if (machine->state != rows[i].state)
@@ -67,13 +67,13 @@
 
 static void returned_machines_never_come_back(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-    bound(job, 0, "m-1", 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    bind_task(job, 0, "m-1", 1);
     amb_machine_confirm_gone(node, amb_machine_get(node, "m-1", false), AMB_ABSENCE_RELEASED);
     assert_null(job->tasks[0].machine);
-    assert_true(report("m-1", 1, 9, TERM, amb_now(), NULL, 0));
+    assert_true(deliver_heartbeat("m-1", 1, 9, TERM, amb_now(), NULL, 0));
     assert_null(amb_machine_get(node, "m-1", false));
-    assert_int_equal(norders, 0);
+    assert_int_equal(reply_command_count, 0);
 }
 
 /* A new leader once waited a period and a third of reports even when there was nothing left to learn. */
@@ -126,7 +126,7 @@
         {"a new leader has heard nobody yet", 10, 0, 0, 10, 2000, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        end(NULL);
+        fixture_teardown(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
         amb_catalog_find_or_add_zone(&node->catalog, "a");
@@ -170,7 +170,7 @@
         {"never heard by this leader, longer ago", 3100, true, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         struct amb_machine *list[MACHINES];
         amb_ms now = amb_now() + 1000000;
         node->election.renewed_at = now;
@@ -208,14 +208,14 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(work_goes_to_machines_that_have_shown_our_token, begin, end),
-        cmocka_unit_test_setup_teardown(machines_that_hear_badly_rest, begin, end),
-        cmocka_unit_test_setup_teardown(machines_nobody_expected_are_known_by_reporting, begin, end),
-        cmocka_unit_test_setup_teardown(returned_machines_are_not_used_again, begin, end),
-        cmocka_unit_test_setup_teardown(returned_machines_never_come_back, setup, end),
-        cmocka_unit_test_setup_teardown(learned_when_nearly_all_have_shown_the_token, setup, end),
-        cmocka_unit_test_setup_teardown(unreachable_zones, setup, end),
-        cmocka_unit_test_setup_teardown(machines_come_back_one_after_the_other, begin, end),
+        cmocka_unit_test_setup_teardown(work_goes_to_machines_that_have_shown_our_token, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_that_hear_badly_rest, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_nobody_expected_are_known_by_reporting, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(returned_machines_are_not_used_again, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(returned_machines_never_come_back, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(learned_when_nearly_all_have_shown_the_token, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(unreachable_zones, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_come_back_one_after_the_other, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cloud/test_scale_in_log.c
+++ b/tests/cloud/test_scale_in_log.c
@@ -73,14 +73,14 @@
     struct fake_call *commit = expect_write("m-1", 0);
     run_tick();
     if (is_cloud_called()) fail_msg("called before the record is known to stand");
-    answer_epoch(commit, FIRST_STAMP);
+    answer_committed(commit, FIRST_STAMP);
     run_tick();
     assert_true(is_cloud_called());
     answer_released();
     assert_null(amb_machine_get(node, "m-1", false));
     /* The next one replaces it. */
     scale_in("m-2");
-    answer_epoch(expect_write("m-2", FIRST_STAMP), NEXT_STAMP);
+    answer_committed(expect_write("m-2", FIRST_STAMP), NEXT_STAMP);
     run_tick();
     assert_true(is_cloud_called());
 }
@@ -103,7 +103,7 @@
         {"too many changes", 429, NULL, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         scale_in("m-1");
         fake_answer(expect_write("m-1", 0), rows[i].status, NULL);
         run_tick();
@@ -114,7 +114,7 @@
         }
         if (is_cloud_called() != rows[i].called) fail_msg("%s: called %d", rows[i].what, !rows[i].called);
         if (rows[i].called) continue;
-        answer_epoch(expect_write("m-1", rows[i].stands ? NEXT_STAMP : 0), NEXT_STAMP + 1);
+        answer_committed(expect_write("m-1", rows[i].stands ? NEXT_STAMP : 0), NEXT_STAMP + 1);
         run_tick();
         if (!is_cloud_called()) fail_msg("%s: never called", rows[i].what);
     }
@@ -149,7 +149,7 @@
     } rows[] = {
         {"known from a record", true, false}, {"known later", false, true}, {"never known", false, false}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         node->formats.recorded = AMB_FORMAT_2;
         if (rows[i].known_before) machine_up("m-1", 0);
         restore_record("m-1");
@@ -186,7 +186,7 @@
     scale_in("m-1");
     struct fake_call *commit = expect_write("m-1", 0);
     node->election.term = TERM + 1;
-    answer_epoch(commit, FIRST_STAMP);
+    answer_committed(commit, FIRST_STAMP);
     assert_int_equal(node->cloud.scale_in_log.state, AMB_SCALE_IN_LOG_WRITING);
     amb_cloud_reset(node);
     assert_int_equal(node->cloud.scale_in_log.state, AMB_SCALE_IN_LOG_UNRECORDED);
@@ -194,12 +194,12 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(recorded_before_the_cloud_is_called, begin, end),
-        cmocka_unit_test_setup_teardown(writes_without_an_answer, begin, end),
-        cmocka_unit_test_setup_teardown(not_recorded_while_old_versions_may_lead, begin, end),
-        cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, begin, end),
-        cmocka_unit_test_setup_teardown(the_record_is_of_the_past_once_duties_are_in_use, begin, end),
-        cmocka_unit_test_setup_teardown(answers_of_an_earlier_term_mean_nothing, begin, end),
+        cmocka_unit_test_setup_teardown(recorded_before_the_cloud_is_called, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(writes_without_an_answer, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(not_recorded_while_old_versions_may_lead, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(the_record_is_of_the_past_once_duties_are_in_use, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(answers_of_an_earlier_term_mean_nothing, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cloud/test_scale_out.c
+++ b/tests/cloud/test_scale_out.c
@@ -16,7 +16,7 @@
     if (!strcmp(first->id, second->id)) fail_msg("%s twice under one term", first->id);
     char id[sizeof first->id];
     strcpy(id, first->id);
-    begin_anew();
+    fixture_reset();
     node->election.term = TERM + 1;
     amb_scale_out_submit(node, 0, 0, false, 1);
     if (!strcmp(node->cloud.scale_out.requests->id, id)) fail_msg("%s under two terms", id);
@@ -29,10 +29,10 @@
     if (find_call("POST", "/machines")) fail_msg("asked for before it is recorded");
     struct fake_call *commit = open_call("POST", "/commit");
     assert_non_null(fake_txn_put(commit, "b/r/r-50-1", NULL));
-    answer_epoch(commit, 60);
+    answer_committed(commit, 60);
     amb_cloud_tick(node, amb_now());
     struct fake_call *rent = open_call("POST", "/machines");
-    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->map, "charter"), "r-50-1"));
+    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->cbor_body, "charter"), "r-50-1"));
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
     amb_cbor_write_string(&buffer, "rigs"), amb_cbor_write_list(&buffer, 1),
@@ -66,7 +66,7 @@
     struct fake_call *rent = find_call("POST", "/machines");
     if (!rent) fail_msg("an earlier leader's rental is not repeated");
     /* NOLINTNEXTLINE(clang-analyzer-core.NullDereference): fail_msg ends the test */
-    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->map, "charter"), "r-40-7"));
+    assert_true(amb_cbor_equals(amb_cbor_map_get(rent->cbor_body, "charter"), "r-40-7"));
 }
 
 /* ---- the plan ---- */
@@ -81,7 +81,7 @@
 
 /* The node begins anew, and may rent machines that take 50 s to boot, in one zone. */
 static void restart_with_cloud(void) {
-    end(NULL);
+    fixture_teardown(NULL);
     setup(NULL);
     strcpy(node->catalog.types[0].zones[0], "a");
     node->catalog.types[0].zone_count = 1;
@@ -129,8 +129,8 @@
         strcpy(machine_type->name, place ? "g8" : "g4");
     }
     amb_catalog_find_or_add_zone(&node->catalog, "a");
-    struct amb_job *surge = add_job("wk-1", AMB_JOB_KIND_SERVICE, 9),
-                   *draft = add_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *surge = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 9),
+                   *draft = add_active_job("wk-2", AMB_JOB_KIND_SERVICE, 1);
     surge->spec->priority = AMB_PRIORITY_HIGH;
     draft->spec->priority = AMB_PRIORITY_PRODUCTION;
     surge->spec->allowed_type_count = draft->spec->allowed_type_count = 1;
@@ -150,7 +150,7 @@
     /* Gangs of any size are planned: those of more than 256 tasks once never got a machine. */
     amb_cloud_reset(node);
     surge->state = draft->state = AMB_JOB_CANCELLED;
-    add_job("wk-3", AMB_JOB_KIND_GANG, 300);
+    add_active_job("wk-3", AMB_JOB_KIND_GANG, 300);
     run_plan();
     assert_int_equal(count_requests(&type), 1);
     assert_int_equal(cloud->scale_out.requests->count, 19); /* half of 38: the other type costs the same */
@@ -216,8 +216,8 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         restart_with_cloud();
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-        bound(job, 0, "m-1", 1);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        bind_task(job, 0, "m-1", 1);
         if (rows[i].over) job->state = AMB_JOB_CANCELLED;
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         machine->type_index = machine->zone_index = 0;
@@ -258,8 +258,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         restart_with_cloud();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
-        if (rows[i].bound) bound(job, 0, "m-1", 1);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 3);
+        if (rows[i].bound) bind_task(job, 0, "m-1", 1);
         job->failures.broken = rows[i].broken;
         struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
         if (amb_cycle_is_schedulable(cycle, job) != rows[i].wants_start) fail_msg("%s: starts", rows[i].what);
@@ -305,14 +305,14 @@
 /* One task of the job ends on m-1, which is then idle or being emptied, and the machine reports it. */
 static struct amb_machine *machine_with_an_end(uint32_t tasks, bool drain, amb_ms now) {
     static struct amb_agent_task ended;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, tasks);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, tasks);
     struct amb_machine *machine = machine_up("m-1", 0);
     machine->draining = drain;
     job->revision = 20;
     job->backoff_until = now + 1000000; /* no demand for room */
-    bound(job, 0, "m-1", 1);
-    ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
-    report("m-1", 1, 1, TERM, now, &ended, 1);
+    bind_task(job, 0, "m-1", 1);
+    ended = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
+    deliver_heartbeat("m-1", 1, 1, TERM, now, &ended, 1);
     machine->idle_since = node->controller.leader_since = now - 1000000;
     return machine;
 }
@@ -332,8 +332,8 @@
         {"idle for long, its job is done", 1, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        const struct amb_agent_task ended = listing("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
+        fixture_reset();
+        const struct amb_agent_task ended = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
         struct amb_machine *machine = machine_with_an_end(rows[i].tasks, rows[i].drain, amb_now());
         run_plan();
         if (machine->release_pending) fail_msg("%s: returned before the end is written", rows[i].what);
@@ -342,11 +342,11 @@
         node->election.renewed_at = amb_now();
         amb_placement_log_flush(node);
         struct fake_call *commit = open_call("POST", "/commit");
-        report("m-1", 1, 2, TERM, amb_now(), &ended, 1);
+        deliver_heartbeat("m-1", 1, 2, TERM, amb_now(), &ended, 1);
         run_plan();
         if (machine->release_pending) fail_msg("%s: returned while the end is being written", rows[i].what);
-        answer_epoch(commit, 60);
-        report("m-1", 1, 3, TERM, amb_now(), &ended, 1);
+        answer_committed(commit, 60);
+        deliver_heartbeat("m-1", 1, 3, TERM, amb_now(), &ended, 1);
         run_plan();
         if (count_commands(AMB_COMMAND_CLEAR) != 1) fail_msg("%s: the result is not cleared", rows[i].what);
         if (!machine->release_pending) fail_msg("%s: not returned once the end is on record", rows[i].what);
@@ -355,15 +355,15 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(broken_jobs_take_little, setup, end),
-        cmocka_unit_test_setup_teardown(overdue_boots_keep_their_age, setup, end),
-        cmocka_unit_test_setup_teardown(rental_names_are_never_used_twice, begin, end),
-        cmocka_unit_test_setup_teardown(rentals_are_recorded_until_they_must_be_listed, begin, end),
-        cmocka_unit_test_setup_teardown(successors_repeat_rentals, begin, end),
-        cmocka_unit_test_setup_teardown(rentals_add_up, setup, end),
-        cmocka_unit_test_setup_teardown(demand_is_remembered, setup, end),
-        cmocka_unit_test_setup_teardown(room_for_what_is_as_good_as_lost, setup, end),
-        cmocka_unit_test_setup_teardown(machines_are_kept_until_their_last_end_is_on_record, begin, end),
+        cmocka_unit_test_setup_teardown(broken_jobs_take_little, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(overdue_boots_keep_their_age, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(rental_names_are_never_used_twice, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(rentals_are_recorded_until_they_must_be_listed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(successors_repeat_rentals, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(rentals_add_up, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(demand_is_remembered, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(room_for_what_is_as_good_as_lost, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_are_kept_until_their_last_end_is_on_record, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -156,7 +156,7 @@
     bool understood = false;
     amb_watch_read_fresh(node, note_fresh_read, &understood);
     if (page->len) amb_buf_append(&copy, page->data, page->len);
-    fake_answer(fake_call_open("/follow"), 200, &copy);
+    fake_answer(fake_open_call("/follow"), 200, &copy);
     return understood;
 }
 
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -143,7 +143,7 @@
         if (amb_format_has_older_peer(node) != rows[i].known_old) fail_msg("%s: known_old", rows[i].what);
         amb_format_tick(node, amb_now());
         amb_format_tick(node, amb_now());
-        if (fake_calls_open("POST", "/commit") != rows[i].writes) fail_msg("%s: writes", rows[i].what);
+        if (fake_count_open_calls("POST", "/commit") != rows[i].writes) fail_msg("%s: writes", rows[i].what);
         assert_int_equal(amb_format_active(node), AMB_FORMAT_1);
         node->election.role = AMB_ROLE_LEADER;
         end();
@@ -156,7 +156,7 @@
     hear(0, 2);
     hear(1, 2);
     amb_format_tick(node, amb_now());
-    struct fake_call *commit = fake_call_open("/commit");
+    struct fake_call *commit = fake_open_call("/commit");
     assert_non_null(commit);
     uint64_t lease, format;
     const cbor_item_t *value = fake_txn_put(commit, "a/format", &lease);
@@ -192,7 +192,7 @@
         hear(0, 2);
         hear(1, 2);
         amb_format_tick(node, amb_now());
-        struct fake_call *commit = fake_call_open("/commit");
+        struct fake_call *commit = fake_open_call("/commit");
         assert_non_null(commit);
         if (rows[i].status == 200)
             answer_epoch(commit);
@@ -204,7 +204,7 @@
             fail_msg("%s: %d in use", rows[i].what, (int)amb_format_active(node));
         node->store.throttled_until = 0;
         amb_format_tick(node, amb_now() + 60000);
-        if (fake_calls_open("POST", "/commit") != rows[i].again) fail_msg("%s: again", rows[i].what);
+        if (fake_count_open_calls("POST", "/commit") != rows[i].again) fail_msg("%s: again", rows[i].what);
         /* A late message of an ended process, or news that the key is gone, take nothing back. */
         hear(0, 0);
         amb_format_apply_key(node, NULL);
@@ -222,7 +222,7 @@
     begin();
     node->watch.loaded = false;
     amb_watch_start(node);
-    struct fake_call *list = fake_call_open("/store?prefix=a/");
+    struct fake_call *list = fake_open_call("/store?prefix=a/");
     assert_non_null(list);
     struct amb_buf body = {0};
     amb_cbor_write_map(&body, 3);
--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -18,7 +18,7 @@
 
 /* A machine that has shown our token, in this zone. */
 static struct amb_machine *machine_in(const char *name, int zone) {
-    report(name, 1, 1, TERM, amb_now(), NULL, 0);
+    deliver_heartbeat(name, 1, 1, TERM, amb_now(), NULL, 0);
     struct amb_machine *machine = amb_machine_get(node, name, false);
     machine->zone_index = zone;
     return machine;
@@ -26,14 +26,14 @@
 
 static struct amb_job *job_on(enum amb_job_kind kind, bool one_zone, bool spread, uint32_t tasks,
                               const int *zones, uint32_t count) {
-    struct amb_job *job = add_job("wk-1", kind, tasks);
+    struct amb_job *job = add_active_job("wk-1", kind, tasks);
     job->spec->one_zone = one_zone;
     job->spec->spread_zones = spread;
     for (uint32_t i = 0; i < count; i++) {
         char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-old-%u", i);
         amb_machine_get(node, name, true)->zone_index = zones[i];
-        bound(job, i, name, 1)->inherited = true;
+        bind_task(job, i, name, 1)->inherited = true;
     }
     return job;
 }
@@ -170,8 +170,8 @@
             job_on(rows[i].spread ? AMB_JOB_KIND_SERVICE : AMB_JOB_KIND_ARRAY, rows[i].one_zone,
                    rows[i].spread, rows[i].tasks, rows[i].others, rows[i].count);
         machine_in("m-a", A);
-        bound(job, rows[i].count, "m-a", 1)->inherited = true;
-        report("m-a", 1, 2, TERM, amb_now(), NULL, 0);
+        bind_task(job, rows[i].count, "m-a", 1)->inherited = true;
+        deliver_heartbeat("m-a", 1, 2, TERM, amb_now(), NULL, 0);
         if ((count_commands(AMB_COMMAND_RUN) == 1) != rows[i].starts)
             fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
         teardown(NULL);
--- a/tests/controller/test_leader.c
+++ b/tests/controller/test_leader.c
@@ -164,8 +164,8 @@
     apply_peer_json(node, &node->peers.list[0], message, amb_now());
     json_decref(message);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
-    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
-    report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
+    struct amb_agent_task seen = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), &seen, 1);
     assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
     apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
     assert_int_equal(state_of("wk-1"), AMB_JOB_CANCELLED);
@@ -180,15 +180,15 @@
     (void)state;
     node->controller.restored_at = 0;
     apply_job_change("wk-1", AMB_JOB_QUEUED, 30, 0);
-    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
-    report("m-1", 1, 1, TERM - 1, amb_now(), &seen, 1);
-    assert_int_equal(norders, 0);
+    struct amb_agent_task seen = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    deliver_heartbeat("m-1", 1, 1, TERM - 1, amb_now(), &seen, 1);
+    assert_int_equal(reply_command_count, 0);
     apply_job_change("wk-1", AMB_JOB_CANCELLED, 40, amb_wall_ms());
-    report("m-1", 1, 2, TERM - 1, amb_now(), &seen, 1);
+    deliver_heartbeat("m-1", 1, 2, TERM - 1, amb_now(), &seen, 1);
     assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
     seen.state = AMB_AGENT_TASK_EXITED;
-    report("m-1", 1, 3, TERM, amb_now(), &seen, 1);
-    assert_int_equal(norders, 0);
+    deliver_heartbeat("m-1", 1, 3, TERM, amb_now(), &seen, 1);
+    assert_int_equal(reply_command_count, 0);
 }
 
 /* So does a deputy, which orders nothing else and answers nobody once it knows a newer term. */
--- a/tests/duty/test_duty_integration.c
+++ b/tests/duty/test_duty_integration.c
@@ -88,12 +88,12 @@
 static int end_duties(void **state) {
     fake_answer_all_lost();
     amb_duty_service_abort(&node->duties.service);
-    return end(state);
+    return fixture_teardown(state);
 }
 
 static void begin_duties_anew(void) {
     end_duties(NULL);
-    begin(NULL);
+    fixture_setup(NULL);
 }
 
 /* A transaction on this key that is under way; NULL: none. */
@@ -120,7 +120,7 @@
     amb_duties_tick(node, amb_now());
     assert_false(node->duties.service.active);
     assert_int_equal(node->duties.timer.position, 0);
-    assert_int_equal(fake_calls_sent(""), 0);
+    assert_int_equal(fake_count_sent_calls(""), 0);
     assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
     assert_true(amb_duties_is_ready(node));
     char *said = amb_peer_encode_heartbeat(node);
@@ -134,11 +134,11 @@
     char *text = amb_peer_encode_heartbeat(node);
     json_t *said = json_loads(text, 0, NULL);
     assert_int_equal(json_integer_value(json_object_get(said, "duties")), 1);
-    ask_peers();
+    start_peer_heartbeats();
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_UNKNOWN);
     apply_peer_json(node, &node->peers.list[0], said, 0);
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_ON);
-    peer_speaks(0, (struct said){.term = TERM}); /* of a version that does not know them */
+    receive_peer_heartbeat(0, (struct peer_state){.term = TERM}); /* of a version that does not know them */
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_OFF);
     json_decref(said);
     free(text);
@@ -171,7 +171,7 @@
         node->cloud.release.count = rows[i].returning;
         node->options.duties = rows[i].own;
         set_peers(rows[i].first, rows[i].second);
-        if (rows[i].unsure) node->election.renewed_at -= TTL;
+        if (rows[i].unsure) node->election.renewed_at -= LEADER_TTL_MS;
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].written) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
@@ -196,7 +196,7 @@
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = open_commit(MODE_KEY);
         if (statuses[i] == 200)
-            answer_epoch(commit, MODE_STAMP);
+            answer_committed(commit, MODE_STAMP);
         else
             fake_answer(commit, statuses[i], NULL);
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
@@ -299,7 +299,7 @@
     struct fake_call *commit = open_commit("a/order/rent/r-50-1");
     assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
     assert_int_equal(fake_txn_compared_revision(commit, "a/order/rent/r-50-1"), 0);
-    answer_epoch(commit, 70);
+    answer_committed(commit, 70);
     node->cloud.list.started_at = amb_now();
     for (int i = 0; i < 5; i++) {
         fake_clock_advance(500);
@@ -387,7 +387,7 @@
         assert_true(
             amb_cbor_equals(amb_cbor_list_item(amb_cbor_map_get(value, "machines"), 0), rows[i].machine));
         assert_true(amb_cbor_equals(amb_cbor_map_get(value, "reason"), rows[i].reason));
-        answer_epoch(commit, 70 + i);
+        answer_committed(commit, 70 + i);
     }
     amb_duties_tick(node, amb_now());
     assert_null(find_call("POST", "/commit"));
@@ -504,7 +504,7 @@
     amb_controller_start_leading(node);
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
     assert_int_equal(node->controller.restored_at, 0);
-    answer_news(open_call("GET", "/follow"), 90, NULL, AMB_JOB_QUEUED, 0);
+    answer_change_list(open_call("GET", "/follow"), 90, NULL, AMB_JOB_QUEUED, 0);
     assert_null(amb_machine_get(node, "m-1", false));
     struct amb_buf body = {0};
     amb_cbor_write_map(&body, 2);
@@ -646,11 +646,11 @@
         begin_duties_anew();
         assert_true(amb_duties_call_cloud(node, &intent, &work, 7, cloud_done, &answer));
         struct fake_call *call = open_call("POST", "/machines");
-        assert_true(amb_cbor_get_uint(amb_cbor_map_get(call->map, "baton"), &fencing_token));
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(call->cbor_body, "baton"), &fencing_token));
         assert_int_equal(fencing_token, 7);
-        assert_true(amb_cbor_equals(amb_cbor_map_get(call->map, "duty"), amb_duty_name_text(rows[i].duty)));
+        assert_true(amb_cbor_equals(amb_cbor_map_get(call->cbor_body, "duty"), amb_duty_name_text(rows[i].duty)));
         if (rows[i].duty == AMB_DUTY_RENT)
-            assert_true(amb_cbor_equals(amb_cbor_map_get(call->map, "charter"), "r-1-1"));
+            assert_true(amb_cbor_equals(amb_cbor_map_get(call->cbor_body, "charter"), "r-1-1"));
         if (rows[i].error) {
             amb_cbor_write_map(&body, 1);
             amb_cbor_write_string(&body, "error"), amb_cbor_write_string(&body, rows[i].error);
@@ -716,8 +716,8 @@
     amb_duty_encode_record(&value, &record);
     apply_change("a/duty/rent", &value, 64);
     assert_true(amb_duties_handle_request(node, new_request("GET", "/duties", NULL)));
-    assert_int_equal(latest()->status, 200);
-    json_t *said = json_loadb(latest()->body.data, latest()->body.len, 0, NULL);
+    assert_int_equal(latest_reply()->status, 200);
+    json_t *said = json_loadb(latest_reply()->body.data, latest_reply()->body.len, 0, NULL);
     assert_string_equal(json_string_value(json_object_get(said, "node")), "n-0");
     assert_int_equal(json_integer_value(json_object_get(said, "term")), TERM);
     assert_string_equal(json_string_value(json_object_get(said, "mode")), "duties");
@@ -753,13 +753,13 @@
         struct fake_call *commit = find_call("POST", "/commit");
         if ((commit != NULL) != rows[i].taken) fail_msg("row %zu: taken: %d", i, commit != NULL);
         if (!commit) {
-            assert_int_equal(latest()->status, 400);
+            assert_int_equal(latest_reply()->status, 400);
             continue;
         }
-        assert_int_equal(latest()->status, 0); /* only once it is on record */
+        assert_int_equal(latest_reply()->status, 0); /* only once it is on record */
         assert_non_null(fake_txn_put(commit, i ? "a/duty-handover/cleanup" : "a/duty-handover/rent", NULL));
-        answer_epoch(commit, 70 + i);
-        assert_int_equal(latest()->status, 200);
+        answer_committed(commit, 70 + i);
+        assert_int_equal(latest_reply()->status, 200);
     }
 }
 
@@ -784,33 +784,33 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(off_costs_nothing, begin, end_duties),
-        cmocka_unit_test_setup_teardown(heartbeats_say_whether_duties_are_enabled, begin, end_duties),
-        cmocka_unit_test_setup_teardown(duties_come_into_use_once_all_peers_agree, begin, end_duties),
-        cmocka_unit_test_setup_teardown(nothing_is_begun_while_the_mode_changes, begin, end_duties),
-        cmocka_unit_test_setup_teardown(a_mode_of_a_newer_version_is_not_acted_on, begin, end_duties),
-        cmocka_unit_test_setup_teardown(duties_go_out_of_use_once_intents_are_settled, begin, end_duties),
-        cmocka_unit_test_setup_teardown(a_disabled_node_takes_part_until_intents_are_settled, begin,
+        cmocka_unit_test_setup_teardown(off_costs_nothing, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(heartbeats_say_whether_duties_are_enabled, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(duties_come_into_use_once_all_peers_agree, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(nothing_is_begun_while_the_mode_changes, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(a_mode_of_a_newer_version_is_not_acted_on, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(duties_go_out_of_use_once_intents_are_settled, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(a_disabled_node_takes_part_until_intents_are_settled, fixture_setup,
                                         end_duties),
-        cmocka_unit_test_setup_teardown(scale_out_intents_are_written, begin, end_duties),
-        cmocka_unit_test_setup_teardown(refusals_start_the_capacity_backoff, begin, end_duties),
-        cmocka_unit_test_setup_teardown(intents_whose_removal_was_missed_are_dropped, begin, end_duties),
-        cmocka_unit_test_setup_teardown(intents_are_written_once, begin, end_duties),
-        cmocka_unit_test_setup_teardown(machines_are_returned_by_reason, begin, end_duties),
-        cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, begin, end_duties),
-        cmocka_unit_test_setup_teardown(released_machines_do_not_come_back, begin, end_duties),
-        cmocka_unit_test_setup_teardown(new_leaders_wait_for_duty_records, begin, end_duties),
-        cmocka_unit_test_setup_teardown(new_leaders_take_over_scale_out_requests, begin, end_duties),
-        cmocka_unit_test_setup_teardown(old_requests_are_not_repeated, begin, end_duties),
-        cmocka_unit_test_setup_teardown(takeover_comes_before_placing, begin, end_duties),
-        cmocka_unit_test_setup_teardown(the_leader_key_may_be_on_an_earlier_page, begin, end_duties),
-        cmocka_unit_test_setup_teardown(only_a_machine_list_proves_absence, begin, end_duties),
-        cmocka_unit_test_setup_teardown(calls_carry_the_fencing_token, begin, end_duties),
-        cmocka_unit_test_setup_teardown(holders_have_a_larger_write_budget, begin, end_duties),
-        cmocka_unit_test_setup_teardown(larger_write_budget_ends_with_duties, begin, end_duties),
-        cmocka_unit_test_setup_teardown(operators_see_duty_status, begin, end_duties),
-        cmocka_unit_test_setup_teardown(operators_ask_for_handovers, begin, end_duties),
-        cmocka_unit_test_setup_teardown(too_short_leases_are_refused, begin, end_duties),
+        cmocka_unit_test_setup_teardown(scale_out_intents_are_written, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(refusals_start_the_capacity_backoff, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(intents_whose_removal_was_missed_are_dropped, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(intents_are_written_once, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(machines_are_returned_by_reason, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(released_machines_do_not_come_back, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(new_leaders_wait_for_duty_records, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(new_leaders_take_over_scale_out_requests, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(old_requests_are_not_repeated, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(takeover_comes_before_placing, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(the_leader_key_may_be_on_an_earlier_page, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(only_a_machine_list_proves_absence, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(calls_carry_the_fencing_token, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(holders_have_a_larger_write_budget, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(larger_write_budget_ends_with_duties, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(operators_see_duty_status, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(operators_ask_for_handovers, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(too_short_leases_are_refused, fixture_setup, end_duties),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/duty/test_duty_service.c
+++ b/tests/duty/test_duty_service.c
@@ -25,14 +25,14 @@
 
 static void create_scale_out(const char *id) {
     const struct amb_duty_intent_payload work = {.type = "g8", .zone = "a", .count = 3, .created_wall_ms = 1};
-    members_order(AMB_DUTY_RENT, id, &work);
+    members_put_intent(AMB_DUTY_RENT, id, &work);
 }
 
 static void create_scale_in(enum amb_duty_name duty, const char *id) {
     struct amb_duty_intent_payload work = {.reason = "idle", .created_wall_ms = 1};
     amb_duty_intent_payload_add_machine(&work, "m-1");
     amb_duty_intent_payload_add_machine(&work, "m-2");
-    members_order(duty, id, &work);
+    members_put_intent(duty, id, &work);
     amb_duty_intent_payload_free(&work);
 }
 
@@ -40,7 +40,7 @@
                                                  uint32_t *machines) {
     struct amb_duty_intent_record record;
     struct amb_duty_intent_payload work;
-    if (!members_read_order(duty, id, &record, &work)) fail_msg("order %s is not on record", id);
+    if (!members_read_intent(duty, id, &record, &work)) fail_msg("order %s is not on record", id);
     *machines = work.machine_count;
     amb_duty_intent_payload_free(&work);
     return record;
@@ -56,7 +56,7 @@
         assert_int_equal(holders, 1);
         assert_true(amb_duty_service_is_holder(&members[holder].service, (enum amb_duty_name)i));
     }
-    assert_string_equal(members_unguarded(), "");
+    assert_string_equal(members_unconditional_change(), "");
 }
 
 static void intents_are_carried_out_and_cleaned_up(void **state) {
@@ -75,13 +75,13 @@
     assert_int_equal(read_intent(AMB_DUTY_RECLAIM, "t-1-2", &machines).state, AMB_DUTY_INTENT_SETTLED);
     assert_int_equal(member_cloud.rentals, 1);
     assert_int_equal(member_cloud.calls, 3);
-    assert_string_equal(members_unguarded(), "");
+    assert_string_equal(members_unconditional_change(), "");
     assert_non_null(members_value("a/order/rent/r-1-1"));
     members_run(MEMBER_LIST_MS + MEMBER_TTL_MS);
     assert_null(members_value("a/order/rent/r-1-1"));
     assert_null(members_value("a/order/return/t-1-1"));
     for (int i = 0; i < MEMBERS; i++) assert_null(members[i].service.entries);
-    assert_string_equal(members_unguarded(), "");
+    assert_string_equal(members_unconditional_change(), "");
 }
 
 /* Whoever holds a duty ends, stands still, or hears no answer, at each step of an order. */
@@ -89,22 +89,22 @@
     (void)state;
     static const struct {
         const char *what;
-        struct member_plan plan;
+        struct member_fault plan;
         bool changes_hands;
         uint32_t calls_least;
     } rows[] = {
-        {"ends before the order is marked", {MEMBER_CALL_MARK, MEMBER_ENDS_BEFORE}, true, 1},
-        {"ends once it is marked", {MEMBER_CALL_MARK, MEMBER_ENDS_AFTER}, true, 1},
-        {"ends before the cloud has heard", {MEMBER_CALL_CLOUD, MEMBER_ENDS_BEFORE}, true, 1},
-        {"ends once the cloud has acted", {MEMBER_CALL_CLOUD, MEMBER_ENDS_AFTER}, true, 2},
-        {"ends before the result is written", {MEMBER_CALL_SETTLE, MEMBER_ENDS_BEFORE}, true, 2},
-        {"ends once the result is written", {MEMBER_CALL_SETTLE, MEMBER_ENDS_AFTER}, true, 1},
-        {"stands still while it is marked", {MEMBER_CALL_MARK, MEMBER_STOPS_BEFORE}, true, 1},
-        {"stands still while the cloud acts", {MEMBER_CALL_CLOUD, MEMBER_STOPS_BEFORE}, true, 2},
-        {"stands still while the result is written", {MEMBER_CALL_SETTLE, MEMBER_STOPS_BEFORE}, true, 1},
-        {"does not hear that it is marked", {MEMBER_CALL_MARK, MEMBER_ANSWER_LOST}, false, 1},
-        {"does not hear the cloud", {MEMBER_CALL_CLOUD, MEMBER_ANSWER_LOST}, false, 2},
-        {"does not hear that the result is written", {MEMBER_CALL_SETTLE, MEMBER_ANSWER_LOST}, false, 1},
+        {"ends before the order is marked", {MEMBER_CALL_INTENT, MEMBER_CRASHES_BEFORE}, true, 1},
+        {"ends once it is marked", {MEMBER_CALL_INTENT, MEMBER_CRASHES_AFTER}, true, 1},
+        {"ends before the cloud has heard", {MEMBER_CALL_CLOUD, MEMBER_CRASHES_BEFORE}, true, 1},
+        {"ends once the cloud has acted", {MEMBER_CALL_CLOUD, MEMBER_CRASHES_AFTER}, true, 2},
+        {"ends before the result is written", {MEMBER_CALL_RESULT, MEMBER_CRASHES_BEFORE}, true, 2},
+        {"ends once the result is written", {MEMBER_CALL_RESULT, MEMBER_CRASHES_AFTER}, true, 1},
+        {"stands still while it is marked", {MEMBER_CALL_INTENT, MEMBER_PAUSES_BEFORE}, true, 1},
+        {"stands still while the cloud acts", {MEMBER_CALL_CLOUD, MEMBER_PAUSES_BEFORE}, true, 2},
+        {"stands still while the result is written", {MEMBER_CALL_RESULT, MEMBER_PAUSES_BEFORE}, true, 1},
+        {"does not hear that it is marked", {MEMBER_CALL_INTENT, MEMBER_RESPONSE_LOST}, false, 1},
+        {"does not hear the cloud", {MEMBER_CALL_CLOUD, MEMBER_RESPONSE_LOST}, false, 2},
+        {"does not hear that the result is written", {MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST}, false, 1},
     };
     static const enum amb_duty_name duties[] = {AMB_DUTY_RENT, AMB_DUTY_RETURN, AMB_DUTY_RECLAIM};
     for (size_t i = 0; i < ROWS(rows); i++)
@@ -112,7 +112,7 @@
             uint32_t machines;
             begin_members_anew();
             int first = members_holder(duties[duty_index]);
-            members_plan(rows[i].plan);
+            members_inject_fault(rows[i].plan);
             if (duties[duty_index] == AMB_DUTY_RENT)
                 create_scale_out("r-1-1");
             else
@@ -127,16 +127,16 @@
             if (second < 0 || (second != first) != rows[i].changes_hands)
                 fail_msg("%s: %s: held by %d after %d", amb_duty_name_text(duties[duty_index]), rows[i].what,
                          second, first);
-            if (rows[i].plan.fate == MEMBER_STOPS_BEFORE) members_wake(first);
+            if (rows[i].plan.outcome == MEMBER_PAUSES_BEFORE) members_resume(first);
             members_run(SUCCESSION_MS);
             if (duties[duty_index] == AMB_DUTY_RENT &&
                 (member_cloud.rentals != 1 || member_cloud.rented != 3))
                 fail_msg("%s: %u rentals, %u machines", rows[i].what, member_cloud.rentals,
                          member_cloud.rented);
             if (member_cloud.calls < rows[i].calls_least || member_cloud.calls > rows[i].calls_least + 1 ||
-                member_cloud.stale)
+                member_cloud.stale_token_refusals)
                 fail_msg("%s: %s: %u calls, %u stale", amb_duty_name_text(duties[duty_index]), rows[i].what,
-                         member_cloud.calls, member_cloud.stale);
+                         member_cloud.calls, member_cloud.stale_token_refusals);
         }
 }
 
@@ -159,7 +159,7 @@
             for (int k = 0; k < MEMBERS; k++)
                 members[k].proves_gone =
                     k == members_holder(duties[duty_index]) ? rows[i].holder_proves : rows[i].others_prove;
-            member_cloud.silent = true;
+            member_cloud.responses_lost = true;
             if (duties[duty_index] == AMB_DUTY_RENT)
                 create_scale_out("r-1-1");
             else
@@ -171,7 +171,7 @@
                 intent.result != (settled ? AMB_DUTY_RESULT_GONE : AMB_DUTY_RESULT_NONE))
                 fail_msg("%s: %s: state %d, result %d", amb_duty_name_text(duties[duty_index]), rows[i].what,
                          intent.state, intent.result);
-            assert_string_equal(members_unguarded(), "");
+            assert_string_equal(members_unconditional_change(), "");
         }
 }
 
@@ -179,14 +179,14 @@
 static void a_pause_before_sending_is_noticed(void **state) {
     (void)state;
     int first = members_holder(AMB_DUTY_RENT);
-    members_plan((struct member_plan){MEMBER_CALL_MARK, MEMBER_STOPS_BEFORE});
+    members_inject_fault((struct member_fault){MEMBER_CALL_INTENT, MEMBER_PAUSES_BEFORE});
     create_scale_out("r-1-1");
     members_run(SUCCESSION_MS);
     int second = members_holder(AMB_DUTY_RENT);
     assert_true(second >= 0 && second != first);
     uint32_t calls = member_cloud.calls;
     assert_int_equal(calls, 1);
-    members_wake(first); /* the answer that lets it go on is the first thing that it hears */
+    members_resume(first); /* the answer that lets it go on is the first thing that it hears */
     members_run(1000);
     assert_int_equal(member_cloud.calls, calls);
 }
@@ -196,7 +196,7 @@
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
     create_scale_out("r-1-1");
-    members[holder].jump_after_mark = MEMBER_TTL_MS;
+    members[holder].clock_jump_after_intent = MEMBER_TTL_MS;
     members_run(4L * MEMBER_STEP_MS);
     assert_int_equal(member_cloud.calls, 0);
     members_run(SUCCESSION_MS);
@@ -206,7 +206,7 @@
 static void a_member_cut_off_loses_its_duties(void **state) {
     (void)state;
     int first = members_holder(AMB_DUTY_RENT);
-    members[first].cut = true;
+    members[first].cut_off = true;
     members_run(MEMBER_TTL_MS);
     assert_false(amb_duty_may_call(&members[first].service.core, AMB_DUTY_RENT,
                                    members[first].service.ports.now(&members[first])));
@@ -215,7 +215,7 @@
     create_scale_out("r-1-1");
     members_run(1000);
     assert_int_equal(member_cloud.rentals, 1);
-    members[first].cut = false;
+    members[first].cut_off = false;
     members_run(SUCCESSION_MS);
     assert_int_equal(member_cloud.calls, 1);
 }
@@ -305,11 +305,11 @@
     members_run(1000);
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_CLEANUP)) idle++;
-    members[idle].cut = true;
+    members[idle].cut_off = true;
     members_run(MEMBER_LIST_MS + MEMBER_TTL_MS);
     assert_null(members_value("a/order/rent/r-1-1"));
     assert_non_null(members[idle].service.entries);
-    members[idle].cut = false;
+    members[idle].cut_off = false;
     amb_duty_service_read_all(&members[idle].service);
     members_run(1000);
     assert_null(members[idle].service.entries);
@@ -319,7 +319,7 @@
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
     members[holder].lists_held = true;
-    members_plan((struct member_plan){MEMBER_CALL_SETTLE, MEMBER_ANSWER_LOST}); /* so it reads the order */
+    members_inject_fault((struct member_fault){MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST}); /* so it reads the order */
     create_scale_out("r-1-1");
     members_run(MEMBER_LIST_MS + 2L * MEMBER_TTL_MS);
     assert_null(members_value("a/order/rent/r-1-1"));
@@ -335,7 +335,7 @@
     read.intent = (struct amb_duty_intent_record){.duty = AMB_DUTY_RENT, .id = "r-1-1"};
     create_scale_out("r-1-1");
     members_run(MEMBER_STEP_MS);
-    members[index].news_held = true;
+    members[index].watch_held = true;
     members_run(1000);
     assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_PENDING);
     service->perform(service, &read);
@@ -356,7 +356,7 @@
     members_run(2L * MEMBER_STEP_MS);
     assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_SETTLED); /* the read was answered */
     assert_null(tracked_intent(service));
-    members[idle].news_held = false;
+    members[idle].watch_held = false;
     members_run(MEMBER_LIST_MS + MEMBER_TTL_MS);
     assert_null(service->entries);
 }
--- a/tests/duty_model/explorer.h
+++ b/tests/duty_model/explorer.h
@@ -2,7 +2,7 @@
 #ifndef AMBERPIN_TESTS_DUTY_EXPLORER_H
 #define AMBERPIN_TESTS_DUTY_EXPLORER_H
 
-#include "world.h"
+#include "protocol_model.h"
 
 /* How often each of these may happen on one path. */
 struct explorer_limits {
@@ -26,8 +26,8 @@
 };
 
 struct explorer_result {
-    const char *violation;           /* NULL: none */
-    bool complete;                   /* all states of the world were visited */
+    const char *violation;            /* NULL: none */
+    bool complete;                    /* all states of the world were visited */
     uint64_t states, steps, quiesced; /* quieted: states played on to the end */
     uint32_t depth;
     char trace[1024]; /* steps that lead to the violation */
--- a/tests/duty_model/world.c
+++ b/tests/duty_model/protocol_model.c
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "protocol_model.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -606,8 +606,8 @@
 /* Work is placed on a machine only if no order marks it as leaving. */
 bool world_place(struct world *world, uint32_t place) {
     const struct amb_duty_intent_record *intent = &world->service.intents[place];
-    bool marked =
-        intent->present && intent->result != AMB_DUTY_RESULT_VOID && world->fault != MODEL_LEAVING_MARK_IGNORED;
+    bool marked = intent->present && intent->result != AMB_DUTY_RESULT_VOID &&
+                  world->fault != MODEL_LEAVING_MARK_IGNORED;
     if (marked || !intent->id[0] || intent->duty == AMB_DUTY_RENT || world->effects[place].placed)
         return false;
     world->effects[place].placed = true;
--- a/tests/duty_model/world.h
+++ b/tests/duty_model/protocol_model.h
@@ -18,11 +18,11 @@
 /* A mechanism that is taken out, to see that the rules notice. */
 enum model_mutation {
     MODEL_NO_MUTATION,
-    MODEL_NO_DUTY_COMPARE,   /* orders are written without a guard on the duty's record */
-    MODEL_REQUEST_NAME_PER_HOLDER,         /* each holder gives a rental a name of its own */
-    MODEL_NO_CLOCK_CHECK,    /* calls are sent without looking at the clock */
-    MODEL_LEAVING_MARK_IGNORED,      /* the leader places work on machines that are marked as leaving */
-    MODEL_NO_MEMBER_COMPARE, /* claims don't ask whether the holder's session is over */
+    MODEL_NO_DUTY_COMPARE,         /* orders are written without a guard on the duty's record */
+    MODEL_REQUEST_NAME_PER_HOLDER, /* each holder gives a rental a name of its own */
+    MODEL_NO_CLOCK_CHECK,          /* calls are sent without looking at the clock */
+    MODEL_LEAVING_MARK_IGNORED,    /* the leader places work on machines that are marked as leaving */
+    MODEL_NO_MEMBER_COMPARE,       /* claims don't ask whether the holder's session is over */
     MODEL_MUTATIONS,
 };
 
--- a/tests/duty_model/simulation.h
+++ b/tests/duty_model/simulation.h
@@ -4,7 +4,7 @@
 #ifndef AMBERPIN_TESTS_DUTY_SIMULATION_H
 #define AMBERPIN_TESTS_DUTY_SIMULATION_H
 
-#include "world.h"
+#include "protocol_model.h"
 
 enum { SIMULATION_FAULTS = 48 };
 
--- a/tests/election/test_leadership.c
+++ b/tests/election/test_leadership.c
@@ -23,15 +23,15 @@
         {"the key names this node's former self", "n-0", 40, 40},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        follow(rows[i].holder, rows[i].stamp);
+        fixture_reset();
+        follow_leader(rows[i].holder, rows[i].stamp);
         struct fake_call *commit = claim_until_commit(7);
         uint64_t lease = 0, guard = fake_txn_compared_revision(commit, LEADER_KEY);
         const cbor_item_t *value = fake_txn_put(commit, LEADER_KEY, &lease);
         if (guard != rows[i].guard) fail_msg("%s: guard %lld", rows[i].what, (long long)guard);
         if (lease != 7) fail_msg("%s: on lease %llu", rows[i].what, (unsigned long long)lease);
         assert_true(amb_cbor_equals(amb_cbor_map_get(value, "member"), "n-0"));
-        answer_epoch(commit, 60);
+        answer_committed(commit, 60);
         assert_true(amb_election_is_leader(node));
         assert_int_equal(node->election.term, 60);
     }
@@ -50,8 +50,8 @@
         {"there is no key", 404, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        follow("", 40);
+        fixture_reset();
+        follow_leader("", 40);
         fake_answer(claim_until_commit(7), 0, NULL);
         struct fake_call *read = open_call("GET", "/store/a/leader");
         if (rows[i].status == 200)
@@ -68,10 +68,10 @@
 
 static void claim_answered_late_is_given_up(void **state) {
     (void)state;
-    follow("", 40);
+    follow_leader("", 40);
     struct fake_call *commit = claim_until_commit(7);
     amb_election_observe_term(node, 61, "a worker");
-    answer_epoch(commit, 60);
+    answer_committed(commit, 60);
     assert_false(amb_election_is_leader(node));
     assert_non_null(find_call("DELETE", "/leases/7"));
 }
@@ -121,14 +121,14 @@
         {"a renewal answered at once", false, 0, 2700, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         if (rows[i].claim) {
-            follow("", 40);
+            follow_leader("", 40);
             struct fake_call *commit = claim_until_commit(7);
             fake_clock_advance(rows[i].takes);
-            answer_epoch(commit, 60);
+            answer_committed(commit, 60);
         } else {
-            fake_clock_advance(TTL / 4);
+            fake_clock_advance(LEADER_TTL_MS / 4);
             amb_election_tick(node, amb_now());
             struct fake_call *renewal = open_call("POST", "/leases/0/extend");
             fake_clock_advance(rows[i].takes);
@@ -183,21 +183,21 @@
         {"to be fenced, by a tick that is overdue", AMB_ROLE_UNSURE, 30000, 421, 0, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-        bound(job, 0, "m-1", 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        bind_task(job, 0, "m-1", 1);
         amb_scale_out_submit(node, 0, 0, false, 1);
         node->cloud.scale_out.requests->state = AMB_SCALE_OUT_REQUESTING;
         node->election.role = rows[i].role;
         node->election.renewed_at = amb_now() - rows[i].renewed;
         node->peers.count = 1; /* whose word has never come */
-        send_heartbeat((struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 1, .token = TERM});
+        send_heartbeat((struct sent_heartbeat){.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM});
         fake_clock_advance(400); /* an answer that says nothing may be held for so long */
-        if (latest()->status != rows[i].status || replied_commands("run") != rows[i].starts)
-            fail_msg("%s: %d, %zu starts", rows[i].what, latest()->status, replied_commands("run"));
+        if (latest_reply()->status != rows[i].status || count_replied_commands("run") != rows[i].starts)
+            fail_msg("%s: %d, %zu starts", rows[i].what, latest_reply()->status, count_replied_commands("run"));
         amb_cloud_tick(node, amb_now());
-        if (fake_calls_open("POST", "/machines") != rows[i].rentals)
-            fail_msg("%s: %zu machines asked for", rows[i].what, fake_calls_open("POST", "/machines"));
+        if (fake_count_open_calls("POST", "/machines") != rows[i].rentals)
+            fail_msg("%s: %zu machines asked for", rows[i].what, fake_count_open_calls("POST", "/machines"));
     }
 }
 
@@ -232,7 +232,7 @@
         {"renewals come, news do not, the peer confirms", 500, 50000, 500, AMB_ROLE_LEADER},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        end(NULL);
+        fixture_teardown(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
         node->election.ttl = 3000;
@@ -263,7 +263,7 @@
         {"there are no machines", 4000, 500, true, false, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        end(NULL);
+        fixture_teardown(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 100000;
         node->election.renewed_at = node->election.renewal_sent_at = node->watch.last_read_sent_at = now;
@@ -297,18 +297,18 @@
         {"the key is our own", OWN_KEY, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        ask_peers();
+        fixture_reset();
+        start_peer_heartbeats();
         struct amb_buf buffer = {0};
         switch (rows[i].source) {
         case WORKER:
             send_heartbeat(
-                (struct sent_heartbeat){.machine = "m-1", .session = 1, .seq = 1, .token = TERM + 1});
-            if (latest()->status != 421) fail_msg("%s: answered %d", rows[i].what, latest()->status);
+                (struct sent_heartbeat){.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM + 1});
+            if (latest_reply()->status != 421) fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
             break;
-        case PEER_ANSWER: peer_answers(0, (struct said){.term = TERM + 1}); break;
-        case PEER_MESSAGE: peer_speaks(0, (struct said){.term = TERM + 1, .leading = true}); break;
-        case REFUSED_WRITE: answer_refused(begin_block(), LEADER_KEY); break;
+        case PEER_ANSWER: answer_peer_heartbeat(0, (struct peer_state){.term = TERM + 1}); break;
+        case PEER_MESSAGE: receive_peer_heartbeat(0, (struct peer_state){.term = TERM + 1, .leading = true}); break;
+        case REFUSED_WRITE: answer_conflict(begin_block_write(), LEADER_KEY); break;
         case KEY_GONE: amb_election_apply_key(node, NULL, TERM + 1); break;
         case KEY_OF_ANOTHER:
         case OWN_KEY:
@@ -330,23 +330,23 @@
 
 static void higher_token_ends_the_lead(void **state) {
     (void)state;
-    assert_false(report("m-1", 1, 1, TERM + 1, amb_now(), NULL, 0));
+    assert_false(deliver_heartbeat("m-1", 1, 1, TERM + 1, amb_now(), NULL, 0));
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(claim_is_guarded_and_leased, begin, end),
-        cmocka_unit_test_setup_teardown(claim_without_answer, begin, end),
-        cmocka_unit_test_setup_teardown(claim_answered_late_is_given_up, begin, end),
-        cmocka_unit_test_setup_teardown(claims, setup, end),
-        cmocka_unit_test_setup_teardown(lease_counts_from_when_it_was_asked_for, begin, end),
-        cmocka_unit_test_setup_teardown(leases_outlast_a_lost_answer, setup, end),
-        cmocka_unit_test_setup_teardown(unsure_leaders_keep_work_alive_and_begin_nothing, begin, end),
-        cmocka_unit_test_setup_teardown(news_without_renewals_end_in_silence, begin, end),
-        cmocka_unit_test_setup_teardown(leader_without_news, setup, end),
-        cmocka_unit_test_setup_teardown(unreachable_leader_yields, setup, end),
-        cmocka_unit_test_setup_teardown(higher_terms_end_the_lead, begin, end),
-        cmocka_unit_test_setup_teardown(higher_token_ends_the_lead, setup, end),
+        cmocka_unit_test_setup_teardown(claim_is_guarded_and_leased, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(claim_without_answer, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(claim_answered_late_is_given_up, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(claims, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(lease_counts_from_when_it_was_asked_for, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(leases_outlast_a_lost_answer, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(unsure_leaders_keep_work_alive_and_begin_nothing, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(news_without_renewals_end_in_silence, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(leader_without_news, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(unreachable_leader_yields, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(higher_terms_end_the_lead, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(higher_token_ends_the_lead, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/election/test_lease_proxies.c
+++ b/tests/election/test_lease_proxies.c
@@ -6,7 +6,7 @@
 
 /* The leader n-1 is silent, and the watch is current: the node becomes its lease proxy in zone a. */
 static struct fake_call *begin_lease_proxy(void) {
-    follow("n-1", TERM);
+    follow_leader("n-1", TERM);
     node->peers.count = 1;
     strcpy(node->peers.list[0].member, "n-1");
     node->peers.list[0].last_heard_at = amb_now() - 10000;
@@ -24,14 +24,14 @@
     assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "term"), &term));
     assert_int_equal(term, TERM);
     if (lease != 9) fail_msg("the key is on lease %llu", (unsigned long long)lease);
-    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM};
     send_heartbeat(heartbeat);
-    if (latest()->status != 421) fail_msg("answered %d before the key is written", latest()->status);
-    answer_epoch(commit, 60);
+    if (latest_reply()->status != 421) fail_msg("answered %d before the key is written", latest_reply()->status);
+    answer_committed(commit, 60);
     send_heartbeat(heartbeat);
-    assert_int_equal(latest()->status, 200);
+    assert_int_equal(latest_reply()->status, 200);
     assert_int_equal(replied_token(), TERM);
-    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(latest_map(), "orders")), 0);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(latest_reply_body(), "orders")), 0);
 }
 
 static void whom_proxies_answer(void **state) {
@@ -51,30 +51,30 @@
         {"its lease may be over", "a", TERM, TERM, 2700, 421},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        answer_epoch(begin_lease_proxy(), 60);
+        fixture_reset();
+        answer_committed(begin_lease_proxy(), 60);
         node->election.highest_term = rows[i].highest;
         node->lease_proxy.renewed_at = amb_now() - rows[i].renewed;
         send_heartbeat((struct sent_heartbeat){"m-1", rows[i].zone, 1, 1, rows[i].token, NULL, 0, NULL});
-        if (latest()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest()->status);
+        if (latest_reply()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
     }
 }
 
 static void lease_of_a_proxy_counts_from_when_it_was_requested(void **state) {
     (void)state;
-    answer_epoch(begin_lease_proxy(), 60);
-    fake_clock_advance(TTL / 4);
+    answer_committed(begin_lease_proxy(), 60);
+    fake_clock_advance(LEADER_TTL_MS / 4);
     amb_lease_proxy_tick(node, amb_now());
     struct fake_call *renewal = open_call("POST", "/leases/9/extend");
     fake_clock_advance(1000);
     answer_lease(renewal, 9);
-    struct sent_heartbeat heartbeat = {.machine = "m-1", .session = 1, .seq = 1, .token = TERM};
+    struct sent_heartbeat heartbeat = {.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM};
     fake_clock_advance(1699);
     send_heartbeat(heartbeat);
-    assert_int_equal(latest()->status, 200);
+    assert_int_equal(latest_reply()->status, 200);
     fake_clock_advance(1);
     send_heartbeat(heartbeat);
-    if (latest()->status != 421) fail_msg("answered %d a lease after the renewal was sent", latest()->status);
+    if (latest_reply()->status != 421) fail_msg("answered %d a lease after the renewal was sent", latest_reply()->status);
 }
 
 /* The watch shows that n-1 is a lease proxy in zone a. */
@@ -92,9 +92,9 @@
 /* As long as the proxy's key stands, agents of its zone may be alive, however long they are silent here. */
 static void known_proxies_keep_their_zone_alive(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
-    struct amb_task *task = bound(job, 0, "m-1", 1);
+    struct amb_task *task = bind_task(job, 0, "m-1", 1);
     task->state = AMB_TASK_SEEN;
     proxy_key_appears();
     for (int i = 0; i < 30; i++) {
@@ -114,9 +114,9 @@
 /* A proxy that came and went within a moment may have answered its zone's agents. */
 static void short_lived_proxies_count(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
-    bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+    bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
     proxy_key_appears();
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
@@ -133,9 +133,9 @@
 /* Whether a proxy answers a machine whose zone is unknown can't be known either. */
 static void proxies_of_any_zone_count_for_unknown_ones(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", -1);
-    bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+    bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
     proxy_key_appears();
     fake_clock_advance(9000);
@@ -146,12 +146,12 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(proxies_write_before_they_answer, begin, end),
-        cmocka_unit_test_setup_teardown(whom_proxies_answer, begin, end),
-        cmocka_unit_test_setup_teardown(lease_of_a_proxy_counts_from_when_it_was_requested, begin, end),
-        cmocka_unit_test_setup_teardown(known_proxies_keep_their_zone_alive, begin, end),
-        cmocka_unit_test_setup_teardown(short_lived_proxies_count, begin, end),
-        cmocka_unit_test_setup_teardown(proxies_of_any_zone_count_for_unknown_ones, begin, end),
+        cmocka_unit_test_setup_teardown(proxies_write_before_they_answer, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(whom_proxies_answer, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(lease_of_a_proxy_counts_from_when_it_was_requested, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(known_proxies_keep_their_zone_alive, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(short_lived_proxies_count, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(proxies_of_any_zone_count_for_unknown_ones, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/job/test_cancel_notice.c
+++ b/tests/job/test_cancel_notice.c
@@ -41,7 +41,7 @@
     node->watch.known_revision = EPOCH;
     node->watch.last_read_sent_at = amb_now();
     amb_peer_start(node);
-    job = add_job(JOB, AMB_JOB_KIND_ARRAY, 1);
+    job = add_active_job(JOB, AMB_JOB_KIND_ARRAY, 1);
     job->revision = EPOCH;
     return 0;
 }
@@ -66,7 +66,7 @@
 }
 
 static struct fake_call *open_call(const char *path) {
-    struct fake_call *call = fake_call_open(path);
+    struct fake_call *call = fake_open_call(path);
     if (!call) fail_msg("no call of %s is open", path);
     return call;
 }
@@ -115,14 +115,14 @@
     user_request("POST", "/v1/jobs/" JOB "/cancel");
     assert_null(open_notice(NULL)); /* it may be done: that is read first */
     answer_epoch(SYNC, EPOCH);
-    assert_int_equal(fake_calls_sent(COMMIT), 1);
+    assert_int_equal(fake_count_sent_calls(COMMIT), 1);
     const struct fake_call *pending = open_notice("n-2:1");
     assert_non_null(pending);
     assert_int_equal(stamp_of(pending), 0);
     assert_int_equal(reply.status, 0);
     answer_epoch(COMMIT, WRITTEN);
     assert_int_equal(reply.status, 200);
-    assert_int_equal(fake_calls_open("POST", NOTICE), 2);
+    assert_int_equal(fake_count_open_calls("POST", NOTICE), 2);
     assert_null(open_notice("n-1:1"));
     fake_answer(fake_call_find("n-2:1", "POST", NOTICE), 200, NULL);
     assert_int_equal(stamp_of(open_notice("n-2:1")), WRITTEN);
@@ -134,13 +134,13 @@
     anew(false);
     node->peers.list[0].is_leader = true;
     amb_job_apply_cancel_hint(node, JOB, amb_wall_ms(), WRITTEN);
-    assert_int_equal(fake_calls_sent(NOTICE), 0);
+    assert_int_equal(fake_count_sent_calls(NOTICE), 0);
     user_request("GET", "/v1/jobs/" JOB);
     assert_int_equal(reply.status, 200);
-    assert_int_equal(fake_calls_sent(NOTICE), 1);
+    assert_int_equal(fake_count_sent_calls(NOTICE), 1);
     assert_int_equal(stamp_of(open_notice("n-1:1")), WRITTEN);
     user_request("GET", "/v1/jobs/" JOB);
-    assert_int_equal(fake_calls_sent(NOTICE), 1);
+    assert_int_equal(fake_count_sent_calls(NOTICE), 1);
 }
 
 static void who_is_told(void **state) {
@@ -185,12 +185,12 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         anew(true);
-        bound(job, 0, "m-1", 1);
-        report("m-1", 1, 1, TERM - 1, amb_now(), NULL, 0); /* meets our token in the answer */
+        bind_task(job, 0, "m-1", 1);
+        deliver_heartbeat("m-1", 1, 1, TERM - 1, amb_now(), NULL, 0); /* meets our token in the answer */
         if (rows[i].notice != NONE)
             assert_int_equal(receive_stamp(rows[i].notice == WRITTEN_ONE ? WRITTEN : 0), 200);
         if (rows[i].news_after) node->watch.last_read_sent_at = amb_now() + rows[i].news_after;
-        report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat("m-1", 1, 2, TERM, amb_now(), NULL, 0);
         if (count_commands(AMB_COMMAND_RUN) != rows[i].starts)
             fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
         bool cancelled = job->state == AMB_JOB_CANCELLED;
--- a/tests/job/test_cancellation.c
+++ b/tests/job/test_cancellation.c
@@ -10,10 +10,10 @@
         bool returned;
     } rows[] = {{17900, false}, {18100, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
-        bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+        bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
         amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - rows[i].cancelled, 61);
         amb_fleet_tick(node, amb_now());
         if (machine->release_pending != rows[i].returned)
@@ -24,9 +24,9 @@
 
 static void new_leaders_stop_what_was_cancelled(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
-    bound(job, 0, "m-1", 1);
+    bind_task(job, 0, "m-1", 1);
     struct amb_buf buffer = {0};
     amb_placement_log_encode_block(node, &job->blocks[0], &buffer);
     cbor_item_t *value = amb_cbor_parse(buffer.data, buffer.len);
@@ -37,13 +37,13 @@
     cbor_decref(&value);
     amb_buf_free(&buffer);
     send_heartbeat((struct sent_heartbeat){"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"});
-    if (replied_commands("halt") != 1) fail_msg("not told to stop");
+    if (count_replied_commands("halt") != 1) fail_msg("not told to stop");
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(cancelled_tasks_that_stay_cost_their_machine, begin, end),
-        cmocka_unit_test_setup_teardown(new_leaders_stop_what_was_cancelled, begin, end),
+        cmocka_unit_test_setup_teardown(cancelled_tasks_that_stay_cost_their_machine, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(new_leaders_stop_what_was_cancelled, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/job/test_cancellations.c
+++ b/tests/job/test_cancellations.c
@@ -153,7 +153,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         teardown(NULL);
         setup(NULL);
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
         if (!rows[i].live) amb_job_deactivate(node, job);
         amb_job_apply_own_cancellation(node, job, 5);
         amb_ms heard = amb_now();
@@ -169,7 +169,7 @@
 /* Once the leader has let go of it, its description ends at the next look. */
 static void descriptions_end_after_the_leaders_care(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
     amb_job_apply_own_cancellation(node, job, 5);
     amb_ms span = amb_seconds_to_ms(2.1 * node->settings.cancel_s), now = amb_now() + span;
     amb_cancellations_drop_specs(node, now);
@@ -194,9 +194,9 @@
         if (gone)
             amb_cancellations_drop_specs(node, amb_now() + amb_seconds_to_ms(2.1 * node->settings.cancel_s));
         amb_placement_log_restore(node, "b/p/wk-1/0", NULL, 7);
-        assert_int_equal(fake_calls_open("POST", "/commit"), gone);
+        assert_int_equal(fake_count_open_calls("POST", "/commit"), gone);
         if (gone) {
-            struct fake_call *call = fake_call_open("/commit");
+            struct fake_call *call = fake_open_call("/commit");
             assert_true(fake_txn_removes(call, "b/p/wk-1/0"));
             assert_int_equal(fake_txn_compared_revision(call, "b/p/wk-1/0"), 7);
         }
--- a/tests/job/test_gangs.c
+++ b/tests/job/test_gangs.c
@@ -8,31 +8,31 @@
 
 static void gangs(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
-    struct amb_task *first = bound(job, 0, "m-1", 1), *second = bound(job, 1, "m-2", 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_GANG, 2);
+    struct amb_task *first = bind_task(job, 0, "m-1", 1), *second = bind_task(job, 1, "m-2", 1);
     amb_gang_set_state(job, AMB_GANG_STARTING, "placed");
     /* All or none: one record not durable yet keeps the other task waiting too. */
     second->state = AMB_TASK_PLACED;
-    report("m-1", 1, 1, TERM, amb_now(), NULL, 0);
+    deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), NULL, 0);
     assert_int_equal(count_commands(AMB_COMMAND_RUN), 0);
     second->state = AMB_TASK_BOUND;
-    report("m-1", 1, 2, TERM, amb_now(), NULL, 0);
+    deliver_heartbeat("m-1", 1, 2, TERM, amb_now(), NULL, 0);
     assert_int_equal(count_commands(AMB_COMMAND_RUN), 1);
-    struct amb_agent_task first_listing = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
-    struct amb_agent_task second_listing = listing("wk-1", 1, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
-    report("m-1", 1, 3, TERM, amb_now(), &first_listing, 1);
-    report("m-2", 1, 3, TERM, amb_now(), &second_listing, 1);
+    struct amb_agent_task first_listing = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    struct amb_agent_task second_listing = make_agent_task("wk-1", 1, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    deliver_heartbeat("m-1", 1, 3, TERM, amb_now(), &first_listing, 1);
+    deliver_heartbeat("m-2", 1, 3, TERM, amb_now(), &second_listing, 1);
     assert_int_equal(job->gang_state, AMB_GANG_RUNNING);
     /* One task is lost: the other is told to stop, and nothing starts before it is gone. */
-    report("m-2", 2, 1, TERM, amb_now(), NULL, 0);
+    deliver_heartbeat("m-2", 2, 1, TERM, amb_now(), NULL, 0);
     assert_int_equal(job->gang_state, AMB_GANG_TEARING);
     assert_null(second->machine);
     assert_non_null(first->machine);
-    report("m-1", 1, 4, TERM, amb_now(), &first_listing, 1);
+    deliver_heartbeat("m-1", 1, 4, TERM, amb_now(), &first_listing, 1);
     assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
     first_listing.state = AMB_AGENT_TASK_EXITED;
     first_listing.exit_reason = AMB_EXIT_GANG_PEER_GONE;
-    report("m-1", 1, 5, TERM, amb_now(), &first_listing, 1);
+    deliver_heartbeat("m-1", 1, 5, TERM, amb_now(), &first_listing, 1);
     assert_int_equal(job->gang_state, AMB_GANG_IDLE);
     assert_int_equal(job->bound_count, 0);
 }
@@ -40,16 +40,16 @@
 /* A gang's tasks on one machine all go when one of them tears the attempt down in mid-report. */
 static void gang_on_one_machine(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 3);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_GANG, 3);
     struct amb_agent_task listings[3];
     for (uint32_t i = 0; i < 3; i++) {
-        bound(job, i, "m-1", 1);
-        listings[i] = listing("wk-1", i, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+        bind_task(job, i, "m-1", 1);
+        listings[i] = make_agent_task("wk-1", i, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     }
     amb_gang_set_state(job, AMB_GANG_STARTING, "placed");
-    report("m-1", 1, 1, TERM, amb_now(), listings, 3);
+    deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), listings, 3);
     assert_int_equal(job->gang_state, AMB_GANG_RUNNING);
-    report("m-1", 2, 1, TERM, amb_now(), NULL, 0);
+    deliver_heartbeat("m-1", 2, 1, TERM, amb_now(), NULL, 0);
     assert_int_equal(job->bound_count, 0);
     assert_int_equal(job->gang_state, AMB_GANG_IDLE);
 }
@@ -60,7 +60,7 @@
     amb_wdrr_refill(node->settings.teams, 1, 1000);
     machine_up("m-1", 0);
     machine_up("m-2", 0);
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_GANG, 2);
     job->spec->task_resources.gpus = 8;
     struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
     amb_cycle_admit(cycle);
@@ -86,10 +86,10 @@
         {"an attempt is under way", AMB_GANG_STARTING, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_GANG, 2);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_GANG, 2);
         machine_up("m-1", 0);
-        if (rows[i].one_left) bound(job, 0, "m-1", 1);
+        if (rows[i].one_left) bind_task(job, 0, "m-1", 1);
         job->gang_state = rows[i].gang;
         struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
         bool starts = amb_cycle_is_schedulable(cycle, job);
@@ -100,10 +100,10 @@
 
 static void old_tasks_bind_the_zone(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
     job->spec->one_zone = true;
     machine_up("m-1", 1);
-    bound(job, 0, "m-1", 1);
+    bind_task(job, 0, "m-1", 1);
     struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
     struct amb_placement_request request;
     amb_cycle_init_request(cycle, job, &request);
@@ -149,8 +149,8 @@
         strcpy(node->settings.objectives[0].kind, "wait");
         strcpy(node->settings.objectives[0].class_name, "tune");
         node->settings.objectives[0].within_s = 25;
-        struct amb_job *sweep = add_job("wk-1", AMB_JOB_KIND_ARRAY, 16),
-                       *gang = add_job("wk-2", AMB_JOB_KIND_GANG, rows[k].tasks);
+        struct amb_job *sweep = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 16),
+                       *gang = add_active_job("wk-2", AMB_JOB_KIND_GANG, rows[k].tasks);
         sweep->spec->priority = rows[k].sweep_priority;
         gang->spec->priority = AMB_PRIORITY_NORMAL;
         sweep->spec->checkpoint_interval_s = rows[k].checkpoint_s;
@@ -160,14 +160,14 @@
         gang->spec->task_resources = (struct amb_resources){80, 8, 500};
         gang->team = &node->settings.teams[1];
         for (uint32_t i = 0; i < 16; i++) {
-            struct amb_task *task = bound(sweep, i, i < 8 ? "m-1" : "m-2", 1);
+            struct amb_task *task = bind_task(sweep, i, i < 8 ? "m-1" : "m-2", 1);
             task->state = AMB_TASK_SEEN;
             task->agent_state = AMB_AGENT_TASK_RUNNING;
         }
-        report("m-1", k + 1, 1, TERM, amb_now(), NULL, 0);
-        report("m-2", k + 1, 1, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat("m-1", k + 1, 1, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat("m-2", k + 1, 1, TERM, amb_now(), NULL, 0);
         for (uint32_t i = 0; i < 16; i++) {
-            if (!sweep->tasks[i].machine) bound(sweep, i, i < 8 ? "m-1" : "m-2", 2);
+            if (!sweep->tasks[i].machine) bind_task(sweep, i, i < 8 ? "m-1" : "m-2", 2);
             sweep->tasks[i].state = AMB_TASK_SEEN;
         }
         struct amb_cycle *cycle = amb_cycle_new(node, amb_now());
@@ -228,13 +228,13 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(gangs, setup, end),
-        cmocka_unit_test_setup_teardown(gang_on_one_machine, setup, end),
-        cmocka_unit_test_setup_teardown(gangs_have_one_attempt, begin, end),
-        cmocka_unit_test_setup_teardown(gangs_start_anew_when_all_are_gone, begin, end),
-        cmocka_unit_test_setup_teardown(old_tasks_bind_the_zone, begin, end),
-        cmocka_unit_test_setup_teardown(gangs_make_room, setup, end),
-        cmocka_unit_test_setup_teardown(hurry, setup, end),
+        cmocka_unit_test_setup_teardown(gangs, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(gang_on_one_machine, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(gangs_have_one_attempt, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(gangs_start_anew_when_all_are_gone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(old_tasks_bind_the_zone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(gangs_make_room, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(hurry, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/job/test_pipeline_order.c
+++ b/tests/job/test_pipeline_order.c
@@ -47,8 +47,8 @@
         {"younger, and just not late", "normal", 100, 20, 10, "normal", 20, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        lead();
+        fixture_reset();
+        start_leading();
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, rows[i].age_s, "", 201);
         job_from("wk-second", "best_effort", 0, 0, rows[i].age_s, "\"wk-first\"", 202);
         job_from("wk-third", rows[i].last_rank, rows[i].due_s, rows[i].reckon_s, rows[i].age_s,
@@ -64,12 +64,12 @@
 /* Waiting times of a stage count from the end of the last that it awaited; its due time from submission. */
 static void waiting_counts_from_the_last_end(void **state) {
     (void)state;
-    lead();
-    play("setup", "+a +b:a +c");
+    start_leading();
+    run_script("setup", "+a +b:a +c");
     struct amb_job *stage = amb_job_find(node, "wk-b"), *other = amb_job_find(node, "wk-c");
     int64_t submitted = stage->accepted_wall_ms;
     fake_clock_advance(20000);
-    play("the first is done", "!a live=bc");
+    run_script("the first is done", "!a live=bc");
     assert_true(amb_job_ready_wall_ms(stage) >= submitted + 20000);
     assert_true(amb_job_order_wall_ms(stage) >= submitted + 20000);
     assert_int_equal(amb_job_ready_wall_ms(other), other->accepted_wall_ms);
@@ -102,8 +102,8 @@
         {"the first stage takes it up", 40, 0, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        lead();
+        fixture_reset();
+        start_leading();
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
         job_from("wk-last", "high", rows[i].due_s, rows[i].reckon_s, 0, "\"wk-first\"", 202);
         node->catalog.types[0].boot_s = 30;
@@ -130,8 +130,8 @@
         {"urgent work", "high", 0, 0, true, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        lead();
+        fixture_reset();
+        start_leading();
         struct amb_job *job = job_from("wk-first", rows[i].priority, rows[i].due_s, 20, 0, "", 201);
         node->catalog.types[0].boot_s = 30;
         job->team->opportunistic = rows[i].opportunistic;
@@ -170,12 +170,12 @@
          AMB_PRIORITY_BEST_EFFORT, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        lead();
+        fixture_reset();
+        start_leading();
         struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
         job_from("wk-last", rows[i].last_rank, rows[i].due_s, 10, 0, "\"wk-first\"", 202);
         amb_pipelines_update_priorities(node);
-        struct amb_task *task = bound(first, 0, "m-1", 1);
+        struct amb_task *task = bind_task(first, 0, "m-1", 1);
         task->state = AMB_TASK_SEEN;
         const struct amb_preemptor claim = {rows[i].claim, NULL, false};
         first->team->opportunistic = rows[i].opportunistic;
@@ -194,7 +194,7 @@
 /* Nobody needs it any more: its own priority counts again. */
 static void needs_end_with_who_had_them(void **state) {
     (void)state;
-    lead();
+    start_leading();
     struct amb_job *first = job_from("wk-first", "best_effort", 0, 20, 0, "", 201);
     struct amb_job *last = job_from("wk-last", "high", 30, 10, 0, "\"wk-first\"", 202);
     amb_pipelines_update_priorities(node);
@@ -208,19 +208,19 @@
 /* What a class asks for is noted when its jobs can run. */
 static void demand_is_noted_when_it_can_run(void **state) {
     (void)state;
-    lead();
+    start_leading();
     strcpy(node->settings.objectives[0].kind, "wait");
     strcpy(node->settings.objectives[0].class_name, "gangs");
     node->settings.objectives[0].within_s = 10;
     node->settings.objective_count = 1;
-    play("setup", "+a");
-    json_t *job = json_loads(describe('b', "a", "ensemble"), 0, NULL);
+    run_script("setup", "+a");
+    json_t *job = json_loads(format_submission('b', "a", "ensemble"), 0, NULL);
     json_object_set_new(job, "berth", json_string("gangs"));
     submit_json(job);
-    assert_string_equal(answer(), "201q");
+    assert_string_equal(latest_answer(), "201q");
     assert_int_equal(node->controller.demand_count, 0);
-    stop();
-    lead(); /* who takes the lead notes what it finds */
+    stop_leading();
+    start_leading(); /* who takes the lead notes what it finds */
     assert_int_equal(node->controller.demand_count, 0);
     finish_tasks('a');
     assert_int_equal(node->controller.demand_count, 1);
--- a/tests/job/test_pipeline_submissions.c
+++ b/tests/job/test_pipeline_submissions.c
@@ -39,16 +39,16 @@
         {"[\"wk-a\",\"wk-z\"]", 422, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        play("setup", "+a=201q +c=201q");
-        json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL);
+        fixture_reset();
+        run_script("setup", "+a=201q +c=201q");
+        json_t *job = json_loads(format_submission('b', NULL, "batch"), 0, NULL);
         if (rows[i].awaits)
             json_object_set_new(job, "awaits", json_loads(rows[i].awaits, JSON_DECODE_ANY, NULL));
         submit_json(job);
         const struct amb_job *known = amb_job_find(node, "wk-b");
         uint32_t count = known && known->dependencies ? known->dependencies->count : 0;
-        if (answer_status() != rows[i].status || count != rows[i].count)
-            fail_msg("%s: %s, %u names", rows[i].awaits ? rows[i].awaits : "left out", answer(), count);
+        if (latest_status() != rows[i].status || count != rows[i].count)
+            fail_msg("%s: %s, %u names", rows[i].awaits ? rows[i].awaits : "left out", latest_answer(), count);
     }
 }
 
@@ -72,11 +72,11 @@
     } rows[] = {{2, 0, 85, 201}, {2, 0, 86, 422}, {8, 0, 341, 201}, {8, 0, 342, 422}, {8, 2, 85, 201},
                 {8, 2, 86, 422}, {2, 8, 85, 201}, {2, 8, 86, 422},  {8, 0, 4000, 422}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
+        fixture_reset();
         node->settings.value_kb = rows[i].value_kb;
         node->settings.announced_limits.value_kb = rows[i].next_kb;
         double least_kb = amb_settings_lowered_limits(&node->settings).value_kb;
-        json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL), *list = json_array();
+        json_t *job = json_loads(format_submission('b', NULL, "batch"), 0, NULL), *list = json_array();
         for (uint32_t k = 0; k < rows[i].names; k++) {
             char name[AMB_NAME_SIZE];
             snprintf(name, sizeof name, "wk-%06u", k);
@@ -88,8 +88,8 @@
         if (rows[i].status == 201) assert_true((double)strlen(text) + 100 < least_kb * 1024);
         free(text);
         submit_json(job);
-        if (answer_status() != rows[i].status)
-            fail_msg("%u names in %g KiB: %s", rows[i].names, rows[i].value_kb, answer());
+        if (latest_status() != rows[i].status)
+            fail_msg("%u names in %g KiB: %s", rows[i].names, rows[i].value_kb, latest_answer());
     }
 }
 
@@ -104,10 +104,10 @@
     } rows[] = {{2, 0, 16, 0, 201},   {2, 0, 0, 60, 201},   {2, 0, 16, 60, 422}, {2, 0, 16, 16, 201},
                 {16, 0, 16, 60, 201}, {16, 2, 16, 60, 422}, {16, 2, 16, 16, 201}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
+        fixture_reset();
         node->settings.value_kb = rows[i].value_kb;
         node->settings.announced_limits.value_kb = rows[i].next_kb;
-        json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL);
+        json_t *job = json_loads(format_submission('b', NULL, "batch"), 0, NULL);
         json_t *types = json_array(), *names = json_array();
         json_array_append_new(types, json_string(node->catalog.types[0].name));
         for (uint32_t k = 1; k < rows[i].types; k++)
@@ -123,9 +123,9 @@
         json_decref(types);
         json_decref(names);
         submit_json(job);
-        if (answer_status() != rows[i].status)
+        if (latest_status() != rows[i].status)
             fail_msg("%u types and %u names in %g KiB: %s", rows[i].types, rows[i].names, rows[i].value_kb,
-                     answer());
+                     latest_answer());
     }
 }
 
@@ -146,21 +146,21 @@
         {"a late word of an old one", AMB_FORMAT_1, AMB_FORMAT_2, "+a=201q +b:a=201q"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
+        fixture_reset();
         node->peers.count = 1;
         node->peers.list[0].node = node;
         node->peers.list[0].format = rows[i].last_word;
         node->formats.recorded = rows[i].written;
-        play(rows[i].what, rows[i].script);
+        run_script(rows[i].what, rows[i].script);
     }
 }
 
 /* A service is never done, so nothing can await it; what awaits a cancelled one is cancelled. */
 static void services_are_not_awaited(void **state) {
     (void)state;
-    submit_text(describe('a', NULL, "daemon"));
-    assert_string_equal(answer(), "201q");
-    play("while it runs", "+b:a=422 +b=201q -a=200c +c:a=201c");
+    submit_text(format_submission('a', NULL, "daemon"));
+    assert_string_equal(latest_answer(), "201q");
+    run_script("while it runs", "+b:a=422 +b=201q -a=200c +c:a=201c");
 }
 
 /* The description that a cancellation writes again still names what the job awaits; the end drops both. */
@@ -177,9 +177,9 @@
         {"+b -b", true, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        play("record", rows[i].script);
-        const struct record *record = &records['b' - 'a'];
+        fixture_reset();
+        run_script("record", rows[i].script);
+        const struct job_value *record = &job_values['b' - 'a'];
         cbor_item_t *value = amb_cbor_parse(record->value.data, record->value.len);
         const cbor_item_t *described = amb_cbor_map_get(value, "d");
         struct amb_job_spec spec;
@@ -194,29 +194,29 @@
 /* A record whose list can't be read is no job that awaits none. */
 static void unreadable_records_never_start(void **state) {
     (void)state;
-    lead();
-    json_t *job = json_loads(describe('b', NULL, "batch"), 0, NULL);
+    start_leading();
+    json_t *job = json_loads(format_submission('b', NULL, "batch"), 0, NULL);
     json_object_set_new(job, "awaits", json_string("wk-a"));
     char *text = json_dumps(job, 0);
-    struct record *record = &records['b' - 'a'];
+    struct job_value *record = &job_values['b' - 'a'];
     record->value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":%s}", text);
-    record->stamp = ++service.epoch;
+    record->revision = ++fake_service.revision;
     free(text);
     json_decref(job);
-    play("unreadable", "~ live= ?b=200q -b=200c");
+    run_script("unreadable", "~ live= ?b=200q -b=200c");
 }
 
 /* Derived cancellations are told to other nodes with the stamp and the time of what they follow from. */
 static void heartbeats_tell_of_derived_ones(void **state) {
     (void)state;
-    play("setup", "@+a @+b:a @+c:b @-a ~");
+    run_script("setup", "@+a @+b:a @+c:b @-a ~");
     const struct amb_job *head = amb_job_find(node, "wk-a"), *last = amb_job_find(node, "wk-c");
-    assert_int_equal(last->cancel_revision, records[0].stamp);
+    assert_int_equal(last->cancel_revision, job_values[0].revision);
     assert_int_equal(last->cancelled_wall_ms, head->cancelled_wall_ms);
-    json_t *told = peer_reply_json(node, records[0].stamp - 1);
+    json_t *told = peer_reply_json(node, job_values[0].revision - 1);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 3);
     json_decref(told);
-    told = peer_reply_json(node, records[0].stamp);
+    told = peer_reply_json(node, job_values[0].revision);
     assert_int_equal(json_array_size(json_object_get(told, "cancelled")), 0);
     json_decref(told);
 }
--- a/tests/job/test_pipelines.c
+++ b/tests/job/test_pipelines.c
@@ -6,7 +6,7 @@
 
 static void submissions(void **state) {
     (void)state;
-    static const struct scene scenes[] = {
+    static const struct pipeline_script scenes[] = {
         {"awaits one accepted here", "+a=201q +b:a=201q ?b=200q"},
         {"awaits one accepted elsewhere a moment ago", "@+a +b:a=201q"},
         {"one heard of and one not", "@+a ~ @+c +b:ac=201q"},
@@ -34,12 +34,12 @@
          "+a=201q hold +b:a=0 @+b:a @-a release last=200c"},
         {"a record too old to be followed", "@+a gone +b:a=503"},
     };
-    play_all(scenes, ROWS(scenes));
+    run_scripts(scenes, ROWS(scenes));
 }
 
 static void cancellations(void **state) {
     (void)state;
-    static const struct scene scenes[] = {
+    static const struct pipeline_script scenes[] = {
         {"at the head", "+a +b:a +c:b -a=200c ?a=200c ?b=200c ?c=200c"},
         {"in the middle", "+a +b:a +c:b -b=200c ?a=200q ?b=200c ?c=200c"},
         {"at the end", "+a +b:a +c:b -c=200c ?a=200q ?b=200q ?c=200c"},
@@ -69,12 +69,12 @@
         {"the cancelled one's own record is written too", "+a +b:a @-a ~ @-b ~ out ?b=200c"},
         {"the word of it, then the acceptance, which is newer", "@+a @-a ^a out back @+b:a ^b ~ out ?b=200c"},
     };
-    play_all(scenes, ROWS(scenes));
+    run_scripts(scenes, ROWS(scenes));
 }
 
 static void the_leader_waits(void **state) {
     (void)state;
-    static const struct scene scenes[] = {
+    static const struct pipeline_script scenes[] = {
         {"one that awaits none is taken into care", "lead +a=201q live=a"},
         {"one that awaits another is not", "lead +a +b:a live=a"},
         {"several awaited", "lead +a +b +c:ab live=ab !a live=b !b live=c"},
@@ -101,37 +101,37 @@
          "lead +a +b:a +c:b @-a out ^a live= ?c=200c"},
         {"a follower takes nothing", "+a +b:a @!a ~ live="},
     };
-    play_all(scenes, ROWS(scenes));
+    run_scripts(scenes, ROWS(scenes));
 }
 
 /* The answer to the write of the end is all that a round waits for. */
 static void a_round_follows_at_once(void **state) {
     (void)state;
-    lead();
-    play("setup", "+a +b:a hold !a live=a");
+    start_leading();
+    run_script("setup", "+a +b:a hold !a live=a");
     node->controller.cycle_requested = false;
-    service.held = false;
+    fake_service.commits_held = false;
     while (serve_one()) {}
-    assert_string_equal(live_jobs(), "b");
+    assert_string_equal(active_jobs(), "b");
     assert_true(node->controller.cycle_requested);
 }
 
 /* Jobs are taken up when room comes for them: not those that wait for others. */
 static void jobs_left_out_wait_too(void **state) {
     (void)state;
-    lead();
+    start_leading();
     uint32_t bound = (uint32_t)(node->settings.memory_mb * 1024 * 1024 / 3 / sizeof(struct amb_task));
-    play("room", "+a +b:a +c live=ac");
+    run_script("room", "+a +b:a +c live=ac");
     amb_job_find(node, "wk-c")->spec->task_count = bound;
     amb_job_deactivate(node, amb_job_find(node, "wk-c"));
     amb_job_deactivate(node, amb_job_find(node, "wk-a"));
     node->jobs.active_task_count = 0;
     amb_job_activate(node, amb_job_find(node, "wk-c"));
-    play("no room", "+d live=c");
+    run_script("no room", "+d live=c");
     assert_true(node->jobs.has_unadmitted);
     amb_job_deactivate(node, amb_job_find(node, "wk-c"));
     amb_jobs_activate_unadmitted(node);
-    amb_job_find(node, "wk-c")->spec->task_count = TASKS;
+    amb_job_find(node, "wk-c")->spec->task_count = TASKS_PER_JOB;
     if (amb_job_find(node, "wk-b")->active) fail_msg("a job that awaits another is taken up");
     assert_true(amb_job_find(node, "wk-a")->active || amb_job_find(node, "wk-d")->active);
 }
@@ -140,8 +140,8 @@
  * places, but no more of it is started. */
 static void placed_by_a_leader_that_does_not_wait(void **state) {
     (void)state;
-    lead();
-    play("setup", "+a +b:a");
+    start_leading();
+    run_script("setup", "+a +b:a");
     struct amb_job *job = amb_job_find(node, "wk-b");
     struct amb_buf buffer =
         cbor_from_text("{\"n\":2,\"p\":\"0,1,m-1,0,0,0;\",\"d\":\"\",\"t\":[\"g8\"],\"z\":[\"a\"]}");
--- a/tests/loopback/controllers.c
+++ b/tests/loopback/controllers.c
@@ -65,9 +65,9 @@
             "cancel_s = %.3f\n",
             PROOF_REPORT_MS / 1e3, PROOF_LEASE_MS / 1e3, PROOF_CANCEL_MS / 1e3);
     fprintf(out, "[params.state]\nrps = %.1f\nwrite_rps = %.1f\nvalue_kb = 2.5\ntxn_ops = 8\n",
-            world.size->rps, world.size->writes);
-    fprintf(out, "[params.cloud]\nrps = %.1f\nlist_lag_s = %.3f\n", world.size->cloud,
-            (double)sim_pace.list_lag / 1e3);
+            world.size->store_rps, world.size->store_write_rps);
+    fprintf(out, "[params.cloud]\nrps = %.1f\nlist_lag_s = %.3f\n", world.size->cloud_rps,
+            (double)sim_cloud_timing.list_lag / 1e3);
     fprintf(out, "[params.quota]\ncores = 1.0\nmemory_mb = 64.0\nfd_limit = 500\n");
     fclose(out);
 }
@@ -116,8 +116,8 @@
 void proof_controller_start(int node) {
     struct proof_controller *controller = &run.controllers[node];
     if (controller->pid) return;
-    double ppm = (double)sim_between(-1, 1) * DRIFT_PPM;
-    long long offset = sim_between(0, OFFSET_MOST_MS);
+    double ppm = (double)sim_random_between(-1, 1) * DRIFT_PPM;
+    long long offset = sim_random_between(0, OFFSET_MOST_MS);
     controller->paused = false;
     controller->pid = fork();
     if (controller->pid == 0) become_controller(node, ppm, offset);
@@ -171,7 +171,7 @@
         pid_t pid = run.controllers[i].pid;
         if (!pid || waitpid(pid, &status, WNOHANG) != pid) continue;
         run.controllers[i].pid = 0;
-        sim_broken("n%d ended by itself, status %d", i, status);
+        sim_report_violation("n%d ended by itself, status %d", i, status);
     }
 }
 
--- a/tests/loopback/incidents.c
+++ b/tests/loopback/incidents.c
@@ -85,7 +85,7 @@
         lot -= share[director.incident++];
     if (run.plan->only) director.incident = incident_named(run.plan->only);
     if (!run.plan->duties && director.incident == INCIDENT_PLANNED) director.incident = INCIDENT_PAUSE;
-    director.step = (enum proof_step)sim_between(PROOF_STEP_RECORDED, PROOF_STEPS - 1);
+    director.step = (enum proof_step)sim_random_between(PROOF_STEP_RECORDED, PROOF_STEPS - 1);
 }
 
 static void set_fault(int place, enum sim_fault_kind kind, amb_ms lasts) {
@@ -94,11 +94,11 @@
 
 /* Most last longer than a lease, some less. */
 static amb_ms how_long(void) {
-    return sim_between(PROOF_TTL_MS / 2, PROOF_TTL_MS * 5);
+    return sim_random_between(PROOF_TTL_MS / 2, PROOF_TTL_MS * 5);
 }
 
 static amb_ms how_late(void) {
-    return sim_between(PROOF_TTL_MS / 2, PROOF_TTL_MS * 10);
+    return sim_random_between(PROOF_TTL_MS / 2, PROOF_TTL_MS * 10);
 }
 
 /* Whoever sent it is paused, dead or cut off by now: it is carried out and answered, carried out with its
@@ -132,7 +132,7 @@
     if (!run.plan->duties || director.incident >= INCIDENT_PLANNED || director.step != PROOF_STEP_ARRIVED ||
         proof_leader() < 0 || sim_random() % 2)
         return false;
-    run.cloud_held_until = world.now + sim_between(PROOF_TTL_MS * 4, PROOF_TTL_MS * 10);
+    run.cloud_held_until = world.now + sim_random_between(PROOF_TTL_MS * 4, PROOF_TTL_MS * 10);
     return true;
 }
 
@@ -145,10 +145,10 @@
     case INCIDENT_PAUSE: proof_controller_pause(node); break;
     case INCIDENT_KILL: proof_controller_kill(node); break;
     case INCIDENT_CUT: run.controllers[node].cut_until = world.now + lasts; break;
-    case INCIDENT_REFUSED: set_fault(FAULT_REFUSED, SIM_REFUSE_STATE, lasts); break;
+    case INCIDENT_REFUSED: set_fault(FAULT_REFUSED, SIM_STORE_REFUSES_NODE, lasts); break;
     case INCIDENT_OUTAGE:
-        lasts = sim_between(PROOF_TTL_MS, OUTAGE_MOST_MS);
-        set_fault(FAULT_OUTAGE, SIM_OUTAGE, lasts);
+        lasts = sim_random_between(PROOF_TTL_MS, OUTAGE_MOST_MS);
+        set_fault(FAULT_OUTAGE, SIM_STORE_OUTAGE, lasts);
         break;
     case INCIDENT_PLANNED: ask_handover(node); break;
     case INCIDENT_LOST: treatment.unanswered = true; break;
@@ -175,7 +175,7 @@
     proof_controller_wake(director.node);
     proof_controller_start(director.node);
     note(PROOF_RECOVERED);
-    begin_phase(PHASE_RESTING, sim_between(REST_LEAST_MS, REST_MOST_MS));
+    begin_phase(PHASE_RESTING, sim_random_between(REST_LEAST_MS, REST_MOST_MS));
 }
 
 /* No order came along: it strikes a holder at rest. */
@@ -197,7 +197,7 @@
     if (run.quiet || run.plan->calm) return;
     if (!director.until) {
         world.fault_count = FAULTS;
-        set_fault(FAULT_LATE, SIM_LATE, 0);
+        set_fault(FAULT_LATE, SIM_LATE_REQUESTS, 0);
         begin_phase(PHASE_RESTING, FIRST_MS);
     }
     if (world.now < director.until) return;
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -20,10 +20,10 @@
 static struct sim_call *serving; /* the call that a model is carrying out */
 
 static void call_free(struct sim_call *call) {
-    amb_timer_stop(&call->go);
-    amb_timer_stop(&call->back);
-    amb_timer_stop(&call->deadline);
-    if (call->fn == NULL && call->user && call->to != SIM_AT_FRONT) proof_leave_unanswered(call->user);
+    amb_timer_stop(&call->delivery_timer);
+    amb_timer_stop(&call->reply_timer);
+    amb_timer_stop(&call->timeout_timer);
+    if (call->on_done == NULL && call->user && call->destination != SIM_TO_API) proof_leave_unanswered(call->user);
     free(call->body);
     amb_buf_free(&call->answer);
     memset(call, 0, sizeof *call);
@@ -50,7 +50,7 @@
     if (len) amb_buf_append(&call->answer, body, len);
     call->answered = true;
     call->answered_at = amb_now();
-    call->user_fn(call);
+    call->on_reply(call);
     call_free(call);
 }
 
@@ -67,13 +67,13 @@
 
 static void carry_out(struct sim_call *call) {
     serving = call;
-    switch (call->to) {
-    case SIM_AT_STATE: sim_serve_state(call); break;
-    case SIM_AT_CLOUD:
+    switch (call->destination) {
+    case SIM_TO_STORE: sim_serve_store(call); break;
+    case SIM_TO_CLOUD:
         proof_cloud_comes(call);
         sim_serve_cloud(call);
         break;
-    default: sim_serve_worker(call);
+    default: sim_serve_agent(call);
     }
     serving = NULL;
 }
@@ -83,7 +83,7 @@
     if (call->answered) return;
     call->answered = true;
     call->status = status;
-    if (call->to == SIM_AT_CLOUD) proof_cloud_done(call, status);
+    if (call->destination == SIM_TO_CLOUD) proof_cloud_done(call, status);
     struct proof_request *request = call->user;
     call->user = NULL;
     if (!body) body = &none;
@@ -93,18 +93,18 @@
         proof_reply(request, status, body->data, body->len);
     amb_buf_free(body);
     /* Not at once: the model that answers may go on reading the call. */
-    amb_timer_stop(&call->go);
-    amb_timer_stop(&call->back);
-    amb_timer_set_after(&call->deadline, 0, forget, call);
+    amb_timer_stop(&call->delivery_timer);
+    amb_timer_stop(&call->reply_timer);
+    amb_timer_set_after(&call->timeout_timer, 0, forget, call);
 }
 
-void sim_call_go(void *arg) {
+void sim_call_deliver(void *arg) {
     struct sim_call *call = arg;
     struct proof_controller *controller = call->from < 0 ? NULL : &run.controllers[call->from];
-    if (controller && call->to == SIM_AT_STATE && amb_now() < controller->cut_until) {
+    if (controller && call->destination == SIM_TO_STORE && amb_now() < controller->cut_until) {
         /* Held back while the way is cut, and delivered after the sender has given up. */
         call->unanswered = true;
-        amb_timer_set(&call->go, controller->cut_until + 1, sim_call_go, call);
+        amb_timer_set(&call->delivery_timer, controller->cut_until + 1, sim_call_deliver, call);
         return;
     }
     carry_out(call);
@@ -113,7 +113,7 @@
 /* Carried out once more, later, without an answer to anybody. */
 static void deliver_again(const struct sim_call *call) {
     struct sim_call *copy = sim_call_new();
-    copy->to = call->to;
+    copy->destination = call->destination;
     copy->from = call->from;
     copy->machine = call->machine;
     memcpy(copy->method, call->method, sizeof copy->method);
@@ -122,8 +122,8 @@
     if (call->len) memcpy(copy->body, call->body, call->len);
     copy->len = call->len;
     copy->unanswered = true;
-    amb_timer_set_after(&copy->deadline, FORGET_MS, forget, copy);
-    amb_timer_set_after(&copy->go, sim_between(LATE_LEAST_MS, LATE_MOST_MS), sim_call_go, copy);
+    amb_timer_set_after(&copy->timeout_timer, FORGET_MS, forget, copy);
+    amb_timer_set_after(&copy->delivery_timer, sim_random_between(LATE_LEAST_MS, LATE_MOST_MS), sim_call_deliver, copy);
 }
 
 /* For some seconds now and then half of the orders to the cloud arrive late, whoever sends them: a
@@ -132,21 +132,21 @@
     static amb_ms from, until;
     amb_ms now = world.now;
     if (now > until) {
-        from = now + sim_between(SLOW_LEAST_MS, SLOW_MOST_MS);
-        until = from + sim_between(SLOW_LEAST_MS, SLOW_MOST_MS);
+        from = now + sim_random_between(SLOW_LEAST_MS, SLOW_MOST_MS);
+        until = from + sim_random_between(SLOW_LEAST_MS, SLOW_MOST_MS);
     }
     return now >= from && sim_random() % 2;
 }
 
 static struct proof_treatment noise(const struct sim_call *call) {
     struct proof_treatment treatment = {0};
-    bool orders_cloud = call->to == SIM_AT_CLOUD && !strcmp(call->method, "POST");
+    bool orders_cloud = call->destination == SIM_TO_CLOUD && !strcmp(call->method, "POST");
     if (orders_cloud && world.now < run.cloud_held_until) {
-        treatment.delay = run.cloud_held_until - world.now + sim_between(0, LATE_LEAST_MS);
+        treatment.delay = run.cloud_held_until - world.now + sim_random_between(0, LATE_LEAST_MS);
         return treatment;
     }
     if (orders_cloud && !run.quiet && !run.plan->calm && cloud_is_slow()) {
-        treatment.delay = sim_between(LATE_LEAST_MS, SLOW_MOST_MS);
+        treatment.delay = sim_random_between(LATE_LEAST_MS, SLOW_MOST_MS);
         return treatment;
     }
     if (run.quiet || run.plan->calm || !strcmp(call->method, "GET") || sim_random() % NOISE_ONE_IN)
@@ -154,7 +154,7 @@
     switch (sim_random() % 3) {
     case 0: treatment.unanswered = true; break;
     case 1: treatment.doubled = true; break;
-    default: treatment.delay = sim_between(LATE_LEAST_MS, LATE_MOST_MS);
+    default: treatment.delay = sim_random_between(LATE_LEAST_MS, LATE_MOST_MS);
     }
     return treatment;
 }
@@ -162,7 +162,7 @@
 /* What is about to happen to an order; none if nothing is. */
 static struct proof_moment moment_before(const struct sim_call *call) {
     struct proof_moment none = {.step = PROOF_STEP_NONE};
-    if (call->to == SIM_AT_CLOUD)
+    if (call->destination == SIM_TO_CLOUD)
         return strcmp(call->method, "POST") ? none : proof_moment_of_cloud(call, PROOF_STEP_ARRIVED);
     if (strcmp(call->path, "/commit")) return none;
     cbor_item_t *body = amb_cbor_parse(call->body, call->len);
@@ -182,16 +182,16 @@
     }
     if (treatment.doubled) deliver_again(call);
     if (treatment.unanswered || treatment.delay) call->unanswered = true;
-    amb_timer_set_after(&call->deadline, FORGET_MS, forget, call);
+    amb_timer_set_after(&call->timeout_timer, FORGET_MS, forget, call);
     if (treatment.delay)
-        amb_timer_set_after(&call->go, treatment.delay, sim_call_go, call);
+        amb_timer_set_after(&call->delivery_timer, treatment.delay, sim_call_deliver, call);
     else
-        sim_call_go(call);
+        sim_call_deliver(call);
 }
 
-static struct sim_call *call_of(struct proof_request *request, enum sim_place to) {
+static struct sim_call *call_of(struct proof_request *request, enum sim_destination to) {
     struct sim_call *call = sim_call_new();
-    call->to = to;
+    call->destination = to;
     call->user = request;
     memcpy(call->method, request->method, sizeof call->method - 1); /* none is longer that means anything */
     snprintf(call->path, sizeof call->path, "%s", request->path);
@@ -203,7 +203,7 @@
 
 static void on_state(void *arg, struct proof_request *request) {
     struct proof_controller *controller = arg;
-    struct sim_call *call = call_of(request, SIM_AT_STATE);
+    struct sim_call *call = call_of(request, SIM_TO_STORE);
     controller->usage.state_calls++;
     controller->usage.handover_calls += proof_is_of_handover(call);
     call->from = (int)(controller - run.controllers);
@@ -212,16 +212,16 @@
 
 static void on_cloud(void *arg, struct proof_request *request) {
     struct proof_controller *controller = arg;
-    struct sim_call *call = call_of(request, SIM_AT_CLOUD);
+    struct sim_call *call = call_of(request, SIM_TO_CLOUD);
     controller->usage.cloud_calls++;
     call->from = (int)(controller - run.controllers);
     deliver(call);
 }
 
 static void on_worker(void *arg, struct proof_request *request) {
-    struct sim_call *call = call_of(request, SIM_AT_WORKER);
+    struct sim_call *call = call_of(request, SIM_TO_AGENT);
     call->machine = (int)((char(*)[PROOF_ADDRESS])arg - machine_address);
-    amb_timer_set_after(&call->deadline, FORGET_MS, forget, call);
+    amb_timer_set_after(&call->timeout_timer, FORGET_MS, forget, call);
     carry_out(call);
 }
 
@@ -251,6 +251,6 @@
         proof_serve(run.controllers[i].cloud, on_cloud, &run.controllers[i]);
     }
     proof_witness_open();
-    witness = sim_watch_transaction;
-    sim_watch_transaction = watch_transaction;
+    witness = sim_on_transaction;
+    sim_on_transaction = watch_transaction;
 }
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -16,21 +16,21 @@
     IMAGES = 3,
 };
 
-const struct sim_pace sim_pace = {.list_lag = 400, .boot = 300, .fetch = 50};
+const struct sim_cloud_timing sim_cloud_timing = {.list_lag = 400, .boot = 300, .fetch = 50};
 struct sim_world world;
-void (*sim_watch_transaction)(const struct sim_call *call, const cbor_item_t *transaction);
-void (*sim_watch_message)(const struct sim_call *call);
+void (*sim_on_transaction)(const struct sim_call *call, const cbor_item_t *transaction);
+void (*sim_on_peer_message)(const struct sim_call *call);
 struct proof_run run;
 
 static struct sim_size size = {.machines = MACHINES,
-                               .tasks = TASKS,
+                               .max_array_tasks = TASKS,
                                .images = IMAGES,
-                               .report = PROOF_REPORT_MS,
-                               .lease = PROOF_LEASE_MS,
-                               .cancel = PROOF_CANCEL_MS,
-                               .rps = 600,
-                               .writes = 200,
-                               .cloud = 40};
+                               .heartbeat_ms = PROOF_REPORT_MS,
+                               .agent_lease_ms = PROOF_LEASE_MS,
+                               .cancel_ms = PROOF_CANCEL_MS,
+                               .store_rps = 600,
+                               .store_write_rps = 200,
+                               .cloud_rps = 40};
 static struct amb_timer tick_timer;
 static amb_ms begun, quiet_since;
 static bool all_done;
@@ -44,7 +44,7 @@
     return world.random;
 }
 
-amb_ms sim_between(amb_ms least, amb_ms most) {
+amb_ms sim_random_between(amb_ms least, amb_ms most) {
     return least + (amb_ms)(sim_random() % (uint64_t)(most - least + 1));
 }
 
@@ -73,7 +73,7 @@
 }
 
 /* Controllers are processes: their books are not at hand. */
-const struct amb_node *sim_leader_since(amb_ms before) {
+const struct amb_node *sim_restored_leader_since(amb_ms before) {
     (void)before;
     return NULL;
 }
@@ -146,14 +146,14 @@
 static void tick(void *arg) {
     (void)arg;
     amb_timer_set_after(&tick_timer, TICK_MS, tick, NULL);
-    sim_state_tick();
+    sim_store_tick();
     proof_witness_tick();
     for (int i = 0; i < world.machine_count; i++) sim_machine_advance(i);
     proof_controllers_watch();
     proof_workload_tick();
     proof_incidents_tick();
     if (!quiet_since && has_seen_enough()) become_quiet();
-    if (is_over() || world.result.broken[0]) amb_loop_stop();
+    if (is_over() || world.result.violation[0]) amb_loop_stop();
 }
 
 static void add_usage(struct proof_usage *sum) {
@@ -172,7 +172,7 @@
     run.plan = plan;
     size.nodes = plan->controllers;
     world.size = &size;
-    world.load = SIM_LOAD_CROWDED; /* teams' limits do not bind */
+    world.load = SIM_LOAD_OVERLOAD; /* teams' limits do not bind */
     world.random = plan->seed * 2654435761U + 88172645463325252U;
     world.current = -1;
     signal(SIGPIPE, SIG_IGN);
@@ -190,6 +190,6 @@
     struct proof_terms terms = {.recorded = plan->duties, .tokens_checked = plan->duties && plan->tokens};
     proof_check(&run.log, terms, &outcome.verdict);
     outcome.complete = all_done && (plan->calm || run.handovers >= plan->handovers);
-    memcpy(outcome.broken, world.result.broken, sizeof outcome.broken);
+    memcpy(outcome.broken, world.result.violation, sizeof outcome.broken);
     return outcome;
 }
--- a/tests/loopback/witness.c
+++ b/tests/loopback/witness.c
@@ -70,7 +70,7 @@
 static void take_leader(const cbor_item_t *value) {
     char name[PROOF_NAME] = "";
     amb_cbor_copy_string(amb_cbor_map_get(value, "member"), name, sizeof name);
-    note_holder(LEADER_DUTY, name, world.state.revision, false);
+    note_holder(LEADER_DUTY, name, world.store.revision, false);
 }
 
 /* Splits DUTY/ID. */
@@ -148,8 +148,8 @@
 /* Leases end without a transaction. A member's key that is written anew is that of another session. */
 static void look_at_leases(void) {
     static int seen;
-    for (; seen < world.state.change_count; seen++) {
-        const struct sim_change *change = &world.state.changes[seen];
+    for (; seen < world.store.change_count; seen++) {
+        const struct sim_change *change = &world.store.changes[seen];
         if (begins(change->key, MEMBER_PREFIX))
             note_lease_ended("", change->key + strlen(MEMBER_PREFIX));
         else if (!strcmp(change->key, LEADER_KEY) && !change->value.len)
@@ -299,7 +299,7 @@
         if (!order.there_before[i] || machine->exists) continue;
         strcpy(event.machine, machine->name);
         event.tasks = order.tasks[i];
-        event.silent = machine->dead || world.now - machine->lease_from > world.size->lease;
+        event.silent = machine->dead || world.now - machine->lease_from > world.size->agent_lease_ms;
         proof_note(&event);
         any = true;
     }
@@ -336,5 +336,5 @@
 /* NOLINTEND(readability-identifier-naming) */
 
 void proof_witness_open(void) {
-    sim_watch_transaction = take_transaction;
+    sim_on_transaction = take_transaction;
 }
--- a/tests/loopback/workload.c
+++ b/tests/loopback/workload.c
@@ -26,17 +26,17 @@
     spec->priority = AMB_PRIORITY_NORMAL;
     spec->one_zone = spec->spread_zones = false;
     spec->spot_allowed = sim_random() % 2;
-    spec->task_count = (uint32_t)sim_between(1, TASKS_MOST);
+    spec->task_count = (uint32_t)sim_random_between(1, TASKS_MOST);
     spec->task_resources = (struct amb_resources){8, SIM_MACHINE_GPUS, 40}; /* a machine each */
-    spec->estimated_runtime_s = (double)sim_between(RUN_LEAST_MS, RUN_MOST_MS) / 1000;
-    job->brief = true;
-    job->at = world.now;
-    sim_user_comes(job, world.now);
+    spec->estimated_runtime_s = (double)sim_random_between(RUN_LEAST_MS, RUN_MOST_MS) / 1000;
+    job->short_task = true;
+    job->submit_at = world.now;
+    sim_schedule_submission(job, world.now);
 }
 
 /* One that is up stops of itself, with its tasks: it has to be given up and returned. */
 static void stop_some_machine(void) {
-    int first = (int)sim_between(0, world.machine_count - 1);
+    int first = (int)sim_random_between(0, world.machine_count - 1);
     for (int i = 0; i < world.machine_count; i++) {
         struct sim_machine *machine = &world.machines[(first + i) % world.machine_count];
         if (!machine->exists || !machine->up || machine->dead) continue;
@@ -52,19 +52,19 @@
 
 void proof_workload_tick(void) {
     if (run.quiet || run.plan->idle) return;
-    if (!next_death) next_death = world.now + sim_between(DEATH_LEAST_MS, DEATH_MOST_MS);
+    if (!next_death) next_death = world.now + sim_random_between(DEATH_LEAST_MS, DEATH_MOST_MS);
     if (world.now >= next_death && world.machine_count && !run.plan->calm) {
         stop_some_machine();
-        next_death = world.now + sim_between(DEATH_LEAST_MS, DEATH_MOST_MS);
+        next_death = world.now + sim_random_between(DEATH_LEAST_MS, DEATH_MOST_MS);
     }
     if (!next_burst) next_burst = world.now + FIRST_MS;
     if (world.now < next_burst || world.job_count > JOBS_MOST) return;
-    for (amb_ms i = sim_between(1, BURST_MOST); i > 0; i--) submit_job();
-    next_burst = world.now + sim_between(PAUSE_LEAST_MS, PAUSE_MOST_MS);
+    for (amb_ms i = sim_random_between(1, BURST_MOST); i > 0; i--) submit_job();
+    next_burst = world.now + sim_random_between(PAUSE_LEAST_MS, PAUSE_MOST_MS);
 }
 
 bool proof_workload_done(void) {
     for (int i = 0; i < world.job_count; i++)
-        if (!world.jobs[i].accepted || !sim_all_done(&world.jobs[i])) return false;
+        if (!world.jobs[i].accepted || !sim_all_tasks_done(&world.jobs[i])) return false;
     return true;
 }
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -7,10 +7,10 @@
 
 static void usage_counts_until_absence(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
     struct amb_team *team = &node->settings.teams[0];
-    bound(job, 0, "m-1", 1);
-    bound(job, 1, "m-1", 2);
+    bind_task(job, 0, "m-1", 1);
+    bind_task(job, 1, "m-1", 2);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     assert_true(team->used.gpus == 2 && machine->used.gpus == 2);
     amb_task_request_stop(node, &job->tasks[0], 0, "test");
@@ -39,14 +39,14 @@
     node->peers.count = 1; /* unfenced: it may answer machines that have not acknowledged our token */
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job *job =
-            add_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_JOB_KIND_SERVICE, 1);
+            add_active_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_JOB_KIND_SERVICE, 1);
         char name[16];
         snprintf(name, sizeof name, "m-%zu", i);
-        struct amb_task *task = bound(job, 0, name, 1);
-        struct amb_agent_task seen = listing(job->ref, 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+        struct amb_task *task = bind_task(job, 0, name, 1);
+        struct amb_agent_task seen = make_agent_task(job->ref, 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
         amb_ms now = amb_now();
         node->controller.leader_since = now;
-        assert_true(report(name, 1, 1, rows[i].token, now, &seen, 1));
+        assert_true(deliver_heartbeat(name, 1, 1, rows[i].token, now, &seen, 1));
         node->watch.last_read_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
         node->watch.fresh_read_in_flight = true; /* the read that would be asked for is not under test */
         int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
@@ -59,12 +59,12 @@
 /* Any 200 may be taken as a renewal, also one that answers what turns out to be a late copy. */
 static void answering_a_copy_counts_as_renewal(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-    struct amb_task *task = bound(job, 0, "m-1", 1);
-    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_task *task = bind_task(job, 0, "m-1", 1);
+    struct amb_agent_task seen = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
     amb_ms now = amb_now();
-    assert_true(report("m-1", 1, 2, TERM, now, &seen, 1));
-    assert_true(report("m-1", 1, 1, TERM, now + 6000, &seen, 1));
+    assert_true(deliver_heartbeat("m-1", 1, 2, TERM, now, &seen, 1));
+    assert_true(deliver_heartbeat("m-1", 1, 1, TERM, now + 6000, &seen, 1));
     node->watch.last_read_sent_at = now + 20000;
     amb_fleet_tick(node, now + 11000);
     assert_non_null(task->machine);
@@ -80,10 +80,10 @@
         bool absent;
     } rows[] = {{10050, false}, {10300, false}, {10400, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         machine_up("m-1", 0);
-        bound(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
+        bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
         fake_clock_advance(rows[i].silent);
         node->watch.last_read_sent_at = amb_now();
         amb_fleet_tick(node, amb_now());
@@ -110,11 +110,11 @@
         {"the read is older than the lease's end", 12000, 90000, 3000, TERM, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        end(NULL);
+        fixture_teardown(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-        struct amb_task *task = bound(job, 0, "m-1", 1);
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        struct amb_task *task = bind_task(job, 0, "m-1", 1);
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         machine->type_index = machine->zone_index = 0;
         machine->exists_since = machine->first_known_at = now - 20000;
@@ -134,9 +134,9 @@
 
 static void releases_count_once_they_are_confirmed(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_up("m-1", 0);
-    bound(job, 0, "m-1", 1);
+    bind_task(job, 0, "m-1", 1);
     amb_cloud_release(node, machine, "test");
     amb_cloud_tick(node, amb_now());
     fake_answer(open_call("POST", "/machines/release"), 0, NULL);
@@ -182,10 +182,10 @@
         {"listed as failed", 60000, 60000, 60000, 0, "failed", true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
-        bound(job, 0, "m-1", 1);
+        bind_task(job, 0, "m-1", 1);
         amb_ms now = amb_now();
         machine->exists_since = machine->first_known_at = now - rows[i].known;
         machine->last_heartbeat_at = rows[i].reported == NEVER ? 0 : now - rows[i].reported;
@@ -209,10 +209,10 @@
     } rows[] = {
         {"all pages come", 200, true}, {"the last page is refused", 503, false}, {"no answer", 0, false}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        fixture_reset();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
         struct amb_machine *machine = machine_up("m-1", 0);
-        bound(job, 0, "m-1", 1);
+        bind_task(job, 0, "m-1", 1);
         machine->exists_since = machine->first_known_at = machine->last_heartbeat_at = amb_now() - 60000;
         amb_cloud_tick(node, amb_now());
         answer_list(open_call("GET", "/machines"), "m-0", "running", true);
@@ -235,20 +235,20 @@
     node->controller.restored_at = 0;
     struct sent_heartbeat heartbeat = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
     send_heartbeat(heartbeat);
-    assert_int_equal(latest()->status, 200);
-    if (replied_commands("halt")) fail_msg("a task that is not known yet is told to stop");
-    heartbeat.seq++;
-    heartbeat.stance = "exited";
+    assert_int_equal(latest_reply()->status, 200);
+    if (count_replied_commands("halt")) fail_msg("a task that is not known yet is told to stop");
+    heartbeat.sequence++;
+    heartbeat.task_state = "exited";
     send_heartbeat(heartbeat);
-    if (replied_commands("clear")) fail_msg("the result of a task that is not known yet is cleared");
+    if (count_replied_commands("clear")) fail_msg("the result of a task that is not known yet is cleared");
 }
 
 static void unverified_machines_are_probed_with_the_token_alone(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     struct amb_machine *machine = machine_in("m-1", 0);
     strcpy(machine->address, "worker:1");
-    bound(job, 0, "m-1", 1);
+    bind_task(job, 0, "m-1", 1);
     node->peers.count = 1; /* that may still answer it */
     fake_clock_advance(2500);
     amb_fleet_tick(node, amb_now());
@@ -259,11 +259,11 @@
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
     uint64_t token = 0, incarnation = 0;
-    amb_cbor_get_uint(amb_cbor_map_get(commands->map, "baton"), &token);
-    amb_cbor_get_uint(amb_cbor_map_get(commands->map, "watch"), &incarnation);
+    amb_cbor_get_uint(amb_cbor_map_get(commands->cbor_body, "baton"), &token);
+    amb_cbor_get_uint(amb_cbor_map_get(commands->cbor_body, "watch"), &incarnation);
     assert_int_equal(token, TERM);
     assert_int_equal(incarnation, 3);
-    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(commands->map, "orders")), 0);
+    assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(commands->cbor_body, "orders")), 0);
     fake_clock_advance(12000);
     node->election.renewed_at = amb_now();
     amb_fleet_tick(node, amb_now());
@@ -295,7 +295,7 @@
         {"no heartbeat lately", TERM - 1, true, false, 60000, 60000, 2001, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        end(NULL);
+        fixture_teardown(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
         node->election.renewed_at = node->controller.leader_since =
@@ -304,9 +304,9 @@
         node->lease_proxy.known_count = 1;
         node->lease_proxy.known[0].present = rows[i].lease_proxy;
         node->lease_proxy.known[0].zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
-        if (rows[i].has_task) bound(add_job("wk-1", AMB_JOB_KIND_SERVICE, 1), 0, "m-1", 1);
+        if (rows[i].has_task) bind_task(add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1), 0, "m-1", 1);
         node->controller.ready = false; /* no start is sent */
-        assert_true(report("m-1", 1, 1, rows[i].token, now - rows[i].reported, NULL, 0));
+        assert_true(deliver_heartbeat("m-1", 1, 1, rows[i].token, now - rows[i].reported, NULL, 0));
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         machine->state_since = now - rows[i].since;
         node->controller.restored_at = now - rows[i].loaded;
@@ -318,17 +318,17 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(usage_counts_until_absence, setup, end),
-        cmocka_unit_test_setup_teardown(lease_expiry_proves_absence, setup, end),
-        cmocka_unit_test_setup_teardown(answering_a_copy_counts_as_renewal, setup, end),
-        cmocka_unit_test_setup_teardown(leases_expire_with_a_margin, begin, end),
-        cmocka_unit_test_setup_teardown(unverified_machine_fenced_by_all_peers, setup, end),
-        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, begin, end),
-        cmocka_unit_test_setup_teardown(what_lists_prove, begin, end),
-        cmocka_unit_test_setup_teardown(incomplete_lists_prove_nothing, begin, end),
-        cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, begin, end),
-        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, begin, end),
-        cmocka_unit_test_setup_teardown(machine_that_ignores_replies, setup, end),
+        cmocka_unit_test_setup_teardown(usage_counts_until_absence, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(lease_expiry_proves_absence, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(answering_a_copy_counts_as_renewal, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(leases_expire_with_a_margin, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(unverified_machine_fenced_by_all_peers, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(what_lists_prove, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(incomplete_lists_prove_nothing, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machine_that_ignores_replies, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -65,7 +65,7 @@
         uint32_t machines, images, heartbeats;
     } rows[] = {{1000, 4, 2}, {4000, 4, 4}, {LARGE_FLEET, 4, 8}, {LARGE_FLEET, AMB_IMAGES_MAX, 60}};
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         add_machines(0, rows[i].machines, rows[i].images);
         for (uint32_t k = 0; k < rows[i].heartbeats; k++)
             if (exchange_heartbeat() > AMB_HEARTBEAT_MAX_BYTES)
@@ -106,7 +106,7 @@
     char ref[AMB_NAME_SIZE];
     for (uint32_t i = 0; i < JOBS; i++) {
         snprintf(ref, sizeof ref, "wk-%06u", i);
-        add_job(ref, AMB_JOB_KIND_ARRAY, 1)->progress_changed = true;
+        add_active_job(ref, AMB_JOB_KIND_ARRAY, 1)->progress_changed = true;
     }
     for (uint32_t i = 0; i < 8; i++) assert_in_range(exchange_heartbeat(), 1, AMB_HEARTBEAT_MAX_BYTES);
     for (const struct amb_job *job = node->jobs.active; job; job = job->next_active)
@@ -244,9 +244,9 @@
     (void)state;
     enum { TASKS = 3, ROOM = 2 };
     struct amb_agent_command list[ROOM];
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, TASKS);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, TASKS);
     machine_up("m-1", 0);
-    for (uint32_t i = 0; i < TASKS; i++) bound(job, i, "m-1", i + 1);
+    for (uint32_t i = 0; i < TASKS; i++) bind_task(job, i, "m-1", i + 1);
     struct amb_command_list first = {list, ROOM, 0};
     for (uint32_t i = 0; i < TASKS; i++) amb_command_list_add_start(node, &job->tasks[i], &first);
     assert_int_equal(first.count, ROOM);
@@ -287,14 +287,14 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(every_machine_is_told_of, begin, end),
-        cmocka_unit_test_setup_teardown(machines_that_are_gone_are_forgotten, begin, end),
-        cmocka_unit_test_setup_teardown(progress_of_many_jobs_is_told_in_parts, begin, end),
-        cmocka_unit_test_setup_teardown(the_longest_gone_are_forgotten, begin, end),
-        cmocka_unit_test_setup_teardown(machines_beyond_a_bound_are_not_used, begin, end),
-        cmocka_unit_test_setup_teardown(machines_wait_for_the_catalogue, begin, end),
-        cmocka_unit_test_setup_teardown(long_lists_keep_to_the_calls_allowed, begin, end),
-        cmocka_unit_test_setup_teardown(starts_beyond_an_answer_go_out_next, begin, end),
+        cmocka_unit_test_setup_teardown(every_machine_is_told_of, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_that_are_gone_are_forgotten, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(progress_of_many_jobs_is_told_in_parts, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(the_longest_gone_are_forgotten, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_beyond_a_bound_are_not_used, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_wait_for_the_catalogue, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(long_lists_keep_to_the_calls_allowed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(starts_beyond_an_answer_go_out_next, fixture_setup, fixture_teardown),
         cmocka_unit_test(quotas_that_hold_no_such_fleet_are_refused),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -123,7 +123,7 @@
         for (uint32_t k = 0; k < rows[i].described + rows[i].over; k++) {
             char ref[AMB_NAME_SIZE];
             snprintf(ref, sizeof ref, "wk-%u", k);
-            struct amb_job *job = add_job(ref, AMB_JOB_KIND_ARRAY, 1);
+            struct amb_job *job = add_active_job(ref, AMB_JOB_KIND_ARRAY, 1);
             if (k < rows[i].described) continue;
             amb_job_deactivate(node, job);
             job->state = AMB_JOB_DONE;
@@ -134,7 +134,7 @@
         struct fake_reply reply = submit("wk-new", tasks);
         if (reply.status != rows[i].status) fail_msg("%s: %d", rows[i].what, reply.status);
         assert_int_equal(reply.retry_after_s > 0, reply.status == 503);
-        assert_int_equal(fake_calls_open("POST", "/commit"), reply.status == 0);
+        assert_int_equal(fake_count_open_calls("POST", "/commit"), reply.status == 0);
         fake_answer_all_lost();
         fake_http_reset();
     }
@@ -144,7 +144,7 @@
 static void known_jobs_are_not_refused(void **state) {
     (void)state;
     begin();
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 1);
     amb_job_deactivate(node, job);
     job->state = AMB_JOB_DONE;
     node->settings.memory_mb = 0;
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -9,7 +9,7 @@
     static const struct {
         const char *what;
         bool speaks_first;
-        struct said said;
+        struct peer_state said;
         bool other_answers;
         bool confirms; /* our lead, and that no cancellation is unknown to us */
         bool fences;   /* proves that nobody answers under an older term */
@@ -29,15 +29,15 @@
         {"the other peer does not answer", false, {.term = TERM}, false, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         amb_ms asked = amb_now();
-        ask_peers();
+        start_peer_heartbeats();
         fake_clock_advance(300);
-        if (rows[i].other_answers) peer_answers(1, (struct said){.term = TERM});
+        if (rows[i].other_answers) answer_peer_heartbeat(1, (struct peer_state){.term = TERM});
         if (rows[i].speaks_first)
-            peer_speaks(0, rows[i].said);
+            receive_peer_heartbeat(0, rows[i].said);
         else
-            peer_answers(0, rows[i].said);
+            answer_peer_heartbeat(0, rows[i].said);
         amb_ms confirmed = amb_election_peers_confirmed_at(node, amb_now());
         if (confirmed != (rows[i].confirms ? asked : 0))
             fail_msg("%s: confirmed %lld ms after the question", rows[i].what,
@@ -54,18 +54,18 @@
 static void cancellations_of_peers_are_applied(void **state) {
     (void)state;
     for (int speaks_first = 0; speaks_first <= 1; speaks_first++) {
-        begin_anew();
-        ask_peers();
-        struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-        bound(job, 0, "m-1", 1);
+        fixture_reset();
+        start_peer_heartbeats();
+        struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+        bind_task(job, 0, "m-1", 1);
         struct sent_heartbeat sent = {"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"};
         send_heartbeat(sent);
         char cancelled[64];
         snprintf(cancelled, sizeof cancelled, "[\"wk-1\",%lld,61]", (long long)amb_wall_ms());
-        (speaks_first ? peer_speaks : peer_answers)(0, (struct said){.term = TERM, .cancelled = cancelled});
-        sent.seq++;
+        (speaks_first ? receive_peer_heartbeat : answer_peer_heartbeat)(0, (struct peer_state){.term = TERM, .cancelled = cancelled});
+        sent.sequence++;
         send_heartbeat(sent);
-        if (replied_commands("halt") != 1)
+        if (count_replied_commands("halt") != 1)
             fail_msg("a peer %s of a cancellation, and the task is not told to stop",
                      speaks_first ? "speaks" : "answers");
     }
@@ -73,33 +73,33 @@
 
 static void cancellations_are_sent_to_peers(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 61);
     assert_int_equal(job->state, AMB_JOB_CANCELLED);
     node->watch.known_revision = 1234;
-    ask_peers();
+    start_peer_heartbeats();
     struct fake_call *heartbeat = open_call("POST", "/peer/heartbeat");
     amb_buf_append(&heartbeat->body, "", 1);
     if (!strstr(heartbeat->body.data, "\"epoch\":1234"))
         fail_msg("a question does not say what the node knows");
     if (!strstr(heartbeat->body.data, "wk-1"))
         fail_msg("a message to a peer does not name the cancelled job");
-    peer_speaks(0, (struct said){.term = TERM});
-    assert_int_equal(latest()->status, 200);
-    amb_buf_append(&latest()->body, "", 1);
-    if (!strstr(latest()->body.data, "wk-1")) fail_msg("an answer to a peer does not name the cancelled job");
+    receive_peer_heartbeat(0, (struct peer_state){.term = TERM});
+    assert_int_equal(latest_reply()->status, 200);
+    amb_buf_append(&latest_reply()->body, "", 1);
+    if (!strstr(latest_reply()->body.data, "wk-1")) fail_msg("an answer to a peer does not name the cancelled job");
 }
 
 /* A cancellation in a peer's message stops the tasks of a leader that can't read the store's changes. */
 static void cancellation_by_hint(void **state) {
     (void)state;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
-    struct amb_task *task = bound(job, 0, "m-1", 1);
-    struct amb_agent_task seen = listing("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
-    report("m-1", 1, 1, TERM, amb_now(), &seen, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_task *task = bind_task(job, 0, "m-1", 1);
+    struct amb_agent_task seen = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_RUNNING, AMB_EXIT_NONE);
+    deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), &seen, 1);
     amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms(), 2);
     assert_true(task->stop_requested);
-    report("m-1", 1, 2, TERM, amb_now(), &seen, 1);
+    deliver_heartbeat("m-1", 1, 2, TERM, amb_now(), &seen, 1);
     assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
 }
 
@@ -134,11 +134,11 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(confirmations_by_peers, begin, end),
-        cmocka_unit_test_setup_teardown(cancellations_of_peers_are_applied, begin, end),
-        cmocka_unit_test_setup_teardown(cancellations_are_sent_to_peers, begin, end),
-        cmocka_unit_test_setup_teardown(cancellation_by_hint, setup, end),
-        cmocka_unit_test_setup_teardown(heartbeats_fit, setup, end),
+        cmocka_unit_test_setup_teardown(confirmations_by_peers, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(cancellations_of_peers_are_applied, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(cancellations_are_sent_to_peers, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(cancellation_by_hint, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(heartbeats_fit, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement/test_slot_ranking.c
+++ b/tests/placement/test_slot_ranking.c
@@ -22,7 +22,7 @@
     for (int i = 0; i < MACHINES; i++) {
         char name[AMB_NAME_SIZE], image[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%d", i);
-        report(name, 1, 1, TERM, amb_now(), NULL, 0);
+        deliver_heartbeat(name, 1, 1, TERM, amb_now(), NULL, 0);
         struct amb_machine *machine = amb_machine_get(node, name, false);
         for (uint64_t k = 0; k < IMAGES; k++) {
             image_name(image, k);
@@ -31,10 +31,10 @@
         if (draw(3)) continue;
         char ref[AMB_NAME_SIZE];
         snprintf(ref, sizeof ref, "wk-%d", i);
-        struct amb_job *job = add_job(ref, AMB_JOB_KIND_ARRAY, 1);
+        struct amb_job *job = add_active_job(ref, AMB_JOB_KIND_ARRAY, 1);
         image_name(job->spec->image, draw(IMAGES));
         job->spec->image_gb = 10;
-        bound(job, 0, name, 1);
+        bind_task(job, 0, name, 1);
     }
 }
 
--- a/tests/placement_log/test_leader_writes.c
+++ b/tests/placement_log/test_leader_writes.c
@@ -4,7 +4,7 @@
 #include "user_fixture.h"
 
 static void accept_job(const char *ref, uint32_t tasks, uint64_t revision) {
-    struct amb_buf value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":%s}", GOOD);
+    struct amb_buf value = cbor_from_text("{\"s\":\"queued\",\"a\":1,\"d\":%s}", VALID_SUBMISSION);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
     amb_jobs_apply_item(node, ref, item, revision);
     cbor_decref(&item);
@@ -21,7 +21,7 @@
     node->election.role = AMB_ROLE_LEADER;
     node->settings.memory_mb = 3 * 40.0 * sizeof(struct amb_task) / (1024 * 1024); /* room for 40 tasks */
     static const char *const refs[] = {"wk-1", "wk-2", "wk-3", "wk-4"};
-    for (uint64_t i = 0; i < ROWS(refs); i++) accept_job(refs[i], 16, ACCEPTED + i);
+    for (uint64_t i = 0; i < ROWS(refs); i++) accept_job(refs[i], 16, ACCEPTED_REVISION + i);
     const bool taken[] = {true, true, false, false};
     for (size_t i = 0; i < ROWS(refs); i++) assert_int_equal(amb_job_find(node, refs[i])->active, taken[i]);
     amb_jobs_activate_unadmitted(node);
@@ -62,14 +62,14 @@
     store->write_bucket.tokens = 1.5;
     commit_ops(AMB_STORE_PRIORITY_FINAL_STATE, 2);
     commit_ops(AMB_STORE_PRIORITY_PLACEMENT, 1);
-    assert_int_equal(fake_calls_sent(COMMIT), 0);
+    assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 0);
     amb_store_get(store, "a/leader", AMB_STORE_PRIORITY_READ, NULL, NULL);
-    assert_int_equal(fake_calls_sent("/store/a/leader"), 1);
+    assert_int_equal(fake_count_sent_calls("/store/a/leader"), 1);
     commit_ops(AMB_STORE_PRIORITY_USER, 1);
-    assert_int_equal(fake_calls_sent(COMMIT), 1);
+    assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 1);
     store->write_bucket.tokens = 3;
     store->dispatch_timer.fn(store->dispatch_timer.arg);
-    assert_int_equal(fake_calls_sent(COMMIT), 3);
+    assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 3);
 }
 
 /* Reads of changes leave the last requests of a second to submissions. */
@@ -86,14 +86,14 @@
         {"one request", 1, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
+        fixture_reset();
         struct amb_store *store = &node->store;
         amb_token_bucket_set_rate(&store->request_bucket, 16);
         store->request_bucket.refilled_at = amb_now() + 3600000; /* no token comes */
         store->request_bucket.tokens = rows[i].tokens;
-        uint32_t before = fake_calls_sent("/follow");
+        uint32_t before = fake_count_sent_calls("/follow");
         amb_store_watch(store, "a/", 1, 0, NULL, NULL);
-        uint32_t sent = fake_calls_sent("/follow") - before;
+        uint32_t sent = fake_count_sent_calls("/follow") - before;
         if (sent != rows[i].reads_sent) fail_msg("%s: %u", rows[i].what, sent);
         if (!amb_store_can_write_for_user(store, 1, 0)) fail_msg("%s: a submission is refused", rows[i].what);
         store->request_bucket.tokens = 16;
@@ -118,7 +118,7 @@
         {"no more than a bucket is wanted", 400, 500, 0, 501, -100},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
+        fixture_reset();
         struct amb_store *store = &node->store;
         amb_token_bucket_set_rate(&store->write_bucket, 500);
         store->write_bucket.refilled_at = store->user_write_bucket.refilled_at =
@@ -127,7 +127,7 @@
         store->pending_user_writes = rows[i].pending;
         store->write_bucket.tokens = rows[i].own;
         if (rows[i].waiting) commit_ops(AMB_STORE_PRIORITY_PLACEMENT, rows[i].waiting);
-        assert_int_equal(fake_calls_sent(COMMIT), 0);
+        assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 0);
         double lends = amb_store_lend_tokens(store);
         if (lends != rows[i].lends) fail_msg("%s: %g", rows[i].what, lends);
         assert_float_equal(store->user_write_bucket.tokens, rows[i].users + lends, 1e-9);
@@ -143,32 +143,32 @@
 static void the_end_is_one_write(void **state) {
     (void)state;
     node->election.role = AMB_ROLE_LEADER;
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
-    job->revision = ACCEPTED;
-    job->blocks[0].revision = ACCEPTED + 1;
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+    job->revision = ACCEPTED_REVISION;
+    job->blocks[0].revision = ACCEPTED_REVISION + 1;
     for (uint32_t i = 0; i < 2; i++) amb_task_mark_done(node, &job->tasks[i]);
     job->blocks[0].dirty = false;
     amb_placement_log_flush(node);
-    struct fake_call *call = open_call(COMMIT);
+    struct fake_call *call = open_call(COMMIT_PATH);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
     assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(body, "then")), 1);
     assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(body, "guards")), 2);
     cbor_decref(&body);
-    answer_commit(200, CHANGED);
+    answer_commit(200, CHANGED_REVISION);
     assert_int_equal(job->state, AMB_JOB_DONE);
     assert_true(job->active);
     amb_placement_log_flush(node);
-    answer_commit(200, CHANGED + 1);
+    answer_commit(200, CHANGED_REVISION + 1);
     amb_placement_log_flush(node);
     assert_false(job->active);
-    assert_int_equal(fake_calls_sent(COMMIT), 2);
+    assert_int_equal(fake_count_sent_calls(COMMIT_PATH), 2);
     struct amb_buf empty = cbor_from_text("{}");
     cbor_item_t *item = amb_cbor_parse(empty.data, empty.len);
-    amb_placement_log_restore(node, "b/p/wk-1/00000", item, ACCEPTED + 1);
+    amb_placement_log_restore(node, "b/p/wk-1/00000", item, ACCEPTED_REVISION + 1);
     cbor_decref(&item);
     amb_buf_free(&empty);
-    assert_non_null(fake_call_open(COMMIT));
-    answer_commit(200, CHANGED + 2);
+    assert_non_null(fake_open_call(COMMIT_PATH));
+    answer_commit(200, CHANGED_REVISION + 2);
 }
 
 int main(void) {
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -8,7 +8,7 @@
 /* ---- comparisons ---- */
 
 static struct fake_call *begin_block_removal(void) {
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     job->revision = 20;
     job->blocks[0].revision = 33;
     job->state = AMB_JOB_CANCELLED;
@@ -17,7 +17,7 @@
 }
 
 static struct fake_call *begin_job_end(void) {
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     job->revision = 20;
     job->blocks[0].revision = 33;
     amb_task_mark_done(node, &job->tasks[0]);
@@ -26,7 +26,7 @@
 }
 
 static struct fake_call *begin_removal_after_end(void) {
-    answer_epoch(begin_job_end(), 61);
+    answer_committed(begin_job_end(), 61);
     fake_clock_advance(1000);
     amb_placement_log_flush(node);
     return open_call("POST", "/commit");
@@ -47,14 +47,14 @@
 
 static void leaders_writes_are_guarded(void **state) {
     (void)state;
-    static const uint64_t FREE = FAKE_NOT_GUARDED;
+    static const uint64_t FREE = FAKE_NOT_COMPARED;
     static const struct {
         const char *what;
         struct fake_call *(*begin)(void);
         uint64_t job, block; /* the stamps that it must be guarded with, beside the term */
         const char *puts, *removes;
     } rows[] = {
-        {"a block of placements", begin_block, 20, 33, BLOCK_KEY, NULL},
+        {"a block of placements", begin_block_write, 20, 33, BLOCK_KEY, NULL},
         {"a block removed", begin_block_removal, FREE, 33, NULL, BLOCK_KEY},
         {"a job's end", begin_job_end, 20, FREE, "a/job/wk-1", NULL},
         {"a block removed after the job's end", begin_removal_after_end, FREE, 33, NULL, BLOCK_KEY},
@@ -62,7 +62,7 @@
         {"a rental's record removed", begin_rental_removal, FREE, FREE, NULL, "b/r/r-50-1"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         struct fake_call *commit = rows[i].begin();
         if (!commit) fail_msg("%s: not written", rows[i].what);
         if (rows[i].puts && !fake_txn_put(commit, rows[i].puts, NULL)) fail_msg("%s: not put", rows[i].what);
@@ -96,8 +96,8 @@
         {"the job was cancelled meanwhile", MISSING, true, false, AMB_TASK_WAITING},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
-        struct fake_call *commit = begin_block();
+        fixture_reset();
+        struct fake_call *commit = begin_block_write();
         struct amb_job *job = amb_job_find(node, "wk-1");
         char id[AMB_NAME_SIZE];
         struct amb_buf first = {0};
@@ -143,7 +143,7 @@
         node->election.renewed_at = amb_now();
         if (find_call("GET", "/store?prefix=b/")) fail_msg("the records are read before the jobs");
     }
-    answer_news(read, 70, "wk-000001", AMB_JOB_QUEUED, 70);
+    answer_change_list(read, 70, "wk-000001", AMB_JOB_QUEUED, 70);
     fake_clock_advance(1500);
     assert_non_null(find_call("GET", "/store?prefix=b/"));
 }
@@ -151,22 +151,22 @@
 /* Its write may have to be sent again, and would find the job over and its block removed. */
 static void jobs_end_after_their_blocks(void **state) {
     (void)state;
-    struct fake_call *block = begin_block();
+    struct fake_call *block = begin_block_write();
     struct amb_job *job = amb_job_find(node, "wk-1");
     amb_task_mark_done(node, &job->tasks[0]);
     amb_task_unbind(node, &job->tasks[0], "done");
     amb_placement_log_flush(node);
-    if (fake_calls_open("POST", "/commit") != 1) fail_msg("the job ends while its block is being written");
-    answer_epoch(block, 61);
+    if (fake_count_open_calls("POST", "/commit") != 1) fail_msg("the job ends while its block is being written");
+    answer_committed(block, 61);
     fake_clock_advance(1000);
     amb_placement_log_flush(node);
     struct fake_call *ended = open_call("POST", "/commit");
     assert_non_null(fake_txn_put(ended, "a/job/wk-1", NULL));
     assert_false(fake_txn_removes(ended, BLOCK_KEY));
     amb_placement_log_flush(node);
-    if (fake_calls_open("POST", "/commit") != 1)
+    if (fake_count_open_calls("POST", "/commit") != 1)
         fail_msg("a block is removed before its job's end is on record");
-    answer_epoch(ended, 62);
+    answer_committed(ended, 62);
     fake_clock_advance(1000);
     amb_placement_log_flush(node);
     struct fake_call *removal = open_call("POST", "/commit");
@@ -181,13 +181,13 @@
 static void records_are_read_back(void **state) {
     (void)state;
     uint32_t tasks_per_block = amb_placement_blocks_first_format_size(&node->settings);
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, tasks_per_block + 10);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, tasks_per_block + 10);
     assert_int_equal(job->block_count, 2);
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     for (uint32_t i = 0; i < tasks_per_block; i++) {
         char name[16];
         snprintf(name, sizeof name, "m-%06u", i);
-        bound(job, i, name, 100000 + i);
+        bind_task(job, i, name, 100000 + i);
         job->tasks[i].machine->type_index = 0;
         job->tasks[i].machine->zone_index = 0;
     }
@@ -227,7 +227,7 @@
     static const char *const texts[] = {
         "",      ";", "0", "0,1", "0,1,m-1,0,0", "9999,1,m-1,0,0,0;", "-1,1,m,0,0,0;", "0,1,m-1,99,99,0;",
         "x,y,z;"};
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
     for (size_t i = 0; i < ROWS(texts); i++) {
         struct amb_buf buffer = {0};
         amb_cbor_write_map(&buffer, 2);
@@ -247,12 +247,12 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(leaders_writes_are_guarded, begin, end),
-        cmocka_unit_test_setup_teardown(placements_without_answer, begin, end),
-        cmocka_unit_test_setup_teardown(records_are_read_after_the_jobs, begin, end),
-        cmocka_unit_test_setup_teardown(jobs_end_after_their_blocks, begin, end),
-        cmocka_unit_test_setup_teardown(records_are_read_back, setup, end),
-        cmocka_unit_test_setup_teardown(damaged_records_do_no_harm, setup, end),
+        cmocka_unit_test_setup_teardown(leaders_writes_are_guarded, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(placements_without_answer, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(records_are_read_after_the_jobs, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(jobs_end_after_their_blocks, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(records_are_read_back, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(damaged_records_do_no_harm, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -48,7 +48,7 @@
     amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
     if (fake_store_value(FORMAT_KEY)) amb_format_apply_key(node, fake_store_value(FORMAT_KEY));
-    job = add_job("wk-1", AMB_JOB_KIND_ARRAY, TASKS);
+    job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, TASKS);
     job->revision = fake_store_revision(JOB_KEY);
     fake_store_load_records(node);
 }
@@ -59,7 +59,7 @@
     do {
         while (fake_store_serve(fate)) continue;
         fake_clock_advance(2000); /* what waits for tokens is sent */
-    } while (fake_call_open(""));
+    } while (fake_open_call(""));
     fake_clock_reset();
     fake_http_reset();
     node->election.role = AMB_ROLE_LEADER; /* as the fixture takes it down */
@@ -229,7 +229,7 @@
         begin_phase(day, phase);
         for (int turn = 0; turn < TURNS; turn++) {
             flush();
-            while (fake_call_open("/")) {
+            while (fake_open_call("/")) {
                 if (served == stop) return served;
                 fake_store_serve(fate_of(served, fault));
                 served++;
@@ -471,7 +471,7 @@
         } else {
             amb_store_get(&node->store, "a/x", rows[i].urgency, count_answer, &status);
         }
-        struct fake_call *call = fake_call_open("/");
+        struct fake_call *call = fake_open_call("/");
         assert_non_null(call);
         fake_answer(call, rows[i].status, NULL);
         if (status != rows[i].status) fail_msg("%s: told %d", rows[i].what, status);
@@ -540,7 +540,7 @@
     assert_true(moved > 61);
     place(161, 163, 0);
     flush();
-    struct fake_call *commit = fake_call_open("/commit");
+    struct fake_call *commit = fake_open_call("/commit");
     assert_non_null(commit);
     assert_non_null(fake_txn_put(commit, "b/p/wk-1/00000", NULL));
     stop_leader(FAKE_REQUEST_LOST);
