--- a/tests/scenarios/test_meetings_cancel.c
+++ b/tests/scenarios/test_fault_combinations_cancel.c
@@ -13,15 +13,16 @@
 
 static void must_order_nothing_late(const char *what, uint64_t seed, const struct sim_fault *faults,
                                     size_t count) {
-    struct sim_result result = sim_play(&(struct sim_plan){
+    struct sim_result result = sim_run(&(struct sim_scenario){
         .size = &many_jobs, .seed = seed, .length = DAY, .faults = faults, .fault_count = count});
-    if (result.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.broken);
-    if (result.orders_after_cancel)
+    if (result.violation[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.violation);
+    if (result.commands_after_cancel)
         fail_msg("%s, seed %llu: %u starts ordered after a confirmed cancellation, the latest %lld ms", what,
-                 (unsigned long long)seed, result.orders_after_cancel, (long long)result.latest_order);
-    if (result.accepted < 55 || result.done < 4 || result.cancelled < 20 || result.open)
+                 (unsigned long long)seed, result.commands_after_cancel,
+                 (long long)result.latest_command_after_cancel_ms);
+    if (result.accepted < 55 || result.done < 4 || result.cancelled < 20 || result.open_jobs)
         fail_msg("%s, seed %llu: %u accepted, %u done, %u cancelled, %u left open", what,
-                 (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.open);
+                 (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.open_jobs);
 }
 
 /* Rows 13 and 16: users ask everywhere and cancel, while the leader's news are lost or slow. */
@@ -32,15 +33,15 @@
         enum sim_fault_kind kind;
         uint64_t seed;
     } rows[] = {
-        {"answers of the state service are lost", SIM_LOSE_ANSWERS, 16},
-        {"answers of the state service are lost", SIM_LOSE_ANSWERS, 24},
-        {"answers of the state service are lost", SIM_LOSE_ANSWERS, 54},
-        {"the state service is slow", SIM_SLOW_STATE, 14},
-        {"the state service is slow", SIM_SLOW_STATE, 39},
+        {"answers of the state service are lost", SIM_LOSE_RESPONSES, 16},
+        {"answers of the state service are lost", SIM_LOSE_RESPONSES, 24},
+        {"answers of the state service are lost", SIM_LOSE_RESPONSES, 54},
+        {"the state service is slow", SIM_SLOW_STORE, 14},
+        {"the state service is slow", SIM_SLOW_STORE, 39},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        const struct sim_fault faults[] = {{SIM_CLOSE_LOOKS, 2000, 150000, -1},
-                                           {SIM_ODD_REQUESTS, 2000, 150000, -1},
+        const struct sim_fault faults[] = {{SIM_POLL_BURST, 2000, 150000, -1},
+                                           {SIM_INVALID_REQUESTS, 2000, 150000, -1},
                                            {rows[i].kind, 20000, 60000, -1}};
         must_order_nothing_late(rows[i].what, rows[i].seed, faults, ROWS(faults));
     }
@@ -58,24 +59,25 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         const amb_ms cut = rows[i].cut_at;
         const struct sim_fault faults[] = {
-            {SIM_CLOSE_LOOKS, 2000, 150000, -1},
-            {SIM_ODD_REQUESTS, 2000, 150000, -1},
+            {SIM_POLL_BURST, 2000, 150000, -1},
+            {SIM_INVALID_REQUESTS, 2000, 150000, -1},
             {SIM_KILL, 40000, 1, -1},
-            {SIM_CUT_BUT_WORKERS, cut, 15000, -1},
-            {SIM_CANCEL_NOW, cut + 200, 1, 12},
-            {SIM_CANCEL_NOW, cut + 1200, 1, 12},
-            {SIM_CANCEL_NOW, cut + 2100, 1, 12},
+            {SIM_CUT_ALL_BUT_AGENTS, cut, 15000, -1},
+            {SIM_CANCEL_BURST, cut + 200, 1, 12},
+            {SIM_CANCEL_BURST, cut + 1200, 1, 12},
+            {SIM_CANCEL_BURST, cut + 2100, 1, 12},
         };
-        struct sim_result result = sim_play(&(struct sim_plan){.size = &many_jobs,
-                                                               .seed = rows[i].seed,
-                                                               .length = SHORT_DAY,
-                                                               .faults = faults,
-                                                               .fault_count = ROWS(faults)});
-        if (result.broken[0]) fail_msg("seed %llu: %s", (unsigned long long)rows[i].seed, result.broken);
-        if (result.orders_after_cancel)
+        struct sim_result result = sim_run(&(struct sim_scenario){.size = &many_jobs,
+                                                                  .seed = rows[i].seed,
+                                                                  .length = SHORT_DAY,
+                                                                  .faults = faults,
+                                                                  .fault_count = ROWS(faults)});
+        if (result.violation[0])
+            fail_msg("seed %llu: %s", (unsigned long long)rows[i].seed, result.violation);
+        if (result.commands_after_cancel)
             fail_msg("seed %llu: %u starts ordered after a confirmed cancellation, the latest %lld ms",
-                     (unsigned long long)rows[i].seed, result.orders_after_cancel,
-                     (long long)result.latest_order);
+                     (unsigned long long)rows[i].seed, result.commands_after_cancel,
+                     (long long)result.latest_command_after_cancel_ms);
         if (result.cancelled < 10)
             fail_msg("seed %llu: %u cancelled", (unsigned long long)rows[i].seed, result.cancelled);
     }
@@ -91,20 +93,20 @@
     uint32_t cancelled = 0;
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct sim_fault faults[] = {
-            {SIM_REFUSE_STATE, 40000, 50000, -1},
-            {SIM_CUT_STATE, 40000, 50000, rows[i].vouches},
+            {SIM_STORE_REFUSES_NODE, 40000, 50000, -1},
+            {SIM_CUT_STORE, 40000, 50000, rows[i].vouches},
             {SIM_CUT_PEERS, 40000, 50000, rows[i].confirms},
-            {SIM_CANCEL_NOW, 40300, 1, 12},
-            {SIM_OUTAGE, 42200, 45000, -1},
+            {SIM_CANCEL_BURST, 40300, 1, 12},
+            {SIM_STORE_OUTAGE, 42200, 45000, -1},
         };
         for (uint64_t seed = 1; seed <= 8; seed++) {
-            struct sim_result result = sim_play(&(struct sim_plan){.size = &sim_small,
-                                                                   .seed = seed,
-                                                                   .length = DAY,
-                                                                   .faults = faults,
-                                                                   .fault_count = ROWS(faults)});
-            if (result.broken[0])
-                fail_msg("row %zu, seed %llu: %s", i, (unsigned long long)seed, result.broken);
+            struct sim_result result = sim_run(&(struct sim_scenario){.size = &sim_small,
+                                                                      .seed = seed,
+                                                                      .length = DAY,
+                                                                      .faults = faults,
+                                                                      .fault_count = ROWS(faults)});
+            if (result.violation[0])
+                fail_msg("row %zu, seed %llu: %s", i, (unsigned long long)seed, result.violation);
             cancelled += result.cancelled;
         }
     }
--- a/tests/scenarios/test_meetings_users.c
+++ b/tests/scenarios/test_fault_combinations_users.c
@@ -25,7 +25,7 @@
 static void must_hold(const char *what, const struct setting *setting, const struct sim_fault *faults,
                       size_t count) {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        struct sim_result result = sim_play(&(struct sim_plan){
+        struct sim_result result = sim_run(&(struct sim_scenario){
             .size = setting->size,
             .seed = seed,
             .length = DAY,
@@ -38,16 +38,18 @@
                    "cancellations %u "
                    "orders, the latest %lld ms, and %u starts\n",
                    what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
-                   result.refused, result.orders_after_cancel, (long long)result.latest_order,
-                   result.starts_after_cancel);
-        if (result.orders_after_cancel)
+                   result.refused, result.commands_after_cancel,
+                   (long long)result.latest_command_after_cancel_ms, result.starts_after_cancel);
+        if (result.commands_after_cancel)
             fail_msg("%s, seed %llu: %u starts ordered after a confirmed cancellation", what,
-                     (unsigned long long)seed, result.orders_after_cancel);
-        if (result.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.broken);
+                     (unsigned long long)seed, result.commands_after_cancel);
+        if (result.violation[0])
+            fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.violation);
         if (result.accepted < setting->accepted || result.done < setting->done ||
-            result.cancelled < setting->cancelled || result.open)
+            result.cancelled < setting->cancelled || result.open_jobs)
             fail_msg("%s, seed %llu: %u accepted, %u done, %u cancelled, %u left open", what,
-                     (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.open);
+                     (unsigned long long)seed, result.accepted, result.done, result.cancelled,
+                     result.open_jobs);
     }
 }
 
@@ -60,20 +62,20 @@
         amb_ms lasts;
     } rows[] = {
         {"the leader ends", SIM_KILL, 1},
-        {"the leader ends and is back within a second", SIM_KILL_BRIEF, 1},
-        {"the leader is cut off but for its workers", SIM_CUT_BUT_WORKERS, 15000},
-        {"the state service refuses the leader", SIM_REFUSE_STATE, 15000},
+        {"the leader ends and is back within a second", SIM_RESTART, 1},
+        {"the leader is cut off but for its workers", SIM_CUT_ALL_BUT_AGENTS, 15000},
+        {"the state service refuses the leader", SIM_STORE_REFUSES_NODE, 15000},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct sim_fault faults[] = {
             {rows[i].leader, 40000, rows[i].lasts, -1},
-            {SIM_CANCEL_NOW, 40000, 1, 3},
-            {SIM_CANCEL_NOW, 41500, 1, 3},
-            {SIM_CANCEL_NOW, 43500, 10000, 3},
+            {SIM_CANCEL_BURST, 40000, 1, 3},
+            {SIM_CANCEL_BURST, 41500, 1, 3},
+            {SIM_CANCEL_BURST, 43500, 10000, 3},
             {rows[i].leader, 90000, rows[i].lasts, -1},
-            {SIM_CANCEL_NOW, 90000, 1, 3},
-            {SIM_CANCEL_NOW, 93000, 1, 3},
-            {SIM_CANCEL_NOW, 94500, 1, 3},
+            {SIM_CANCEL_BURST, 90000, 1, 3},
+            {SIM_CANCEL_BURST, 93000, 1, 3},
+            {SIM_CANCEL_BURST, 94500, 1, 3},
         };
         must_hold(rows[i].what, &(struct setting){&many_jobs, 0, 55, 10, 20}, faults, ROWS(faults));
     }
@@ -83,8 +85,8 @@
 static void cancelled_at_the_end(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
-        {SIM_CANCEL_AT_END, 5000, 150000, 60},
-        {SIM_CLOSE_LOOKS, 5000, 150000, -1},
+        {SIM_CANCEL_AT_COMPLETION, 5000, 150000, 60},
+        {SIM_POLL_BURST, 5000, 150000, -1},
     };
     must_hold("no other trouble", &(struct setting){&many_jobs, 0, 55, 4, 20}, faults, ROWS(faults));
 }
@@ -96,16 +98,16 @@
         const char *what;
         struct sim_fault fault;
     } rows[] = {
-        {"no other trouble", {SIM_CLOSE_LOOKS, 0, 1, -1}},
-        {"answers of the state service are lost", {SIM_LOSE_ANSWERS, 20000, 60000, -1}},
-        {"the state service is slow", {SIM_SLOW_STATE, 20000, 60000, -1}},
+        {"no other trouble", {SIM_POLL_BURST, 0, 1, -1}},
+        {"answers of the state service are lost", {SIM_LOSE_RESPONSES, 20000, 60000, -1}},
+        {"the state service is slow", {SIM_SLOW_STORE, 20000, 60000, -1}},
         {"the leader ends", {SIM_KILL, 40000, 1, -1}},
-        {"the state service refuses the leader", {SIM_REFUSE_STATE, 30000, 30000, -1}},
+        {"the state service refuses the leader", {SIM_STORE_REFUSES_NODE, 30000, 30000, -1}},
         {"a node is cut off from the other nodes", {SIM_CUT_PEERS, 20000, 80000, 1}},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct sim_fault faults[] = {
-            {SIM_CLOSE_LOOKS, 2000, 150000, -1}, {SIM_ODD_REQUESTS, 2000, 150000, -1}, rows[i].fault};
+            {SIM_POLL_BURST, 2000, 150000, -1}, {SIM_INVALID_REQUESTS, 2000, 150000, -1}, rows[i].fault};
         must_hold(rows[i].what, &(struct setting){&many_jobs, 0, 55, 4, 20}, faults, ROWS(faults));
     }
 }
@@ -115,9 +117,11 @@
 static void only_the_answer_is_lost(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
-        {SIM_LOST_WRITES, 2000, 120000, 40},   {SIM_CLOSE_LOOKS, 2000, 150000, -1},
-        {SIM_CANCEL_NOW, 45000, 1, 4},         {SIM_KILL, 60000, 1, -1},
-        {SIM_CANCEL_AT_END, 70000, 60000, 50},
+        {SIM_UNANSWERED_WRITES, 2000, 120000, 40},
+        {SIM_POLL_BURST, 2000, 150000, -1},
+        {SIM_CANCEL_BURST, 45000, 1, 4},
+        {SIM_KILL, 60000, 1, -1},
+        {SIM_CANCEL_AT_COMPLETION, 70000, 60000, 50},
     };
     must_hold("lost answers", &(struct setting){&many_jobs, 0, 55, 4, 20}, faults, ROWS(faults));
 }
@@ -126,9 +130,11 @@
 static void carried_out_late(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
-        {SIM_LATE_WRITES, 2000, 120000, 40},   {SIM_CLOSE_LOOKS, 2000, 150000, -1},
-        {SIM_CANCEL_NOW, 45000, 1, 4},         {SIM_KILL, 60000, 1, -1},
-        {SIM_CANCEL_AT_END, 70000, 60000, 50},
+        {SIM_LATE_WRITES, 2000, 120000, 40},
+        {SIM_POLL_BURST, 2000, 150000, -1},
+        {SIM_CANCEL_BURST, 45000, 1, 4},
+        {SIM_KILL, 60000, 1, -1},
+        {SIM_CANCEL_AT_COMPLETION, 70000, 60000, 50},
     };
     must_hold("late transactions", &(struct setting){&many_jobs, 0, 55, 4, 20}, faults, ROWS(faults));
 }
@@ -138,15 +144,15 @@
     (void)state;
     const struct sim_fault faults[] = {
         {SIM_KILL, 25000, 1, -1},
-        {SIM_KILL_BRIEF, 37000, 1, -1},
+        {SIM_RESTART, 37000, 1, -1},
         {SIM_LATE_WRITES, 35000, 30000, -1},
-        {SIM_CUT_BUT_WORKERS, 50000, 15000, -1},
-        {SIM_OUTAGE, 70000, 12000, -1},
+        {SIM_CUT_ALL_BUT_AGENTS, 50000, 15000, -1},
+        {SIM_STORE_OUTAGE, 70000, 12000, -1},
         {SIM_KILL, 75000, 1, -1},
-        {SIM_KILL_BRIEF, 95000, 1, -1},
-        {SIM_CLOSE_LOOKS, 60000, 60000, -1},
+        {SIM_RESTART, 95000, 1, -1},
+        {SIM_POLL_BURST, 60000, 60000, -1},
     };
-    must_hold("changes of leader", &(struct setting){&few_jobs, SIM_LOAD_UNEVEN, 30, 10, 5}, faults,
+    must_hold("changes of leader", &(struct setting){&few_jobs, SIM_LOAD_UNEVEN_TASKS, 30, 10, 5}, faults,
               ROWS(faults));
 }
 
@@ -154,9 +160,9 @@
 static void one_task_jobs(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
-        {SIM_CLOSE_LOOKS, 20000, 20000, -1}, {SIM_KILL, 30000, 1, -1},
-        {SIM_LOST_WRITES, 45000, 15000, -1}, {SIM_CANCEL_NOW, 50000, 1, 8},
-        {SIM_OUTAGE, 65000, 8000, -1},       {SIM_CANCEL_AT_END, 75000, 30000, 50},
+        {SIM_POLL_BURST, 20000, 20000, -1},        {SIM_KILL, 30000, 1, -1},
+        {SIM_UNANSWERED_WRITES, 45000, 15000, -1}, {SIM_CANCEL_BURST, 50000, 1, 8},
+        {SIM_STORE_OUTAGE, 65000, 8000, -1},       {SIM_CANCEL_AT_COMPLETION, 75000, 30000, 50},
     };
     must_hold("a stream", &(struct setting){&few_jobs, SIM_LOAD_STREAM, 300, 60, 60}, faults, ROWS(faults));
 }
--- a/tests/scenarios/test_large_fleet.c
+++ b/tests/scenarios/test_large_fleet.c
@@ -13,18 +13,18 @@
     (void)state;
     static const struct sim_fault faults[] = {
         {SIM_QUICK_BOOTS, 0, DAY_MS, -1}, {SIM_LATE_RETURNS, 8000, 20000, 30},
-        {SIM_KILL, 14000, 1, -1},         {SIM_OUTAGE, 20000, 5000, -1},
+        {SIM_KILL, 14000, 1, -1},         {SIM_STORE_OUTAGE, 20000, 5000, -1},
         {SIM_LOSE_ZONE, 29000, 1, -1},    {SIM_KILL, 33000, 1, 0},
         {SIM_KILL, 33000, 1, 1},          {SIM_KILL, 33000, 1, 2},
         {SIM_KILL, 33000, 1, 3},          {SIM_KILL, 33000, 1, 4},
         {SIM_KILL, 33000, 1, 5},          {SIM_KILL, 33000, 1, 6}};
-    const struct sim_plan plan = {
+    const struct sim_scenario plan = {
         .size = &crowded, .seed = 3, .length = DAY_MS, .faults = faults, .fault_count = ROWS(faults)};
-    struct sim_result result = sim_play_large(&plan, MEMORY_MB, OVERTIME_MS);
-    if (result.broken[0]) fail_msg("%s", result.broken);
-    if (result.machines_most < MACHINES || result.done < 1000 || result.starts < 20000 || result.open)
-        fail_msg("%d machines at most, %u done, %u starts, %u left open", result.machines_most, result.done,
-                 result.starts, result.open);
+    struct sim_result result = sim_run_large(&plan, MEMORY_MB, OVERTIME_MS);
+    if (result.violation[0]) fail_msg("%s", result.violation);
+    if (result.peak_machines < MACHINES || result.done < 1000 || result.starts < 20000 || result.open_jobs)
+        fail_msg("%d machines at most, %u done, %u starts, %u left open", result.peak_machines, result.done,
+                 result.starts, result.open_jobs);
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_late_returns.c
+++ b/tests/scenarios/test_late_returns.c
@@ -1,22 +1,23 @@
 /* Days on which calls that return machines reach the cloud late, under a later leader: none may hit a machine
  * that has been given work since (docs/safety.md, Rentals). */
 #include "named_tests.h"
-#include "small_day.h"
+#include "small_scenario.h"
 
 enum { LAST_SEED = 12 };
 
 static void play(const char *what, unsigned load, const struct sim_fault *faults, size_t count) {
     uint32_t late = 0;
     for (uint64_t seed = 1; seed <= LAST_SEED; seed++) {
-        const struct sim_plan plan = {.size = &sim_small,
-                                      .seed = seed,
-                                      .length = SMALL_DAY_MS,
-                                      .load = load,
-                                      .faults = faults,
-                                      .fault_count = count};
-        struct sim_result result = sim_play(&plan);
-        if (result.broken[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.broken);
-        late += result.late_returns;
+        const struct sim_scenario plan = {.size = &sim_small,
+                                          .seed = seed,
+                                          .length = SMALL_SCENARIO_MS,
+                                          .load = load,
+                                          .faults = faults,
+                                          .fault_count = count};
+        struct sim_result result = sim_run(&plan);
+        if (result.violation[0])
+            fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.violation);
+        late += result.late_return_calls;
     }
     if (late < LAST_SEED) fail_msg("%s: only %u calls came late", what, late);
 }
@@ -42,7 +43,7 @@
 
 static void leaders_are_refused(void **state) {
     (void)state;
-    play_ends_of_leaders("refused", SIM_LOAD_STREAM, SIM_REFUSE_STATE, 8000);
+    play_ends_of_leaders("refused", SIM_LOAD_STREAM, SIM_STORE_REFUSES_NODE, 8000);
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_production_form.c
+++ b/tests/scenarios/test_production_format.c
@@ -200,7 +200,7 @@
     char ref[AMB_NAME_SIZE];
     assert_int_equal(sscanf(key_of(sample), "b/p/%63[^/]/", ref), 1);
     know_types_and_zones();
-    add_job(ref, AMB_JOB_KIND_ARRAY, JOB_TASKS);
+    add_active_job(ref, AMB_JOB_KIND_ARRAY, JOB_TASKS);
     cbor_item_t *value = value_of(sample);
     amb_placement_log_restore(node, key_of(sample), value, 50);
     check_block(key_of(sample), json_object_get(sample, "value"));
@@ -262,7 +262,7 @@
 
 static void deputy_keys(void **state) {
     (void)state;
-    json_t *list = load_samples(SIM_DEPUTY_KEYS), *sample;
+    json_t *list = load_samples(SIM_LEASE_PROXY_KEYS), *sample;
     size_t i;
     know_types_and_zones();
     json_array_foreach(list, i, sample) {
@@ -281,7 +281,7 @@
     struct amb_peer *peer = &node->peers.list[0];
     node->peers.count = 1;
     node->election.role = AMB_ROLE_FOLLOWER;
-    for (int kind = SIM_HEARTBEATS; kind <= SIM_HEARTBEAT_ANSWERS; kind++) {
+    for (int kind = SIM_HEARTBEATS; kind <= SIM_HEARTBEAT_REPLIES; kind++) {
         json_t *list = load_samples((enum sim_sample_kind)kind), *said, *row;
         size_t i, k;
         json_array_foreach(list, i, said) {
@@ -361,7 +361,7 @@
     size_t i;
     json_array_foreach(list, i, sample) {
         if (strcmp(variant_of(sample), variant)) continue;
-        json_t *form = sim_form(sample), *needed = needed_of(form);
+        json_t *form = sim_sample_form(sample), *needed = needed_of(form);
         unite(known.may, form);
         if (known.must)
             keep_common(known.must, needed);
@@ -374,7 +374,8 @@
 }
 
 static void check_form(const char *kind, const struct known_form *known, const json_t *sample) {
-    json_t *plain = without_new_fields(sample), *form = sim_form(plain), *has = needed_of(form), *unused;
+    json_t *plain = without_new_fields(sample), *form = sim_sample_form(plain), *has = needed_of(form),
+           *unused;
     const char *key;
     if (!known->must) fail_msg("%s: the production version writes none like %s", kind, json_dumps(sample, 0));
     json_object_foreach(form, key, unused) if (!json_object_get(known->may, key))
@@ -406,24 +407,24 @@
     static const struct sim_fault faults[] = {
         {SIM_UPGRADE, 5000, NEVER_MS, 2},
         {SIM_KILL, 18000, 1, 2}, /* the old node, which comes back old: a new one leads */
-        {SIM_KILL_BRIEF, 45000, 1, -1},
-        {SIM_ZONES_APART, 60000, 25000, -1},
-        {SIM_HANG, 50000, 15000, -1},
+        {SIM_RESTART, 45000, 1, -1},
+        {SIM_ZONE_PARTITION, 60000, 25000, -1},
+        {SIM_MACHINE_HANG, 50000, 15000, -1},
     };
-    if (!sim_production_at_hand()) fail_msg("the production version is not in the repository's history");
-    sim_record(false);
+    if (!sim_is_production_available()) fail_msg("the production version is not in the repository's history");
+    sim_recorder_start(false);
     for (uint64_t seed = 1; seed <= 3; seed++) {
-        struct sim_result result = sim_play(&(struct sim_plan){
+        struct sim_result result = sim_run(&(struct sim_scenario){
             .size = &size,
             .seed = seed,
             .length = 160000,
-            .load = SIM_LOAD_ALL_FIELDS | SIM_LOAD_ZONE_BOUND | SIM_LOAD_CROWDED,
+            .load = SIM_LOAD_ALL_FIELDS | SIM_LOAD_ZONE_BOUND | SIM_LOAD_OVERLOAD,
             .faults = faults,
             .fault_count = ROWS(faults),
         });
-        if (result.broken[0]) fail_msg("seed %llu: %s", (unsigned long long)seed, result.broken);
+        if (result.violation[0]) fail_msg("seed %llu: %s", (unsigned long long)seed, result.violation);
     }
-    sim_record_stop();
+    sim_recorder_stop();
     for (int kind = 0; kind < SIM_OTHER_RECORDS; kind++) check_kind((enum sim_sample_kind)kind);
     if (json_array_size(sim_samples(SIM_OTHER_RECORDS)))
         fail_msg("a record of a kind that the production version does not know: %s",
--- a/tests/scenarios/test_small_memory.c
+++ b/tests/scenarios/test_small_memory.c
@@ -14,15 +14,15 @@
 static const struct sim_size size = {3, 40, 20, 6, 3, 1000, 10000, 30000, 2000, 400, 6};
 
 static struct sim_result play(uint64_t seed, double memory_mb, const struct sim_fault *faults, size_t count) {
-    const struct sim_plan plan = {&size, seed, DAY, SIM_LOAD_FLOOD, faults, count};
-    struct sim_result result = sim_play_with_memory(&plan, memory_mb);
+    const struct sim_scenario plan = {&size, seed, DAY, SIM_LOAD_FLOOD, faults, count};
+    struct sim_result result = sim_run_with_memory(&plan, memory_mb);
     if (getenv("SIM_TRACE"))
         printf(
             "seed %llu, %g MB: %u accepted, %u done, %u left open, %u refused for memory, table %zu bytes\n",
-            (unsigned long long)seed, memory_mb, result.accepted, result.done, result.open,
-            result.refused_for_memory, result.job_table_most);
-    if (result.broken[0])
-        fail_msg("seed %llu, %g MB: %s", (unsigned long long)seed, memory_mb, result.broken);
+            (unsigned long long)seed, memory_mb, result.accepted, result.done, result.open_jobs,
+            result.refused_for_memory, result.peak_job_table_bytes);
+    if (result.violation[0])
+        fail_msg("seed %llu, %g MB: %s", (unsigned long long)seed, memory_mb, result.violation);
     return result;
 }
 
@@ -32,18 +32,18 @@
     const struct amb_settings small = {.memory_mb = QUARTER_OF_LEAN_MB};
     struct sim_result result = play(1, AMPLE_MB, NULL, 0);
     assert_int_equal(result.refused_for_memory, 0);
-    assert_true(result.job_table_most > amb_memory_job_table_bytes(&small));
+    assert_true(result.peak_job_table_bytes > amb_memory_job_table_bytes(&small));
     assert_true(result.accepted > FLOOD_JOBS);
-    assert_int_equal(result.open, 0);
+    assert_int_equal(result.open_jobs, 0);
 }
 
 static void must_refuse_and_lose_nothing(uint64_t seed, const struct sim_fault *faults, size_t count) {
     struct sim_result result = play(seed, QUARTER_OF_LEAN_MB, faults, count);
     if (result.refused_for_memory < 100 || result.accepted <= FLOOD_JOBS || result.done < FLOOD_JOBS ||
-        result.open)
+        result.open_jobs)
         fail_msg("seed %llu: %u refused for memory, %u accepted, %u done, %u left open",
                  (unsigned long long)seed, result.refused_for_memory, result.accepted, result.done,
-                 result.open);
+                 result.open_jobs);
 }
 
 static void full_tables_refuse_submissions(void **state) {
@@ -60,7 +60,7 @@
 
 static void outage_while_tables_are_full(void **state) {
     (void)state;
-    static const struct sim_fault faults[] = {{SIM_OUTAGE, 30000, 12000, -1}};
+    static const struct sim_fault faults[] = {{SIM_STORE_OUTAGE, 30000, 12000, -1}};
     must_refuse_and_lose_nothing(4, faults, ROWS(faults));
 }
 
--- a/tests/scenarios/test_standin.c
+++ b/tests/scenarios/test_standin.c
@@ -1,11 +1,11 @@
 /* Whole days against the stand-in: one trouble at a time, then several drawn at once. Every rule must hold at
  * every moment, and once the troubles are over all that was accepted must get done. */
 #include "named_tests.h"
-#include "small_day.h"
+#include "small_scenario.h"
 
 #include "amberpin/base/log.h"
 
-enum { DAY = 240000, DRAWN_KINDS = SIM_ZONES_APART + 1 };
+enum { DAY = 240000, DRAWN_KINDS = SIM_ZONE_PARTITION + 1 };
 
 static const char *const names[] = {
     "kill",
@@ -52,17 +52,17 @@
     "no boots",
     "questions",
 };
-_Static_assert(ROWS(names) == SIM_FAULTS, "a name for each kind of fault");
+_Static_assert(ROWS(names) == SIM_FAULT_KINDS, "a name for each kind of fault");
 
 /* Answers that would say nothing wait for orders, but never so long that a worker would report later. */
 static void days_without_faults(void **state) {
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        struct sim_result result = must_hold("quiet", seed, NULL, 0);
-        if (result.kept_most > 500 || result.kept_starts * 5 < result.ordered)
+        struct sim_result result = run_small_scenario("quiet", seed, NULL, 0);
+        if (result.longest_long_poll_ms > 500 || result.long_poll_starts * 5 < result.start_commands)
             fail_msg("seed %llu: an answer took %lld ms; %u of %u orders in kept answers",
-                     (unsigned long long)seed, (long long)result.kept_most, result.kept_starts,
-                     result.ordered);
+                     (unsigned long long)seed, (long long)result.longest_long_poll_ms,
+                     result.long_poll_starts, result.start_commands);
     }
 }
 
@@ -72,7 +72,7 @@
             const struct sim_fault faults[] = {
                 {(enum sim_fault_kind)kind, 25000, 20000 + 9000 * (amb_ms)seed, -1},
                 {(enum sim_fault_kind)kind, 80000, 25000, -1}};
-            must_hold(names[kind], seed, faults, ROWS(faults));
+            run_small_scenario(names[kind], seed, faults, ROWS(faults));
         }
 }
 
@@ -83,38 +83,39 @@
 
 static void peer_network_faults(void **state) {
     (void)state;
-    single_troubles(SIM_CUT_PEERS, SIM_HANG);
+    single_troubles(SIM_CUT_PEERS, SIM_MACHINE_HANG);
 }
 
 static void machine_faults(void **state) {
     (void)state;
-    single_troubles(SIM_HANG, SIM_LOSE_ANSWERS);
+    single_troubles(SIM_MACHINE_HANG, SIM_LOSE_RESPONSES);
 }
 
 static void platform_service_faults(void **state) {
     (void)state;
-    single_troubles(SIM_LOSE_ANSWERS, SIM_MUTE);
+    single_troubles(SIM_LOSE_RESPONSES, SIM_LOSE_HEARTBEATS);
 }
 
 static void message_faults(void **state) {
     (void)state;
-    single_troubles(SIM_MUTE, SIM_QUICK_BOOTS);
+    single_troubles(SIM_LOSE_HEARTBEATS, SIM_QUICK_BOOTS);
 }
 
 static void timing_faults(void **state) {
     (void)state;
-    single_troubles(SIM_QUICK_BOOTS, SIM_CANCEL_NOW);
+    single_troubles(SIM_QUICK_BOOTS, SIM_CANCEL_BURST);
 }
 
 static void user_faults(void **state) {
     (void)state;
-    single_troubles(SIM_CANCEL_NOW, SIM_LOWER_LIMITS); /* that lasts: tests/scenarios/test_upgrade.c */
+    single_troubles(SIM_CANCEL_BURST,
+                    SIM_LOWER_STORE_LIMITS); /* that lasts: tests/scenarios/test_upgrade.c */
 }
 
 static void unfit_jobs_are_refused(void **state) {
     (void)state;
-    const struct sim_fault faults[] = {{SIM_ODD_REQUESTS, 15000, 60000, -1}};
-    struct sim_result result = must_hold("odd requests", 1, faults, ROWS(faults));
+    const struct sim_fault faults[] = {{SIM_INVALID_REQUESTS, 15000, 60000, -1}};
+    struct sim_result result = run_small_scenario("odd requests", 1, faults, ROWS(faults));
     if (result.refused < 10) fail_msg("%u unfit jobs refused", result.refused);
 }
 
@@ -127,20 +128,20 @@
         uint32_t accepted;
     } rows[] = {
         {"zone-bound jobs", SIM_LOAD_ZONE_BOUND, 16},
-        {"teams at their limits", SIM_LOAD_TIGHT_TEAMS, 16},
+        {"teams at their limits", SIM_LOAD_SMALL_QUOTAS, 16},
         {"a stream of one-task jobs", SIM_LOAD_STREAM, 600},
-        {"jobs whose tasks end far apart", SIM_LOAD_UNEVEN, 24},
-        {"more work than room", SIM_LOAD_CROWDED, 24},
+        {"jobs whose tasks end far apart", SIM_LOAD_UNEVEN_TASKS, 24},
+        {"more work than room", SIM_LOAD_OVERLOAD, 24},
     };
-    static const struct sim_fault faults[] = {{SIM_KILL, 40000, 1, -1}, {SIM_CANCEL_NOW, 60000, 8000, 4}};
+    static const struct sim_fault faults[] = {{SIM_KILL, 40000, 1, -1}, {SIM_CANCEL_BURST, 60000, 8000, 4}};
     for (size_t i = 0; i < ROWS(rows); i++)
         for (size_t count = 0; count <= ROWS(faults); count += ROWS(faults)) {
-            const struct sim_plan plan = {&sim_small, 1, DAY + 60000, rows[i].load, faults, count};
-            struct sim_result result = sim_play(&plan);
-            if (result.broken[0]) fail_msg("%s, %zu faults: %s", rows[i].what, count, result.broken);
-            if (result.accepted < rows[i].accepted || result.done < rows[i].accepted / 4 || result.open)
+            const struct sim_scenario plan = {&sim_small, 1, DAY + 60000, rows[i].load, faults, count};
+            struct sim_result result = sim_run(&plan);
+            if (result.violation[0]) fail_msg("%s, %zu faults: %s", rows[i].what, count, result.violation);
+            if (result.accepted < rows[i].accepted || result.done < rows[i].accepted / 4 || result.open_jobs)
                 fail_msg("%s, %zu faults: %u accepted, %u done, %u left open", rows[i].what, count,
-                         result.accepted, result.done, result.open);
+                         result.accepted, result.done, result.open_jobs);
         }
 }
 
@@ -153,42 +154,44 @@
         size_t fault_count;
     } days[] = {
         {"all controllers lost during an outage",
-         {{SIM_OUTAGE, 30000, 30000, -1},
+         {{SIM_STORE_OUTAGE, 30000, 30000, -1},
           {SIM_KILL, 40000, 1, 0},
           {SIM_KILL, 40000, 1, 1},
           {SIM_KILL, 40000, 1, 2}},
          4},
         {"restarts in mid-election",
          {{SIM_KILL, 30000, 1, -1},
-          {SIM_KILL_BRIEF, 33100, 1, 0},
-          {SIM_KILL_BRIEF, 33300, 1, 1},
-          {SIM_KILL_BRIEF, 33500, 1, 2},
-          {SIM_KILL_BRIEF, 34000, 1, -1}},
+          {SIM_RESTART, 33100, 1, 0},
+          {SIM_RESTART, 33300, 1, 1},
+          {SIM_RESTART, 33500, 1, 2},
+          {SIM_RESTART, 34000, 1, -1}},
          5},
-        {"a long outage", {{SIM_OUTAGE, 25000, 70000, -1}}, 1},
+        {"a long outage", {{SIM_STORE_OUTAGE, 25000, 70000, -1}}, 1},
         {"late requests and a new leader",
-         {{SIM_LATE, 20000, 60000, -1}, {SIM_KILL, 30000, 1, -1}, {SIM_KILL, 50000, 1, -1}},
+         {{SIM_LATE_REQUESTS, 20000, 60000, -1}, {SIM_KILL, 30000, 1, -1}, {SIM_KILL, 50000, 1, -1}},
          3},
         {"lost answers and a new leader",
-         {{SIM_LOSE_ANSWERS, 20000, 60000, -1}, {SIM_KILL, 30000, 1, -1}, {SIM_CUT_STATE, 50000, 20000, -1}},
+         {{SIM_LOSE_RESPONSES, 20000, 60000, -1},
+          {SIM_KILL, 30000, 1, -1},
+          {SIM_CUT_STORE, 50000, 20000, -1}},
          3},
         {"copies of reports across take-overs",
-         {{SIM_COPIES, 15000, 90000, 0},
-          {SIM_COPIES, 15000, 90000, 1},
+         {{SIM_DUPLICATE_HEARTBEATS, 15000, 90000, 0},
+          {SIM_DUPLICATE_HEARTBEATS, 15000, 90000, 1},
           {SIM_KILL, 40000, 1, -1},
           {SIM_KILL, 60000, 1, -1}},
          4},
-        {"only the workers reach the leader", {{SIM_CUT_BUT_WORKERS, 30000, 40000, -1}}, 1},
+        {"only the workers reach the leader", {{SIM_CUT_ALL_BUT_AGENTS, 30000, 40000, -1}}, 1},
         {"zones apart and the leader dies",
-         {{SIM_ZONES_APART, 30000, 30000, -1}, {SIM_KILL, 35000, 1, -1}},
+         {{SIM_ZONE_PARTITION, 30000, 30000, -1}, {SIM_KILL, 35000, 1, -1}},
          2},
         {"a deaf machine while the cloud is empty",
-         {{SIM_DEAF, 25000, 40000, -1}, {SIM_NO_CAPACITY, 20000, 40000, -1}},
+         {{SIM_LOSE_HEARTBEAT_REPLIES, 25000, 40000, -1}, {SIM_NO_CAPACITY, 20000, 40000, -1}},
          2},
     };
     for (size_t i = 0; i < ROWS(days); i++)
         for (uint64_t seed = 1; seed <= 2; seed++)
-            must_hold(days[i].what, seed, days[i].faults, days[i].fault_count);
+            run_small_scenario(days[i].what, seed, days[i].faults, days[i].fault_count);
 }
 
 static void draw_faults(uint64_t seed, struct sim_fault *fault, size_t count) {
@@ -206,7 +209,7 @@
     struct sim_fault faults[8];
     for (uint64_t seed = first; seed <= last; seed++) {
         draw_faults(seed, faults, ROWS(faults));
-        must_hold("drawn", seed, faults, ROWS(faults));
+        run_small_scenario("drawn", seed, faults, ROWS(faults));
     }
 }
 
@@ -234,7 +237,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct sim_fault faults[8];
         draw_faults(rows[i].seed, faults, ROWS(faults));
-        must_hold(rows[i].what, rows[i].seed, faults, ROWS(faults));
+        run_small_scenario(rows[i].what, rows[i].seed, faults, ROWS(faults));
     }
 }
 
@@ -243,38 +246,38 @@
     (void)state;
     static const struct {
         const char *what;
-        struct sim_plan plan;
+        struct sim_scenario plan;
         struct sim_fault faults[4];
         size_t count;
     } rows[] = {
         {"cancelled while a new leader reads its records for 24 s",
          {&sim_small, 228, 300000, SIM_LOAD_STREAM, NULL, 0},
-         {{SIM_KEPT_REPORTS, 41912, 1582, 58},
-          {SIM_LOSE_ANSWERS, 65826, 39578, -1},
+         {{SIM_REPLAYED_HEARTBEATS, 41912, 1582, 58},
+          {SIM_LOSE_RESPONSES, 65826, 39578, -1},
           {SIM_CUT_ALL, 67769, 5104, 1}},
          3},
         {"a spoilt repeat at a node that the state service refuses",
          {&sim_small, 403, 300000, 0, NULL, 0},
-         {{SIM_ODD_REQUESTS, 57953, 43944, 1}, {SIM_REFUSE_STATE, 53637, 42186, 0}},
+         {{SIM_INVALID_REQUESTS, 57953, 43944, 1}, {SIM_STORE_REFUSES_NODE, 53637, 42186, 0}},
          2},
         {"a spoilt repeat at a node that is cut from the state service",
          {&sim_small, 74, 300000, 0, NULL, 0},
-         {{SIM_CUT_STATE, 62537, 25953, -1}, {SIM_ODD_REQUESTS, 73179, 4983, 0}},
+         {{SIM_CUT_STORE, 62537, 25953, -1}, {SIM_INVALID_REQUESTS, 73179, 4983, 0}},
          2},
         {"spoilt repeats and close looks while the state service is slow",
-         {&sim_small, 867, 300000, SIM_LOAD_TIGHT_TEAMS, NULL, 0},
-         {{SIM_CLOSE_LOOKS, 105243, 15352, 0},
-          {SIM_SLOW_STATE, 104433, 25791, 0},
-          {SIM_KEPT_REPORTS, 86460, 40552, 32},
-          {SIM_ODD_REQUESTS, 88781, 31985, 2}},
+         {&sim_small, 867, 300000, SIM_LOAD_SMALL_QUOTAS, NULL, 0},
+         {{SIM_POLL_BURST, 105243, 15352, 0},
+          {SIM_SLOW_STORE, 104433, 25791, 0},
+          {SIM_REPLAYED_HEARTBEATS, 86460, 40552, 32},
+          {SIM_INVALID_REQUESTS, 88781, 31985, 2}},
          4},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct sim_plan plan = rows[i].plan;
+        struct sim_scenario plan = rows[i].plan;
         plan.faults = rows[i].faults;
         plan.fault_count = rows[i].count;
-        struct sim_result result = sim_play(&plan);
-        if (result.broken[0]) fail_msg("%s: %s", rows[i].what, result.broken);
+        struct sim_result result = sim_run(&plan);
+        if (result.violation[0]) fail_msg("%s: %s", rows[i].what, result.violation);
         if (result.accepted < 12 || result.done < 3 || result.starts < 10)
             fail_msg("%s: %u accepted, %u done, %u starts", rows[i].what, result.accepted, result.done,
                      result.starts);
@@ -285,29 +288,29 @@
 static void grown_day(void **state) {
     (void)state;
     const struct sim_fault faults[] = {{SIM_KILL, 30000, 1, -1},
-                                       {SIM_ZONES_APART, 40000, 15000, -1},
-                                       {SIM_OUTAGE, 60000, 12000, -1},
+                                       {SIM_ZONE_PARTITION, 40000, 15000, -1},
+                                       {SIM_STORE_OUTAGE, 60000, 12000, -1},
                                        {SIM_KILL, 65000, 1, -1},
-                                       {SIM_LATE, 75000, 15000, -1},
-                                       {SIM_CUT_BUT_WORKERS, 95000, 15000, -1},
-                                       {SIM_LOSE_ANSWERS, 80000, 9000, -1},
-                                       {SIM_HANG, 85000, 25000, -1}};
-    struct sim_result result = sim_day(&sim_grown, 7, DAY, faults, ROWS(faults));
-    if (result.broken[0]) fail_msg("%s", result.broken);
-    if (result.accepted < 100 || result.done < 40 || result.starts < 900 || result.open)
+                                       {SIM_LATE_REQUESTS, 75000, 15000, -1},
+                                       {SIM_CUT_ALL_BUT_AGENTS, 95000, 15000, -1},
+                                       {SIM_LOSE_RESPONSES, 80000, 9000, -1},
+                                       {SIM_MACHINE_HANG, 85000, 25000, -1}};
+    struct sim_result result = sim_run_default_load(&sim_grown, 7, DAY, faults, ROWS(faults));
+    if (result.violation[0]) fail_msg("%s", result.violation);
+    if (result.accepted < 100 || result.done < 40 || result.starts < 900 || result.open_jobs)
         fail_msg("%u accepted, %u done, %u starts, %u left open", result.accepted, result.done, result.starts,
-                 result.open);
+                 result.open_jobs);
 }
 
 /* Reports come so seldom that a part of their period is longer than a worker waits for an answer. */
 static void slow_reports(void **state) {
     (void)state;
-    struct sim_result result = sim_day(&sim_slow, 1, DAY + 100000, NULL, 0);
-    if (result.broken[0]) fail_msg("%s", result.broken);
-    if (result.accepted < 12 || result.done < 3 || result.starts < 10 || result.open ||
-        result.kept_most > 2000)
+    struct sim_result result = sim_run_default_load(&sim_slow, 1, DAY + 100000, NULL, 0);
+    if (result.violation[0]) fail_msg("%s", result.violation);
+    if (result.accepted < 12 || result.done < 3 || result.starts < 10 || result.open_jobs ||
+        result.longest_long_poll_ms > 2000)
         fail_msg("%u accepted, %u done, %u starts, %u left open, an answer took %lld ms", result.accepted,
-                 result.done, result.starts, result.open, (long long)result.kept_most);
+                 result.done, result.starts, result.open_jobs, (long long)result.longest_long_poll_ms);
 }
 
 /* The size of the fleet deployments: hundreds of machines, slow reports, long leases. All controllers end
@@ -316,21 +319,30 @@
 static void fleet_day(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
-        {SIM_KILL, 20000, 1, -1},      {SIM_DEAF, 25000, 30000, -1},
-        {SIM_COPIES, 25000, 60000, 3}, {SIM_ZONES_APART, 40000, 30000, -1},
-        {SIM_KILL, 45000, 1, -1},      {SIM_HANG, 50000, 30000, -1},
-        {SIM_DIE, 52000, 1, -1},       {SIM_OUTAGE, 75000, 10000, -1},
-        {SIM_KILL, 80000, 1, 0},       {SIM_KILL, 80000, 1, 1},
-        {SIM_KILL, 80000, 1, 2},       {SIM_KILL, 80000, 1, 3},
-        {SIM_KILL, 80000, 1, 4},       {SIM_KILL, 80000, 1, 5},
-        {SIM_KILL_BRIEF, 80000, 1, 6}, {SIM_KILL_BRIEF, 84000, 1, -1},
-        {SIM_LATE, 95000, 10000, -1},  {SIM_CUT_BUT_WORKERS, 100000, 20000, -1},
+        {SIM_KILL, 20000, 1, -1},
+        {SIM_LOSE_HEARTBEAT_REPLIES, 25000, 30000, -1},
+        {SIM_DUPLICATE_HEARTBEATS, 25000, 60000, 3},
+        {SIM_ZONE_PARTITION, 40000, 30000, -1},
+        {SIM_KILL, 45000, 1, -1},
+        {SIM_MACHINE_HANG, 50000, 30000, -1},
+        {SIM_MACHINE_CRASH, 52000, 1, -1},
+        {SIM_STORE_OUTAGE, 75000, 10000, -1},
+        {SIM_KILL, 80000, 1, 0},
+        {SIM_KILL, 80000, 1, 1},
+        {SIM_KILL, 80000, 1, 2},
+        {SIM_KILL, 80000, 1, 3},
+        {SIM_KILL, 80000, 1, 4},
+        {SIM_KILL, 80000, 1, 5},
+        {SIM_RESTART, 80000, 1, 6},
+        {SIM_RESTART, 84000, 1, -1},
+        {SIM_LATE_REQUESTS, 95000, 10000, -1},
+        {SIM_CUT_ALL_BUT_AGENTS, 100000, 20000, -1},
     };
-    struct sim_result result = sim_day(&sim_fleet, 3, DAY, faults, ROWS(faults));
-    if (result.broken[0]) fail_msg("%s", result.broken);
-    if (result.accepted < 600 || result.done < 200 || result.starts < 7000 || result.open)
+    struct sim_result result = sim_run_default_load(&sim_fleet, 3, DAY, faults, ROWS(faults));
+    if (result.violation[0]) fail_msg("%s", result.violation);
+    if (result.accepted < 600 || result.done < 200 || result.starts < 7000 || result.open_jobs)
         fail_msg("%u accepted, %u done, %u starts, %u left open", result.accepted, result.done, result.starts,
-                 result.open);
+                 result.open_jobs);
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_standin_digest.c
+++ b/tests/scenarios/test_standin_digest.c
@@ -7,8 +7,8 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-static struct sim_call request_to(enum sim_place to, const char *path, char *body) {
-    struct sim_call call = {.serial = 7, .to = to, .from = -1, .body = body, .len = strlen(body)};
+static struct sim_call request_to(enum sim_destination to, const char *path, char *body) {
+    struct sim_call call = {.serial = 7, .destination = to, .from = -1, .body = body, .len = strlen(body)};
     strcpy(call.method, "POST");
     strcpy(call.path, path);
     return call;
@@ -27,8 +27,8 @@
 
 static void digest_covers_fields_order_and_time(void **state) {
     (void)state;
-    struct sim_call calls[] = {request_to(SIM_AT_STATE, "/commit", (char[]){"one body"}),
-                               request_to(SIM_AT_CLOUD, "/machines", (char[]){"another body"})};
+    struct sim_call calls[] = {request_to(SIM_TO_STORE, "/commit", (char[]){"one body"}),
+                               request_to(SIM_TO_CLOUD, "/machines", (char[]){"another body"})};
     const uint64_t plain = digest_of(calls, 2, 100, 200);
     assert_true(plain == digest_of(calls, 2, 100, 200));
     assert_true(plain != digest_of(calls, 2, 100, 201)); /* a later answer */
@@ -54,7 +54,7 @@
 
 static void retry_after_counts(void **state) {
     (void)state;
-    const struct sim_call call = request_to(SIM_AT_FRONT, "/v1/jobs", (char[]){"{}"});
+    const struct sim_call call = request_to(SIM_TO_API, "/v1/jobs", (char[]){"{}"});
     uint64_t digests[2];
     for (int retry_after_s = 0; retry_after_s < 2; retry_after_s++) {
         memset(&world.result, 0, sizeof world.result);
@@ -74,7 +74,7 @@
     pid_t child = fork();
     assert_true(child >= 0);
     if (!child) {
-        digest = sim_day(&sim_small, seed, LENGTH_MS, faults, count).digest;
+        digest = sim_run_default_load(&sim_small, seed, LENGTH_MS, faults, count).digest;
         _exit(write(ends[1], &digest, sizeof digest) == (ssize_t)sizeof digest ? 0 : 1);
     }
     close(ends[1]);
@@ -86,7 +86,7 @@
 
 static void same_seed_gives_same_digest(void **state) {
     static const struct sim_fault lost_answers = {
-        .kind = SIM_LOSE_ANSWERS, .at = 20000, .lasts = 5000, .which = -1};
+        .kind = SIM_LOSE_RESPONSES, .at = 20000, .lasts = 5000, .which = -1};
     (void)state;
     const uint64_t first = digest_of_day(1, NULL, 0);
     assert_true(first == digest_of_day(1, NULL, 0));
--- a/tests/scenarios/test_standin_end.c
+++ b/tests/scenarios/test_standin_end.c
@@ -6,25 +6,25 @@
 /* One-task jobs come faster than the teams' limits let them run, so the work outlasts the day. */
 static void work_that_outlasts_the_day(void **state) {
     (void)state;
-    const struct sim_plan plan = {
+    const struct sim_scenario plan = {
         .size = &sim_small,
         .seed = 5024,
         .length = 300000,
-        .load = SIM_LOAD_STREAM | SIM_LOAD_TIGHT_TEAMS,
+        .load = SIM_LOAD_STREAM | SIM_LOAD_SMALL_QUOTAS,
     };
-    struct sim_result in_time = sim_play(&plan);
-    assert_string_equal(in_time.broken, "");
-    assert_true(in_time.open > 0);
-    assert_int_equal(in_time.overtime, 0);
+    struct sim_result in_time = sim_run(&plan);
+    assert_string_equal(in_time.violation, "");
+    assert_true(in_time.open_jobs > 0);
+    assert_int_equal(in_time.overtime_ms, 0);
 
-    struct sim_result too_short = sim_play_until_done(&plan, 1000);
-    assert_non_null(strstr(too_short.broken, "unfinished"));
-    assert_true(too_short.open > 0);
+    struct sim_result too_short = sim_run_until_done(&plan, 1000);
+    assert_non_null(strstr(too_short.violation, "unfinished"));
+    assert_true(too_short.open_jobs > 0);
 
-    struct sim_result all_done = sim_play_until_done(&plan, 300000);
-    assert_string_equal(all_done.broken, "");
-    assert_int_equal(all_done.open, 0);
-    assert_in_range(all_done.overtime, 1000, 299999);
+    struct sim_result all_done = sim_run_until_done(&plan, 300000);
+    assert_string_equal(all_done.violation, "");
+    assert_int_equal(all_done.open_jobs, 0);
+    assert_in_range(all_done.overtime_ms, 1000, 299999);
     assert_true(all_done.done > in_time.done);
 }
 
--- a/tests/scenarios/test_standin_pipelines.c
+++ b/tests/scenarios/test_standin_pipelines.c
@@ -21,7 +21,7 @@
 };
 
 static struct sim_result play(const struct day *day, uint64_t seed) {
-    return sim_play(&(struct sim_plan){
+    return sim_run(&(struct sim_scenario){
         .size = &pipelines,
         .seed = seed,
         .length = day->length ? day->length : DAY,
@@ -38,12 +38,12 @@
                "accepted, %u done, %u cancelled with one; %u unknown refused, %u refused for size, %u for "
                "rate; %s\n",
                day->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
-               result.open, result.dependants, result.dependants_done, result.dependants_cancelled,
-               result.unknown_refused, result.size_refusals, result.rate_refusals, result.broken);
-    if (result.broken[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.broken);
-    if (result.open)
-        fail_msg("%s, seed %llu: %u left open", day->what, (unsigned long long)seed, result.open);
-    if (result.unknown_refused < 1)
+               result.open_jobs, result.dependents, result.dependents_done, result.dependents_cancelled,
+               result.unknown_dependency_refusals, result.size_refusals, result.rate_refusals, result.violation);
+    if (result.violation[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.violation);
+    if (result.open_jobs)
+        fail_msg("%s, seed %llu: %u left open", day->what, (unsigned long long)seed, result.open_jobs);
+    if (result.unknown_dependency_refusals < 1)
         fail_msg("%s, seed %llu: no submission that awaits an unknown job was refused", day->what,
                  (unsigned long long)seed);
     return result;
@@ -55,9 +55,9 @@
     uint32_t dependants = 0, done = 0, cancelled = 0;
     for (uint64_t seed = 1; seed <= seeds; seed++) {
         struct sim_result result = must_hold(day, seed);
-        dependants += result.dependants;
-        done += result.dependants_done;
-        cancelled += result.dependants_cancelled;
+        dependants += result.dependents;
+        done += result.dependents_done;
+        cancelled += result.dependents_cancelled;
     }
     if (dependants < 20 * seeds || done < 6 * SEEDS || cancelled < 4 * seeds)
         fail_msg("%s: of jobs that await others %u accepted, %u done, %u cancelled", day->what, dependants,
@@ -77,15 +77,15 @@
 static void cancelled_as_a_job_finishes(void **state) {
     (void)state;
     static const struct day days[] = {
-        {"cancelled as they end", 0, {{SIM_CANCEL_AT_END, 15000, 110000, 25}}, 1, 0},
+        {"cancelled as they end", 0, {{SIM_CANCEL_AT_COMPLETION, 15000, 110000, 25}}, 1, 0},
         {"cancelled as they end, while answers are lost",
          0,
-         {{SIM_CANCEL_AT_END, 15000, 110000, 25}, {SIM_LOST_WRITES, 15000, 110000, 30}},
+         {{SIM_CANCEL_AT_COMPLETION, 15000, 110000, 25}, {SIM_UNANSWERED_WRITES, 15000, 110000, 30}},
          2,
          0},
         {"cancelled as they end, while writes are late",
          0,
-         {{SIM_CANCEL_AT_END, 15000, 110000, 25}, {SIM_LATE_WRITES, 15000, 110000, 30}},
+         {{SIM_CANCEL_AT_COMPLETION, 15000, 110000, 25}, {SIM_LATE_WRITES, 15000, 110000, 30}},
          2,
          0},
     };
@@ -105,23 +105,23 @@
          0},
         {"leaders end in turn as jobs end and are cancelled",
          0,
-         {{SIM_CANCEL_AT_END, 15000, 110000, 25},
+         {{SIM_CANCEL_AT_COMPLETION, 15000, 110000, 25},
           {SIM_KILL, 30000, 1, -1},
           {SIM_KILL, 55000, 1, -1},
-          {SIM_KILL_BRIEF, 80000, 1, -1}},
+          {SIM_RESTART, 80000, 1, -1}},
          4,
          0},
         {"the leader is cut from the state service alone",
          0,
-         {{SIM_CUT_STATE, 30000, 15000, -1}, {SIM_CUT_STATE, 60000, 40000, -1}},
+         {{SIM_CUT_STORE, 30000, 15000, -1}, {SIM_CUT_STORE, 60000, 40000, -1}},
          2,
          0},
         {"the leader is refused by the state service alone, then all are",
          0,
-         {{SIM_REFUSE_STATE, 30000, 8000, -1}, {SIM_OUTAGE, 38000, 40000, -1}},
+         {{SIM_STORE_REFUSES_NODE, 30000, 8000, -1}, {SIM_STORE_OUTAGE, 38000, 40000, -1}},
          2,
          0},
-        {"zones apart", 0, {{SIM_ZONES_APART, 30000, 30000, -1}, {SIM_KILL, 45000, 1, -1}}, 2, 0},
+        {"zones apart", 0, {{SIM_ZONE_PARTITION, 30000, 30000, -1}, {SIM_KILL, 45000, 1, -1}}, 2, 0},
     };
     play_days(days, ROWS(days));
 }
@@ -129,10 +129,10 @@
 static void cancelled_in_a_long_outage(void **state) {
     (void)state;
     static const struct day days[] = {
-        {"an outage longer than cancel_s", 0, {{SIM_OUTAGE, 40000, 45000, -1}}, 1, 0},
+        {"an outage longer than cancel_s", 0, {{SIM_STORE_OUTAGE, 40000, 45000, -1}}, 1, 0},
         {"such an outage, and all controllers end in it",
          0,
-         {{SIM_OUTAGE, 40000, 45000, -1},
+         {{SIM_STORE_OUTAGE, 40000, 45000, -1},
           {SIM_KILL, 60000, 1, 0},
           {SIM_KILL, 61000, 1, 1},
           {SIM_KILL, 62000, 1, 2}},
@@ -140,7 +140,7 @@
          0},
         {"answers of the state service are lost",
          0,
-         {{SIM_LOSE_ANSWERS, 25000, 70000, -1}, {SIM_KILL, 50000, 1, -1}},
+         {{SIM_LOSE_RESPONSES, 25000, 70000, -1}, {SIM_KILL, 50000, 1, -1}},
          2,
          0},
     };
@@ -152,19 +152,19 @@
     static const struct day days[] = {
         {"close looks",
          0,
-         {{SIM_CLOSE_LOOKS, 15000, 110000, -1}, {SIM_ODD_REQUESTS, 20000, 60000, -1}},
+         {{SIM_POLL_BURST, 15000, 110000, -1}, {SIM_INVALID_REQUESTS, 20000, 60000, -1}},
          2,
          0},
         {"close looks while the state service is slow",
          0,
-         {{SIM_CLOSE_LOOKS, 15000, 110000, -1},
-          {SIM_SLOW_STATE, 30000, 40000, -1},
-          {SIM_ODD_REQUESTS, 20000, 60000, -1}},
+         {{SIM_POLL_BURST, 15000, 110000, -1},
+          {SIM_SLOW_STORE, 30000, 40000, -1},
+          {SIM_INVALID_REQUESTS, 20000, 60000, -1}},
          3,
          0},
         {"close looks while requests are late",
          0,
-         {{SIM_CLOSE_LOOKS, 15000, 110000, -1}, {SIM_LATE, 25000, 60000, -1}},
+         {{SIM_POLL_BURST, 15000, 110000, -1}, {SIM_LATE_REQUESTS, 25000, 60000, -1}},
          2,
          0},
     };
@@ -175,9 +175,9 @@
     (void)state;
     static const struct day days[] = {
         {"and a stream of one-task jobs", SIM_LOAD_STREAM, {{SIM_KILL, 40000, 1, -1}}, 1, 0},
-        {"and teams at their limits", SIM_LOAD_TIGHT_TEAMS, {{SIM_KILL, 40000, 1, -1}}, 1, LONG_DAY},
-        {"and more work than room", SIM_LOAD_CROWDED, {{SIM_KILL, 40000, 1, -1}}, 1, 0},
-        {"and hanging machines", 0, {{SIM_HANG, 30000, 20000, -1}, {SIM_HANG, 60000, 20000, -1}}, 2, 0},
+        {"and teams at their limits", SIM_LOAD_SMALL_QUOTAS, {{SIM_KILL, 40000, 1, -1}}, 1, LONG_DAY},
+        {"and more work than room", SIM_LOAD_OVERLOAD, {{SIM_KILL, 40000, 1, -1}}, 1, 0},
+        {"and hanging machines", 0, {{SIM_MACHINE_HANG, 30000, 20000, -1}, {SIM_MACHINE_HANG, 60000, 20000, -1}}, 2, 0},
     };
     play_days(days, ROWS(days));
 }
--- a/tests/scenarios/test_zone_recovery_days.c
+++ b/tests/scenarios/test_zone_recovery_days.c
@@ -19,13 +19,13 @@
                               unsigned load) {
     size_t count = 0;
     while (count < FAULTS && day->faults[count].lasts) count++;
-    const struct sim_plan plan = {.size = size,
+    const struct sim_scenario plan = {.size = size,
                                   .seed = seed,
                                   .length = DAY_MS,
                                   .load = SIM_LOAD_ZONAL | load,
                                   .faults = day->faults,
                                   .fault_count = count};
-    return sim_play_until_done(&plan, OVERTIME_MS);
+    return sim_run_until_done(&plan, OVERTIME_MS);
 }
 
 static void must_hold(const struct zone_day *days, size_t count) {
@@ -35,8 +35,8 @@
     for (size_t i = 0; i < count; i++)
         for (uint64_t seed = 1; seed <= seeds; seed++) {
             struct sim_result result = play(&sim_zonal, &days[i], seed, SIM_LOAD_ZONE_RECOVERY);
-            if (result.broken[0])
-                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, result.broken);
+            if (result.violation[0])
+                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, result.violation);
             lost += result.lost_replicas[SIM_ASSISTANT];
         }
     if (lost < count * seeds) fail_msg("only %u replicas were lost in %zu days", lost, count * (size_t)seeds);
@@ -50,7 +50,7 @@
         {"one cut of the third", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C}}},
         {"all its machines stop for good", {{SIM_LOSE_ZONE, LOSS_MS, 1, ZONE_B}}},
         {"half of the machines never come back",
-         {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}, {SIM_HALVE_ZONE, LOSS_MS + 5000, 1, ZONE_B}}},
+         {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}, {SIM_LOSE_HALF_ZONE, LOSS_MS + 5000, 1, ZONE_B}}},
     };
     must_hold(days, ROWS(days));
 }
@@ -72,12 +72,12 @@
         {"before it is steady, twice",
          {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C},
           {SIM_KILL, RETURN_MS + 3000, 1, LEADER},
-          {SIM_KILL_BRIEF, RETURN_MS + 8000, 1, LEADER}}},
+          {SIM_RESTART, RETURN_MS + 8000, 1, LEADER}}},
         {"after it is steady",
          {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C}, {SIM_KILL, RETURN_MS + 6500, 1, LEADER}}},
         {"loses the network but for the workers",
          {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C},
-          {SIM_CUT_BUT_WORKERS, LOSS_MS + 6000, 15000, LEADER}}},
+          {SIM_CUT_ALL_BUT_AGENTS, LOSS_MS + 6000, 15000, LEADER}}},
     };
     must_hold(days, ROWS(days));
 }
@@ -109,19 +109,19 @@
     (void)state;
     static const struct zone_day days[] = {
         {"zones cut from each other, deputies at work",
-         {{SIM_ZONES_APART, LOSS_MS, 30000, -1}, {SIM_CUT_ZONE, LOSS_MS + 60000, 20000, ZONE_B}}},
+         {{SIM_ZONE_PARTITION, LOSS_MS, 30000, -1}, {SIM_CUT_ZONE, LOSS_MS + 60000, 20000, ZONE_B}}},
         {"the state service is out at the verdict",
-         {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C}, {SIM_OUTAGE, LOSS_MS + 2000, 12000, -1}}},
+         {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C}, {SIM_STORE_OUTAGE, LOSS_MS + 2000, 12000, -1}}},
         {"and as the zone returns",
          {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C},
-          {SIM_OUTAGE, RETURN_MS - 1000, 9000, -1},
+          {SIM_STORE_OUTAGE, RETURN_MS - 1000, 9000, -1},
           {SIM_KILL, RETURN_MS + 4000, 1, LEADER}}},
         {"writes late and unanswered",
          {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C},
           {SIM_LATE_WRITES, LOSS_MS, 60000, 30},
           {SIM_KILL, RETURN_MS + 2000, 1, LEADER}}},
         {"what was lost is cancelled",
-         {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}, {SIM_CANCEL_NOW, LOSS_MS + 4000, 1, 12}}},
+         {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}, {SIM_CANCEL_BURST, LOSS_MS + 4000, 1, 12}}},
         {"the cloud has no room",
          {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_C}, {SIM_NO_CAPACITY, LOSS_MS, LONG_CUT_MS, -1}}},
     };
@@ -141,9 +141,9 @@
     for (size_t i = 0; i < ROWS(days); i++)
         for (uint64_t seed = 1; seed <= 4; seed++) {
             struct sim_result result = play(&crowded, &days[i], seed, SIM_LOAD_ZONE_RECOVERY);
-            bool left = strstr(result.broken, "unfinished: ") || strstr(result.broken, "not_served: ");
-            if (result.broken[0] && !left)
-                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, result.broken);
+            bool left = strstr(result.violation, "unfinished: ") || strstr(result.violation, "not_served: ");
+            if (result.violation[0] && !left)
+                fail_msg("%s, seed %llu: %s", days[i].what, (unsigned long long)seed, result.violation);
         }
 }
 
@@ -153,8 +153,8 @@
     static const struct zone_day day = {"one cut", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}}};
     uint32_t noticed = 0;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        struct sim_result result = play(&crowded, &day, seed, SIM_LOAD_ZONE_RECOVERY | SIM_LOAD_REVERSED);
-        noticed += strstr(result.broken, "order: ") != NULL;
+        struct sim_result result = play(&crowded, &day, seed, SIM_LOAD_ZONE_RECOVERY | SIM_LOAD_REVERSED_RECOVERY_ORDER);
+        noticed += strstr(result.violation, "order: ") != NULL;
     }
     if (!noticed) fail_msg("no day with the order reversed is noticed");
 }
--- a/tests/standin/clock.c
+++ b/tests/standin/clock.c
@@ -8,7 +8,7 @@
     return world.random;
 }
 
-amb_ms sim_between(amb_ms least, amb_ms most) {
+amb_ms sim_random_between(amb_ms least, amb_ms most) {
     return least + (amb_ms)(sim_random() % (uint64_t)(most - least + 1));
 }
 
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -30,7 +30,7 @@
     machine->node = world.machine_count % world.size->nodes;
     world.machine_count++;
     int there = machines_there();
-    if (there > world.result.machines_most) world.result.machines_most = there;
+    if (there > world.result.peak_machines) world.result.peak_machines = there;
     amb_timer_set_after(&machine->report, boots, boot, machine);
 }
 
@@ -45,7 +45,7 @@
 static void list_machines(struct sim_call *call) {
     struct amb_buf buffer = {0}, list = {0};
     size_t count = 0;
-    amb_ms lag = sim_between(0, sim_pace.list_lag * 2), then = world.now - lag;
+    amb_ms lag = sim_random_between(0, sim_cloud_timing.list_lag * 2), then = world.now - lag;
     for (int i = 0; i < world.machine_count; i++) {
         struct sim_machine *machine = &world.machines[i];
         if (machine->created > then || (!machine->exists && machine->gone_at <= then)) continue;
@@ -84,10 +84,10 @@
 }
 
 static amb_ms boot_time(void) {
-    if (sim_fault_active(SIM_QUICK_BOOTS, -1)) return sim_between(200, 2000);
-    if (sim_fault_strikes(SIM_NO_BOOTS)) return SIM_FOR_GOOD_MS;
-    if (sim_fault_active(SIM_LATE_BOOTS, -1)) return sim_between(2 * sim_pace.boot, 6 * sim_pace.boot);
-    return sim_between(sim_pace.boot / 2, sim_pace.boot * 3 / 2);
+    if (sim_fault_active(SIM_QUICK_BOOTS, -1)) return sim_random_between(200, 2000);
+    if (sim_fault_strikes(SIM_FAILED_BOOTS)) return SIM_PERMANENT_MS;
+    if (sim_fault_active(SIM_SLOW_BOOTS, -1)) return sim_random_between(2 * sim_cloud_timing.boot, 6 * sim_cloud_timing.boot);
+    return sim_random_between(sim_cloud_timing.boot / 2, sim_cloud_timing.boot * 3 / 2);
 }
 
 static void rent(struct sim_call *call) {
@@ -130,8 +130,8 @@
 
 /* Requests that are held up may come from before the mode changed. */
 static bool requests_come_late(void) {
-    return sim_fault_planned(SIM_LATE) || sim_fault_planned(SIM_ZONES_APART) ||
-           sim_fault_planned(SIM_SLOW_LINKS) || sim_fault_planned(SIM_LOSE_ANSWERS);
+    return sim_fault_planned(SIM_LATE_REQUESTS) || sim_fault_planned(SIM_ZONE_PARTITION) ||
+           sim_fault_planned(SIM_SLOW_LINKS) || sim_fault_planned(SIM_LOSE_RESPONSES);
 }
 
 /* Does a request that rents or returns come from whom the mode says, and with a token that nobody has
@@ -142,18 +142,18 @@
     uint64_t token = 0;
     bool by_duty = amb_cbor_copy_string(amb_cbor_map_get(body, "duty"), text, sizeof text);
     if (by_duty != sim_duties_in_use() && !requests_come_late())
-        sim_broken("duty: %s by %s, n%d", call->path, by_duty ? text : "the leader", call->from);
+        sim_report_violation("duty: %s by %s, n%d", call->path, by_duty ? text : "the leader", call->from);
     if (!by_duty) return true;
     if (!amb_duty_name_parse(text, &duty) || !amb_cbor_get_uint(amb_cbor_map_get(body, "baton"), &token)) {
-        sim_broken("duty: %s of %s without a token", call->path, text);
+        sim_report_violation("duty: %s of %s without a token", call->path, text);
         return false;
     }
     if (token < world.cloud.tokens[duty]) {
-        world.result.stale_refused++;
+        world.result.stale_token_refusals++;
         return false;
     }
     world.cloud.tokens[duty] = token;
-    if (strcmp(call->path, "/machines/release") != 0) world.result.rents_by_duty++;
+    if (strcmp(call->path, "/machines/release") != 0) world.result.duty_rent_calls++;
     return true;
 }
 
@@ -183,10 +183,10 @@
         for (int k = 0; k < world.machine_count; k++) {
             struct sim_machine *machine = &world.machines[k];
             if (strcmp(machine->name, name) != 0) continue;
-            if (planned && in_use(machine)) sim_broken("duty: %s is returned in use", name);
+            if (planned && in_use(machine)) sim_report_violation("duty: %s is returned in use", name);
             if (in_use_by_later_leader(machine, call))
-                sim_broken("late return: %s is returned in use by a later leader", name);
-            world.result.returns_by_duty += by_duty && machine->exists;
+                sim_report_violation("late return: %s is returned in use by a later leader", name);
+            world.result.duty_returned_machines += by_duty && machine->exists;
             machine_end(machine);
         }
     }
@@ -216,12 +216,12 @@
         amb_cbor_write_string(&buffer, "hourly"), amb_cbor_write_number(&buffer, 12);
         amb_cbor_write_string(&buffer, "market_price"), amb_cbor_write_number(&buffer, 4.5);
         amb_cbor_write_string(&buffer, "boot_s"),
-            amb_cbor_write_number(&buffer, (double)sim_pace.boot / 1000);
+            amb_cbor_write_number(&buffer, (double)sim_cloud_timing.boot / 1000);
         amb_cbor_write_string(&buffer, "yards"), amb_cbor_write_list(&buffer, (size_t)sim_zones());
         for (int zone = 0; zone < sim_zones(); zone++) amb_cbor_write_string(&buffer, sim_zone_name(zone));
         sim_call_answer(call, 200, &buffer);
     } else if (!strcmp(call->path, "/machines/release")) {
-        world.result.late_returns += sim_leader_stamp() > call->sent_at_revision;
+        world.result.late_return_calls += sim_leader_stamp() > call->sent_at_revision;
         release(call, body);
         struct amb_buf buffer = {0};
         amb_cbor_write_map(&buffer, 0);
--- a/tests/standin/day.c
+++ b/tests/standin/day.c
@@ -17,17 +17,17 @@
                       sim_slow = {3, 12, 16, 12, 3, 12000, 60000, 120000, 200, 20, 3},
                       sim_zonal = {5, 24, 40, 16, 3, 1000, 10000, 30000, 400, 60, 6};
 
-const struct sim_pace sim_pace = {.list_lag = 5000, .boot = 8000, .fetch = 2000};
+const struct sim_cloud_timing sim_cloud_timing = {.list_lag = 5000, .boot = 8000, .fetch = 2000};
 
 struct sim_world world;
-void (*sim_watch_transaction)(const struct sim_call *call, const cbor_item_t *transaction);
-void (*sim_watch_message)(const struct sim_call *call);
-void (*sim_watch_switch)(int node);
+void (*sim_on_transaction)(const struct sim_call *call, const cbor_item_t *transaction);
+void (*sim_on_peer_message)(const struct sim_call *call);
+void (*sim_on_node_switch)(int node);
 
 static void free_memory(void) {
     for (int i = 0; i < world.machine_count; i++) free(world.machines[i].tasks);
-    for (int i = 0; i < world.state.key_count; i++) amb_buf_free(&world.state.keys[i].value);
-    for (int i = 0; i < world.state.change_count; i++) amb_buf_free(&world.state.changes[i].value);
+    for (int i = 0; i < world.store.key_count; i++) amb_buf_free(&world.store.keys[i].value);
+    for (int i = 0; i < world.store.change_count; i++) amb_buf_free(&world.store.changes[i].value);
     for (int i = 0; i < SIM_KEPT; i++) amb_buf_free(&world.kept_reports[i].body);
 }
 
@@ -38,7 +38,7 @@
     world.random = seed * 2654435761u + 88172645463325252u;
     world.now = START_MS;
     world.current = -1;
-    world.result.worst_window = 1;
+    world.result.worst_served_share = 1;
 }
 
 static void take_faults(const struct sim_fault *faults, size_t count) {
@@ -73,13 +73,13 @@
 }
 
 static void play_tick(amb_ms end) {
-    bool watched = sim_fault_planned(SIM_KEPT_REPORTS);
-    while (!world.result.broken[0] && sim_run_timer(end))
+    bool watched = sim_fault_planned(SIM_REPLAYED_HEARTBEATS);
+    while (!world.result.violation[0] && sim_run_timer(end))
         if (watched && sim_leader_began()) sim_deliver_kept_reports();
     world.now = end;
     sim_begin_faults();
     sim_note_upgrade();
-    sim_state_tick();
+    sim_store_tick();
     for (int i = 0; i < world.machine_count; i++) sim_machine_advance(i);
     advance_gangs();
     if (end % 1000 == 0) {
@@ -88,7 +88,7 @@
     }
 }
 
-static struct sim_result play(const struct sim_plan *plan, double memory_mb, amb_ms overtime) {
+static struct sim_result play(const struct sim_scenario *plan, double memory_mb, amb_ms overtime) {
     reset(plan->size, plan->seed);
     world.load = plan->load;
     world.memory_mb = memory_mb;
@@ -99,32 +99,32 @@
     sim_draw_jobs(plan->length);
     amb_ms end = START_MS + plan->length, latest_end = end + overtime;
     amb_ms at = START_MS;
-    for (; !world.result.broken[0] && (at < end || (at < latest_end && sim_open_jobs())); at += SIM_TICK_MS)
+    for (; !world.result.violation[0] && (at < end || (at < latest_end && sim_open_jobs())); at += SIM_TICK_MS)
         play_tick(at + SIM_TICK_MS);
-    if (at >= end + SIM_TICK_MS) world.result.overtime = at - end;
+    if (at >= end + SIM_TICK_MS) world.result.overtime_ms = at - end;
     sim_check_end(overtime > 0);
     sim_recovery_end();
     return world.result;
 }
 
-struct sim_result sim_play(const struct sim_plan *plan) {
+struct sim_result sim_run(const struct sim_scenario *plan) {
     return play(plan, AMPLE_MEMORY_MB, 0);
 }
 
-struct sim_result sim_play_with_memory(const struct sim_plan *plan, double memory_mb) {
+struct sim_result sim_run_with_memory(const struct sim_scenario *plan, double memory_mb) {
     return play(plan, memory_mb, 0);
 }
 
-struct sim_result sim_play_until_done(const struct sim_plan *plan, amb_ms overtime) {
+struct sim_result sim_run_until_done(const struct sim_scenario *plan, amb_ms overtime) {
     return play(plan, AMPLE_MEMORY_MB, overtime);
 }
 
-struct sim_result sim_play_large(const struct sim_plan *plan, double memory_mb, amb_ms overtime) {
+struct sim_result sim_run_large(const struct sim_scenario *plan, double memory_mb, amb_ms overtime) {
     return play(plan, memory_mb, overtime);
 }
 
-struct sim_result sim_day(const struct sim_size *size, uint64_t seed, amb_ms length,
+struct sim_result sim_run_default_load(const struct sim_size *size, uint64_t seed, amb_ms length,
                           const struct sim_fault *faults, size_t count) {
-    const struct sim_plan plan = {size, seed, length, 0, faults, count};
-    return sim_play(&plan);
+    const struct sim_scenario plan = {size, seed, length, 0, faults, count};
+    return sim_run(&plan);
 }
--- a/tests/standin/explore.c
+++ b/tests/standin/explore.c
@@ -36,17 +36,51 @@
 };
 
 static const char *const kinds[] = {
-    "SIM_KILL",        "SIM_KILL_BRIEF",   "SIM_CUT_STATE",       "SIM_REFUSE_STATE",  "SIM_CUT_WORKERS",
-    "SIM_CUT_PEERS",   "SIM_CUT_ALL",      "SIM_CUT_BUT_WORKERS", "SIM_OUTAGE",        "SIM_HANG",
-    "SIM_DIE",         "SIM_DEAF",         "SIM_COPIES",          "SIM_LOSE_ANSWERS",  "SIM_LATE",
-    "SIM_BAD_MACHINE", "SIM_NO_CAPACITY",  "SIM_ZONES_APART",     "SIM_MUTE",          "SIM_LATE_WRITES",
-    "SIM_LOST_WRITES", "SIM_LATE_REPORTS", "SIM_KEPT_REPORTS",    "SIM_LATE_COMMANDS", "SIM_QUICK_BOOTS",
-    "SIM_SLOW_STATE",  "SIM_CANCEL_NOW",   "SIM_CANCEL_AT_END",   "SIM_CLOSE_LOOKS",   "SIM_ODD_REQUESTS",
-    "SIM_SLOW_LINKS",  "SIM_CLOUD_OUTAGE", "SIM_LOWER_LIMITS",    "SIM_UPGRADE",       "SIM_DUTIES",
-    "SIM_LOSE_ZONE",   "SIM_LATE_RETURNS", "SIM_CUT_ZONE",        "SIM_HALVE_ZONE",    "SIM_FREEZE",
-    "SIM_LATE_BOOTS",  "SIM_NO_BOOTS",     "SIM_QUESTIONS",
+    "SIM_KILL",
+    "SIM_RESTART",
+    "SIM_CUT_STORE",
+    "SIM_STORE_REFUSES_NODE",
+    "SIM_CUT_AGENTS",
+    "SIM_CUT_PEERS",
+    "SIM_CUT_ALL",
+    "SIM_CUT_ALL_BUT_AGENTS",
+    "SIM_STORE_OUTAGE",
+    "SIM_MACHINE_HANG",
+    "SIM_MACHINE_CRASH",
+    "SIM_LOSE_HEARTBEAT_REPLIES",
+    "SIM_DUPLICATE_HEARTBEATS",
+    "SIM_LOSE_RESPONSES",
+    "SIM_LATE_REQUESTS",
+    "SIM_FAULTY_MACHINE",
+    "SIM_NO_CAPACITY",
+    "SIM_ZONE_PARTITION",
+    "SIM_LOSE_HEARTBEATS",
+    "SIM_LATE_WRITES",
+    "SIM_UNANSWERED_WRITES",
+    "SIM_LATE_HEARTBEAT_COPIES",
+    "SIM_REPLAYED_HEARTBEATS",
+    "SIM_LATE_COMMANDS",
+    "SIM_QUICK_BOOTS",
+    "SIM_SLOW_STORE",
+    "SIM_CANCEL_BURST",
+    "SIM_CANCEL_AT_COMPLETION",
+    "SIM_POLL_BURST",
+    "SIM_INVALID_REQUESTS",
+    "SIM_SLOW_LINKS",
+    "SIM_CLOUD_OUTAGE",
+    "SIM_LOWER_STORE_LIMITS",
+    "SIM_UPGRADE",
+    "SIM_SWITCH_DUTIES",
+    "SIM_LOSE_ZONE",
+    "SIM_LATE_RETURNS",
+    "SIM_CUT_ZONE",
+    "SIM_LOSE_HALF_ZONE",
+    "SIM_PAUSE_NODE",
+    "SIM_SLOW_BOOTS",
+    "SIM_FAILED_BOOTS",
+    "SIM_FREQUENT_POLLING",
 };
-_Static_assert(sizeof kinds / sizeof *kinds == SIM_FAULTS, "a name for each kind of fault");
+_Static_assert(sizeof kinds / sizeof *kinds == SIM_FAULT_KINDS, "a name for each kind of fault");
 
 static const struct {
     const char *name;
@@ -62,7 +96,7 @@
 };
 
 struct drawn {
-    struct sim_plan plan;
+    struct sim_scenario plan;
     struct sim_fault faults[FAULTS_MOST];
 };
 
@@ -88,21 +122,21 @@
 static amb_ms draw_length(uint64_t *state, const struct sim_size *size) {
     switch (next_random(state) % 4) {
     case 0: return pick(state, 300, 4000);
-    case 1: return pick(state, 4000, size->lease);
-    case 2: return pick(state, size->lease, size->cancel);
-    default: return pick(state, size->cancel, size->cancel * 3 / 2);
+    case 1: return pick(state, 4000, size->agent_lease_ms);
+    case 2: return pick(state, size->agent_lease_ms, size->cancel_ms);
+    default: return pick(state, size->cancel_ms, size->cancel_ms * 3 / 2);
     }
 }
 
 static int draw_which(uint64_t *state, enum sim_fault_kind kind, const struct sim_size *size) {
     switch (kind) {
-    case SIM_CANCEL_NOW: return (int)pick(state, 1, 12);
+    case SIM_CANCEL_BURST: return (int)pick(state, 1, 12);
     case SIM_LATE_WRITES:
-    case SIM_LOST_WRITES:
-    case SIM_LATE_REPORTS:
-    case SIM_KEPT_REPORTS:
+    case SIM_UNANSWERED_WRITES:
+    case SIM_LATE_HEARTBEAT_COPIES:
+    case SIM_REPLAYED_HEARTBEATS:
     case SIM_LATE_COMMANDS:
-    case SIM_CANCEL_AT_END: return (int)pick(state, 10, 60);
+    case SIM_CANCEL_AT_COMPLETION: return (int)pick(state, 10, 60);
     default:
         if (next_random(state) % 2) return -1;
         return (int)pick(state, 0, size->nodes < 3 ? 0 : 2);
@@ -111,7 +145,7 @@
 
 static void draw_fault(uint64_t *state, const struct sim_size *size, amb_ms cluster,
                        struct sim_fault *fault) {
-    fault->kind = (enum sim_fault_kind)(next_random(state) % SIM_LOWER_LIMITS);
+    fault->kind = (enum sim_fault_kind)(next_random(state) % SIM_LOWER_STORE_LIMITS);
     fault->at = cluster + pick(state, 0, CLUSTER_MS);
     fault->lasts = draw_length(state, size);
     fault->which = draw_which(state, fault->kind, size);
@@ -132,7 +166,7 @@
 static void draw_lowered_limits(uint64_t *state, struct drawn *day) {
     if (next_random(state) % 3) return;
     day->faults[day->plan.fault_count++] =
-        (struct sim_fault){.kind = SIM_LOWER_LIMITS,
+        (struct sim_fault){.kind = SIM_LOWER_STORE_LIMITS,
                            .at = pick(state, FIRST_CLUSTER_MS, LAST_CLUSTER_MS),
                            .lasts = 1,
                            .which = -1};
@@ -159,15 +193,15 @@
         if (needed > day->plan.length) day->plan.length = needed;
     }
     if (next_random(&state) % 2) day->plan.load = 1u << next_random(&state) % LOADS;
-    if (next_random(&state) % 4 == 0) day->plan.load |= SIM_LOAD_TIGHT_TEAMS;
-    if (day->plan.load & SIM_LOAD_CROWDED) day->plan.load &= ~(unsigned)SIM_LOAD_TIGHT_TEAMS;
+    if (next_random(&state) % 4 == 0) day->plan.load |= SIM_LOAD_SMALL_QUOTAS;
+    if (day->plan.load & SIM_LOAD_OVERLOAD) day->plan.load &= ~(unsigned)SIM_LOAD_SMALL_QUOTAS;
 }
 
 /* On half of the days from the beginning; on half they are switched off again. */
 static void draw_duties(struct drawn *day, uint64_t seed) {
     uint64_t state = seed * 0x9e3779b97f4a7c15u + 0x7654321;
     struct sim_fault *fault = &day->faults[day->plan.fault_count++];
-    *fault = (struct sim_fault){.kind = SIM_DUTIES, .lasts = SIM_FOR_GOOD_MS, .which = -1};
+    *fault = (struct sim_fault){.kind = SIM_SWITCH_DUTIES, .lasts = SIM_PERMANENT_MS, .which = -1};
     if (next_random(&state) % 2) fault->at = pick(&state, FIRST_CLUSTER_MS / 2, LAST_CLUSTER_MS / 2);
     if (next_random(&state) % 2) fault->lasts = pick(&state, FIRST_CLUSTER_MS, LAST_CLUSTER_MS);
 }
@@ -176,7 +210,7 @@
 
 static struct sim_result play(struct drawn *day) {
     day->plan.faults = day->faults;
-    return sim_play_until_done(&day->plan, OVERTIME_MS);
+    return sim_run_until_done(&day->plan, OVERTIME_MS);
 }
 
 static bool try_without_fault(struct drawn *day, size_t index) {
@@ -184,7 +218,7 @@
     memmove(&less.faults[index], &less.faults[index + 1],
             (less.plan.fault_count - index - 1) * sizeof *less.faults);
     less.plan.fault_count--;
-    if (!play(&less).broken[0]) return false;
+    if (!play(&less).violation[0]) return false;
     *day = less;
     return true;
 }
@@ -192,7 +226,7 @@
 static bool try_shorter_fault(struct drawn *day, size_t index) {
     struct drawn less = *day;
     less.faults[index].lasts /= 2;
-    if (less.faults[index].lasts < 500 || !play(&less).broken[0]) return false;
+    if (less.faults[index].lasts < 500 || !play(&less).violation[0]) return false;
     *day = less;
     return true;
 }
@@ -200,7 +234,7 @@
 static bool try_without_load(struct drawn *day, unsigned load) {
     struct drawn less = *day;
     less.plan.load &= ~load;
-    if (!(day->plan.load & load) || !play(&less).broken[0]) return false;
+    if (!(day->plan.load & load) || !play(&less).violation[0]) return false;
     *day = less;
     return true;
 }
@@ -221,9 +255,9 @@
 /* ---- printing ---- */
 
 static void print_load(unsigned load) {
-    static const char *const names[] = {"SIM_LOAD_ZONE_BOUND", "SIM_LOAD_TIGHT_TEAMS", "SIM_LOAD_STREAM",
-                                        "SIM_LOAD_UNEVEN",     "SIM_LOAD_CROWDED",     "SIM_LOAD_PIPELINES",
-                                        "SIM_LOAD_ALL_FIELDS"};
+    static const char *const names[] = {
+        "SIM_LOAD_ZONE_BOUND", "SIM_LOAD_SMALL_QUOTAS", "SIM_LOAD_STREAM",    "SIM_LOAD_UNEVEN_TASKS",
+        "SIM_LOAD_OVERLOAD",   "SIM_LOAD_PIPELINES",    "SIM_LOAD_ALL_FIELDS"};
     if (!load) printf("0");
     const char *separator = "";
     for (size_t i = 0; i < sizeof names / sizeof *names; i++)
@@ -255,26 +289,27 @@
     if (options->duties) draw_duties(&day, seed);
     struct sim_result result = play(&day);
     totals->days++;
-    totals->overtime_days += result.overtime > 0;
-    if (result.overtime > totals->longest_overtime) totals->longest_overtime = result.overtime;
-    totals->orders_after_cancel += result.orders_after_cancel;
+    totals->overtime_days += result.overtime_ms > 0;
+    if (result.overtime_ms > totals->longest_overtime) totals->longest_overtime = result.overtime_ms;
+    totals->orders_after_cancel += result.commands_after_cancel;
     totals->starts_after_cancel += result.starts_after_cancel;
-    if (result.latest_order > totals->latest_order) totals->latest_order = result.latest_order;
-    if (options->verbose || result.overtime || result.orders_after_cancel) {
+    if (result.latest_command_after_cancel_ms > totals->latest_order)
+        totals->latest_order = result.latest_command_after_cancel_ms;
+    if (options->verbose || result.overtime_ms || result.commands_after_cancel) {
         printf("seed %llu: %u accepted, %u done, %u left open, %lld s of overtime, %u orders after a "
                "cancellation, at most %lld ms, digest %016llx\n",
-               (unsigned long long)seed, result.accepted, result.done, result.open,
-               (long long)result.overtime / 1000, result.orders_after_cancel, (long long)result.latest_order,
-               (unsigned long long)result.digest);
+               (unsigned long long)seed, result.accepted, result.done, result.open_jobs,
+               (long long)result.overtime_ms / 1000, result.commands_after_cancel,
+               (long long)result.latest_command_after_cancel_ms, (unsigned long long)result.digest);
         fflush(stdout);
     }
-    if (!result.broken[0]) return;
+    if (!result.violation[0]) return;
     totals->broken++;
-    printf("seed %llu BROKEN %s, digest %016llx\n", (unsigned long long)seed, result.broken,
+    printf("seed %llu BROKEN %s, digest %016llx\n", (unsigned long long)seed, result.violation,
            (unsigned long long)result.digest);
     shrink(&day);
     result = play(&day);
-    print_row(&day, sizes[options->size].name, result.broken);
+    print_row(&day, sizes[options->size].name, result.violation);
 }
 
 static void add(struct totals *sum, const struct totals *part) {
--- a/tests/standin/faults.c
+++ b/tests/standin/faults.c
@@ -40,7 +40,7 @@
 amb_ms sim_thaws_at(int node) {
     for (size_t i = 0; node >= 0 && i < world.fault_count; i++) {
         const struct sim_fault *fault = &world.faults[i];
-        if (fault->kind == SIM_FREEZE && fault->which == node && is_on(fault))
+        if (fault->kind == SIM_PAUSE_NODE && fault->which == node && is_on(fault))
             return fault->at + fault->lasts;
     }
     return 0;
@@ -48,7 +48,7 @@
 
 bool sim_node_cut(enum sim_fault_kind kind, int node) {
     if (sim_fault_active(SIM_CUT_ALL, node)) return true;
-    if (sim_fault_active(SIM_CUT_BUT_WORKERS, node) && kind != SIM_CUT_WORKERS) return true;
+    if (sim_fault_active(SIM_CUT_ALL_BUT_AGENTS, node) && kind != SIM_CUT_AGENTS) return true;
     return sim_fault_active(kind, node);
 }
 
@@ -78,7 +78,7 @@
 
 static bool zones_part(int zone, int other) {
     if (zone == other) return false;
-    return sim_fault_active(SIM_ZONES_APART, -1) || zone_is_cut(zone) || zone_is_cut(other);
+    return sim_fault_active(SIM_ZONE_PARTITION, -1) || zone_is_cut(zone) || zone_is_cut(other);
 }
 
 /* State service, cloud and users belong to no zone. */
@@ -93,35 +93,35 @@
 
 static bool report_passes(int machine, int node) {
     if (zones_part(sim_zone_of_node(node), world.machines[machine].zone)) return false;
-    return !sim_node_cut(SIM_CUT_WORKERS, node);
+    return !sim_node_cut(SIM_CUT_AGENTS, node);
 }
 
 static bool command_passes(int node, int machine) {
-    return report_passes(machine, node) && !sim_fault_active(SIM_DEAF, machine);
+    return report_passes(machine, node) && !sim_fault_active(SIM_LOSE_HEARTBEAT_REPLIES, machine);
 }
 
 bool sim_passes(const struct sim_call *call) {
-    switch (call->to) {
-    case SIM_AT_STATE: return !sim_node_cut(SIM_CUT_STATE, call->from) && !node_is_cut(call->from);
-    case SIM_AT_CLOUD: return !sim_fault_active(SIM_CUT_ALL, call->from) && !node_is_cut(call->from);
-    case SIM_AT_PEER: return peer_passes(call->from, call->node);
-    case SIM_AT_FRONT:
+    switch (call->destination) {
+    case SIM_TO_STORE: return !sim_node_cut(SIM_CUT_STORE, call->from) && !node_is_cut(call->from);
+    case SIM_TO_CLOUD: return !sim_fault_active(SIM_CUT_ALL, call->from) && !node_is_cut(call->from);
+    case SIM_TO_PEER: return peer_passes(call->from, call->node);
+    case SIM_TO_API:
         if (call->from_machine < 0)
             return !sim_fault_active(SIM_CUT_ALL, call->node) && !node_is_cut(call->node);
         return report_passes(call->from_machine, call->node) &&
-               !sim_fault_active(SIM_MUTE, call->from_machine);
-    case SIM_AT_WORKER: return command_passes(call->from, call->machine);
+               !sim_fault_active(SIM_LOSE_HEARTBEATS, call->from_machine);
+    case SIM_TO_AGENT: return command_passes(call->from, call->machine);
     }
     return true;
 }
 
 static bool of_machine(enum sim_fault_kind kind) {
-    return kind == SIM_HANG || kind == SIM_DIE || kind == SIM_DEAF || kind == SIM_COPIES ||
-           kind == SIM_BAD_MACHINE || kind == SIM_MUTE;
+    return kind == SIM_MACHINE_HANG || kind == SIM_MACHINE_CRASH || kind == SIM_LOSE_HEARTBEAT_REPLIES || kind == SIM_DUPLICATE_HEARTBEATS ||
+           kind == SIM_FAULTY_MACHINE || kind == SIM_LOSE_HEARTBEATS;
 }
 
 static bool of_node(enum sim_fault_kind kind) {
-    return kind <= SIM_CUT_BUT_WORKERS || kind == SIM_FREEZE;
+    return kind <= SIM_CUT_ALL_BUT_AGENTS || kind == SIM_PAUSE_NODE;
 }
 
 static int busiest_machine(void) {
@@ -158,7 +158,7 @@
 }
 
 static bool of_zone(enum sim_fault_kind kind) {
-    return kind == SIM_LOSE_ZONE || kind == SIM_CUT_ZONE || kind == SIM_HALVE_ZONE;
+    return kind == SIM_LOSE_ZONE || kind == SIM_CUT_ZONE || kind == SIM_LOSE_HALF_ZONE;
 }
 
 static void begin(struct sim_fault *fault) {
@@ -167,19 +167,19 @@
     if (fault->which < 0 && of_node(fault->kind)) fault->which = sim_leader();
     switch (fault->kind) {
     case SIM_KILL: sim_node_kill(fault->which, SIM_RESTART_MS); break;
-    case SIM_KILL_BRIEF: sim_node_kill(fault->which, sim_between(50, 400)); break;
-    case SIM_HANG: world.machines[fault->which].hang_until = world.now + fault->lasts; break;
-    case SIM_DIE: machine_dies(&world.machines[fault->which]); break;
+    case SIM_RESTART: sim_node_kill(fault->which, sim_random_between(50, 400)); break;
+    case SIM_MACHINE_HANG: world.machines[fault->which].hang_until = world.now + fault->lasts; break;
+    case SIM_MACHINE_CRASH: machine_dies(&world.machines[fault->which]); break;
     case SIM_LOSE_ZONE:
         sim_zone_lost(fault->which);
         zone_dies(fault->which);
         break;
     case SIM_CUT_ZONE: sim_zone_lost(fault->which); break;
-    case SIM_HALVE_ZONE: zone_halves(fault->which); break;
-    case SIM_CANCEL_NOW: sim_cancel_burst(fault->which, fault->lasts); break;
+    case SIM_LOSE_HALF_ZONE: zone_halves(fault->which); break;
+    case SIM_CANCEL_BURST: sim_cancel_burst(fault->which, fault->lasts); break;
     case SIM_UPGRADE: sim_begin_upgrade(fault); break;
-    case SIM_DUTIES: sim_begin_duties(fault); break;
-    case SIM_ODD_REQUESTS: sim_begin_odd_requests(); break;
+    case SIM_SWITCH_DUTIES: sim_begin_duties(fault); break;
+    case SIM_INVALID_REQUESTS: sim_begin_odd_requests(); break;
     default: break; /* looked up while it lasts */
     }
 }
@@ -189,9 +189,9 @@
     amb_ms over = 0;
     for (size_t i = 0; i < world.fault_count; i++) {
         amb_ms end = world.faults[i].at + world.faults[i].lasts + AFTERMATH_MS;
-        if (world.faults[i].kind == SIM_LATE_REPORTS) end += world.size->lease * 3 / 2;
+        if (world.faults[i].kind == SIM_LATE_HEARTBEAT_COPIES) end += world.size->agent_lease_ms * 3 / 2;
         if (world.faults[i].kind == SIM_UPGRADE) end += world.faults[i].lasts * world.size->nodes;
-        if (world.faults[i].kind == SIM_DUTIES) end = sim_duties_switched(&world.faults[i]) + AFTERMATH_MS;
+        if (world.faults[i].kind == SIM_SWITCH_DUTIES) end = sim_duties_switched(&world.faults[i]) + AFTERMATH_MS;
         if (end > over) over = end;
     }
     return over;
--- a/tests/standin/large_day.c
+++ b/tests/standin/large_day.c
@@ -101,7 +101,7 @@
 
 static const struct sim_fault troubles[] = {
     {SIM_KILL, 150000, 1, -1},
-    {SIM_OUTAGE, 220000, 25000, -1},
+    {SIM_STORE_OUTAGE, 220000, 25000, -1},
     {SIM_LOSE_ZONE, 300000, 1, -1},
     {SIM_KILL, 330000, 1, -1},
     {SIM_KILL, 400000, 1, 0},
@@ -111,7 +111,7 @@
     {SIM_KILL, 400000, 1, 4},
     {SIM_KILL, 400000, 1, 5},
     {SIM_KILL, 400000, 1, 6},
-    {SIM_CANCEL_NOW, 440000, 1000, 40},
+    {SIM_CANCEL_BURST, 440000, 1000, 40},
     {SIM_LATE_RETURNS, 100000, 300000, 20},
 };
 enum { TROUBLES = sizeof troubles / sizeof *troubles };
@@ -127,20 +127,20 @@
 static int play_seed(const struct sim_size *size, uint64_t seed, amb_ms length, bool quiet) {
     struct sim_fault faults[TROUBLES];
     size_t count = quiet ? 0 : fitting_troubles(size, faults);
-    const struct sim_plan plan = {size, seed, length, SIM_LOAD_LONG, faults, count};
+    const struct sim_scenario plan = {size, seed, length, SIM_LOAD_LONG_TASKS, faults, count};
     double began = processor_ms();
-    sim_watch_switch = watch_turn;
-    struct sim_result result = sim_play_large(&plan, MEMORY_MB, OVERTIME_MS);
-    double day_s = (double)(length + result.overtime) / 1000;
+    sim_on_node_switch = watch_turn;
+    struct sim_result result = sim_run_large(&plan, MEMORY_MB, OVERTIME_MS);
+    double day_s = (double)(length + result.overtime_ms) / 1000;
     printf("seed %llu: %u accepted, %u done, %u cancelled, %u starts, %u left open, %d machines at most, "
            "overtime "
            "%.0f s, %u late returns; played in %.0f s of processor; %s\n",
            (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.starts,
-           result.open, result.machines_most, (double)result.overtime / 1000, result.late_returns,
-           (processor_ms() - began) / 1000, result.broken[0] ? result.broken : "no rule broken");
+           result.open_jobs, result.peak_machines, (double)result.overtime_ms / 1000, result.late_return_calls,
+           (processor_ms() - began) / 1000, result.violation[0] ? result.violation : "no rule broken");
     print_turns(day_s, size->nodes);
     fflush(stdout);
-    return result.broken[0] || result.open;
+    return result.violation[0] || result.open_jobs;
 }
 
 /* ---- the program ---- */
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -11,9 +11,9 @@
 };
 
 static void call_free(struct sim_call *call) {
-    amb_timer_stop(&call->go);
-    amb_timer_stop(&call->back);
-    amb_timer_stop(&call->deadline);
+    amb_timer_stop(&call->delivery_timer);
+    amb_timer_stop(&call->reply_timer);
+    amb_timer_stop(&call->timeout_timer);
     free(call->body);
     amb_buf_free(&call->answer);
     memset(call, 0, sizeof *call);
@@ -39,12 +39,12 @@
 
 /* Runs the asker's code. */
 static void tell_asker(struct sim_call *call) {
-    if (call->fn) {
+    if (call->on_done) {
         int keep = sim_switch_to(call->from);
-        call->fn(call->arg, call->status, call->answer.data, call->answer.len);
+        call->on_done(call->arg, call->status, call->answer.data, call->answer.len);
         sim_switch_to(keep);
-    } else if (call->user_fn) {
-        call->user_fn(call);
+    } else if (call->on_reply) {
+        call->on_reply(call);
     }
 }
 
@@ -59,7 +59,7 @@
 
 static void call_deadline(void *arg) {
     struct sim_call *call = arg;
-    if (wait_for_thaw(call->from, &call->deadline, 0, call_deadline, call)) return;
+    if (wait_for_thaw(call->from, &call->timeout_timer, 0, call_deadline, call)) return;
     call->given_up = true;
     if (!asker_lives(call)) return;
     int status = call->status;
@@ -69,27 +69,27 @@
     tell_asker(call);
     call->status = status;
     call->answer = answer;
-    if (call->answered || !call->go.position) call_free(call);
+    if (call->answered || !call->delivery_timer.position) call_free(call);
 }
 
 static bool answer_is_lost(const struct sim_call *call) {
-    if (call->to != SIM_AT_STATE && call->to != SIM_AT_CLOUD) return false;
-    return sim_fault_active(SIM_LOSE_ANSWERS, -1) && sim_random() % 3 == 0;
+    if (call->destination != SIM_TO_STORE && call->destination != SIM_TO_CLOUD) return false;
+    return sim_fault_active(SIM_LOSE_RESPONSES, -1) && sim_random() % 3 == 0;
 }
 
 static bool machine_hears(const struct sim_call *call) {
-    if (call->from_machine < 0 || call->to != SIM_AT_FRONT) return true;
-    return !sim_fault_active(SIM_DEAF, call->from_machine) && !world.machines[call->from_machine].dead;
+    if (call->from_machine < 0 || call->destination != SIM_TO_API) return true;
+    return !sim_fault_active(SIM_LOSE_HEARTBEAT_REPLIES, call->from_machine) && !world.machines[call->from_machine].dead;
 }
 
 static void call_back(void *arg) {
     struct sim_call *call = arg;
-    if (wait_for_thaw(call->from, &call->back, 1, call_back, call)) return;
+    if (wait_for_thaw(call->from, &call->reply_timer, 1, call_back, call)) return;
     bool lost = answer_is_lost(call) || call->unanswered;
     bool heard = sim_passes(call) && !call->given_up && asker_lives(call) && machine_hears(call) && !lost;
     if (heard) {
-        if (call->to == SIM_AT_PEER && sim_watch_message) sim_watch_message(call);
-        amb_timer_stop(&call->deadline);
+        if (call->destination == SIM_TO_PEER && sim_on_peer_message) sim_on_peer_message(call);
+        amb_timer_stop(&call->timeout_timer);
         tell_asker(call);
         call_free(call);
     } else if (call->given_up || !asker_lives(call)) {
@@ -98,9 +98,9 @@
 }
 
 static amb_ms travel_time(const struct sim_call *call) {
-    if (call->to == SIM_AT_STATE && sim_fault_active(SIM_SLOW_STATE, -1)) return sim_between(50, 1000);
-    if (sim_fault_active(SIM_SLOW_LINKS, -1)) return sim_between(20, 300);
-    return sim_between(1, 4);
+    if (call->destination == SIM_TO_STORE && sim_fault_active(SIM_SLOW_STORE, -1)) return sim_random_between(50, 1000);
+    if (sim_fault_active(SIM_SLOW_LINKS, -1)) return sim_random_between(20, 300);
+    return sim_random_between(1, 4);
 }
 
 void sim_call_answer(struct sim_call *call, int status, struct amb_buf *body) {
@@ -110,7 +110,7 @@
     call->answered_at = world.now;
     sim_digest_answer(call);
     int keep = sim_switch_to(-1);
-    amb_timer_set_after(&call->back, travel_time(call), call_back, call);
+    amb_timer_set_after(&call->reply_timer, travel_time(call), call_back, call);
     sim_switch_to(keep);
 }
 
@@ -129,13 +129,13 @@
 
 static void serve_node(struct sim_call *call) {
     struct sim_node *node = &world.nodes[call->node];
-    const struct sim_server *server = call->to == SIM_AT_FRONT ? &node->front : &node->back;
+    const struct sim_server *server = call->destination == SIM_TO_API ? &node->front : &node->back;
     if (!node->alive || !server->handler) {
-        if (call->user_fn || call->fn) sim_call_answer(call, 0, NULL); /* refused */
+        if (call->on_reply || call->on_done) sim_call_answer(call, 0, NULL); /* refused */
         return;
     }
     if (call->len > server->body_most) {
-        sim_broken("a request of a node, worker or user is too large for %s", call->path);
+        sim_report_violation("a request of a node, worker or user is too large for %s", call->path);
         sim_call_answer(call, 413, NULL);
         return;
     }
@@ -163,54 +163,54 @@
 
 /* How long the network or the other side holds it up, once; 0: not at all. */
 static amb_ms hold_up(struct sim_call *call) {
-    bool write = call->to == SIM_AT_STATE && !strncmp(call->path, "/commit", 7);
-    bool command = call->to == SIM_AT_WORKER && !strcmp(call->path, "/commands");
+    bool write = call->destination == SIM_TO_STORE && !strncmp(call->path, "/commit", 7);
+    bool command = call->destination == SIM_TO_AGENT && !strcmp(call->path, "/commands");
     if (call->held || call->given_up) return 0;
     call->held = true;
     if (write && sim_fault_strikes(SIM_LATE_WRITES)) {
         call->unanswered = true;
-        return sim_between(2000, 12000);
+        return sim_random_between(2000, 12000);
     }
     if (command && sim_fault_strikes(SIM_LATE_COMMANDS)) {
         call->unanswered = true;
-        return sim_between(2000, 16000);
+        return sim_random_between(2000, 16000);
     }
-    if (write && sim_fault_strikes(SIM_LOST_WRITES)) call->unanswered = true;
-    bool returns = call->to == SIM_AT_CLOUD && !strcmp(call->path, "/machines/release");
+    if (write && sim_fault_strikes(SIM_UNANSWERED_WRITES)) call->unanswered = true;
+    bool returns = call->destination == SIM_TO_CLOUD && !strcmp(call->path, "/machines/release");
     if (returns && sim_fault_strikes(SIM_LATE_RETURNS)) {
         call->unanswered = true;
-        return sim_between(3000, 15000);
+        return sim_random_between(3000, 15000);
     }
     return 0;
 }
 
 static bool is_late(const struct sim_call *call) {
-    if (call->to != SIM_AT_STATE && call->to != SIM_AT_CLOUD) return false;
-    return sim_fault_active(SIM_LATE, -1) && !call->given_up && strcmp(call->method, "GET") &&
+    if (call->destination != SIM_TO_STORE && call->destination != SIM_TO_CLOUD) return false;
+    return sim_fault_active(SIM_LATE_REQUESTS, -1) && !call->given_up && strcmp(call->method, "GET") &&
            sim_random() % 4 == 0;
 }
 
-void sim_call_go(void *arg) {
+void sim_call_deliver(void *arg) {
     struct sim_call *call = arg;
     if (!sim_passes(call)) {
         if (call->given_up || !asker_lives(call)) call_free(call);
         return;
     }
     if (is_late(call)) {
-        amb_timer_set_after(&call->go, sim_between(2000, 15000), sim_call_go, call);
+        amb_timer_set_after(&call->delivery_timer, sim_random_between(2000, 15000), sim_call_deliver, call);
         return;
     }
-    bool to_node = call->to == SIM_AT_FRONT || call->to == SIM_AT_PEER;
-    if (to_node && wait_for_thaw(call->node, &call->go, 1, sim_call_go, call)) return;
+    bool to_node = call->destination == SIM_TO_API || call->destination == SIM_TO_PEER;
+    if (to_node && wait_for_thaw(call->node, &call->delivery_timer, 1, sim_call_deliver, call)) return;
     amb_ms held = hold_up(call);
     if (held) {
-        amb_timer_set_after(&call->go, held, sim_call_go, call);
+        amb_timer_set_after(&call->delivery_timer, held, sim_call_deliver, call);
         return;
     }
-    switch (call->to) {
-    case SIM_AT_STATE: sim_serve_state(call); break;
-    case SIM_AT_CLOUD: sim_serve_cloud(call); break;
-    case SIM_AT_WORKER: sim_serve_worker(call); break;
+    switch (call->destination) {
+    case SIM_TO_STORE: sim_serve_store(call); break;
+    case SIM_TO_CLOUD: sim_serve_cloud(call); break;
+    case SIM_TO_AGENT: sim_serve_agent(call); break;
     default: serve_node(call);
     }
 }
@@ -218,8 +218,8 @@
 void sim_call_start(struct sim_call *call, amb_ms timeout) {
     sim_digest_request(call, timeout);
     int keep = sim_switch_to(-1); /* what is under way outlives the node that sent it */
-    amb_timer_set_after(&call->go, travel_time(call), sim_call_go, call);
-    amb_timer_set_after(&call->deadline, timeout, call_deadline, call);
+    amb_timer_set_after(&call->delivery_timer, travel_time(call), sim_call_deliver, call);
+    amb_timer_set_after(&call->timeout_timer, timeout, call_deadline, call);
     sim_switch_to(keep);
 }
 
@@ -227,12 +227,12 @@
     snprintf(out, AMB_NAME_SIZE, "W%d:1", index);
 }
 
-static enum sim_place place_of(const char *address) { /* as nodes.c and the machines name them */
+static enum sim_destination place_of(const char *address) { /* as nodes.c and the machines name them */
     switch (address[0]) {
-    case 'S': return SIM_AT_STATE;
-    case 'C': return SIM_AT_CLOUD;
-    case 'P': return SIM_AT_PEER;
-    default: return SIM_AT_WORKER;
+    case 'S': return SIM_TO_STORE;
+    case 'C': return SIM_TO_CLOUD;
+    case 'P': return SIM_TO_PEER;
+    default: return SIM_TO_AGENT;
     }
 }
 
@@ -243,17 +243,17 @@
     (void)type;
     client->from = world.current;
     client->incarnation = world.nodes[world.current].incarnation;
-    client->to = place_of(addr);
-    client->sent_at_revision = world.state.revision;
+    client->destination = place_of(addr);
+    client->sent_at_revision = world.store.revision;
     client->returns_on_record = sim_returns_are_recorded();
-    if (client->to == SIM_AT_PEER) client->node = addr[1] - '0';
-    if (client->to == SIM_AT_WORKER) client->machine = (int)strtol(addr + 1, NULL, 10);
+    if (client->destination == SIM_TO_PEER) client->node = addr[1] - '0';
+    if (client->destination == SIM_TO_AGENT) client->machine = (int)strtol(addr + 1, NULL, 10);
     snprintf(client->method, sizeof client->method, "%s", method);
     snprintf(client->path, sizeof client->path, "%s", path);
     client->body = amb_alloc(len + 1);
     if (len) memcpy(client->body, body, len);
     client->len = len;
-    client->fn = on_done;
+    client->on_done = on_done;
     client->arg = arg;
     sim_call_start(client, timeout_ms);
     return NULL;
--- a/tests/standin/nodes.c
+++ b/tests/standin/nodes.c
@@ -21,22 +21,22 @@
         .zone_names = zone_names,
         .keep_idle = world.load & SIM_LOAD_ZONAL,
         .zone_recovery = world.load & SIM_LOAD_ZONE_RECOVERY,
-        .recovery_order = world.load & SIM_LOAD_REVERSED ? "drafts, assistant" : NULL,
+        .recovery_order = world.load & SIM_LOAD_REVERSED_RECOVERY_ORDER ? "drafts, assistant" : NULL,
         .teams = SIM_TEAMS,
-        .guest = world.load & SIM_LOAD_GUEST,
+        .guest = world.load & SIM_LOAD_NO_GUARANTEE,
         .team_limit = sim_team_limit(),
-        .report_s = (double)size->report / 1000,
-        .lease_s = (double)size->lease / 1000,
-        .cancel_s = (double)size->cancel / 1000,
+        .report_s = (double)size->heartbeat_ms / 1000,
+        .lease_s = (double)size->agent_lease_ms / 1000,
+        .cancel_s = (double)size->cancel_ms / 1000,
         .gang_wait_s = SIM_GANG_WAIT_MS / 1000.0,
-        .list_lag_s = (double)sim_pace.list_lag / 1000,
-        .state_rps = size->rps,
-        .cloud_rps = size->cloud,
-        .write_rps = size->writes,
+        .list_lag_s = (double)sim_cloud_timing.list_lag / 1000,
+        .state_rps = size->store_rps,
+        .cloud_rps = size->cloud_rps,
+        .write_rps = size->store_write_rps,
         .value_kb = SIM_VALUE_BYTES / 1024.0,
         .txn_ops = SIM_TXN_OPS,
         .memory_mb = world.memory_mb,
-        .next_write_rps = size->writes * sim_next_writes_share,
+        .next_write_rps = size->store_write_rps * sim_next_writes_share,
         .next_value_kb = SIM_NEXT_VALUE_BYTES / 1024.0,
         .next_txn_ops = SIM_NEXT_TXN_OPS,
     };
@@ -45,7 +45,7 @@
 int sim_switch_to(int node) {
     int before = world.current;
     world.current = node;
-    if (sim_watch_switch) sim_watch_switch(node);
+    if (sim_on_node_switch) sim_on_node_switch(node);
     return before;
 }
 
@@ -103,7 +103,7 @@
 enum { SWITCH_EVERY_MS = SIM_RESTART_MS * 3 / 2 };
 
 static void switch_next(void *arg) {
-    bool on = sim_fault_active(SIM_DUTIES, -1);
+    bool on = sim_fault_active(SIM_SWITCH_DUTIES, -1);
     (void)arg;
     for (int i = 0; i < world.size->nodes; i++) {
         if (world.nodes[i].duties == on) continue;
@@ -116,7 +116,7 @@
 
 amb_ms sim_duties_switched(const struct sim_fault *fault) {
     amb_ms all_nodes = (amb_ms)SWITCH_EVERY_MS * world.size->nodes;
-    return (fault->lasts < SIM_FOR_GOOD_MS ? fault->at + fault->lasts : fault->at) + all_nodes;
+    return (fault->lasts < SIM_PERMANENT_MS ? fault->at + fault->lasts : fault->at) + all_nodes;
 }
 
 void sim_begin_duties(const struct sim_fault *fault) {
@@ -125,9 +125,9 @@
 }
 
 void sim_start_nodes(void) {
-    bool duties = sim_fault_active(SIM_DUTIES, -1);
+    bool duties = sim_fault_active(SIM_SWITCH_DUTIES, -1);
     world.upgraded = !sim_fault_planned(SIM_UPGRADE);
-    if (!world.upgraded && !sim_production_at_hand()) abort();
+    if (!world.upgraded && !sim_is_production_available()) abort();
     for (int i = 0; i < world.size->nodes; i++) {
         world.nodes[i].old = !world.upgraded;
         world.nodes[i].duties = duties;
@@ -157,7 +157,7 @@
     return 0;
 }
 
-const struct amb_node *sim_leader_since(amb_ms before) {
+const struct amb_node *sim_restored_leader_since(amb_ms before) {
     const struct sim_node *leader = &world.nodes[sim_leader()];
     if (!leads(leader) || leader->old) return NULL;
     const struct amb_node *node = leader->node;
@@ -174,6 +174,6 @@
     return began;
 }
 
-bool sim_production_at_hand(void) {
+bool sim_is_production_available(void) {
     return sim_production_side() != NULL;
 }
--- a/tests/standin/pipelines.c
+++ b/tests/standin/pipelines.c
@@ -57,7 +57,7 @@
 
 bool sim_needs_done(const struct sim_job *job) {
     for (int i = 0; i < job->await_count; i++)
-        if (!sim_all_done(&world.jobs[job->awaits[i]])) return false;
+        if (!sim_all_tasks_done(&world.jobs[job->awaits[i]])) return false;
     return true;
 }
 
@@ -108,7 +108,7 @@
         const struct sim_job *before = &world.jobs[job->awaits[i]];
         if (!before->accepted || (job->moment == SIM_WHEN_OVER && !is_over(before))) return false;
     }
-    if (!job->awaits_earlier || world.now < job->at) return true;
+    if (!job->awaits_earlier || world.now < job->submit_at) return true;
     job->awaits_earlier = false;
     int earlier = pick_earlier(job);
     if (earlier >= 0 && job->await_count < SIM_AWAITS) job->awaits[job->await_count++] = earlier;
@@ -166,9 +166,9 @@
     spec->spread_zones = false;
     spec->one_zone = false;
     spec->spot_allowed = true;
-    spec->task_count = (uint32_t)sim_between(1, spec->kind == AMB_JOB_KIND_GANG ? 3 : 6);
+    spec->task_count = (uint32_t)sim_random_between(1, spec->kind == AMB_JOB_KIND_GANG ? 3 : 6);
     spec->task_resources.gpus = 1;
-    spec->estimated_runtime_s = (double)sim_between(2, 10);
+    spec->estimated_runtime_s = (double)sim_random_between(2, 10);
     spec->priority = AMB_PRIORITY_BEST_EFFORT;
 }
 
@@ -197,7 +197,7 @@
     if (part == HEAD_AT_END || part == MIDDLE_AT_END)
         job->cancel_at_end = true;
     else
-        job->cancel_at = job->at + sim_between(200, 15000);
+        job->cancel_at = job->submit_at + sim_random_between(200, 15000);
 }
 
 static void draw_pipeline(int number, amb_ms at) {
@@ -207,13 +207,13 @@
         struct sim_job *job = sim_job_new();
         draw_stage_spec(&job->spec);
         job->pipeline = number;
-        job->at = at;
+        job->submit_at = at;
         for (int needed = 0; needed < stage; needed++)
             if (shape->needs[stage] >> needed & 1) job->awaits[job->await_count++] = first + needed;
         if (stage && sim_random() % 8 == 0) job->awaits[job->await_count++] = first; /* perhaps twice */
         if (stage == 0) job->awaits_earlier = sim_random() % 3 == 0;
         if (stage == shape->stages - 1) make_last(job);
-        sim_user_comes(job, at);
+        sim_schedule_submission(job, at);
     }
     draw_cancellation(&world.jobs[first], shape->stages);
 }
@@ -223,27 +223,27 @@
     draw_stage_spec(&job->spec);
     job->spec.kind = AMB_JOB_KIND_ARRAY;
     job->spec.task_count = SIM_JOB_TASKS;
-    job->spec.estimated_runtime_s = (double)sim_between(5, 20);
-    job->at = at;
-    sim_user_comes(job, at);
+    job->spec.estimated_runtime_s = (double)sim_random_between(5, 20);
+    job->submit_at = at;
+    sim_schedule_submission(job, at);
 }
 
 static void draw_unfit_job(amb_ms at, enum sim_oddity oddity) {
     struct sim_job *job = sim_job_new();
     draw_stage_spec(&job->spec);
     job->oddity = oddity;
-    job->at = at;
-    sim_user_comes(job, at);
+    job->submit_at = at;
+    sim_schedule_submission(job, at);
 }
 
 void sim_draw_pipelines(amb_ms length) {
     amb_ms begin = world.now + BEGIN_MS, end = world.now + length / 2;
     int count = world.size->jobs / 2;
     if (count > 100) count = 100;
-    for (int number = 1; number <= count; number++) draw_pipeline(number, sim_between(begin, end));
-    for (int i = 0; i < BIG_JOBS; i++) draw_big_job(sim_between(begin, end));
+    for (int number = 1; number <= count; number++) draw_pipeline(number, sim_random_between(begin, end));
+    for (int i = 0; i < BIG_JOBS; i++) draw_big_job(sim_random_between(begin, end));
     for (int i = 0; i < UNFIT_JOBS; i++)
-        draw_unfit_job(sim_between(begin, end), i % 2 ? SIM_AWAITS_MALFORMED : SIM_AWAITS_UNKNOWN);
+        draw_unfit_job(sim_random_between(begin, end), i % 2 ? SIM_AWAITS_MALFORMED : SIM_AWAITS_UNKNOWN);
 }
 
 /* ---- questions ---- */
@@ -256,6 +256,6 @@
         struct sim_job *other = &world.jobs[i];
         if (other->pipeline != job->pipeline || !other->submitted) continue;
         for (int node = 0; node < world.size->nodes; node++)
-            sim_errand(other, SIM_ASK, node, sim_between(0, 300));
+            sim_errand(other, SIM_ASK, node, sim_random_between(0, 300));
     }
 }
--- a/tests/standin/record.c
+++ b/tests/standin/record.c
@@ -15,8 +15,8 @@
 
 /* The first keeps the nodes at the production version. */
 static const struct sim_fault faults[] = {
-    {SIM_UPGRADE, NEVER_MS, 1000, -1},   {SIM_KILL, 40000, 1, -1},     {SIM_KILL_BRIEF, 95000, 1, -1},
-    {SIM_ZONES_APART, 55000, 25000, -1}, {SIM_HANG, 50000, 15000, -1},
+    {SIM_UPGRADE, NEVER_MS, 1000, -1},   {SIM_KILL, 40000, 1, -1},     {SIM_RESTART, 95000, 1, -1},
+    {SIM_ZONE_PARTITION, 55000, 25000, -1}, {SIM_MACHINE_HANG, 50000, 15000, -1},
 };
 
 static void write_samples(const char *directory, enum sim_sample_kind kind) {
@@ -29,23 +29,23 @@
 }
 
 int main(int argc, char **argv) {
-    if (argc != 2 || !sim_production_at_hand()) {
+    if (argc != 2 || !sim_is_production_available()) {
         fprintf(stderr, "usage: record DIRECTORY, with the production version in the history\n");
         return 2;
     }
-    sim_record(true);
+    sim_recorder_start(true);
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        struct sim_result result = sim_play(&(struct sim_plan){
+        struct sim_result result = sim_run(&(struct sim_scenario){
             .size = &size,
             .seed = seed,
             .length = LENGTH_MS,
-            .load = SIM_LOAD_ALL_FIELDS | SIM_LOAD_ZONE_BOUND | SIM_LOAD_CROWDED,
+            .load = SIM_LOAD_ALL_FIELDS | SIM_LOAD_ZONE_BOUND | SIM_LOAD_OVERLOAD,
             .faults = faults,
             .fault_count = sizeof faults / sizeof *faults,
         });
         printf("seed %llu: %u accepted, %u done, %u cancelled %s\n", (unsigned long long)seed,
-               result.accepted, result.done, result.cancelled, result.broken);
-        if (result.broken[0]) return 1;
+               result.accepted, result.done, result.cancelled, result.violation);
+        if (result.violation[0]) return 1;
     }
     for (int kind = 0; kind < SIM_OTHER_RECORDS; kind++) write_samples(argv[1], (enum sim_sample_kind)kind);
     return 0;
--- a/tests/standin/recorder.c
+++ b/tests/standin/recorder.c
@@ -82,7 +82,7 @@
     }
 }
 
-json_t *sim_form(const json_t *sample) {
+json_t *sim_sample_form(const json_t *sample) {
     json_t *paths = json_object();
     add_paths(paths, "", sample);
     return paths;
@@ -91,7 +91,7 @@
 /* ---- collecting ---- */
 
 static void collect(enum sim_sample_kind kind, json_t *sample) {
-    json_t *paths = sim_form(sample);
+    json_t *paths = sim_sample_form(sample);
     char *form = json_dumps(paths, JSON_COMPACT | JSON_SORT_KEYS);
     json_int_t known = json_integer_value(json_object_get(forms[kind], form));
     if (known < SAMPLES_OF_A_FORM) json_array_append(samples[kind], sample);
@@ -110,7 +110,7 @@
     if (!strncmp(key, "b/p/", 4)) return SIM_PLACEMENT_BLOCKS;
     if (!strncmp(key, "b/r/", 4)) return SIM_RENTAL_REQUESTS;
     if (!strcmp(key, "a/leader")) return SIM_LEADER_KEYS;
-    if (!strncmp(key, "a/deputy/", 9)) return SIM_DEPUTY_KEYS;
+    if (!strncmp(key, "a/deputy/", 9)) return SIM_LEASE_PROXY_KEYS;
     return SIM_OTHER_RECORDS;
 }
 
@@ -154,9 +154,9 @@
 
 /* A message that the production version does not know must be one that it refuses and does without. */
 static void check_unknown_message(const struct sim_call *call) {
-    if (world.nodes[call->from].old) sim_broken("the production version sent %s", call->path);
+    if (world.nodes[call->from].old) sim_report_violation("the production version sent %s", call->path);
     if (world.nodes[call->node].old && call->status != 404)
-        sim_broken("the production version answered %s with %d", call->path, call->status);
+        sim_report_violation("the production version answered %s with %d", call->path, call->status);
 }
 
 static void take_message(const struct sim_call *call) {
@@ -167,12 +167,12 @@
     json_t *said = json_loadb(call->body, call->len, 0, NULL);
     json_t *answer = json_loadb(call->answer.data, call->answer.len, 0, NULL);
     if (said && of_the_version(call->from)) collect(SIM_HEARTBEATS, json_incref(said));
-    if (answer && of_the_version(call->node)) collect(SIM_HEARTBEAT_ANSWERS, json_incref(answer));
+    if (answer && of_the_version(call->node)) collect(SIM_HEARTBEAT_REPLIES, json_incref(answer));
     json_decref(said);
     json_decref(answer);
 }
 
-void sim_record(bool old) {
+void sim_recorder_start(bool old) {
     records_old = old;
     for (int kind = 0; kind < SIM_SAMPLE_KINDS; kind++) {
         json_decref(samples[kind]);
@@ -180,13 +180,13 @@
         samples[kind] = json_array();
         forms[kind] = json_object();
     }
-    sim_watch_transaction = take_transaction;
-    sim_watch_message = take_message;
+    sim_on_transaction = take_transaction;
+    sim_on_peer_message = take_message;
 }
 
-void sim_record_stop(void) {
-    sim_watch_transaction = NULL;
-    sim_watch_message = NULL;
+void sim_recorder_stop(void) {
+    sim_on_transaction = NULL;
+    sim_on_peer_message = NULL;
 }
 
 const json_t *sim_samples(enum sim_sample_kind kind) {
--- a/tests/standin/recorder.h
+++ b/tests/standin/recorder.h
@@ -13,10 +13,10 @@
     SIM_PLACEMENT_BLOCKS,
     SIM_RENTAL_REQUESTS,
     SIM_LEADER_KEYS,
-    SIM_DEPUTY_KEYS,
+    SIM_LEASE_PROXY_KEYS,
     SIM_REMOVALS,
     SIM_HEARTBEATS,
-    SIM_HEARTBEAT_ANSWERS,
+    SIM_HEARTBEAT_REPLIES,
     SIM_OTHER_RECORDS, /* of no kind that the production version knows */
     SIM_SAMPLE_KINDS,
 };
@@ -24,9 +24,9 @@
 extern const char *const sim_sample_names[SIM_SAMPLE_KINDS];
 
 /* Whose writes and words are collected: nodes of the production version, or of the present one. */
-void sim_record(bool old);
-void sim_record_stop(void);
-const json_t *sim_samples(enum sim_sample_kind kind); /* a list, since sim_record */
-json_t *sim_form(const json_t *sample);               /* an object, its keys the fields; to be released */
+void sim_recorder_start(bool old);
+void sim_recorder_stop(void);
+const json_t *sim_samples(enum sim_sample_kind kind); /* a list, since sim_recorder_start */
+json_t *sim_sample_form(const json_t *sample);        /* an object, its keys the fields; to be released */
 
 #endif
--- a/tests/standin/recovery.c
+++ b/tests/standin/recovery.c
@@ -53,7 +53,7 @@
         }
     }
     recovery()->lost_at = world.now;
-    memset(world.result.served_after, 0, sizeof world.result.served_after);
+    memset(world.result.recovery_ms, 0, sizeof world.result.recovery_ms);
 }
 
 /* ---- what serves, each second ---- */
@@ -88,8 +88,8 @@
     recent->window_sum += share - *place;
     *place = share;
     double mean = recent->window_sum / SIM_WINDOW_S;
-    if (recent->lost_at && recent->seconds > SIM_WINDOW_S && mean < world.result.worst_window)
-        world.result.worst_window = mean;
+    if (recent->lost_at && recent->seconds > SIM_WINDOW_S && mean < world.result.worst_served_share)
+        world.result.worst_served_share = mean;
 }
 
 void sim_recovery_second(void) {
@@ -101,15 +101,15 @@
     for (int i = 0; i < world.job_count; i++) count_job(i, serving[i], &tally);
     note_window(&tally);
     for (int i = 0; recovery()->lost_at && i < SIM_CLASSES; i++) {
-        amb_ms *served = &world.result.served_after[i];
+        amb_ms *served = &world.result.recovery_ms[i];
         if (!tally.missing[i] && !*served) *served = world.now - recovery()->lost_at;
     }
 }
 
 void sim_recovery_end(void) {
     for (int i = 0; recovery()->lost_at && i < SIM_CLASSES; i++)
-        if (world.result.lost_replicas[i] && !world.result.served_after[i])
-            sim_broken("not_served: %s", sim_class_names[i]);
+        if (world.result.lost_replicas[i] && !world.result.recovery_ms[i])
+            sim_report_violation("not_served: %s", sim_class_names[i]);
 }
 
 /* ---- the promised order ---- */
@@ -141,13 +141,13 @@
 
 /* Nothing takes room that a lost replica of a class before it waits for and could use. */
 static void check_precedence(const struct sim_machine *machine, const struct sim_task *task) {
-    const struct amb_node *leader = sim_leader_since(2 * ORDER_SLACK_MS);
+    const struct amb_node *leader = sim_restored_leader_since(2 * ORDER_SLACK_MS);
     double room = free_gpus(machine, task);
     for (int i = 0; leader && !machine->spot && i < world.job_count; i++) {
         const struct sim_job *lost = &world.jobs[i];
         if (!recovery()->lost[i] || class_of(lost) >= class_of(task->job)) continue;
         if (lost->spec.task_resources.gpus <= room && any_waits(leader, lost, machine->zone))
-            sim_broken("order: %s of %s starts on %s before %s of %s", task->ref, task->job->spec.class_name,
+            sim_report_violation("order: %s of %s starts on %s before %s of %s", task->ref, task->job->spec.class_name,
                        machine->name, lost->spec.ref, lost->spec.class_name);
     }
 }
@@ -155,20 +155,20 @@
 /* No batch work in a zone that has only just come back. */
 static void check_steady(const struct sim_machine *machine, const struct sim_task *task) {
     if (task->job->spec.kind == AMB_JOB_KIND_SERVICE) return;
-    amb_ms steady = world.size->lease / SIM_LEASES_PER_STEADY;
+    amb_ms steady = world.size->agent_lease_ms / SIM_LEASES_PER_STEADY;
     for (size_t i = 0; i < world.fault_count; i++) {
         const struct sim_fault *cut = &world.faults[i];
         if (cut->kind != SIM_CUT_ZONE || cut->which != machine->zone || cut->lasts < SURELY_LOST_MS) continue;
         amb_ms since = world.now - (cut->at + cut->lasts);
         if (since >= 0 && since < steady)
-            sim_broken("unsteady: %s starts on %s %lld ms after the cut", task->ref, machine->name,
+            sim_report_violation("unsteady: %s starts on %s %lld ms after the cut", task->ref, machine->name,
                        (long long)since);
     }
 }
 
 /* Ordered again from a record of an earlier leader: no start of this one's choice. */
 static bool is_of_earlier_leader(const struct sim_task *task) {
-    const struct amb_node *leader = sim_leader_since(0);
+    const struct amb_node *leader = sim_restored_leader_since(0);
     const struct amb_job *job = leader ? amb_job_find((struct amb_node *)leader, task->ref) : NULL;
     return !job || !job->active || job->tasks[task->index].inherited;
 }
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -11,14 +11,14 @@
 
 enum { LONGEST_WAIT_MS = 90000, LONGEST_SILENCE_MS = 75000 }; /* once troubles are over */
 
-void sim_broken(const char *format, ...) {
-    char text[sizeof world.result.broken - 32];
+void sim_report_violation(const char *format, ...) {
+    char text[sizeof world.result.violation - 32];
     va_list arguments;
-    if (world.result.broken[0]) return;
+    if (world.result.violation[0]) return;
     va_start(arguments, format);
     vsnprintf(text, sizeof text, format, arguments);
     va_end(arguments);
-    snprintf(world.result.broken, sizeof world.result.broken, "at %lld ms: %s", (long long)world.now, text);
+    snprintf(world.result.violation, sizeof world.result.violation, "at %lld ms: %s", (long long)world.now, text);
 }
 
 static bool is_submission(const struct amb_http_req *request) {
@@ -28,7 +28,7 @@
 void sim_check_reply(const struct sim_node *node, const struct amb_http_req *request, int status,
                      int retry_after_s) {
     if (status == 503 && !retry_after_s && strcmp(request->path, "/healthz"))
-        sim_broken("a 503 without Retry-After for %s", request->path);
+        sim_report_violation("a 503 without Retry-After for %s", request->path);
     if (status == 503 && is_submission(request) && !node->side->job_table_has_room(node->node))
         world.result.refused_for_memory++;
 }
@@ -39,10 +39,10 @@
     size_t used = node->side->job_table_used(node->node);
     size_t most = node->side->job_table_most(node->node);
     size_t accepted_at_once =
-        (size_t)world.size->writes / 10 * (sizeof(struct amb_job) + sizeof(struct amb_job_spec));
-    if (used > world.result.job_table_most) world.result.job_table_most = used;
+        (size_t)world.size->store_write_rps / 10 * (sizeof(struct amb_job) + sizeof(struct amb_job_spec));
+    if (used > world.result.peak_job_table_bytes) world.result.peak_job_table_bytes = used;
     if (used > accepted_at_once && used - accepted_at_once > most)
-        sim_broken("memory: n%d holds %zu bytes of jobs", (int)(node - world.nodes), used);
+        sim_report_violation("memory: n%d holds %zu bytes of jobs", (int)(node - world.nodes), used);
 }
 
 /* Tasks on other machines, as a start finds them. */
@@ -63,7 +63,7 @@
     const struct sim_job *job = task->job;
     if (other->job == job) {
         crowd->in_zone[machine->zone]++;
-        if (other->index == task->index) sim_broken("ran_twice: %s on %s too", task->ref, machine->name);
+        if (other->index == task->index) sim_report_violation("ran_twice: %s on %s too", task->ref, machine->name);
     }
     const struct sim_job *other_job = other->job;
     if (!strcmp(other_job->spec.team, job->spec.team))
@@ -74,7 +74,7 @@
     struct crowd crowd = {{0}, 0};
     for (int i = 0; i < world.machine_count; i++) {
         const struct sim_machine *machine = &world.machines[i];
-        if (!machine->exists || machine->dead || world.now - machine->lease_from > world.size->lease)
+        if (!machine->exists || machine->dead || world.now - machine->lease_from > world.size->agent_lease_ms)
             continue; /* hanging beyond its lease */
         for (uint32_t k = 0; k < machine->task_count; k++) {
             const struct sim_task *other = &machine->tasks[k];
@@ -87,17 +87,17 @@
 /* Its own cancellation, or that of a job before it, was told so long ago that nothing of it may be left. */
 static bool past_cancel(const struct sim_job *job) {
     amb_ms told = sim_cancel_told_at(job);
-    return told && world.now > told + world.size->cancel;
+    return told && world.now > told + world.size->cancel_ms;
 }
 
 /* Whoever is told that a job is cancelled will never see it done, whatever its tasks did. */
 static void check_needs(const struct sim_job *job) {
     for (int i = 0; i < job->await_count; i++) {
         const struct sim_job *needed = &world.jobs[job->awaits[i]];
-        if (!sim_all_done(needed))
-            sim_broken("too_early: %s, %s is not done", job->spec.ref, needed->spec.ref);
+        if (!sim_all_tasks_done(needed))
+            sim_report_violation("too_early: %s, %s is not done", job->spec.ref, needed->spec.ref);
         else if (needed->cancel_told)
-            sim_broken("too_early: %s, %s is cancelled", job->spec.ref, needed->spec.ref);
+            sim_report_violation("too_early: %s, %s is cancelled", job->spec.ref, needed->spec.ref);
     }
 }
 
@@ -108,24 +108,24 @@
     struct crowd crowd = count_tasks(task);
     crowd.in_zone[machine->zone]++;
     if (crowd.team_gpus + spec->task_resources.gpus > sim_team_limit())
-        sim_broken("quota: team of %s", task->ref);
+        sim_report_violation("quota: team of %s", task->ref);
     if (job->cancel_told) world.result.starts_after_cancel++;
     if (spec->zone[0] && machine->zone != sim_zone_of_name(spec->zone))
-        sim_broken("wrong_place: %s on %s of another zone", task->ref, machine->name);
+        sim_report_violation("wrong_place: %s on %s of another zone", task->ref, machine->name);
     if (machine->spot && !spec->spot_allowed)
-        sim_broken("wrong_place: %s on spot %s", task->ref, machine->name);
+        sim_report_violation("wrong_place: %s on spot %s", task->ref, machine->name);
     if (spec->spread_zones &&
         crowd.in_zone[machine->zone] > amb_placement_max_tasks_per_zone(spec->task_count))
-        sim_broken("wrong_place: spread of %s on %s", task->ref, machine->name);
+        sim_report_violation("wrong_place: spread of %s on %s", task->ref, machine->name);
     if (spec->one_zone && in_other_zones(crowd.in_zone, machine->zone))
-        sim_broken("wrong_place: %s not in one zone, %s", task->ref, machine->name);
-    if (past_cancel(job)) sim_broken("ran_cancelled: %s started on %s", task->ref, machine->name);
+        sim_report_violation("wrong_place: %s not in one zone, %s", task->ref, machine->name);
+    if (past_cancel(job)) sim_report_violation("ran_cancelled: %s started on %s", task->ref, machine->name);
     check_needs(job);
 }
 
 void sim_check_task(const struct sim_machine *machine, const struct sim_task *task) {
     if (sim_has_started(task) && past_cancel(task->job))
-        sim_broken("ran_cancelled: %s on %s", task->ref, machine->name);
+        sim_report_violation("ran_cancelled: %s on %s", task->ref, machine->name);
 }
 
 static enum sim_known known_by(int status, bool final) {
@@ -140,27 +140,27 @@
 
 static void check_refusal(struct sim_job *job, const struct sim_call *call) {
     if (call->known_before >= SIM_ACCEPTED)
-        sim_broken("forgotten: %s refused", job->spec.ref);
+        sim_report_violation("forgotten: %s refused", job->spec.ref);
     else if (job->oddity == SIM_SOUND)
-        sim_broken("refused: %s, which can run", job->spec.ref);
+        sim_report_violation("refused: %s, which can run", job->spec.ref);
     else if (call->status != refusal_of(job->oddity))
-        sim_broken("refused: %s with %d, oddity %d", job->spec.ref, call->status, (int)job->oddity);
+        sim_report_violation("refused: %s with %d, oddity %d", job->spec.ref, call->status, (int)job->oddity);
     if (!job->refused && job->oddity != SIM_SOUND) world.result.refused++;
-    if (!job->refused && job->oddity == SIM_AWAITS_UNKNOWN) world.result.unknown_refused++;
+    if (!job->refused && job->oddity == SIM_AWAITS_UNKNOWN) world.result.unknown_dependency_refusals++;
     job->refused = true;
 }
 
 /* An answer must not be older than one that had arrived when the question was sent. */
 static void check_age(const struct sim_job *job, const struct sim_call *call, bool done, bool cancelled) {
     if (known_by(call->status, done || cancelled) < call->known_before)
-        sim_broken("went_back: %s", job->spec.ref);
+        sim_report_violation("went_back: %s", job->spec.ref);
     if ((job->done_told && cancelled) || (job->cancel_told && done))
-        sim_broken("went_back: %s, from one end to another", job->spec.ref);
+        sim_report_violation("went_back: %s, from one end to another", job->spec.ref);
 }
 
 /* A job that its user did not ask to cancel is cancelled only with one that it needs. */
 static void check_cause(const struct sim_job *job) {
-    if (!sim_cancel_wanted(job)) sim_broken("went_back: %s cancelled by nobody", job->spec.ref);
+    if (!sim_cancel_wanted(job)) sim_report_violation("went_back: %s cancelled by nobody", job->spec.ref);
 }
 
 /* Jobs that were called cancelled with this one, which is now called done. */
@@ -173,8 +173,8 @@
 
 static void check_orphan(const struct sim_job *job) {
     amb_ms told = sim_cancel_told_at(job);
-    if (told && world.now > told + world.size->cancel)
-        sim_broken("orphaned: %s, %lld ms after one that it needs was cancelled", job->spec.ref,
+    if (told && world.now > told + world.size->cancel_ms)
+        sim_report_violation("orphaned: %s, %lld ms after one that it needs was cancelled", job->spec.ref,
                    (long long)(world.now - told));
 }
 
@@ -183,14 +183,14 @@
     job->cancel_told = true;
     job->cancel_told_at = world.now;
     world.result.cancelled++;
-    if (!job->cancel_wanted) world.result.dependants_cancelled++;
+    if (!job->cancel_wanted) world.result.dependents_cancelled++;
 }
 
 static void tell_done(struct sim_job *job) {
     if (job->done_told) return;
     job->done_told = true;
     world.result.done++;
-    if (job->await_count) world.result.dependants_done++;
+    if (job->await_count) world.result.dependents_done++;
     if (job->pipeline) check_cancelled_with(job);
 }
 
@@ -198,7 +198,7 @@
     enum sim_known before = job->known;
     job->answered_at = world.now;
     if (!job->accepted) world.result.accepted++;
-    if (!job->accepted && job->await_count) world.result.dependants++;
+    if (!job->accepted && job->await_count) world.result.dependents++;
     job->accepted = true;
     if (done) tell_done(job);
     if (cancelled) tell_cancelled(job);
@@ -212,12 +212,12 @@
     struct sim_job *job = call->user;
     const cbor_item_t *stance = amb_cbor_map_get(body, "stance");
     bool done = amb_cbor_equals(stance, "done"), cancelled = amb_cbor_equals(stance, "cancelled");
-    if (call->status == 404 && call->known_before >= SIM_ACCEPTED) sim_broken("forgotten: %s", job->spec.ref);
+    if (call->status == 404 && call->known_before >= SIM_ACCEPTED) sim_report_violation("forgotten: %s", job->spec.ref);
     if (call->status == 400 || call->status == 422) check_refusal(job, call);
-    if (call->status == 200 && !job->submitted) sim_broken("invented: %s", job->spec.ref);
+    if (call->status == 200 && !job->submitted) sim_report_violation("invented: %s", job->spec.ref);
     if (call->status != 200 && call->status != 201) return;
-    if (job->oddity != SIM_SOUND) sim_broken("took_unfit: %s, oddity %d", job->spec.ref, (int)job->oddity);
-    if (done && !sim_all_done(job)) sim_broken("not_done: %s", job->spec.ref);
+    if (job->oddity != SIM_SOUND) sim_report_violation("took_unfit: %s, oddity %d", job->spec.ref, (int)job->oddity);
+    if (done && !sim_all_tasks_done(job)) sim_report_violation("not_done: %s", job->spec.ref);
     if (cancelled) check_cause(job);
     if (!done && !cancelled) check_orphan(job);
     check_age(job, call, done, cancelled);
@@ -229,17 +229,17 @@
 static amb_ms latest_ignorance(void) {
     struct amb_options options;
     amb_options_set_defaults(&options);
-    return (amb_ms)(options.leader_lease_share * (double)world.size->lease) + world.size->report;
+    return (amb_ms)(options.leader_lease_share * (double)world.size->agent_lease_ms) + world.size->heartbeat_ms;
 }
 
 void sim_check_order(const struct sim_job *job, amb_ms issued) {
     amb_ms told = sim_cancel_told_at(job);
     if (!told || issued <= told) return;
     amb_ms late = issued - told;
-    world.result.orders_after_cancel++;
-    if (late > world.result.latest_order) world.result.latest_order = late;
+    world.result.commands_after_cancel++;
+    if (late > world.result.latest_command_after_cancel_ms) world.result.latest_command_after_cancel_ms = late;
     if (late > latest_ignorance())
-        sim_broken("started_cancelled: %s, ordered %lld ms after its cancellation was confirmed",
+        sim_report_violation("started_cancelled: %s, ordered %lld ms after its cancellation was confirmed",
                    job->spec.ref, (long long)late);
 }
 
@@ -323,13 +323,13 @@
     job->was_placed = placed;
     if (!waits || world.now < world.troubles_over) job->waits_from = world.now;
     if (world.now - job->waits_from > LONGEST_WAIT_MS)
-        sim_broken("left_waiting: %s, kind %d, %u tasks", job->spec.ref, (int)job->spec.kind,
+        sim_report_violation("left_waiting: %s, kind %d, %u tasks", job->spec.ref, (int)job->spec.kind,
                    job->spec.task_count);
 }
 
 static void check_answered(const struct sim_job *job) {
     amb_ms since = job->answered_at > world.troubles_over ? job->answered_at : world.troubles_over;
-    if (job->accepted && world.now - since > LONGEST_SILENCE_MS) sim_broken("unanswered: %s", job->spec.ref);
+    if (job->accepted && world.now - since > LONGEST_SILENCE_MS) sim_report_violation("unanswered: %s", job->spec.ref);
 }
 
 void sim_check_second(void) {
@@ -358,8 +358,8 @@
     for (int i = 0; i < world.job_count; i++) {
         const struct sim_job *job = &world.jobs[i];
         if (is_open(job)) {
-            world.result.open++;
-            if (all_must_be_done) sim_broken("unfinished: %s", job->spec.ref);
+            world.result.open_jobs++;
+            if (all_must_be_done) sim_report_violation("unfinished: %s", job->spec.ref);
         }
         if (getenv("SIM_TRACE") && job->accepted && !job->done_told && !job->cancel_told)
             printf("open: %s kind %d tasks %u\n", job->spec.ref, (int)job->spec.kind, job->spec.task_count);
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -13,34 +13,34 @@
 
 static int key_find(const char *key) {
     uint64_t hash = key_hash(key);
-    for (int i = 0; i < world.state.key_count; i++)
-        if (world.state.key_hashes[i] == hash && !strcmp(world.state.keys[i].key, key)) return i;
+    for (int i = 0; i < world.store.key_count; i++)
+        if (world.store.key_hashes[i] == hash && !strcmp(world.store.keys[i].key, key)) return i;
     return -1;
 }
 
 static void note_change(const char *key, const struct amb_buf *value) {
-    if (world.state.change_count == SIM_CHANGES) abort();
-    struct sim_change *change = &world.state.changes[world.state.change_count++];
+    if (world.store.change_count == SIM_CHANGES) abort();
+    struct sim_change *change = &world.store.changes[world.store.change_count++];
     memset(change, 0, sizeof *change);
     memcpy(change->key, key, strnlen(key, SIM_KEY_SIZE - 1));
     if (value) amb_buf_append(&change->value, value->data, value->len);
-    change->stamp = world.state.revision;
+    change->stamp = world.store.revision;
 }
 
 static void key_remove(int index) {
-    note_change(world.state.keys[index].key, NULL);
-    amb_buf_free(&world.state.keys[index].value);
-    world.state.keys[index] = world.state.keys[--world.state.key_count];
-    world.state.key_hashes[index] = world.state.key_hashes[world.state.key_count];
+    note_change(world.store.keys[index].key, NULL);
+    amb_buf_free(&world.store.keys[index].value);
+    world.store.keys[index] = world.store.keys[--world.store.key_count];
+    world.store.key_hashes[index] = world.store.key_hashes[world.store.key_count];
 }
 
 static void wake_followers(void);
 
 static bool remove_leased(uint64_t lease) {
     bool any = false;
-    for (int k = world.state.key_count - 1; k >= 0; k--) {
-        if (world.state.keys[k].lease != lease) continue;
-        world.state.revision++;
+    for (int k = world.store.key_count - 1; k >= 0; k--) {
+        if (world.store.keys[k].lease != lease) continue;
+        world.store.revision++;
         key_remove(k);
         any = true;
     }
@@ -48,23 +48,23 @@
 }
 
 static void end_leases(void) {
-    bool any = false, outage = sim_fault_active(SIM_OUTAGE, -1);
-    for (int i = 0; i < world.state.lease_count; i++) {
-        struct sim_lease *lease = &world.state.leases[i];
+    bool any = false, outage = sim_fault_active(SIM_STORE_OUTAGE, -1);
+    for (int i = 0; i < world.store.lease_count; i++) {
+        struct sim_lease *lease = &world.store.leases[i];
         if (outage) lease->end = world.now + lease->ttl; /* full time again afterwards */
         if (lease->end > world.now) continue;
         any |= remove_leased(lease->id);
-        *lease = world.state.leases[--world.state.lease_count];
+        *lease = world.store.leases[--world.store.lease_count];
         i--;
     }
     if (any) wake_followers();
 }
 
-void sim_state_tick(void) {
+void sim_store_tick(void) {
     int refused = 0;
-    for (int i = 0; i < world.size->nodes; i++) refused += sim_fault_active(SIM_REFUSE_STATE, i);
-    if (refused < world.state.refused_nodes) wake_followers();
-    world.state.refused_nodes = refused;
+    for (int i = 0; i < world.size->nodes; i++) refused += sim_fault_active(SIM_STORE_REFUSES_NODE, i);
+    if (refused < world.store.refused_nodes) wake_followers();
+    world.store.refused_nodes = refused;
     end_leases();
 }
 
@@ -88,21 +88,21 @@
     uint64_t from = strtoull(after, NULL, 10);
     size_t count = 0;
     struct amb_buf buffer = {0}, list = {0};
-    int first = world.state.change_count; /* stamps only rise */
-    while (first && world.state.changes[first - 1].stamp > from) first--;
-    for (int i = first; i < world.state.change_count; i++) {
-        if (strncmp(world.state.changes[i].key, prefix, strlen(prefix))) continue;
+    int first = world.store.change_count; /* stamps only rise */
+    while (first && world.store.changes[first - 1].stamp > from) first--;
+    for (int i = first; i < world.store.change_count; i++) {
+        if (strncmp(world.store.changes[i].key, prefix, strlen(prefix))) continue;
         count++;
-        bool put = world.state.changes[i].value.len > 0;
+        bool put = world.store.changes[i].value.len > 0;
         amb_cbor_write_map(&list, put ? 3 : 2);
         amb_cbor_write_string(&list, put ? "put" : "remove");
-        amb_cbor_write_string(&list, world.state.changes[i].key);
+        amb_cbor_write_string(&list, world.store.changes[i].key);
         if (put) {
             amb_cbor_write_string(&list, "value");
-            put_value(&list, &world.state.changes[i].value);
+            put_value(&list, &world.store.changes[i].value);
         }
         amb_cbor_write_string(&list, "stamp");
-        amb_cbor_write_uint(&list, world.state.changes[i].stamp);
+        amb_cbor_write_uint(&list, world.store.changes[i].stamp);
     }
     if (!count && !even_empty) {
         amb_buf_free(&list);
@@ -110,7 +110,7 @@
     }
     amb_cbor_write_map(&buffer, 2);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, world.state.revision);
+    amb_cbor_write_uint(&buffer, world.store.revision);
     amb_cbor_write_string(&buffer, "news");
     amb_cbor_write_list(&buffer, count);
     amb_buf_append(&buffer, list.data, list.len);
@@ -120,7 +120,7 @@
 }
 
 static bool is_refused(const struct sim_call *call) {
-    return sim_fault_active(SIM_OUTAGE, -1) || sim_fault_active(SIM_REFUSE_STATE, call->from);
+    return sim_fault_active(SIM_STORE_OUTAGE, -1) || sim_fault_active(SIM_STORE_REFUSES_NODE, call->from);
 }
 
 static void follow_over(void *arg) {
@@ -130,8 +130,8 @@
 }
 
 static bool is_open_follow(const struct sim_call *call) {
-    return call->used && call->to == SIM_AT_STATE && !call->answered && !strncmp(call->path, "/follow", 7) &&
-           !call->go.position && !call->given_up;
+    return call->used && call->destination == SIM_TO_STORE && !call->answered && !strncmp(call->path, "/follow", 7) &&
+           !call->delivery_timer.position && !call->given_up;
 }
 
 /* Watches of whoever is refused wait; what they missed is told once the refusal ends. */
@@ -150,8 +150,8 @@
 }
 
 static bool lease_lives(uint64_t id) {
-    for (int i = 0; i < world.state.lease_count; i++)
-        if (world.state.leases[i].id == id) return true;
+    for (int i = 0; i < world.store.lease_count; i++)
+        if (world.store.leases[i].id == id) return true;
     return false;
 }
 
@@ -165,7 +165,7 @@
         amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), key, sizeof key);
         amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp);
         int k = key_find(key);
-        if ((k < 0 ? 0 : world.state.keys[k].stamp) == stamp) continue;
+        if ((k < 0 ? 0 : world.store.keys[k].stamp) == stamp) continue;
         count++;
         amb_cbor_write_string(names, key);
     }
@@ -218,7 +218,7 @@
 static bool limits_lowered(void) {
     if (!world.upgraded) return false;
     for (size_t i = 0; i < world.fault_count; i++)
-        if (world.faults[i].kind == SIM_LOWER_LIMITS && world.now >= world.faults[i].at) return true;
+        if (world.faults[i].kind == SIM_LOWER_STORE_LIMITS && world.now >= world.faults[i].at) return true;
     return false;
 }
 
@@ -234,7 +234,7 @@
 /* Beyond the first limits is a fault of ours; beyond the lowered ones can be bad luck, once. */
 static bool too_large(const cbor_item_t *operations) {
     if (exceeds(operations, SIM_TXN_OPS, SIM_VALUE_BYTES)) {
-        sim_broken("a transaction over the limit");
+        sim_report_violation("a transaction over the limit");
         return true;
     }
     if (!limits_lowered() || !exceeds(operations, SIM_NEXT_TXN_OPS, SIM_NEXT_VALUE_BYTES)) return false;
@@ -244,22 +244,22 @@
 
 /* A bucket that holds one second's worth. */
 static void refill_changes(double rate) {
-    double elapsed_s = (double)(world.now - world.state.change_tokens_at) / 1000;
-    double tokens = world.state.change_tokens + elapsed_s * rate;
-    world.state.change_tokens = tokens < rate ? tokens : rate;
-    world.state.change_tokens_at = world.now;
+    double elapsed_s = (double)(world.now - world.store.change_tokens_at) / 1000;
+    double tokens = world.store.change_tokens + elapsed_s * rate;
+    world.store.change_tokens = tokens < rate ? tokens : rate;
+    world.store.change_tokens_at = world.now;
 }
 
 /* Only on days on which the limits are lowered: what they are for. */
 static bool too_many(const cbor_item_t *operations) {
     double count = (double)amb_cbor_list_length(operations);
-    if (!sim_fault_planned(SIM_LOWER_LIMITS)) return false;
-    refill_changes(world.size->writes * (limits_lowered() ? sim_next_writes_share : 1));
-    if (world.state.change_tokens < count) {
+    if (!sim_fault_planned(SIM_LOWER_STORE_LIMITS)) return false;
+    refill_changes(world.size->store_write_rps * (limits_lowered() ? sim_next_writes_share : 1));
+    if (world.store.change_tokens < count) {
         world.result.rate_refusals++;
         return true;
     }
-    world.state.change_tokens -= count;
+    world.store.change_tokens -= count;
     return false;
 }
 
@@ -276,7 +276,7 @@
     enum amb_duty_mode mode = AMB_DUTY_MODE_LEADER;
     int k = key_find(AMB_DUTY_MODE_KEY);
     if (k < 0) return false;
-    const struct amb_buf *value = &world.state.keys[k].value;
+    const struct amb_buf *value = &world.store.keys[k].value;
     cbor_item_t *item = amb_cbor_parse(value->data, value->len);
     bool read = amb_duty_decode_mode(item, &mode) == AMB_DUTY_DECODED;
     cbor_decref(&item);
@@ -285,7 +285,7 @@
 
 uint64_t sim_leader_stamp(void) {
     int k = key_find("a/leader");
-    return k < 0 ? 0 : world.state.keys[k].stamp;
+    return k < 0 ? 0 : world.store.keys[k].stamp;
 }
 
 bool sim_returns_are_recorded(void) {
@@ -301,10 +301,10 @@
         amb_duty_decode_record(item, &before);
         cbor_decref(&item);
     }
-    if (amb_duty_decode_record(now, &after) != AMB_DUTY_DECODED) sim_broken("duty: %s can't be read", key);
+    if (amb_duty_decode_record(now, &after) != AMB_DUTY_DECODED) sim_report_violation("duty: %s can't be read", key);
     bool claim = after.state == AMB_DUTY_RECORD_HELD;
     if (after.fencing_token != before.fencing_token + claim)
-        sim_broken("duty: %s: token %llu after %llu", key, (unsigned long long)after.fencing_token,
+        sim_report_violation("duty: %s: token %llu after %llu", key, (unsigned long long)after.fencing_token,
                    (unsigned long long)before.fencing_token);
     world.result.handovers += claim;
 }
@@ -312,16 +312,16 @@
 static int key_make(const char *key) {
     int k = key_find(key);
     if (k >= 0) return k;
-    if (world.state.key_count == SIM_KEYS) abort();
-    k = world.state.key_count++;
-    memset(&world.state.keys[k], 0, sizeof world.state.keys[k]);
-    strcpy(world.state.keys[k].key, key);
-    world.state.key_hashes[k] = key_hash(key);
+    if (world.store.key_count == SIM_KEYS) abort();
+    k = world.store.key_count++;
+    memset(&world.store.keys[k], 0, sizeof world.store.keys[k]);
+    strcpy(world.store.keys[k].key, key);
+    world.store.key_hashes[k] = key_hash(key);
     return k;
 }
 
 static void put(const char *key, const cbor_item_t *operation) {
-    struct sim_key *entry = &world.state.keys[key_make(key)];
+    struct sim_key *entry = &world.store.keys[key_make(key)];
     unsigned char *bytes = NULL;
     size_t size, len = cbor_serialize_alloc(amb_cbor_map_get(operation, "value"), &bytes, &size);
     uint64_t lease;
@@ -330,13 +330,13 @@
     amb_buf_free(&entry->value);
     amb_buf_append(&entry->value, bytes, len);
     free(bytes);
-    entry->stamp = world.state.revision;
+    entry->stamp = world.store.revision;
     entry->lease = amb_cbor_get_uint(amb_cbor_map_get(operation, "tenure"), &lease) ? lease : 0;
     note_change(key, &entry->value);
 }
 
 static void apply(const cbor_item_t *operations) {
-    world.state.revision++;
+    world.store.revision++;
     for (size_t i = 0; i < amb_cbor_list_length(operations); i++) {
         const cbor_item_t *operation = amb_cbor_list_item(operations, i);
         char key[SIM_KEY_SIZE] = "";
@@ -357,7 +357,7 @@
     amb_cbor_write_list(&body, count);
     amb_buf_append(&body, names->data, names->len);
     amb_cbor_write_string(&body, "epoch");
-    amb_cbor_write_uint(&body, world.state.revision);
+    amb_cbor_write_uint(&body, world.store.revision);
     sim_call_answer(call, 409, &body);
 }
 
@@ -375,8 +375,8 @@
         conflict_answer(call, failed, &names);
     } else {
         apply(operations);
-        if (sim_watch_transaction) sim_watch_transaction(call, body);
-        number_answer(call, 200, "epoch", world.state.revision);
+        if (sim_on_transaction) sim_on_transaction(call, body);
+        number_answer(call, 200, "epoch", world.store.revision);
         wake_followers();
     }
     amb_buf_free(&names);
@@ -384,7 +384,7 @@
 }
 
 static int by_key(const void *left, const void *right) {
-    return strcmp(world.state.keys[*(const int *)left].key, world.state.keys[*(const int *)right].key);
+    return strcmp(world.store.keys[*(const int *)left].key, world.store.keys[*(const int *)right].key);
 }
 
 static void list_keys(struct sim_call *call) {
@@ -394,9 +394,9 @@
     int found[SIM_KEYS], index = 0;
     int most =
         SIM_CAPACITY > 1 ? 200 : 3; /* small pages, so that paging is met; of a large fleet as asked for */
-    for (int i = 0; i < world.state.key_count; i++)
-        if (!strncmp(world.state.keys[i].key, prefix, strlen(prefix)) &&
-            strcmp(world.state.keys[i].key, after) > 0)
+    for (int i = 0; i < world.store.key_count; i++)
+        if (!strncmp(world.store.keys[i].key, prefix, strlen(prefix)) &&
+            strcmp(world.store.keys[i].key, after) > 0)
             found[index++] = i;
     qsort(found, (size_t)index, sizeof *found, by_key);
     struct amb_buf buffer = {0};
@@ -406,31 +406,31 @@
     for (int i = 0; i < index && i < most; i++) {
         amb_cbor_write_map(&buffer, 3);
         amb_cbor_write_string(&buffer, "path");
-        amb_cbor_write_string(&buffer, world.state.keys[found[i]].key);
+        amb_cbor_write_string(&buffer, world.store.keys[found[i]].key);
         amb_cbor_write_string(&buffer, "value");
-        put_value(&buffer, &world.state.keys[found[i]].value);
+        put_value(&buffer, &world.store.keys[found[i]].value);
         amb_cbor_write_string(&buffer, "stamp");
-        amb_cbor_write_uint(&buffer, world.state.keys[found[i]].stamp);
+        amb_cbor_write_uint(&buffer, world.store.keys[found[i]].stamp);
     }
     amb_cbor_write_string(&buffer, "truncated");
     amb_cbor_write_bool(&buffer, index > most);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, world.state.revision);
+    amb_cbor_write_uint(&buffer, world.store.revision);
     sim_call_answer(call, 200, &buffer);
 }
 
 static void read_key(struct sim_call *call, const char *key) {
     int k = key_find(key);
     if (k < 0) {
-        number_answer(call, 404, "epoch", world.state.revision);
+        number_answer(call, 404, "epoch", world.store.revision);
         return;
     }
     struct amb_buf body = {0};
     amb_cbor_write_map(&body, 2);
     amb_cbor_write_string(&body, "value");
-    put_value(&body, &world.state.keys[k].value);
+    put_value(&body, &world.store.keys[k].value);
     amb_cbor_write_string(&body, "stamp");
-    amb_cbor_write_uint(&body, world.state.keys[k].stamp);
+    amb_cbor_write_uint(&body, world.store.keys[k].stamp);
     sim_call_answer(call, 200, &body);
 }
 
@@ -438,7 +438,7 @@
     char wait[32];
     parameter(call->path, "wait_ms=", wait, sizeof wait);
     if (!follow_answer(call, !strcmp(wait, "0")))
-        amb_timer_set_after(&call->back, strtol(wait, NULL, 10), follow_over, call);
+        amb_timer_set_after(&call->reply_timer, strtol(wait, NULL, 10), follow_over, call);
 }
 
 static void grant_lease(struct sim_call *call) {
@@ -446,9 +446,9 @@
     uint64_t ttl = 0;
     amb_cbor_get_uint(amb_cbor_map_get(body, "ttl_ms"), &ttl);
     cbor_decref(&body);
-    if (world.state.lease_count == SIM_LEASES) abort();
-    struct sim_lease *lease = &world.state.leases[world.state.lease_count++];
-    lease->id = ++world.state.lease_serial;
+    if (world.store.lease_count == SIM_LEASES) abort();
+    struct sim_lease *lease = &world.store.leases[world.store.lease_count++];
+    lease->id = ++world.store.lease_serial;
     lease->ttl = (amb_ms)ttl;
     lease->end = world.now + lease->ttl;
     number_answer(call, 200, "tenure", lease->id);
@@ -457,21 +457,21 @@
 static void change_lease(struct sim_call *call) {
     uint64_t id = strtoull(call->path + strlen("/leases/"), NULL, 10);
     int i = 0;
-    while (i < world.state.lease_count && world.state.leases[i].id != id) i++;
-    if (i == world.state.lease_count) {
+    while (i < world.store.lease_count && world.store.leases[i].id != id) i++;
+    if (i == world.store.lease_count) {
         sim_call_answer(call, 404, NULL);
         return;
     }
     if (!strcmp(call->method, "DELETE")) {
-        world.state.leases[i].end = world.now;
+        world.store.leases[i].end = world.now;
         end_leases();
     } else {
-        world.state.leases[i].end = world.now + world.state.leases[i].ttl;
+        world.store.leases[i].end = world.now + world.store.leases[i].ttl;
     }
     number_answer(call, 200, "tenure", id);
 }
 
-void sim_serve_state(struct sim_call *call) {
+void sim_serve_store(struct sim_call *call) {
     end_leases();
     if (is_refused(call))
         sim_call_answer(call, 503, NULL);
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -17,8 +17,8 @@
 enum { QUESTIONS_TIMES = 8, BROKEN_OF = 4, GUEST_RUN_S = 4 };
 
 int sim_team_limit(void) {
-    if (world.load & (SIM_LOAD_CROWDED | SIM_LOAD_ZONAL)) return SIM_MACHINE_GPUS * world.size->machines;
-    if (world.load & SIM_LOAD_TIGHT_TEAMS)
+    if (world.load & (SIM_LOAD_OVERLOAD | SIM_LOAD_ZONAL)) return SIM_MACHINE_GPUS * world.size->machines;
+    if (world.load & SIM_LOAD_SMALL_QUOTAS)
         return world.size->machines / 2 > SIM_MACHINE_GPUS ? world.size->machines / 2 : SIM_MACHINE_GPUS;
     return 2 * world.size->machines;
 }
@@ -28,7 +28,7 @@
     return i >= 0 && i < world.job_count && !strcmp(world.jobs[i].spec.ref, ref) ? &world.jobs[i] : NULL;
 }
 
-bool sim_all_done(const struct sim_job *job) {
+bool sim_all_tasks_done(const struct sim_job *job) {
     for (uint32_t i = 0; i < job->spec.task_count; i++)
         if (!job->done[i]) return false;
     return true;
@@ -36,10 +36,10 @@
 
 static struct sim_call *user_call(struct sim_job *job, int node, void (*answered)(struct sim_call *call)) {
     struct sim_call *call = sim_call_new();
-    call->to = SIM_AT_FRONT;
+    call->destination = SIM_TO_API;
     call->node = node;
     call->user = job;
-    call->user_fn = answered;
+    call->on_reply = answered;
     call->known_before = job->known;
     return call;
 }
@@ -82,21 +82,21 @@
     struct sim_job *job = call->user;
     take_answer(call);
     if (job->timer.position) return;
-    bool over = job->brief && job->known == SIM_FINAL;
-    amb_ms pause = over ? sim_between(10000, 30000) : sim_between(1000, 4000);
-    if (sim_fault_active(SIM_QUESTIONS, -1)) pause /= QUESTIONS_TIMES;
+    bool over = job->short_task && job->known == SIM_FINAL;
+    amb_ms pause = over ? sim_random_between(10000, 30000) : sim_random_between(1000, 4000);
+    if (sim_fault_active(SIM_FREQUENT_POLLING, -1)) pause /= QUESTIONS_TIMES;
     amb_timer_set_after(&job->timer, pause, user_acts, job);
 }
 
 static void user_acts(void *arg) {
     struct sim_job *job = arg;
     if (!job->submitted && !sim_may_submit(job)) {
-        sim_user_comes(job, world.now + sim_between(WATCH_LEAST_MS, WATCH_MOST_MS));
+        sim_schedule_submission(job, world.now + sim_random_between(WATCH_LEAST_MS, WATCH_MOST_MS));
         return;
     }
     /* A repeat may come at any time. */
     bool submit = job->submitted && !job->refused && (!job->accepted || sim_random() % 16 == 0);
-    if (!job->submitted && world.now >= job->at) job->submitted = submit = true;
+    if (!job->submitted && world.now >= job->submit_at) job->submitted = submit = true;
     if (job->accepted && job->cancel_at && world.now >= job->cancel_at) job->cancel_wanted = true;
     struct sim_call *call = user_call(job, sim_random_node(), user_answered);
     if (submit)
@@ -141,27 +141,27 @@
 
 /* Questions at all nodes, a repeated submission and at times a cancellation, within milliseconds. */
 void sim_look_closely(struct sim_job *job) {
-    if (!sim_fault_active(SIM_CLOSE_LOOKS, -1)) return;
+    if (!sim_fault_active(SIM_POLL_BURST, -1)) return;
     for (int node = 0; node < world.size->nodes; node++) {
-        sim_errand(job, SIM_ASK, node, sim_between(0, 5));
-        sim_errand(job, SIM_ASK, node, sim_between(5, 50));
-        sim_errand(job, SIM_ASK, node, sim_between(50, 400));
+        sim_errand(job, SIM_ASK, node, sim_random_between(0, 5));
+        sim_errand(job, SIM_ASK, node, sim_random_between(5, 50));
+        sim_errand(job, SIM_ASK, node, sim_random_between(50, 400));
     }
-    sim_errand(job, SIM_REPEAT, -1, sim_between(0, 20));
-    sim_errand(job, SIM_REPEAT, -1, sim_between(20, 200));
-    if (sim_fault_active(SIM_ODD_REQUESTS, -1)) sim_errand(job, SIM_REPEAT_SPOILT, -1, sim_between(0, 20));
-    if (sim_random() % 4 == 0) sim_errand(job, SIM_CANCEL, -1, sim_between(0, 20));
+    sim_errand(job, SIM_REPEAT, -1, sim_random_between(0, 20));
+    sim_errand(job, SIM_REPEAT, -1, sim_random_between(20, 200));
+    if (sim_fault_active(SIM_INVALID_REQUESTS, -1)) sim_errand(job, SIM_REPEAT_SPOILT, -1, sim_random_between(0, 20));
+    if (sim_random() % 4 == 0) sim_errand(job, SIM_CANCEL, -1, sim_random_between(0, 20));
 }
 
-void sim_user_comes(struct sim_job *job, amb_ms at) {
+void sim_schedule_submission(struct sim_job *job, amb_ms at) {
     amb_timer_set(&job->timer, at, user_acts, job);
 }
 
 void sim_job_ended(struct sim_job *job) {
     if (job->cancel_at_end && !job->cancel_wanted && job->accepted)
-        sim_errand(job, SIM_CANCEL, -1, sim_between(0, CANCEL_AT_END_MS));
-    if (!job->cancel_wanted && job->accepted && sim_fault_strikes(SIM_CANCEL_AT_END))
-        sim_errand(job, SIM_CANCEL, -1, sim_between(0, CANCEL_AT_END_MS));
+        sim_errand(job, SIM_CANCEL, -1, sim_random_between(0, CANCEL_AT_END_MS));
+    if (!job->cancel_wanted && job->accepted && sim_fault_strikes(SIM_CANCEL_AT_COMPLETION))
+        sim_errand(job, SIM_CANCEL, -1, sim_random_between(0, CANCEL_AT_END_MS));
     if (job->accepted) sim_look_closely(job);
 }
 
@@ -190,7 +190,7 @@
         struct sim_machine *machine = NULL;
         if (!job->accepted || job->cancel_wanted || job->done_told) continue;
         if (runs_until(job, &machine) < world.now + LONG_TO_GO_MS || !machine) continue;
-        sim_errand(job, SIM_CANCEL, -1, sim_between(0, 200));
+        sim_errand(job, SIM_CANCEL, -1, sim_random_between(0, 200));
         count--;
         if (!machine || hang < SHORTEST_HANG_MS || hung == HUNG_MOST) continue;
         hung++;
@@ -232,14 +232,14 @@
     sim_draw_spec(spec);
     bool of_pipelines = world.load & SIM_LOAD_PIPELINES;
     job->oddity =
-        (enum sim_oddity)sim_between(SIM_TOO_LARGE, of_pipelines ? SIM_ODDITIES - 1 : SIM_LACKS_FIELD);
+        (enum sim_oddity)sim_random_between(SIM_TOO_LARGE, of_pipelines ? SIM_ODDITIES - 1 : SIM_LACKS_FIELD);
     if (job->oddity == SIM_TOO_LARGE) spec->task_resources.gpus = 2 * SIM_MACHINE_GPUS;
     if (job->oddity == SIM_UNKNOWN_TEAM) strcpy(spec->team, "team-none");
     if (job->oddity == SIM_OVER_LIMIT) {
         spec->kind = AMB_JOB_KIND_GANG;
         spec->task_count = (uint32_t)(sim_team_limit() / (int)spec->task_resources.gpus) + 1;
     }
-    job->at = world.now;
+    job->submit_at = world.now;
     amb_timer_set_after(&job->timer, 0, user_acts, job);
 }
 
@@ -247,14 +247,14 @@
     struct sim_job *job = NULL;
     uint64_t choice = sim_random() % 4;
     (void)arg;
-    if (!sim_fault_active(SIM_ODD_REQUESTS, -1)) return;
+    if (!sim_fault_active(SIM_INVALID_REQUESTS, -1)) return;
     if (choice == 0)
         odd_job();
     else if (choice == 1 && (job = job_some(is_done)))
         sim_errand(job, SIM_CANCEL, -1, 0);
     else if (choice > 1 && (job = job_some(is_unfinished)))
         sim_errand(job, choice == 2 ? SIM_REPEAT : SIM_REPEAT_SPOILT, -1, 0);
-    amb_timer_set_after(&world.odd_timer, sim_between(200, 600), odd_request, NULL);
+    amb_timer_set_after(&world.odd_timer, sim_random_between(200, 600), odd_request, NULL);
 }
 
 void sim_begin_odd_requests(void) {
@@ -272,9 +272,9 @@
     spec->priority =
         spec->kind == AMB_JOB_KIND_SERVICE ? AMB_PRIORITY_PRODUCTION : (enum amb_priority)(sim_random() % 3);
     spec->task_count =
-        (uint32_t)sim_between(1, spec->kind == AMB_JOB_KIND_ARRAY ? (amb_ms)world.size->tasks : 4);
-    spec->task_resources = (struct amb_resources){8, (double)sim_between(1, 2), 40};
-    spec->estimated_runtime_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_between(5, 30);
+        (uint32_t)sim_random_between(1, spec->kind == AMB_JOB_KIND_ARRAY ? (amb_ms)world.size->max_array_tasks : 4);
+    spec->task_resources = (struct amb_resources){8, (double)sim_random_between(1, 2), 40};
+    spec->estimated_runtime_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_random_between(5, 30);
     spec->one_zone = spec->kind == AMB_JOB_KIND_GANG && sim_random() % 2;
     spec->spread_zones = spec->kind == AMB_JOB_KIND_SERVICE;
     spec->spot_allowed = spec->kind != AMB_JOB_KIND_SERVICE;
@@ -289,8 +289,8 @@
 }
 
 static void draw_other_fields(struct amb_job_spec *spec) {
-    spec->deadline_s = sim_random() % 2 ? (double)sim_between(60, 600) + 0.5 : 0;
-    spec->checkpoint_interval_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_between(0, 3) * 10;
+    spec->deadline_s = sim_random() % 2 ? (double)sim_random_between(60, 600) + 0.5 : 0;
+    spec->checkpoint_interval_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_random_between(0, 3) * 10;
     spec->checkpoint_save_s = spec->checkpoint_interval_s > 0 ? 2.5 : 0;
     if (sim_random() % 2) {
         strcpy(spec->allowed_types[0], "g8");
@@ -314,16 +314,16 @@
 static void draw_job(amb_ms length) {
     struct sim_job *job = sim_job_new();
     sim_draw_spec(&job->spec);
-    if (world.load & SIM_LOAD_GUEST) make_guest_job(&job->spec);
-    job->broken = world.load & SIM_LOAD_BROKEN && sim_random() % BROKEN_OF == 0;
-    if (world.load & SIM_LOAD_LONG) job->spec.estimated_runtime_s *= 10;
+    if (world.load & SIM_LOAD_NO_GUARANTEE) make_guest_job(&job->spec);
+    job->broken = world.load & SIM_LOAD_FAILING_JOBS && sim_random() % BROKEN_OF == 0;
+    if (world.load & SIM_LOAD_LONG_TASKS) job->spec.estimated_runtime_s *= 10;
     if (world.load & SIM_LOAD_ALL_FIELDS) draw_other_fields(&job->spec);
     if (world.load & SIM_LOAD_ZONE_BOUND) bind_to_zone(&job->spec);
-    job->at = world.now + sim_between(2000, length / 2);
+    job->submit_at = world.now + sim_random_between(2000, length / 2);
     if (job->spec.kind == AMB_JOB_KIND_SERVICE || job->broken || sim_random() % 5 == 0)
-        job->cancel_at = job->at + sim_between(5000, length / 3);
+        job->cancel_at = job->submit_at + sim_random_between(5000, length / 3);
     bool asks_before = sim_random() % 2 == 0;
-    amb_timer_set(&job->timer, asks_before ? world.now + ASK_EARLY_MS : job->at, user_acts, job);
+    amb_timer_set(&job->timer, asks_before ? world.now + ASK_EARLY_MS : job->submit_at, user_acts, job);
 }
 
 /* Replicas of two priorities that last, and batch work all day long. */
@@ -338,14 +338,14 @@
     spec->priority = class == SIM_ASSISTANT ? AMB_PRIORITY_PRODUCTION
                      : class == SIM_DRAFTS  ? AMB_PRIORITY_HIGH
                                             : AMB_PRIORITY_BEST_EFFORT;
-    spec->task_count = (uint32_t)sim_between(2, class == SIM_SWEEP ? (amb_ms)world.size->tasks : 4);
+    spec->task_count = (uint32_t)sim_random_between(2, class == SIM_SWEEP ? (amb_ms)world.size->max_array_tasks : 4);
     spec->task_resources.gpus = class == SIM_SWEEP ? 1 : 2;
-    spec->estimated_runtime_s = class == SIM_SWEEP ? (double)sim_between(10, 40) : 0;
+    spec->estimated_runtime_s = class == SIM_SWEEP ? (double)sim_random_between(10, 40) : 0;
     spec->one_zone = false;
     spec->spread_zones = class == SIM_ASSISTANT;
     spec->spot_allowed = false; /* spot machines would take the cloud's room from replicas */
-    job->at = world.now + sim_between(2000, class == SIM_SWEEP ? length * 3 / 4 : LAST_SERVICE_MS);
-    amb_timer_set(&job->timer, job->at, user_acts, job);
+    job->submit_at = world.now + sim_random_between(2000, class == SIM_SWEEP ? length * 3 / 4 : LAST_SERVICE_MS);
+    amb_timer_set(&job->timer, job->submit_at, user_acts, job);
 }
 
 static struct sim_job *array_new(amb_ms at, uint32_t tasks, double seconds) {
@@ -356,7 +356,7 @@
     job->spec.spot_allowed = true;
     job->spec.task_count = tasks;
     job->spec.estimated_runtime_s = seconds;
-    job->at = at;
+    job->submit_at = at;
     amb_timer_set(&job->timer, at, user_acts, job);
     return job;
 }
@@ -364,31 +364,31 @@
 /* One-task jobs, four a second, a quarter cancelled. */
 static void draw_stream(amb_ms length) {
     for (amb_ms at = 10000; at < 10000 + length / 2; at += 250) {
-        struct sim_job *job = array_new(world.now + at, 1, (double)sim_between(2, 8));
+        struct sim_job *job = array_new(world.now + at, 1, (double)sim_random_between(2, 8));
         job->spec.task_resources.gpus = 1;
-        job->brief = true;
-        if (sim_random() % 4 == 0) job->cancel_at = job->at + sim_between(500, 8000);
+        job->short_task = true;
+        if (sim_random() % 4 == 0) job->cancel_at = job->submit_at + sim_random_between(500, 8000);
     }
 }
 
 static void draw_flood(amb_ms length) {
     enum { JOBS = 2000, RUN_S = 1 };
     for (int i = 0; i < JOBS; i++)
-        array_new(world.now + sim_between(10000, 10000 + length / 8), 1, RUN_S)->spec.task_resources.gpus = 1;
+        array_new(world.now + sim_random_between(10000, 10000 + length / 8), 1, RUN_S)->spec.task_resources.gpus = 1;
 }
 
 static void draw_uneven(amb_ms length) {
     for (int i = 0; i < world.size->jobs / 2; i++) {
-        amb_ms at = world.now + sim_between(2000, length / 3);
-        array_new(at, (uint32_t)sim_between(2, 3), 10)->uneven = true;
+        amb_ms at = world.now + sim_random_between(2000, length / 3);
+        array_new(at, (uint32_t)sim_random_between(2, 3), 10)->uneven = true;
     }
 }
 
 static void draw_crowd(amb_ms length) {
     for (int i = 0; i < world.size->jobs / 2; i++) {
-        amb_ms at = world.now + sim_between(2000, length / 4);
+        amb_ms at = world.now + sim_random_between(2000, length / 4);
         struct sim_job *job =
-            array_new(at, (uint32_t)sim_between(20, SIM_JOB_TASKS), (double)sim_between(10, 40));
+            array_new(at, (uint32_t)sim_random_between(20, SIM_JOB_TASKS), (double)sim_random_between(10, 40));
         job->spec.priority = (enum amb_priority)(sim_random() % 4);
     }
 }
@@ -402,8 +402,8 @@
             draw_job(length);
     }
     if (world.load & SIM_LOAD_STREAM) draw_stream(length);
-    if (world.load & SIM_LOAD_UNEVEN) draw_uneven(length);
-    if (world.load & SIM_LOAD_CROWDED) draw_crowd(length);
+    if (world.load & SIM_LOAD_UNEVEN_TASKS) draw_uneven(length);
+    if (world.load & SIM_LOAD_OVERLOAD) draw_crowd(length);
     if (world.load & SIM_LOAD_PIPELINES) sim_draw_pipelines(length);
     if (world.load & SIM_LOAD_FLOOD) draw_flood(length);
 }
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -27,9 +27,9 @@
 }
 
 static void task_done(struct sim_job *job, uint32_t index) {
-    bool before = sim_all_done(job);
+    bool before = sim_all_tasks_done(job);
     job->done[index] = true;
-    if (!before && sim_all_done(job)) sim_job_ended(job);
+    if (!before && sim_all_tasks_done(job)) sim_job_ended(job);
 }
 
 static void exit_task(struct sim_machine *machine, struct sim_task *task, enum amb_exit_reason why) {
@@ -108,11 +108,11 @@
 }
 
 static void expire_lease(struct sim_machine *machine) { /* kills all its tasks and forgets them */
-    if (world.now - machine->lease_from <= world.size->lease) return;
+    if (world.now - machine->lease_from <= world.size->agent_lease_ms) return;
     for (uint32_t i = 0; i < machine->task_count; i++) {
         if (machine->tasks[i].on == AMB_AGENT_TASK_EXITED) continue;
-        world.result.killed++;
-        world.result.killed_batch += machine->tasks[i].job->spec.kind != AMB_JOB_KIND_SERVICE;
+        world.result.evicted_tasks++;
+        world.result.evicted_batch_tasks += machine->tasks[i].job->spec.kind != AMB_JOB_KIND_SERVICE;
     }
     machine->task_count = 0;
     machine->session++;
@@ -136,7 +136,7 @@
     task->end_at = world.now + run_time(job, task);
     machine->changed = true;
     sim_check_start(machine, task);
-    if (job->broken || sim_fault_active(SIM_BAD_MACHINE, (int)(machine - world.machines)))
+    if (job->broken || sim_fault_active(SIM_FAULTY_MACHINE, (int)(machine - world.machines)))
         exit_task(machine, task, AMB_EXIT_ERROR);
 }
 
@@ -201,8 +201,8 @@
     task->attempt = order->attempt;
     task->token = machine->token;
     task->on = AMB_AGENT_TASK_FETCHING;
-    task->image_at = world.now + sim_pace.fetch;
-    world.result.ordered++;
+    task->image_at = world.now + sim_cloud_timing.fetch;
+    world.result.start_commands++;
     sim_check_order(sim_job_of(order->ref), issued);
     sim_check_recovery(machine, task);
     if (busy)
@@ -274,7 +274,7 @@
 };
 
 static amb_ms next_period(void) {
-    return sim_between(world.size->report * 3 / 4, world.size->report * 5 / 4);
+    return sim_random_between(world.size->heartbeat_ms * 3 / 4, world.size->heartbeat_ms * 5 / 4);
 }
 
 static bool renews(const struct sim_machine *machine, const struct sent *sent, const struct sim_call *call,
@@ -289,10 +289,10 @@
     machine->token = token;
     machine->lease_from = sent->at;
     amb_ms kept = world.now - sent->at;
-    uint32_t before = world.result.ordered;
+    uint32_t before = world.result.start_commands;
     do_orders(machine, amb_cbor_map_get(body, "orders"), issued);
-    if (kept > world.result.kept_most) world.result.kept_most = kept;
-    if (kept > KEPT_MS) world.result.kept_starts += world.result.ordered - before;
+    if (kept > world.result.longest_long_poll_ms) world.result.longest_long_poll_ms = kept;
+    if (kept > KEPT_MS) world.result.long_poll_starts += world.result.start_commands - before;
     amb_ms next = machine->changed ? CHANGED_MS : next_period();
     return kept + 1 < next ? next - kept : 1;
 }
@@ -308,7 +308,7 @@
     } else if (call->status == 421 &&
                amb_cbor_copy_string(amb_cbor_map_get(body, "harbour"), name, sizeof name)) {
         machine->node = name[1] - '0';
-        next = sim_between(0, REDIRECT_MS);
+        next = sim_random_between(0, REDIRECT_MS);
     } else if (call->status != 200) {
         machine->node = (machine->node + 1) % world.size->nodes;
     }
@@ -337,7 +337,7 @@
 
 static struct sim_call *report_call(const struct sim_machine *machine, int node, const struct amb_buf *body) {
     struct sim_call *call = sim_call_new();
-    call->to = SIM_AT_FRONT;
+    call->destination = SIM_TO_API;
     call->node = node;
     call->from_machine = (int)(machine - world.machines);
     strcpy(call->method, "POST");
@@ -353,16 +353,16 @@
     struct sent *sent = amb_alloc(sizeof *sent);
     *sent = (struct sent){(int)(machine - world.machines), machine->session, world.now};
     call->user = sent;
-    call->user_fn = reported;
+    call->on_reply = reported;
     sim_call_start(call, REPORT_TIMEOUT_MS);
 }
 
 /* A copy that the network delivers again much later. */
 static void send_copy(int machine, int node, const struct amb_buf *body, amb_ms least, amb_ms most) {
     struct sim_call *call = report_call(&world.machines[machine], node, body);
-    call->user_fn = ignored;
+    call->on_reply = ignored;
     sim_call_start(call, COPY_TIMEOUT_MS);
-    amb_timer_set_after(&call->go, sim_between(least, most), sim_call_go, call);
+    amb_timer_set_after(&call->delivery_timer, sim_random_between(least, most), sim_call_deliver, call);
 }
 
 static void keep_report(int machine, const struct amb_buf *body) {
@@ -378,7 +378,7 @@
         struct sim_kept_report *kept = &world.kept_reports[i];
         if (!kept->body.len) continue;
         for (int node = 0; node < world.size->nodes; node++)
-            send_copy(kept->machine, node, &kept->body, 1, sim_random() % 2 ? 20 : 3 * world.size->report);
+            send_copy(kept->machine, node, &kept->body, 1, sim_random() % 2 ? 20 : 3 * world.size->heartbeat_ms);
         amb_buf_free(&kept->body);
     }
 }
@@ -394,21 +394,21 @@
     sim_machine_advance(index);
     struct amb_buf body = {0};
     write_report(machine, &body);
-    bool copied = sim_fault_active(SIM_COPIES, index) && sim_random() % 3 == 0;
+    bool copied = sim_fault_active(SIM_DUPLICATE_HEARTBEATS, index) && sim_random() % 3 == 0;
     send_heartbeat(machine, &body);
     if (copied) send_copy(index, sim_random_node(), &body, 3000, 25000);
-    if (sim_fault_strikes(SIM_LATE_REPORTS))
-        send_copy(index, sim_random_node(), &body, 2000, world.size->lease * 3 / 2);
-    if (sim_fault_strikes(SIM_KEPT_REPORTS)) keep_report(index, &body);
+    if (sim_fault_strikes(SIM_LATE_HEARTBEAT_COPIES))
+        send_copy(index, sim_random_node(), &body, 2000, world.size->agent_lease_ms * 3 / 2);
+    if (sim_fault_strikes(SIM_REPLAYED_HEARTBEATS)) keep_report(index, &body);
     amb_buf_free(&body);
     machine->reporting = true;
 }
 
-void sim_serve_worker(struct sim_call *call) {
+void sim_serve_agent(struct sim_call *call) {
     struct sim_machine *machine = &world.machines[call->machine];
     if (!machine->exists || machine->dead || !machine->up || world.now < machine->hang_until) {
         if (machine->exists && !machine->dead && world.now < machine->hang_until)
-            amb_timer_set(&call->go, machine->hang_until + 1, sim_call_go, call);
+            amb_timer_set(&call->delivery_timer, machine->hang_until + 1, sim_call_deliver, call);
         return; /* silent; a hanging machine carries it out when it resumes */
     }
     sim_machine_advance(call->machine);
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -42,10 +42,10 @@
        SIM_LEASES_PER_STEADY = 2, /* a returning zone is steady for half a lease, as the options have it */
 };
 
-struct sim_pace { /* of the cloud and its machines, as a rule */
+struct sim_cloud_timing { /* of the cloud and its machines, as a rule */
     amb_ms list_lag, boot, fetch;
 };
-extern const struct sim_pace sim_pace;
+extern const struct sim_cloud_timing sim_cloud_timing;
 
 static const double sim_next_writes_share = 0.72; /* of the rate of changes, once limits are lowered */
 
@@ -55,19 +55,19 @@
     uint64_t serial;
 };
 
-enum sim_place { SIM_AT_STATE, SIM_AT_CLOUD, SIM_AT_FRONT, SIM_AT_PEER, SIM_AT_WORKER };
+enum sim_destination { SIM_TO_STORE, SIM_TO_CLOUD, SIM_TO_API, SIM_TO_PEER, SIM_TO_AGENT };
 
 enum sim_known { SIM_UNKNOWN, SIM_ACCEPTED, SIM_FINAL }; /* the newest that a user was told of a job */
 
 struct sim_call { /* a request and its answer on their way */
     bool used;
     uint64_t serial; /* tells the uses of this entry apart */
-    enum sim_place to;
+    enum sim_destination destination;
     int node, machine, from, from_machine; /* from: node, or -1 for a worker or user */
     char method[8], path[400];
     char *body;
     size_t len;
-    amb_http_done fn;
+    amb_http_done on_done;
     void *arg;
     bool given_up, answered;
     bool held;                 /* it was held up already */
@@ -75,11 +75,11 @@
     uint64_t incarnation;      /* of the asking node */
     uint64_t sent_at_revision; /* of the state service: leaders of later terms came after it */
     bool returns_on_record;    /* when it was sent, leaders recorded what they return */
-    struct amb_timer go, back, deadline;
+    struct amb_timer delivery_timer, reply_timer, timeout_timer;
     int status;
     amb_ms answered_at;
     struct amb_buf answer;
-    void (*user_fn)(struct sim_call *call); /* answers to workers and users */
+    void (*on_reply)(struct sim_call *call); /* answers to workers and users */
     void *user;
     enum sim_known known_before; /* of the user's job, when the request was sent */
 };
@@ -154,10 +154,10 @@
     enum sim_oddity oddity;
     enum sim_known known;
     bool submitted, refused, accepted, cancel_wanted, cancel_told, done_told;
-    amb_ms at, cancel_at, cancel_told_at, answered_at;
+    amb_ms submit_at, cancel_at, cancel_told_at, answered_at;
     amb_ms waits_from; /* its tasks could have been placed ever since, and were not */
     uint64_t was_placed;
-    bool uneven, brief;
+    bool uneven, short_task;
     bool broken;                 /* it fails on every machine */
     struct sim_task *first_task; /* on any machine, at the last look at gangs */
     int pipeline;                /* 0: none */
@@ -187,7 +187,7 @@
     uint64_t stamp;
 };
 
-struct sim_state_service {
+struct sim_store {
     struct sim_key keys[SIM_KEYS];
     uint64_t key_hashes[SIM_KEYS]; /* of the same */
     struct sim_lease leases[SIM_LEASES];
@@ -257,7 +257,7 @@
     bool upgraded; /* all nodes have been of the present version at some moment */
 
     struct sim_node nodes[SIM_NODES];
-    struct sim_state_service state;
+    struct sim_store store;
     struct sim_cloud cloud;
     struct sim_machine machines[SIM_MACHINES];
     int machine_count;
@@ -274,12 +274,12 @@
 
 /* Called for every transaction that the state service carries out, and for every message between nodes that
  * is answered; NULL: nobody watches. Outlives a day. */
-extern void (*sim_watch_transaction)(const struct sim_call *call, const cbor_item_t *transaction);
-extern void (*sim_watch_message)(const struct sim_call *call);
+extern void (*sim_on_transaction)(const struct sim_call *call, const cbor_item_t *transaction);
+extern void (*sim_on_peer_message)(const struct sim_call *call);
 
 /* clock.c */
 uint64_t sim_random(void);
-amb_ms sim_between(amb_ms least, amb_ms most);
+amb_ms sim_random_between(amb_ms least, amb_ms most);
 int sim_random_node(void);
 bool sim_run_timer(amb_ms until); /* runs the next timer if it is due before then */
 void sim_stop_timers(int owner);
@@ -287,7 +287,7 @@
 /* network.c */
 struct sim_call *sim_call_new(void);
 void sim_call_start(struct sim_call *call, amb_ms timeout);
-void sim_call_go(void *arg);                                                   /* it reaches its place */
+void sim_call_deliver(void *arg);                                                   /* it reaches its place */
 void sim_call_answer(struct sim_call *call, int status, struct amb_buf *body); /* takes body over */
 
 /* digest.c: what is added to the digest of the day */
@@ -297,8 +297,8 @@
                       int retry_after_s); /* of a node */
 
 /* state_service.c */
-void sim_serve_state(struct sim_call *call);
-void sim_state_tick(void);           /* leases end, refusals are over */
+void sim_serve_store(struct sim_call *call);
+void sim_store_tick(void);           /* leases end, refusals are over */
 bool sim_duties_in_use(void);        /* by what is on record now */
 uint64_t sim_leader_stamp(void);     /* the latest leader's term; 0: none leads */
 bool sim_returns_are_recorded(void); /* likewise: no leader of an old version can come any more */
@@ -309,7 +309,7 @@
 
 /* workers.c */
 void sim_machine_address(int index, char out[AMB_NAME_SIZE]); /* where it takes commands; network.c */
-void sim_serve_worker(struct sim_call *call);
+void sim_serve_agent(struct sim_call *call);
 void sim_machine_advance(int index);
 void sim_report(void *arg);
 void sim_deliver_kept_reports(void); /* to every node */
@@ -320,7 +320,7 @@
 void sim_draw_jobs(amb_ms length);
 struct sim_job *sim_job_of(const char *ref);
 int sim_team_limit(void); /* GPUs */
-bool sim_all_done(const struct sim_job *job);
+bool sim_all_tasks_done(const struct sim_job *job);
 void sim_errand(struct sim_job *job, enum sim_request request, int node, amb_ms delay);
 void sim_look_closely(struct sim_job *job); /* if such a spell lasts */
 void sim_job_ended(struct sim_job *job);    /* its last task has completed */
@@ -328,7 +328,7 @@
 void sim_begin_odd_requests(void);
 struct sim_job *sim_job_new(void);
 void sim_draw_spec(struct amb_job_spec *spec);
-void sim_user_comes(struct sim_job *job, amb_ms at);
+void sim_schedule_submission(struct sim_job *job, amb_ms at);
 
 /* pipelines.c */
 void sim_draw_pipelines(amb_ms length);
@@ -365,7 +365,7 @@
 void sim_check_recovery(const struct sim_machine *machine, const struct sim_task *task); /* ordered to run */
 
 /* rules.c */
-void sim_broken(const char *format, ...) __attribute__((format(printf, 1, 2)));
+void sim_report_violation(const char *format, ...) __attribute__((format(printf, 1, 2)));
 void sim_check_start(const struct sim_machine *machine, const struct sim_task *task);
 void sim_check_task(const struct sim_machine *machine, const struct sim_task *task); /* every tick */
 void sim_check_answer(const struct sim_call *call, const cbor_item_t *body);         /* to a user */
@@ -387,7 +387,7 @@
 int sim_switch_to(int node); /* the code that runs next is this node's (-1: no node's); returns whose ran */
 int sim_leader(void);
 /* A leader of the present version that has known the records for longer than so long; NULL: there is none. */
-const struct amb_node *sim_leader_since(amb_ms before);
+const struct amb_node *sim_restored_leader_since(amb_ms before);
 bool sim_leader_began(void); /* has a node begun to lead since the last call? */
 
 #endif
--- a/tests/standin/zone_days.c
+++ b/tests/standin/zone_days.c
@@ -49,11 +49,11 @@
 
 static double value_of(enum figure figure, const struct sim_result *result) {
     switch (figure) {
-    case ASSISTANT_S: return (double)result->served_after[SIM_ASSISTANT] / 1000;
-    case DRAFTS_S: return (double)result->served_after[SIM_DRAFTS] / 1000;
-    case WORST_WINDOW: return result->worst_window;
-    case KILLED: return result->killed;
-    case KILLED_BATCH: return result->killed_batch;
+    case ASSISTANT_S: return (double)result->recovery_ms[SIM_ASSISTANT] / 1000;
+    case DRAFTS_S: return (double)result->recovery_ms[SIM_DRAFTS] / 1000;
+    case WORST_WINDOW: return result->worst_served_share;
+    case KILLED: return result->evicted_tasks;
+    case KILLED_BATCH: return result->evicted_batch_tasks;
     case STARTS: return result->starts;
     case MACHINE_S: return result->machine_seconds;
     case FIGURES: break;
@@ -63,11 +63,11 @@
 
 static void play(const struct scenario *scenario, uint64_t seed, bool recovery, gsl_histogram **side) {
     unsigned load = SIM_LOAD_ZONAL | (recovery ? SIM_LOAD_ZONE_RECOVERY : 0);
-    const struct sim_plan plan = {&sim_zonal, seed, DAY_MS, load, scenario->faults, scenario->count};
-    struct sim_result result = sim_play_until_done(&plan, OVERTIME_MS);
-    if (result.broken[0])
+    const struct sim_scenario plan = {&sim_zonal, seed, DAY_MS, load, scenario->faults, scenario->count};
+    struct sim_result result = sim_run_until_done(&plan, OVERTIME_MS);
+    if (result.violation[0])
         printf("%s, seed %llu, %s: %s\n", scenario->name, (unsigned long long)seed,
-               recovery ? "with" : "without", result.broken);
+               recovery ? "with" : "without", result.violation);
     for (int figure = 0; figure < FIGURES; figure++)
         gsl_histogram_increment(side[figure], value_of((enum figure)figure, &result));
 }
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -67,7 +67,7 @@
 static uint32_t writes;
 static char unguarded[AMB_DUTY_KEY_SIZE * 2];
 static amb_ms now_ms;
-static struct member_plan plan;
+static struct member_fault plan;
 static bool planned;
 static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID_SIZE];
 
@@ -156,7 +156,7 @@
     if (!unguarded[0]) snprintf(unguarded, sizeof unguarded, "%s is changed without a guard on %s", name, by);
 }
 
-const char *members_unguarded(void) {
+const char *members_unconditional_change(void) {
     return unguarded;
 }
 
@@ -264,7 +264,7 @@
 static void serve_cloud(struct call *call) {
     member_cloud.calls++;
     if (call->token < member_cloud.highest[call->order.duty]) {
-        member_cloud.stale++;
+        member_cloud.stale_token_refusals++;
         call->reply.answer = AMB_DUTY_CLOUD_FENCED;
         return;
     }
@@ -339,7 +339,7 @@
     struct call copy = *call;
     call->used = false;
     struct member *member = &members[copy.member];
-    member->jumps = copy.kind == MEMBER_CALL_MARK && member->jump_after_mark;
+    member->clock_jump_due = copy.kind == MEMBER_CALL_INTENT && member->clock_jump_after_intent;
     if (!asker_lives(&copy))
         free(copy.arg); /* as the end of a process does */
     else if (copy.verb == CLOUD)
@@ -363,15 +363,15 @@
 }
 
 static void meet_fate(struct call *call) {
-    enum member_outcome fate = planned && plan.call == call->kind ? plan.fate : MEMBER_GOES_ON;
+    enum member_outcome fate = planned && plan.call == call->kind ? plan.outcome : MEMBER_UNDISTURBED;
     if (fate) planned = false;
-    if (members[call->member].cut && call->verb != CLOUD)
+    if (members[call->member].cut_off && call->verb != CLOUD)
         lose_answer(call);
-    else if (fate != MEMBER_ENDS_BEFORE)
+    else if (fate != MEMBER_CRASHES_BEFORE)
         carry_out(call);
-    if (fate == MEMBER_ENDS_BEFORE || fate == MEMBER_ENDS_AFTER) member_dies(call->member);
-    if (fate == MEMBER_STOPS_BEFORE) members[call->member].stopped = true;
-    if (fate == MEMBER_ANSWER_LOST || (call->verb == CLOUD && member_cloud.silent)) lose_answer(call);
+    if (fate == MEMBER_CRASHES_BEFORE || fate == MEMBER_CRASHES_AFTER) member_dies(call->member);
+    if (fate == MEMBER_PAUSES_BEFORE) members[call->member].paused = true;
+    if (fate == MEMBER_RESPONSE_LOST || (call->verb == CLOUD && member_cloud.responses_lost)) lose_answer(call);
     call->carried_out = true;
 }
 
@@ -382,7 +382,7 @@
         if (!sent[i]) continue;
         if (!calls[i].carried_out) meet_fate(&calls[i]);
         const struct member *member = &members[calls[i].member];
-        bool held = member->stopped || (member->lists_held && calls[i].verb == LIST);
+        bool held = member->paused || (member->lists_held && calls[i].verb == LIST);
         if (!held || !asker_lives(&calls[i])) tell(&calls[i]);
     }
 }
@@ -392,10 +392,10 @@
 static amb_ms port_now(void *context) {
     struct member *member = context;
     amb_ms now = now_ms + member->clock_skew;
-    if (member->jumps) {
-        member->clock_skew += member->jump_after_mark;
-        member->jumps = false;
-        member->jump_after_mark = 0;
+    if (member->clock_jump_due) {
+        member->clock_skew += member->clock_jump_after_intent;
+        member->clock_jump_due = false;
+        member->clock_jump_after_intent = 0;
     }
     return now;
 }
@@ -434,7 +434,7 @@
     const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
     if (!strncmp(key, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS))) return MEMBER_CALL_CLAIM;
     if (strncmp(key, AMB_DUTY_INTENT_KEYS, strlen(AMB_DUTY_INTENT_KEYS)) != 0) return MEMBER_CALL_OTHER;
-    return amb_cbor_equals(state, "settled") ? MEMBER_CALL_SETTLE : MEMBER_CALL_MARK;
+    return amb_cbor_equals(state, "settled") ? MEMBER_CALL_RESULT : MEMBER_CALL_INTENT;
 }
 
 static void port_commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
@@ -494,7 +494,7 @@
 
 static void deliver_news(int index) {
     struct member *member = &members[index];
-    if (!member->alive || member->stopped || member->cut || member->news_held) return;
+    if (!member->alive || member->paused || member->cut_off || member->watch_held) return;
     while (news_read[index] < news_count) {
         const struct news *item = &news[news_read[index]++];
         amb_duty_service_apply_change(&member->service, item->name, item->value, item->stamp);
@@ -509,14 +509,14 @@
         serve_calls();
         for (int i = 0; i < MEMBERS; i++) {
             deliver_news(i);
-            if (members[i].alive && !members[i].stopped && now_ms % TICK_EVERY_MS == 0)
+            if (members[i].alive && !members[i].paused && now_ms % TICK_EVERY_MS == 0)
                 amb_duty_service_tick(&members[i].service);
         }
     }
 }
 
-void members_wake(int index) {
-    members[index].stopped = false;
+void members_resume(int index) {
+    members[index].paused = false;
 }
 
 /* ---- members ---- */
@@ -540,7 +540,7 @@
     amb_duty_service_abort(&member->service);
     snprintf(member->name, sizeof member->name, "n-%d", index);
     member->alive = true;
-    member->stopped = member->cut = member->news_held = member->lists_held = member->proves_gone = false;
+    member->paused = member->cut_off = member->watch_held = member->lists_held = member->proves_gone = false;
     news_read[index] = news_count;
     amb_duty_service_start(&member->service, &ports, &settings, member->name,
                            (uint64_t)index * 7919 + ++lives[index]);
@@ -570,7 +570,7 @@
     memset(members, 0, sizeof members);
 }
 
-void members_plan(struct member_plan next) {
+void members_inject_fault(struct member_fault next) {
     plan = next;
     planned = true;
 }
@@ -602,7 +602,7 @@
     return key ? key->value : NULL;
 }
 
-void members_order(enum amb_duty_name duty, const char *id, const struct amb_duty_intent_payload *work) {
+void members_put_intent(enum amb_duty_name duty, const char *id, const struct amb_duty_intent_payload *work) {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
     struct amb_duty_intent_record order = {.duty = duty};
@@ -612,7 +612,7 @@
     amb_buf_free(&value);
 }
 
-bool members_read_order(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
+bool members_read_intent(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
                         struct amb_duty_intent_payload *work) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_intent_key(key, duty, id);
--- a/tests/support/fake_http.c
+++ b/tests/support/fake_http.c
@@ -28,8 +28,8 @@
     snprintf(client->method, sizeof client->method, "%s", method);
     snprintf(client->path, sizeof client->path, "%s", path);
     if (len) amb_buf_append(&client->body, body, len);
-    client->map = len ? amb_cbor_parse(body, len) : NULL;
-    client->fn = on_done;
+    client->cbor_body = len ? amb_cbor_parse(body, len) : NULL;
+    client->on_done = on_done;
     client->arg = arg;
     return NULL;
 }
@@ -102,17 +102,17 @@
     return NULL;
 }
 
-struct fake_call *fake_call_open(const char *path_prefix) {
+struct fake_call *fake_open_call(const char *path_prefix) {
     return fake_call_find(NULL, NULL, path_prefix);
 }
 
-size_t fake_calls_open(const char *method, const char *path_prefix) {
+size_t fake_count_open_calls(const char *method, const char *path_prefix) {
     size_t count = 0;
     for (size_t i = 0; i < ncalls; i++) count += is_open(&calls[i], NULL, method, path_prefix);
     return count;
 }
 
-size_t fake_calls_sent(const char *path_prefix) {
+size_t fake_count_sent_calls(const char *path_prefix) {
     size_t count = 0;
     for (size_t i = 0; i < ncalls; i++) count += begins(calls[i].path, path_prefix);
     return count;
@@ -120,19 +120,19 @@
 
 void fake_answer(struct fake_call *call, int status, struct amb_buf *body) {
     call->answered = true;
-    call->fn(call->arg, status, body ? body->data : NULL, body ? body->len : 0);
+    call->on_done(call->arg, status, body ? body->data : NULL, body ? body->len : 0);
     if (body) amb_buf_free(body);
 }
 
 void fake_answer_all_lost(void) {
     struct fake_call *call;
-    while ((call = fake_call_open(""))) fake_answer(call, 0, NULL);
+    while ((call = fake_open_call(""))) fake_answer(call, 0, NULL);
 }
 
 void fake_http_reset(void) {
     for (size_t i = 0; i < ncalls; i++) {
         amb_buf_free(&calls[i].body);
-        if (calls[i].map) cbor_decref(&calls[i].map);
+        if (calls[i].cbor_body) cbor_decref(&calls[i].cbor_body);
     }
     ncalls = nservers = 0;
 }
@@ -140,7 +140,7 @@
 /* ---- transactions ---- */
 
 uint64_t fake_txn_compared_revision(const struct fake_call *call, const char *key) {
-    const cbor_item_t *guards = amb_cbor_map_get(call->map, "guards");
+    const cbor_item_t *guards = amb_cbor_map_get(call->cbor_body, "guards");
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         const cbor_item_t *guard = amb_cbor_list_item(guards, i);
         uint64_t stamp;
@@ -148,11 +148,11 @@
             amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp))
             return stamp;
     }
-    return FAKE_NOT_GUARDED;
+    return FAKE_NOT_COMPARED;
 }
 
 const cbor_item_t *fake_txn_put(const struct fake_call *call, const char *key, uint64_t *lease) {
-    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
+    const cbor_item_t *changes = amb_cbor_map_get(call->cbor_body, "then");
     for (size_t i = 0; i < amb_cbor_list_length(changes); i++) {
         const cbor_item_t *change = amb_cbor_list_item(changes, i);
         if (!amb_cbor_equals(amb_cbor_map_get(change, "put"), key)) continue;
@@ -163,7 +163,7 @@
 }
 
 bool fake_txn_removes(const struct fake_call *call, const char *key) {
-    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
+    const cbor_item_t *changes = amb_cbor_map_get(call->cbor_body, "then");
     for (size_t i = 0; i < amb_cbor_list_length(changes); i++)
         if (amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(changes, i), "remove"), key)) return true;
     return false;
--- a/tests/support/fake_store.c
+++ b/tests/support/fake_store.c
@@ -224,14 +224,14 @@
 }
 
 bool fake_store_serve(enum fake_outcome fate) {
-    struct fake_call *call = fake_call_open("/commit"), *read = fake_call_open("/store/");
+    struct fake_call *call = fake_open_call("/commit"), *read = fake_open_call("/store/");
     if (!call || (read && read < call)) call = read; /* calls are kept in their order */
     if (!call) return false;
     bool commit = call != read;
-    int status = commit && (fate == FAKE_APPLIED || fate == FAKE_ANSWER_LOST) ? carry_out(call->map) : 0;
+    int status = commit && (fate == FAKE_APPLIED || fate == FAKE_ANSWER_LOST) ? carry_out(call->cbor_body) : 0;
     if (commit && fate == FAKE_APPLIED_LATE) {
         assert_true(nlate < LATE);
-        late[nlate++] = cbor_incref(call->map);
+        late[nlate++] = cbor_incref(call->cbor_body);
     }
     if (fate != FAKE_APPLIED)
         fake_answer(call, 0, NULL);
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -23,21 +23,21 @@
     return request;
 }
 
-struct fake_reply *latest(void) {
+struct fake_reply *latest_reply(void) {
     assert_true(nrequests > 0);
     return &replies[nrequests - 1];
 }
 
-size_t answers(void) {
+size_t count_replies(void) {
     size_t count = 0;
     for (size_t i = 0; i < nrequests; i++) count += replies[i].status != 0;
     return count;
 }
 
-const cbor_item_t *latest_map(void) {
+const cbor_item_t *latest_reply_body(void) {
     static cbor_item_t *map;
     if (map) cbor_decref(&map);
-    map = latest()->body.len ? amb_cbor_parse(latest()->body.data, latest()->body.len) : NULL;
+    map = latest_reply()->body.len ? amb_cbor_parse(latest_reply()->body.data, latest_reply()->body.len) : NULL;
     return map;
 }
 
@@ -55,7 +55,7 @@
 
 /* ---- the node ---- */
 
-int begin(void **state) {
+int fixture_setup(void **state) {
     fake_http_reset();
     fake_clock_reset();
     forget_replies();
@@ -87,7 +87,7 @@
     node->watch.loaded = true;
     node->watch.last_read_at = node->watch.last_read_sent_at = now;
     struct amb_election *election = &node->election;
-    election->ttl = TTL;
+    election->ttl = LEADER_TTL_MS;
     election->renewed_at = election->renewal_sent_at = now;
     election->highest_term = election->holder_revision = TERM;
     election->nonce = election->holder_nonce = 1;
@@ -96,7 +96,7 @@
     return 0;
 }
 
-int end(void **state) {
+int fixture_teardown(void **state) {
     fake_answer_all_lost();
     fake_http_reset();
     fake_clock_reset();
@@ -104,12 +104,12 @@
     return teardown(state);
 }
 
-void begin_anew(void) {
-    end(NULL);
-    begin(NULL);
+void fixture_reset(void) {
+    fixture_teardown(NULL);
+    fixture_setup(NULL);
 }
 
-void follow(const char *leader, uint64_t term) {
+void follow_leader(const char *leader, uint64_t term) {
     struct amb_election *election = &node->election;
     election->role = AMB_ROLE_FOLLOWER;
     strcpy(election->holder, leader);
@@ -118,7 +118,7 @@
 
 /* ---- what the key-value store answers ---- */
 
-void answer_epoch(struct fake_call *call, uint64_t epoch) {
+void answer_committed(struct fake_call *call, uint64_t epoch) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
     amb_cbor_write_string(&buffer, "epoch");
@@ -134,7 +134,7 @@
     fake_answer(call, 200, &buffer);
 }
 
-void answer_refused(struct fake_call *call, const char *key) {
+void answer_conflict(struct fake_call *call, const char *key) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
     amb_cbor_write_string(&buffer, "failed");
@@ -172,7 +172,7 @@
     amb_job_encode_record(buffer, &draft, state);
 }
 
-void answer_news(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
+void answer_change_list(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
                  uint64_t stamp) {
     struct amb_buf buffer = {0};
     char key[AMB_NAME_SIZE + 16];
@@ -205,22 +205,22 @@
     amb_cbor_write_string(&buffer, "yard"),
         amb_cbor_write_string(&buffer, heartbeat.zone ? heartbeat.zone : "a");
     amb_cbor_write_string(&buffer, "driftwood"), amb_cbor_write_bool(&buffer, false);
-    amb_cbor_write_string(&buffer, "watch"), amb_cbor_write_uint(&buffer, heartbeat.session);
-    amb_cbor_write_string(&buffer, "tally"), amb_cbor_write_uint(&buffer, heartbeat.seq);
+    amb_cbor_write_string(&buffer, "watch"), amb_cbor_write_uint(&buffer, heartbeat.incarnation);
+    amb_cbor_write_string(&buffer, "tally"), amb_cbor_write_uint(&buffer, heartbeat.sequence);
     amb_cbor_write_string(&buffer, "baton"), amb_cbor_write_uint(&buffer, heartbeat.token);
     amb_cbor_write_string(&buffer, "legs"), amb_cbor_write_list(&buffer, heartbeat.task ? 1 : 0);
     if (heartbeat.task) {
         amb_cbor_write_map(&buffer, 3);
         amb_cbor_write_string(&buffer, "leg"), amb_cbor_write_string(&buffer, heartbeat.task);
         amb_cbor_write_string(&buffer, "try"), amb_cbor_write_uint(&buffer, heartbeat.attempt);
-        amb_cbor_write_string(&buffer, "stance"), amb_cbor_write_string(&buffer, heartbeat.stance);
+        amb_cbor_write_string(&buffer, "stance"), amb_cbor_write_string(&buffer, heartbeat.task_state);
     }
     struct amb_http_req *request = new_request("POST", "/hello", &buffer);
     assert_true(amb_agent_handle_request(node, request));
     return request;
 }
 
-size_t commands_in(const cbor_item_t *body, const char *verb) {
+size_t count_commands_in(const cbor_item_t *body, const char *verb) {
     const cbor_item_t *list = amb_cbor_map_get(body, "orders");
     size_t count = 0;
     for (size_t i = 0; i < amb_cbor_list_length(list); i++)
@@ -228,13 +228,13 @@
     return count;
 }
 
-size_t replied_commands(const char *verb) {
-    return commands_in(latest_map(), verb);
+size_t count_replied_commands(const char *verb) {
+    return count_commands_in(latest_reply_body(), verb);
 }
 
 uint64_t replied_token(void) {
     uint64_t token = 0;
-    amb_cbor_get_uint(amb_cbor_map_get(latest_map(), "baton"), &token);
+    amb_cbor_get_uint(amb_cbor_map_get(latest_reply_body(), "baton"), &token);
     return token;
 }
 
@@ -258,7 +258,7 @@
 
 /* ---- peers ---- */
 
-static struct amb_buf said_text(int peer, struct said said) {
+static struct amb_buf said_text(int peer, struct peer_state said) {
     struct amb_buf buffer = {0};
     amb_buf_append_format(&buffer,
                           "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
@@ -268,28 +268,28 @@
     return buffer;
 }
 
-void peer_answers(int peer, struct said said) {
+void answer_peer_heartbeat(int peer, struct peer_state said) {
     struct amb_buf buffer = said_text(peer, said);
     fake_answer(fake_call_find(node->settings.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &buffer);
 }
 
-void peer_speaks(int peer, struct said said) {
+void receive_peer_heartbeat(int peer, struct peer_state said) {
     struct amb_buf buffer = said_text(peer, said);
     fake_serve(PEER_LISTEN, new_request("POST", "/peer/heartbeat", &buffer));
 }
 
-void ask_peers(void) {
+void start_peer_heartbeats(void) {
     amb_peer_start(node);
 }
 
 /* ---- records ---- */
 
-struct fake_call *begin_block(void) {
-    struct amb_job *job = add_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
+struct fake_call *begin_block_write(void) {
+    struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     job->revision = 20;
     job->blocks[0].revision = 33;
     machine_up("m-1", 0);
-    struct amb_task *task = bound(job, 0, "m-1", 1);
+    struct amb_task *task = bind_task(job, 0, "m-1", 1);
     task->state = AMB_TASK_PLACED;
     amb_placement_block_mark_dirty(node, task, true);
     amb_placement_log_flush(node);
