--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -3,10 +3,10 @@
 #include "check.h"
 
 struct amb_node *node;
-struct amb_agent_command orders[FIXTURE_ORDERS];
-size_t norders;
+struct amb_agent_command reply_commands[FIXTURE_MAX_COMMANDS];
+size_t reply_command_count;
 
-struct amb_job *add_job(const char *ref, enum amb_job_kind kind, uint32_t tasks) {
+struct amb_job *add_active_job(const char *ref, enum amb_job_kind kind, uint32_t tasks) {
     struct amb_job *job = amb_alloc(sizeof *job);
     strcpy(job->ref, ref);
     job->spec = amb_alloc(sizeof *job->spec);
@@ -58,7 +58,7 @@
     return 0;
 }
 
-bool report(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
+bool deliver_heartbeat(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
             const struct amb_agent_task *tasks, size_t ntasks) {
     struct amb_agent_heartbeat heartbeat = {.incarnation = session,
                                             .sequence = seq,
@@ -70,24 +70,24 @@
     strcpy(heartbeat.type, "g8");
     strcpy(heartbeat.zone, "a");
     heartbeat.tasks = (struct amb_agent_task *)tasks;
-    struct amb_command_list list = {orders, ROWS(orders), 0};
+    struct amb_command_list list = {reply_commands, ROWS(reply_commands), 0};
     enum amb_heartbeat_result result = amb_heartbeat_process(node, &heartbeat, now, &list);
-    norders = list.count;
+    reply_command_count = list.count;
     return result == AMB_HEARTBEAT_PROCESSED;
 }
 
 size_t count_commands(enum amb_agent_command_kind op) {
     size_t count = 0;
-    for (size_t i = 0; i < norders; i++) count += orders[i].kind == op;
+    for (size_t i = 0; i < reply_command_count; i++) count += reply_commands[i].kind == op;
     return count;
 }
 
-struct amb_task *bound(struct amb_job *job, uint32_t index, const char *machine, uint64_t attempt) {
+struct amb_task *bind_task(struct amb_job *job, uint32_t index, const char *machine, uint64_t attempt) {
     amb_task_bind(node, &job->tasks[index], amb_machine_get(node, machine, true), attempt, AMB_TASK_BOUND);
     return &job->tasks[index];
 }
 
-struct amb_agent_task listing(const char *ref, uint32_t index, uint64_t attempt,
+struct amb_agent_task make_agent_task(const char *ref, uint32_t index, uint64_t attempt,
                               enum amb_agent_task_state agent_state, enum amb_exit_reason exit_reason) {
     struct amb_agent_task agent_task = {
         .index = index, .attempt = attempt, .state = agent_state, .exit_reason = exit_reason};
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -12,13 +12,13 @@
 
 /* ---- the key-value store ---- */
 
-struct record records[LETTERS];
-struct service service;
+struct job_value job_values[JOB_LETTERS];
+struct fake_service fake_service;
 
 static void forget_records(void) {
-    for (size_t i = 0; i < LETTERS; i++) amb_buf_free(&records[i].value);
-    memset(records, 0, sizeof records);
-    service = (struct service){.epoch = FIRST_EPOCH};
+    for (size_t i = 0; i < JOB_LETTERS; i++) amb_buf_free(&job_values[i].value);
+    memset(job_values, 0, sizeof job_values);
+    fake_service = (struct fake_service){.revision = FIRST_EPOCH};
 }
 
 static const char *job_name(char letter) {
@@ -30,17 +30,17 @@
 }
 
 /* The record of a key "a/job/wk-x"; NULL: another key. */
-static struct record *record_of(const char *key) {
+static struct job_value *record_of(const char *key) {
     static const char prefix[] = "a/job/wk-";
     if (strncmp(key, prefix, sizeof prefix - 1) != 0) return NULL;
-    return &records[key[sizeof prefix - 1] - 'a'];
+    return &job_values[key[sizeof prefix - 1] - 'a'];
 }
 
-static char letter_of(const struct record *record) {
-    return (char)('a' + (record - records));
+static char letter_of(const struct job_value *record) {
+    return (char)('a' + (record - job_values));
 }
 
-static void put_change(struct amb_buf *buffer, const struct record *record, const char *key_field) {
+static void put_change(struct amb_buf *buffer, const struct job_value *record, const char *key_field) {
     char key[AMB_NAME_SIZE + 16];
     amb_job_format_key(key, sizeof key, job_name(letter_of(record)));
     amb_cbor_write_map(buffer, 3);
@@ -49,15 +49,15 @@
     amb_cbor_write_string(buffer, "value");
     amb_buf_append(buffer, record->value.data, record->value.len);
     amb_cbor_write_string(buffer, "stamp");
-    amb_cbor_write_uint(buffer, record->stamp);
+    amb_cbor_write_uint(buffer, record->revision);
 }
 
 static void put_changes(struct amb_buf *buffer, uint64_t after, const char *key_field) {
     size_t count = 0;
-    for (size_t i = 0; i < LETTERS; i++) count += records[i].stamp > after;
+    for (size_t i = 0; i < JOB_LETTERS; i++) count += job_values[i].revision > after;
     amb_cbor_write_list(buffer, count);
-    for (size_t i = 0; i < LETTERS; i++)
-        if (records[i].stamp > after) put_change(buffer, &records[i], key_field);
+    for (size_t i = 0; i < JOB_LETTERS; i++)
+        if (job_values[i].revision > after) put_change(buffer, &job_values[i], key_field);
 }
 
 static void answer_changes(struct fake_call *call) {
@@ -66,7 +66,7 @@
     assert_non_null(after);
     amb_cbor_write_map(&buffer, 2);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_uint(&buffer, fake_service.revision);
     amb_cbor_write_string(&buffer, "news");
     put_changes(&buffer, strtoull(after + 6, NULL, 10), "put");
     fake_answer(call, 200, &buffer);
@@ -76,7 +76,7 @@
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 3);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_uint(&buffer, fake_service.revision);
     amb_cbor_write_string(&buffer, "truncated");
     amb_cbor_write_bool(&buffer, false);
     amb_cbor_write_string(&buffer, "pairs");
@@ -85,14 +85,14 @@
 }
 
 static bool guards_hold(const struct fake_call *call) {
-    const cbor_item_t *guards = amb_cbor_map_get(call->map, "guards");
+    const cbor_item_t *guards = amb_cbor_map_get(call->cbor_body, "guards");
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char key[128];
         uint64_t stamp = 0;
         amb_cbor_copy_string(amb_cbor_map_get(amb_cbor_list_item(guards, i), "path"), key, sizeof key);
         amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, i), "stamp"), &stamp);
-        const struct record *record = record_of(key);
-        if (record ? record->stamp != stamp : !strcmp(key, LEADER_KEY) && stamp != TERM) return false;
+        const struct job_value *record = record_of(key);
+        if (record ? record->revision != stamp : !strcmp(key, LEADER_KEY) && stamp != TERM) return false;
     }
     return true;
 }
@@ -100,30 +100,30 @@
 static void carry_out(struct fake_call *call) {
     struct amb_buf buffer = {0};
     bool holds = guards_hold(call);
-    const cbor_item_t *changes = amb_cbor_map_get(call->map, "then");
-    service.epoch += holds;
+    const cbor_item_t *changes = amb_cbor_map_get(call->cbor_body, "then");
+    fake_service.revision += holds;
     for (size_t i = 0; holds && i < amb_cbor_list_length(changes); i++) {
         char key[128];
         const cbor_item_t *change = amb_cbor_list_item(changes, i);
         if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) continue;
-        struct record *record = record_of(key);
+        struct job_value *record = record_of(key);
         if (!record) continue;
         unsigned char bytes[VALUE_BYTES];
         size_t len = cbor_serialize(amb_cbor_map_get(change, "value"), bytes, sizeof bytes);
         assert_true(len > 0);
         amb_buf_free(&record->value);
         amb_buf_append(&record->value, bytes, len);
-        record->stamp = service.epoch;
+        record->revision = fake_service.revision;
     }
     amb_cbor_write_map(&buffer, holds ? 1 : 2);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, service.epoch);
+    amb_cbor_write_uint(&buffer, fake_service.revision);
     if (!holds) {
         amb_cbor_write_string(&buffer, "failed");
         amb_cbor_write_list(&buffer, 0);
     }
-    bool lost = service.loses;
-    service.loses = false;
+    bool lost = fake_service.next_response_lost;
+    fake_service.next_response_lost = false;
     fake_answer(call, lost ? 0 : holds ? 200 : 409, &buffer);
 }
 
@@ -136,7 +136,7 @@
     static struct fake_call *kept[FAKE_CALLS];
     size_t nkept = 0;
     struct fake_call *call;
-    while ((call = fake_call_open("/follow")) && is_watch(call) != watch) {
+    while ((call = fake_open_call("/follow")) && is_watch(call) != watch) {
         call->answered = true;
         kept[nkept++] = call;
     }
@@ -146,19 +146,19 @@
 
 bool serve_one(void) {
     struct fake_call *call = find_follow(false);
-    if (call && service.gone && !service.out) {
-        service.gone = false;
+    if (call && fake_service.changes_compacted && !fake_service.unavailable) {
+        fake_service.changes_compacted = false;
         fake_answer(call, 410, NULL);
         return true;
     }
     bool changes = call != NULL;
-    if (!call) call = fake_call_open("/store?prefix=a/");
+    if (!call) call = fake_open_call("/store?prefix=a/");
     bool jobs = call && !changes;
-    if (!call) call = fake_call_open("/store?prefix=b/");
-    bool commit = !call && !service.held;
-    if (commit) call = fake_call_open("/commit");
+    if (!call) call = fake_open_call("/store?prefix=b/");
+    bool commit = !call && !fake_service.commits_held;
+    if (commit) call = fake_open_call("/commit");
     if (!call) return false;
-    if (service.out)
+    if (fake_service.unavailable)
         fake_answer(call, 503, NULL);
     else if (changes)
         answer_changes(call);
@@ -185,7 +185,7 @@
 
 static char submission_text[2048];
 
-const char *describe(char letter, const char *awaits, const char *shape) {
+const char *format_submission(char letter, const char *awaits, const char *shape) {
     char names[256] = "";
     for (size_t len = 0; awaits && *awaits && len < sizeof names - 16; awaits++)
         len +=
@@ -195,7 +195,7 @@
              "\"legs\":%d,\"vcpus\":1.0,\"accelerators\":0.0,\"ram_gb\":4.0,\"cask\":\"img\",\"size_gb\":1.0,"
              "\"one_zone\":false,\"scatter\":false,\"driftwood\":true,\"reckon_s\":20.0,\"mark_s\":0.0,"
              "\"stow_s\":0.0%s%s%s}",
-             job_name(letter), shape, TASKS, *names ? ",\"awaits\":[" : "", names, *names ? "]" : "");
+             job_name(letter), shape, TASKS_PER_JOB, *names ? ",\"awaits\":[" : "", names, *names ? "]" : "");
     return submission_text;
 }
 
@@ -206,7 +206,7 @@
     settle();
 }
 
-int answer_status(void) {
+int latest_status(void) {
     return replies[nreplies - 1].status;
 }
 
@@ -228,7 +228,7 @@
     send_request(cancel ? "POST" : "GET", path, NULL);
 }
 
-const char *answer(void) {
+const char *latest_answer(void) {
     static char text[16];
     const struct fake_reply *reply = &replies[nreplies - 1];
     cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
@@ -241,17 +241,17 @@
 
 /* Another node writes the job's record. */
 static void write_elsewhere(char letter, const char *state, const char *awaits) {
-    struct record *record = &records[letter - 'a'];
-    static char awaited[LETTERS][16];
+    struct job_value *record = &job_values[letter - 'a'];
+    static char awaited[JOB_LETTERS][16];
     if (awaits) snprintf(awaited[letter - 'a'], sizeof awaited[0], "%s", awaits);
     amb_buf_free(&record->value);
-    record->stamp = ++service.epoch;
+    record->revision = ++fake_service.revision;
     if (!strcmp(state, "done"))
-        record->value = cbor_from_text("{\"s\":\"done\",\"n\":%d}", TASKS);
+        record->value = cbor_from_text("{\"s\":\"done\",\"n\":%d}", TASKS_PER_JOB);
     else
         record->value =
             cbor_from_text("{\"s\":\"%s\",\"a\":%lld,\"c\":%lld,\"d\":%s}", state, (long long)amb_wall_ms(),
-                           (long long)amb_wall_ms(), describe(letter, awaited[letter - 'a'], "batch"));
+                           (long long)amb_wall_ms(), format_submission(letter, awaited[letter - 'a'], "batch"));
 }
 
 static void hear_news(void) {
@@ -264,12 +264,12 @@
 }
 
 static void hear_hint(char letter) {
-    amb_job_apply_cancel_hint(node, job_name(letter), amb_wall_ms(), records[letter - 'a'].stamp);
+    amb_job_apply_cancel_hint(node, job_name(letter), amb_wall_ms(), job_values[letter - 'a'].revision);
 }
 
 /* ---- the node ---- */
 
-int begin(void **state) {
+int fixture_setup(void **state) {
     fake_http_reset();
     fake_clock_reset();
     forget_records();
@@ -294,7 +294,7 @@
     return 0;
 }
 
-int end(void **state) {
+int fixture_teardown(void **state) {
     fake_answer_all_lost();
     fake_http_reset();
     fake_clock_reset();
@@ -304,12 +304,12 @@
     return teardown(state);
 }
 
-void anew(void) {
-    end(NULL);
-    begin(NULL);
+void fixture_reset(void) {
+    fixture_teardown(NULL);
+    fixture_setup(NULL);
 }
 
-void lead(void) {
+void start_leading(void) {
     node->election.role = AMB_ROLE_LEADER;
     node->election.term = node->election.highest_term = TERM;
     node->election.ttl = 3600000;
@@ -317,10 +317,10 @@
     node->election.renewed_at = amb_now();
     amb_controller_start_leading(node);
     settle();
-    if (!service.out && !node->controller.restored_at) fail_msg("the records are not read");
+    if (!fake_service.unavailable && !node->controller.restored_at) fail_msg("the records are not read");
 }
 
-void stop(void) {
+void stop_leading(void) {
     amb_controller_stop_leading(node, "test");
     node->election.role = AMB_ROLE_FOLLOWER;
 }
@@ -333,11 +333,11 @@
     settle();
 }
 
-const char *live_jobs(void) {
-    static char text[LETTERS + 1];
+const char *active_jobs(void) {
+    static char text[JOB_LETTERS + 1];
     size_t len = 0;
-    for (size_t i = 0; i < LETTERS; i++) {
-        char letter = letter_of(&records[i]);
+    for (size_t i = 0; i < JOB_LETTERS; i++) {
+        char letter = letter_of(&job_values[i]);
         const struct amb_job *job = amb_job_find(node, job_name(letter));
         if (job && job->active && job->state == AMB_JOB_QUEUED) text[len++] = letter;
     }
@@ -359,18 +359,18 @@
     if (!strcmp(step, "~")) {
         hear_news();
     } else if (!strcmp(step, "out") || !strcmp(step, "back")) {
-        service.out = *step == 'o';
+        fake_service.unavailable = *step == 'o';
     } else if (!strcmp(step, "hold") || !strcmp(step, "release")) {
-        service.held = *step == 'h';
+        fake_service.commits_held = *step == 'h';
         settle();
     } else if (!strcmp(step, "gone")) {
-        service.gone = true;
+        fake_service.changes_compacted = true;
     } else if (!strcmp(step, "lose")) {
-        service.loses = true;
+        fake_service.next_response_lost = true;
     } else if (!strcmp(step, "lead")) {
-        lead();
+        start_leading();
     } else if (!strcmp(step, "stop")) {
-        stop();
+        stop_leading();
     } else {
         return false;
     }
@@ -380,8 +380,8 @@
 /* One step without what is due after it; what it shows. */
 static const char *play_step(const char *step) {
     if (play_word(step)) return NULL;
-    if (!strcmp(step, "live")) return live_jobs();
-    if (!strcmp(step, "last")) return answer();
+    if (!strcmp(step, "live")) return active_jobs();
+    if (!strcmp(step, "last")) return latest_answer();
     if (*step == '@') {
         play_elsewhere(step + 1);
         return NULL;
@@ -395,15 +395,15 @@
         return NULL;
     }
     if (*step == '+')
-        submit_text(describe(step[1], step[2] == ':' ? step + 3 : "", "batch"));
+        submit_text(format_submission(step[1], step[2] == ':' ? step + 3 : "", "batch"));
     else if (*step == '-' || *step == '?')
         ask(step[1], *step == '-');
     else
         fail_msg("no such step: %s", step);
-    return answer();
+    return latest_answer();
 }
 
-void play(const char *what, const char *script) {
+void run_script(const char *what, const char *script) {
     char text[512], *rest = text;
     assert_true(strlen(script) < sizeof text);
     strcpy(text, script);
@@ -418,9 +418,9 @@
     }
 }
 
-void play_all(const struct scene *scenes, size_t count) {
+void run_scripts(const struct pipeline_script *scenes, size_t count) {
     for (size_t i = 0; i < count; i++) {
-        anew();
-        play(scenes[i].what, scenes[i].script);
+        fixture_reset();
+        run_script(scenes[i].name, scenes[i].script);
     }
 }
--- a/tests/support/pipeline_fixture.h
+++ b/tests/support/pipeline_fixture.h
@@ -23,36 +23,37 @@
 
 struct json_t;
 
-enum { LETTERS = 26, TASKS = 2 };
+enum { JOB_LETTERS = 26, TASKS_PER_JOB = 2 };
 
 /* ---- the node ---- */
 
 /* As cmocka wants them. */
-int begin(void **state);
-int end(void **state);
+int fixture_setup(void **state);
+int fixture_teardown(void **state);
 /* A fresh node in mid-test, for the next row of a table. */
-void anew(void);
-void lead(void);
-void stop(void);
+void fixture_reset(void);
+void start_leading(void);
+void stop_leading(void);
 /* The leader has seen all tasks of the job end. */
 void finish_tasks(char letter);
 /* The letters of the jobs in the leader's care. */
-const char *live_jobs(void);
+const char *active_jobs(void);
 
 /* ---- the key-value store ---- */
 
-struct record {
-    uint64_t stamp; /* 0: not there */
+struct job_value {
+    uint64_t revision; /* 0: not there */
     struct amb_buf value;
 };
 
-struct service {
-    uint64_t epoch;
-    bool out, held, gone, loses; /* loses: the next answer to a transaction */
+struct fake_service {
+    uint64_t revision;
+    bool unavailable, commits_held, changes_compacted,
+        next_response_lost; /* loses: the next answer to a transaction */
 };
 
-extern struct record records[LETTERS];
-extern struct service service;
+extern struct job_value job_values[JOB_LETTERS];
+extern struct fake_service fake_service;
 
 /* Answers one request to the key-value store; false: there is none that it answers now. */
 bool serve_one(void);
@@ -60,23 +61,23 @@
 /* ---- users ---- */
 
 /* A submission of the job, as JSON. */
-const char *describe(char letter, const char *awaits, const char *shape);
+const char *format_submission(char letter, const char *awaits, const char *shape);
 void submit_text(const char *text);
 void submit_json(struct json_t *job); /* releases it */
 /* The latest user's answer as scripts write it, and its status alone. */
-const char *answer(void);
-int answer_status(void);
+const char *latest_answer(void);
+int latest_status(void);
 
 /* ---- scripts ---- */
 
-struct scene {
-    const char *what, *script;
+struct pipeline_script {
+    const char *name, *script;
 };
 
-void play(const char *what, const char *script);
+void run_script(const char *what, const char *script);
 /* Each with a fresh node. */
-void play_all(const struct scene *scenes, size_t count);
+void run_scripts(const struct pipeline_script *scenes, size_t count);
 
-#define TEST(name) cmocka_unit_test_setup_teardown(name, begin, end)
+#define TEST(name) cmocka_unit_test_setup_teardown(name, fixture_setup, fixture_teardown)
 
 #endif
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -4,15 +4,16 @@
 #include "check.h"
 #include "json_cbor.h"
 
-const char *const GOOD =
-    "{\"ref\":\"" JOB "\",\"berth\":\"train\",\"crew\":\"vision\",\"shape\":\"ensemble\",\"rank\":\"high\","
+const char *const VALID_SUBMISSION =
+    "{\"ref\":\"" JOB_REF
+    "\",\"berth\":\"train\",\"crew\":\"vision\",\"shape\":\"ensemble\",\"rank\":\"high\","
     "\"legs\":16,\"vcpus\":8.0,\"accelerators\":1.0,\"ram_gb\":64.0,\"cask\":\"img-07\",\"size_gb\":6.2,"
     "\"hulls\":[\"g8\"],\"yard\":null,\"one_zone\":true,\"scatter\":false,\"driftwood\":true,"
     "\"reckon_s\":240.0,\"mark_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0}";
 
 struct fake_reply replies[USERS];
 
-int begin(void **state) {
+int fixture_setup(void **state) {
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
     node->settings.store_rps = 1000;
@@ -32,7 +33,7 @@
     node->catalog.types[1].resources = (struct amb_resources){64, 0, 128};
     amb_store_init(&node->store, &node->settings, 1000);
     node->watch.loaded = true;
-    node->watch.known_revision = EPOCH;
+    node->watch.known_revision = FIXTURE_REVISION;
     return 0;
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-int end(void **state) {
+int fixture_teardown(void **state) {
     fake_answer_all_lost();
     fake_http_reset();
     forget_replies();
@@ -54,33 +55,33 @@
     return teardown(state);
 }
 
-void anew(void) {
-    end(NULL);
-    begin(NULL);
+void fixture_reset(void) {
+    fixture_teardown(NULL);
+    fixture_setup(NULL);
 }
 
 /* ---- users ---- */
 
-void request(int user, const char *method, const char *path, struct amb_buf *body) {
+void issue_request(int user, const char *method, const char *path, struct amb_buf *body) {
     amb_buf_free(&replies[user].body);
     assert_true(amb_api_handle_request(node, fake_request(method, path, body, &replies[user])));
     if (body) amb_buf_free(body);
 }
 
-void submit(int user, const char *text) {
+void user_submit(int user, const char *text) {
     struct amb_buf body = cbor_from_text("%s", text);
-    request(user, "POST", "/v1/jobs", &body);
+    issue_request(user, "POST", "/v1/jobs", &body);
 }
 
 void poll_job(int user) {
-    request(user, "GET", JOB_PATH, NULL);
+    issue_request(user, "GET", JOB_PATH, NULL);
 }
 
-void cancel(int user) {
-    request(user, "POST", JOB_PATH "/cancel", NULL);
+void user_cancel(int user) {
+    issue_request(user, "POST", JOB_PATH "/cancel", NULL);
 }
 
-void expect(const char *what, int user, int status, const char *stance) {
+void expect_reply(const char *what, int user, int status, const char *stance) {
     const struct fake_reply *reply = &replies[user];
     cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
     bool right =
@@ -90,58 +91,59 @@
         fail_msg("%s: answer %d where %d %s was due", what, reply->status, status, stance ? stance : "");
 }
 
-void expect_waiting(const char *what, int user) {
-    expect(what, user, 0, NULL);
+void expect_no_reply(const char *what, int user) {
+    expect_reply(what, user, 0, NULL);
 }
 
 /* ---- the key-value store ---- */
 
 /* What the key-value store answers to a read of all changes: nothing new, or one change of the job. */
-struct amb_buf news(uint64_t stamp, const char *state) {
-    if (!state) return cbor_from_text("{\"epoch\":%d,\"news\":[]}", EPOCH);
-    return cbor_from_text("{\"epoch\":%llu,\"news\":[{\"put\":\"a/job/" JOB "\",\"stamp\":%llu,"
+struct amb_buf encode_changes(uint64_t stamp, const char *state) {
+    if (!state) return cbor_from_text("{\"epoch\":%d,\"news\":[]}", FIXTURE_REVISION);
+    return cbor_from_text("{\"epoch\":%llu,\"news\":[{\"put\":\"a/job/" JOB_REF "\",\"stamp\":%llu,"
                           "\"value\":{\"s\":\"%s\",\"a\":1,\"c\":1,\"n\":16,\"d\":%s}}]}",
-                          (unsigned long long)stamp, (unsigned long long)stamp, state, GOOD);
+                          (unsigned long long)stamp, (unsigned long long)stamp, state, VALID_SUBMISSION);
 }
 
 struct fake_call *open_call(const char *path) {
-    struct fake_call *call = fake_call_open(path);
+    struct fake_call *call = fake_open_call(path);
     if (!call) fail_msg("no call of %s is open", path);
     return call;
 }
 
-void answer_sync(uint64_t stamp, const char *state) {
-    struct amb_buf body = news(stamp, state);
-    fake_answer(open_call(SYNC), 200, &body);
+void answer_fresh_read(uint64_t stamp, const char *state) {
+    struct amb_buf body = encode_changes(stamp, state);
+    fake_answer(open_call(CHANGES_PATH), 200, &body);
 }
 
 void answer_commit(int status, uint64_t epoch) {
     struct amb_buf body = cbor_from_text("{\"epoch\":%llu}", (unsigned long long)epoch);
-    fake_answer(open_call(COMMIT), status, status ? &body : NULL);
+    fake_answer(open_call(COMMIT_PATH), status, status ? &body : NULL);
     amb_buf_free(&body);
 }
 
-void hear(uint64_t stamp, const char *state) {
-    struct amb_buf value = cbor_from_text("{\"s\":\"%s\",\"a\":1,\"c\":1,\"n\":16,\"d\":%s}", state, GOOD);
+void apply_watched_change(uint64_t stamp, const char *state) {
+    struct amb_buf value =
+        cbor_from_text("{\"s\":\"%s\",\"a\":1,\"c\":1,\"n\":16,\"d\":%s}", state, VALID_SUBMISSION);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply_item(node, JOB, item, stamp);
+    amb_jobs_apply_item(node, JOB_REF, item, stamp);
     cbor_decref(&item);
     amb_buf_free(&value);
 }
 
-void fire(struct amb_timer *timer) {
+void fire_timer(struct amb_timer *timer) {
     assert_true(timer->position);
     amb_timer_stop(timer);
     timer->fn(timer->arg);
 }
 
-uint64_t guarded_stamp(void) {
-    struct fake_call *call = open_call(COMMIT);
+uint64_t compared_revision(void) {
+    struct fake_call *call = open_call(COMMIT_PATH);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
     const cbor_item_t *guards = amb_cbor_map_get(body, "guards");
     uint64_t stamp = UINT64_MAX;
     assert_int_equal(amb_cbor_list_length(guards), 1);
-    assert_true(amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "path"), "a/job/" JOB));
+    assert_true(amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "path"), "a/job/" JOB_REF));
     assert_true(amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "stamp"), &stamp));
     cbor_decref(&body);
     return stamp;
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -123,19 +123,19 @@
 static void a_returning_zone_takes_replicas_only(void **state) {
     (void)state;
     for (int steady = 0; steady < 2; steady++) {
-        begin_anew();
+        fixture_reset();
         enable_recovery();
         lose_and_return();
-        answer_epoch(open_call("POST", "/commit"), FIRST_STAMP);
+        answer_committed(open_call("POST", "/commit"), FIRST_STAMP);
         silence_zone(-1);
         struct fake_call *second = find_call("POST", "/commit");
-        if (second) answer_epoch(second, FIRST_STAMP + 1);
+        if (second) answer_committed(second, FIRST_STAMP + 1);
         if (steady) {
             advance_stable(node->zone_recovery.settings.stability_period);
-            answer_epoch(open_call("POST", "/commit"), FIRST_STAMP + 2);
+            answer_committed(open_call("POST", "/commit"), FIRST_STAMP + 2);
         }
-        struct amb_job *batch = add_job("wk-1", AMB_JOB_KIND_ARRAY, 40),
-                       *replicas = add_job("wk-2", AMB_JOB_KIND_SERVICE, 2);
+        struct amb_job *batch = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 40),
+                       *replicas = add_active_job("wk-2", AMB_JOB_KIND_SERVICE, 2);
         replicas->spec->priority = AMB_PRIORITY_PRODUCTION;
         replicas->spec->spread_zones = true;
         strcpy(replicas->spec->zone, "b");
@@ -171,10 +171,10 @@
 /* ---- the order ---- */
 
 static struct amb_job *lost_replica(const char *ref, const char *class_name, enum amb_priority priority) {
-    struct amb_job *job = add_job(ref, AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *job = add_active_job(ref, AMB_JOB_KIND_SERVICE, 1);
     strcpy(job->spec->class_name, class_name);
     job->spec->priority = priority;
-    struct amb_task *task = bound(job, 0, "m-1", 1);
+    struct amb_task *task = bind_task(job, 0, "m-1", 1);
     task->state = AMB_TASK_SEEN;
     job->next_attempt = 2;
     return job;
@@ -190,9 +190,9 @@
     node->controller.ready = false; /* nothing is placed meanwhile */
     struct amb_job *drafts = lost_replica("wk-1", "drafts", AMB_PRIORITY_HIGH);
     struct amb_job *assistant = lost_replica("wk-2", "assistant", AMB_PRIORITY_PRODUCTION);
-    struct amb_job *sweep = add_job("wk-3", AMB_JOB_KIND_ARRAY, 4),
-                   *new_prod = add_job("wk-4", AMB_JOB_KIND_SERVICE, 1);
-    struct amb_job *new_high = add_job("wk-5", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *sweep = add_active_job("wk-3", AMB_JOB_KIND_ARRAY, 4),
+                   *new_prod = add_active_job("wk-4", AMB_JOB_KIND_SERVICE, 1);
+    struct amb_job *new_high = add_active_job("wk-5", AMB_JOB_KIND_SERVICE, 1);
     new_prod->spec->priority = AMB_PRIORITY_PRODUCTION;
     new_high->spec->priority = AMB_PRIORITY_HIGH;
     assert_int_equal(amb_zone_recovery_step_of(node, assistant), AMB_RECOVERY_NO_STEP);
@@ -218,7 +218,7 @@
     (void)state;
     enable_recovery();
     silence_zone(-1);
-    struct amb_job *batch = add_job("wk-1", AMB_JOB_KIND_ARRAY, 100);
+    struct amb_job *batch = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 100);
     for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         machine->reserved.gpus = 7;
     batch->spec->task_resources = (struct amb_resources){1, 1, 1};
@@ -250,12 +250,12 @@
     (void)state;
     static const int refusals[] = {503, 409, 0};
     for (size_t i = 0; i < ROWS(refusals); i++) {
-        begin_anew();
+        fixture_reset();
         enable_recovery();
         lose_and_return();
-        answer_epoch(expect_write("lost", 0), FIRST_STAMP);
+        answer_committed(expect_write("lost", 0), FIRST_STAMP);
         silence_zone(-1);
-        answer_epoch(expect_write("returning", FIRST_STAMP), FIRST_STAMP + 1);
+        answer_committed(expect_write("returning", FIRST_STAMP), FIRST_STAMP + 1);
         advance_stable(node->zone_recovery.settings.stability_period);
         assert_int_equal(health_state(ZONE_B), AMB_ZONE_HEALTHY);
         assert_int_equal(amb_zones_without_batch(node), 1u << ZONE_B);
@@ -265,7 +265,7 @@
         silence_zone(-1);
         answer_value(open_call("GET", "/store/" ZONES_KEY), "form", NULL, 1, FIRST_STAMP + 5);
         silence_zone(-1);
-        answer_epoch(expect_write("healthy", FIRST_STAMP + 5), FIRST_STAMP + 6);
+        answer_committed(expect_write("healthy", FIRST_STAMP + 5), FIRST_STAMP + 6);
         assert_int_equal(amb_zones_without_batch(node), 0);
     }
 }
@@ -303,7 +303,7 @@
         {"switched off", ZONES_KEY, 1, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin_anew();
+        fixture_reset();
         enable_recovery();
         node->options.zone_recovery = rows[i].on;
         cbor_item_t *value = record_value(rows[i].form);
@@ -323,7 +323,7 @@
 static void nothing_is_written_too_early(void **state) {
     (void)state;
     for (int old = 0; old < 2; old++) {
-        begin_anew();
+        fixture_reset();
         enable_recovery();
         node->formats.recorded = old ? AMB_FORMAT_1 : AMB_FORMAT_2;
         silence_zone(ZONE_B);
@@ -333,15 +333,15 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(settings_are_refused, begin, end),
-        cmocka_unit_test_setup_teardown(disabled_recovery_decides_nothing, begin, end),
-        cmocka_unit_test_setup_teardown(a_returning_zone_takes_replicas_only, begin, end),
-        cmocka_unit_test_setup_teardown(a_returning_zone_keeps_its_machines, begin, end),
-        cmocka_unit_test_setup_teardown(classes_recover_in_order, begin, end),
-        cmocka_unit_test_setup_teardown(batch_leaves_reserved_room_alone, begin, end),
-        cmocka_unit_test_setup_teardown(the_safer_state_counts, begin, end),
-        cmocka_unit_test_setup_teardown(a_new_leader_restores_the_record, begin, end),
-        cmocka_unit_test_setup_teardown(nothing_is_written_too_early, begin, end),
+        cmocka_unit_test_setup_teardown(settings_are_refused, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(disabled_recovery_decides_nothing, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(a_returning_zone_takes_replicas_only, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(a_returning_zone_keeps_its_machines, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(classes_recover_in_order, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(batch_leaves_reserved_room_alone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(the_safer_state_counts, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(a_new_leader_restores_the_record, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(nothing_is_written_too_early, fixture_setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
