--- a/lib/placement/bin_packing.c
+++ b/lib/placement/bin_packing.c
@@ -1,21 +1,20 @@
-/* Bin packing: feasibility of slots for placement requests, and the scores by which the best slot is chosen.
- */
+/* Bin packing: feasibility of slots for placement requests, and the scores that decide between slots. */
 #include "amberpin/placement/bin_packing.h"
 
 #include <float.h>
 #include <math.h>
 
-/* Weights of a score. A slot's start risk and fullness are shares from 0 to 1. */
+/* Weights of the parts of a score. A slot's start risk and fullness range from 0 to 1. */
 static const double START_WEIGHT = 7;
-static const double DEFERRABLE_START_WEIGHT = 0.5; /* where no start is awaited */
+static const double DEFERRABLE_START_WEIGHT = 0.5; /* for requests without a start objective */
 static const double SPOT_WEIGHT = 2;
 static const double FULLNESS_WITHOUT_GPUS_WEIGHT = 3;
 static const double RESERVED_PENALTY = 2;
 static const double LONG_RUNNING_WEIGHT = 1.5;
-/* A fetch takes its nominal time, give or take this share of it (the protocol). */
-static const double FETCH_SPREAD = 1.0 / 3;
-/* The weight of the chance to be late in a start risk; the rest is that of the time itself. */
-static const double CHANCE_WEIGHT = 0.85;
+/* The time of a fetch deviates from its nominal time by up to this share of it (given by the protocol). */
+static const double FETCH_TIME_VARIATION = 1.0 / 3;
+/* The weight of the probability of a late start in the start risk; the rest is that of the fetch time. */
+static const double LATE_PROBABILITY_WEIGHT = 0.85;
 
 uint32_t amb_placement_max_tasks_per_zone(uint32_t task_count) {
     return (task_count + 1) / 2;
@@ -24,24 +23,28 @@
 uint32_t amb_placement_count_tasks_in_unknown_zones(const struct amb_job *job) {
     uint32_t known = 0;
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) known += job->zone_task_counts[zone];
-    /* More are known while a capacity plan counts tasks that are not placed yet. */
+    /* During a capacity plan `known` may be larger: it includes planned tasks that are not bound yet. */
     return job->bound_count > known ? job->bound_count - known : 0;
 }
 
-/* A start in time is what counts: of two machines that are both too slow, the faster one is hardly better,
- * and of two that are both fast enough neither. (When only the share of the time was weighed, 9 s and 19 s of
- * 10 s came out alike, and services went to where they would surely start late.) */
+/* What counts is whether the start is in time: of two machines that are both too slow the faster one is
+ * hardly better, and two that are both fast enough are about equal. With the fetch's share of the time alone,
+ * fetches of 9 s and 19 s within 10 s scored about the same, and services were placed where they were certain
+ * to start late. */
 double amb_placement_start_risk(double fetch_s, double within_s, double slack_s) {
     if (fetch_s <= 0 || within_s <= 0) return 0;
     double share = fmin(1, fetch_s / within_s);
     if (slack_s < 0) return share;
-    double chance_in_time = ((within_s - slack_s) / fetch_s - (1 - FETCH_SPREAD)) / (2 * FETCH_SPREAD);
-    return CHANCE_WEIGHT * (1 - fmax(0, fmin(1, chance_in_time))) + (1 - CHANCE_WEIGHT) * share;
+    double probability_in_time =
+        ((within_s - slack_s) / fetch_s - (1 - FETCH_TIME_VARIATION)) / (2 * FETCH_TIME_VARIATION);
+    return LATE_PROBABILITY_WEIGHT * (1 - fmax(0, fmin(1, probability_in_time))) +
+           (1 - LATE_PROBABILITY_WEIGHT) * share;
 }
 
-/* Work of lower priority is preempted when the expected work comes; other batch work stays clear of it. So
- * does opportunistic work, since preemption takes time. (Gangs to be started within 25 s, 20 of which their
- * image took, were 4 s late on machines that a guest's idle-time work had filled.) */
+/* Batch work of lower priority than the reservation may use the slot, since it is preempted when the expected
+ * work arrives; other batch work is kept off. So is opportunistic work, since preemption takes time: gangs
+ * that were to start within 25 s, 20 s of which their image fetch took, started 4 s late on machines filled
+ * with opportunistic work. */
 static bool is_reserved_against(const struct amb_placement_request *request, const struct amb_slot *slot) {
     if (!request->deferrable || slot->reserved_priority < 0) return false;
     return request->opportunistic || (int)request->priority >= slot->reserved_priority;
@@ -82,10 +85,10 @@
     return amb_resources_fit(&request->need, &available);
 }
 
-/* A task without GPUs keeps clear of machines that have some free: what it takes of their cores is then
- * missing to work that needs both. That a machine is cheap says nothing for it, since GPUs are what is paid
- * for. (Gangs that need whole machines once waited for 50 s with 200 GPUs free, each machine with a few such
- * tasks.) */
+/* A task without GPUs avoids machines with free GPUs, because the cores that it uses there are missing for
+ * work that needs both. Among such machines spot instances are not preferred, because their price is that of
+ * their GPUs. Gangs that need whole machines once waited for 50 s while 200 GPUs were free, since each
+ * machine ran a few such tasks. */
 static double compute_packing_score(const struct amb_placement_request *request, const struct amb_slot *slot,
                                     double free_gpus) {
     double spot_score = slot->spot ? SPOT_WEIGHT : 0;
@@ -94,17 +97,17 @@
     return request->need.gpus > 0 ? spot_score + fullness : FULLNESS_WITHOUT_GPUS_WEIGHT * fullness;
 }
 
-/* An image at hand, or soon fetched, first: fetching takes longer than most tasks may wait. Then spot
- * machines, which only some jobs can use. Then the fullest, so that others become empty and can be released.
- */
+/* Prefers slots that hold the image or can fetch it soon, because fetching takes longer than most tasks may
+ * wait; then spot machines, which only some jobs can use; then the fullest slots, so that others become empty
+ * and can be released. */
 double amb_placement_score(const struct amb_placement_request *request, const struct amb_slot *slot,
                            bool include_releasing) {
     double free_gpus = amb_placement_available(slot, include_releasing).gpus;
     double start_weight = request->deferrable ? DEFERRABLE_START_WEIGHT : START_WEIGHT;
     double score = start_weight * (1 - slot->start_risk) + compute_packing_score(request, slot, free_gpus);
     if (is_reserved_against(request, slot)) score -= RESERVED_PENALTY;
-    /* Long-running tasks keep together: a machine with one of them can't be released, and a machine with none
-     * can as soon as its batch work ends. */
+    /* Long-running tasks are packed together: a machine that runs one can't be released, while a machine
+     * without any can be released as soon as its batch work ends. */
     if (slot->size_gpus > 0 && request->long_running)
         score += LONG_RUNNING_WEIGHT * slot->long_running_gpus / slot->size_gpus;
     return score;
--- a/lib/placement/wdrr.c
+++ b/lib/placement/wdrr.c
@@ -3,16 +3,16 @@
 
 #include <math.h>
 
-/* A full bucket holds so many times the team's limit, and is refilled in as many seconds. */
-static const double BUCKET_LIMITS = 60;
-/* Deficits and buckets are sums of fractions. */
-static const double ROUNDING = 1e-9;
-/* So are the resources that a team uses. */
-static const double USAGE_ROUNDING = 1e-6;
+/* A bucket holds the team's limit times this many seconds, and fills up in that time. */
+static const double BUCKET_FILL_S = 60;
+/* For rounding errors in deficits and buckets, which are sums of fractions. */
+static const double ROUNDING_TOLERANCE = 1e-9;
+/* For rounding errors in the resources that a team uses. */
+static const double USAGE_TOLERANCE = 1e-6;
 
-/* All known deployments guarantee GPUs and no cores. In cores every team would weigh one and a CPU-heavy
- * task would cost more turns than a GPU-heavy one, so size and weight are counted in the resource
- * that the guarantees name (see docs/design.md). */
+/* All known deployments guarantee GPUs and no cores. Measured in cores, every team would have a weight of 1
+ * and a CPU-heavy task would take more turns than a GPU-heavy one. So sizes and weights are measured in the
+ * resource that the guarantees name (docs/design.md). */
 double amb_wdrr_item_size(const struct amb_resources *need, bool sized_by_gpus) {
     double size = sized_by_gpus ? need->gpus : need->cpus;
     return size > 0 ? size : 1;
@@ -42,7 +42,7 @@
         double limit = sized_by_gpus ? team->limit.gpus : team->limit.cpus;
         team->weight = fmax(1, guarantee);
         team->opportunistic = any_guaranteed && !has_guarantee(team);
-        team->bucket_capacity = limit > 0 ? BUCKET_LIMITS * limit : INFINITY;
+        team->bucket_capacity = limit > 0 ? BUCKET_FILL_S * limit : INFINITY;
         team->bucket_tokens = team->bucket_capacity;
         team->deficit = 0;
     }
@@ -53,38 +53,39 @@
         struct amb_team *team = &teams[i];
         if (isinf(team->bucket_capacity)) continue;
         team->bucket_tokens = fmin(team->bucket_capacity,
-                                   team->bucket_tokens + seconds * team->bucket_capacity / BUCKET_LIMITS);
+                                   team->bucket_tokens + seconds * team->bucket_capacity / BUCKET_FILL_S);
     }
 }
 
 bool amb_wdrr_is_within_limit(const struct amb_team *team, const struct amb_resources *need, double count) {
-    if (team->limit.cpus > 0 && team->used.cpus + need->cpus * count > team->limit.cpus + USAGE_ROUNDING)
+    if (team->limit.cpus > 0 && team->used.cpus + need->cpus * count > team->limit.cpus + USAGE_TOLERANCE)
         return false;
-    if (team->limit.gpus > 0 && team->used.gpus + need->gpus * count > team->limit.gpus + USAGE_ROUNDING)
+    if (team->limit.gpus > 0 && team->used.gpus + need->gpus * count > team->limit.gpus + USAGE_TOLERANCE)
         return false;
     return true;
 }
 
 bool amb_wdrr_is_within_guarantee(const struct amb_team *team, const struct amb_resources *need) {
     if (!has_guarantee(team)) return false;
-    if (team->guarantee.cpus > 0 && team->used.cpus + need->cpus > team->guarantee.cpus + USAGE_ROUNDING)
+    if (team->guarantee.cpus > 0 && team->used.cpus + need->cpus > team->guarantee.cpus + USAGE_TOLERANCE)
         return false;
-    if (team->guarantee.gpus > 0 && team->used.gpus + need->gpus > team->guarantee.gpus + USAGE_ROUNDING)
+    if (team->guarantee.gpus > 0 && team->used.gpus + need->gpus > team->guarantee.gpus + USAGE_TOLERANCE)
         return false;
     return true;
 }
 
-/* What a team's turn came to. */
+/* The outcome of a team's turn. */
 struct turn_result {
     uint32_t admitted;
-    bool saves_up; /* for an item that is larger than its deficit */
+    bool accumulates_deficit; /* the next item is larger than the deficit counter; later turns add to it */
 };
 
 static bool can_afford(const struct amb_team *team, const struct amb_wdrr_item *item) {
-    return team->bucket_tokens + ROUNDING >= item->size && amb_wdrr_is_within_limit(team, &item->need, 1);
+    return team->bucket_tokens + ROUNDING_TOLERANCE >= item->size &&
+           amb_wdrr_is_within_limit(team, &item->need, 1);
 }
 
-static void debit(struct amb_team *team, const struct amb_wdrr_item *item) {
+static void charge(struct amb_team *team, const struct amb_wdrr_item *item) {
     team->deficit -= item->size;
     team->bucket_tokens -= item->size;
 }
@@ -94,19 +95,19 @@
     struct turn_result result = {0, false};
     struct amb_wdrr_item item;
     if (!ops->next(ops->context, team_index, &item)) {
-        if (ops->is_idle(ops->context, team_index)) team->deficit = 0; /* idle turns pass on */
+        if (ops->is_idle(ops->context, team_index)) team->deficit = 0; /* an idle team saves nothing up */
         return result;
     }
-    /* The cap keeps a shortage from piling up turns that would be taken all at once later; an item larger
-     * than a turn still comes up after enough of them. */
+    /* Without the cap, a team could save up turns during a shortage and use them all at once afterwards. An
+     * item that is larger than one turn is still admitted after enough turns. */
     team->deficit = fmin(team->deficit + team->weight, fmax(team->weight, item.size));
     do {
-        if (team->deficit + ROUNDING < item.size) {
-            result.saves_up = true;
+        if (team->deficit + ROUNDING_TOLERANCE < item.size) {
+            result.accumulates_deficit = true;
             break;
         }
         if (can_afford(team, &item) && ops->admit(ops->context, team_index, &item) == AMB_WDRR_ADMITTED) {
-            debit(team, &item);
+            charge(team, &item);
             result.admitted++;
         } else {
             ops->skip(ops->context, team_index, &item);
@@ -125,7 +126,7 @@
             uint32_t team_index = (first_team + turn) % team_count;
             const struct turn_result result = take_turn(&teams[team_index], team_index, ops);
             admitted += result.admitted;
-            if (result.admitted || result.saves_up) may_admit_more = true;
+            if (result.admitted || result.accumulates_deficit) may_admit_more = true;
         }
     }
     return admitted;
--- a/lib/placement/winner_tree.c
+++ b/lib/placement/winner_tree.c
@@ -1,4 +1,4 @@
-/* A winner tree, stored as an implicit binary tree in two arrays. */
+/* The winner tree is stored as an implicit binary tree in two arrays. */
 #include "winner_tree.h"
 
 #include "amberpin/base/util.h"
--- a/lib/placement/winner_tree.h
+++ b/lib/placement/winner_tree.h
@@ -1,5 +1,5 @@
-/* A winner tree (tournament tree): the largest of many scores, updated in logarithmic time when one of them
- * changes. */
+/* A winner tree (tournament tree): maintains the largest of many scores. Changing a score takes logarithmic
+ * time. */
 #ifndef AMBERPIN_PLACEMENT_WINNER_TREE_H
 #define AMBERPIN_PLACEMENT_WINNER_TREE_H
 
@@ -10,12 +10,12 @@
 /* The score of a candidate that must not win. */
 #define AMB_SCORE_INFEASIBLE (-DBL_MAX)
 
-/* winners[1] is the leaf with the largest score, winners[i] the better of winners[2i] and winners[2i + 1];
- * the level of the leaves is not stored. All zero: an empty tree. */
+/* winners[1] is the leaf with the largest score, winners[i] the better of winners[2i] and winners[2i + 1].
+ * The level of the leaves is not stored. Zero-initialised: an empty tree. */
 struct amb_winner_tree {
-    double *scores; /* by leaf; owned */
-    uint32_t *winners;
-    uint32_t capacity; /* leaves; 0 or a power of two */
+    double *scores;    /* of each leaf; owned */
+    uint32_t *winners; /* leaf indices; owned */
+    uint32_t capacity; /* number of leaves; 0 or a power of two */
 };
 
 struct amb_winner {
@@ -24,14 +24,14 @@
 };
 
 void amb_winner_tree_set(struct amb_winner_tree *tree, uint32_t leaf, double score);
-/* Of equal scores that of the smallest leaf wins. */
+/* Of equal scores, the one with the smallest leaf index wins. */
 static inline struct amb_winner amb_winner_tree_get_winner(const struct amb_winner_tree *tree) {
     if (!tree->capacity) return (struct amb_winner){0, AMB_SCORE_INFEASIBLE};
     uint32_t leaf = tree->winners[1];
     return (struct amb_winner){leaf, tree->scores[leaf]};
 }
 
-/* Frees what the tree owns, not the tree. */
+/* Frees the memory that the tree owns, but not the struct itself. */
 void amb_winner_tree_free(struct amb_winner_tree *tree);
 
 #endif
--- a/tests/placement/test_place.c
+++ b/tests/placement/test_place.c
@@ -1,16 +1,18 @@
-/* Fit, zones, spread, spot, and which machine is preferred. */
+/* Bin packing: which slots are feasible (resources, zones, spread, spot instances), and which one is
+ * preferred. */
 #include "amberpin/placement/bin_packing.h"
 #include "check.h"
 
 enum { A, B };
 
 static void check_best_slot(const char *what, const struct amb_placement_request *request,
-                            const struct amb_slot *slots, uint32_t count, bool soon, int want) {
-    int got = amb_placement_find_best(request, slots, count, soon);
+                            const struct amb_slot *slots, uint32_t count, bool include_releasing, int want) {
+    int got = amb_placement_find_best(request, slots, count, include_releasing);
     if (got != want) fail_msg("%s: %d instead of %d", what, got, want);
 }
 
-/* type 0: 8 GPUs; machines: 0 empty in A, 1 half full in A, 2 spot in B, 3 in B with the image */
+/* Slot 0 is empty and in zone A, slot 1 half full and in A, slot 2 a spot instance in B, slot 3 in B with the
+ * image and of type 1, and slot 4 not usable. Machines have 8 GPUs. */
 static const struct amb_slot mixed_slots[] = {
     {.available = {64, 8, 500},
      .size_gpus = 8,
@@ -58,18 +60,18 @@
         bool include_releasing;
         int want;
     } rows[] = {
-        {"the image at hand", {8, 1, 40}, 3, -1, false, no_tasks, 0, false, 3},
-        {"the fullest that takes it", {8, 2, 40}, 3, -1, false, no_tasks, 0, false, 1},
-        {"spot for those who may", {8, 2, 40}, 3, -1, true, no_tasks, 0, false, 2},
-        {"too large for the half full", {8, 5, 40}, 3, -1, false, no_tasks, 0, false, 0},
-        {"only in B, no spot", {8, 2, 40}, 3, B, false, no_tasks, 0, false, -1},
-        {"room that comes", {16, 2, 80}, 3, B, false, no_tasks, 0, true, 3},
-        {"another type", {8, 1, 40}, 1, -1, false, no_tasks, 0, false, 1},
-        {"no such type", {8, 1, 40}, 4, -1, false, no_tasks, 0, false, -1},
-        {"spread: A has its half", {8, 1, 40}, 1, -1, true, two_in_a, 2, false, 2},
-        {"spread: nowhere else", {8, 2, 40}, 1, -1, false, two_in_a, 2, false, -1},
-        {"memory counts", {8, 1, 501}, 3, -1, true, no_tasks, 0, false, -1},
-        {"cores count", {65, 1, 10}, 3, -1, true, no_tasks, 0, false, -1},
+        {"the slot with the image", {8, 1, 40}, 3, -1, false, no_tasks, 0, false, 3},
+        {"the fullest slot where it fits", {8, 2, 40}, 3, -1, false, no_tasks, 0, false, 1},
+        {"spot if allowed", {8, 2, 40}, 3, -1, true, no_tasks, 0, false, 2},
+        {"too large for the half-full slot", {8, 5, 40}, 3, -1, false, no_tasks, 0, false, 0},
+        {"only zone B, spot not allowed", {8, 2, 40}, 3, B, false, no_tasks, 0, false, -1},
+        {"resources about to be released", {16, 2, 80}, 3, B, false, no_tasks, 0, true, 3},
+        {"image on a type that is not allowed", {8, 1, 40}, 1, -1, false, no_tasks, 0, false, 1},
+        {"no slot of an allowed type", {8, 1, 40}, 4, -1, false, no_tasks, 0, false, -1},
+        {"spread: zone A is at its limit", {8, 1, 40}, 1, -1, true, two_in_a, 2, false, 2},
+        {"spread: no other zone is feasible", {8, 2, 40}, 1, -1, false, two_in_a, 2, false, -1},
+        {"too little memory", {8, 1, 501}, 3, -1, true, no_tasks, 0, false, -1},
+        {"too few cores", {65, 1, 10}, 3, -1, true, no_tasks, 0, false, -1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct amb_placement_request request = {.need = rows[i].need,
@@ -84,9 +86,9 @@
     }
 }
 
-/* Work without GPUs goes where GPUs are in use, also past a cheap machine, and leaves whole machines whole.
- */
-static void tasks_without_gpus_leave_them_free(void **state) {
+/* Tasks without GPUs prefer machines whose GPUs are in use, even to a spot instance, so that whole machines
+ * stay free for work that needs GPUs. */
+static void tasks_without_gpus_avoid_free_gpus(void **state) {
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
@@ -130,24 +132,30 @@
         struct amb_resources need;
         int zone, want;
     } rows[] = {
-        {"where all GPUs are in use", {2, 0, 10}, A, 3},
-        {"there is no room: where most are", {8, 0, 10}, A, 2},
-        {"no room there either", {32, 0, 10}, A, 0},
-        {"machines without any: the cheap one", {2, 0, 10}, B, 5},
-        {"with a GPU: the cheap one", {2, 1, 10}, A, 0},
+        {"the machine with all GPUs in use", {2, 0, 10}, A, 3},
+        {"does not fit there: the one with most GPUs in use", {8, 0, 10}, A, 2},
+        {"fits on empty machines only", {32, 0, 10}, A, 0},
+        {"machines without GPUs: the spot instance", {2, 0, 10}, B, 5},
+        {"needs a GPU: the spot instance", {2, 1, 10}, A, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        for (int patient = 0; patient < 2; patient++) {
-            struct amb_placement_request request = {
-                rows[i].need,         1, rows[i].zone, true, none, 0, false, AMB_PRIORITY_BEST_EFFORT,
-                .deferrable = patient};
+        for (int deferrable = 0; deferrable < 2; deferrable++) {
+            struct amb_placement_request request = {rows[i].need,
+                                                    1,
+                                                    rows[i].zone,
+                                                    true,
+                                                    none,
+                                                    0,
+                                                    false,
+                                                    AMB_PRIORITY_BEST_EFFORT,
+                                                    .deferrable = deferrable};
             check_best_slot(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
         }
     }
 }
 
-/* Replicas gather where replicas are, also when another machine is fuller with batch work. */
-static void long_running_tasks_gather(void **state) {
+/* Replicas are placed on machines that run replicas, even if another machine is fuller with batch work. */
+static void long_running_tasks_share_machines(void **state) {
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
@@ -178,8 +186,8 @@
     assert_int_equal(amb_placement_find_best(&request, slots, ROWS(slots), false), 0);
 }
 
-/* A machine kept for expected work is left alone by batch work that can wait, taken last by batch work that
- * can't, and open to work that would make way. */
+/* A machine reserved for expected work is not used by batch work that can wait, is the last choice of batch
+ * work that can't, and may be used by work that would be preempted for the expected work. */
 static void reserved_machines(void **state) {
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
@@ -199,7 +207,7 @@
     };
     static const struct {
         enum amb_priority priority;
-        bool patient, can_wait, opportunistic;
+        bool deferrable, can_wait, opportunistic;
         uint32_t slots;
         int want;
     } rows[] = {
@@ -217,13 +225,14 @@
         struct amb_placement_request request = {
             .need = {8, 1, 40}, .type_mask = 1, .zone = -1, .tasks_by_zone = none};
         request.priority = rows[i].priority;
-        request.deferrable = rows[i].patient;
+        request.deferrable = rows[i].deferrable;
         request.can_wait = rows[i].can_wait;
         request.opportunistic = rows[i].opportunistic;
         int got = amb_placement_find_best(&request, slots, rows[i].slots, false);
         if (got != rows[i].want) fail_msg("row %zu: %d", i, got);
     }
-    /* What a gang has claimed is not for batch work at all, or the room made would be taken as it comes. */
+    /* A machine claimed by a gang is not used by batch work at all, which would otherwise take the resources
+     * preempted for the gang as soon as they are released. */
     struct amb_slot claimed = slots[0];
     claimed.claimed_by_gang = true;
     struct amb_placement_request request = {
@@ -233,21 +242,22 @@
     assert_int_equal(amb_placement_find_best(&request, &claimed, 1, false), 0);
 }
 
-/* Only a start in time counts: what can't be in time is all about as bad, what surely is as good. */
-static void start_risk_is_a_chance(void **state) {
+/* What counts is whether the start is in time: fetches that are certain to be late score about the same, and
+ * so do fetches that are certain to be in time. */
+static void start_risk_estimates_late_starts(void **state) {
     (void)state;
     static const struct {
         const char *what;
         double fetch_s, within_s, slack_s, low, high;
     } rows[] = {
-        {"at hand", 0, 10, 1, 0, 0},
-        {"surely in time", 14, 40, 1, 0, 0.06},
-        {"as likely as not", 9, 10, 1, 0.5, 0.6},
-        {"surely late", 14, 10, 1, 0.99, 1},
-        {"much later is hardly worse", 40, 10, 1, 0.99, 1},
-        {"nobody counts starts: a share of the run", 10, 40, -1, 0.25, 0.25},
-        {"nor is it ever worse than all of it", 80, 40, -1, 1, 1},
-        {"no time is set", 10, 0, 1, 0, 0},
+        {"no fetch", 0, 10, 1, 0, 0},
+        {"certainly in time", 14, 40, 1, 0, 0.06},
+        {"as likely in time as late", 9, 10, 1, 0.5, 0.6},
+        {"certainly late", 14, 10, 1, 0.99, 1},
+        {"much later: hardly worse", 40, 10, 1, 0.99, 1},
+        {"no start objective: share of the runtime", 10, 40, -1, 0.25, 0.25},
+        {"no start objective: at most 1", 80, 40, -1, 1, 1},
+        {"no time given", 10, 0, 1, 0, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         double got = amb_placement_start_risk(rows[i].fetch_s, rows[i].within_s, rows[i].slack_s);
@@ -255,14 +265,14 @@
     }
 }
 
-static void spread_is_half_rounded_up(void **state) {
+static void max_tasks_per_zone_is_half_rounded_up(void **state) {
     (void)state;
     static const uint32_t rows[][2] = {{1, 1}, {2, 1}, {3, 2}, {5, 3}, {9, 5}, {10, 5}};
     for (size_t i = 0; i < ROWS(rows); i++)
         assert_int_equal(amb_placement_max_tasks_per_zone(rows[i][0]), rows[i][1]);
 }
 
-static void zones_and_types_are_numbered(void **state) {
+static void catalog_indexes_types_and_zones(void **state) {
     (void)state;
     struct amb_catalog catalog = {.type_count = 1, .types = {{.name = "g8"}}};
     assert_int_equal(amb_catalog_find_type(&catalog, "g8"), 0);
@@ -279,8 +289,9 @@
     assert_int_equal(catalog.zone_count, AMB_ZONES_MAX);
 }
 
-/* A gang has had work stopped for it on the first: what would be stopped again stays away meanwhile. */
-static void claimed_machines(void **state) {
+/* Work was preempted for a gang on the machine. Until the gang is placed, work that would have to be
+ * preempted again is not placed there. */
+static void machines_claimed_by_gang(void **state) {
     (void)state;
     static const uint32_t none[AMB_ZONES_MAX] = {0};
     static const struct amb_slot slots[] = {
@@ -295,29 +306,33 @@
     static const struct {
         const char *what;
         enum amb_priority priority;
-        bool patient;
+        bool deferrable;
         int want;
     } rows[] = {
-        {"batch work that nobody waits for", AMB_PRIORITY_NORMAL, true, -1},
+        {"deferrable batch work", AMB_PRIORITY_NORMAL, true, -1},
         {"the gang", AMB_PRIORITY_NORMAL, false, 0},
-        {"lower work, though its start counts", AMB_PRIORITY_BEST_EFFORT, false, -1},
-        {"higher work", AMB_PRIORITY_HIGH, false, 0},
+        {"lower priority with a start objective", AMB_PRIORITY_BEST_EFFORT, false, -1},
+        {"higher priority", AMB_PRIORITY_HIGH, false, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_placement_request request = {
             .need = {2, 0, 10}, .type_mask = 1, .zone = -1, .tasks_by_zone = none};
         request.priority = rows[i].priority;
-        request.deferrable = rows[i].patient;
+        request.deferrable = rows[i].deferrable;
         check_best_slot(rows[i].what, &request, slots, ROWS(slots), false, rows[i].want);
     }
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(finds_best_slot),           cmocka_unit_test(tasks_without_gpus_leave_them_free),
-        cmocka_unit_test(long_running_tasks_gather), cmocka_unit_test(claimed_machines),
-        cmocka_unit_test(reserved_machines),         cmocka_unit_test(start_risk_is_a_chance),
-        cmocka_unit_test(spread_is_half_rounded_up), cmocka_unit_test(zones_and_types_are_numbered),
+        cmocka_unit_test(finds_best_slot),
+        cmocka_unit_test(tasks_without_gpus_avoid_free_gpus),
+        cmocka_unit_test(long_running_tasks_share_machines),
+        cmocka_unit_test(machines_claimed_by_gang),
+        cmocka_unit_test(reserved_machines),
+        cmocka_unit_test(start_risk_estimates_late_starts),
+        cmocka_unit_test(max_tasks_per_zone_is_half_rounded_up),
+        cmocka_unit_test(catalog_indexes_types_and_zones),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement/test_wdrr.c
+++ b/tests/placement/test_wdrr.c
@@ -1,19 +1,19 @@
-/* Turns: weights, limits, buckets, idle teams, items that do not fit. */
+/* Weighted deficit round robin: weights, limits, buckets, idle teams and items that do not fit. */
 #include "amberpin/placement/wdrr.h"
 #include "check.h"
 
 struct queue {
-    uint32_t left[3];
+    uint32_t waiting[3];
     double size[3];
-    uint32_t got[3];
-    double room; /* what machines can take in all */
+    uint32_t admitted[3];
+    double free_gpus; /* of all machines */
     bool skipped[3];
-    struct amb_team *teams; /* told what is used, when there */
+    struct amb_team *teams; /* NULL, or their usage is updated on admission */
 };
 
 static bool next(void *context, uint32_t team, struct amb_wdrr_item *item) {
     struct queue *queue = context;
-    if (!queue->left[team] || queue->skipped[team]) return false;
+    if (!queue->waiting[team] || queue->skipped[team]) return false;
     item->need = (struct amb_resources){0, queue->size[team], 0};
     item->size = amb_wdrr_item_size(&item->need, true);
     item->payload = queue;
@@ -22,21 +22,21 @@
 
 static enum amb_wdrr_result admit(void *context, uint32_t team, const struct amb_wdrr_item *item) {
     struct queue *queue = context;
-    if (queue->room < item->size) return AMB_WDRR_NO_FIT;
-    queue->room -= item->size;
-    queue->left[team]--;
-    queue->got[team]++;
+    if (queue->free_gpus < item->size) return AMB_WDRR_NO_FIT;
+    queue->free_gpus -= item->size;
+    queue->waiting[team]--;
+    queue->admitted[team]++;
     if (queue->teams) queue->teams[team].used.gpus += item->size;
     return AMB_WDRR_ADMITTED;
 }
 
-static void skip_team(void *context, uint32_t team, const struct amb_wdrr_item *item) {
+static void skip_item(void *context, uint32_t team, const struct amb_wdrr_item *item) {
     (void)item;
     ((struct queue *)context)->skipped[team] = true;
 }
 
 static bool is_idle(void *context, uint32_t team) {
-    return !((struct queue *)context)->left[team];
+    return !((struct queue *)context)->waiting[team];
 }
 
 static void admission_by_weight(void **state) {
@@ -47,30 +47,34 @@
         struct queue queue;
         uint32_t want[3];
     } rows[] = {
-        {"enough for all", {8, 8, 8}, {0}, {{2, 3, 4}, {1, 1, 1}, {0}, 100, {0}, NULL}, {2, 3, 4}},
+        {"capacity for all", {8, 8, 8}, {0}, {{2, 3, 4}, {1, 1, 1}, {0}, 100, {0}, NULL}, {2, 3, 4}},
         {"shared by weight", {8, 4, 4}, {0}, {{50, 50, 50}, {1, 1, 1}, {0}, 16, {0}, NULL}, {8, 4, 4}},
-        {"an idle team's turn passes on",
+        {"an idle team's share goes to others",
          {8, 8, 8},
          {0},
          {{50, 0, 50}, {1, 1, 1}, {0}, 16, {0}, NULL},
          {8, 0, 8}},
-        {"limits are hard", {8, 8, 8}, {3, 0, 0}, {{50, 2, 0}, {1, 1, 1}, {0}, 100, {0}, NULL}, {3, 2, 0}},
-        {"an item larger than a turn comes up",
+        {"limits apply with capacity left",
+         {8, 8, 8},
+         {3, 0, 0},
+         {{50, 2, 0}, {1, 1, 1}, {0}, 100, {0}, NULL},
+         {3, 2, 0}},
+        {"an item larger than a turn is admitted",
          {2, 2, 2},
          {0},
          {{1, 0, 0}, {16, 1, 1}, {0}, 100, {0}, NULL},
          {1, 0, 0}},
-        {"a misfit does not hold up others",
+        {"an item that does not fit blocks no others",
          {8, 8, 8},
          {0},
          {{1, 5, 0}, {20, 1, 1}, {0}, 10, {0}, NULL},
          {0, 5, 0}},
     };
-    const struct amb_wdrr_ops proto = {next, admit, skip_team, is_idle, NULL};
+    const struct amb_wdrr_ops base_ops = {next, admit, skip_item, is_idle, NULL};
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team teams[3] = {0};
         struct queue queue = rows[i].queue;
-        struct amb_wdrr_ops ops = proto;
+        struct amb_wdrr_ops ops = base_ops;
         ops.context = &queue;
         for (int team = 0; team < 3; team++) {
             teams[team].guarantee.gpus = rows[i].guarantee[team];
@@ -80,8 +84,8 @@
         queue.teams = teams;
         amb_wdrr_run(teams, 3, 0, &ops);
         for (int team = 0; team < 3; team++)
-            if (queue.got[team] != rows[i].want[team])
-                fail_msg("%s: team %d got %u instead of %u", rows[i].what, team, queue.got[team],
+            if (queue.admitted[team] != rows[i].want[team])
+                fail_msg("%s: team %d got %u instead of %u", rows[i].what, team, queue.admitted[team],
                          rows[i].want[team]);
     }
 }
@@ -90,7 +94,7 @@
     (void)state;
     static const struct {
         struct amb_resources limit, guarantee, used, need;
-        double times;
+        double count;
         bool within_limit, within_guarantee;
     } rows[] = {
         {{0, 10, 0}, {0, 4, 0}, {0, 9, 0}, {8, 1, 0}, 1, true, false},
@@ -102,12 +106,12 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_team team = {.limit = rows[i].limit, .guarantee = rows[i].guarantee, .used = rows[i].used};
-        assert_int_equal(amb_wdrr_is_within_limit(&team, &rows[i].need, rows[i].times), rows[i].within_limit);
+        assert_int_equal(amb_wdrr_is_within_limit(&team, &rows[i].need, rows[i].count), rows[i].within_limit);
         assert_int_equal(amb_wdrr_is_within_guarantee(&team, &rows[i].need), rows[i].within_guarantee);
     }
 }
 
-static void buckets_fill_and_empty(void **state) {
+static void buckets_refill_and_limit_admission(void **state) {
     (void)state;
     struct amb_team team = {.limit = {0, 2, 0}, .guarantee = {0, 1, 0}};
     amb_wdrr_prepare(&team, 1, true);
@@ -119,12 +123,12 @@
     assert_true(team.bucket_tokens == 120);
     /* An empty bucket admits nothing. */
     struct queue queue = {{5, 0, 0}, {1, 1, 1}, {0}, 100, {0}, NULL};
-    struct amb_wdrr_ops ops = {next, admit, skip_team, is_idle, &queue};
+    struct amb_wdrr_ops ops = {next, admit, skip_item, is_idle, &queue};
     team.bucket_tokens = 0.5;
     assert_int_equal(amb_wdrr_run(&team, 1, 0, &ops), 0);
 }
 
-/* Where teams have guarantees, one that has none uses what they leave idle. */
+/* A team without a guarantee is opportunistic if other teams have one. */
 static void teams_without_guarantee(void **state) {
     (void)state;
     static const struct {
@@ -141,13 +145,13 @@
     }
 }
 
-static void shortage_does_not_pile_up_turns(void **state) {
+static void deficit_is_capped_during_shortage(void **state) {
     (void)state;
     struct amb_team teams[2] = {{.guarantee = {0, 8, 0}}, {.guarantee = {0, 8, 0}}};
     amb_wdrr_prepare(teams, 2, true);
     for (int i = 0; i < 100; i++) {
         struct queue queue = {{5, 5, 0}, {1, 1, 1}, {0}, 0, {0}, NULL};
-        struct amb_wdrr_ops ops = {next, admit, skip_team, is_idle, &queue};
+        struct amb_wdrr_ops ops = {next, admit, skip_item, is_idle, &queue};
         amb_wdrr_run(teams, 2, 0, &ops);
     }
     assert_true(teams[0].deficit <= 8);
@@ -157,9 +161,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(admission_by_weight),
         cmocka_unit_test(limits_and_guarantees),
-        cmocka_unit_test(buckets_fill_and_empty),
+        cmocka_unit_test(buckets_refill_and_limit_admission),
         cmocka_unit_test(teams_without_guarantee),
-        cmocka_unit_test(shortage_does_not_pile_up_turns),
+        cmocka_unit_test(deficit_is_capped_during_shortage),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
