--- a/include/amberpin/scheduler/demand.h
+++ b/include/amberpin/scheduler/demand.h
@@ -1,4 +1,4 @@
-/* What a class of jobs has asked for lately, from which the capacity plan expects what it will ask for. */
+/* Recent demand of a job class, from which the capacity plan forecasts its demand. */
 #ifndef AMBERPIN_SCHEDULER_DEMAND_H
 #define AMBERPIN_SCHEDULER_DEMAND_H
 
@@ -6,18 +6,18 @@
 #include "amberpin/model/job_spec.h"
 
 enum {
-    AMB_DEMANDS_MAX = 32,      /* classes that are remembered, the latest */
-    AMB_DEMAND_IMAGES_MAX = 6, /* of one class */
+    AMB_DEMANDS_MAX = 32,      /* classes tracked; the one without jobs for longest is evicted */
+    AMB_DEMAND_IMAGES_MAX = 6, /* images tracked per class */
 };
 
 struct amb_demand {
     char class_name[AMB_NAME_SIZE];
-    struct amb_job_spec last_spec; /* of its latest job */
-    double tasks_per_s;            /* decaying average */
-    double mean_square_tasks;      /* of a job's task count */
+    struct amb_job_spec last_spec; /* description of its latest job */
+    double tasks_per_s;            /* arrivals per second, each job counted as one; exponential average */
+    double mean_square_tasks;      /* mean square of the task count of its jobs */
     uint32_t image_count;
-    char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* that were asked for, latest first */
-    amb_ms updated_at;
+    char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* images of its jobs, most recently used first */
+    amb_ms updated_at;                                 /* when its latest job became ready */
 };
 
 #endif
--- a/lib/scheduler/capacity_plan.c
+++ b/lib/scheduler/capacity_plan.c
@@ -1,12 +1,12 @@
-/* The capacity plan: its parts in their order. Waiting jobs are planned first, so that expected demand and
- * scale in see what they take. */
+/* The steps of the capacity plan. Waiting jobs are planned first, so that the steps for expected demand and
+ * scale in see which capacity they take. */
 #include "plan_internal.h"
 
 #include "amberpin/agent/task_failures.h"
 
 #include <stdlib.h>
 
-/* Of an array or a service so many tasks are planned for at a time, or as many as there are machines. */
+/* One plan covers this many tasks of an array or a service, or as many as there are machines if more. */
 enum { PLAN_TASKS_MIN = 256 };
 
 static struct amb_capacity_plan *plan_new(struct amb_cycle *cycle) {
@@ -16,7 +16,7 @@
     return plan;
 }
 
-/* What an earlier plan reserved: this one does so anew. */
+/* Clears the reservations of the previous plan. This plan makes its own. */
 static void clear_reservations(struct amb_cycle *cycle) {
     static const struct amb_resources nothing = {0, 0, 0};
     for (uint32_t i = 0; i < cycle->slot_count; i++) {
--- a/lib/scheduler/cycle.c
+++ b/lib/scheduler/cycle.c
@@ -1,4 +1,4 @@
-/* The life of a scheduling cycle. */
+/* Creates and frees scheduling cycles. */
 #include "cycle_internal.h"
 
 #include "amberpin/placement/wdrr.h"
--- a/lib/scheduler/demand_forecast.c
+++ b/lib/scheduler/demand_forecast.c
@@ -1,5 +1,5 @@
-/* Demand: how often jobs of a class come and how large they are, as decaying averages, and the latest peak of
- * what all teams used. */
+/* Demand forecast: exponential averages of the arrival rate and size of each class's jobs, and the decaying
+ * peak of the resources used by all teams. */
 #include "plan_internal.h"
 
 #include "amberpin/base/log.h"
@@ -8,13 +8,14 @@
 #include <math.h>
 #include <string.h>
 
-/* Over how many boot times arrivals are averaged and forgotten. */
+/* The time constant of the average arrival rate, in boot times. */
 static const double ARRIVAL_DECAY_BOOTS = 4;
-/* The weight of the latest job in the mean size of its class's jobs. */
-static const double SIZE_WEIGHT = 0.1;
-/* Of gangs some surely end while a machine boots; services run until they are cancelled. */
-static const double GANG_SHARE = 2.0 / 3;
-/* Over how many boot times the peak decays. */
+/* The weight of the latest job in the average size of its class's jobs. */
+static const double LATEST_JOB_WEIGHT = 0.1;
+/* The share of the demand for gangs that capacity is kept for. It is less than 1 because some gangs end while
+ * a machine boots, whereas services run until they are cancelled. */
+static const double GANG_DEMAND_SHARE = 2.0 / 3;
+/* The time constant with which the peak decays, in boot times. */
 static const double PEAK_DECAY_BOOTS = 1.5;
 
 double amb_demand_longest_boot_s(const struct amb_node *node) {
@@ -26,12 +27,12 @@
 
 /* ---- demand of a class ---- */
 
-/* The place of the class that has not been asked for longest. */
+/* Returns the entry of the class that has been without jobs for longest. */
 static struct amb_demand *evict_oldest_demand(struct amb_controller *controller) {
     struct amb_demand *oldest = &controller->demands[0];
     for (uint32_t i = 1; i < controller->demand_count; i++)
         if (controller->demands[i].updated_at < oldest->updated_at) oldest = &controller->demands[i];
-    amb_debug("class %s is no longer expected: more than %d classes are asked for", oldest->class_name,
+    amb_debug("class %s: dropped from the demand forecast: more than %d classes", oldest->class_name,
               AMB_DEMANDS_MAX);
     return oldest;
 }
@@ -48,7 +49,7 @@
     return demand;
 }
 
-/* Jobs may be heard of in another order than that in which they came. */
+/* Jobs may be counted in another order than that in which they became ready. */
 static void count_arrival(struct amb_demand *demand, const struct amb_job_spec *spec, amb_ms ready_at,
                           double decay_s) {
     double elapsed_s = (double)(ready_at - demand->updated_at) / 1000;
@@ -65,11 +66,11 @@
     double squared_tasks = (double)spec->task_count * spec->task_count;
     double mean = demand->mean_square_tasks;
     demand->mean_square_tasks =
-        mean > 0 ? mean * (1 - SIZE_WEIGHT) + squared_tasks * SIZE_WEIGHT : squared_tasks;
+        mean > 0 ? mean * (1 - LATEST_JOB_WEIGHT) + squared_tasks * LATEST_JOB_WEIGHT : squared_tasks;
 }
 
-/* Work that starts late misses its objective, and a machine takes longer to boot than it may wait. Of arrays
- * nothing is expected. */
+/* Capacity is reserved for urgent work and work with a start objective, because a machine takes longer to
+ * boot than such work may wait. Nothing is reserved for arrays. */
 static bool is_capacity_reserved_for(const struct amb_node *node, const struct amb_job_spec *spec) {
     if (spec->priority < AMB_PRIORITY_HIGH && !amb_start_find_objective(node, spec)) return false;
     return spec->kind != AMB_JOB_KIND_ARRAY;
@@ -90,17 +91,18 @@
     amb_recent_names_add(demand->images, NULL, &demand->image_count, AMB_DEMAND_IMAGES_MAX, spec->image, 0);
 }
 
-/* Arrivals come and tasks end about as often: what is left to cover is their standard deviation. */
+/* Tasks end about as often as new ones arrive, so the reserve covers a multiple of the standard deviation of
+ * arrivals during a boot. */
 double amb_demand_expected_tasks(const struct amb_node *node, const struct amb_demand *demand, double boot_s,
                                  amb_ms now) {
     double age_s = (double)(now - demand->updated_at) / 1000;
     double decay = exp(-age_s / (ARRIVAL_DECAY_BOOTS * boot_s));
-    double share = demand->last_spec.kind == AMB_JOB_KIND_GANG ? GANG_SHARE : 1;
+    double share = demand->last_spec.kind == AMB_JOB_KIND_GANG ? GANG_DEMAND_SHARE : 1;
     return node->options.headroom_deviations * share *
            sqrt(demand->tasks_per_s * decay * boot_s * demand->mean_square_tasks);
 }
 
-/* ---- the peak ---- */
+/* ---- peak usage ---- */
 
 static double decay_peak(double peak, double usage, double retained_share) {
     return fmax(usage, usage + (peak - usage) * retained_share);
@@ -116,7 +118,7 @@
     return usage;
 }
 
-/* Batch work comes in bursts: what it used a little while ago it will use again. */
+/* Batch work arrives in bursts, so capacity that was used recently is likely to be used again. */
 void amb_demand_update_peak(struct amb_capacity_plan *plan) {
     struct amb_node *node = plan->cycle->node;
     struct amb_controller *controller = &node->controller;
--- a/lib/scheduler/fleet_view.c
+++ b/lib/scheduler/fleet_view.c
@@ -1,15 +1,15 @@
-/* A scheduling cycle's view of the fleet: a slot for each machine that may be used, and for planning also for
- * those that are about to come. */
+/* A scheduling cycle's view of the fleet: a slot for each machine that may be used and, for the capacity
+ * plan, for each machine that is expected to come up. */
 #include "cycle_internal.h"
 
 #include <string.h>
 
 enum { INITIAL_SLOT_CAPACITY = 128 };
 
-/* A machine that boots is counted on for this many boot times; after that another is requested in its place.
- */
+/* A booting machine is expected to come up for this many boot times. After that another one is requested in
+ * its place. */
 static const double BOOT_WAIT_BOOTS = 2;
-/* An unproven machine is counted on while its latest heartbeat is at most this old. */
+/* An unproven machine is expected to come up if its latest heartbeat is less than this many periods old. */
 static const double UNPROVEN_HEARTBEAT_PERIODS = 3;
 
 static struct amb_slot *append_slot(struct amb_cycle *cycle) {
@@ -54,7 +54,7 @@
         count_task(cycle, slot, task);
 }
 
-/* Are its type and zone known, and may it be kept? */
+/* Returns whether the machine's type and zone are known and it is not to be released. */
 static bool is_placeable(const struct amb_machine *machine) {
     return machine->type_index >= 0 && machine->zone_index >= 0 && !machine->release_pending;
 }
@@ -67,8 +67,8 @@
     }
 }
 
-/* May it still come up in time? Not where nothing can be reached. (In a partition of 105 s work waited for
- * machines that had been requested beyond it, for two boot times each.) */
+/* Returns whether the machine is still expected to come up in time. Machines in unreachable zones are not:
+ * during a partition of 105 s, work waited two boot times for each machine requested on the other side. */
 static bool is_pending(const struct amb_cycle *cycle, const struct amb_machine *machine) {
     const struct amb_node *node = cycle->node;
     double boot_s = node->catalog.types[machine->type_index].boot_s;
--- a/lib/scheduler/image_fetch.c
+++ b/lib/scheduler/image_fetch.c
@@ -1,11 +1,11 @@
-/* Image fetches under way: machines fetch images at a rate that parallel fetches share, so a slot counts what
- * is still to come. Tasks of one machine that need the same image share one fetch. */
+/* Image fetches in progress. Parallel fetches share a machine's fetch rate, so a slot counts how much is
+ * still to be fetched. Tasks on one machine that need the same image share one fetch. */
 #include "cycle_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-/* A fetch that should be over counts as this share of the image until the machine says that it is. */
+/* A fetch that should have finished counts as this share of the image until the machine reports its end. */
 static const double REMAINING_SHARE_MIN = 0.1;
 
 bool amb_image_fetch_is_shared(const struct amb_task *task) {
--- a/lib/scheduler/job_queue.c
+++ b/lib/scheduler/job_queue.c
@@ -1,6 +1,4 @@
-/* The order in which jobs are admitted: which ones may start now, most urgent first, in a queue for each
- * team.
- */
+/* Job queues: the jobs that may start now, most urgent first, in a queue for each team. */
 #include "cycle_internal.h"
 
 #include "amberpin/agent/task_failures.h"
@@ -12,7 +10,7 @@
     return job->spec->kind == AMB_JOB_KIND_SERVICE && job->done_count + job->bound_count > 0;
 }
 
-/* For qsort, of pointers to jobs. References make the order total. */
+/* Comparison function for qsort on pointers to jobs. Comparing refs last makes the order total. */
 static int compare_by_urgency(const void *left, const void *right) {
     const struct amb_job *left_job = *(struct amb_job *const *)left;
     const struct amb_job *right_job = *(struct amb_job *const *)right;
@@ -23,9 +21,9 @@
     if (left_priority != right_priority) return left_priority > right_priority ? -1 : 1;
     if (has_lost_replicas(left_job) != has_lost_replicas(right_job))
         return has_lost_replicas(left_job) ? -1 : 1;
-    int64_t left_order_wall = amb_job_order_wall_ms(left_job);
-    int64_t right_order_wall = amb_job_order_wall_ms(right_job);
-    if (left_order_wall != right_order_wall) return left_order_wall < right_order_wall ? -1 : 1;
+    int64_t left_order_wall_ms = amb_job_order_wall_ms(left_job);
+    int64_t right_order_wall_ms = amb_job_order_wall_ms(right_job);
+    if (left_order_wall_ms != right_order_wall_ms) return left_order_wall_ms < right_order_wall_ms ? -1 : 1;
     return strcmp(left_job->ref, right_job->ref);
 }
 
--- a/lib/scheduler/placement_request.c
+++ b/lib/scheduler/placement_request.c
@@ -1,24 +1,24 @@
-/* Placement requests: what a waiting task of a job needs, and in which zones it may be. */
+/* Placement requests: what a waiting task of a job needs and in which zones it may run. */
 #include "cycle_internal.h"
 
 #include "amberpin/scheduler/start_deadline.h"
 
 #include <string.h>
 
-/* No machine will do until more is known or proven. */
+/* Makes the request infeasible on every machine, until more is known about the job's earlier tasks. */
 static void allow_no_type(struct amb_placement_request *request) {
     request->type_mask = 0;
 }
 
-/* Tasks whose zone is unknown may be in any: each zone takes so many fewer. */
+/* Tasks in unknown zones may be in any zone, so they count against the limit of each zone. */
 static void limit_spread(struct amb_placement_request *request, uint32_t in_unknown_zones) {
     if (in_unknown_zones >= request->max_tasks_per_zone) allow_no_type(request);
     if (in_unknown_zones < request->max_tasks_per_zone) request->max_tasks_per_zone -= in_unknown_zones;
 }
 
-/* A job of one zone stays where its tasks are on record. There may be two such zones: the record of a large
- * job is in several blocks, and a block is not rewritten when its tasks are gone. Which tasks are still there
- * only their machines can tell. */
+/* A job that must run in one zone stays in the zone of its recorded tasks. There may be two such zones: a
+ * large job has several placement blocks, and a block is not rewritten when its tasks are gone. Only the
+ * machines can tell which of the tasks still exist. */
 static void limit_to_one_zone(const struct amb_cycle *cycle, const struct amb_job *job,
                               struct amb_placement_request *request, uint32_t in_unknown_zones) {
     uint32_t zones_in_use = 0;
@@ -30,12 +30,12 @@
     if (zones_in_use > 1 || in_unknown_zones) allow_no_type(request);
 }
 
-/* What the job's tasks that are not proven absent leave of the zones. */
+/* Limits the zones according to the job's tasks that are not proven absent. */
 static void limit_zones(const struct amb_cycle *cycle, const struct amb_job *job,
                         struct amb_placement_request *request) {
     uint32_t in_unknown_zones = amb_placement_count_tasks_in_unknown_zones(job);
     if (job->spec->spread_zones) limit_spread(request, in_unknown_zones);
-    /* A gang starts with nothing on record. */
+    /* Gangs are exempt: one is placed only when it has no recorded tasks. */
     if (job->spec->one_zone && job->spec->kind != AMB_JOB_KIND_GANG)
         limit_to_one_zone(cycle, job, request, in_unknown_zones);
 }
@@ -56,8 +56,8 @@
     request->opportunistic = amb_job_is_opportunistic(job);
     request->tasks_by_zone = job->zone_task_counts;
     request->max_tasks_per_zone = spec->spread_zones ? amb_placement_max_tasks_per_zone(spec->task_count) : 0;
-    /* A zone that has just come back may fail again: replicas return there at once, batch work, which would
-     * lose what it has done, waits until the zone is steady. */
+    /* A zone that has just come back may fail again. Replicas return there at once, while batch work, which
+     * would lose its progress, waits until the zone is steady. */
     request->excluded_zones = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : cycle->zones_without_batch;
     limit_zones(cycle, job, request);
 }
--- a/lib/scheduler/replacement_plan.c
+++ b/lib/scheduler/replacement_plan.c
@@ -1,16 +1,16 @@
-/* Planning ahead for tasks that are about to be lost. A machine that has been silent for most of its lease is
- * as good as lost, and another takes longer to boot than the rest of the lease: capacity for its tasks is
- * planned before the lease expires. Nothing is preempted for them, since the machine may come back. */
+/* Plans capacity for tasks that are about to be lost. A machine that has been silent for most of its lease is
+ * likely to be lost, and a new one takes longer to boot than the rest of the lease, so capacity for its tasks
+ * is planned before the lease expires. Nothing is preempted for them, since the machine may come back. */
 #include "plan_internal.h"
 
-/* Silence after which a machine's tasks are planned for, as a share of its lease: longer than an agent takes
- * to find another controller. */
-static const double SILENCE_LEASE_SHARE = 0.65;
-/* Without any heartbeat for so many periods it is this controller that is out of reach. (A new leader in that
- * place once requested twice its fleet anew within 14 s.) */
+/* Time without a heartbeat after which capacity for a machine's tasks is planned, as a share of its lease. It
+ * is longer than an agent takes to find another controller. */
+static const double SILENT_LEASE_SHARE = 0.65;
+/* If no machine has sent a heartbeat for this many periods, this controller itself is unreachable. Without
+ * this check a new leader in that situation requested twice its fleet within 14 s. */
 static const double UNREACHABLE_HEARTBEAT_PERIODS = 3;
 
-static bool is_any_machine_heard(const struct amb_cycle *cycle) {
+static bool has_recent_heartbeat(const struct amb_cycle *cycle) {
     const struct amb_node *node = cycle->node;
     amb_ms limit = amb_seconds_to_ms(node->settings.heartbeat_s * UNREACHABLE_HEARTBEAT_PERIODS);
     amb_ms latest_heartbeat = 0;
@@ -21,15 +21,16 @@
 
 static bool is_about_to_be_lost(const struct amb_cycle *cycle, const struct amb_machine *machine) {
     const struct amb_node *node = cycle->node;
-    amb_ms silence_limit = amb_seconds_to_ms(node->settings.agent_lease_s * SILENCE_LEASE_SHARE);
+    amb_ms silence_limit = amb_seconds_to_ms(node->settings.agent_lease_s * SILENT_LEASE_SHARE);
     amb_ms leader_since = node->controller.leader_since;
-    amb_ms last_heard = machine->last_heartbeat_at > leader_since ? machine->last_heartbeat_at : leader_since;
+    amb_ms silent_since =
+        machine->last_heartbeat_at > leader_since ? machine->last_heartbeat_at : leader_since;
     if (machine->zone_index < 0 || machine->type_index < 0 || machine->release_pending) return false;
-    if (cycle->now - last_heard < silence_limit) return false;
-    return !amb_lease_proxy_is_active_in_zone(node, machine->zone_index); /* which keeps its lease */
+    if (cycle->now - silent_since < silence_limit) return false;
+    return !amb_lease_proxy_is_active_in_zone(node, machine->zone_index); /* which renews its lease */
 }
 
-/* A place beside the one that the task has. */
+/* Plans a second place for the task, in addition to its present one. */
 static void plan_replacement(struct amb_capacity_plan *plan, const struct amb_task *task) {
     struct amb_cycle *cycle = plan->cycle;
     struct amb_job *job = task->job;
@@ -49,7 +50,7 @@
 
 void amb_plan_replacements(struct amb_capacity_plan *plan) {
     struct amb_cycle *cycle = plan->cycle;
-    if (!is_any_machine_heard(cycle)) return;
+    if (!has_recent_heartbeat(cycle)) return;
     amb_cycle_annotate_ignoring_image(cycle);
     const struct amb_machine *machine = cycle->node->fleet.machines;
     for (; machine; machine = machine->hh.next) {
--- a/lib/scheduler/reservation.c
+++ b/lib/scheduler/reservation.c
@@ -1,5 +1,5 @@
-/* Reservations: resources of a machine that batch work leaves to replicas lost with a zone (zone_recovery.h).
- */
+/* Reservations: resources of a machine that are kept for replicas lost with a zone, and that batch work does
+ * not use (zone_recovery.h). */
 #include "cycle_internal.h"
 
 #include <math.h>
--- a/lib/scheduler/scale_in.c
+++ b/lib/scheduler/scale_in.c
@@ -1,12 +1,12 @@
-/* Scale in: machines that nobody needs are released. */
+/* Scale in: releases machines that are not needed. */
 #include "plan_internal.h"
 
-/* A machine that has not come up after so many boot times never will. */
+/* A machine that has not come up after this many boot times is assumed never to do so. */
 static const double OVERDUE_BOOTS = 4;
 
-/* Nothing is placed on it, and no new leader would need what it holds. (A machine was released 0.04 s after
- * its last task had ended; the end could not be recorded in an outage, and the next leader ran the task
- * again.) */
+/* Returns whether nothing is placed on the machine and all completions on it are recorded. A machine was once
+ * released 0.04 s after its last task had ended during an outage: the completion could not be recorded, and
+ * the next leader ran the task again. */
 static bool is_empty(const struct amb_machine *machine) {
     return !machine->task_count && !machine->has_unrecorded_result;
 }
@@ -15,7 +15,7 @@
     struct amb_node *node = cycle->node;
     struct amb_machine *machine = slot->machine;
     if (!machine || slot->planned_tasks || !is_empty(machine) || machine->state != AMB_MACHINE_UP) return;
-    /* Idle since batch work may not start there yet, for a bounded time. */
+    /* The machine may be idle only because no batch work may start in its zone yet, for a bounded time. */
     if (cycle->zones_without_batch >> machine->zone_index & 1) return;
     const struct amb_machine_type *type = &node->catalog.types[machine->type_index];
     amb_ms idle_limit = amb_seconds_to_ms(type->boot_s * node->options.idle_release_share);
--- a/lib/scheduler/scale_out_choice.c
+++ b/lib/scheduler/scale_out_choice.c
@@ -1,32 +1,35 @@
-/* Scale out: which kind of machine is the cheapest for what waits, and which kinds are requested first. */
+/* Scale out: chooses the cheapest kind of machine for waiting tasks, and the order in which kinds are
+ * requested. A kind is a machine type in one zone, on demand or as a spot instance. */
 #include "plan_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-/* Resources are sums of decimal fractions. */
-static const double ROUNDING = 1e-6;
-/* So many tasks fit where nothing is needed. */
-static const double TASKS_UNLIMITED = 1e6;
-/* Makes kinds of one price take turns, in units of the price. */
-static const double SPREAD_COST = 1e-3;
+/* For rounding errors in resources, which are sums of decimal fractions. */
+static const double ROUNDING_TOLERANCE = 1e-6;
+/* The number of tasks that fit if a task needs no resources. */
+static const double UNLIMITED_TASKS = 1e6;
+/* The cost added for each machine of a kind that is already planned, in units of the price, so that kinds of
+ * the same price alternate. */
+static const double SPREAD_PENALTY = 1e-3;
 
 double amb_plan_max_tasks_that_fit(const struct amb_resources *need, const struct amb_resources *size) {
-    double count = TASKS_UNLIMITED;
-    if (need->cpus > 0) count = fmin(count, floor(size->cpus / need->cpus + ROUNDING));
-    if (need->gpus > 0) count = fmin(count, floor(size->gpus / need->gpus + ROUNDING));
-    if (need->memory_gb > 0) count = fmin(count, floor(size->memory_gb / need->memory_gb + ROUNDING));
+    double count = UNLIMITED_TASKS;
+    if (need->cpus > 0) count = fmin(count, floor(size->cpus / need->cpus + ROUNDING_TOLERANCE));
+    if (need->gpus > 0) count = fmin(count, floor(size->gpus / need->gpus + ROUNDING_TOLERANCE));
+    if (need->memory_gb > 0)
+        count = fmin(count, floor(size->memory_gb / need->memory_gb + ROUNDING_TOLERANCE));
     return count;
 }
 
-/* What is asked of the choice, and the best kind so far. */
+/* The inputs of the search, and the best kind so far. */
 struct choice_search {
     struct amb_capacity_plan *plan;
     const struct amb_placement_request *request;
     uint32_t max_tasks;
     enum amb_scale_out_spread spread;
     struct amb_scale_out_choice best;
-    double lowest_cost; /* of a task on a machine of the best kind; INFINITY: there is none */
+    double lowest_cost; /* per task, on a machine of the best kind; INFINITY: there is none */
 };
 
 static bool is_available(const struct choice_search *search, const struct amb_scale_out_choice *choice) {
@@ -48,11 +51,11 @@
     double price = choice->spot ? type->hourly_spot_price : type->hourly_price;
     double cost = price / fmin(tasks_per_machine, search->max_tasks ? search->max_tasks : 1);
     if (search->spread == AMB_SCALE_OUT_EVEN)
-        cost += SPREAD_COST * plan->scale_out_counts[choice->type][choice->zone][choice->spot];
+        cost += SPREAD_PENALTY * plan->scale_out_counts[choice->type][choice->zone][choice->spot];
     return cost;
 }
 
-/* The type in each of its zones, on demand and, if allowed, as a spot instance. */
+/* Considers the type in each of its zones, on demand and, if allowed, as a spot instance. */
 static void consider_type(struct choice_search *search, uint32_t type_index) {
     struct amb_catalog *catalog = &search->plan->cycle->node->catalog;
     const struct amb_machine_type *type = &catalog->types[type_index];
@@ -86,7 +89,7 @@
     return amb_cycle_add_slot(plan->cycle, best->type, best->zone, best->spot);
 }
 
-/* For qsort: first what the most urgent work waits for, then what takes longest to boot. */
+/* Comparison function for qsort: kinds for the most urgent work first, then those with the longest boot. */
 static int compare_choices(const void *left, const void *right) {
     const struct amb_scale_out_choice *left_choice = left;
     const struct amb_scale_out_choice *right_choice = right;
--- a/lib/scheduler/start_deadline.c
+++ b/lib/scheduler/start_deadline.c
@@ -8,8 +8,8 @@
 #define OBJECTIVE_START "wait"
 #define OBJECTIVE_END "finished"
 
-/* How long opportunistic work without a due time waits for capacity before machines are requested for it, in
- * start times on the slowest machine that it may run on. */
+/* How long opportunistic work without a due time waits for capacity before machines are requested for it, as
+ * a multiple of scale_out_start_s. */
 static const double OPPORTUNISTIC_WAIT_BOOTS = 8;
 
 static bool applies_to(const struct amb_objective *objective, const char *kind,
@@ -17,7 +17,8 @@
     return !strcmp(objective->kind, kind) && !strcmp(objective->class_name, spec->class_name);
 }
 
-/* The longest that a start takes on a machine that has yet to be requested: boot, and fetch of the image. */
+/* The longest time that a start takes on a machine that has yet to be requested: its boot and the image
+ * fetch. */
 static double scale_out_start_s(const struct amb_node *node, const struct amb_job_spec *spec) {
     double longest_s = 0;
     for (uint32_t i = 0; i < node->catalog.type_count; i++) {
@@ -30,9 +31,9 @@
     return longest_s;
 }
 
-/* The start of batch work is not awaited if a machine that is requested now would be in time for it. (When
- * any objective for starts counted, sweeps to be started within 120 s took what had been preempted for a
- * gang, were stopped for it and took it again, up to ten times each.) */
+/* A start objective of batch work is ignored if the work would meet it on a machine requested now. When every
+ * start objective counted, arrays to be started within 120 s took the resources preempted for a gang, were
+ * stopped for it and took them again, up to ten times each. */
 const struct amb_objective *amb_start_find_objective(const struct amb_node *node,
                                                      const struct amb_job_spec *spec) {
     const struct amb_objective *strictest = NULL;
@@ -50,21 +51,22 @@
            job->team->opportunistic;
 }
 
-/* When the job is to be done, by its deadline or else by its class's objective; AMB_NO_DUE_TIME: at any time.
- */
-static int64_t find_due_wall(const struct amb_node *node, const struct amb_job *job) {
+/* The time of day by which the job has to be complete, from its deadline or else its class's objective;
+ * AMB_NO_DUE_TIME: there is none. */
+static int64_t find_due_wall_ms(const struct amb_node *node, const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
-    int64_t due_wall = amb_job_due_wall_ms(job);
-    if (spec->deadline_s > 0) return due_wall;
+    int64_t due_wall_ms = amb_job_due_wall_ms(job);
+    if (spec->deadline_s > 0) return due_wall_ms;
     for (uint32_t i = 0; i < node->settings.objective_count; i++) {
         const struct amb_objective *objective = &node->settings.objectives[i];
         if (!applies_to(objective, OBJECTIVE_END, spec)) continue;
-        due_wall = amb_earlier(due_wall, amb_job_ready_wall_ms(job) + amb_seconds_to_ms(objective->within_s));
+        due_wall_ms =
+            amb_earlier(due_wall_ms, amb_job_ready_wall_ms(job) + amb_seconds_to_ms(objective->within_s));
     }
-    return due_wall;
+    return due_wall_ms;
 }
 
-/* (When machines were requested for opportunistic work at once, the fleet of a day was twice as large.) */
+/* Requesting machines for opportunistic work at once made the fleet of a day twice as large. */
 static double opportunistic_wait_s(const struct amb_node *node, const struct amb_job_spec *spec) {
     return OPPORTUNISTIC_WAIT_BOOTS * scale_out_start_s(node, spec);
 }
@@ -73,10 +75,10 @@
     const struct amb_job_spec *spec = job->spec;
     if (spec->kind != AMB_JOB_KIND_ARRAY || spec->priority >= AMB_PRIORITY_HIGH) return false;
     if (amb_start_find_objective(node, spec)) return false;
-    int64_t due_wall = find_due_wall(node, job);
-    if (due_wall != AMB_NO_DUE_TIME) {
+    int64_t due_wall_ms = find_due_wall_ms(node, job);
+    if (due_wall_ms != AMB_NO_DUE_TIME) {
         double run_s = scale_out_start_s(node, spec) + amb_job_spec_work_s(spec);
-        return amb_wall_ms() + amb_seconds_to_ms(run_s) < due_wall;
+        return amb_wall_ms() + amb_seconds_to_ms(run_s) < due_wall_ms;
     }
     return amb_job_is_opportunistic(job) &&
            amb_wall_ms() < amb_job_ready_wall_ms(job) + amb_seconds_to_ms(opportunistic_wait_s(node, spec));
--- a/lib/scheduler/task_plan.c
+++ b/lib/scheduler/task_plan.c
@@ -1,5 +1,5 @@
-/* Planning for waiting jobs: each task gets capacity that is about to be released, that of work that is
- * preempted for it, or a machine that is requested for it, whichever comes soonest. */
+/* Planning for waiting jobs. Each task gets capacity that is about to be released, capacity of work that is
+ * preempted for it, or a machine that is requested for it, whichever is available soonest. */
 #include "plan_internal.h"
 
 #include "amberpin/placement/wdrr.h"
@@ -7,14 +7,14 @@
 
 #include <stdlib.h>
 
-/* The tasks of one job that have been planned so far. They count in the job's tasks by zone while it is
- * planned, and no longer. */
+/* The tasks of one job that have been planned so far. They are included in the job's task counts by zone only
+ * while it is planned. */
 struct job_plan {
     struct amb_capacity_plan *plan;
     struct amb_job *job;
     struct amb_placement_request request;
-    bool can_wait; /* no machine is requested for it yet; never a gang */
-    int *zones;    /* of the planned tasks; owned */
+    bool can_wait; /* no machine is requested for the job yet; false for gangs */
+    int *zones;    /* of each planned task; owned */
     uint32_t planned_count;
 };
 
@@ -39,8 +39,8 @@
     return slot->machine && slot->machine->state == AMB_MACHINE_UP;
 }
 
-/* A slot whose resources are taken for one task; NULL: none can be had. A machine that boots is taken only
- * when nothing can be preempted. */
+/* Takes a slot's resources for one task. A booting machine is used only if nothing can be preempted. NULL: no
+ * slot is available. */
 static struct amb_slot *take_slot_for_task(struct job_plan *job_plan, uint32_t max_tasks) {
     struct amb_capacity_plan *plan = job_plan->plan;
     struct amb_cycle *cycle = plan->cycle;
@@ -59,18 +59,19 @@
     return slot;
 }
 
-/* False: no slot can be had, nor for further tasks of the job. */
+/* Plans one task. False: no slot is available, nor would one be for further tasks of the job. */
 static bool plan_task(struct job_plan *job_plan, uint32_t max_tasks) {
     const struct amb_slot *slot = take_slot_for_task(job_plan, max_tasks);
     if (!slot) return false;
     job_plan->job->zone_task_counts[slot->zone]++;
     job_plan->zones[job_plan->planned_count++] = slot->zone;
-    /* A job of one zone goes where its first machine is. */
+    /* A job that must run in one zone uses that of its first machine. */
     if (job_plan->job->spec->one_zone) job_plan->request.zone = job_plan->zones[0];
     return true;
 }
 
-/* Waits for machines that are about to come, or to have enough released. */
+/* Plans the whole gang on machines that are booting or on which enough is about to be released. False: it
+ * does not fit. */
 static bool plan_gang_on_pending(struct amb_cycle *cycle, struct amb_job *job) {
     uint32_t count = job->spec->task_count;
     int *slot_indices = amb_alloc(count * sizeof *slot_indices);
@@ -98,7 +99,7 @@
         if (!plan_task(job_plan, count)) break;
 }
 
-/* Of a larger job the rest is planned for once these tasks are on their machines. */
+/* Plans at most max_tasks_per_job tasks. The rest of a larger job is planned once these are placed. */
 static void plan_independent_tasks(struct job_plan *job_plan) {
     struct amb_capacity_plan *plan = job_plan->plan;
     const struct amb_job *job = job_plan->job;
