--- a/lib/placement/ranking_key.h
+++ b/lib/placement/ranking_key.h
@@ -1,7 +1,7 @@
-/* The key under which a ranking of slots is cached: all that a score depends on beside the slot.
+/* The key under which a ranking of slots is cached: everything that a score depends on apart from the slot.
  *
- * Functions are inline, since each query is compared with many keys. They compare member by member: structs
- * may have padding between their members. */
+ * Functions are inline because each query is compared with many keys. They compare member by member because
+ * structs may have padding between their members. */
 #ifndef AMBERPIN_PLACEMENT_RANKING_KEY_H
 #define AMBERPIN_PLACEMENT_RANKING_KEY_H
 
@@ -9,24 +9,24 @@
 
 #include <string.h>
 
-/* What is asked for. All is borrowed. */
+/* A query. All pointers are borrowed. */
 struct amb_ranking_query {
     const struct amb_placement_request *request;
     const struct amb_slot_annotation *annotation;
-    const struct amb_preemption_terms *terms; /* NULL: nothing is preempted */
+    const struct amb_preemption_terms *terms; /* NULL: without preemption */
     bool include_releasing;
 };
 
-/* The zones that a request allows are no part of it: a ranking has a tree for each zone. */
+/* The zones that a request allows are not part of the key, because a ranking has a tree for each zone. */
 struct amb_ranking_key {
     struct amb_resources need;
     uint32_t type_mask;
     enum amb_priority priority;
     bool spot_allowed, long_running, deferrable, can_wait, opportunistic; /* as in the request */
     bool include_releasing;
-    bool with_preemption; /* on these terms */
-    struct amb_preemption_terms terms;
-    struct amb_slot_annotation annotation; /* without the image's name */
+    bool with_preemption;
+    struct amb_preemption_terms terms;     /* valid with preemption */
+    struct amb_slot_annotation annotation; /* its image is NULL; see `image` */
     char image[AMB_NAME_SIZE];
 };
 
@@ -45,7 +45,7 @@
                                     .annotation = *query->annotation};
     if (query->terms) key->terms = *query->terms;
     if (!query->annotation->ignores_image) strcpy(key->image, query->annotation->image);
-    key->annotation.image = NULL; /* borrowed for the query alone */
+    key->annotation.image = NULL; /* borrowed only for the query */
 }
 
 static inline bool is_same_annotation(const struct amb_ranking_key *key,
@@ -69,18 +69,18 @@
            key->can_wait == request->can_wait && key->opportunistic == request->opportunistic;
 }
 
-static inline bool is_same_claim(const struct amb_preemptor *left, const struct amb_preemptor *right) {
+static inline bool is_same_preemptor(const struct amb_preemptor *left, const struct amb_preemptor *right) {
     return left->priority == right->priority && left->team == right->team &&
            left->within_guarantee == right->within_guarantee;
 }
 
 static inline bool is_same_terms(const struct amb_preemption_terms *left,
                                  const struct amb_preemption_terms *right) {
-    return left->cost_kind == right->cost_kind && is_same_claim(&left->claim, &right->claim) &&
+    return left->cost_kind == right->cost_kind && is_same_preemptor(&left->preemptor, &right->preemptor) &&
            left->image_only == right->image_only && left->placed_tasks == right->placed_tasks;
 }
 
-/* Is it the key of the query? */
+/* Returns whether this is the query's key. */
 static inline bool amb_ranking_key_matches(const struct amb_ranking_key *key,
                                            const struct amb_ranking_query *query) {
     if (!is_same_request(key, query->request)) return false;
--- a/lib/placement/slot_ranking.c
+++ b/lib/placement/slot_ranking.c
@@ -1,5 +1,4 @@
-/* Rankings of slots: cached by key, brought up to date from the log of changed slots when they are queried.
- */
+/* Rankings of slots, cached by key. A query first updates its ranking from the log of changed slots. */
 #include "amberpin/placement/slot_ranking.h"
 
 #include "ranking_key.h"
@@ -13,9 +12,9 @@
 struct amb_slot_ranking {
     struct amb_ranking_key key;
     struct amb_winner_tree zones[AMB_ZONES_MAX];
-    uint32_t scored_slots;    /* the first slots, as many as there were at the latest query */
-    uint32_t applied_changes; /* of the log of changes */
-    uint64_t last_queried;    /* the number of that query */
+    uint32_t scored_slots;    /* number of slots at the latest query, which scored them all */
+    uint32_t applied_changes; /* how many entries of the log of changes have been applied */
+    uint64_t last_queried;    /* number of the latest query */
 };
 
 /* ---- slots and their changes ---- */
@@ -28,7 +27,7 @@
     zone->slots[zone->count++] = slot_index;
 }
 
-/* Gives slots that are new their place within their zone. */
+/* Assigns each new slot its index within its zone. */
 static void index_new_slots(struct amb_slot_rankings *rankings, const struct amb_slot_list *list) {
     if (rankings->place_capacity < list->count) {
         rankings->place_capacity = list->count + list->count / 2;
@@ -58,7 +57,7 @@
     }
 }
 
-void amb_slot_rankings_note_change(struct amb_slot_rankings *rankings, uint32_t slot_index) {
+void amb_slot_rankings_mark_changed(struct amb_slot_rankings *rankings, uint32_t slot_index) {
     reserve_change(rankings, slot_index);
     rankings->latest_change[slot_index] = rankings->change_count;
     rankings->changed_slots[rankings->change_count++] = slot_index;
@@ -89,8 +88,8 @@
     amb_winner_tree_set(&ranking->zones[zone], rankings->place_in_zone[slot_index], score);
 }
 
-/* A slot that changed several times is scored once, as it is now: gangs that can't be placed take and return
- * the same few slots again and again. */
+/* A slot that changed several times is scored once, in its present state, because attempts to place a gang
+ * that does not fit take and return the same few slots repeatedly. */
 static void refresh_ranking(struct amb_slot_rankings *rankings, struct amb_slot_ranking *ranking,
                             const struct amb_slot_list *list, const struct amb_ranking_query *query) {
     for (uint32_t change = ranking->applied_changes; change < rankings->change_count; change++) {
@@ -118,7 +117,7 @@
     return oldest;
 }
 
-/* An unused place in the cache, if need be that of the ranking least recently used. */
+/* Returns an unused cache entry. A full cache evicts the least recently used ranking. */
 static struct amb_slot_ranking **make_cache_entry(struct amb_slot_rankings *rankings) {
     if (rankings->count < AMB_SLOT_RANKINGS_MAX) return &rankings->cached[rankings->count++];
     struct amb_slot_ranking **entry = find_least_recently_used(rankings);
--- a/lib/scheduler/admission.c
+++ b/lib/scheduler/admission.c
@@ -1,5 +1,5 @@
-/* Admission: the teams' queues are served by weighted deficit round robin, in passes, and what is admitted is
- * placed on machines. */
+/* Admission: serves the team queues by weighted deficit round robin, in several passes, and places admitted
+ * tasks on machines. */
 #include "cycle_internal.h"
 
 #include "amberpin/base/log.h"
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A fetch that takes more than this share of the time in which a job is to start is better avoided. */
+/* A fetch is too long if it takes more than this share of the time in which the job is to start. */
 static const double FETCH_SHARE_MAX = 0.7;
-/* What stop commands and the heartbeats that confirm them take, beside the time to save. */
+/* How long stop commands and the heartbeats that confirm them take, in addition to saving a checkpoint. */
 static const double RELEASE_HEARTBEAT_PERIODS = 4;
 
 static struct amb_cycle *cycle_of(void *context) {
@@ -65,13 +65,13 @@
     struct amb_job *job = task->job;
     const struct amb_job_spec *spec = job->spec;
     if (amb_job_is_recovering(cycle->node, job)) amb_cycle_consume_reservation(slot, spec);
-    amb_cycle_get_slot(cycle, (uint32_t)(slot - cycle->slots)); /* has_image is that of this job's image */
+    amb_cycle_get_slot(cycle, (uint32_t)(slot - cycle->slots)); /* updates has_image for this job's image */
     amb_cycle_take_resources(cycle, slot, &spec->task_resources);
     cycle->placed_tasks++;
     if (spec->kind == AMB_JOB_KIND_SERVICE) slot->long_running_gpus += spec->task_resources.gpus;
     if (!slot->has_image) slot->fetching_gb += spec->image_gb;
-    amb_info("task %s/%u try %llu: placed on %s%s", job->ref, task->index, (unsigned long long)attempt,
-             slot->machine->name, slot->has_image ? ", image at hand" : "");
+    amb_info("task %s/%u attempt %llu: placed on %s%s", job->ref, task->index, (unsigned long long)attempt,
+             slot->machine->name, slot->has_image ? ", image cached" : "");
     amb_task_bind(cycle->node, task, slot->machine, attempt, AMB_TASK_PLACED);
     amb_machine_record_image_use(cycle->node, slot->machine, spec->image, spec->image_gb);
     amb_placement_block_mark_dirty(cycle->node, task, true);
@@ -102,18 +102,18 @@
 
 /* ---- waiting for a machine that holds the image ---- */
 
-/* Would the fetch alone use up most of the time in which the job's class is to start? */
+/* Returns whether the fetch alone would take most of the time in which jobs of the class are to start. */
 static bool is_fetch_too_long(const struct amb_cycle *cycle, const struct amb_job *job,
                               const struct amb_slot *slot) {
     const struct amb_objective *objective = amb_start_find_objective(cycle->node, job->spec);
     double fetch_gb_per_s = cycle->node->catalog.types[slot->type].image_fetch_gb_per_s;
-    const struct amb_preemptor claim = amb_cycle_make_job_claim(job);
+    const struct amb_preemptor preemptor = amb_cycle_make_job_preemptor(job);
     if (!objective || fetch_gb_per_s <= 0) return false;
-    if (claim.priority < AMB_PRIORITY_HIGH && !claim.within_guarantee) return false;
+    if (preemptor.priority < AMB_PRIORITY_HIGH && !preemptor.within_guarantee) return false;
     return job->spec->image_gb / fetch_gb_per_s > objective->within_s * FETCH_SHARE_MAX;
 }
 
-/* Are enough resources about to be released on a machine with the image? */
+/* Returns whether a machine with the image has enough resources, including those about to be released. */
 static bool is_image_slot_releasing(struct amb_cycle *cycle, const struct amb_placement_request *request) {
     for (uint32_t i = 0; i < cycle->slot_count; i++) {
         const struct amb_slot *slot = &cycle->slots[i];
@@ -124,7 +124,8 @@
     return false;
 }
 
-/* How long resources that are being released may take: what was told to stop may save first. */
+/* How long it may take until resources are released: tasks that were told to stop may save a checkpoint
+ * first. */
 static amb_ms max_release_wait(struct amb_cycle *cycle) {
     double longest_save_s = 0;
     for (uint32_t i = 0; i < cycle->slot_count; i++) {
@@ -137,8 +138,9 @@
     return amb_seconds_to_ms(longest_save_s + cycle->node->settings.heartbeat_s * RELEASE_HEARTBEAT_PERIODS);
 }
 
-/* The start is awaited, and fetching the image to the slot would take too long: better the place of other
- * work on a machine that holds it, for which the job waits for a bounded time. */
+/* Returns whether the job waits, for a bounded time, because it has a start objective and fetching the image
+ * to the slot would take too long. It waits for resources on a machine that holds the image, for which other
+ * work is preempted if none are about to be released. */
 static bool waits_for_image_slot(struct amb_cycle *cycle, struct amb_job *job,
                                  const struct amb_placement_request *request, const struct amb_slot *slot) {
     if (slot->has_image || !is_fetch_too_long(cycle, job, slot)) return false;
@@ -174,7 +176,7 @@
     return amb_wdrr_run(settings->teams, settings->team_count, first_team, &ops);
 }
 
-/* A pass over the jobs that are eligible in it; these are not tried again in later passes. */
+/* Runs one admission pass. Jobs that are eligible in it are not tried again in later passes. */
 static uint32_t run_pass(struct amb_cycle *cycle, struct amb_admission_pass pass, uint32_t first_team) {
     cycle->pass = pass;
     uint32_t admitted = serve_queues(cycle, first_team);
@@ -194,12 +196,12 @@
     uint32_t team_count = node->settings.team_count;
     uint32_t first_team = team_count ? node->controller.team_cursor++ % team_count : 0;
     uint32_t admitted = 0;
-    /* What was lost with a zone comes back class by class (docs/design.md, exceptions). */
+    /* Replicas lost with a zone are restored class by class (docs/design.md, exceptions). */
     for (uint32_t step = 0; step < node->zone_recovery.order.count; step++) {
         const struct amb_admission_pass recovery = {(uint8_t)step, AMB_PRIORITY_BEST_EFFORT};
         admitted += run_pass(cycle, recovery, first_team);
     }
-    /* What users wait for goes before what may be stopped for it (docs/design.md, exceptions). */
+    /* Urgent work is admitted before work that may be preempted for it (docs/design.md, exceptions). */
     admitted += run_pass(cycle, urgent, first_team);
     cycle->pass = all;
     return admitted + serve_queues(cycle, first_team);
--- a/lib/scheduler/consolidation.c
+++ b/lib/scheduler/consolidation.c
@@ -1,5 +1,5 @@
-/* Consolidation: work that runs on a few machines could run on fewer. One machine at a time is drained, and
- * replicas move off drained machines, until these are empty and scale in releases them. */
+/* Consolidation: moves work that could run on fewer machines. Machines are chosen for draining one at a time;
+ * their replicas are moved to other machines, and scale in releases them once they are empty. */
 #include "plan_internal.h"
 
 #include "amberpin/base/log.h"
@@ -7,26 +7,26 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* A replica is moved once it has run for so many agent leases. */
-static const double MOVE_AFTER_LEASES = 4;
+/* A replica is moved only after it has run for this many agent leases. */
+static const double MIN_RUNTIME_LEASES = 4;
 enum { MOVES_PER_PLAN_MAX = 2 };
-/* One machine in so many may be draining. */
+/* A further machine is drained only while at most one in this many is draining. */
 enum { MACHINES_PER_DRAIN = 20 };
-/* A machine that is used for more than this share of its GPUs is not drained. */
+/* A machine is drained only if at most this share of its GPUs is used. */
 static const double DRAIN_USED_SHARE_MAX = 0.5;
-/* What the rest of the fleet is to hold, as a multiple of the latest peak. */
+/* The capacity that the rest of the fleet must have, as a multiple of the recent peak usage. */
 static const double PEAK_MARGIN = 1.1;
 
 /* ---- moving replicas ---- */
 
 static bool is_movable(const struct amb_cycle *cycle, const struct amb_task *task) {
-    amb_ms settled_after = amb_seconds_to_ms(cycle->node->settings.agent_lease_s * MOVE_AFTER_LEASES);
+    amb_ms min_runtime = amb_seconds_to_ms(cycle->node->settings.agent_lease_s * MIN_RUNTIME_LEASES);
     if (task->stop_requested || task->state != AMB_TASK_SEEN || !task->running_at) return false;
-    return task->job->state == AMB_JOB_QUEUED && cycle->now - task->running_at >= settled_after;
+    return task->job->state == AMB_JOB_QUEUED && cycle->now - task->running_at >= min_runtime;
 }
 
-/* Finds another machine that is up and holds the image, so that the replica is down for little more than two
- * heartbeats, and takes the resources there. */
+/* Takes resources for the replica on another machine that is up and holds the image, so that the replica is
+ * down for little more than two heartbeats. */
 static bool take_slot_for_move(struct amb_cycle *cycle, struct amb_task *task) {
     struct amb_job *job = task->job;
     struct amb_placement_request request;
@@ -53,7 +53,7 @@
         struct amb_task *task = machine->tasks;
         for (; task && moves < MOVES_PER_PLAN_MAX; task = task->next_on_machine) {
             if (task->job->spec->kind != AMB_JOB_KIND_SERVICE || !take_slot_for_move(cycle, task)) continue;
-            amb_task_request_stop(cycle->node, task, 0, "moves, so that its machine can be returned");
+            amb_task_request_stop(cycle->node, task, 0, "moved, so that its machine can be released");
             moves++;
         }
     }
@@ -61,8 +61,9 @@
 
 /* ---- choosing a machine to drain ---- */
 
-/* Batch work ends by itself, gangs can't move. */
-static bool could_all_move(struct amb_cycle *cycle, const struct amb_machine *machine) {
+/* Takes resources elsewhere for each replica of the machine. False: a replica can't move, or the machine runs
+ * a gang, which can't move, or batch work that was told to stop. Other batch work ends by itself. */
+static bool take_slots_for_replicas(struct amb_cycle *cycle, const struct amb_machine *machine) {
     for (struct amb_task *task = machine->tasks; task; task = task->next_on_machine) {
         enum amb_job_kind kind = task->job->spec->kind;
         if (kind == AMB_JOB_KIND_SERVICE && !take_slot_for_move(cycle, task)) return false;
@@ -71,26 +72,27 @@
     return true;
 }
 
-/* Could its replicas move elsewhere? Leaves all slots as they are. */
+/* Returns whether the machine's replicas could move elsewhere. All slots are restored afterwards. */
 static bool can_drain(struct amb_cycle *cycle, struct amb_slot *slot) {
     uint32_t first_change = cycle->rankings.change_count;
     struct amb_resources *saved_available = amb_alloc(cycle->slot_count * sizeof *saved_available);
     for (uint32_t i = 0; i < cycle->slot_count; i++) saved_available[i] = cycle->slots[i].available;
     slot->usable = false;
-    amb_cycle_note_slot_change(cycle, slot);
-    bool could_move = could_all_move(cycle, slot->machine);
+    amb_cycle_mark_slot_changed(cycle, slot);
+    bool could_move = take_slots_for_replicas(cycle, slot->machine);
     slot->usable = true;
     uint32_t last_change = cycle->rankings.change_count;
     for (uint32_t change = first_change; change < last_change; change++) {
         uint32_t slot_index = cycle->rankings.changed_slots[change];
         cycle->slots[slot_index].available = saved_available[slot_index];
-        amb_cycle_note_slot_change(cycle, &cycle->slots[slot_index]);
+        amb_cycle_mark_slot_changed(cycle, &cycle->slots[slot_index]);
     }
     free(saved_available);
     return could_move;
 }
 
-/* The share of a machine that tasks in the proportions of the peak can use. */
+/* The share of a machine's GPUs that can be used by tasks that need resources in the proportions of the peak
+ * usage. */
 static double usable_share(const struct amb_resources *size, const struct amb_resources *peak) {
     double share = 1;
     if (peak->memory_gb > 0) share = fmin(share, size->memory_gb / peak->memory_gb * peak->gpus / size->gpus);
@@ -98,7 +100,7 @@
     return share;
 }
 
-/* Would the fleet without this machine still have held the latest peak? */
+/* Returns whether the fleet without this machine has capacity for the recent peak usage. */
 static bool is_surplus(const struct amb_cycle *cycle, const struct amb_machine *excluded) {
     const struct amb_resources *peak = &cycle->node->controller.peak_usage;
     double remaining_gpus = 0;
@@ -112,7 +114,7 @@
     return remaining_gpus >= peak->gpus * PEAK_MARGIN;
 }
 
-static bool is_little_used(const struct amb_slot *slot) {
+static bool is_lightly_used(const struct amb_slot *slot) {
     const struct amb_machine *machine = slot->machine;
     if (!machine || machine->state != AMB_MACHINE_UP || !machine->task_count) return false;
     return !slot->planned_tasks && machine->used.gpus <= slot->size_gpus * DRAIN_USED_SHARE_MAX;
@@ -122,12 +124,12 @@
     struct amb_machine *best = NULL;
     for (uint32_t i = 0; i < cycle->slot_count; i++) {
         struct amb_slot *slot = &cycle->slots[i];
-        if (!is_little_used(slot)) continue;
+        if (!is_lightly_used(slot)) continue;
         if (best && slot->machine->used.gpus >= best->used.gpus) continue;
         if (is_surplus(cycle, slot->machine) && can_drain(cycle, slot)) best = slot->machine;
     }
     if (!best) return;
-    amb_info("machine %s: to be emptied: the rest of the fleet has room for its %u tasks", best->name,
+    amb_info("machine %s: draining: the rest of the fleet has capacity for its %u tasks", best->name,
              best->task_count);
     best->draining = true;
 }
@@ -147,7 +149,7 @@
         up += machine->state == AMB_MACHINE_UP;
         draining += machine->draining;
     }
-    /* Demand is back: better keep what is up already. */
+    /* Machines are about to be requested, so those that are already up are kept. */
     if (plan->scale_out_total) {
         stop_draining(cycle->node);
         return;
--- a/lib/scheduler/cycle_internal.h
+++ b/lib/scheduler/cycle_internal.h
@@ -1,50 +1,54 @@
-/* What the files of a scheduling cycle share with one another alone. */
+/* Functions that only the files of the scheduling cycle use. */
 #ifndef AMBERPIN_SCHEDULER_CYCLE_INTERNAL_H
 #define AMBERPIN_SCHEDULER_CYCLE_INTERNAL_H
 
 #include "amberpin/scheduler/cycle.h"
 
-/* A slot for each machine that may be used now (fleet_view.c). */
+/* Adds a slot for each machine that may be used now (fleet_view.c). */
 void amb_cycle_collect_machines(struct amb_cycle *cycle);
-/* Fills the cycle's jobs and its teams' queues (job_queue.c). */
+/* Fills the cycle's list of jobs and its team queues (job_queue.c). */
 void amb_cycle_collect_jobs(struct amb_cycle *cycle);
 
-/* Does the task's machine fetch its image, as far as is known? Inline: asked for each task of the fleet. */
+/* Returns whether the task's machine is fetching the task's image, as far as is known. Inline because it is
+ * called for each task of the fleet. */
 static inline bool amb_image_is_fetching(const struct amb_task *task) {
     if (task->state == AMB_TASK_PLACED || task->state == AMB_TASK_BOUND) return true;
     return task->state == AMB_TASK_SEEN && task->agent_state == AMB_AGENT_TASK_FETCHING;
 }
 
-/* Is the image at hand, or counted with an earlier task of the machine (image_fetch.c)? */
+/* Returns whether the task needs no fetch of its own: the machine already has the image, or the fetch is
+ * counted with an earlier task of the machine (image_fetch.c). */
 bool amb_image_fetch_is_shared(const struct amb_task *task);
-/* Is it fetched, and counted with this task? */
+/* Returns whether the task's image is being fetched and the fetch is counted with this task. */
 static inline bool amb_image_fetch_is_counted(const struct amb_task *task) {
     return amb_image_is_fetching(task) && !amb_image_fetch_is_shared(task);
 }
-/* About how much of the task's image is still to be fetched, in GB. */
+/* Estimates how much of the task's image is still to be fetched, in GB. */
 double amb_image_fetch_remaining_gb(const struct amb_cycle *cycle, const struct amb_task *task);
 
-/* The cycle's slots for the rankings, without a cost of preemption (slot_annotation.c). */
+/* The cycle's slots as a list for the rankings, without compute_cost (slot_annotation.c). */
 struct amb_slot_list amb_cycle_list_slots(struct amb_cycle *cycle);
 
-/* A replica of the job takes the place that was reserved for one (reservation.c). */
+/* Reduces the slot's reservation by the resources of a replica that is placed there (reservation.c). */
 void amb_cycle_consume_reservation(struct amb_slot *slot, const struct amb_job_spec *spec);
 
-/* Is there any work that might be preempted on this claim? Never a wrong no (preemption.c). */
-bool amb_cycle_may_preempt(const struct amb_cycle *cycle, const struct amb_preemptor *claim);
-/* The slot on which stopping work for the request loses least; -1: there is none. */
+/* Returns false only if no work can be preempted for the preemptor. It may return true although there is
+ * nothing to preempt (preemption.c). */
+bool amb_cycle_may_preempt(const struct amb_cycle *cycle, const struct amb_preemptor *preemptor);
+/* Returns the index of the slot where stopping work for the request loses least; -1: there is none. */
 int amb_cycle_find_least_lost_work(struct amb_cycle *cycle, const struct amb_placement_request *request,
-                                   const struct amb_preemptor *claim, bool image_only);
+                                   const struct amb_preemptor *preemptor, bool image_only);
 
-/* The order in which tasks of one machine are stopped. */
+/* The order in which tasks on one machine are stopped. */
 enum amb_preemption_order {
     AMB_PREEMPT_IN_LIST_ORDER,
-    AMB_PREEMPT_LOWEST_PRIORITY_FIRST, /* loses the least important work where many machines are needed */
+    AMB_PREEMPT_LOWEST_PRIORITY_FIRST, /* stops the least important work where many machines are needed */
 };
 
-/* Stops tasks of the slot's machine until what was taken from the slot is covered. */
+/* Stops tasks on the slot's machine until the slot's available resources, with those about to be released,
+ * are no longer negative. */
 void amb_cycle_preempt_on_slot(struct amb_cycle *cycle, struct amb_slot *slot,
-                               const struct amb_preemptor *claim, const struct amb_job_spec *waiting_spec,
+                               const struct amb_preemptor *preemptor, const struct amb_job_spec *waiting_spec,
                                enum amb_preemption_order order);
 
 #endif
--- a/lib/scheduler/reserved_capacity.c
+++ b/lib/scheduler/reserved_capacity.c
@@ -1,12 +1,12 @@
-/* Reserved capacity: free or preemptible capacity kept for what a class of urgent jobs is expected to ask for
- * while a machine would boot. */
+/* Reserved capacity: free or preemptible capacity that is kept for the demand expected of a class of urgent
+ * jobs during the time that a machine takes to boot. */
 #include "plan_internal.h"
 
 #include <math.h>
 
 struct allowed_types {
-    uint32_t mask;         /* of types in the catalogue */
-    double longest_boot_s; /* of these */
+    uint32_t mask;         /* a bit for each allowed machine type of the catalogue */
+    double longest_boot_s; /* over the allowed types */
 };
 
 static struct allowed_types find_allowed_types(const struct amb_node *node, const struct amb_job_spec *spec) {
@@ -21,7 +21,8 @@
     return allowed;
 }
 
-/* Machines are requested after what urgent work waits for, before what batch work does. */
+/* The priority of requests for reserved machines: after requests for waiting urgent work, before those for
+ * batch work. */
 static enum amb_priority request_priority(const struct amb_job_spec *spec) {
     return spec->priority < AMB_PRIORITY_NORMAL ? spec->priority : AMB_PRIORITY_NORMAL;
 }
@@ -34,8 +35,8 @@
     const struct allowed_types allowed = find_allowed_types(node, spec);
     uint32_t expected_tasks =
         (uint32_t)ceil(amb_demand_expected_tasks(node, demand, allowed.longest_boot_s, cycle->now));
-    const struct amb_preemptor claim =
-        amb_cycle_make_claim(spec, amb_settings_find_team(&node->settings, spec->team));
+    const struct amb_preemptor preemptor =
+        amb_cycle_make_preemptor(spec, amb_settings_find_team(&node->settings, spec->team));
     const struct amb_placement_request request = {.need = spec->task_resources,
                                                   .type_mask = allowed.mask,
                                                   .zone = -1,
@@ -45,7 +46,7 @@
     for (uint32_t i = 0; i < expected_tasks && i < plan->max_tasks_per_job; i++) {
         const char *image = demand->images[i % demand->image_count]; /* an equal share for each image */
         amb_cycle_annotate_for_image(cycle, spec, image);
-        struct amb_slot *slot = amb_cycle_find_reservable_slot(cycle, &request, &claim);
+        struct amb_slot *slot = amb_cycle_find_reservable_slot(cycle, &request, &preemptor);
         if (!slot) slot = amb_plan_scale_out(plan, &request, expected_tasks - i, AMB_SCALE_OUT_PACKED);
         if (!slot) break;
         amb_plan_take_slot(plan, slot, &request.need);
--- a/lib/scheduler/slot_annotation.c
+++ b/lib/scheduler/slot_annotation.c
@@ -1,6 +1,6 @@
-/* Annotations of slots: whether a slot holds the image that is asked for, and the risk that fetching it
- * delays the start. They are computed when a slot is accessed, so that a cycle's cost follows what it looks
- * at. */
+/* Annotations of slots: whether a slot holds the requested image, and the risk that fetching it delays the
+ * start. They are computed when a slot is accessed, so that a cycle only pays for the slots that it accesses.
+ */
 #include "cycle_internal.h"
 
 #include "amberpin/scheduler/start_deadline.h"
@@ -8,8 +8,9 @@
 #include <math.h>
 #include <string.h>
 
-/* What the start command and the heartbeat that confirms the start take: this many heartbeat periods on the
- * average, and no more than this share of the time, or nothing would ever count as in time. */
+/* How long the start command and the heartbeat that confirms the start take: this many heartbeat periods on
+ * average, limited to this share of the time in which the task is to start. Without the limit no start might
+ * ever count as in time. */
 static const double OVERHEAD_HEARTBEAT_PERIODS = 1.2;
 static const double OVERHEAD_SHARE_MAX = 0.2;
 
@@ -19,8 +20,8 @@
     return false;
 }
 
-/* The time in which a task of this kind is to start, less what commands and heartbeats take. Where no start
- * is awaited, the time that the task runs for; slack_s is negative then. */
+/* within_s is the time in which a task is to start, and slack_s the part of it that commands and heartbeats
+ * take. For jobs without a start objective, within_s is the runtime of the task and slack_s is negative. */
 struct start_target {
     double within_s, slack_s;
 };
@@ -38,7 +39,7 @@
     return (struct start_target){has_estimate ? spec->estimated_runtime_s : settings->agent_lease_s, -1};
 }
 
-/* What has to be fetched on the slot before a task with the image can start, in GB. */
+/* How much has to be fetched on the slot before a task with the image can start, in GB. */
 static double pending_fetch_gb(const struct amb_slot *slot, const struct amb_slot_annotation *annotation) {
     if (!slot->has_image) return slot->fetching_gb + annotation->image_gb;
     bool is_fetching = slot->fetching_gb > 0 && is_image_being_fetched(slot->machine, annotation->image);
@@ -76,14 +77,14 @@
     return slot;
 }
 
-void amb_cycle_note_slot_change(struct amb_cycle *cycle, const struct amb_slot *slot) {
-    amb_slot_rankings_note_change(&cycle->rankings, (uint32_t)(slot - cycle->slots));
+void amb_cycle_mark_slot_changed(struct amb_cycle *cycle, const struct amb_slot *slot) {
+    amb_slot_rankings_mark_changed(&cycle->rankings, (uint32_t)(slot - cycle->slots));
 }
 
 void amb_cycle_take_resources(struct amb_cycle *cycle, struct amb_slot *slot,
                               const struct amb_resources *resources) {
     amb_resources_add(&slot->available, resources, -1);
-    amb_cycle_note_slot_change(cycle, slot);
+    amb_cycle_mark_slot_changed(cycle, slot);
 }
 
 static void annotate_for_ranking(void *context, uint32_t slot_index) {
