--- a/include/amberpin/election/election.h
+++ b/include/amberpin/election/election.h
@@ -1,6 +1,6 @@
-/* Leader election: the wiring of its state machine (state_machine.h) to the key-value store, the other nodes
- * and the clock, and what the other modules ask about leadership. The term of the leader is the fencing token
- * that agents check; nothing else is. */
+/* Leader election: connects the state machine (state_machine.h) to the key-value store, the peers and the
+ * clock, and tells the other modules about leadership. Agents check the leader's term as their only fencing
+ * token. */
 #ifndef AMBERPIN_ELECTION_H
 #define AMBERPIN_ELECTION_H
 
@@ -11,46 +11,47 @@
 
 struct amb_node;
 
-/* ---- wiring ---- */
+/* ---- events and settings ---- */
 
-/* Takes what it needs from the node's settings and options. */
+/* Reads the election's settings from the node's settings and options. */
 void amb_election_init(struct amb_node *node);
 
-/* After how long a call to the store is to be given up. Call amb_election_init first. */
+/* Timeout of calls to the store. Call amb_election_init first. */
 amb_ms amb_election_call_timeout(const struct amb_node *node);
 
-/* All keys of the store have been read: the node may become a candidate, and its timer runs from now on. Does
- * nothing when called again. */
+/* Call this when all keys of the store have been read: the node may now become a candidate, and the election
+ * timer starts. Later calls have no effect. */
 void amb_election_start(struct amb_node *node);
 
-/* Time has passed. The timer calls this; tests do so themselves. */
+/* Applies the passing of time. The election timer calls this; tests call it directly. */
 void amb_election_tick(struct amb_node *node, amb_ms now);
 
-/* The leader key was read or has changed; value NULL: there is none, and the revision is that of the store
- * when it was seen to be missing. */
+/* Call this when the leader key was read or has changed. value NULL: the key does not exist, and the revision
+ * is the store revision at which it was found to be missing. */
 void amb_election_apply_key(struct amb_node *node, const cbor_item_t *value, uint64_t revision);
 
-/* A message named a term; `source` names its sender in the log. A leader under a lower term steps down. */
+/* Call this for every term that a message contains. A leader of a lower term steps down. `source` names the
+ * sender in the log. */
 void amb_election_observe_term(struct amb_node *node, uint64_t term, const char *source);
 
 /* ---- leadership ---- */
 
-/* Whether this node may answer agents under its own fencing token at this moment. */
+/* Whether this node may currently answer agents under its own fencing token. */
 bool amb_election_is_leader(const struct amb_node *node);
 
-/* Whether it leads, or did until it was fenced: it keeps what it knows of the fleet, since it may lead again
- * under the same term. */
+/* Whether this node leads, or is fenced after having led. A fenced node keeps its state of the fleet, since
+ * it may resume leading under the same term. */
 bool amb_election_has_leader_role(const struct amb_node *node);
 
-/* Whether the leadership lease is surely valid, so that decisions may be made and recorded. */
+/* Whether the leadership lease is certainly valid, so that decisions may be made and recorded. */
 bool amb_election_may_act(const struct amb_node *node);
 
-/* Whether tasks may be started: only while the store can be taken to be in reach as well, since what an
- * earlier leader has recorded may have been cancelled where this node does not hear of it. */
+/* Whether tasks may be started. This requires that the store is probably reachable as well: placements
+ * recorded by an earlier leader may have been cancelled without this node hearing of it. */
 bool amb_election_may_start_tasks(const struct amb_node *node);
 
-/* The member that agents should turn to; NULL: none is known, or none that was heard of lately. Borrowed,
- * until the next event. */
+/* The member that agents should be redirected to; NULL: no leader is known, or the known one was not heard
+ * from recently. Borrowed until the next event. */
 const char *amb_election_leader_name(const struct amb_node *node);
 
 #endif
--- a/include/amberpin/election/format_version.h
+++ b/include/amberpin/election/format_version.h
@@ -1,9 +1,8 @@
-/* Which format of records and messages the cluster uses while nodes of two versions run. Every node names in
- * its heartbeats, and in the answers to them, the latest format that it reads and writes. Once the last
- * message of each peer has named the newer one, the leader writes that down under `a/format`, for good; only
- * then does any node write what an older one can't read. docs/safety.md, "Formats and records", has the
- * reasoning.
- */
+/* Negotiates the format version of records and messages while nodes of two versions run in the cluster. Every
+ * node announces, in its heartbeats and in the answers to them, the latest format that it reads and writes.
+ * Once the last message of each peer has announced the newer format, the leader records it permanently under
+ * `a/format`. Only then does any node write data that an older one cannot read. docs/safety.md, "Formats and
+ * records", explains why. */
 #ifndef AMBERPIN_FORMAT_VERSION_H
 #define AMBERPIN_FORMAT_VERSION_H
 
@@ -13,42 +12,44 @@
 struct amb_peer;
 
 enum amb_format {
-    AMB_FORMAT_UNKNOWN, /* of a peer that has not been heard of */
-    AMB_FORMAT_1,       /* placement blocks whose size follows from the settings; is not announced */
-    AMB_FORMAT_2,       /* placement blocks that name their tasks; dependencies of jobs */
+    AMB_FORMAT_UNKNOWN, /* format of a peer that has not been heard from */
+    AMB_FORMAT_1,       /* placement blocks whose size follows from the settings; not announced */
+    AMB_FORMAT_2,       /* placement blocks that name their tasks; job dependencies */
     AMB_FORMAT_LATEST = AMB_FORMAT_2,
 };
 
-/* What this node knows of the change to the latest format. */
+/* What this node knows of the upgrade to the latest format. */
 struct amb_format_negotiation {
     enum amb_format
-        test_override;        /* tests only: the node acts as a process of this format. UNKNOWN: latest */
-    enum amb_format recorded; /* what `a/format` says; UNKNOWN: there is no such key */
-    bool upgrade_complete;    /* the store has shown that no older process comes back */
-    bool write_pending;       /* this node is writing the key */
+        test_override; /* tests only: the node behaves like a process of this format. UNKNOWN: latest */
+    enum amb_format recorded; /* value of `a/format`; UNKNOWN: the key does not exist */
+    bool upgrade_complete;    /* the store has shown that no older process will return */
+    bool write_pending;       /* a write of the key by this node is in flight */
     amb_ms retry_at;
 };
 
 /* The latest format that this node reads and writes. */
 enum amb_format amb_format_supported(const struct amb_node *node);
 
-/* The format that may be written now. It never falls. */
+/* The format that may currently be written. It never decreases. */
 enum amb_format amb_format_active(const struct amb_node *node);
 
-/* Whether the last message of some peer named an older format, so that the peer would drop what it does not
- * know. */
+/* Whether the last message of some peer announced an older format. Such a peer would drop fields that it does
+ * not know. */
 bool amb_format_has_older_peer(const struct amb_node *node);
 
-/* A message of the peer named this format; UNKNOWN: none, which means the first. */
+/* Records the format that a message of the peer announced. UNKNOWN: it announced none, which means
+ * AMB_FORMAT_1. */
 void amb_format_update_peer(struct amb_peer *peer, enum amb_format format);
 
-/* `a/format` was read or has changed; value NULL: there is no such key. */
+/* Call this when `a/format` was read or has changed. value NULL: the key does not exist. */
 void amb_format_apply_key(struct amb_node *node, const cbor_item_t *value);
 
-/* The store behaves as only after the upgrade; `evidence` goes to the log. */
+/* Call this when the store behaves in a way that it does only after the upgrade. `evidence` is for the log.
+ */
 void amb_format_complete_upgrade(struct amb_node *node, const char *evidence);
 
-/* The leader's: writes the key as soon as every node supports the latest format. */
+/* On the leader: writes the key once every node supports the latest format. */
 void amb_format_tick(struct amb_node *node, amb_ms now);
 
 #endif
--- a/lib/election/election.c
+++ b/lib/election/election.c
@@ -1,4 +1,4 @@
-/* Wires the election's state machine to the key-value store, the timer and the events of the node. */
+/* Connects the election's state machine to the key-value store, the timer and the node's events. */
 #include "amberpin/election/election.h"
 
 #include "amberpin/base/log.h"
@@ -12,13 +12,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of the time that a cancellation leaves after an agent's lease, what a leader without contact may use. */
+/* A leader without contact is fenced after this share of the difference between cancel_s and the agent lease.
+ */
 static const double FENCE_SHARE = 0.95;
 
 enum {
-    TICKS_PER_LEASE = 20,   /* how often the lease is looked at */
-    CALLS_PER_LEASE = 3,    /* a call is given up in time for two more */
-    MIN_LEASE_TTL_MS = 100, /* what the store allows */
+    TICKS_PER_LEASE = 20,   /* ticks per time to live of the lease */
+    CALLS_PER_LEASE = 3,    /* a call times out early enough for two more */
+    MIN_LEASE_TTL_MS = 100, /* the store's limits for a lease */
     MAX_LEASE_TTL_MS = 600000,
 };
 
@@ -40,14 +41,14 @@
     election->yield_duration = (amb_ms)(node->settings.agent_lease_s * 1000);
 }
 
-/* One renewal without an answer must not cost the leadership: with calls given up after a heartbeat period of
- * 4 s it would have cost a lease of 3 s. */
+/* A single unanswered renewal must not end the leadership. A timeout of one heartbeat period is too long for
+ * that: with a period of 4 s it would outlast a lease of 3 s. */
 amb_ms amb_election_call_timeout(const struct amb_node *node) {
     amb_ms heartbeat_period = amb_seconds_to_ms(node->settings.heartbeat_s);
     return amb_earlier(node->election.ttl / CALLS_PER_LEASE, heartbeat_period);
 }
 
-/* ---- steps of the state machine ---- */
+/* ---- state machine ---- */
 
 static void perform_action(struct amb_node *node, const struct amb_election_action *action,
                            const char *cause);
@@ -60,7 +61,7 @@
     AMB_TRACE3(election_role, before, election->role, term);
 }
 
-/* input.now 0: now. */
+/* Applies the event and carries out the resulting actions. If input.now is 0, the current time is used. */
 static void step_election(struct amb_node *node, struct amb_election_input input) {
     struct amb_election_output output;
     enum amb_election_role before = node->election.role;
@@ -72,8 +73,8 @@
 
 /* ---- calls to the store ---- */
 
-/* A call under way. Its answer comes back with what it was for: the node may have given that up, and begun
- * anew, since. */
+/* A call in flight. It keeps the ids of the claim and the lease that it was made for, since the node may have
+ * abandoned that claim and begun another before the answer arrives. */
 struct pending_call {
     struct amb_node *node;
     uint64_t claim_id, lease_id, nonce;
@@ -87,7 +88,7 @@
     return call;
 }
 
-/* Frees the call, and returns whose it was. */
+/* Fills the input with the event and the call's ids, frees the call and returns its node. */
 static struct amb_node *pending_call_take(struct pending_call *call, enum amb_election_event event,
                                           struct amb_election_input *input) {
     struct amb_node *node = call->node;
@@ -97,7 +98,7 @@
     return node;
 }
 
-/* Without a value: there is no such key. */
+/* value NULL: the key does not exist. */
 static struct amb_leader_key decode_leader_key(const cbor_item_t *value, uint64_t revision) {
     struct amb_leader_record record;
     struct amb_leader_key key = {.present = value != NULL, .revision = revision};
@@ -143,7 +144,7 @@
 
 static void grant_lease(struct amb_node *node, const struct amb_election_action *action) {
     struct pending_call *call = pending_call_new(node, action);
-    call->nonce = amb_nonce(); /* distinguishes the key of this claim from all others */
+    call->nonce = amb_nonce(); /* distinguishes this claim's key from that of any other claim */
     amb_store_grant_lease(&node->store, node->election.ttl, on_lease_granted, call);
 }
 
@@ -187,11 +188,11 @@
     }
 }
 
-/* ---- events from outside ---- */
+/* ---- events from other modules ---- */
 
 void amb_election_observe_term(struct amb_node *node, uint64_t term, const char *source) {
     if (amb_election_has_leader_role(node) && term > node->election.term)
-        amb_info("election: %s shows term %llu", source, (unsigned long long)term);
+        amb_info("election: %s reports higher term %llu", source, (unsigned long long)term);
     step_election(node, (struct amb_election_input){.event = AMB_ELECTION_TERM_SEEN, .term = term});
 }
 
@@ -199,7 +200,8 @@
     struct amb_election_input input = {.event = AMB_ELECTION_KEY_CHANGED,
                                        .key = decode_leader_key(value, revision)};
     if (revision != node->election.holder_revision)
-        amb_debug("election: leader key names '%s' at %llu", input.key.member, (unsigned long long)revision);
+        amb_debug("election: leader key held by '%s' at revision %llu", input.key.member,
+                  (unsigned long long)revision);
     step_election(node, input);
 }
 
@@ -212,10 +214,10 @@
 static void on_election_timer(void *arg) {
     struct amb_node *node = arg;
     amb_ms now = amb_now(), due = node->election_timer.at;
-    bool renewed_before = node->election.renewal_pending;
+    bool was_renewal_pending = node->election.renewal_pending;
     amb_timer_set_after(&node->election_timer, node->election.ttl / TICKS_PER_LEASE, on_election_timer, node);
     amb_election_tick(node, now);
-    if (!renewed_before && node->election.renewal_pending) /* bench/waits.c reads this line */
+    if (!was_renewal_pending && node->election.renewal_pending) /* bench/waits.c parses this line */
         amb_debug("election: lease renewal sent %lld ms after it was due", (long long)(amb_now() - due));
 }
 
--- a/lib/election/format_version.c
+++ b/lib/election/format_version.c
@@ -17,7 +17,8 @@
 }
 
 bool amb_format_has_older_peer(const struct amb_node *node) {
-    /* No node comes back old once the key is written: an older format is in a message that came late. */
+    /* Once the key is written, no node restarts with an older version. An older format announced since then
+     * comes from a delayed message. */
     if (amb_format_active(node) == AMB_FORMAT_LATEST) return false;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         enum amb_format peer_format = node->peers.list[i].format;
@@ -28,26 +29,29 @@
 
 void amb_format_update_peer(struct amb_peer *peer, enum amb_format format) {
     enum amb_format announced = format ? format : AMB_FORMAT_1;
-    if (announced != peer->format) amb_info("peer %s: speaks format %d", peer->member, (int)announced);
+    if (announced != peer->format)
+        amb_info("peer %s: announces format version %d", peer->member, (int)announced);
     peer->format = announced;
 }
 
 void amb_format_apply_key(struct amb_node *node, const cbor_item_t *value) {
     uint64_t recorded;
-    if (!amb_format_record_decode(value, &recorded)) return; /* never removed: it is written for good */
-    if (recorded > AMB_FORMAT_LATEST) recorded = AMB_FORMAT_LATEST; /* a later version was rolled back */
+    if (!amb_format_record_decode(value, &recorded)) return; /* the key is never removed */
+    if (recorded > AMB_FORMAT_LATEST)
+        recorded = AMB_FORMAT_LATEST; /* written by a later version that was rolled back */
     if (recorded <= node->formats.recorded) return;
     node->formats.recorded = (enum amb_format)recorded;
-    amb_info("format %d is in use", (int)amb_format_active(node));
+    amb_info("format version %d is active", (int)amb_format_active(node));
 }
 
 void amb_format_complete_upgrade(struct amb_node *node, const char *evidence) {
-    if (!node->formats.upgrade_complete) amb_info("the upgrade is over: %s", evidence);
+    if (!node->formats.upgrade_complete) amb_info("format version: upgrade complete: %s", evidence);
     node->formats.upgrade_complete = true;
 }
 
-/* Each peer's last message counts, however old: a process that was new comes back new. A peer that was never
- * heard of may be old, and may become leader on a side of the network that this node does not reach. */
+/* Each peer's last message counts, however old it is, because a peer that ran the latest version restarts
+ * with the latest version. A peer that was never heard from may run an older version, and may become leader
+ * in a part of the network that this node does not reach. */
 static bool all_peers_support_latest(const struct amb_node *node) {
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (node->peers.list[i].format < AMB_FORMAT_LATEST) return false;
@@ -58,10 +62,10 @@
     struct amb_node *node = arg;
     (void)body;
     node->formats.write_pending = false;
-    /* Without an answer the watch tells whether it was written; until then nothing relies on it. */
+    /* If there is no answer, the watch shows whether the key was written; nothing relies on it until then. */
     if (amb_store_call_result(status) == AMB_CALL_OK) {
         node->formats.recorded = AMB_FORMAT_LATEST;
-        amb_info("format %d is in use: written by this node", (int)AMB_FORMAT_LATEST);
+        amb_info("format version %d is active: recorded by this node", (int)AMB_FORMAT_LATEST);
     }
     node->formats.retry_at = amb_now() + node->store.call_timeout;
 }
--- a/lib/election/leadership.c
+++ b/lib/election/leadership.c
@@ -1,4 +1,4 @@
-/* What the other modules ask about leadership. */
+/* Queries about leadership for other modules. */
 #include "amberpin/election/election.h"
 
 #include "amberpin/node/node.h"
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-/* Sending an agent to a node that is gone costs it seconds of its lease: one that was not heard of for so
- * many heartbeat periods is not named. */
+/* Redirecting an agent to a node that is down costs it seconds of its lease, so a leader that was not heard
+ * from for this many heartbeat periods is not named. */
 static const double LEADER_HEARD_WITHIN_HEARTBEATS = 2.5;
 
 bool amb_election_has_leader_role(const struct amb_node *node) {
@@ -37,7 +37,7 @@
     return false;
 }
 
-/* The member that the leader key names, or a peer that leads under a higher term; NULL: none. */
+/* The member named by the leader key, or a peer that leads under a higher term; NULL: none. */
 static const char *latest_known_leader(const struct amb_node *node) {
     const struct amb_election *election = &node->election;
     const char *leader = election->holder[0] ? election->holder : NULL;
--- a/lib/election/lease_proxy.c
+++ b/lib/election/lease_proxy.c
@@ -23,7 +23,7 @@
 static void set_state(struct amb_node *node, enum amb_lease_proxy_state new_state, const char *cause) {
     struct amb_lease_proxy *proxy = &node->lease_proxy;
     if (proxy->state == new_state) return;
-    amb_info("deputy: %s -> %s for term %llu: %s", state_name(proxy->state), state_name(new_state),
+    amb_info("lease proxy: %s -> %s for term %llu: %s", state_name(proxy->state), state_name(new_state),
              (unsigned long long)proxy->term, cause);
     proxy->state = new_state;
 }
@@ -45,9 +45,9 @@
     (void)body;
     if (node->lease_proxy.state != AMB_LEASE_PROXY_ACQUIRING) return;
     if (amb_store_call_result(status) == AMB_CALL_OK)
-        set_state(node, AMB_LEASE_PROXY_ACTIVE, "the leader can't be reached from here");
+        set_state(node, AMB_LEASE_PROXY_ACTIVE, "leader is unreachable, proxy key written");
     else
-        stop(node, "the key could not be written");
+        stop(node, "proxy key could not be written");
 }
 
 static void write_key(struct amb_node *node) {
@@ -70,7 +70,7 @@
     if (amb_store_lease_result(status, body, &proxy->lease_id) == AMB_CALL_OK)
         write_key(node);
     else
-        stop(node, "no lease to be had");
+        stop(node, "state service granted no lease");
 }
 
 static void on_lease_renewed(void *arg, int status, const cbor_item_t *body) {
@@ -83,10 +83,10 @@
     if (result == AMB_CALL_OK)
         proxy->renewed_at = proxy->renewal_sent_at;
     else if (result == AMB_CALL_NOT_FOUND)
-        stop(node, "its lease has run out");
+        stop(node, "proxy lease expired");
 }
 
-/* ---- when to start and stop ---- */
+/* ---- starting and stopping ---- */
 
 static bool another_node_leads(const struct amb_node *node) {
     const struct amb_election *election = &node->election;
@@ -102,16 +102,17 @@
     for (uint32_t i = 0; i < node->peers.count; i++)
         if (!strcmp(node->peers.list[i].member, node->election.holder))
             return now - node->peers.list[i].last_heard_at < within;
-    return true; /* no peer that we know of: there is nobody to act for */
+    return true; /* the leader is not a known peer: do not act for it */
 }
 
 static amb_ms heartbeat_period(const struct amb_node *node) {
     return amb_seconds_to_ms(node->settings.heartbeat_s);
 }
 
-/* How long the leader must be silent. The key outlives a leader that has died by its lease, and peers'
- * messages come twice a heartbeat period: longer than either. But agents look for another node after five
- * seconds, and have a lease to lose. */
+/* How long the leader must be silent before this node becomes its proxy. The period is not shorter than the
+ * leader's lease, for which the leader key outlives a leader that has died, nor than three peer messages,
+ * which are sent twice per heartbeat period. It is not longer either, because agents look for another node
+ * after 5 s and have a lease to lose. */
 static amb_ms leader_silence(const struct amb_node *node) {
     amb_ms three_messages = heartbeat_period(node) * 3 / 2;
     return node->election.ttl > three_messages ? node->election.ttl : three_messages;
@@ -128,17 +129,17 @@
     proxy->term = node->election.holder_revision;
     proxy->renewed_at = proxy->renewal_sent_at = now;
     proxy->renewal_pending = false;
-    set_state(node, AMB_LEASE_PROXY_ACQUIRING, "no word from the leader, which still holds its lease");
+    set_state(node, AMB_LEASE_PROXY_ACQUIRING, "no heartbeat from the leader, which still holds its lease");
     amb_store_grant_lease(&node->store, node->election.ttl, on_lease_granted, node);
 }
 
-/* Why it must stop; NULL: it need not. */
+/* Why this node must stop being a proxy; NULL: it need not. */
 static const char *reason_to_stop(const struct amb_node *node, amb_ms now) {
     if (!another_node_leads(node) || node->election.holder_revision != node->lease_proxy.term)
-        return "the lead has changed";
-    if (was_leader_heard(node, now, heartbeat_period(node))) return "the leader can be reached again";
+        return "leadership has changed";
+    if (was_leader_heard(node, now, heartbeat_period(node))) return "leader is reachable again";
     if (!has_valid_lease(node, now) || !watch_is_current(node, now))
-        return "its lease can't be renewed in time";
+        return "proxy lease not renewed in time, or watch not current";
     return NULL;
 }
 
--- a/lib/election/peer_confirmation.c
+++ b/lib/election/peer_confirmation.c
@@ -31,8 +31,8 @@
     return oldest;
 }
 
-/* A node that knows this term and does not lead answers no agent under an older one, nor can it ever again:
- * it would have to be elected, under a newer one. */
+/* A node that knows this term and does not lead never again answers an agent under an older term: to lead it
+ * would have to be elected, which gives it a newer term. */
 amb_ms amb_election_peers_fenced_at(const struct amb_node *node) {
     amb_ms fenced_at = node->controller.leader_since;
     for (uint32_t i = 0; i < node->peers.count; i++) {
@@ -43,7 +43,7 @@
     return fenced_at;
 }
 
-bool amb_election_has_better_placed_peer(const struct amb_node *node, amb_ms now) {
+bool amb_election_has_better_connected_peer(const struct amb_node *node, amb_ms now) {
     bool any_heard = false;
     for (uint32_t i = 0; i < node->peers.count; i++) {
         const struct amb_peer *peer = &node->peers.list[i];
--- a/lib/election/proxy_registry.c
+++ b/lib/election/proxy_registry.c
@@ -1,5 +1,5 @@
-/* Which other nodes are lease proxies, by their keys in the key-value store, and when each zone last had one:
- * until then an agent there may have been answered, and have kept its tasks. */
+/* Tracks which other nodes are lease proxies, by their keys in the key-value store, and when each zone last
+ * had one. Until that time an agent of the zone may have been answered and may have kept its tasks. */
 #include "proxy_registry.h"
 
 #include "amberpin/base/log.h"
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/* What is known of the proxy counts until this moment. */
+/* If the proxy's key exists, its zone has been covered until `now`. */
 static void mark_covered(struct amb_lease_proxy *proxy, const struct amb_known_proxy *known, amb_ms now) {
     if (known->present && known->zone >= 0) proxy->zone_covered_at[known->zone] = now;
 }
@@ -32,7 +32,7 @@
     return NULL;
 }
 
-/* NULL: there is no room, or the name is too long for a member's. */
+/* Returns NULL if the table is full or the name is too long for a member. */
 static struct amb_known_proxy *add(struct amb_lease_proxy *proxy, const char *member) {
     if (proxy->known_count == AMB_PEERS_MAX + 1 || strlen(member) >= AMB_NAME_SIZE) return NULL;
     struct amb_known_proxy *known = &proxy->known[proxy->known_count++];
@@ -55,7 +55,7 @@
     known->present = value != NULL;
     if (value) known->zone = amb_catalog_find_or_add_zone(&node->catalog, zone);
     mark_covered(proxy, known, amb_now());
-    amb_info("deputy: %s %s for zone %s", member, value ? "stands in" : "has stopped", zone);
+    amb_info("lease proxy: %s %s for zone %s", member, value ? "is active" : "has stopped", zone);
 }
 
 bool amb_lease_proxy_is_active_in_zone(const struct amb_node *node, int zone) {
--- a/lib/election/proxy_registry.h
+++ b/lib/election/proxy_registry.h
@@ -1,10 +1,10 @@
-/* What the lease proxy shares with the registry of the other nodes' proxies. */
+/* The registry of lease proxies on other nodes, as lease_proxy.c uses it. */
 #ifndef AMBERPIN_PROXY_REGISTRY_H
 #define AMBERPIN_PROXY_REGISTRY_H
 
 #include "amberpin/election/lease_proxy.h"
 
-/* Time has passed: a proxy whose key stands counts until now. */
+/* Extends the covered time of every zone that has a proxy key to `now`. */
 void proxy_registry_refresh(struct amb_lease_proxy *proxy, amb_ms now);
 
 #endif
--- a/lib/election/state_machine.c
+++ b/lib/election/state_machine.c
@@ -3,10 +3,12 @@
 #include <string.h>
 
 enum {
-    ATTEMPTS_PER_LEASE = 4,       /* renewals and claims */
-    RENEWAL_OVERDUE_PERCENT = 35, /* of a lease, after which the next renewal should have been answered */
-    LEASE_MARGIN_DIVISOR = 10,    /* a tenth of a lease is kept for clock drift and for work under way */
-    VERIFY_FOR_LEASES = 2,        /* how long a claim without an answer is read back */
+    ATTEMPTS_PER_LEASE = 4, /* renewals, and claims, per time to live of the lease */
+    /* Percentage of the time to live after which the renewal that follows a successful one should have been
+     * answered too. */
+    RENEWAL_OVERDUE_PERCENT = 35,
+    LEASE_MARGIN_DIVISOR = 10, /* a tenth of the lease is reserved for clock drift and work in progress */
+    VERIFY_FOR_LEASES = 2,     /* lease periods for which an unanswered claim is read back */
 };
 
 const char *amb_election_role_name(enum amb_election_role role) {
@@ -73,17 +75,18 @@
 }
 
 static void begin_claim_verification(struct amb_election *election, struct amb_election_output *output) {
-    change_role(election, output, AMB_ROLE_VERIFYING_CLAIM, "the claim got no answer");
+    change_role(election, output, AMB_ROLE_VERIFYING_CLAIM, "no answer to the claim of the leader key");
     add_action(output,
                (struct amb_election_action){.type = AMB_ELECTION_READ_KEY, .claim_id = election->claim_id});
 }
 
 static void begin_leadership(struct amb_election *election, struct amb_election_output *output,
                              uint64_t revision) {
-    /* The answer may come late, when another node leads or the key is gone. A node that has told others that
-     * it knows of a newer term must not answer agents under an older one (amb_election_peers_fenced_at). */
+    /* The answer may arrive after another node has become leader or the key has been removed. A node that has
+     * told its peers that it knows a newer term must not answer agents under an older one
+     * (amb_election_peers_fenced_at). */
     if (revision < election->highest_term || revision < election->holder_revision) {
-        become_follower(election, output, "the claim is older than what is known of the lead");
+        become_follower(election, output, "claim is stale: a newer term or leader key revision is known");
         return;
     }
     election->term = election->highest_term = revision;
@@ -92,24 +95,26 @@
     election->holder_nonce = election->nonce;
     election->renewed_at = election->renewal_sent_at = election->claimed_at;
     election->renewal_pending = false;
-    change_role(election, output, AMB_ROLE_LEADER, "the leader key is ours");
+    change_role(election, output, AMB_ROLE_LEADER, "leader key acquired");
     add_action(output, (struct amb_election_action){.type = AMB_ELECTION_LEADERSHIP_WON});
 }
 
-/* Other nodes are better placed: they get the time of a lease to become leader first. */
+/* Gives up leadership to nodes with better connectivity. They get one lease period to become leader before
+ * this node claims again. */
 static void yield_leadership(struct amb_election *election, struct amb_election_output *output, amb_ms now) {
     election->yield_until = now + election->yield_duration;
     election->vacant_since = now;
     election->holder[0] = 0;
-    become_follower(election, output, "no worker reaches this node");
+    become_follower(election, output, "no worker reaches this node, leadership yielded");
 }
 
-/* After this moment a leader answers no agent. Another node may have promised that a cancelled task is gone
- * within cancel_s, and an agent keeps a task for its lease after the last answer. So a leader that neither
- * the store nor every peer answers (which would tell it of the cancellation, or of another leader) stops in
- * time for that promise. Not much sooner: in a network cut of 30 s, all tasks that depend on this node's
- * answers are saved or lost in the last seconds (docs/safety.md has the sum). Reads of changes count only as
- * long as renewals succeed too. */
+/* The time after which a leader no longer answers agents. Another node may have promised a user that a
+ * cancelled task has stopped within cancel_s, and an agent keeps a task running for one agent lease after the
+ * last answer. The store, and likewise all peers together, would tell this leader of the cancellation or of
+ * another leader. A leader that hears from neither must stop early enough to keep the promise. It must not
+ * stop much earlier: in a network partition of 30 s, the last seconds decide whether the tasks that depend on
+ * this node's answers survive (docs/safety.md has the calculation). Watch reads count only while lease
+ * renewals succeed too. */
 static amb_ms fencing_deadline(const struct amb_election *election,
                                const struct amb_election_evidence *evidence) {
     amb_ms store_contact_at = amb_earlier(election->renewed_at, evidence->watch_sent_at);
@@ -123,15 +128,16 @@
            now <= fencing_deadline(election, evidence);
 }
 
-/* Of a node that has the leader role: leader, unsure or fenced. */
+/* Sets the role of a node that has the leader role to leader, unsure or fenced. */
 static void update_role(struct amb_election *election, struct amb_election_output *output, amb_ms now,
                         const struct amb_election_evidence *evidence) {
     if (now > fencing_deadline(election, evidence))
-        change_role(election, output, AMB_ROLE_FENCED, "neither news nor the peers' word that we still lead");
+        change_role(election, output, AMB_ROLE_FENCED,
+                    "no recent contact with the state service and no recent confirmation by all peers");
     else if (now >= election->renewed_at + amb_election_safe_lease(election->ttl))
-        change_role(election, output, AMB_ROLE_UNSURE, "the lease could not be renewed in time");
+        change_role(election, output, AMB_ROLE_UNSURE, "leadership lease was not renewed in time");
     else
-        change_role(election, output, AMB_ROLE_LEADER, "the lease is renewed");
+        change_role(election, output, AMB_ROLE_LEADER, "leadership lease renewed");
 }
 
 /* ---- events ---- */
@@ -140,7 +146,7 @@
                              struct amb_election_output *output) {
     if (election->role != AMB_ROLE_CANDIDATE || input->claim_id != election->claim_id) return;
     if (input->result != AMB_CALL_OK) {
-        become_follower(election, output, "no lease to be had");
+        become_follower(election, output, "state service granted no lease");
         return;
     }
     election->lease_id = input->lease_id;
@@ -158,8 +164,10 @@
     switch (input->result) {
     case AMB_CALL_OK: begin_leadership(election, output, input->revision); break;
     case AMB_CALL_NO_ANSWER: begin_claim_verification(election, output); break;
-    case AMB_CALL_CONFLICT: become_follower(election, output, "somebody else was first"); break;
-    default: become_follower(election, output, "the claim was refused");
+    case AMB_CALL_CONFLICT:
+        become_follower(election, output, "leader key changed before the claim was committed");
+        break;
+    default: become_follower(election, output, "state service refused the claim");
     }
 }
 
@@ -169,15 +177,16 @@
     if (input->result == AMB_CALL_OK && input->key.present && input->key.nonce == election->nonce)
         begin_leadership(election, output, input->key.revision);
     else if (input->result == AMB_CALL_OK || input->result == AMB_CALL_NOT_FOUND)
-        /* A late claim can't be applied any more once its lease is revoked. */
-        become_follower(election, output, "the claim was not carried out");
+        /* Once its lease is revoked, a delayed claim cannot be committed any more. */
+        become_follower(election, output, "claim was not committed");
     else if (input->now - election->claimed_at > election->ttl)
-        become_follower(election, output, "the claim can't be checked in time");
+        become_follower(election, output,
+                        "leader key could not be read back while the claim's lease was valid");
 }
 
 static void on_lease_renewed(struct amb_election *election, const struct amb_election_input *input,
                              struct amb_election_output *output) {
-    /* The answer may be to a renewal of an earlier leadership, whose lease was another. */
+    /* The answer may belong to a renewal from an earlier term, which was on another lease. */
     if (!election->renewal_pending || input->lease_id != election->lease_id) return;
     election->renewal_pending = false;
     if (!has_leader_role(election)) return;
@@ -185,7 +194,7 @@
         election->renewed_at = election->renewal_sent_at;
         update_role(election, output, input->now, &input->evidence);
     } else if (input->result == AMB_CALL_NOT_FOUND) {
-        become_follower(election, output, "the lease has run out");
+        become_follower(election, output, "leadership lease expired");
     }
 }
 
@@ -203,13 +212,13 @@
     if (has_leader_role(election) && key->revision > election->term &&
         (!key->present || key->nonce != election->nonce))
         become_follower(election, output,
-                        key->present ? "the leader key names another" : "the leader key is gone");
+                        key->present ? "another claim holds the leader key" : "leader key was removed");
 }
 
 static void on_term_seen(struct amb_election *election, uint64_t term, struct amb_election_output *output) {
     if (term > election->highest_term) election->highest_term = term;
     if (has_leader_role(election) && term > election->term)
-        become_follower(election, output, "a higher term is known");
+        become_follower(election, output, "a higher term was seen");
 }
 
 static void tick_follower(struct amb_election *election, amb_ms now, struct amb_election_output *output) {
@@ -217,18 +226,18 @@
     bool claimed_lately = now - election->claimed_at <= election->ttl / ATTEMPTS_PER_LEASE;
     if (!election->key_known || claimed_lately || is_yielding) return;
     if (!election->holder[0])
-        begin_claim(election, output, now, 0, "nobody leads");
+        begin_claim(election, output, now, 0, "there is no leader");
     else if (!strcmp(election->holder, election->member) &&
              election->holder_revision >= election->highest_term)
-        /* Not when a higher term is known: then it is what we know of the key that is old, as on a node that
-         * the store alone refuses, which would claim in vain four times a lease. */
+        /* If a higher term is known, this node's view of the key is outdated, for example because the store
+         * refuses only this node. It would then claim in vain four times per lease period. */
         begin_claim(election, output, now, election->holder_revision,
-                    "the key names this node's former self");
+                    "leader key was written by an earlier process of this node");
 }
 
 static void tick_leader(struct amb_election *election, const struct amb_election_input *input,
                         struct amb_election_output *output) {
-    /* Only while the lease is valid: in an outage no other node could be elected. */
+    /* Yields only while the lease is valid: during an outage of the store no other node could be elected. */
     if (election->role == AMB_ROLE_LEADER && input->evidence.unreachable) {
         yield_leadership(election, output, input->now);
         return;
@@ -251,11 +260,13 @@
     case AMB_ROLE_STARTING: break;
     case AMB_ROLE_FOLLOWER: tick_follower(election, input->now, output); break;
     case AMB_ROLE_CANDIDATE:
-        if (claim_age > election->ttl) become_follower(election, output, "the claim took too long");
+        if (claim_age > election->ttl)
+            become_follower(election, output, "no answer to the claim within a lease period");
         break;
     case AMB_ROLE_VERIFYING_CLAIM:
         if (claim_age > VERIFY_FOR_LEASES * election->ttl)
-            become_follower(election, output, "the claim can't be checked");
+            become_follower(election, output,
+                            "leader key could not be read back: claim verification timed out");
         break;
     default: tick_leader(election, input, output);
     }
@@ -267,7 +278,7 @@
     switch (input->event) {
     case AMB_ELECTION_STORE_READ:
         if (election->role == AMB_ROLE_STARTING)
-            change_role(election, output, AMB_ROLE_FOLLOWER, "the state service has been read");
+            change_role(election, output, AMB_ROLE_FOLLOWER, "initial read of the state service completed");
         break;
     case AMB_ELECTION_LEASE_GRANTED: on_lease_granted(election, input, output); break;
     case AMB_ELECTION_CLAIM_ANSWERED: on_claim_answered(election, input, output); break;
--- a/tests/election/test_election.c
+++ b/tests/election/test_election.c
@@ -1,53 +1,55 @@
-/* The election core, by tables: what happens when, and what the node then is and does. There is a row for
- * every sentence of "Leadership" in docs/safety.md that speaks of the node itself. */
+/* Table-driven tests of the election's state machine: each row is a sequence of events with the role and the
+ * actions expected after each. Every sentence of "Leadership" in docs/safety.md that concerns the node itself
+ * has a row. */
 #include "amberpin/election/state_machine.h"
 #include "check.h"
 
 enum {
     TTL = 3000,
-    SURE = TTL - TTL / 10, /* after a renewal was sent */
-    FENCE = 19000,         /* after the last news or word of the peers */
-    SHUN = 10000,
-    START = 100000, /* when the leader of the rows sent its claim, and had its news */
-    LEASE = 7,      /* which its key hangs on */
+    SAFE_LEASE = TTL - TTL / 10, /* validity of a lease after its renewal was sent */
+    FENCE = 19000,               /* after the last contact with the store or the peers */
+    YIELD = 10000,
+    START = 100000, /* when a LEADER row's claim was sent and its last contact was made */
+    LEASE = 7,      /* that the leader key is attached to */
     TERM = 50,
-    NONCE = 900, /* of its claim, its first */
-    OURS = 1,
+    NONCE = 900, /* of a claim: this plus the claim id */
+    FIRST_CLAIM = 1,
 };
 
 /* ---- steps ---- */
 
 struct step {
-    struct amb_election_input in;
+    struct amb_election_input input;
     enum amb_election_role role; /* afterwards */
     const char *actions;         /* as text; NULL: none */
 };
 
 #define EVENT(what, at) .event = AMB_ELECTION_##what, .now = START + (at)
-#define EVIDENCE(news, peers)                                                                                \
-    .evidence = {.watch_sent_at = START + (news), .peers_queried_at = START + (peers)}
-/* Time passes; when the questions were sent that news and peers have answered, and whether no worker comes.
- */
-#define TICK(at, news, peers) .in = {EVENT(TICK, at), EVIDENCE(news, peers)}
+#define EVIDENCE(watch, peers)                                                                               \
+    .evidence = {.watch_sent_at = START + (watch), .peers_queried_at = START + (peers)}
+/* A tick at `at`; `watch` and `peers`: when the last answered watch read and peer requests were sent. All
+ * times are relative to START. */
+#define TICK(at, watch, peers) .input = {EVENT(TICK, at), EVIDENCE(watch, peers)}
 #define TICK_UNREACHABLE(at)                                                                                 \
-    .in = {                                                                                                  \
+    .input = {                                                                                               \
         EVENT(TICK, at),                                                                                     \
         .evidence = {.watch_sent_at = START + (at), .peers_queried_at = START + (at), .unreachable = true}}
-#define STORE_READ(at) .in = {EVENT(STORE_READ, at)}
+#define STORE_READ(at) .input = {EVENT(STORE_READ, at)}
 #define GRANTED(at, which, id)                                                                               \
-    .in = {EVENT(LEASE_GRANTED, at), .claim_id = which, .lease_id = id, .nonce = NONCE + which}
-#define NOT_GRANTED(at, which) .in = {EVENT(LEASE_GRANTED, at), .claim_id = which, .result = AMB_CALL_REFUSED}
+    .input = {EVENT(LEASE_GRANTED, at), .claim_id = which, .lease_id = id, .nonce = NONCE + which}
+#define NOT_GRANTED(at, which)                                                                               \
+    .input = {EVENT(LEASE_GRANTED, at), .claim_id = which, .result = AMB_CALL_REFUSED}
 #define CLAIMED(at, which, how, under)                                                                       \
-    .in = {EVENT(CLAIM_ANSWERED, at), .claim_id = which, .result = AMB_CALL_##how, .revision = under}
+    .input = {EVENT(CLAIM_ANSWERED, at), .claim_id = which, .result = AMB_CALL_##how, .revision = under}
 #define READ(at, which, how, by, under)                                                                      \
-    .in = {EVENT(KEY_READ, at), .claim_id = which, .result = AMB_CALL_##how,                                 \
-           .key = {.present = true, .member = "n-0", .nonce = by, .revision = under}}
-#define RENEWED(at, id, how, news, peers)                                                                    \
-    .in = {EVENT(LEASE_RENEWED, at), .lease_id = id, .result = AMB_CALL_##how, EVIDENCE(news, peers)}
+    .input = {EVENT(KEY_READ, at), .claim_id = which, .result = AMB_CALL_##how,                              \
+              .key = {.present = true, .member = "n-0", .nonce = by, .revision = under}}
+#define RENEWED(at, id, how, watch, peers)                                                                   \
+    .input = {EVENT(LEASE_RENEWED, at), .lease_id = id, .result = AMB_CALL_##how, EVIDENCE(watch, peers)}
 #define KEY(who, by, under)                                                                                  \
-    .in = {EVENT(KEY_CHANGED, 0), .key = {.present = true, .member = who, .nonce = by, .revision = under}}
-#define KEY_GONE(under) .in = {EVENT(KEY_CHANGED, 0), .key = {.revision = under}}
-#define TERM_SEEN(which) .in = {EVENT(TERM_SEEN, 0), .term = which}
+    .input = {EVENT(KEY_CHANGED, 0), .key = {.present = true, .member = who, .nonce = by, .revision = under}}
+#define KEY_GONE(under) .input = {EVENT(KEY_CHANGED, 0), .key = {.revision = under}}
+#define TERM_SEEN(which) .input = {EVENT(TERM_SEEN, 0), .term = which}
 
 enum start { NEW, FOLLOWER, LEADER };
 
@@ -59,9 +61,9 @@
     struct step steps[STEPS];
 };
 
-static struct amb_election begin(enum start start) {
+static struct amb_election make_election(enum start start) {
     struct amb_election election = {
-        .member = "n-0", .ttl = TTL, .fence_after = FENCE, .yield_duration = SHUN};
+        .member = "n-0", .ttl = TTL, .fence_after = FENCE, .yield_duration = YIELD};
     if (start == NEW) return election;
     election.role = AMB_ROLE_FOLLOWER;
     election.key_known = true;
@@ -70,13 +72,13 @@
     election.term = election.highest_term = election.holder_revision = TERM;
     strcpy(election.holder, "n-0");
     election.lease_id = LEASE;
-    election.claim_id = OURS;
-    election.nonce = election.holder_nonce = NONCE + OURS;
+    election.claim_id = FIRST_CLAIM;
+    election.nonce = election.holder_nonce = NONCE + FIRST_CLAIM;
     election.claimed_at = election.renewed_at = election.renewal_sent_at = START;
     return election;
 }
 
-static const char *as_text(const struct amb_election_output *output, char *text, size_t cap) {
+static const char *format_actions(const struct amb_election_output *output, char *text, size_t cap) {
     size_t len = 0;
     text[0] = 0;
     for (uint32_t i = 0; i < output->action_count; i++) {
@@ -90,10 +92,10 @@
             break;
         case AMB_ELECTION_READ_KEY: len += (size_t)snprintf(text + len, cap - len, "read"); break;
         case AMB_ELECTION_RENEW_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "extend %d", (int)action->lease_id);
+            len += (size_t)snprintf(text + len, cap - len, "renew %d", (int)action->lease_id);
             break;
         case AMB_ELECTION_REVOKE_LEASE:
-            len += (size_t)snprintf(text + len, cap - len, "drop %d", (int)action->lease_id);
+            len += (size_t)snprintf(text + len, cap - len, "revoke %d", (int)action->lease_id);
             break;
         case AMB_ELECTION_LEADERSHIP_WON: len += (size_t)snprintf(text + len, cap - len, "won"); break;
         case AMB_ELECTION_LEADERSHIP_LOST: len += (size_t)snprintf(text + len, cap - len, "lost"); break;
@@ -102,15 +104,15 @@
     return text;
 }
 
-static void play(const struct row *row) {
-    struct amb_election election = begin(row->start);
-    for (size_t k = 0; k < STEPS && (k == 0 || row->steps[k].in.now); k++) {
+static void run_row(const struct row *row) {
+    struct amb_election election = make_election(row->start);
+    for (size_t k = 0; k < STEPS && (k == 0 || row->steps[k].input.now); k++) {
         const struct step *step = &row->steps[k];
         struct amb_election_output output;
         char text[128];
         enum amb_election_role before = election.role;
-        amb_election_step(&election, &step->in, &output);
-        as_text(&output, text, sizeof text);
+        amb_election_step(&election, &step->input, &output);
+        format_actions(&output, text, sizeof text);
         if (election.role != step->role || strcmp(text, step->actions ? step->actions : ""))
             fail_msg("%s, step %zu: role %d, wanted %d; actions '%s', wanted '%s'", row->what, k,
                      (int)election.role, (int)step->role, text, step->actions ? step->actions : "");
@@ -119,14 +121,14 @@
     }
 }
 
-static void play_all(const struct row *rows, size_t count) {
-    for (size_t i = 0; i < count; i++) play(&rows[i]);
+static void run_rows(const struct row *rows, size_t count) {
+    for (size_t i = 0; i < count; i++) run_row(&rows[i]);
 }
 
 #define STARTING AMB_ROLE_STARTING
 #define FOLLOWING AMB_ROLE_FOLLOWER
 #define CLAIMING AMB_ROLE_CANDIDATE
-#define CHECKING AMB_ROLE_VERIFYING_CLAIM
+#define VERIFYING AMB_ROLE_VERIFYING_CLAIM
 #define LEADING AMB_ROLE_LEADER
 #define UNSURE AMB_ROLE_UNSURE
 #define FENCED AMB_ROLE_FENCED
@@ -136,73 +138,73 @@
 static void claims(void **state) {
     (void)state;
     static const struct row rows[] = {
-        {"no claim before the state service has been read",
+        {"no claim before the initial read of the state service",
          NEW,
          {{TICK(0, 0, 0), STARTING, NULL},
           {STORE_READ(1), FOLLOWING, NULL},
           {TICK(2, 0, 0), FOLLOWING, NULL},
           {KEY_GONE(5), FOLLOWING, NULL},
           {TICK(3, 0, 0), CLAIMING, "grant"}}},
-        {"a claim is a lease, then the key on it, while nobody holds it",
+        {"without a leader: requests a lease, then writes the key on it",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"},
           {CLAIMED(9, 1, OK, TERM), LEADING, "won"}}},
-        {"none while another leads",
+        {"no claim while another node leads",
          FOLLOWER,
          {{KEY("n-1", 3, 10), FOLLOWING, NULL}, {TICK(9000, 0, 0), FOLLOWING, NULL}}},
-        {"when its key goes, at once",
+        {"claims at once when the leader key is removed",
          FOLLOWER,
          {{KEY("n-1", 3, 10), FOLLOWING, NULL},
           {TICK(9000, 0, 0), FOLLOWING, NULL},
           {KEY_GONE(11), FOLLOWING, NULL},
           {TICK(9150, 0, 0), CLAIMING, "grant"}}},
-        {"the key names our former self, which is dead: replaced at once",
+        {"key of an earlier process of this node is replaced at once",
          FOLLOWER,
          {{KEY("n-0", 3, 10), FOLLOWING, NULL},
           {TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 10"}}},
-        {"but not when a higher term is known: then our news of the key are old",
+        {"no replacement if a higher term is known: the known key is outdated",
          FOLLOWER,
          {{KEY("n-0", 3, 10), FOLLOWING, NULL},
           {TERM_SEEN(11), FOLLOWING, NULL},
           {TICK(0, 0, 0), FOLLOWING, NULL}}},
-        {"no lease to be had: tried again after a quarter of a lease",
+        {"no lease granted: retried after a quarter of a lease",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {NOT_GRANTED(5, 1), FOLLOWING, NULL},
           {TICK(TTL / 4, 0, 0), FOLLOWING, NULL},
           {TICK(TTL / 4 + 1, 0, 0), CLAIMING, "grant"}}},
-        {"somebody else was first: the lease is dropped",
+        {"conflict with another claim: the lease is revoked",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"},
-          {CLAIMED(9, 1, CONFLICT, 0), FOLLOWING, "drop 7"}}},
-        {"a claim that takes longer than its lease is given up",
+          {CLAIMED(9, 1, CONFLICT, 0), FOLLOWING, "revoke 7"}}},
+        {"a claim that takes longer than its lease is abandoned",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"},
           {TICK(TTL, 0, 0), CLAIMING, NULL},
-          {TICK(TTL + 1, 0, 0), FOLLOWING, "drop 7"},
+          {TICK(TTL + 1, 0, 0), FOLLOWING, "revoke 7"},
           {CLAIMED(TTL + 2, 1, OK, TERM), FOLLOWING, NULL}}},
-        {"an answer that comes when a newer term is known is given up",
+        {"a claim answered after a newer term became known is abandoned",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"},
           {TERM_SEEN(TERM + 1), CLAIMING, NULL},
-          {CLAIMED(9, 1, OK, TERM), FOLLOWING, "drop 7"}}},
-        {"so is one that comes when the key is known to be gone again",
+          {CLAIMED(9, 1, OK, TERM), FOLLOWING, "revoke 7"}}},
+        {"a claim answered after its key was removed again is abandoned",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"},
           {KEY_GONE(TERM + 1), CLAIMING, NULL},
-          {CLAIMED(9, 1, OK, TERM), FOLLOWING, "drop 7"}}},
-        {"older news of the key change nothing",
+          {CLAIMED(9, 1, OK, TERM), FOLLOWING, "revoke 7"}}},
+        {"older states of the key are ignored",
          FOLLOWER,
          {{KEY("n-1", 3, 10), FOLLOWING, NULL},
           {KEY_GONE(9), FOLLOWING, NULL},
           {TICK(9000, 0, 0), FOLLOWING, NULL}}},
-        {"an answer to an earlier claim counts for nothing",
+        {"the answer to an earlier claim is ignored",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {TICK(TTL + 1, 0, 0), FOLLOWING, NULL},
@@ -213,201 +215,204 @@
           {CLAIMED(TTL + 6, 1, OK, TERM - 1), CLAIMING, NULL},
           {CLAIMED(TTL + 7, 2, OK, TERM), LEADING, "won"}}},
     };
-    play_all(rows, ROWS(rows));
+    run_rows(rows, ROWS(rows));
 }
 
-#define LOST_CLAIM                                                                                           \
+#define UNANSWERED_CLAIM                                                                                     \
     {TICK(0, 0, 0), CLAIMING, "grant"}, {GRANTED(5, 1, LEASE), CLAIMING, "commit on 7 over 0"}, {            \
-        CLAIMED(9, 1, NO_ANSWER, 0), CHECKING, "read"                                                        \
+        CLAIMED(9, 1, NO_ANSWER, 0), VERIFYING, "read"                                                       \
     }
 
-static void claims_without_an_answer(void **state) {
+static void unanswered_claims_are_verified(void **state) {
     (void)state;
     static const struct row rows[] = {
-        {"read back: carried out",
+        {"read back: committed",
          FOLLOWER,
-         {LOST_CLAIM, {READ(20, 1, OK, NONCE + 1, TERM), LEADING, "won"}}},
-        {"another's nonce: it was not",
+         {UNANSWERED_CLAIM, {READ(20, 1, OK, NONCE + 1, TERM), LEADING, "won"}}},
+        {"nonce of another claim: not committed",
          FOLLOWER,
-         {LOST_CLAIM, {READ(20, 1, OK, 3, TERM), FOLLOWING, "drop 7"}}},
-        {"no key: it was not, and can't be once its lease is dropped",
+         {UNANSWERED_CLAIM, {READ(20, 1, OK, 3, TERM), FOLLOWING, "revoke 7"}}},
+        {"no key: not committed, and the revoked lease prevents a late commit",
          FOLLOWER,
-         {LOST_CLAIM, {READ(20, 1, NOT_FOUND, 0, 0), FOLLOWING, "drop 7"}}},
-        {"carried out, but a newer term is known",
+         {UNANSWERED_CLAIM, {READ(20, 1, NOT_FOUND, 0, 0), FOLLOWING, "revoke 7"}}},
+        {"committed, but a newer term is known",
          FOLLOWER,
-         {LOST_CLAIM,
-          {TERM_SEEN(TERM + 1), CHECKING, NULL},
-          {READ(20, 1, OK, NONCE + 1, TERM), FOLLOWING, "drop 7"}}},
-        {"it can't be read: given up after two leases",
+         {UNANSWERED_CLAIM,
+          {TERM_SEEN(TERM + 1), VERIFYING, NULL},
+          {READ(20, 1, OK, NONCE + 1, TERM), FOLLOWING, "revoke 7"}}},
+        {"the key cannot be read: abandoned after two lease periods",
          FOLLOWER,
-         {LOST_CLAIM,
-          {READ(1000, 1, NO_ANSWER, 0, 0), CHECKING, NULL},
-          {TICK(2 * TTL, 0, 0), CHECKING, NULL},
-          {TICK(2 * TTL + 1, 0, 0), FOLLOWING, "drop 7"},
+         {UNANSWERED_CLAIM,
+          {READ(1000, 1, NO_ANSWER, 0, 0), VERIFYING, NULL},
+          {TICK(2 * TTL, 0, 0), VERIFYING, NULL},
+          {TICK(2 * TTL + 1, 0, 0), FOLLOWING, "revoke 7"},
           {READ(2 * TTL + 2, 1, OK, NONCE + 1, TERM), FOLLOWING, NULL}}},
-        {"what was read for an earlier claim counts for nothing",
+        {"a read for an earlier claim is ignored",
          FOLLOWER,
-         {LOST_CLAIM,
-          {TICK(2 * TTL + 1, 0, 0), FOLLOWING, "drop 7"},
+         {UNANSWERED_CLAIM,
+          {TICK(2 * TTL + 1, 0, 0), FOLLOWING, "revoke 7"},
           {TICK(2 * TTL + 2, 0, 0), CLAIMING, "grant"},
           {GRANTED(2 * TTL + 5, 2, 8), CLAIMING, "commit on 8 over 0"},
-          {CLAIMED(2 * TTL + 9, 2, NO_ANSWER, 0), CHECKING, "read"},
-          {READ(2 * TTL + 10, 1, NOT_FOUND, 0, 0), CHECKING, NULL}}},
-        {"carried out late, when given up: the key names our former self",
+          {CLAIMED(2 * TTL + 9, 2, NO_ANSWER, 0), VERIFYING, "read"},
+          {READ(2 * TTL + 10, 1, NOT_FOUND, 0, 0), VERIFYING, NULL}}},
+        {"committed after it was abandoned: the key is left from this node",
          FOLLOWER,
-         {LOST_CLAIM,
-          {READ(20, 1, NOT_FOUND, 0, 0), FOLLOWING, "drop 7"},
+         {UNANSWERED_CLAIM,
+          {READ(20, 1, NOT_FOUND, 0, 0), FOLLOWING, "revoke 7"},
           {KEY("n-0", NONCE + 1, TERM), FOLLOWING, NULL},
           {TICK(TTL, 0, 0), CLAIMING, "grant"},
           {GRANTED(TTL + 5, 2, 8), CLAIMING, "commit on 8 over 50"}}},
     };
-    play_all(rows, ROWS(rows));
+    run_rows(rows, ROWS(rows));
 }
 
-static void keeping_the_lease(void **state) {
+static void lease_renewal(void **state) {
     (void)state;
     static const struct row rows[] = {
-        {"renewed four times a lease",
+        {"renewed four times per lease period",
          LEADER,
          {{TICK(TTL / 4 - 1, 0, 0), LEADING, NULL},
-          {TICK(TTL / 4, 0, 0), LEADING, "extend 7"},
+          {TICK(TTL / 4, 0, 0), LEADING, "renew 7"},
           {TICK(TTL / 2, 0, 0), LEADING, NULL},
           {RENEWED(TTL / 2, LEASE, OK, 0, 0), LEADING, NULL},
-          {TICK(TTL / 2, 0, 0), LEADING, "extend 7"}}},
-        {"it counts from when the claim began, less a tenth",
+          {TICK(TTL / 2, 0, 0), LEADING, "renew 7"}}},
+        {"valid from the start of the claim, less a tenth",
          FOLLOWER,
          {{TICK(0, 0, 0), CLAIMING, "grant"},
           {GRANTED(400, 1, LEASE), CLAIMING, "commit on 7 over 0"},
           {CLAIMED(900, 1, OK, TERM), LEADING, "won"},
-          {TICK(SURE - 1, 0, 0), LEADING, "extend 7"},
-          {TICK(SURE, 0, 0), UNSURE, NULL}}},
-        {"and then from when a renewal was sent",
+          {TICK(SAFE_LEASE - 1, 0, 0), LEADING, "renew 7"},
+          {TICK(SAFE_LEASE, 0, 0), UNSURE, NULL}}},
+        {"valid from the sending of the last renewal, less a tenth",
          LEADER,
-         {{TICK(TTL / 4, 0, 0), LEADING, "extend 7"},
+         {{TICK(TTL / 4, 0, 0), LEADING, "renew 7"},
           {RENEWED(2000, LEASE, OK, 0, 0), LEADING, NULL},
-          {TICK(TTL / 4 + SURE - 1, 0, 0), LEADING, "extend 7"},
-          {TICK(TTL / 4 + SURE, 0, 0), UNSURE, NULL}}},
-        {"an unsure leader whose renewal is answered is sure again",
+          {TICK(TTL / 4 + SAFE_LEASE - 1, 0, 0), LEADING, "renew 7"},
+          {TICK(TTL / 4 + SAFE_LEASE, 0, 0), UNSURE, NULL}}},
+        {"an unsure leader is leader again after a renewal",
          LEADER,
-         {{TICK(SURE, 0, 0), UNSURE, "extend 7"}, {RENEWED(SURE + 500, LEASE, OK, SURE, 0), LEADING, NULL}}},
-        {"a renewal that fails is tried again",
+         {{TICK(SAFE_LEASE, 0, 0), UNSURE, "renew 7"},
+          {RENEWED(SAFE_LEASE + 500, LEASE, OK, SAFE_LEASE, 0), LEADING, NULL}}},
+        {"a failed renewal is retried",
          LEADER,
-         {{TICK(800, 0, 0), LEADING, "extend 7"},
+         {{TICK(800, 0, 0), LEADING, "renew 7"},
           {RENEWED(1000, LEASE, REFUSED, 0, 0), LEADING, NULL},
           {TICK(1500, 0, 0), LEADING, NULL},
-          {TICK(1550, 0, 0), LEADING, "extend 7"}}},
-        {"no such lease: the lead is lost",
+          {TICK(1550, 0, 0), LEADING, "renew 7"}}},
+        {"the lease does not exist: leadership is lost",
          LEADER,
-         {{TICK(800, 0, 0), LEADING, "extend 7"},
-          {RENEWED(1000, LEASE, NOT_FOUND, 0, 0), FOLLOWING, "drop 7, lost"}}},
-        {"the answer to a renewal of an earlier lease counts for nothing",
+         {{TICK(800, 0, 0), LEADING, "renew 7"},
+          {RENEWED(1000, LEASE, NOT_FOUND, 0, 0), FOLLOWING, "revoke 7, lost"}}},
+        {"the answer to a renewal of an earlier lease is ignored",
          LEADER,
-         {{TICK(800, 0, 0), LEADING, "extend 7"},
+         {{TICK(800, 0, 0), LEADING, "renew 7"},
           {RENEWED(1000, LEASE - 1, NOT_FOUND, 0, 0), LEADING, NULL},
           {RENEWED(1000, LEASE - 1, OK, 0, 0), LEADING, NULL},
-          {TICK(SURE, 0, 0), UNSURE, NULL}}},
-        {"nor does one that comes when the lead is lost",
+          {TICK(SAFE_LEASE, 0, 0), UNSURE, NULL}}},
+        {"the answer to a renewal after the loss of leadership is ignored",
          LEADER,
-         {{TICK(800, 0, 0), LEADING, "extend 7"},
-          {TERM_SEEN(TERM + 1), FOLLOWING, "drop 7, lost"},
+         {{TICK(800, 0, 0), LEADING, "renew 7"},
+          {TERM_SEEN(TERM + 1), FOLLOWING, "revoke 7, lost"},
           {RENEWED(1000, LEASE, OK, 0, 0), FOLLOWING, NULL}}},
     };
-    play_all(rows, ROWS(rows));
+    run_rows(rows, ROWS(rows));
 }
 
-static void losing_the_lead(void **state) {
+static void loss_of_leadership(void **state) {
     (void)state;
     static const struct row rows[] = {
-        {"a higher term is shown", LEADER, {{TERM_SEEN(TERM + 1), FOLLOWING, "drop 7, lost"}}},
-        {"our own is", LEADER, {{TERM_SEEN(TERM), LEADING, NULL}}},
-        {"a fenced leader hears of a higher term",
+        {"a higher term is seen", LEADER, {{TERM_SEEN(TERM + 1), FOLLOWING, "revoke 7, lost"}}},
+        {"its own term is seen", LEADER, {{TERM_SEEN(TERM), LEADING, NULL}}},
+        {"a fenced leader sees a higher term",
          LEADER,
-         {{TICK(FENCE + 1, 0, 0), FENCED, "extend 7"}, {TERM_SEEN(TERM + 1), FOLLOWING, "drop 7, lost"}}},
-        {"the key names another", LEADER, {{KEY("n-1", 3, TERM + 1), FOLLOWING, "drop 7, lost"}}},
-        {"the key is gone", LEADER, {{KEY_GONE(TERM + 1), FOLLOWING, "drop 7, lost"}}},
-        {"news of our own claim", LEADER, {{KEY("n-0", NONCE + 1, TERM), LEADING, NULL}}},
-        {"news of before it",
+         {{TICK(FENCE + 1, 0, 0), FENCED, "renew 7"}, {TERM_SEEN(TERM + 1), FOLLOWING, "revoke 7, lost"}}},
+        {"the key names another node", LEADER, {{KEY("n-1", 3, TERM + 1), FOLLOWING, "revoke 7, lost"}}},
+        {"the key was removed", LEADER, {{KEY_GONE(TERM + 1), FOLLOWING, "revoke 7, lost"}}},
+        {"the watch reports its own claim", LEADER, {{KEY("n-0", NONCE + 1, TERM), LEADING, NULL}}},
+        {"the watch reports states older than its claim",
          LEADER,
          {{KEY("n-1", 3, TERM - 1), LEADING, NULL}, {KEY_GONE(TERM - 1), LEADING, NULL}}},
     };
-    play_all(rows, ROWS(rows));
+    run_rows(rows, ROWS(rows));
 }
 
-/* A cancellation that we do not know of was told, at the earliest, after the last question was sent whose
- * answer would have told of it. FENCE later, to the millisecond, no report is answered any more. */
-static void without_news(void **state) {
+/* A cancellation unknown to the leader was promised, at the earliest, after it sent the last request whose
+ * answer would have reported it. From FENCE after that time on, to the millisecond, the leader must not
+ * answer heartbeats. */
+static void fencing_without_contact(void **state) {
     (void)state;
     static const struct row rows[] = {
-        {"neither news nor word: fenced in time",
+        {"neither store nor peers: fenced in time",
          LEADER,
-         {{TICK(FENCE, 0, 0), UNSURE, "extend 7"}, {TICK(FENCE + 1, 0, 0), FENCED, NULL}}},
-        {"news do not help without renewals",
+         {{TICK(FENCE, 0, 0), UNSURE, "renew 7"}, {TICK(FENCE + 1, 0, 0), FENCED, NULL}}},
+        {"watch reads without renewals: fenced",
          LEADER,
-         {{TICK(FENCE, FENCE, 0), UNSURE, "extend 7"}, {TICK(FENCE + 1, FENCE, 0), FENCED, NULL}}},
-        {"nor renewals without news",
+         {{TICK(FENCE, FENCE, 0), UNSURE, "renew 7"}, {TICK(FENCE + 1, FENCE, 0), FENCED, NULL}}},
+        {"renewals without watch reads: fenced",
          LEADER,
-         {{TICK(FENCE - 100, 0, 0), UNSURE, "extend 7"},
+         {{TICK(FENCE - 100, 0, 0), UNSURE, "renew 7"},
           {RENEWED(FENCE, LEASE, OK, 0, 0), LEADING, NULL},
           {TICK(FENCE + 1, 0, 0), FENCED, NULL}}},
-        {"both do",
+        {"renewals and watch reads: not fenced",
          LEADER,
-         {{TICK(FENCE - 100, 0, 0), UNSURE, "extend 7"},
+         {{TICK(FENCE - 100, 0, 0), UNSURE, "renew 7"},
           {RENEWED(FENCE, LEASE, OK, FENCE - 100, 0), LEADING, NULL},
           {TICK(FENCE + 1, FENCE - 100, 0), LEADING, NULL}}},
-        {"so does the word of every peer, for as long as it is fresh",
+        {"confirmed by every peer: not fenced while that is recent",
          LEADER,
-         {{TICK(FENCE + 1, 0, 5000), UNSURE, "extend 7"},
+         {{TICK(FENCE + 1, 0, 5000), UNSURE, "renew 7"},
           {TICK(5000 + FENCE, 0, 5000), UNSURE, NULL},
           {TICK(5000 + FENCE + 1, 0, 5000), FENCED, NULL}}},
-        {"a fenced leader whose peers confirm it again",
+        {"a fenced leader is confirmed again by its peers",
          LEADER,
-         {{TICK(FENCE + 1, 0, 0), FENCED, "extend 7"}, {TICK(FENCE + 900, 0, FENCE + 500), UNSURE, NULL}}},
-        {"one that is served again",
+         {{TICK(FENCE + 1, 0, 0), FENCED, "renew 7"}, {TICK(FENCE + 900, 0, FENCE + 500), UNSURE, NULL}}},
+        {"a fenced leader reaches the store again",
          LEADER,
-         {{TICK(FENCE + 1, 0, 0), FENCED, "extend 7"},
+         {{TICK(FENCE + 1, 0, 0), FENCED, "renew 7"},
           {RENEWED(FENCE + 50, LEASE, OK, FENCE + 10, 0), LEADING, NULL}}},
-        {"it stood still all the while: the first tick finds it",
+        {"the process stalled: the first tick fences it",
          LEADER,
-         {{TICK(800, 500, 500), LEADING, "extend 7"}, {TICK(60000, 500, 500), FENCED, NULL}}},
+         {{TICK(800, 500, 500), LEADING, "renew 7"}, {TICK(60000, 500, 500), FENCED, NULL}}},
     };
-    play_all(rows, ROWS(rows));
+    run_rows(rows, ROWS(rows));
 }
 
-static void unreachable(void **state) {
+static void unreachable_leaders_yield(void **state) {
     (void)state;
     static const struct row rows[] = {
-        {"a leader that no worker reaches lets others claim first",
+        {"a leader that no agent reaches lets others claim first",
          LEADER,
-         {{TICK_UNREACHABLE(500), FOLLOWING, "drop 7, lost"},
+         {{TICK_UNREACHABLE(500), FOLLOWING, "revoke 7, lost"},
           {KEY_GONE(TERM + 1), FOLLOWING, NULL},
           {TICK(500 + TTL - 1, 0, 0), FOLLOWING, NULL},
           {TICK(500 + TTL, 0, 0), CLAIMING, "grant"}}},
-        {"for as long as there is another",
+        {"it does not claim while another node leads",
          LEADER,
-         {{TICK_UNREACHABLE(500), FOLLOWING, "drop 7, lost"},
+         {{TICK_UNREACHABLE(500), FOLLOWING, "revoke 7, lost"},
           {KEY("n-1", 3, TERM + 2), FOLLOWING, NULL},
           {TICK(500 + TTL, 0, 0), FOLLOWING, NULL},
           {KEY_GONE(TERM + 3), FOLLOWING, NULL},
           {TICK(500 + TTL + 1, 0, 0), FOLLOWING, NULL},
           {TICK(500 + 2 * TTL, 0, 0), CLAIMING, "grant"}}},
-        {"and not for ever",
+        {"it may claim again after the yield duration",
          LEADER,
-         {{TICK_UNREACHABLE(500), FOLLOWING, "drop 7, lost"},
+         {{TICK_UNREACHABLE(500), FOLLOWING, "revoke 7, lost"},
           {KEY("n-1", 3, TERM + 2), FOLLOWING, NULL},
-          {TICK(499 + SHUN, 0, 0), FOLLOWING, NULL},
+          {TICK(499 + YIELD, 0, 0), FOLLOWING, NULL},
           {KEY_GONE(TERM + 3), FOLLOWING, NULL},
-          {TICK(500 + SHUN, 0, 0), CLAIMING, "grant"}}},
-        {"an unsure leader keeps the lead: in an outage nobody else could be elected",
+          {TICK(500 + YIELD, 0, 0), CLAIMING, "grant"}}},
+        {"an unsure leader does not yield: in an outage nobody else could be elected",
          LEADER,
-         {{TICK(SURE, 0, 0), UNSURE, "extend 7"}, {TICK_UNREACHABLE(SURE + 100), UNSURE, NULL}}},
+         {{TICK(SAFE_LEASE, 0, 0), UNSURE, "renew 7"}, {TICK_UNREACHABLE(SAFE_LEASE + 100), UNSURE, NULL}}},
     };
-    play_all(rows, ROWS(rows));
+    run_rows(rows, ROWS(rows));
 }
 
-/* Its term is what it tells other nodes, and workers as their token. */
-static void term_of_a_leader(void **state) {
+/* The term, which the leader sends to other nodes and to agents as their fencing token, is the key's
+ * revision. */
+static void term_is_the_key_revision(void **state) {
     (void)state;
-    struct amb_election election = begin(FOLLOWER);
+    struct amb_election election = make_election(FOLLOWER);
     static const struct amb_election_input inputs[] = {
         {.event = AMB_ELECTION_TICK, .now = START},
         {.event = AMB_ELECTION_LEASE_GRANTED, .now = START + 1, .claim_id = 1, .lease_id = LEASE},
@@ -420,7 +425,7 @@
     assert_int_equal(election.highest_term, TERM);
     assert_int_equal(election.holder_revision, TERM);
     assert_string_equal(election.holder, "n-0");
-    /* That the key is gone is nobody's term. */
+    /* The revision at which the key is removed is not a term. */
     const struct amb_election_input gone = {
         .event = AMB_ELECTION_KEY_CHANGED, .now = START, .key = {.revision = TERM + 5}};
     amb_election_step(&election, &gone, &output);
@@ -428,29 +433,30 @@
     assert_int_equal(election.highest_term, TERM);
 }
 
-/* Whether or not a tick has come since: after a stall, reports that came meanwhile may be read before it. */
-static void answers(void **state) {
+/* The check does not rely on a tick: after a stall, heartbeats that arrived meanwhile may be read before the
+ * next tick. */
+static void roles_that_answer_agents(void **state) {
     (void)state;
     static const struct {
         const char *what;
         enum amb_election_role role;
-        amb_ms at, news, peers;
+        amb_ms at, watch, peers; /* since START */
         bool answers;
     } rows[] = {
         {"a leader", LEADING, 500, 0, 0, true},
-        {"an unsure one", UNSURE, FENCE, 0, 0, true},
-        {"an unsure one without news for too long", UNSURE, FENCE + 1, 0, 0, false},
-        {"a leader that stood still", LEADING, 60000, 0, 0, false},
-        {"the peers confirm it", UNSURE, FENCE + 1, 0, 500, true},
-        {"a fenced one whose news came just now", FENCED, 500, 500, 500, false},
+        {"an unsure leader", UNSURE, FENCE, 0, 0, true},
+        {"an unsure leader without contact for too long", UNSURE, FENCE + 1, 0, 0, false},
+        {"a leader after a stall", LEADING, 60000, 0, 0, false},
+        {"an unsure leader confirmed by its peers", UNSURE, FENCE + 1, 0, 500, true},
+        {"a fenced leader with recent contact", FENCED, 500, 500, 500, false},
         {"a follower", FOLLOWING, 500, 500, 500, false},
-        {"one that claims", CLAIMING, 500, 500, 500, false},
-        {"one that checks its claim", CHECKING, 500, 500, 500, false},
-        {"one that begins", STARTING, 500, 500, 500, false},
+        {"a candidate", CLAIMING, 500, 500, 500, false},
+        {"a candidate that verifies its claim", VERIFYING, 500, 500, 500, false},
+        {"a starting node", STARTING, 500, 500, 500, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_election election = begin(LEADER);
-        const struct amb_election_evidence evidence = {.watch_sent_at = START + rows[i].news,
+        struct amb_election election = make_election(LEADER);
+        const struct amb_election_evidence evidence = {.watch_sent_at = START + rows[i].watch,
                                                        .peers_queried_at = START + rows[i].peers};
         election.role = rows[i].role;
         if (amb_election_may_answer_agents(&election, START + rows[i].at, &evidence) != rows[i].answers)
@@ -458,36 +464,38 @@
     }
 }
 
-/* Only a sure leader starts tasks, whether or not a tick has come since its lease may have run out. */
-static void starts(void **state) {
+/* Only a leader with a valid lease starts tasks, even if no tick has come since the lease may have expired.
+ */
+static void only_valid_leases_start_tasks(void **state) {
     (void)state;
-    struct amb_election election = begin(LEADER);
-    assert_true(amb_election_has_valid_lease(&election, START + SURE - 1));
-    assert_false(amb_election_has_valid_lease(&election, START + SURE));
-    static const enum amb_election_role others[] = {STARTING, FOLLOWING, CLAIMING, CHECKING, UNSURE, FENCED};
+    struct amb_election election = make_election(LEADER);
+    assert_true(amb_election_has_valid_lease(&election, START + SAFE_LEASE - 1));
+    assert_false(amb_election_has_valid_lease(&election, START + SAFE_LEASE));
+    static const enum amb_election_role others[] = {STARTING, FOLLOWING, CLAIMING, VERIFYING, UNSURE, FENCED};
     for (size_t i = 0; i < ROWS(others); i++) {
         election.role = others[i];
         assert_false(amb_election_has_valid_lease(&election, START + 1));
     }
 }
 
-/* Starts go out until a renewal should have been answered, at 0.35 of the lease: long before it ends. */
-static void orders_need_the_state_service(void **state) {
+/* Tasks are started until the next renewal should have been answered, at 0.35 of the lease, long before the
+ * lease ends. */
+static void starts_require_a_recent_renewal(void **state) {
     (void)state;
     static const struct {
         const char *what;
         amb_ms at; /* since the last renewal was sent */
-        bool in_touch;
+        bool recent;
     } rows[] = {
         {"just renewed", 0, true},
         {"when the next one is sent", TTL / 4, true},
-        {"when it should have been answered", TTL * 35 / 100 - 1, true},
-        {"then", TTL * 35 / 100, false},
-        {"while the lease is still sure", SURE - 1, false},
+        {"just before it should have been answered", TTL * 35 / 100 - 1, true},
+        {"when it should have been answered", TTL * 35 / 100, false},
+        {"while the lease is still valid", SAFE_LEASE - 1, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_election election = begin(LEADER);
-        if (amb_election_has_recent_renewal(&election, START + rows[i].at) != rows[i].in_touch)
+        struct amb_election election = make_election(LEADER);
+        if (amb_election_has_recent_renewal(&election, START + rows[i].at) != rows[i].recent)
             fail_msg("%s", rows[i].what);
     }
 }
@@ -495,15 +503,15 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(claims),
-        cmocka_unit_test(claims_without_an_answer),
-        cmocka_unit_test(keeping_the_lease),
-        cmocka_unit_test(losing_the_lead),
-        cmocka_unit_test(without_news),
-        cmocka_unit_test(unreachable),
-        cmocka_unit_test(starts),
-        cmocka_unit_test(orders_need_the_state_service),
-        cmocka_unit_test(answers),
-        cmocka_unit_test(term_of_a_leader),
+        cmocka_unit_test(unanswered_claims_are_verified),
+        cmocka_unit_test(lease_renewal),
+        cmocka_unit_test(loss_of_leadership),
+        cmocka_unit_test(fencing_without_contact),
+        cmocka_unit_test(unreachable_leaders_yield),
+        cmocka_unit_test(only_valid_leases_start_tasks),
+        cmocka_unit_test(starts_require_a_recent_renewal),
+        cmocka_unit_test(roles_that_answer_agents),
+        cmocka_unit_test(term_is_the_key_revision),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/election/test_lease_proxies.c
+++ b/tests/election/test_lease_proxies.c
@@ -15,18 +15,20 @@
     return open_call("POST", "/commit");
 }
 
-static void proxies_write_before_they_answer(void **state) {
+static void proxies_write_their_key_before_they_answer(void **state) {
     (void)state;
     struct fake_call *commit = begin_lease_proxy();
     uint64_t lease = 0, term = 0;
-    if (fake_txn_compared_revision(commit, LEADER_KEY) != TERM) fail_msg("no guard on the leader's term");
+    if (fake_txn_compared_revision(commit, LEADER_KEY) != TERM)
+        fail_msg("the transaction does not compare the leader's term");
     const cbor_item_t *value = fake_txn_put(commit, "a/deputy/n-0", &lease);
     assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "term"), &term));
     assert_int_equal(term, TERM);
     if (lease != 9) fail_msg("the key is on lease %llu", (unsigned long long)lease);
     struct sent_heartbeat heartbeat = {.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM};
     send_heartbeat(heartbeat);
-    if (latest_reply()->status != 421) fail_msg("answered %d before the key is written", latest_reply()->status);
+    if (latest_reply()->status != 421)
+        fail_msg("answered %d before the key is written", latest_reply()->status);
     answer_committed(commit, 60);
     send_heartbeat(heartbeat);
     assert_int_equal(latest_reply()->status, 200);
@@ -34,33 +36,34 @@
     assert_int_equal(amb_cbor_list_length(amb_cbor_map_get(latest_reply_body(), "orders")), 0);
 }
 
-static void whom_proxies_answer(void **state) {
+static void agents_that_proxies_answer(void **state) {
     (void)state;
     static const struct {
         const char *what, *zone;
-        uint64_t token, highest;
+        uint64_t token, highest_term;
         amb_ms renewed; /* how long ago */
         int status;
     } rows[] = {
-        {"a worker of its zone", "a", TERM, TERM, 0, 200},
-        {"a worker that holds an older token", "a", TERM - 1, TERM, 0, 200},
-        {"a worker of another zone", "b", TERM, TERM, 0, 421},
-        {"a worker that knows a newer term", "a", TERM + 1, TERM, 0, 421},
-        {"the node has heard of a newer term", "a", TERM, TERM + 1, 0, 421},
-        {"its lease is almost over", "a", TERM, TERM, 2699, 200},
-        {"its lease may be over", "a", TERM, TERM, 2700, 421},
+        {"an agent of its zone", "a", TERM, TERM, 0, 200},
+        {"an agent with an older token", "a", TERM - 1, TERM, 0, 200},
+        {"an agent of another zone", "b", TERM, TERM, 0, 421},
+        {"an agent with a newer token", "a", TERM + 1, TERM, 0, 421},
+        {"the node knows a newer term", "a", TERM, TERM + 1, 0, 421},
+        {"its lease is about to end", "a", TERM, TERM, 2699, 200},
+        {"its lease may have ended", "a", TERM, TERM, 2700, 421},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
         answer_committed(begin_lease_proxy(), 60);
-        node->election.highest_term = rows[i].highest;
+        node->election.highest_term = rows[i].highest_term;
         node->lease_proxy.renewed_at = amb_now() - rows[i].renewed;
         send_heartbeat((struct sent_heartbeat){"m-1", rows[i].zone, 1, 1, rows[i].token, NULL, 0, NULL});
-        if (latest_reply()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
+        if (latest_reply()->status != rows[i].status)
+            fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
     }
 }
 
-static void lease_of_a_proxy_counts_from_when_it_was_requested(void **state) {
+static void lease_of_a_proxy_is_valid_from_when_it_was_requested(void **state) {
     (void)state;
     answer_committed(begin_lease_proxy(), 60);
     fake_clock_advance(LEADER_TTL_MS / 4);
@@ -74,11 +77,12 @@
     assert_int_equal(latest_reply()->status, 200);
     fake_clock_advance(1);
     send_heartbeat(heartbeat);
-    if (latest_reply()->status != 421) fail_msg("answered %d a lease after the renewal was sent", latest_reply()->status);
+    if (latest_reply()->status != 421)
+        fail_msg("answered %d a lease after the renewal was sent", latest_reply()->status);
 }
 
 /* The watch shows that n-1 is a lease proxy in zone a. */
-static void proxy_key_appears(void) {
+static void add_known_proxy(void) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
     amb_cbor_write_string(&buffer, "zone");
@@ -89,20 +93,21 @@
     cbor_decref(&value);
 }
 
-/* As long as the proxy's key stands, agents of its zone may be alive, however long they are silent here. */
+/* While a proxy's key exists, agents of its zone may be alive, however long the leader has not heard from
+ * them. */
 static void known_proxies_keep_their_zone_alive(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
     struct amb_task *task = bind_task(job, 0, "m-1", 1);
     task->state = AMB_TASK_SEEN;
-    proxy_key_appears();
+    add_known_proxy();
     for (int i = 0; i < 30; i++) {
         fake_clock_advance(1000);
         node->watch.last_read_at = node->watch.last_read_sent_at = amb_now();
         amb_lease_proxy_tick(node, amb_now());
         amb_fleet_tick(node, amb_now());
-        if (!task->machine) fail_msg("lost after %d s, while the deputy's key stands", i + 1);
+        if (!task->machine) fail_msg("lost after %d s while the proxy key exists", i + 1);
     }
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(11000);
@@ -111,47 +116,50 @@
     assert_null(task->machine);
 }
 
-/* A proxy that came and went within a moment may have answered its zone's agents. */
+/* A proxy that existed only briefly may still have answered agents of its zone. */
 static void short_lived_proxies_count(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
     bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
-    proxy_key_appears();
+    add_known_proxy();
     amb_lease_proxy_apply_key(node, "n-1", NULL, 56);
     fake_clock_advance(9000);
     node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
+    if (!job->tasks[0].machine) fail_msg("lost less than a lease after a proxy was known");
     fake_clock_advance(2000);
     node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
     assert_null(job->tasks[0].machine);
 }
 
-/* Whether a proxy answers a machine whose zone is unknown can't be known either. */
-static void proxies_of_any_zone_count_for_unknown_ones(void **state) {
+/* Any proxy may be answering a machine whose zone is unknown. */
+static void proxies_of_any_zone_cover_machines_of_unknown_zone(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", -1);
     bind_task(job, 0, "m-1", 1)->state = AMB_TASK_SEEN;
     fake_clock_advance(8000);
-    proxy_key_appears();
+    add_known_proxy();
     fake_clock_advance(9000);
     node->watch.last_read_sent_at = amb_now();
     amb_fleet_tick(node, amb_now());
-    if (!job->tasks[0].machine) fail_msg("lost less than a lease after a deputy was known");
+    if (!job->tasks[0].machine) fail_msg("lost less than a lease after a proxy was known");
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(proxies_write_before_they_answer, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(whom_proxies_answer, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(lease_of_a_proxy_counts_from_when_it_was_requested, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(proxies_write_their_key_before_they_answer, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(agents_that_proxies_answer, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(lease_of_a_proxy_is_valid_from_when_it_was_requested, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(known_proxies_keep_their_zone_alive, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(short_lived_proxies_count, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(proxies_of_any_zone_count_for_unknown_ones, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(proxies_of_any_zone_cover_machines_of_unknown_zone, fixture_setup,
+                                        fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
