--- a/include/amberpin/kvstore/leader_key.h
+++ b/include/amberpin/kvstore/leader_key.h
@@ -1,5 +1,5 @@
-/* The leader's key in the key-value store, whose revision is the leader's term, and the compare that ties a
- * write to it. */
+/* The leader key in the key-value store. Its revision is the leader's term, and a compare of that revision
+ * makes a transaction conditional on the leadership. */
 #ifndef AMBERPIN_LEADER_KEY_H
 #define AMBERPIN_LEADER_KEY_H
 
@@ -9,7 +9,7 @@
 
 struct amb_node;
 
-/* For whatever a leader writes: the transaction is not committed once another node leads. */
+/* Adds a compare by which the transaction fails once another node leads. Every write of a leader needs it. */
 void amb_txn_require_leadership(struct amb_txn *transaction, const struct amb_node *node);
 
 #endif
--- a/include/amberpin/kvstore/responses.h
+++ b/include/amberpin/kvstore/responses.h
@@ -1,4 +1,4 @@
-/* Typed results of the store's answers, for those who act on them. */
+/* Converts the store's answers into typed results. */
 #ifndef AMBERPIN_KVSTORE_RESPONSES_H
 #define AMBERPIN_KVSTORE_RESPONSES_H
 
@@ -7,15 +7,15 @@
 #include <cbor.h>
 #include <stdint.h>
 
-/* What an HTTP status means for the call. */
+/* The result that an HTTP status means for any call. */
 enum amb_call_result amb_store_call_result(int status);
 
-/* The same, and what the answer holds. Without the value an answer of success proves nothing about what was
- * done: AMB_CALL_NO_ANSWER. The value is set only with AMB_CALL_OK. */
+/* The following also decode a value from the answer, which is set only with AMB_CALL_OK. A successful status
+ * without the value proves nothing about what was done, so the result is AMB_CALL_NO_ANSWER. */
 
-/* To amb_store_grant_lease. */
+/* Answer to amb_store_grant_lease. */
 enum amb_call_result amb_store_lease_result(int status, const cbor_item_t *body, uint64_t *lease_id);
-/* To amb_store_commit: the revision of every key that was put. */
+/* Answer to amb_store_commit. `revision`: the new revision of every key that was put. */
 enum amb_call_result amb_store_commit_result(int status, const cbor_item_t *body, uint64_t *revision);
 
 #endif
--- a/include/amberpin/kvstore/token_budget.h
+++ b/include/amberpin/kvstore/token_budget.h
@@ -1,33 +1,34 @@
-/* How the members of the cluster divide what the key-value store allows them together: requests and changes a
- * second. One half of the changes is for users, whichever node they come to; the other half is for what the
- * leader, the followers and the holders of single-holder duties record. */
+/* How the members of the cluster divide the requests and writes per second that the key-value store allows
+ * all of them together. One half of the writes is for users, whichever node they send their requests to. The
+ * other half is for the records of the leader, the followers and the holders of single-holder duties. */
 #ifndef AMBERPIN_TOKEN_BUDGET_H
 #define AMBERPIN_TOKEN_BUDGET_H
 
 #include "amberpin/kvstore/store.h"
 
-/* Takes the share of a leader or of a follower: the leader writes most. */
+/* Takes the share of a leader or of a follower. The leader's is larger. */
 void amb_store_set_leadership(struct amb_store *store, bool is_leader);
 
-/* Whether single-holder duties are in use, and which part (0 to 1) of all holders' writes the duties held
- * here may use. */
+/* Sets whether single-holder duties are in use, and which share (0 to 1) of all holders' writes the duties
+ * held by this node may use. */
 void amb_store_set_duty_share(struct amb_store *store, bool in_use, double share);
 
-/* The store has been seen to have lowered its limits, which is for good; `evidence` goes to the log. */
+/* Call this when the store was found to have lowered its limits, which is permanent. `evidence` is for the
+ * log. */
 void amb_store_lower_limits(struct amb_store *store, const char *evidence);
 
-/* Whether a write for a user could be sent now, and leave a part of the users' bucket (reserved_share, 0 to
- * 1) for jobs that are more important. */
+/* Whether a write for a user could be sent now and still leave a share of the users' bucket (reserved_share,
+ * 0 to 1) for more important jobs. */
 bool amb_store_can_write_for_user(struct amb_store *store, uint32_t write_count, double reserved_share);
 
-/* Some node's write for a user has been seen among the changes. */
+/* Counts a write that some node made for a user and that the watch reported. */
 void amb_store_count_user_write(struct amb_store *store);
 
-/* The leader's: lends write tokens that one half does not need to the other. Returns how many went to the
- * users' half, for every node to apply; negative: were taken from it. */
+/* On the leader: lends write tokens that one half does not need to the other half. Returns the number of
+ * tokens moved to the users' half, which every node must apply; negative: they were taken from it. */
 double amb_store_lend_tokens(struct amb_store *store);
 
-/* Applies to the users' half what the leader has lent to it, or taken from it if negative. */
+/* Adds the tokens that the leader has lent to the users' half; negative: removes those that it has taken. */
 void amb_store_apply_token_loan(struct amb_store *store, double tokens);
 
 #endif
--- a/lib/kvstore/client.c
+++ b/lib/kvstore/client.c
@@ -1,11 +1,11 @@
-/* The calls: each encodes its message and queues it by its priority. */
+/* The calls of the client. Each one encodes a message and queues it by its priority. */
 #include "amberpin/kvstore/client.h"
 
 #include "internal.h"
 
 #include <string.h>
 
-/* A page of a listing is up to 512 KiB: it gets this many times the timeout of a call. */
+/* A page of a listing can be 512 KiB long, so its timeout is this multiple of the call timeout. */
 enum { LIST_TIMEOUT_FACTOR = 3 };
 
 void amb_store_init(struct amb_store *store, const struct amb_settings *settings, amb_ms call_timeout) {
--- a/lib/kvstore/internal.h
+++ b/lib/kvstore/internal.h
@@ -1,5 +1,5 @@
-/* What the files of the key-value store's client share: the token budgets that the queue of requests asks,
- * and the queue that calls go through. */
+/* Declarations shared by the files of the key-value store's client: the token budgets and the request queue.
+ */
 #ifndef AMBERPIN_KVSTORE_INTERNAL_H
 #define AMBERPIN_KVSTORE_INTERNAL_H
 
@@ -8,19 +8,19 @@
 
 /* ---- token_budget.c ---- */
 
-/* Fills the buckets, with the rates of a follower. */
+/* Sets the buckets to the rates of a follower, and their initial tokens to an equal share of one second's. */
 void store_init_buckets(struct amb_store *store);
 
-/* Adds to all buckets what they have gained until now. */
+/* Adds to all buckets the tokens gained since their last refill. */
 void store_refill_buckets(struct amb_store *store);
 
-/* How long until the users' bucket has tokens for the writes, and keeps the reserved part of itself (0 to 1).
- */
+/* How long until the users' bucket has tokens for the writes in addition to the reserved share of itself (0
+ * to 1). */
 amb_ms store_user_write_delay(const struct amb_store *store, uint32_t write_count, double reserved_share);
 
 /* ---- request_queue.c ---- */
 
-/* A call that waits for tokens or for its answer. The queue frees it once it is answered. */
+/* A call that waits for tokens or for its answer. The queue frees it when it has been answered. */
 struct amb_store_request {
     struct amb_store_request *next;
     struct amb_store *store;
@@ -33,17 +33,17 @@
     void *arg;
 };
 
-/* A request without a message yet, with the usual timeout. */
+/* Allocates a request with the default timeout; the caller encodes its message. */
 struct amb_store_request *store_request_new(struct amb_store *store, enum amb_store_priority priority,
                                             amb_store_callback on_done, void *arg);
 
-/* Queues the request, which is the queue's from now on, and sends what may be sent. */
+/* Queues the request, which the queue then owns, and sends what may be sent. */
 void store_request_enqueue(struct amb_store_request *request);
 
-/* Sends what there are tokens for. */
+/* Sends the queued requests for which there are tokens. */
 void store_dispatch(struct amb_store *store);
 
-/* Does a write wait for tokens that is not a user's? */
+/* Whether a write other than a user's waits for tokens. */
 bool store_has_own_write_waiting(const struct amb_store *store);
 
 #endif
--- a/lib/kvstore/request_queue.c
+++ b/lib/kvstore/request_queue.c
@@ -1,5 +1,5 @@
-/* The queue of requests to the key-value store, a list for each priority: sends each as soon as there are
- * tokens for it, and hands on its answer. */
+/* Queue of requests to the key-value store, with one list per priority. Sends each request as soon as there
+ * are tokens for it and delivers its answer. */
 #include "internal.h"
 
 #include "amberpin/http/http.h"
@@ -9,12 +9,13 @@
 
 static const char CONTENT_TYPE[] = "application/cbor";
 
-/* After "too many requests" nothing more is sent for this part of a call's timeout. */
+/* After "too many requests" nothing is sent for this fraction (1/n) of the call timeout. */
 enum { THROTTLES_PER_CALL_TIMEOUT = 4 };
 
-/* What reads of changes leave of the requests of a second. One read answers all questions that wait for it,
- * so nothing is lost if it is a little later. (While jobs came and ended fast, and while users asked many
- * times as often, a follower had no request left for one submission in three.) */
+/* Share of one second's request tokens that watch reads leave unused. One read serves all callers that wait
+ * for it, so a short delay costs little. Without the reserve a follower had no request token for one
+ * submission in three while many short jobs started and ended, or while users sent many times as many
+ * requests as usual. */
 static const double WATCH_RESERVED_SHARE = 0.25;
 
 struct amb_store_request *store_request_new(struct amb_store *store, enum amb_store_priority priority,
@@ -44,16 +45,17 @@
         store->last_success_at = now;
 }
 
-static void settle_user_write(struct amb_store *store, const struct amb_store_request *request, int status) {
+static void complete_user_write(struct amb_store *store, const struct amb_store_request *request,
+                                int status) {
     if (request->priority != AMB_STORE_PRIORITY_USER) return;
     store->pending_user_writes -= request->write_count;
-    /* Else it is counted when it is seen among the changes. */
+    /* A successful write is counted when the watch reports it. */
     if (status != AMB_KVSTORE_STATUS_OK) store->user_write_bucket.tokens -= request->write_count;
 }
 
 static void deliver_parsed(struct amb_store_request *request, int status, const char *body, size_t len) {
     cbor_item_t *item = len ? amb_cbor_parse(body, len) : NULL;
-    /* An answer that can't be read proves nothing about what was done. */
+    /* An unreadable answer proves nothing about what was done. */
     if (status == AMB_KVSTORE_STATUS_OK && !item) status = AMB_KVSTORE_STATUS_NO_ANSWER;
     if (request->on_done) request->on_done(request->arg, status, item);
     if (item) cbor_decref(&item);
@@ -64,8 +66,8 @@
         request->on_bytes(request->arg, status, body, len);
         return;
     }
-    /* Only a watch is told that its answer is too long, since it must list all keys instead; what another
-     * call's answer said is not known. */
+    /* Only a watch is told that its answer was too large, because it must then list all keys instead. For any
+     * other call the outcome is unknown. */
     if (status == AMB_HTTP_RESPONSE_TOO_LARGE) status = AMB_KVSTORE_STATUS_NO_ANSWER;
     deliver_parsed(request, status, body, len);
 }
@@ -75,8 +77,8 @@
     struct amb_store *store = request->store;
     update_health(store, status, amb_now());
     if (status == AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS && request->write_count)
-        amb_store_lower_limits(store, "too many changes");
-    settle_user_write(store, request, status);
+        amb_store_lower_limits(store, "write refused with too many requests");
+    complete_user_write(store, request, status);
     deliver(request, status, body, len);
     request_free(request);
 }
@@ -115,7 +117,7 @@
 /* How long until the request may be sent; 0: now. */
 static amb_ms dispatch_delay(const struct amb_store *store, const struct amb_store_request *request,
                              amb_ms now) {
-    if (request->priority == AMB_STORE_PRIORITY_LEASE) return 0; /* leadership never waits for tokens */
+    if (request->priority == AMB_STORE_PRIORITY_LEASE) return 0; /* leases never wait for tokens */
     amb_ms delay = longer_of(request_delay(store, request), write_delay(store, request));
     return longer_of(delay, store->throttled_until - now);
 }
@@ -127,30 +129,30 @@
     return request;
 }
 
-/* One pass over the queues, the most urgent first. */
+/* State of one pass over the queues, from the most urgent class to the least. */
 struct dispatch_pass {
     amb_ms now;
-    amb_ms next_attempt_in; /* 0: nothing waits for time to pass */
-    bool own_write_waits;   /* of this node's own half, in a more urgent class */
+    amb_ms next_attempt_in; /* 0: no request waits for tokens */
+    bool own_write_waits;   /* a write other than a user's waits in a more urgent class */
 };
 
-static void note_delay(struct dispatch_pass *pass, const struct amb_store_request *request, amb_ms delay) {
+static void record_delay(struct dispatch_pass *pass, const struct amb_store_request *request, amb_ms delay) {
     if (!pass->next_attempt_in || delay < pass->next_attempt_in) pass->next_attempt_in = delay;
     if (request->write_count && request->priority != AMB_STORE_PRIORITY_USER) pass->own_write_waits = true;
 }
 
-/* Sends a class in its order until a request has to wait; a read of a later class may overtake a write that
- * waits. */
+/* Sends the requests of a class in order until one has to wait. A read of a later class may overtake a
+ * waiting write. */
 static void dispatch_class(struct amb_store *store, enum amb_store_priority priority,
                            struct dispatch_pass *pass) {
     while (store->queue_head[priority]) {
         const struct amb_store_request *request = store->queue_head[priority];
-        /* Else small writes would take each token as it comes, and a larger one never find enough: jobs that
-         * had ended were called done minutes late while placements went on. */
+        /* Otherwise small writes would use each token as it is added, and a larger write would never get
+         * enough: the final states of jobs were recorded minutes late while placements continued. */
         if (pass->own_write_waits && request->write_count) return;
         amb_ms delay = dispatch_delay(store, request, pass->now);
         if (delay > 0) {
-            note_delay(pass, request, delay);
+            record_delay(pass, request, delay);
             return;
         }
         request_send(dequeue(store, priority));
--- a/lib/kvstore/responses.c
+++ b/lib/kvstore/responses.c
@@ -1,4 +1,4 @@
-/* Typed results of the answers to calls. */
+/* Conversion of answers into typed results. */
 #include "amberpin/kvstore/responses.h"
 
 #include "amberpin/codec/kvstore_messages.h"
--- a/lib/kvstore/token_bucket.c
+++ b/lib/kvstore/token_bucket.c
@@ -1,9 +1,9 @@
-/* Token buckets. Tokens are counted in fractions, so that no time between two refills is lost. */
+/* Token buckets. Token counts are fractional, so that no time between two refills is lost to rounding. */
 #include "amberpin/kvstore/token_bucket.h"
 
 #include <math.h>
 
-static const double ROUNDING_ERROR = 1e-9; /* tokens: a bucket that lacks less is not short of any */
+static const double ROUNDING_ERROR = 1e-9; /* in tokens: a smaller shortfall is ignored */
 
 double amb_token_bucket_capacity(const struct amb_token_bucket *bucket) {
     double seconds = bucket->burst_seconds > 0 ? bucket->burst_seconds : 1;
@@ -24,7 +24,7 @@
 }
 
 amb_ms amb_token_bucket_delay(const struct amb_token_bucket *bucket, double tokens) {
-    /* More than the bucket can ever hold is let through once it is full. */
+    /* A request for more than the capacity is let through when the bucket is full. */
     double missing = fmin(tokens, amb_token_bucket_capacity(bucket)) - bucket->tokens;
     if (missing <= ROUNDING_ERROR) return 0;
     return (amb_ms)ceil(missing / bucket->tokens_per_second * 1000.0);
--- a/lib/kvstore/token_budget.c
+++ b/lib/kvstore/token_budget.c
@@ -1,4 +1,4 @@
-/* This node's share of the requests and changes that the store allows all members together. */
+/* This node's share of the requests and writes that the store allows all members together. */
 #include "amberpin/kvstore/token_budget.h"
 
 #include "amberpin/base/log.h"
@@ -6,18 +6,18 @@
 
 #include <math.h>
 
-/* Requests: half of them are the leader's, the other half is divided evenly among the other nodes. */
+/* The leader's share of the requests; the rest is divided evenly among the other nodes. */
 static const double LEADER_REQUEST_SHARE = 0.5;
 
-/* Changes: half of them are for users, whichever node they come to. */
+/* Share of the writes that is for users, whichever node they send their requests to. */
 static const double USER_WRITE_SHARE = 0.5;
 
-/* The leader's share of all changes, and that of all nodes for what they write as followers. */
+/* Share of the writes for the leader's records, and for all nodes' records as followers. */
 static const double LEADER_WRITE_SHARE = 0.5, FOLLOWER_WRITE_SHARE = 0.5;
 
-/* What holders of duties may write together, taken from the followers' share, so that the sum of all shares
- * stays what it is without duties. Divided evenly among the nodes, the two writes of a request for machines
- * waited 2 s for tokens at its holder, while nobody else needed the others'. */
+/* Share of the followers' writes that the holders of single-holder duties get, so that the sum of all shares
+ * is the same as without duties. When the writes were divided evenly among the nodes, the two writes of a
+ * scale-out request waited 2 s for tokens at its holder, while the other nodes did not use theirs. */
 static const double DUTY_HOLDER_WRITE_SHARE = 0.5;
 
 void store_refill_buckets(struct amb_store *store) {
@@ -65,7 +65,7 @@
 
 void amb_store_set_duty_share(struct amb_store *store, bool in_use, double share) {
     if (store->duties_in_use == in_use && store->duty_share == share) return;
-    store_refill_buckets(store); /* the time that has passed counts at the old rate */
+    store_refill_buckets(store); /* the time since the last refill counts at the old rate */
     store->duties_in_use = in_use;
     store->duty_share = share;
     apply_shares(store);
@@ -74,7 +74,7 @@
 void amb_store_lower_limits(struct amb_store *store, const char *evidence) {
     if (store->limits_lowered) return;
     store->limits_lowered = true;
-    amb_info("state service: limits lowered, %g instead of %g changes a second: %s",
+    amb_info("state service: write limit lowered, %g instead of %g writes per second: %s",
              store->lowered_writes_per_second, store->writes_per_second, evidence);
     store->writes_per_second = store->lowered_writes_per_second;
     apply_shares(store);
@@ -82,9 +82,10 @@
 
 /* ---- users' writes ---- */
 
-/* Users come to one node after another, in bursts. If their half of the writes were divided among the nodes,
- * one submission would use up a small share and the next be refused while the others' tokens lie unused. All
- * nodes follow all jobs, so each can count what the others write and draw on the whole. */
+/* Users send bursts of requests to one node after another. If their half of the writes were divided among the
+ * nodes, one submission would use up a node's small share and the next would be refused while the other
+ * nodes' tokens stay unused. All nodes watch all jobs, so each can count the writes of the others and use the
+ * whole half. */
 amb_ms store_user_write_delay(const struct amb_store *store, uint32_t write_count, double reserved_share) {
     if (!write_count) return 0;
     const struct amb_token_bucket *bucket = &store->user_write_bucket;
@@ -103,6 +104,7 @@
 void amb_store_count_user_write(struct amb_store *store) {
     struct amb_token_bucket *bucket = &store->user_write_bucket;
     amb_token_bucket_refill(bucket, amb_now());
-    /* Seen late, many at a time, they were spread over the time before: no more than one bucket of debt. */
+    /* Many writes reported late and at once were in fact spread over the time before, so the debt is limited
+     * to one full bucket. */
     bucket->tokens = fmax(bucket->tokens - 1, -bucket->tokens_per_second);
 }
--- a/lib/kvstore/transaction.c
+++ b/lib/kvstore/transaction.c
@@ -1,4 +1,4 @@
-/* Builds transactions: each part is encoded as it is added. */
+/* Transaction builder. Each compare and operation is encoded as it is added. */
 #include "amberpin/kvstore/transaction.h"
 
 #include "amberpin/codec/kvstore_messages.h"
