--- a/lib/controller/controller.c
+++ b/lib/controller/controller.c
@@ -1,4 +1,4 @@
-/* Dispatches the events of the node's modules to the modules above them. */
+/* Dispatches the events of the node's modules to the modules that handle them. */
 #include "internal.h"
 
 #include "amberpin/agent/machine_loss.h"
--- a/lib/controller/failover.c
+++ b/lib/controller/failover.c
@@ -1,7 +1,7 @@
-/* Failover: a new leader reads what earlier leaders have recorded in the state service before it acts, and a
- * former one forgets all that only a leader may know.
+/* Failover: a new leader reads the records of earlier leaders from the state service before it acts, and a
+ * former leader discards the state that only a leader keeps.
  *
- * Reading goes on from tick to tick: first a fresh read of all jobs, then page after page of the records. */
+ * Each tick continues the restore: first all jobs are read again, then the records page by page. */
 #include "internal.h"
 
 #include "amberpin/base/log.h"
@@ -16,7 +16,7 @@
 
 #define RECORDS_PREFIX "b/"
 enum { KEY_SIZE = 256 };
-/* A call that has not been answered after so many call timeouts is sent again. */
+/* Number of call timeouts after which an unanswered read is sent again. */
 enum { RESEND_AFTER_TIMEOUTS = 4 };
 
 /* ---- reading the records ---- */
@@ -31,7 +31,8 @@
 
 static void finish_restore(struct amb_node *node) {
     struct amb_job *job, *next;
-    /* Machines that are being released must be known before anything is placed: it starts over. */
+    /* Machines that are being released must be known before anything is placed, so the restore starts over.
+     */
     if (!amb_duties_is_ready(node)) {
         node->controller.restore_synced = false;
         return;
@@ -43,10 +44,10 @@
     }
     node->controller.restoring = false;
     node->controller.restored_at = amb_now();
-    amb_info("controller: records read, %u jobs in care", count_active_jobs(node));
+    amb_info("controller: records restored, %u active jobs", count_active_jobs(node));
 }
 
-/* Each module restores the records that are its own. */
+/* Offers the record to every module; each restores its own records and ignores the others. */
 static void restore_record(struct amb_node *node, const cbor_item_t *pair) {
     char key[KEY_SIZE];
     uint64_t revision;
@@ -60,7 +61,7 @@
     snprintf(node->controller.restore_cursor, sizeof node->controller.restore_cursor, "%s", key);
 }
 
-/* Does this node lead, and has it still records to read? */
+/* Whether this node leads and has not read all records yet. */
 static bool is_restoring(const struct amb_node *node) {
     return amb_election_has_leader_role(node) && node->controller.restoring;
 }
@@ -70,7 +71,7 @@
     if (!is_restoring(node) || node->controller.restore_term != node->election.term) return;
     node->controller.restore_in_flight = false;
     const cbor_item_t *pairs = amb_cbor_map_get(body, "pairs");
-    if (status != AMB_HTTP_OK || !pairs) return; /* the tick tries again */
+    if (status != AMB_HTTP_OK || !pairs) return; /* the next tick retries */
     size_t count = amb_cbor_list_length(pairs);
     for (size_t i = 0; i < count; i++) restore_record(node, amb_cbor_list_item(pairs, i));
     bool is_truncated = false;
@@ -99,7 +100,7 @@
     struct amb_controller *controller = &node->controller;
     amb_ms resend_after = node->store.call_timeout * RESEND_AFTER_TIMEOUTS;
     if (controller->restore_in_flight && now - controller->restore_sent_at < resend_after) return;
-    /* The catalogue first: records name types by its numbers. */
+    /* Wait for the catalogue: records refer to machine types by their numbers in it. */
     if (!node->cloud.catalog_known || !amb_duties_is_ready(node)) return;
     controller->restore_sent_at = now;
     controller->restore_in_flight = true;
@@ -109,7 +110,7 @@
         request_next_page(node);
 }
 
-/* ---- leadership begins and ends ---- */
+/* ---- start and end of leadership ---- */
 
 static void reset_teams(struct amb_settings *settings) {
     bool sized_by_gpus = amb_wdrr_is_sized_by_gpus(settings->teams, settings->team_count);
@@ -135,7 +136,8 @@
     reset_teams(&node->settings);
 }
 
-/* What this node last saw of the jobs is what it tells users until the next leader tells it. */
+/* Deactivates all jobs. Their last progress stays in the answers to users until the next leader reports newer
+ * progress. */
 static void deactivate_jobs(struct amb_node *node) {
     while (node->jobs.active) {
         struct amb_job *job = node->jobs.active;
--- a/lib/controller/leader_cycle.c
+++ b/lib/controller/leader_cycle.c
@@ -1,15 +1,15 @@
-/* The leader's scheduling cycles in time: requested by events and by the clock, run by a timer, with a
- * capacity plan after some of them. */
+/* Timing of the leader's scheduling cycles: events and the tick request them, a timer runs them, and a
+ * capacity plan follows some of them. */
 #include "internal.h"
 
 #include "amberpin/base/log.h"
 #include "amberpin/placement/wdrr.h"
 #include "amberpin/scheduler/capacity_plan.h"
 
-/* Between a request and its cycle, as a share of the tick interval: changes that come together are handled
- * together. */
+/* Delay from a request to its cycle, as a share of the tick interval. Changes that arrive within it share one
+ * cycle. */
 static const double CYCLE_DELAY_SHARE = 0.05;
-/* Capacity is planned so many times in a tick interval. */
+/* Maximum number of capacity plans per tick interval. */
 static const double PLANS_PER_INTERVAL = 2;
 
 static void refill_team_buckets(struct amb_node *node, amb_ms now) {
@@ -18,7 +18,7 @@
     amb_wdrr_refill(node->settings.teams, node->settings.team_count, elapsed_s);
 }
 
-/* Returns whether it planned. */
+/* Returns whether it ran a capacity plan. */
 static bool plan_if_due(struct amb_cycle *cycle) {
     struct amb_controller *controller = &cycle->node->controller;
     amb_ms interval = amb_seconds_to_ms(controller->tick_interval_s / PLANS_PER_INTERVAL);
@@ -32,12 +32,13 @@
     double available_gpus = 0;
     if (!amb_log_is_enabled(AMB_LOG_DEBUG)) return;
     for (uint32_t i = 0; i < cycle->slot_count; i++) available_gpus += cycle->slots[i].available.gpus;
-    amb_debug("round: %u jobs waited, %u tasks or gangs placed, %u machines, %g GPUs left, %lld ms%s",
-              cycle->job_count, placed, cycle->slot_count, available_gpus,
-              (long long)(amb_now() - cycle->now), planned ? " with a plan" : "");
+    amb_debug(
+        "scheduling cycle: %u jobs waiting, %u tasks or gangs placed, %u machines, %g GPUs free, %lld ms%s",
+        cycle->job_count, placed, cycle->slot_count, available_gpus, (long long)(amb_now() - cycle->now),
+        planned ? ", with a capacity plan" : "");
 }
 
-/* A timer's callback. */
+/* Timer callback. */
 static void run_cycle(void *context) {
     struct amb_node *node = context;
     struct amb_controller *controller = &node->controller;
--- a/lib/controller/start.c
+++ b/lib/controller/start.c
@@ -1,4 +1,4 @@
-/* A node's start-up: its modules in their order, and the server that users and agents call. */
+/* Start-up of a node: initializes its modules in order and opens the server that users and agents call. */
 #include "internal.h"
 
 #include "amberpin/api/user_api.h"
@@ -8,11 +8,11 @@
 #include <stdio.h>
 #include <string.h>
 
-enum { REQUEST_BODY_MAX_BYTES = 64 * 1024 }; /* the protocol's limit, for users and agents */
+enum { REQUEST_BODY_MAX_BYTES = 64 * 1024 }; /* the protocol's limit for users and agents */
 
 /* How long an idle connection stays open, in agent leases. */
 static const double CONNECTION_LEASES = 6;
-/* Without a success of the state service for so many heartbeat periods it counts as failing. */
+/* Heartbeat periods without a successful call after which the state service counts as failing. */
 static const double STORE_FAILURE_HEARTBEAT_PERIODS = 3;
 
 static bool is_store_failing(const struct amb_node *node, amb_ms now) {
@@ -21,8 +21,9 @@
     return store->last_failure_at > store->last_success_at && now - store->last_success_at > limit;
 }
 
-/* Where the state service refuses this node alone, users are better served elsewhere. When it refuses all
- * nodes, this one stays in, so that users get an answer at once. */
+/* If the state service refuses only this node, the node reports itself unhealthy, because the other nodes
+ * serve users better. If the state service refuses all nodes, this one stays healthy, so that users get an
+ * immediate answer. */
 static bool is_healthy(struct amb_node *node) {
     amb_ms now = amb_now();
     if (!node->watch.loaded) return false;
@@ -63,7 +64,7 @@
     amb_http_client_set_max_connections(amb_capacity_max_outgoing_connections(settings));
     amb_http_client_set_max_response_bytes(amb_memory_max_response_bytes(settings));
     if (!open_public_server(node)) {
-        snprintf(err, err_size, "front %s can't be opened", settings->api_listen);
+        snprintf(err, err_size, "front %s: cannot open the listening socket", settings->api_listen);
         return -1;
     }
     amb_peer_start(node);
--- a/lib/controller/tick.c
+++ b/lib/controller/tick.c
@@ -1,31 +1,32 @@
-/* The periodic work of a node, and of the leader among them. */
+/* Periodic work of every node, and of the leader. */
 #include "internal.h"
 
 #include "amberpin/base/log.h"
 #include "amberpin/cloud_duty/scaling_mode.h"
 
-/* Times between ticks and cycles, as shares of the tick interval. */
+/* Time between ticks, and longest time between scheduling cycles, as shares of the tick interval. */
 static const double TICK_SHARE = 0.1;
 static const double CYCLE_SHARE = 0.5;
-/* Heartbeat periods without a tick after which a node says that it stalled. */
+/* Heartbeat periods without a tick after which a node logs a stall. */
 static const double STALL_HEARTBEAT_PERIODS = 1;
-/* Heartbeat periods within which every machine that reaches a new leader has reported to it. */
+/* Heartbeat periods within which every machine that reaches a new leader has sent it a heartbeat. */
 static const double LEARNING_HEARTBEAT_PERIODS = 1.3;
 
-/* For operators: what this node did not do meanwhile, others have done. (What was decided before acts on
- * nothing: due timers run first, and leases have ended by the clock.) */
-static void note_stall(struct amb_node *node, amb_ms now) {
+/* Logs a stall of the event loop for operators, because other nodes may have taken over this node's work
+ * meanwhile. Decisions made before the stall take no effect after it: overdue timers run first, and leases
+ * have expired by the clock. */
+static void log_stall(struct amb_node *node, amb_ms now) {
     amb_ms elapsed = now - node->controller.ticked_at;
     amb_ms limit = amb_seconds_to_ms(node->settings.heartbeat_s * STALL_HEARTBEAT_PERIODS);
     if (node->controller.ticked_at && elapsed > limit)
-        amb_info("controller: this node stood still for %lld ms", (long long)elapsed);
+        amb_info("controller: event loop stalled for %lld ms", (long long)elapsed);
     node->controller.ticked_at = now;
 }
 
-/* Does the leader know the state of its fleet? That may be so before it has waited: a fleet that starts has
- * nothing to tell, and agents whose node has died are here within a second or two. (With heartbeats every 4 s
- * waiting all the same cost 5 s of the 10 s in which some work is to start, and of the first boots of a day.)
- */
+/* Whether the leader knows the state of its fleet. It need not always wait for the learning period: a fleet
+ * that is just starting has nothing to report, and agents whose node has died connect here within 1 to 2 s.
+ * With heartbeats every 4 s, always waiting used up 5 s of the 10 s within which some jobs must start, and
+ * delayed the first machine boots of a day by as much. */
 static bool has_learned_fleet(const struct amb_node *node, amb_ms now) {
     const struct amb_controller *controller = &node->controller;
     if (!controller->restored_at) return false;
@@ -37,7 +38,7 @@
 
 static void become_ready(struct amb_node *node, amb_ms now) {
     struct amb_controller *controller = &node->controller;
-    amb_info("controller: ready to place, %lld ms after the lead was won",
+    amb_info("controller: ready to schedule, %lld ms after becoming leader",
              (long long)(now - controller->leader_since));
     controller->ready = true;
     amb_controller_request_cycle(node);
@@ -59,7 +60,7 @@
     amb_placement_log_flush(node);
 }
 
-/* A timer's callback. */
+/* Timer callback. */
 static void on_tick_timer(void *context) {
     amb_controller_tick(context);
 }
@@ -67,7 +68,7 @@
 void amb_controller_tick(struct amb_node *node) {
     struct amb_controller *controller = &node->controller;
     amb_ms now = amb_now();
-    note_stall(node, now);
+    log_stall(node, now);
     amb_timer_set_after(&controller->timer, amb_seconds_to_ms(controller->tick_interval_s * TICK_SHARE),
                         on_tick_timer, node);
     amb_cloud_tick(node, now);
