--- a/lib/api/admission.c
+++ b/lib/api/admission.c
@@ -1,4 +1,4 @@
-/* Can a submitted job ever run on this deployment? */
+/* Admission checks of submitted jobs. */
 #include "amberpin/api/admission.h"
 
 #include "amberpin/codec/cbor_reader.h"
@@ -9,15 +9,15 @@
 
 enum { BYTES_PER_KB = 1024 };
 
-/* Sets of zones: a bit for each, by its index in the catalogue. */
+/* A set of zones is a bit mask: bit i is the zone with index i in the catalogue. */
 enum { NO_ZONE = 0 };
 static const uint32_t ANY_ZONE = UINT32_MAX;
 
-/* The zones in which the cloud has this machine type, of those that the job allows. */
+/* Returns the zones that offer this machine type and that the job allows. */
 static uint32_t allowed_zones_of_type(const struct amb_catalog *catalog, const struct amb_machine_type *type,
                                       const struct amb_job_spec *spec) {
     uint32_t zones = NO_ZONE;
-    if (!type->zone_count && !spec->zone[0]) return ANY_ZONE; /* the cloud does not say where */
+    if (!type->zone_count && !spec->zone[0]) return ANY_ZONE; /* the cloud does not name the type's zones */
     for (uint32_t i = 0; i < type->zone_count; i++) {
         const char *name = type->zones[i];
         if (spec->zone[0] && strcmp(spec->zone, name)) continue;
@@ -27,7 +27,7 @@
     return zones;
 }
 
-/* The zones where a task fits a machine type that the job allows. */
+/* Returns the zones in which a task of the job fits on a machine type that the job allows. */
 static uint32_t find_fitting_zones(const struct amb_catalog *catalog, const struct amb_job_spec *spec) {
     uint32_t zones = NO_ZONE;
     for (uint32_t i = 0; i < catalog->type_count; i++) {
@@ -43,7 +43,8 @@
     return (zones & (zones - 1)) != 0;
 }
 
-/* Whether the tasks that must run together are within what their team may have when it has nothing else. */
+/* Returns whether the tasks that must run together are within their team's limit while the team uses nothing
+ * else. */
 static bool is_within_quota(const struct amb_team *team, const struct amb_job_spec *spec) {
     struct amb_team empty = *team;
     memset(&empty.used, 0, sizeof empty.used);
@@ -56,14 +57,14 @@
     if (!team || !is_within_quota(team, spec)) return AMB_ADMISSION_NEVER_RUNS;
     if (!node->cloud.catalog_known) return AMB_ADMISSION_UNDECIDED;
     uint32_t zones = find_fitting_zones(&node->catalog, spec);
-    /* A gang runs whole or not at all: if half of it at most may be in one zone, it needs two. */
+    /* All tasks of a gang run at once, so a gang of which at most half may be in one zone needs two zones. */
     bool needs_two_zones = spec->kind == AMB_JOB_KIND_GANG && spec->spread_zones && spec->task_count > 1;
     if (needs_two_zones && (spec->one_zone || !has_two_zones(zones))) return AMB_ADMISSION_NEVER_RUNS;
     return zones == NO_ZONE ? AMB_ADMISSION_NEVER_RUNS : AMB_ADMISSION_CAN_RUN;
 }
 
-/* The names may take half of the job's record as it may be once the limits are lowered, in which sizes are
- * counted as JSON: the rest of a description takes a few hundred bytes. */
+/* Returns whether the names of the dependencies take at most half of the largest record under the lowered
+ * limits. Sizes are counted as JSON. The rest of a description takes a few hundred bytes. */
 static bool fits_record(const struct amb_settings *settings,
                         const struct amb_job_dependencies *dependencies) {
     size_t bytes = 0, quotes_and_comma = 3;
@@ -73,7 +74,7 @@
 }
 
 enum amb_admission amb_admission_check_record(const struct amb_node *node, const struct amb_job *job) {
-    struct amb_job cancelled = *job; /* the longest that its record gets */
+    struct amb_job cancelled = *job; /* with the longest record that the job can have */
     struct amb_buf value = {0};
     cancelled.accepted_wall_ms = cancelled.cancelled_wall_ms = amb_wall_ms();
     amb_job_encode_record(&value, &cancelled, AMB_JOB_CANCELLED);
@@ -88,11 +89,11 @@
     if (!dependencies) return AMB_ADMISSION_CAN_RUN;
     if (!fits_record(&node->settings, dependencies)) return AMB_ADMISSION_NEVER_RUNS;
     if (amb_format_has_older_peer(node))
-        return AMB_ADMISSION_UNDECIDED; /* it would start the job at once if it led */
+        return AMB_ADMISSION_UNDECIDED; /* as leader, that peer would start the job without waiting */
     for (uint32_t i = 0; i < dependencies->count; i++) {
         const struct amb_job *job = amb_job_find(node, dependencies->names[i]);
         if (!job) return AMB_ADMISSION_NEVER_RUNS;
-        /* A service is never done. */
+        /* A service never completes. */
         if (job->state == AMB_JOB_QUEUED && job->spec && job->spec->kind == AMB_JOB_KIND_SERVICE)
             return AMB_ADMISSION_NEVER_RUNS;
     }
--- a/lib/api/user_api.c
+++ b/lib/api/user_api.c
@@ -1,5 +1,6 @@
-/* Users' requests: submissions, queries, cancellations. A user is told only what is durable in the key-value
- * store; a job's state that is not final is read afresh from there first. */
+/* Users' requests: submissions, queries and cancellations. A user is told only what is durable in the
+ * key-value store, so a fresh read from the store precedes every answer about a job whose state is not final.
+ */
 #include "amberpin/api/user_api.h"
 
 #include "amberpin/api/admission.h"
@@ -15,16 +16,16 @@
 
 enum { RETRY_AFTER_S = 1, CANCEL_RETRIES = 3 };
 
-struct user_request { /* under way */
+struct user_request { /* a request in progress */
     struct amb_node *node;
     struct amb_http_req *http_request;
     enum amb_user_operation operation;
     char ref[AMB_NAME_SIZE];
-    int tries; /* cancel: transactions sent */
-    /* submit: */
-    struct amb_submission_error error; /* why it is malformed */
-    struct amb_job *draft;             /* as it is to be accepted; without a description if malformed */
-    bool is_sent;                      /* the draft was */
+    int cancel_retries; /* only for a cancellation: transactions that failed because the job had changed */
+    /* Only for a submission: */
+    struct amb_submission_error error; /* why the submission is malformed */
+    struct amb_job *draft; /* the job to accept; without a description if the submission is malformed */
+    bool is_sent;          /* a transaction with the draft was sent */
 };
 
 static void request_free(struct user_request *request) {
@@ -39,7 +40,7 @@
     request_free(request);
 }
 
-/* The leader counts the tasks of active jobs; other nodes know what it last told them. */
+/* The leader counts the tasks of active jobs; other nodes use the progress that it last reported to them. */
 static struct amb_job_status status_of(const struct amb_job *job) {
     struct amb_job_status status = {.job_ref = job->ref, .state = job->state};
     status.done_tasks = job->active ? job->done_count : job->progress_done;
@@ -80,8 +81,8 @@
                   spec->deadline_s);
         reply_job(request, AMB_HTTP_CREATED, amb_job_find(node, request->ref));
     } else if (status == AMB_HTTP_CONFLICT || amb_job_find(node, request->ref)) {
-        /* Another node was first, or only the response was lost and the watch has brought the job since. What
-         * it brought may be older than the request. */
+        /* Another node accepted the job first, or only the response was lost and the watch has delivered the
+         * job since. Its state in the watch may be older than the request. */
         request_fresh_read(request);
     } else {
         reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
@@ -96,16 +97,17 @@
     if (status == AMB_HTTP_OK && amb_kvstore_decode_commit(body, &revision)) {
         amb_job_apply_own_cancellation(node, job, revision);
         reply_job(request, AMB_HTTP_OK, job);
-    } else if (job->state != AMB_JOB_QUEUED) { /* only the response was lost, or another node was first */
+    } else if (job->state != AMB_JOB_QUEUED) { /* only the response was lost, or another node wrote first */
         reply_job(request, AMB_HTTP_OK, job);
-    } else if (status == AMB_HTTP_CONFLICT && request->tries++ < CANCEL_RETRIES) { /* it changed meanwhile */
+    } else if (status == AMB_HTTP_CONFLICT && request->cancel_retries++ < CANCEL_RETRIES) {
+        /* The job changed meanwhile. */
         request_fresh_read(request);
     } else {
         reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     }
 }
 
-/* Writes the job in this state, if its revision in the key-value store still is what the job says. */
+/* Writes the job in this state, provided that its revision in the key-value store is still job->revision. */
 static void write_job(struct user_request *request, const struct amb_job *job, enum amb_job_state state,
                       amb_store_callback done) {
     char key[AMB_NAME_SIZE + 16];
@@ -132,23 +134,23 @@
 
 static void decide_submission(struct user_request *request, bool is_fresh);
 
-/* No job of that name was accepted when the request came. */
+/* Handles a request for a job of a name that had not been accepted when the request arrived. */
 static void handle_unknown_job(struct user_request *request) {
     if (request->operation != AMB_USER_SUBMIT)
         reply_status(request, AMB_HTTP_NOT_FOUND);
-    else if (request->is_sent) /* and may still be carried out */
+    else if (request->is_sent) /* the transaction may still be carried out */
         reply_status(request, AMB_HTTP_SERVICE_UNAVAILABLE);
     else
         decide_submission(request, true);
 }
 
-/* The table of jobs now holds all that was true when the request came, if the read succeeded. */
+/* If the read succeeded, the table of jobs contains all changes made before the request arrived. */
 static void on_fresh_read(void *arg, bool ok) {
     struct user_request *request = arg;
     struct amb_node *node = request->node;
     struct amb_job *job = amb_job_find(node, request->ref);
     if (!ok) {
-        /* A final state stays so; any other may have changed since. */
+        /* A final state does not change; any other state may have changed since. */
         if (job && job->state != AMB_JOB_QUEUED)
             reply_job(request, AMB_HTTP_OK, job);
         else
@@ -162,20 +164,20 @@
     }
 }
 
-/* The share of the write budget that is left to jobs of higher priority: when more comes than can be written,
- * they are accepted first. */
+/* Returns the share of the write budget that is reserved for jobs of higher priority, so that those are
+ * accepted first when more jobs are submitted than can be written. */
 static double reserved_write_share(const struct amb_job_spec *spec) {
     return spec->priority == AMB_PRIORITY_PRODUCTION ? 0 : spec->priority == AMB_PRIORITY_HIGH ? 0.2 : 0.3;
 }
 
 static void send_submission(struct user_request *request) {
-    struct amb_job *draft = request->draft; /* its revision is 0: the job must be new */
+    struct amb_job *draft = request->draft; /* revision 0: the transaction fails if the job exists */
     draft->accepted_wall_ms = amb_wall_ms();
     request->is_sent = true;
     write_job(request, draft, AMB_JOB_QUEUED, on_submission_written);
 }
 
-/* Decodes the body into the draft. The job's name goes to the request even if the rest is malformed. */
+/* Decodes the body into the draft. Stores the job's name in the request even if the rest is malformed. */
 static void read_submission(struct user_request *request) {
     const struct amb_http_req *http_request = request->http_request;
     struct amb_submission submission;
@@ -206,16 +208,18 @@
 static bool can_accept_now(const struct user_request *request, enum amb_admission admission) {
     struct amb_node *node = request->node;
     const struct amb_job_spec *spec = request->draft->spec;
-    if (admission == AMB_ADMISSION_UNDECIDED) return log_refusal(request, "not known whether it can run");
+    if (admission == AMB_ADMISSION_UNDECIDED)
+        return log_refusal(request, "it is undecided whether the job can run");
     if (!amb_memory_has_room_for_job(node, spec)) return log_refusal(request, "no memory left for jobs");
     if (!amb_store_can_write_for_user(&node->store, 1, reserved_write_share(spec)))
-        return log_refusal(request, "too many changes of the state service wait");
+        return log_refusal(request, "too many writes to the state service are queued");
     return true;
 }
 
-/* The job is not known here; is_fresh: nor was it in the key-value store when the request came. Once
- * accepted, a job is never refused: so a refusal, of a malformed repetition too, needs a fresh read first. So
- * does one for a dependency that is not known: another node may just have accepted it. */
+/* Decides on the submission of a job that is not known here. is_fresh: a fresh read has shown that the job
+ * was not in the key-value store either when the request arrived. An accepted job must never be refused when
+ * its submission is repeated, so every refusal needs a fresh read first, also that of a malformed repetition.
+ * So does a refusal for an unknown dependency, which another node may just have accepted. */
 static void decide_submission(struct user_request *request, bool is_fresh) {
     enum amb_admission admission = check_admission(request);
     if (admission == AMB_ADMISSION_MALFORMED || admission == AMB_ADMISSION_NEVER_RUNS) {
@@ -234,7 +238,7 @@
 static void submit(struct user_request *request) {
     read_submission(request);
     struct amb_job *known = amb_job_find(request->node, request->ref);
-    if (!amb_codec_is_job_ref(request->ref)) /* no job of that name can have been accepted */
+    if (!amb_codec_is_job_ref(request->ref)) /* no job can have been accepted under such a name */
         reply_status(request, AMB_HTTP_BAD_REQUEST);
     else if (known && known->state != AMB_JOB_QUEUED)
         reply_job(request, AMB_HTTP_OK, known);
--- a/lib/peer/cancellation_lists.c
+++ b/lib/peer/cancellation_lists.c
@@ -2,7 +2,7 @@
 
 #include "amberpin/node/node.h"
 
-/* How long a cancellation counts as recent, in ms. */
+/* Returns how long a cancellation counts as recent, in ms. */
 static int64_t recent_cancellation_span(const struct amb_node *node) {
     return (int64_t)(node->settings.cancel_s * 2000);
 }
--- a/lib/peer/cancellation_lists.h
+++ b/lib/peer/cancellation_lists.h
@@ -1,4 +1,4 @@
-/* Which cancellations go into a message. */
+/* Selection of the cancellations that a message contains. */
 #ifndef AMBERPIN_LIB_PEER_CANCELLATION_LISTS_H
 #define AMBERPIN_LIB_PEER_CANCELLATION_LISTS_H
 
@@ -6,16 +6,19 @@
 
 struct amb_node;
 
-/* Adds every cancellation that is newer than what the receiver knows. */
+/* Adds every cancellation whose revision is higher than `known_revision`, up to which the receiver knows all
+ * changes. */
 void amb_peer_add_cancellations_after(const struct amb_node *node, struct amb_peer_message *message,
                                       uint64_t known_revision);
-/* For receivers that did not ask, so that they hear of them sooner than by the watch on the store: adds the
- * recent cancellations newer than `known_revision`; of more than `max_rows` the latest. */
+/* Adds the recent cancellations whose revision is higher than `known_revision`, and only the latest
+ * `max_rows` of them if there are more. For receivers that did not ask: they learn of the cancellations
+ * sooner than by the watch on the store. */
 void amb_peer_add_recent_cancellations(const struct amb_node *node, struct amb_peer_message *message,
                                        uint64_t known_revision, size_t max_rows);
-/* Time of day, in ms, from which the first of the present recent cancellations is not recent any more. */
+/* Returns the wall-clock time, in ms, at which the first of the recent cancellations ceases to be recent;
+ * INT64_MAX: there is none. */
 int64_t amb_peer_recent_cancellations_expiry(const struct amb_node *node);
-/* Revision of the newest cancellation; 0: there is none. */
+/* Returns the revision of the newest cancellation; 0: there is none. */
 uint64_t amb_peer_newest_cancellation_revision(const struct amb_node *node);
 
 #endif
--- a/lib/peer/heartbeat_received.c
+++ b/lib/peer/heartbeat_received.c
@@ -1,4 +1,4 @@
-/* What the messages of peers change here. */
+/* Application of peers' messages to this controller's state. */
 #include "heartbeat_received.h"
 
 #include "amberpin/node/node.h"
@@ -16,11 +16,11 @@
     return number < AMB_FORMAT_LATEST ? (enum amb_format)number : AMB_FORMAT_LATEST;
 }
 
-static void apply_abilities(struct amb_node *node, struct amb_peer *peer,
-                            const struct amb_peer_status *status) {
+static void apply_capabilities(struct amb_node *node, struct amb_peer *peer,
+                               const struct amb_peer_status *status) {
     amb_format_update_peer(peer, to_format(status->format));
     amb_duties_update_peer(peer, status->duties_record_version > 0);
-    if (status->limits_lowered) amb_store_lower_limits(&node->store, "another node says so");
+    if (status->limits_lowered) amb_store_lower_limits(&node->store, "a peer reports lowered limits");
 }
 
 static void apply_role(struct amb_peer *peer, const struct amb_peer_status *status) {
@@ -30,10 +30,12 @@
     peer->receives_agent_heartbeats = status->receives_agent_heartbeats;
 }
 
-/* Only a reply to our own question can confirm: a message that came late is as old as it is. And only of a
- * controller that has read the store: its former self may have told users of what it does not know. */
-static void note_confirmation(struct amb_node *node, struct amb_peer *peer,
-                              const struct amb_peer_status *status, amb_ms asked_at) {
+/* Records whether the message confirms our leadership. Only a reply to our own heartbeat does, since a
+ * message that the peer sent on its own may be arbitrarily old. And only a peer that has read the whole
+ * key-value store confirms it: before a restart, the peer may have confirmed cancellations to users that it
+ * no longer knows of. */
+static void record_confirmation(struct amb_node *node, struct amb_peer *peer,
+                                const struct amb_peer_status *status, amb_ms asked_at) {
     bool leads = amb_election_has_leader_role(node);
     if (asked_at && status->has_read_store && leads && !status->is_leader &&
         peer->term <= node->election.term)
@@ -52,10 +54,10 @@
     struct amb_peer_message_error error = amb_peer_message_status(message, &status);
     if (error.fault) return error;
     peer->last_heard_at = amb_now();
-    apply_abilities(node, peer, &status);
+    apply_capabilities(node, peer, &status);
     apply_cancellations(node, message);
     apply_role(peer, &status);
-    note_confirmation(node, peer, &status, asked_at);
+    record_confirmation(node, peer, &status, asked_at);
     amb_election_observe_term(node, peer->term, peer->member);
     return error;
 }
--- a/lib/peer/heartbeat_sent.c
+++ b/lib/peer/heartbeat_sent.c
@@ -1,11 +1,11 @@
-/* What a controller sends to its peers: heartbeats, and the replies to theirs. */
+/* Encoding of the heartbeats that a controller sends to its peers, and of the replies to theirs. */
 #include "amberpin/node/node.h"
 #include "cancellation_lists.h"
 #include "own_status.h"
 
-/* Bytes of a heartbeat that the images may take, and the progress of jobs. The rest is for cancellations.
- * (With all images changed, as when 4,000 machines come up together, a heartbeat outgrew what the peers
- * accept, and they took their leader for unreachable.) */
+/* Size limits of the parts of a heartbeat: the images, the progress of jobs, and the cancellations. Without
+ * them, a heartbeat in which all images had changed, as when 4,000 machines came up together, exceeded the
+ * size that peers accept, and they considered the leader unreachable. */
 enum {
     IMAGE_LOCATIONS_MAX_BYTES = AMB_HEARTBEAT_MAX_BYTES / 4,
     PROGRESS_MAX_BYTES = AMB_HEARTBEAT_MAX_BYTES / 4,
@@ -15,12 +15,13 @@
     CANCELLATIONS_MAX_ROWS = AMB_HEARTBEAT_MAX_BYTES / 4 / CANCELLATION_ROW_MAX_BYTES,
 };
 
-/* Every peer has said that it knows all changes up to here; 0: one has not said. */
+/* Returns the revision up to which every peer has said that it knows all changes; 0: at least one has not
+ * said. */
 static uint64_t revision_known_to_all_peers(const struct amb_node *node) {
-    uint64_t least = node->peers.count ? UINT64_MAX : 0;
+    uint64_t minimum = node->peers.count ? UINT64_MAX : 0;
     for (uint32_t i = 0; i < node->peers.count; i++)
-        if (node->peers.list[i].store_revision < least) least = node->peers.list[i].store_revision;
-    return least;
+        if (node->peers.list[i].store_revision < minimum) minimum = node->peers.list[i].store_revision;
+    return minimum;
 }
 
 static struct amb_peer_message *new_message(const struct amb_node *node) {
@@ -28,8 +29,8 @@
     return amb_peer_message_new(node->settings.member, &status);
 }
 
-/* What finds no room goes into the next heartbeat, where it comes first: what was sent has not changed since.
- */
+/* Adds the progress of jobs. Progress that does not fit is sent first in the next heartbeat, because the jobs
+ * that were sent have not changed since. */
 static void add_progress(struct amb_node *node, struct amb_peer_message *heartbeat) {
     uint32_t rows = 0;
     for (struct amb_job *job = node->jobs.active; job; job = job->next_active) {
@@ -41,9 +42,9 @@
     }
 }
 
-/* A leader that has lost the store, but not its peers, must keep what users were told. The time of a
- * cancellation is no measure for that: a transaction may be carried out minutes after it was sent, and its
- * user be told only then. */
+/* A leader that can reach its peers but not the key-value store must honour every cancellation that was
+ * confirmed to a user. The reply therefore selects cancellations by revision, not by time: a transaction may
+ * be carried out minutes after it was sent, and its user be told only then. */
 struct amb_peer_message *amb_peer_encode_reply(struct amb_node *node, uint64_t known_revision) {
     struct amb_peer_message *reply = new_message(node);
     if (known_revision)
--- a/lib/peer/image_locations.c
+++ b/lib/peer/image_locations.c
@@ -6,16 +6,17 @@
 #include <string.h>
 
 enum {
-    /* All machines are sent in so many parts, one in each heartbeat. */
-    IMAGE_SHARES = 16,
-    /* Heartbeats of a span. A leader sends every machine several times in it, also when some get lost. */
-    SPAN_HEARTBEATS = 4 * IMAGE_SHARES,
-    /* JSON around a machine's name, and around an image's name with its size. */
+    /* The table of machines is sent in this number of parts, one in each heartbeat. */
+    ROTATION_PARTS = 16,
+    /* Heartbeats per generation: the leader sends every machine several times in a generation, so that lost
+     * heartbeats do not matter. */
+    GENERATION_HEARTBEATS = 4 * ROTATION_PARTS,
+    /* Bytes of JSON syntax around a machine's name, and around an image's name with its size. */
     MACHINE_BYTES = 6,
     IMAGE_BYTES = 24,
 };
 
-/* ---- the leader ---- */
+/* ---- sending, on the leader ---- */
 
 static size_t estimate_bytes(const struct amb_machine *machine) {
     size_t bytes = strlen(machine->name) + MACHINE_BYTES;
@@ -33,7 +34,7 @@
     amb_peer_message_add_machine_images(heartbeat, &images);
 }
 
-/* Adds one machine. False: it finds no room. */
+/* Adds one machine. Returns false if it does not fit. */
 static bool encode_machine(struct amb_node *node, struct amb_machine *machine,
                            struct amb_peer_message *heartbeat, size_t *bytes_left) {
     size_t bytes = estimate_bytes(machine);
@@ -44,33 +45,33 @@
     return true;
 }
 
-/* Adds the machines between two positions of the table that have changed or whose turn it is. Returns the
- * position of the first that finds no room, or `end`. */
-static uint32_t encode_range(struct amb_node *node, struct amb_peer_message *heartbeat, uint32_t share,
+/* Adds the machines between two positions of the table that have changed or belong to this part of the
+ * rotation. Returns the position of the first machine that does not fit, or `end`. */
+static uint32_t encode_range(struct amb_node *node, struct amb_peer_message *heartbeat, uint32_t part,
                              uint32_t begin, uint32_t end, size_t *bytes_left) {
     uint32_t position = 0;
     for (struct amb_machine *machine = node->fleet.machines; machine && position < end;
          machine = machine->hh.next, position++) {
-        bool due = position % IMAGE_SHARES == share || machine->images_changed;
+        bool due = position % ROTATION_PARTS == part || machine->images_changed;
         if (position < begin || !due) continue;
         if (!encode_machine(node, machine, heartbeat, bytes_left)) return position;
     }
     return end;
 }
 
-/* Begins where the last heartbeat had no room left, so that every machine has its turn. */
+/* Begins where the last heartbeat ran out of room, so that every machine is sent eventually. */
 void amb_image_locations_encode(struct amb_node *node, struct amb_peer_message *heartbeat, size_t max_bytes) {
     struct amb_image_locations *locations = &node->peers.image_locations;
     uint32_t count = HASH_COUNT(node->fleet.machines);
-    uint32_t share = (uint32_t)(locations->heartbeat_number++ % IMAGE_SHARES);
+    uint32_t part = (uint32_t)(locations->heartbeat_number++ % ROTATION_PARTS);
     uint32_t first = locations->first_machine < count ? locations->first_machine : 0;
     size_t bytes_left = max_bytes;
-    uint32_t stopped_at = encode_range(node, heartbeat, share, first, count, &bytes_left);
+    uint32_t stopped_at = encode_range(node, heartbeat, part, first, count, &bytes_left);
     if (stopped_at < count) {
         locations->first_machine = stopped_at;
         return;
     }
-    stopped_at = encode_range(node, heartbeat, share, 0, first, &bytes_left);
+    stopped_at = encode_range(node, heartbeat, part, 0, first, &bytes_left);
     locations->first_machine = stopped_at < first ? stopped_at : 0;
 }
 
@@ -80,7 +81,7 @@
         if (machine->images_sent_in == latest) machine->images_changed = false;
 }
 
-/* ---- the other controllers ---- */
+/* ---- receiving, on the other controllers ---- */
 
 static void free_locations(struct amb_image_location **table) {
     struct amb_image_location *location = *table;
@@ -93,14 +94,14 @@
     }
 }
 
-/* Names of machines are never used again, so what is not reported any more is of no use. (A table of 4,096
- * names, gone ones too, was emptied whenever it was full: with 4,000 machines every few seconds of a busy
- * hour.) */
-static void start_span(struct amb_image_locations *locations) {
+/* Drops the machines that were not reported in the previous generation. Their names are never reused, so
+ * their entries are of no use. A single table of 4,096 names that was emptied when full would also hold
+ * removed machines, and was emptied every few seconds under load with 4,000 machines. */
+static void start_generation(struct amb_image_locations *locations) {
     free_locations(&locations->previous);
     locations->previous = locations->current;
     locations->current = NULL;
-    locations->heartbeats_in_span = 0;
+    locations->heartbeats_in_generation = 0;
 }
 
 static struct amb_image_location *find_location(struct amb_image_location *table, const char *machine) {
@@ -127,7 +128,7 @@
     struct amb_peer_machine_images images;
     void *position = NULL;
     if (!amb_peer_message_has_images(heartbeat)) return;
-    if (++locations->heartbeats_in_span > SPAN_HEARTBEATS) start_span(locations);
+    if (++locations->heartbeats_in_generation > GENERATION_HEARTBEATS) start_generation(locations);
     while (amb_peer_message_next_machine_images(heartbeat, &position, &images))
         store_location(&locations->current, &images);
 }
--- a/lib/peer/own_status.c
+++ b/lib/peer/own_status.c
@@ -2,7 +2,7 @@
 
 #include "amberpin/node/node.h"
 
-/* How long after the last agent's heartbeat, or after a failed request to the store, that still counts. */
+/* Returns how long, in ms, the last agent's heartbeat or a failed request to the store counts as evidence. */
 static amb_ms evidence_timeout(const struct amb_node *node) {
     return (amb_ms)(node->settings.heartbeat_s * 3000);
 }
@@ -12,14 +12,14 @@
            now - node->store.last_failure_at > evidence_timeout(node);
 }
 
-/* The first version names no format. */
+/* The first version of the software sends no format number. */
 static int64_t format_to_send(const struct amb_node *node) {
     enum amb_format format = amb_format_supported(node);
     return format > AMB_FORMAT_1 ? format : 0;
 }
 
-/* `has_read_store`: this process has read the whole key-value store, so it knows of every cancellation that
- * its former self can have told a user of. */
+/* `has_read_store`: this process has read the whole key-value store, so it knows every cancellation that it
+ * can have confirmed to a user before a restart. */
 struct amb_peer_status amb_peer_own_status(const struct amb_node *node) {
     amb_ms now = amb_now();
     bool is_leader = amb_election_is_leader(node);
--- a/lib/peer/own_status.h
+++ b/lib/peer/own_status.h
@@ -1,4 +1,4 @@
-/* What this controller says of itself to its peers. */
+/* The status that this controller sends to its peers. */
 #ifndef AMBERPIN_LIB_PEER_OWN_STATUS_H
 #define AMBERPIN_LIB_PEER_OWN_STATUS_H
 
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -1,4 +1,4 @@
-/* The exchange between controllers: heartbeats to all peers, and what they send to us. */
+/* Exchange of messages between controllers: heartbeats to all peers, and requests from peers. */
 #include "amberpin/base/log.h"
 #include "amberpin/duty/duty_status.h"
 #include "amberpin/job/cancellation_notice.h"
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- our heartbeats ---- */
+/* ---- heartbeats to peers ---- */
 
 static void handle_reply(void *arg, int status, const char *body, size_t len) {
     struct amb_peer *peer = arg;
@@ -29,7 +29,8 @@
                   (amb_ms)(node->settings.heartbeat_s * 1000), handle_reply, peer);
 }
 
-/* Twice a heartbeat period of the agents. A peer that has not replied to the last one is left out. */
+/* Sends heartbeats to all peers, twice in each heartbeat period of the agents. Skips a peer that has not
+ * replied to the last one. */
 static void send_heartbeats(void *arg) {
     struct amb_node *node = arg;
     amb_ms now = amb_now();
@@ -49,7 +50,7 @@
     free(text);
 }
 
-/* ---- requests of peers ---- */
+/* ---- requests from peers ---- */
 
 static bool is_post(const struct amb_http_req *request) {
     return !strcmp(request->method, "POST");
@@ -112,7 +113,7 @@
 
 void amb_peer_clear_cached_messages(struct amb_node *node) {
     amb_peer_clear_received_messages(node);
-    amb_peer_clear_sent_messages(node);
+    amb_peer_clear_cached_replies(node);
     amb_image_locations_clear(node);
 }
 
--- a/lib/peer/received_cache.c
+++ b/lib/peer/received_cache.c
@@ -10,8 +10,8 @@
     return cached->message && cached->len == len && !memcmp(cached->text, text, len);
 }
 
-/* Longer messages are parsed each time. Those of controllers that do not lead are mostly short; a leader's
- * heartbeat names other machines each time. */
+/* Messages above a size limit are not cached. Those of controllers that do not lead are mostly short; a
+ * leader's heartbeat names different machines each time, so caching it would not help. */
 static void cache_message(const struct amb_node *node, struct amb_peer_cached_message *cached,
                           const char *text, size_t len, struct amb_peer_message *message) {
     if (len > amb_memory_max_peer_message_bytes(&node->settings)) return;
--- a/lib/peer/reply_cache.c
+++ b/lib/peer/reply_cache.c
@@ -1,5 +1,5 @@
-/* Most replies go to peers that know all cancellations, or that have not said what they know: these two are
- * encoded once and sent again until they would say something else. */
+/* Most replies go to peers that know all cancellations, or that have not said what they know. These two
+ * replies are encoded once and sent again until their content would change. */
 #include "reply_cache.h"
 
 #include "amberpin/node/node.h"
@@ -15,7 +15,7 @@
     return text;
 }
 
-static bool is_still_valid(const struct amb_node *node, const struct amb_peer_sent_message *cached) {
+static bool is_still_valid(const struct amb_node *node, const struct amb_peer_cached_reply *cached) {
     struct amb_peer_status status = amb_peer_own_status(node);
     int64_t now_wall_ms = amb_wall_ms();
     return cached->text && cached->cancellation_changes == node->jobs.cancellations.change_count &&
@@ -23,7 +23,7 @@
            amb_peer_status_is_same(&cached->status, &status);
 }
 
-static void refresh(struct amb_node *node, struct amb_peer_sent_message *cached, uint64_t known_revision,
+static void refresh(struct amb_node *node, struct amb_peer_cached_reply *cached, uint64_t known_revision,
                     int64_t expires_wall_ms) {
     free(cached->text);
     cached->text = encode_reply_text(node, known_revision);
@@ -34,13 +34,13 @@
 }
 
 static const char *get_recent_cancellations_text(struct amb_node *node) {
-    struct amb_peer_sent_message *cached = &node->peers.with_recent_cancellations;
+    struct amb_peer_cached_reply *cached = &node->peers.reply_with_recent_cancellations;
     if (!is_still_valid(node, cached)) refresh(node, cached, 0, amb_peer_recent_cancellations_expiry(node));
     return cached->text;
 }
 
 static const char *get_no_cancellations_text(struct amb_node *node, uint64_t known_revision) {
-    struct amb_peer_sent_message *cached = &node->peers.without_cancellations;
+    struct amb_peer_cached_reply *cached = &node->peers.reply_without_cancellations;
     if (!is_still_valid(node, cached)) refresh(node, cached, known_revision, INT64_MAX);
     return cached->text;
 }
@@ -54,12 +54,12 @@
     return *owned_text;
 }
 
-static void clear_sent_message(struct amb_peer_sent_message *cached) {
+static void clear_cached_reply(struct amb_peer_cached_reply *cached) {
     free(cached->text);
     cached->text = NULL;
 }
 
-void amb_peer_clear_sent_messages(struct amb_node *node) {
-    clear_sent_message(&node->peers.with_recent_cancellations);
-    clear_sent_message(&node->peers.without_cancellations);
+void amb_peer_clear_cached_replies(struct amb_node *node) {
+    clear_cached_reply(&node->peers.reply_with_recent_cancellations);
+    clear_cached_reply(&node->peers.reply_without_cancellations);
 }
