--- a/include/amberpin/agent/agent_api.h
+++ b/include/amberpin/agent/agent_api.h
@@ -1,4 +1,4 @@
-/* HTTP requests of the machines' agents. */
+/* The HTTP interface for the machines' agents. */
 #ifndef AMBERPIN_AGENT_API_H
 #define AMBERPIN_AGENT_API_H
 
@@ -6,8 +6,8 @@
 
 struct amb_node;
 
-/* Handles the request, now or later, if it is one of an agent. False: it is not, and is still to be handled.
- */
+/* Handles an agent's request; the response may be sent later. Returns false if the request is not an agent's,
+ * and leaves it to the caller. */
 bool amb_agent_handle_request(struct amb_node *node, struct amb_http_req *request);
 
 #endif
--- a/include/amberpin/agent/machine_loss.h
+++ b/include/amberpin/agent/machine_loss.h
@@ -1,4 +1,4 @@
-/* What follows once tasks or whole machines are proven absent. */
+/* Handling of tasks and machines that are proven absent. */
 #ifndef AMBERPIN_AGENT_MACHINE_LOSS_H
 #define AMBERPIN_AGENT_MACHINE_LOSS_H
 
@@ -7,11 +7,13 @@
 
 struct amb_node;
 
-/* All tasks of the machine are proven absent: they are to be placed anew, their gangs are torn down. */
+/* Unbinds all tasks of the machine, which are proven absent, so that they are placed again, and tears down
+ * their gangs. */
 void amb_machine_unbind_lost_tasks(struct amb_node *node, struct amb_machine *machine,
                                    enum amb_absence proof);
 
-/* The machine itself is proven gone: unbinds its tasks and removes it from the table, which frees it. */
+/* Unbinds the tasks of a machine that is itself proven gone, and removes the machine from the table, which
+ * frees it. */
 void amb_machine_confirm_gone(struct amb_node *node, struct amb_machine *machine, enum amb_absence proof);
 
 #endif
--- a/include/amberpin/agent/task_failures.h
+++ b/include/amberpin/agent/task_failures.h
@@ -1,5 +1,5 @@
-/* What follows when tasks fail and succeed: machines that fail tasks are quarantined and then released, jobs
- * that fail on several machines are retried with a growing backoff. */
+/* Handling of task failures and successes: a machine on which tasks fail is quarantined and eventually
+ * released, and a job that fails on several machines is retried with exponential backoff. */
 #ifndef AMBERPIN_AGENT_TASK_FAILURES_H
 #define AMBERPIN_AGENT_TASK_FAILURES_H
 
@@ -7,14 +7,16 @@
 
 struct amb_node;
 
-/* A task of the job has failed on the machine: attributes the failure to either, or to both. */
+/* Records that a task of the job has failed on the machine, and attributes the failure to the job, to the
+ * machine or to both, as far as the evidence allows. */
 void amb_task_record_failure(struct amb_node *node, struct amb_job *job, struct amb_machine *machine);
 
-/* A task of the job has succeeded on the machine, or has been running there for long. */
+/* Records that a task of the job has succeeded on the machine, or has been running there long enough to count
+ * as a success. */
 void amb_task_record_success(struct amb_job *job, struct amb_machine *machine);
 
-/* Are the job's failures attributed to itself? Then one of its tasks is tried at a time, and it is no reason
- * to scale out or to preempt. */
+/* Returns whether the job's failures are attributed to the job itself. Only one task of such a job is tried
+ * at a time, and the job causes neither scale out nor preemption. */
 bool amb_job_is_broken(const struct amb_job *job);
 
 #endif
--- a/include/amberpin/agent/task_status.h
+++ b/include/amberpin/agent/task_status.h
@@ -1,5 +1,5 @@
-/* What a heartbeat shows of one task: that it is active, that it has exited, or by not listing it that it is
- * absent. */
+/* Evaluation of what a heartbeat shows about one task: that it is active, that it has exited, or, by not
+ * listing it, that it is absent. */
 #ifndef AMBERPIN_AGENT_TASK_STATUS_H
 #define AMBERPIN_AGENT_TASK_STATUS_H
 
@@ -8,14 +8,15 @@
 
 struct amb_node;
 
-/* The machine's heartbeat lists a task, which this node may not know. evidence: of the heartbeat. Appends a
- * stop if the task should not run there, or tells the agent to forget an exit that needs no further care. */
+/* Handles a task that the machine's heartbeat lists; this node may not know the task. evidence: taken from
+ * the heartbeat. Appends a stop if the task must not run there, or a clear, which makes the agent forget an
+ * exit that needs no further handling. */
 void amb_task_handle_listed(struct amb_node *node, struct amb_machine *machine,
                             const struct amb_agent_task *listed, struct amb_heartbeat_evidence evidence,
                             struct amb_command_list *commands);
 
-/* The heartbeat carries this leader's fencing token and does not list a task that is bound to its machine. If
- * that proves the task absent it is unbound, or its start is appended if it has yet to start. */
+/* Handles a task that is bound to the machine but missing from its heartbeat, which carries this leader's
+ * fencing token. If that proves the task absent, unbinds it, or appends its start if it has yet to start. */
 void amb_task_handle_unlisted(struct amb_node *node, struct amb_task *task,
                               struct amb_heartbeat_evidence evidence, struct amb_command_list *commands);
 
--- a/include/amberpin/fleet/agent_commands.h
+++ b/include/amberpin/fleet/agent_commands.h
@@ -1,5 +1,6 @@
-/* Commands to agents. A start goes out only in the response to a heartbeat, which the agent drops when it is
- * late. A stop does no harm when it is carried out late, so it may also be sent as a request of its own. */
+/* Commands to agents. A start is sent only in the response to a heartbeat, because the agent drops a response
+ * that is late. A stop is harmless when it is carried out late, so it may also be sent in a request of its
+ * own. */
 #ifndef AMBERPIN_FLEET_AGENT_COMMANDS_H
 #define AMBERPIN_FLEET_AGENT_COMMANDS_H
 
@@ -9,31 +10,32 @@
 
 enum { AMB_COMMANDS_MAX = 256 /* in one response */ };
 
-/* A list of bounded size on memory that its creator owns. */
+/* A command list of fixed capacity; its creator owns the memory. */
 struct amb_command_list {
     struct amb_agent_command *commands;
     size_t capacity, count;
 };
 
-/* Appends a command. Does nothing when the list is full: what is still needed is sent with a later heartbeat.
- * job_ref: the job of the task with this index; grace_s: time to save before a stop, in seconds. */
+/* Appends a command. Does nothing if the list is full: a command that is still needed is sent in the response
+ * to a later heartbeat. job_ref, index: identify the task; grace_s: seconds to save a checkpoint before a
+ * stop. */
 void amb_command_list_add(struct amb_command_list *list, enum amb_agent_command_kind kind,
                           const char *job_ref, uint32_t index, uint64_t attempt, double grace_s);
 
-/* Appends the start of a task that is bound to its machine, unless it must not start now: this node may not
- * start tasks, the machine is being released, the job is being cancelled, or placements of its gang are not
- * durable yet. list: the response to the machine's latest heartbeat. */
+/* Appends the start of a task that is bound to its machine, unless the task must not start now: this node may
+ * not start tasks, the machine is being released, the job is being cancelled, or placements of its gang are
+ * not durable yet. list: the commands of the response to the machine's latest heartbeat. */
 void amb_command_list_add_start(struct amb_node *node, struct amb_task *task, struct amb_command_list *list);
 
-/* Is every placement of the gang's attempt durable? None of its tasks may start before. */
-bool amb_gang_is_recorded(const struct amb_job *job);
+/* Returns whether every placement of the gang's attempt is durable. None of its tasks may start before. */
+bool amb_gang_placements_are_durable(const struct amb_job *job);
 
-/* Sends commands to this incarnation of the machine's agent, which may carry them out late: no starts. An
- * empty list delivers the fencing token alone. */
+/* Sends commands to this incarnation of the machine's agent in a request of their own. They may be carried
+ * out late, so the list must not contain starts. An empty list delivers the fencing token alone. */
 void amb_machine_send_commands(struct amb_node *node, const struct amb_machine *machine, uint64_t incarnation,
                                const struct amb_command_list *list);
 
-/* Sends the stops that are due without waiting for the machine's next heartbeat. */
+/* Sends the stop commands that are due, without waiting for the machine's next heartbeat. */
 void amb_machine_send_stops(struct amb_node *node, struct amb_machine *machine);
 
 #endif
--- a/include/amberpin/fleet/deferred_responses.h
+++ b/include/amberpin/fleet/deferred_responses.h
@@ -1,8 +1,8 @@
-/* Responses to heartbeats that are deferred until there is a command to send (long polling). A start may only
- * go out in the response to a heartbeat, and a machine sends one once a period, so a start would wait for
- * half a period on average: a good part of the few seconds within which some work is to start. A response
- * that would be empty is therefore deferred for a part of the period. The agent could not send another
- * heartbeat meanwhile, since it waits for at least half a period after the last. */
+/* Responses to heartbeats that are deferred until there is a command to send (long polling). A start is sent
+ * only in the response to a heartbeat, and a machine sends one heartbeat per period, so a start would
+ * otherwise wait for half a period on average: a large part of the few seconds within which some work must
+ * start. A response that would be empty is therefore deferred for part of the period. This delays no
+ * heartbeat, because the agent waits for at least half a period after the last one anyway. */
 #ifndef AMBERPIN_FLEET_DEFERRED_RESPONSES_H
 #define AMBERPIN_FLEET_DEFERRED_RESPONSES_H
 
@@ -11,17 +11,18 @@
 
 struct amb_node;
 
-/* Defers the response to the machine's latest heartbeat. The machine must have no deferred response yet. */
+/* Defers the response to the machine's latest heartbeat. The machine must not have a deferred response yet.
+ */
 void amb_deferred_response_begin(struct amb_node *node, struct amb_machine *machine,
                                  struct amb_http_req *request);
 
-/* Sends the machine's deferred response now, if there is one: without commands, or as a redirect when this
- * node does not lead any more. */
+/* Sends the machine's deferred response now, if there is one: without commands, or as a redirect if this node
+ * no longer leads. */
 void amb_deferred_response_finish(struct amb_node *node, struct amb_machine *machine);
 
-/* The task's placement has become durable: the deferred response of its machine is sent from the event loop,
- * with the starts that are possible then. For a gang those of all its machines, once all placements are
- * durable. */
+/* To be called when the task's placement has become durable. Sends the deferred response of its machine from
+ * the event loop, with the starts that are possible by then. For a gang, sends those of all its machines once
+ * all its placements are durable. */
 void amb_deferred_response_trigger(struct amb_task *task);
 
 #endif
--- a/include/amberpin/fleet/fleet.h
+++ b/include/amberpin/fleet/fleet.h
@@ -1,4 +1,4 @@
-/* What a leader knows of its machines as a whole. */
+/* The leader's state of the whole fleet. */
 #ifndef AMBERPIN_FLEET_FLEET_H
 #define AMBERPIN_FLEET_FLEET_H
 
@@ -7,23 +7,23 @@
 
 struct amb_removed_machine;
 
-/* How much of a zone the leader can reach (zone_recovery/reachability.h). */
+/* Whether the leader can reach the machines of a zone (zone_recovery/reachability.h). */
 enum amb_zone_reachability {
     AMB_ZONE_REACHABLE,
-    AMB_ZONE_DEGRADED,    /* a good part of its machines is unresponsive */
-    AMB_ZONE_UNREACHABLE, /* nearly all are, and not all zones' */
+    AMB_ZONE_DEGRADED,    /* a large part of its machines is unresponsive */
+    AMB_ZONE_UNREACHABLE, /* nearly all of its machines are unresponsive, but not those of every zone */
 };
 
-/* Kept by every node; only a leader knows machines. */
+/* Every node has one; only the leader's contains machines. */
 struct amb_fleet {
     struct amb_machine *machines;                 /* hash table by name (machines.h) */
-    struct amb_removed_machine *removed_machines; /* hash table of names that are never used again */
-    bool forgot_removed;                          /* more names were removed than are kept */
-    uint32_t next_number;                         /* of the next machine that is added */
-    uint64_t heartbeats_processed; /* marks the tasks that a heartbeat lists (amb_task.last_listed_in) */
+    struct amb_removed_machine *removed_machines; /* hash table of names, which are never reused */
+    bool forgot_removed;           /* names were dropped from removed_machines for lack of room */
+    uint32_t next_number;          /* amb_machine.number of the next machine */
+    uint64_t heartbeats_processed; /* stored in amb_task.last_listed_in of each task that a heartbeat lists */
     enum amb_zone_reachability zone_reachability[AMB_ZONES_MAX];
-    amb_ms zone_last_unreachable_at[AMB_ZONES_MAX]; /* when the zone was last not reachable; 0: never */
-    amb_ms last_heartbeat_at; /* when any agent last sent this node a heartbeat, leader or not */
+    amb_ms zone_last_unreachable_at[AMB_ZONES_MAX]; /* when last not AMB_ZONE_REACHABLE; 0: never */
+    amb_ms last_heartbeat_at; /* when any agent last sent this node a heartbeat, whether it leads or not */
 };
 
 #endif
--- a/include/amberpin/fleet/heartbeat_response.h
+++ b/include/amberpin/fleet/heartbeat_response.h
@@ -7,12 +7,12 @@
 
 struct amb_node;
 
-/* Responds with commands under this term, which may renew the lease of the agent. Ends the request. */
+/* Responds with commands under this term. The response may renew the agent's lease. Completes the request. */
 void amb_heartbeat_reply_commands(struct amb_http_req *request, uint64_t term,
                                   const struct amb_command_list *list);
 
-/* Refuses a heartbeat that this node may not answer, and names the leader if one is known. A fenced node only
- * asks the agent to try again. Ends the request. */
+/* Refuses a heartbeat that this node may not respond to, and names the leader if it is known. A fenced node
+ * only asks the agent to retry. Completes the request. */
 void amb_heartbeat_reply_redirect(struct amb_node *node, struct amb_http_req *request);
 
 #endif
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/* Is the machine one that a start may be found for while its response is deferred? */
+/* Returns whether a start may become due for the machine while its response is deferred. */
 static bool may_defer_response(const struct amb_node *node, const struct amb_machine *machine) {
     return node->controller.ready && machine->state == AMB_MACHINE_UP && !machine->release_pending;
 }
@@ -35,7 +35,7 @@
     if (amb_election_is_leader(node)) {
         respond_as_leader(node, request, heartbeat, &commands);
     } else if (amb_lease_proxy_may_answer(node, heartbeat)) {
-        /* The leader can't be reached from here, but the tasks of this zone can be kept running. */
+        /* This node can't reach the leader, but its responses keep the tasks of its zone running. */
         amb_heartbeat_stop_cancelled(node, heartbeat, &commands);
         amb_heartbeat_reply_commands(request, node->lease_proxy.term, &commands);
     } else {
--- a/lib/agent/heartbeats.c
+++ b/lib/agent/heartbeats.c
@@ -7,16 +7,16 @@
 
 #include <string.h>
 
-static struct amb_heartbeat_order position_of(const struct amb_agent_heartbeat *heartbeat) {
+static struct amb_heartbeat_order heartbeat_order(const struct amb_agent_heartbeat *heartbeat) {
     return (struct amb_heartbeat_order){heartbeat->incarnation, heartbeat->sequence};
 }
 
-static struct amb_heartbeat_order newest_position(const struct amb_machine *machine) {
+static struct amb_heartbeat_order newest_order(const struct amb_machine *machine) {
     return (struct amb_heartbeat_order){machine->incarnation, machine->sequence};
 }
 
 bool amb_heartbeat_is_newer(const struct amb_agent_heartbeat *heartbeat, const struct amb_machine *machine) {
-    return amb_heartbeat_order_is_newer(position_of(heartbeat), newest_position(machine));
+    return amb_heartbeat_order_is_newer(heartbeat_order(heartbeat), newest_order(machine));
 }
 
 void amb_heartbeat_stop_cancelled(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat,
@@ -30,7 +30,7 @@
     }
 }
 
-/* ---- the machine ---- */
+/* ---- state of the machine ---- */
 
 static void update_machine(struct amb_node *node, struct amb_machine *machine,
                            const struct amb_agent_heartbeat *heartbeat) {
@@ -39,8 +39,8 @@
     strcpy(machine->address, heartbeat->address);
 }
 
-static void update_position(struct amb_machine *machine, const struct amb_agent_heartbeat *heartbeat,
-                            amb_ms now) {
+static void update_newest_heartbeat(struct amb_machine *machine, const struct amb_agent_heartbeat *heartbeat,
+                                    amb_ms now) {
     machine->incarnation = heartbeat->incarnation;
     machine->sequence = heartbeat->sequence;
     machine->last_heartbeat_at = now;
@@ -49,15 +49,15 @@
 static void update_token_state(struct amb_machine *machine, bool acknowledged) {
     if (acknowledged) {
         machine->token_acknowledged = true;
-        amb_machine_set_state(machine, AMB_MACHINE_UP, "it shows our token");
+        amb_machine_set_state(machine, AMB_MACHINE_UP, "it acknowledged our fencing token");
     } else if (machine->state == AMB_MACHINE_BOOTING) {
-        amb_machine_set_state(machine, AMB_MACHINE_UNPROVEN, "it reports");
+        amb_machine_set_state(machine, AMB_MACHINE_UNPROVEN, "heartbeat received");
     }
 }
 
-/* ---- its tasks ---- */
+/* ---- tasks of the machine ---- */
 
-/* The tasks that should be on the machine and that the heartbeat does not list. */
+/* Handles the tasks that are bound to the machine but not listed in the heartbeat. */
 static void process_unlisted(struct amb_node *node, struct amb_machine *machine,
                              struct amb_heartbeat_evidence evidence, struct amb_command_list *commands) {
     for (struct amb_task *task = machine->tasks, *next; task; task = next) {
@@ -66,7 +66,8 @@
         task->last_listed_in = node->fleet.heartbeats_processed;
         uint32_t count_before = machine->task_count;
         amb_task_handle_unlisted(node, task, evidence, commands);
-        /* A gang torn down meanwhile may take this machine's other tasks with it: begin again. */
+        /* Tearing down a gang may have unbound other tasks of this machine, including `next`: restart from
+         * the head. */
         if (machine->task_count != count_before) next = machine->tasks;
     }
 }
@@ -75,7 +76,7 @@
                           const struct amb_agent_heartbeat *heartbeat, struct amb_heartbeat_order previous,
                           struct amb_command_list *commands) {
     const struct amb_heartbeat_evidence evidence = {
-        .order = position_of(heartbeat),
+        .order = heartbeat_order(heartbeat),
         .newest_seen = previous,
         .heartbeat_term = heartbeat->fencing_token,
         .own_term = node->election.term,
@@ -89,24 +90,24 @@
     if (acknowledged) process_unlisted(node, machine, evidence, commands);
 }
 
-/* ---- the heartbeat ---- */
+/* ---- processing of a heartbeat ---- */
 
 static void process_heartbeat(struct amb_node *node, const struct amb_agent_heartbeat *heartbeat, amb_ms now,
                               struct amb_command_list *commands) {
     struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, true);
-    if (!machine) return; /* removed: this is a late copy */
+    if (!machine) return; /* the machine was removed: this is a late copy */
     update_machine(node, machine, heartbeat);
-    /* The agent is answered and may take that as a renewal: so the lease counts from now, even when the
-     * heartbeat turns out to be a late copy. */
+    /* The agent may take the response as a renewal of its lease, so the lease counts from now, even if the
+     * heartbeat is a late copy. */
     machine->last_response_at = now;
-    struct amb_heartbeat_order previous = newest_position(machine);
+    struct amb_heartbeat_order previous = newest_order(machine);
     if (!amb_heartbeat_is_newer(heartbeat, machine)) {
-        amb_debug("machine %s: late copy of report %llu/%llu", machine->name,
+        amb_debug("machine %s: ignoring late copy of heartbeat %llu/%llu", machine->name,
                   (unsigned long long)heartbeat->incarnation, (unsigned long long)heartbeat->sequence);
         return;
     }
-    update_position(machine, heartbeat, now);
-    if (!node->controller.restored_at) { /* the records are still being read */
+    update_newest_heartbeat(machine, heartbeat, now);
+    if (!node->controller.restored_at) { /* the records are still being restored */
         amb_heartbeat_stop_cancelled(node, heartbeat, commands);
         return;
     }
--- a/lib/agent/lease_expiry.c
+++ b/lib/agent/lease_expiry.c
@@ -4,13 +4,13 @@
 #include "amberpin/fleet/machines.h"
 #include "amberpin/node/node.h"
 
-/* The next check sees what the read has brought. */
+/* The next check evaluates what the read has changed. */
 static void ignore_result(void *context, bool ok) {
     (void)context, (void)ok;
 }
 
-/* When a lease proxy that may answer this machine was last known: of its zone, or of any zone while the
- * machine's is unknown. */
+/* Returns when a lease proxy that may respond to this machine was last known: one of its zone, or of any zone
+ * while the machine's zone is unknown. */
 static amb_ms lease_proxy_known_at(const struct amb_node *node, const struct amb_machine *machine) {
     if (machine->zone_index >= 0) return node->lease_proxy.zone_covered_at[machine->zone_index];
     amb_ms latest = 0;
@@ -20,7 +20,8 @@
     return latest;
 }
 
-/* Also requests the read of the state service that the proof still lacks. */
+/* Evaluates the proof of absence by the lease. Requests a read of the key-value store if only that is
+ * missing. */
 static enum amb_absence absence_by_lease(struct amb_node *node, const struct amb_machine *machine,
                                          amb_ms now) {
     const struct amb_lease_evidence evidence = {
@@ -38,9 +39,9 @@
     return absence;
 }
 
-/* Unverified machines count, too: a leader that is elected seconds before a zone is cut off never sees its
- * token acknowledged there, and would otherwise start the zone's tasks elsewhere only once the machines have
- * been released. */
+/* Returns whether the lease of a machine in this state can have expired. Unverified machines are included: a
+ * leader that is elected seconds before a zone is cut off never sees its token acknowledged there, and would
+ * otherwise start the zone's tasks elsewhere only after the machines have been released. */
 static bool may_have_expired(const struct amb_machine *machine) {
     switch (machine->state) {
     case AMB_MACHINE_UP:
--- a/lib/agent/lease_expiry.h
+++ b/lib/agent/lease_expiry.h
@@ -1,5 +1,5 @@
-/* Proof of absence by the end of an agent's lease (docs/safety.md): an agent stops its tasks when nobody has
- * answered its heartbeats for as long as its lease lasts. */
+/* Proof of absence by the expiry of an agent's lease (docs/safety.md): an agent stops its tasks when no node
+ * has responded to its heartbeats for the duration of its lease. */
 #ifndef AMBERPIN_AGENT_LEASE_EXPIRY_H
 #define AMBERPIN_AGENT_LEASE_EXPIRY_H
 
--- a/lib/agent/liveness.c
+++ b/lib/agent/liveness.c
@@ -10,13 +10,14 @@
 
 enum { PROBE_AFTER_HEARTBEATS = 4 /* heartbeat periods without a heartbeat */ };
 
-/* Of the time that a cancellation may take: a machine whose cancelled tasks are not proven absent by then is
- * released. */
+/* Share of the cancellation deadline (cancel_s) after which a machine is released if its cancelled tasks are
+ * not proven absent. */
 static const double CANCEL_RELEASE_SHARE = 0.6;
 
-/* ---- tasks that are to stop ---- */
+/* ---- tasks that must stop ---- */
 
-/* No start was sent, by this leader or an earlier one, so the task can't be on its machine. */
+/* Returns whether neither this leader nor an earlier one has sent a start, so that the task can't be on its
+ * machine. */
 static bool was_never_started(const struct amb_task *task) {
     return task->state == AMB_TASK_BOUND && !task->start_sent && !task->inherited;
 }
@@ -29,7 +30,7 @@
 
 static void check_stopping_task(struct amb_node *node, struct amb_machine *machine, struct amb_task *task) {
     if (task->stop_requested && was_never_started(task))
-        amb_task_unbind(node, task, "no order went out");
+        amb_task_unbind(node, task, "no start was sent");
     else if (machine->state != AMB_MACHINE_RELEASING && is_cancel_overdue(node, task->job))
         amb_cloud_release(node, machine, "a cancelled task can't be proven gone in time");
 }
@@ -39,14 +40,15 @@
         next = task->next_on_machine;
         uint32_t count_before = machine->task_count;
         check_stopping_task(node, machine, task);
-        /* Others may have left the machine with it: begin again. */
+        /* Other tasks, including `next`, may have been unbound with it: restart from the head. */
         if (machine->task_count != count_before) next = machine->tasks;
     }
 }
 
 /* ---- all machines ---- */
 
-/* It acknowledged this leader's token and may now send its heartbeats to another node. */
+/* Probes a machine that acknowledged this leader's token but has stopped reporting: it may now send its
+ * heartbeats to another node. */
 static void check_misdirected(struct amb_node *node, struct amb_machine *machine, amb_ms now) {
     amb_ms span = amb_seconds_to_ms(node->settings.heartbeat_s * PROBE_AFTER_HEARTBEATS);
     if (machine->state == AMB_MACHINE_UP && now - machine->last_heartbeat_at > span)
--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 enum {
-    MACHINE_FAILURES_MAX = 3,  /* a machine without a success is released after so many */
-    BACKOFF_DOUBLINGS_MAX = 6, /* of the time until a broken job is tried again */
+    MACHINE_FAILURES_MAX = 3,  /* a machine without a success is released at this many */
+    BACKOFF_DOUBLINGS_MAX = 6, /* of the backoff of a broken job */
     QUARANTINE_HEARTBEATS = 2, /* heartbeat periods, for each failure that can't be attributed */
 };
 
@@ -21,7 +21,7 @@
 
 static void back_off(const struct amb_node *node, struct amb_job *job) {
     amb_ms now = amb_now();
-    if (now < job->backoff_until) return; /* another task of the same try */
+    if (now < job->backoff_until) return; /* another task that failed before the retry */
     uint32_t retries = job->failures.retries;
     uint32_t doublings = retries < BACKOFF_DOUBLINGS_MAX ? retries : BACKOFF_DOUBLINGS_MAX;
     double longest_s = node->settings.agent_lease_s * BACKOFF_MAX_LEASES;
@@ -30,15 +30,16 @@
     job->backoff_until = now + amb_seconds_to_ms(backoff_s);
 }
 
-static void blame_job(const struct amb_node *node, struct amb_job *job, const struct amb_machine *machine) {
+static void attribute_to_job(const struct amb_node *node, struct amb_job *job,
+                             const struct amb_machine *machine) {
     if (!job->failures.broken)
-        amb_info("job %s: taken for broken: it failed on %u machines without a success, last on %s", job->ref,
-                 job->failures.machines.count, machine->name);
+        amb_info("job %s: marked as broken: its tasks failed on %u machines without a success, last on %s",
+                 job->ref, job->failures.machines.count, machine->name);
     job->failures.broken = true;
     back_off(node, job);
 }
 
-static void blame_machine(struct amb_node *node, struct amb_machine *machine) {
+static void attribute_to_machine(struct amb_node *node, struct amb_machine *machine) {
     machine->failure_count++;
     amb_machine_quarantine(machine, node->settings.agent_lease_s * machine->failure_count,
                            "a task failed on it");
@@ -46,17 +47,18 @@
         amb_cloud_release(node, machine, "tasks keep failing on it");
 }
 
-/* The task is tried on another machine, where its next failure or success tells which of the two it was. */
+/* Quarantines a machine on which a failure can't be attributed yet. The task is retried on another machine,
+ * and its next failure or success shows whether the job or this machine is at fault. */
 static void quarantine_suspect(const struct amb_node *node, struct amb_machine *machine) {
     machine->unattributed_failures++;
     double quarantine_s = node->settings.heartbeat_s * QUARANTINE_HEARTBEATS * machine->unattributed_failures;
     amb_machine_quarantine(machine, fmin(quarantine_s, node->settings.agent_lease_s),
-                           "a task failed, on it alone");
+                           "a task failed, and the failure is not attributed yet");
 }
 
 void amb_task_record_failure(struct amb_node *node, struct amb_job *job, struct amb_machine *machine) {
     amb_failure_set_add(&job->failures.machines, machine->number);
-    /* A job that is known to be broken is no evidence against a machine. */
+    /* The failure of a job that is known to be broken is no evidence against the machine. */
     if (!job->failures.broken) amb_failure_set_add(&machine->failed_jobs, job->hh.hashv);
     const struct amb_failure_evidence evidence = {
         .failed_machines = job->failures.machines.count,
@@ -66,9 +68,9 @@
     enum amb_fault fault = amb_failure_attribute(&evidence);
     amb_debug("job %s: a task failed on %s: fault %s (%u machines, %u jobs%s)", job->ref, machine->name,
               amb_fault_name(fault), evidence.failed_machines, evidence.failed_jobs,
-              evidence.job_has_succeeded ? ", works" : "");
-    if (fault == AMB_FAULT_JOB || fault == AMB_FAULT_BOTH) blame_job(node, job, machine);
-    if (fault == AMB_FAULT_MACHINE || fault == AMB_FAULT_BOTH) blame_machine(node, machine);
+              evidence.job_has_succeeded ? ", has succeeded before" : "");
+    if (fault == AMB_FAULT_JOB || fault == AMB_FAULT_BOTH) attribute_to_job(node, job, machine);
+    if (fault == AMB_FAULT_MACHINE || fault == AMB_FAULT_BOTH) attribute_to_machine(node, machine);
     if (fault == AMB_FAULT_UNKNOWN) quarantine_suspect(node, machine);
 }
 
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -7,13 +7,13 @@
 #include "amberpin/placement/wdrr.h"
 
 enum {
-    /* Heartbeats that fail to list a task whose start was sent. */
+    /* Heartbeats that do not list a task whose start was sent, until the task is placed elsewhere. */
     MISSED_HEARTBEATS_MAX = 2,
-    /* Heartbeat periods after which a running task counts as a success. */
+    /* Heartbeat periods after which a running task counts as a success of its job and machine. */
     STABLE_HEARTBEATS = 5,
     /* Heartbeat periods for which a machine that refused a task is quarantined. */
     REFUSAL_QUARANTINE_HEARTBEATS = 2,
-    /* Heartbeat periods until a job that the agent did not know is tried again. */
+    /* Heartbeat periods until a job that the agent did not know is retried. */
     UNKNOWN_JOB_BACKOFF_HEARTBEATS = 2,
 };
 
@@ -45,12 +45,12 @@
         [AMB_EXIT_ATTEMPT_CONFLICT] = "busy",
         [AMB_EXIT_UNKNOWN_JOB] = "unknown",
     };
-    amb_info("task %s/%u try %llu on %s: exited, %s%s", task->job->ref, task->index,
+    amb_info("task %s/%u attempt %llu on %s: exited, %s%s", task->job->ref, task->index,
              (unsigned long long)task->attempt, task->machine->name, names[listed->exit_reason],
-             listed->checkpoint_saved ? ", saved" : "");
+             listed->checkpoint_saved ? ", checkpoint saved" : "");
 }
 
-/* What the reason of an exit means for the task's job and machine. */
+/* Applies the consequences of an exit to the task's job and machine. */
 static void apply_exit_reason(struct amb_node *node, struct amb_task *task, enum amb_exit_reason reason) {
     struct amb_job *job = task->job;
     if (reason == AMB_EXIT_ERROR) amb_task_record_failure(node, job, task->machine);
@@ -67,7 +67,8 @@
     enum amb_exit_reason reason = listed->exit_reason;
     log_exit(task, listed);
     if (reason == AMB_EXIT_DONE) complete_task(node, task);
-    /* Before the task is unbound, so that the next scheduling cycle knows it. */
+    /* Before the task is unbound, because unbinding requests a scheduling cycle, which must know the
+     * consequences. */
     if (job->state == AMB_JOB_QUEUED) {
         apply_exit_reason(node, task, reason);
         if (reason != AMB_EXIT_DONE && !stopping) task->interrupted = true;
@@ -86,13 +87,13 @@
         const struct amb_task *task = &job->tasks[i];
         if (task->state != AMB_TASK_SEEN || task->agent_state != AMB_AGENT_TASK_RUNNING) return;
     }
-    amb_gang_set_state(job, AMB_GANG_RUNNING, "all its tasks run");
+    amb_gang_set_state(job, AMB_GANG_RUNNING, "all its tasks are running");
 }
 
 static void update_running(struct amb_task *task, const struct amb_agent_task *listed) {
     bool is_running = listed->state == AMB_AGENT_TASK_RUNNING || listed->state == AMB_AGENT_TASK_SAVING;
     if (is_running && !task->running_at) {
-        amb_info("task %s/%u try %llu on %s: runs", task->job->ref, task->index,
+        amb_info("task %s/%u attempt %llu on %s: running", task->job->ref, task->index,
                  (unsigned long long)task->attempt, task->machine->name);
         task->interrupted = false;
     }
@@ -116,7 +117,8 @@
 
 /* ---- a task that the heartbeat lists ---- */
 
-/* listed: the task with this attempt, as the heartbeat lists it; NULL: it does not. */
+/* Evaluates the proof of absence by a heartbeat. listed: this attempt of the task as listed in the heartbeat,
+ * or NULL if it is not listed. */
 static enum amb_absence absence_by_heartbeat(struct amb_heartbeat_evidence evidence,
                                              const struct amb_task *task,
                                              const struct amb_agent_task *listed) {
@@ -126,28 +128,31 @@
     return amb_absence_by_heartbeat(&evidence);
 }
 
-/* The task is completed, and the state service is not known to have it yet. */
+/* Returns whether the task is completed and its completion is not known to be durable in the key-value store.
+ */
 static bool has_unrecorded_completion(const struct amb_task *task) {
     return task && task->done && task->completion != AMB_COMPLETION_DURABLE &&
            task->job->state == AMB_JOB_QUEUED;
 }
 
-/* May the agent forget the exit? A result only once it is on record, or else a new leader would run the task
- * again. job, task: NULL if not known. */
+/* Returns whether the agent may forget the exit. It must keep a completion until that is on record, or else a
+ * new leader would run the task again. job, task: NULL if not known. */
 static bool may_clear(const struct amb_job *job, const struct amb_task *task,
                       const struct amb_agent_task *listed) {
     if (listed->exit_reason != AMB_EXIT_DONE) return true;
     if (has_unrecorded_completion(task)) return false;
-    return task || job; /* the cache may be behind */
+    /* A job that is unknown here may only be missing because the job table lags behind the key-value store.
+     */
+    return task || job;
 }
 
-/* NULL: the job is not active here, or has no such task. */
+/* Returns the listed task, or NULL if the job is not active here or has no such task. */
 static struct amb_task *find_task(struct amb_job *job, const struct amb_agent_task *listed) {
     if (!job || !job->active || listed->index >= job->spec->task_count) return NULL;
     return &job->tasks[listed->index];
 }
 
-/* Does a record put the listed attempt on this machine? task: NULL if not known. */
+/* Returns whether a record places the listed attempt on this machine. task: NULL if not known. */
 static bool is_recorded_attempt(const struct amb_task *task, const struct amb_machine *machine,
                                 const struct amb_agent_task *listed) {
     return task && task->machine == machine && task->attempt == listed->attempt &&
@@ -169,7 +174,7 @@
     if (is_recorded) task->last_listed_in = node->fleet.heartbeats_processed;
     if (listed->state != AMB_AGENT_TASK_EXITED) {
         if (is_recorded) handle_active(node, task, listed);
-        /* An attempt that is not on record was given up. */
+        /* An attempt that is not on record was abandoned. */
         if (acknowledged && (!is_recorded || task->stop_requested))
             add_command(commands, AMB_COMMAND_STOP, listed, is_recorded ? task->grace_s : 0);
         return;
@@ -185,9 +190,9 @@
 
 /* ---- a task that the heartbeat does not list ---- */
 
-/* May a task that an earlier leader placed still start where its record says? That leader may have known the
- * task gone and given its resources away, since records are not written for every exit. So the limits must
- * hold with all that is not proven absent. */
+/* Returns whether a task that an earlier leader placed may still start on the machine that its record names.
+ * That leader may have known the task to be absent and reused its resources, since not every exit is written
+ * to a record. All limits must therefore hold with every task counted that is not proven absent. */
 static bool still_fits(const struct amb_node *node, const struct amb_task *task) {
     const struct amb_job *job = task->job;
     const struct amb_machine *machine = task->machine;
@@ -201,9 +206,9 @@
     return !job->spec->one_zone || job->zone_task_counts[machine->zone_index] == job->bound_count;
 }
 
-/* The task is absent from its machine; the other tasks of its gang's attempt are stopped, too. */
-static void unbind_gone(struct amb_node *node, struct amb_task *task, const char *cause,
-                        const char *gang_cause) {
+/* Unbinds a task that is absent from its machine, and stops the other tasks of its gang's attempt. */
+static void unbind_absent(struct amb_node *node, struct amb_task *task, const char *cause,
+                          const char *gang_cause) {
     struct amb_job *job = task->job;
     amb_task_unbind(node, task, cause);
     if (is_gang(job) && job->bound_count) amb_gang_tear_down(node, job, gang_cause);
@@ -211,28 +216,30 @@
 
 static void handle_disappeared(struct amb_node *node, struct amb_task *task) {
     task->interrupted = true;
-    amb_info("task %s/%u on %s: no longer there", task->job->ref, task->index, task->machine->name);
-    unbind_gone(node, task, "its machine no longer reports it", "a task is lost");
+    amb_info("task %s/%u on %s: no longer listed in the machine's heartbeat", task->job->ref, task->index,
+             task->machine->name);
+    unbind_absent(node, task, "no longer listed in its machine's heartbeat", "a task is absent");
 }
 
-/* The heartbeats arrive, but the machine does not act on the responses. */
+/* Handles a task whose machine sends heartbeats but does not act on the responses. */
 static void handle_not_started(struct amb_node *node, struct amb_task *task) {
-    amb_machine_quarantine(task->machine, node->settings.agent_lease_s, "it does not act on orders");
+    amb_machine_quarantine(task->machine, node->settings.agent_lease_s, "it does not act on commands");
     task->interrupted = true;
-    unbind_gone(node, task, "its machine did not start it", "a task was not started");
+    unbind_absent(node, task, "its machine did not start it", "a task was not started");
 }
 
-/* The heartbeat is newer than any response that carried the start, so the task is not there. */
+/* Handles a bound task that is not listed. The heartbeat is newer than any response that carried the start,
+ * so the task is not on its machine. */
 static void handle_bound(struct amb_node *node, struct amb_task *task, struct amb_command_list *commands) {
     struct amb_job *job = task->job;
     if (task->stop_requested || job->state != AMB_JOB_QUEUED) {
-        amb_task_unbind(node, task, "told to stop, and not there");
+        amb_task_unbind(node, task, "stop requested, and absent from its machine");
         return;
     }
     if (task->inherited && !still_fits(node, task)) {
         task->interrupted = job->spec->kind == AMB_JOB_KIND_SERVICE;
-        unbind_gone(node, task, "placed by an earlier leader, not there, and its place may be taken",
-                    "a task is not there");
+        unbind_absent(node, task, "placed by an earlier leader, absent, and its resources may be in use",
+                      "an inherited task is absent");
         return;
     }
     if (task->start_sent && ++task->missed_heartbeats >= MISSED_HEARTBEATS_MAX) {
--- a/lib/fleet/agent_commands.c
+++ b/lib/fleet/agent_commands.c
@@ -8,7 +8,7 @@
 
 enum { STOPS_MAX = 32 /* in one request */ };
 
-/* ---- the list ---- */
+/* ---- command list ---- */
 
 static bool is_full(const struct amb_command_list *list) {
     return list->count == list->capacity;
@@ -27,7 +27,7 @@
 
 /* ---- starts ---- */
 
-bool amb_gang_is_recorded(const struct amb_job *job) {
+bool amb_gang_placements_are_durable(const struct amb_job *job) {
     for (uint32_t i = 0; i < job->spec->task_count; i++) {
         const struct amb_task *task = &job->tasks[i];
         if (!task->done && (!task->machine || task->state == AMB_TASK_PLACED)) return false;
@@ -40,7 +40,7 @@
     const struct amb_machine *machine = task->machine;
     if (!amb_election_may_start_tasks(node) || !node->controller.ready) return;
     if (machine->release_pending || machine->state == AMB_MACHINE_RELEASING) return;
-    if (job->spec->kind == AMB_JOB_KIND_GANG && !amb_gang_is_recorded(job)) return;
+    if (job->spec->kind == AMB_JOB_KIND_GANG && !amb_gang_placements_are_durable(job)) return;
     if (amb_cancellation_is_pending(node, job)) return;
     if (is_full(list)) return; /* not marked as sent, so the next heartbeat's response carries it */
     task->start_sent = true;
@@ -49,7 +49,7 @@
 
 /* ---- command requests ---- */
 
-/* What counts is the heartbeat that the machine sends next. */
+/* The machine's next heartbeat shows the effect of the commands. */
 static void ignore_reply(void *context, int status, const char *body, size_t length) {
     (void)context, (void)status, (void)body, (void)length;
 }
@@ -67,7 +67,8 @@
     return task->stop_requested && task->state == AMB_TASK_SEEN;
 }
 
-/* A late stop does no harm: it names an attempt that was to stop anyway. Starts are never sent here. */
+/* A late stop is harmless, because it names an attempt that had to stop anyway. Starts are never sent here.
+ */
 void amb_machine_send_stops(struct amb_node *node, struct amb_machine *machine) {
     struct amb_agent_command commands[STOPS_MAX];
     struct amb_command_list stops = {commands, STOPS_MAX, 0};
--- a/lib/fleet/deferred_responses.c
+++ b/lib/fleet/deferred_responses.c
@@ -6,19 +6,20 @@
 
 #include <stdlib.h>
 
-/* Of the heartbeat period: the response arrives before the next heartbeat may be sent. */
+/* Share of the heartbeat period: the response arrives before the agent may send its next heartbeat. */
 static const double DEFERRED_SHARE = 0.4;
-/* By the protocol an agent drops a response that takes longer, however rarely it sends heartbeats. */
+/* By the protocol an agent drops a response that takes longer than this, however long its heartbeat period.
+ */
 static const double AGENT_TIMEOUT_S = 4;
 
 struct amb_deferred_response {
     struct amb_node *node;        /* borrowed */
-    struct amb_machine *machine;  /* borrowed; it owns this */
+    struct amb_machine *machine;  /* borrowed; it owns this struct */
     struct amb_http_req *request; /* borrowed until it is replied to */
     struct amb_timer timer;       /* sends the response */
 };
 
-/* Frees the deferred response. Its request is still to be replied to. */
+/* Frees the machine's deferred response without replying to its request. */
 static void discard(struct amb_machine *machine) {
     amb_timer_stop(&machine->deferred_response->timer);
     free(machine->deferred_response);
@@ -78,7 +79,8 @@
                         deferred);
 }
 
-/* From the event loop, so that nothing changes within the caller's iteration over tasks or machines. */
+/* Sends the response from the event loop, so that nothing changes while the caller iterates over tasks or
+ * machines. */
 static void trigger_machine(const struct amb_machine *machine) {
     if (!machine || !machine->deferred_response) return;
     amb_timer_set_after(&machine->deferred_response->timer, 0, send_deferred, machine->deferred_response);
@@ -90,6 +92,6 @@
         trigger_machine(task->machine);
         return;
     }
-    if (!amb_gang_is_recorded(job)) return;
+    if (!amb_gang_placements_are_durable(job)) return;
     for (uint32_t i = 0; i < job->spec->task_count; i++) trigger_machine(job->tasks[i].machine);
 }
--- a/lib/fleet/image_cache.c
+++ b/lib/fleet/image_cache.c
@@ -24,8 +24,8 @@
     return false;
 }
 
-/* Drops the least recently used images that do not fit into the cache; the latest always stays. A cache of
- * unknown size drops none. */
+/* Evicts the least recently used images that do not fit into the cache; the most recent one always stays. A
+ * cache of unknown size evicts none. */
 static void evict_images(struct amb_machine *machine, double cache_gb) {
     double free_gb = cache_gb;
     for (uint32_t i = 0; free_gb > 0 && i < machine->image_count; i++) {
--- a/lib/fleet/machine_probe.c
+++ b/lib/fleet/machine_probe.c
@@ -12,7 +12,7 @@
 
 struct probe {
     struct amb_node *node; /* borrowed */
-    uint64_t term;         /* that the probe was sent under */
+    uint64_t term;         /* under which the probe was sent */
     char machine_name[AMB_NAME_SIZE];
 };
 
@@ -35,7 +35,7 @@
     const struct amb_machine *machine = amb_machine_get(node, probe.machine_name, false);
     uint64_t incarnation;
     if (!machine || !is_current(&probe) || !read_incarnation(status, body, length, &incarnation)) return;
-    /* No commands, only the token. */
+    /* An empty list: the request carries only the fencing token. */
     amb_machine_send_commands(node, machine, incarnation, &(struct amb_command_list){0});
 }
 
--- a/lib/fleet/machines.c
+++ b/lib/fleet/machines.c
@@ -14,11 +14,11 @@
 };
 
 enum {
-    ENTRY_OVERHEAD_BYTES = 32, /* of an allocation and of a slot in the hash table */
-    FRESH_HEARTBEATS = 3,      /* heartbeat periods for which a machine's latest heartbeat counts */
+    ENTRY_OVERHEAD_BYTES = 32, /* of the allocation and of the hash table slot */
+    FRESH_HEARTBEATS = 3,      /* heartbeat periods for which a heartbeat counts as recent */
 };
 
-/* ---- the table ---- */
+/* ---- machine table ---- */
 
 bool amb_machine_was_removed(const struct amb_node *node, const char *name) {
     struct amb_removed_machine *removed;
@@ -26,7 +26,7 @@
     return removed != NULL;
 }
 
-/* All that is known of it is that it exists. */
+/* Returns a machine of which only the existence is known. */
 static struct amb_machine *new_machine(struct amb_node *node, const char *name) {
     amb_ms now = amb_now();
     struct amb_machine *machine = amb_alloc(sizeof *machine);
@@ -61,13 +61,13 @@
            (sizeof(struct amb_removed_machine) + ENTRY_OVERHEAD_BYTES);
 }
 
-/* The oldest name is forgotten first. A late copy of that machine's heartbeat would add it again: as a
- * machine without recorded tasks that can't be reached, and is released for it. */
+/* Drops the oldest name when the limit is reached. A late copy of that machine's heartbeat would add the
+ * machine again, as one without recorded tasks that can't be reached and is released for that. */
 static void forget_oldest_removed(struct amb_node *node) {
     struct amb_removed_machine *oldest = node->fleet.removed_machines;
     if (!oldest || HASH_COUNT(node->fleet.removed_machines) < amb_machines_removed_limit(node)) return;
     if (!node->fleet.forgot_removed)
-        amb_info("more than %u names of machines that are gone: the oldest are forgotten",
+        amb_info("removed machines: limit of %u names reached, dropping the oldest",
                  HASH_COUNT(node->fleet.removed_machines));
     node->fleet.forgot_removed = true;
     /* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): the head moves in HASH_DEL */
@@ -103,7 +103,7 @@
     }
 }
 
-/* ---- one machine ---- */
+/* ---- updates of one machine ---- */
 
 void amb_machine_set_state(struct amb_machine *machine, enum amb_machine_state state, const char *cause) {
     static const char *const names[] = {
@@ -111,7 +111,7 @@
         [AMB_MACHINE_SILENT] = "silent",   [AMB_MACHINE_RELEASING] = "releasing",
     };
     if (machine->state == state) return;
-    /* A release that was requested may still be carried out. */
+    /* A release that was requested may still be carried out, so the state is final. */
     if (machine->state == AMB_MACHINE_RELEASING) return;
     amb_info("machine %s: %s -> %s: %s", machine->name, names[machine->state], names[state], cause);
     machine->state = state;
@@ -130,7 +130,8 @@
         task->job->zone_task_counts[zone]++;
 }
 
-/* Once for each machine. type: that is not in the catalogue; NULL: the zone is beyond the limit. */
+/* Logs, once for each machine, that it can't be used. type: the type that is not in the catalogue, or NULL if
+ * the zone is beyond the limit. */
 static void log_beyond_limits(struct amb_machine *machine, const char *type, const char *zone) {
     if (machine->missing_from_catalog) return;
     machine->missing_from_catalog = true;
@@ -148,7 +149,7 @@
     if (machine->type_index < 0 && type[0]) machine->type_index = amb_catalog_find_type(&node->catalog, type);
     if (machine->zone_index < 0)
         amb_machine_set_zone(machine, amb_catalog_find_or_add_zone(&node->catalog, zone));
-    /* While the catalogue is not known yet, no type of it can be missing. */
+    /* No type can be missing from the catalogue before the catalogue is known. */
     bool type_missing = machine->type_index < 0 && type[0] && node->cloud.catalog_known;
     bool zone_missing = machine->zone_index < 0 && zone[0];
     if (type_missing || zone_missing) log_beyond_limits(machine, type_missing ? type : NULL, zone);
@@ -157,7 +158,7 @@
 void amb_machine_quarantine(struct amb_machine *machine, double seconds, const char *cause) {
     amb_ms until = amb_now() + amb_seconds_to_ms(seconds);
     if (until > machine->avoid_until) machine->avoid_until = until;
-    amb_info("machine %s: no new tasks for %g s: %s", machine->name, seconds, cause);
+    amb_info("machine %s: quarantined for %g s: %s", machine->name, seconds, cause);
 }
 
 bool amb_machine_is_schedulable(const struct amb_node *node, const struct amb_machine *machine, amb_ms now) {
