--- a/tests/agent/test_reports.c
+++ b/tests/agent/test_reports.c
@@ -1,15 +1,15 @@
-/* What a leader makes of agents' heartbeats: what it concludes, which commands it sends, and what late copies
- * must not do. */
+/* How a leader processes agents' heartbeats: the task states that it derives, the commands that it sends, and
+ * that late copies have no effect. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-/* ---- one task ---- */
+/* ---- states and commands of one task ---- */
 
-/* A task is bound to m-1 as attempt OURS; then heartbeats arrive, one after the other. */
-enum { OURS = 7, ANOTHER = 3 };
-enum listed { NOT_LISTED, OUR_ATTEMPT, OTHER_ATTEMPT };
+/* Each row binds a task to m-1 under OWN_ATTEMPT_NUMBER and then delivers heartbeats, one after the other. */
+enum { OWN_ATTEMPT_NUMBER = 7, OTHER_ATTEMPT_NUMBER = 3 };
+enum listed { NOT_LISTED, OWN_ATTEMPT, OTHER_ATTEMPT };
 
 struct expected_commands {
     size_t starts, stops, clears;
@@ -36,75 +36,76 @@
            count_commands(AMB_COMMAND_CLEAR) == expected->clears;
 }
 
-/* False: the heartbeat is refused for its higher term. */
+/* Delivers the heartbeat of a step. Returns false if it is refused because of its higher term. */
 static bool send_step(const struct step *step) {
-    uint64_t attempt = step->task.listed == OTHER_ATTEMPT ? ANOTHER : OURS;
+    uint64_t attempt = step->task.listed == OTHER_ATTEMPT ? OTHER_ATTEMPT_NUMBER : OWN_ATTEMPT_NUMBER;
     struct amb_agent_task seen = make_agent_task("wk-1", 0, attempt, step->task.state, step->task.reason);
-    return deliver_heartbeat("m-1", step->heartbeat.incarnation, step->heartbeat.sequence, step->heartbeat.token,
-                  amb_now(), &seen, step->task.listed != NOT_LISTED);
+    return deliver_heartbeat("m-1", step->heartbeat.incarnation, step->heartbeat.sequence,
+                             step->heartbeat.token, amb_now(), &seen, step->task.listed != NOT_LISTED);
 }
 
-static void one_task(void **state) {
+static void heartbeats_determine_task_states(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        enum amb_task_state begin;
+        enum amb_task_state initial_state;
         bool cancelled, inherited;
         struct step steps[6];
     } rows[] = {
-        {"no start before our token is acknowledged", .begin = AMB_TASK_BOUND,
+        {"no start before our token is acknowledged", .initial_state = AMB_TASK_BOUND,
          .steps = {{{1, 1, 0}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND},
                    {{1, 2, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND}}},
-        {"no start before the record is durable", .begin = AMB_TASK_PLACED,
+        {"no start before the record is durable", .initial_state = AMB_TASK_PLACED,
          .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_PLACED},
                    {{1, 2, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_PLACED}}},
-        {"an earlier leader's token proves nothing", .begin = AMB_TASK_BOUND, .inherited = true,
+        {"an earlier leader's token proves nothing", .initial_state = AMB_TASK_BOUND, .inherited = true,
          .steps = {{{1, 5, TERM - 1}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND},
                    {{1, 6, TERM - 1}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND}}},
-        {"seen, then gone with our token: absent", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
+        {"seen, then not listed under our token: absent", .initial_state = AMB_TASK_BOUND,
+         .steps = {{{1, 1, TERM}, {OWN_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
                    {{1, 2, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
-        {"seen, then a new incarnation without it: absent", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 9, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
+        {"seen, then a new incarnation without it: absent", .initial_state = AMB_TASK_BOUND,
+         .steps = {{{1, 9, TERM}, {OWN_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
                    {{2, 1, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
-        {"a late copy neither commands nor undoes", .begin = AMB_TASK_BOUND,
-         .steps = {{{1, 5, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
+        {"a late copy causes no command and no change of state", .initial_state = AMB_TASK_BOUND,
+         .steps = {{{1, 5, TERM}, {OWN_ATTEMPT, AMB_AGENT_TASK_RUNNING}, NO_COMMANDS, AMB_TASK_SEEN},
                    {{1, 4, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_SEEN},
                    {{1, 5, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_SEEN}}},
-        {"a late copy does not get a start again", .begin = AMB_TASK_BOUND,
+        {"a late copy does not receive the start again", .initial_state = AMB_TASK_BOUND,
          .steps = {{{1, 5, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
                    {{1, 5, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_BOUND}}},
-        {"a machine that does not act on responses loses the task", .begin = AMB_TASK_BOUND,
+        {"a machine that does not act on responses loses the task", .initial_state = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
                    {{1, 2, TERM}, {NOT_LISTED}, {.starts = 1}, AMB_TASK_BOUND},
                    {{1, 3, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
-        {"a result is not cleared before it is on record", .begin = AMB_TASK_BOUND,
+        {"a completion is not cleared before it is on record", .initial_state = AMB_TASK_BOUND,
          .steps =
-             {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_COMMANDS, AMB_TASK_DONE},
+             {{{1, 1, TERM}, {OWN_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE}, NO_COMMANDS, AMB_TASK_DONE},
               {{1, 2, TERM},
-               {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
+               {OWN_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
                NO_COMMANDS,
                AMB_TASK_DONE}}},
-        {"a failed start is cleared", .begin = AMB_TASK_BOUND,
+        {"a failed start is cleared", .initial_state = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM},
-                    {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_ERROR},
+                    {OWN_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_ERROR},
                     {.clears = 1},
                     AMB_TASK_WAITING}}},
-        {"an exit under an earlier token proves nothing", .begin = AMB_TASK_BOUND, .inherited = true,
+        {"an exit under an earlier token proves nothing", .initial_state = AMB_TASK_BOUND, .inherited = true,
          .steps = {{{1, 1, TERM - 1},
-                    {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
+                    {OWN_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE},
                     NO_COMMANDS,
                     AMB_TASK_BOUND}}},
-        {"cancelled: told to stop until it is gone", .begin = AMB_TASK_BOUND, .cancelled = true,
-         .steps = {{{1, 1, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
-                   {{1, 2, TERM}, {OUR_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
+        {"cancelled: commanded to stop until it has exited", .initial_state = AMB_TASK_BOUND,
+         .cancelled = true,
+         .steps = {{{1, 1, TERM}, {OWN_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
+                   {{1, 2, TERM}, {OWN_ATTEMPT, AMB_AGENT_TASK_RUNNING}, {.stops = 1}, AMB_TASK_SEEN},
                    {{1, 3, TERM},
-                    {OUR_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_STOPPED},
+                    {OWN_ATTEMPT, AMB_AGENT_TASK_EXITED, AMB_EXIT_STOPPED},
                     {.clears = 1},
                     AMB_TASK_WAITING}}},
-        {"cancelled and not there: never started", .begin = AMB_TASK_BOUND, .cancelled = true,
+        {"cancelled and not listed: never started", .initial_state = AMB_TASK_BOUND, .cancelled = true,
          .inherited = true, .steps = {{{1, 1, TERM}, {NOT_LISTED}, NO_COMMANDS, AMB_TASK_WAITING}}},
-        {"another attempt of ours on the machine is stopped", .begin = AMB_TASK_BOUND,
+        {"another attempt of ours on the machine is stopped", .initial_state = AMB_TASK_BOUND,
          .steps = {{{1, 1, TERM},
                     {OTHER_ATTEMPT, AMB_AGENT_TASK_RUNNING},
                     {.starts = 1, .stops = 1},
@@ -113,8 +114,8 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         setup(NULL);
         struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, 2);
-        struct amb_task *task = bind_task(job, 0, "m-1", OURS);
-        task->state = rows[i].begin;
+        struct amb_task *task = bind_task(job, 0, "m-1", OWN_ATTEMPT_NUMBER);
+        task->state = rows[i].initial_state;
         task->inherited = rows[i].inherited;
         if (rows[i].cancelled) {
             job->state = AMB_JOB_CANCELLED;
@@ -132,8 +133,8 @@
     }
 }
 
-/* A command request may be carried out minutes late: it may stop tasks, but not start them. */
-static void commands_start_nothing(void **state) {
+/* A command request may be carried out minutes late, so it may contain stops but no starts. */
+static void command_requests_contain_no_starts(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 2);
     machine_up("m-1", 0);
@@ -144,7 +145,7 @@
     struct fake_call *commands = open_call("POST", "/commands");
     assert_non_null(commands);
     assert_int_equal(count_commands_in(commands->cbor_body, "halt"), 1);
-    if (count_commands_in(commands->cbor_body, "run")) fail_msg("a start is sent in a command request");
+    if (count_commands_in(commands->cbor_body, "run")) fail_msg("a command request contains a start");
 }
 
 /* ---- placements of an earlier leader ---- */
@@ -162,7 +163,7 @@
     } rows[] = {
         {"all limits hold", 10, false, 1, true},
         {"the team is over its limit", 2, false, 2, false},
-        {"spread is broken", 10, true, 2, false},
+        {"the spread over zones is violated", 10, true, 2, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_teardown(NULL);
@@ -185,7 +186,7 @@
     }
 }
 
-/* The same for the machine's resources and for jobs within one zone. */
+/* The same for the resources of the machine and for jobs that must run within one zone. */
 static void inherited_placements_need_resources_and_zone(void **state) {
     (void)state;
     static const struct {
@@ -195,9 +196,9 @@
         bool starts;
     } rows[] = {
         {"its resources are free", 7, false, false, true},
-        {"its resources were given away", 8, false, false, false},
-        {"the job is bound to a zone, and all of it is there", 0, true, false, true},
-        {"the job is bound to a zone, and has a task elsewhere", 0, true, true, false},
+        {"its resources are used by another job", 8, false, false, false},
+        {"the job must run in one zone, and all its tasks are there", 0, true, false, true},
+        {"the job must run in one zone, and has a task elsewhere", 0, true, true, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
@@ -221,7 +222,7 @@
 
 /* ---- deferred responses ---- */
 
-/* A machine that has sent two heartbeats and waits for the second response. */
+/* Sends two heartbeats from m-1. Returns the second request, whose response is deferred. */
 static struct amb_http_req *defer_response(void) {
     struct sent_heartbeat heartbeat = {.machine = "m-1", .incarnation = 1, .sequence = 1, .token = TERM};
     send_heartbeat(heartbeat);
@@ -232,7 +233,7 @@
     return request;
 }
 
-/* The response that is sent when its time is over. */
+/* The content of a deferred response is decided when the response is sent, at the end of its delay. */
 static void deferred_responses_are_decided_when_sent(void **state) {
     (void)state;
     enum meanwhile { NOTHING, CANCELLED, SENT_BEFORE, INHERITED, FENCED, CLOSED };
@@ -249,7 +250,7 @@
         {"cancelled meanwhile", AMB_TASK_BOUND, CANCELLED, 200, 0, false},
         {"start sent before", AMB_TASK_BOUND, SENT_BEFORE, 200, 0, true},
         {"placed by an earlier leader", AMB_TASK_BOUND, INHERITED, 200, 0, false},
-        {"the node leads no longer", AMB_TASK_BOUND, FENCED, 503, 0, false},
+        {"the node no longer leads", AMB_TASK_BOUND, FENCED, 503, 0, false},
         {"the agent has closed the connection", AMB_TASK_BOUND, CLOSED, 0, 0, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
@@ -264,9 +265,11 @@
         if (rows[i].meanwhile == FENCED) node->election.role = AMB_ROLE_FENCED;
         if (rows[i].meanwhile == CLOSED) request->connection = NULL;
         fake_clock_advance(400);
-        if (latest_reply()->status != rows[i].status) fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
+        if (latest_reply()->status != rows[i].status)
+            fail_msg("%s: answered %d", rows[i].what, latest_reply()->status);
         if (count_replied_commands("run") != rows[i].starts || task->start_sent != rows[i].sent)
-            fail_msg("%s: %zu starts, sent %d", rows[i].what, count_replied_commands("run"), task->start_sent);
+            fail_msg("%s: %zu starts, sent %d", rows[i].what, count_replied_commands("run"),
+                     task->start_sent);
     }
 }
 
@@ -274,14 +277,14 @@
     (void)state;
     static const struct {
         double period_s;
-        amb_ms waits;
+        amb_ms delay_ms;
     } rows[] = {{1, 400}, {4, 1600}, {12, 1600}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
         node->settings.heartbeat_s = rows[i].period_s;
         defer_response();
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-        fake_clock_advance(rows[i].waits - 1);
+        fake_clock_advance(rows[i].delay_ms - 1);
         assert_int_equal(count_replies(), 1);
         fake_clock_advance(1);
         if (count_replies() != 2) fail_msg("heartbeats every %g s: no response in time", rows[i].period_s);
@@ -302,13 +305,16 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(one_task),
-        cmocka_unit_test_setup_teardown(commands_start_nothing, fixture_setup, fixture_teardown),
+        cmocka_unit_test(heartbeats_determine_task_states),
+        cmocka_unit_test_setup_teardown(command_requests_contain_no_starts, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(inherited_placements_need_limits, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(inherited_placements_need_resources_and_zone, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(deferred_responses_are_decided_when_sent, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(inherited_placements_need_resources_and_zone, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(deferred_responses_are_decided_when_sent, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(deferred_responses_are_sent_in_time, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(only_the_newest_heartbeat_is_deferred, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(only_the_newest_heartbeat_is_deferred, fixture_setup,
+                                        fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/peer/test_heartbeats.c
+++ b/tests/peer/test_heartbeats.c
@@ -1,4 +1,5 @@
-/* Heartbeats between controllers: what a peer's message confirms, and the cancellations that it carries. */
+/* Heartbeats between controllers: which messages confirm the leadership, and the cancellations that they
+ * carry. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -8,52 +9,52 @@
     (void)state;
     static const struct {
         const char *what;
-        bool speaks_first;
-        struct peer_state said;
-        bool other_answers;
-        bool confirms; /* our lead, and that no cancellation is unknown to us */
-        bool fences;   /* proves that nobody answers under an older term */
+        bool sends_heartbeat;
+        struct peer_state status;
+        bool other_replies;
+        bool confirms; /* our leadership, and that we know every cancellation */
+        bool fences;   /* proves that no node responds under an older term */
     } rows[] = {
-        {"an answer", false, {.term = TERM}, true, true, true},
-        {"a message of its own", true, {.term = TERM}, true, false, false},
+        {"a reply", false, {.term = TERM}, true, true, true},
+        {"a heartbeat of its own", true, {.term = TERM}, true, false, false},
         {"it leads under an older term", false, {.term = TERM - 1, .leading = true}, true, false, false},
         {"it leads", false, {.term = TERM, .leading = true}, true, false, false},
-        {"it has not heard of our term", false, {.term = TERM - 1}, true, true, false},
+        {"it does not know our term", false, {.term = TERM - 1}, true, true, false},
         {"it knows a higher term", false, {.term = TERM + 1}, true, false, false},
-        {"it has not read the state service since it began",
+        {"it has not read the state service since it started",
          false,
          {.term = TERM, .unloaded = true},
          true,
          false,
          true},
-        {"the other peer does not answer", false, {.term = TERM}, false, false, false},
+        {"the other peer does not reply", false, {.term = TERM}, false, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
-        amb_ms asked = amb_now();
+        amb_ms sent_at = amb_now();
         start_peer_heartbeats();
         fake_clock_advance(300);
-        if (rows[i].other_answers) answer_peer_heartbeat(1, (struct peer_state){.term = TERM});
-        if (rows[i].speaks_first)
-            receive_peer_heartbeat(0, rows[i].said);
+        if (rows[i].other_replies) answer_peer_heartbeat(1, (struct peer_state){.term = TERM});
+        if (rows[i].sends_heartbeat)
+            receive_peer_heartbeat(0, rows[i].status);
         else
-            answer_peer_heartbeat(0, rows[i].said);
+            answer_peer_heartbeat(0, rows[i].status);
         amb_ms confirmed = amb_election_peers_confirmed_at(node, amb_now());
-        if (confirmed != (rows[i].confirms ? asked : 0))
-            fail_msg("%s: confirmed %lld ms after the question", rows[i].what,
-                     (long long)(confirmed - asked));
-        amb_ms quiet = amb_election_is_leader(node) ? amb_election_peers_fenced_at(node) : 0;
-        if (quiet != (rows[i].fences ? asked + 300 : 0))
-            fail_msg("%s: nobody answers under an older term since %lld ms after the question", rows[i].what,
-                     (long long)(quiet - asked));
+        if (confirmed != (rows[i].confirms ? sent_at : 0))
+            fail_msg("%s: confirmed %lld ms after our heartbeat", rows[i].what,
+                     (long long)(confirmed - sent_at));
+        amb_ms fenced_at = amb_election_is_leader(node) ? amb_election_peers_fenced_at(node) : 0;
+        if (fenced_at != (rows[i].fences ? sent_at + 300 : 0))
+            fail_msg("%s: no node responds under an older term since %lld ms after our heartbeat",
+                     rows[i].what, (long long)(fenced_at - sent_at));
     }
 }
 
-/* The defence against a key-value store that refuses the leader alone, and then everybody, while another
- * controller confirms cancellations to users. */
+/* Guards against a key-value store that refuses first the leader alone and then every controller, while
+ * another controller confirms cancellations to users: the leader must learn of them from its peers. */
 static void cancellations_of_peers_are_applied(void **state) {
     (void)state;
-    for (int speaks_first = 0; speaks_first <= 1; speaks_first++) {
+    for (int sends_heartbeat = 0; sends_heartbeat <= 1; sends_heartbeat++) {
         fixture_reset();
         start_peer_heartbeats();
         struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -62,12 +63,13 @@
         send_heartbeat(sent);
         char cancelled[64];
         snprintf(cancelled, sizeof cancelled, "[\"wk-1\",%lld,61]", (long long)amb_wall_ms());
-        (speaks_first ? receive_peer_heartbeat : answer_peer_heartbeat)(0, (struct peer_state){.term = TERM, .cancelled = cancelled});
+        (sends_heartbeat ? receive_peer_heartbeat : answer_peer_heartbeat)(
+            0, (struct peer_state){.term = TERM, .cancelled = cancelled});
         sent.sequence++;
         send_heartbeat(sent);
         if (count_replied_commands("halt") != 1)
-            fail_msg("a peer %s of a cancellation, and the task is not told to stop",
-                     speaks_first ? "speaks" : "answers");
+            fail_msg("a cancellation in a peer's %s does not stop the task",
+                     sends_heartbeat ? "heartbeat" : "reply");
     }
 }
 
@@ -81,16 +83,16 @@
     struct fake_call *heartbeat = open_call("POST", "/peer/heartbeat");
     amb_buf_append(&heartbeat->body, "", 1);
     if (!strstr(heartbeat->body.data, "\"epoch\":1234"))
-        fail_msg("a question does not say what the node knows");
-    if (!strstr(heartbeat->body.data, "wk-1"))
-        fail_msg("a message to a peer does not name the cancelled job");
+        fail_msg("a heartbeat does not state the revision that the node knows");
+    if (!strstr(heartbeat->body.data, "wk-1")) fail_msg("a heartbeat does not list the cancelled job");
     receive_peer_heartbeat(0, (struct peer_state){.term = TERM});
     assert_int_equal(latest_reply()->status, 200);
     amb_buf_append(&latest_reply()->body, "", 1);
-    if (!strstr(latest_reply()->body.data, "wk-1")) fail_msg("an answer to a peer does not name the cancelled job");
+    if (!strstr(latest_reply()->body.data, "wk-1")) fail_msg("a reply does not list the cancelled job");
 }
 
-/* A cancellation in a peer's message stops the tasks of a leader that can't read the store's changes. */
+/* A cancellation in a peer's message stops the job's tasks even if the leader can't read the changes of the
+ * store. */
 static void cancellation_by_hint(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -103,15 +105,16 @@
     assert_int_equal(count_commands(AMB_COMMAND_STOP), 1);
 }
 
-/* The heartbeat of a large fleet's leader fits in a message, also when everything has changed. */
+/* The heartbeat of a large fleet's leader fits into a message even if the images of every machine have
+ * changed. */
 static void heartbeats_fit(void **state) {
     (void)state;
     static const struct {
         const char *what;
         bool changed;
-        size_t most;
+        size_t max_bytes;
     } rows[] = {{"everything has changed", true, AMB_HEARTBEAT_MAX_BYTES},
-                {"nothing has", false, AMB_HEARTBEAT_MAX_BYTES / 8}};
+                {"nothing has changed", false, AMB_HEARTBEAT_MAX_BYTES / 8}};
     for (uint32_t i = 0; i < 1300; i++) {
         char name[AMB_NAME_SIZE];
         snprintf(name, sizeof name, "m-%06u", i);
@@ -128,7 +131,7 @@
         char *text = amb_peer_encode_heartbeat(node);
         size_t len = strlen(text);
         free(text);
-        if (len < 1000 || len > rows[i].most) fail_msg("%s: %zu bytes", rows[i].what, len);
+        if (len < 1000 || len > rows[i].max_bytes) fail_msg("%s: %zu bytes", rows[i].what, len);
     }
 }
 
--- a/tests/peer/test_peer.c
+++ b/tests/peer/test_peer.c
@@ -1,5 +1,5 @@
-/* Messages between controllers, through the handlers that the network calls: a message is applied each time
- * it comes, also when it is, byte for byte, the last one again. */
+/* Messages between controllers, passed to the handlers that the HTTP server and client call. A message must
+ * be applied each time that it arrives, even if it is identical, byte for byte, to the last one. */
 #include "amberpin/codec/messages.h"
 #include "amberpin/node/node.h"
 #include "bare_node.h"
@@ -11,15 +11,15 @@
 static struct amb_node *node;
 static amb_http_handler handler;
 static int last_status;
-static char last_answer[32768];
+static char last_reply_text[32768];
 
-static struct call { /* a heartbeat of ours under way */
+static struct call { /* a heartbeat that the node has sent and that is not replied to */
     amb_http_done done;
     void *arg;
 } calls[8];
-static int ncalls;
+static int call_count;
 
-/* The linker puts these in the place of the library's own (--wrap). */
+/* Replacements of the library's functions, by the linker's option --wrap. */
 struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
                                                amb_http_handler fn, void *arg);
 void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
@@ -40,9 +40,9 @@
                            size_t len, int retry_after_s) {
     (void)type, (void)retry_after_s;
     last_status = status;
-    assert_true(len < sizeof last_answer);
-    if (len) memcpy(last_answer, body, len);
-    last_answer[len] = 0;
+    assert_true(len < sizeof last_reply_text);
+    if (len) memcpy(last_reply_text, body, len);
+    last_reply_text[len] = 0;
     free(request->body);
     free(request);
 }
@@ -52,7 +52,7 @@
                                                         size_t len, amb_ms timeout, amb_http_done fn,
                                                         void *arg) {
     (void)addr, (void)method, (void)path, (void)type, (void)body, (void)len, (void)timeout;
-    if (ncalls < (int)ROWS(calls)) calls[ncalls++] = (struct call){fn, arg};
+    if (call_count < (int)ROWS(calls)) calls[call_count++] = (struct call){fn, arg};
     return NULL;
 }
 
@@ -71,7 +71,7 @@
 static int setup(void **state) {
     (void)state;
     now_ms = 1000000;
-    ncalls = 0;
+    call_count = 0;
     amb_loop_init();
     node = bare_node_new();
     strcpy(node->settings.member, "n0");
@@ -102,7 +102,7 @@
     handler(node, request);
 }
 
-/* A job as the store has it, accepted and not over. */
+/* Applies a queued job as it is read from the key-value store. */
 static void accept_job(const char *ref, uint64_t revision) {
     struct amb_job_spec spec = {.kind = AMB_JOB_KIND_ARRAY, .task_count = 1};
     struct amb_buf buffer = {0};
@@ -130,7 +130,7 @@
     snprintf(out, 512, STATUS_FORMAT, from, term, store, cancelled);
 }
 
-static void a_repeated_heartbeat_counts_as_heard(void **state) {
+static void a_repeated_heartbeat_updates_last_heard(void **state) {
     (void)state;
     char text[512];
     format_status(text, "n1", 5, "true", "");
@@ -144,7 +144,7 @@
     assert_int_equal(node->election.highest_term, 5);
 }
 
-static void a_changed_heartbeat_is_read_again(void **state) {
+static void a_changed_heartbeat_is_parsed_again(void **state) {
     (void)state;
     char text[512];
     static const struct {
@@ -162,9 +162,8 @@
     }
 }
 
-/* A peer's message may name a cancelled job before this node has read of the job: the same message again
- * cancels it.
- */
+/* A peer's message may list a cancelled job before this node has read the job from the store. The same
+ * message must cancel the job when it arrives again after that. */
 static void a_repeated_cancellation_is_applied(void **state) {
     (void)state;
     char text[512];
@@ -177,8 +176,9 @@
     assert_int_equal(job->state, AMB_JOB_CANCELLED);
 }
 
-/* Each reply counts from when our heartbeat was sent, also when it is the same as the last. */
-static void a_repeated_answer_confirms_anew(void **state) {
+/* Each reply confirms the leadership as of the time at which our heartbeat was sent, even if the reply is the
+ * same as the last one. */
+static void a_repeated_reply_confirms_again(void **state) {
     (void)state;
     char text[512];
     node->election.role = AMB_ROLE_LEADER;
@@ -197,72 +197,73 @@
     assert_int_equal(node->peers.list[1].confirmed_at, 0);
 }
 
-static uint32_t draw(uint32_t below) {
+static uint32_t random_below(uint32_t below) {
     static uint32_t seed = 12345;
     seed = seed * 1664525u + 1013904223u;
     return (seed >> 8) % below;
 }
 
-/* Something happens to the node that its messages may or may not mention. */
-static void apply_drawn_change(uint64_t *revision) {
+/* Applies a random change to the node, which may or may not change its messages. */
+static void apply_random_change(uint64_t *revision) {
     char ref[AMB_NAME_SIZE];
-    now_ms += draw(4) ? draw(700) : draw(30000);
-    snprintf(ref, sizeof ref, "wk-%06u", draw(200));
-    switch (draw(9)) {
+    now_ms += random_below(4) ? random_below(700) : random_below(30000);
+    snprintf(ref, sizeof ref, "wk-%06u", random_below(200));
+    switch (random_below(9)) {
     case 0: accept_job(ref, ++*revision); break;
-    case 1: /* another node's word, at times of long ago */
+    case 1: /* a peer's cancellation hint, in some cases of long ago */
         ++*revision;
-        amb_job_apply_cancel_hint(node, ref, amb_wall_ms() - draw(2) * draw(80000),
-                                  *revision - draw(2) * draw(20));
+        amb_job_apply_cancel_hint(node, ref, amb_wall_ms() - random_below(2) * random_below(80000),
+                                  *revision - random_below(2) * random_below(20));
         break;
-    case 2: node->watch.loaded = draw(2); break;
+    case 2: node->watch.loaded = random_below(2); break;
     case 3: node->fleet.last_heartbeat_at = now_ms; break;
     case 4: node->store.last_failure_at = now_ms; break;
     case 5: node->store.last_success_at = now_ms + 1; break;
-    case 6: node->election.highest_term += draw(2); break;
+    case 6: node->election.highest_term += random_below(2); break;
     case 7: node->election.term = node->election.highest_term; break;
-    default: node->election.role = draw(8) ? AMB_ROLE_FOLLOWER : AMB_ROLE_LEADER;
+    default: node->election.role = random_below(8) ? AMB_ROLE_FOLLOWER : AMB_ROLE_LEADER;
     }
 }
 
-/* Replies are cached as text while they would not change: each must equal a new one. */
+/* Replies are cached as text until their content would change. Each must equal a newly encoded one. */
 static void cached_replies_equal_new_ones(void **state) {
     (void)state;
     char text[256];
     uint64_t revision = 10;
     uint32_t listed = 0;
     for (int i = 0; i < 4000; i++) {
-        apply_drawn_change(&revision);
-        uint64_t known_revision = draw(3) ? draw(3) ? revision : revision - draw(10) : 0;
+        apply_random_change(&revision);
+        uint64_t known_revision =
+            random_below(3) ? random_below(3) ? revision : revision - random_below(10) : 0;
         snprintf(text, sizeof text, "{\"from\":\"n1\",\"epoch\":%llu}", (unsigned long long)known_revision);
-        json_t *answer = peer_reply_json(node, known_revision);
-        char *want = json_dumps(answer, JSON_COMPACT);
-        listed += json_array_size(json_object_get(answer, "cancelled")) > 0;
+        json_t *reply = peer_reply_json(node, known_revision);
+        char *expected = json_dumps(reply, JSON_COMPACT);
+        listed += json_array_size(json_object_get(reply, "cancelled")) > 0;
         receive_heartbeat(text);
-        if (strcmp(last_answer, want)) fail_msg("step %d: %s, not %s", i, last_answer, want);
-        free(want);
-        json_decref(answer);
+        if (strcmp(last_reply_text, expected)) fail_msg("step %d: %s, not %s", i, last_reply_text, expected);
+        free(expected);
+        json_decref(reply);
     }
-    assert_in_range(listed, 400, 3600); /* with cancellations and without */
+    assert_in_range(listed, 400, 3600); /* replies with cancellations and without both occur */
 }
 
-static void what_is_no_heartbeat_is_refused(void **state) {
+static void malformed_heartbeats_are_refused(void **state) {
     (void)state;
-    static const char *const bad[] = {"", "{", "[1]", "{}", "{\"from\":1}", "{\"from\":\"n1\""};
-    for (size_t i = 0; i < ROWS(bad); i++) {
-        receive_heartbeat(bad[i]);
+    static const char *const malformed[] = {"", "{", "[1]", "{}", "{\"from\":1}", "{\"from\":\"n1\""};
+    for (size_t i = 0; i < ROWS(malformed); i++) {
+        receive_heartbeat(malformed[i]);
         if (last_status != 400) fail_msg("row %zu: %d", i, last_status);
     }
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(a_repeated_heartbeat_counts_as_heard, setup, teardown),
-        cmocka_unit_test_setup_teardown(a_changed_heartbeat_is_read_again, setup, teardown),
+        cmocka_unit_test_setup_teardown(a_repeated_heartbeat_updates_last_heard, setup, teardown),
+        cmocka_unit_test_setup_teardown(a_changed_heartbeat_is_parsed_again, setup, teardown),
         cmocka_unit_test_setup_teardown(a_repeated_cancellation_is_applied, setup, teardown),
-        cmocka_unit_test_setup_teardown(a_repeated_answer_confirms_anew, setup, teardown),
+        cmocka_unit_test_setup_teardown(a_repeated_reply_confirms_again, setup, teardown),
         cmocka_unit_test_setup_teardown(cached_replies_equal_new_ones, setup, teardown),
-        cmocka_unit_test_setup_teardown(what_is_no_heartbeat_is_refused, setup, teardown),
+        cmocka_unit_test_setup_teardown(malformed_heartbeats_are_refused, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
