--- a/lib/agent/task_failures.c
+++ b/lib/agent/task_failures.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 enum {
-    MACHINE_FAILURES_MAX = 3,  /* a machine without a success is released at this many */
-    BACKOFF_DOUBLINGS_MAX = 6, /* of the backoff of a broken job */
+    MACHINE_FAILURES_MAX = 3,  /* failures at which a machine without a success is released */
+    BACKOFF_DOUBLINGS_MAX = 6, /* how often the backoff of a broken job is doubled at most */
     QUARANTINE_HEARTBEATS = 2, /* heartbeat periods, for each failure that can't be attributed */
 };
 
--- a/lib/agent/task_status.c
+++ b/lib/agent/task_status.c
@@ -7,7 +7,7 @@
 #include "amberpin/placement/wdrr.h"
 
 enum {
-    /* Heartbeats that do not list a task whose start was sent, until the task is placed elsewhere. */
+    /* Heartbeats without a task whose start was sent, after which the task is placed elsewhere. */
     MISSED_HEARTBEATS_MAX = 2,
     /* Heartbeat periods after which a running task counts as a success of its job and machine. */
     STABLE_HEARTBEATS = 5,
@@ -200,7 +200,7 @@
     if (!amb_wdrr_is_within_limit(job->team, &job->spec->task_resources, 0)) return false;
     if (!amb_resources_fit(&machine->used, &node->catalog.types[machine->type_index].resources)) return false;
     uint32_t in_zone = job->zone_task_counts[machine->zone_index] +
-                       amb_placement_count_tasks_in_unknown_zones(job); /* at most */
+                       amb_placement_count_tasks_in_unknown_zones(job); /* upper bound */
     if (job->spec->spread_zones && in_zone > amb_placement_max_tasks_per_zone(job->spec->task_count))
         return false;
     return !job->spec->one_zone || job->zone_task_counts[machine->zone_index] == job->bound_count;
--- a/lib/peer/image_locations.c
+++ b/lib/peer/image_locations.c
@@ -94,9 +94,10 @@
     }
 }
 
-/* Drops the machines that were not reported in the previous generation. Their names are never reused, so
- * their entries are of no use. A single table of 4,096 names that was emptied when full would also hold
- * removed machines, and was emptied every few seconds under load with 4,000 machines. */
+/* Drops the machines that have not been reported since the previous generation: names are never reused, so
+ * their entries are of no use. A table of 4,096 names that is emptied whenever it is full does not suffice:
+ * it also fills with removed machines, and with 4,000 machines it was emptied every few seconds under load.
+ */
 static void start_generation(struct amb_image_locations *locations) {
     free_locations(&locations->previous);
     locations->previous = locations->current;
--- a/tests/api/test_user_answers.c
+++ b/tests/api/test_user_answers.c
@@ -30,7 +30,7 @@
     return text;
 }
 
-/* A user is answered only once the transaction is, and according to its outcome. */
+/* A user is answered only after the transaction is answered, and according to its outcome. */
 static void acceptance_is_compared_and_written_first(void **state) {
     (void)state;
     static const struct {
