--- a/include/amberpin/job/job_activation.h
+++ b/include/amberpin/job/job_activation.h
@@ -1,5 +1,5 @@
-/* Which jobs are active: the leader keeps the tasks of a job, and their placement blocks, only while it
- * schedules it. */
+/* Activation of jobs. The leader holds the tasks and the placement blocks of a job in memory only while the
+ * job is active, that is, while the leader schedules it. */
 #ifndef AMBERPIN_JOB_ACTIVATION_H
 #define AMBERPIN_JOB_ACTIVATION_H
 
@@ -7,19 +7,20 @@
 
 struct amb_node;
 
-/* Creates the job's tasks, all of them waiting. Nothing happens if it is active, has no description or names
- * an unknown team. */
+/* Creates the job's tasks, all of them waiting. Has no effect on a job that is active, has no description or
+ * names an unknown team. */
 void amb_job_activate(struct amb_node *node, struct amb_job *job);
-/* Frees the job's tasks and blocks, and the description of a job that is done. */
+/* Frees the job's tasks and blocks, and its description if the job is done. */
 void amb_job_deactivate(struct amb_node *node, struct amb_job *job);
 
-/* Activates the job unless a dependency is pending; beyond the memory for tasks it is left for
- * amb_jobs_activate_unadmitted. A job larger than that memory is active alone. */
+/* Activates the job unless a dependency is pending. If its tasks exceed the memory for tasks, the job is left
+ * to amb_jobs_activate_unadmitted. A job that exceeds that memory by itself is activated when no other job is
+ * active. */
 void amb_job_activate_if_room(struct amb_node *node, struct amb_job *job);
-/* Once an active job has ended: tries again those that were left. */
+/* Tries again to activate the jobs that were not admitted, if an active job has ended since. */
 void amb_jobs_activate_unadmitted(struct amb_node *node);
 
-/* Whether the job may run on the machine type of this index; false while the catalogue is not known. */
+/* Whether the job may run on the machine type with this index. False while the catalogue is unknown. */
 bool amb_job_allows_type(struct amb_node *node, struct amb_job *job, int type);
 
 #endif
--- a/lib/job/cancellation_notice.c
+++ b/lib/job/cancellation_notice.c
@@ -8,16 +8,16 @@
 
 static const char NOTICE_PATH[] = "/peer/cancellation";
 
-/* Whoever writes a cancellation gives its call up after one call timeout; it may have been queued as
- * long before it was sent. */
+/* A cancellation is written or given up within two call timeouts: its request may be queued for one call
+ * timeout before it is sent, and is given up after another one. */
 enum { PENDING_CALL_TIMEOUTS = 2 };
 
-/* Notices are sent at most once: nothing waits for the response. */
+/* Notices are sent at most once, so the response does not matter. */
 static void ignore_response(void *arg, int status, const char *body, size_t len) {
     (void)arg, (void)status, (void)body, (void)len;
 }
 
-static void send_to(struct amb_node *node, const struct amb_peer *peer, const char *text) {
+static void send_to_peer(struct amb_node *node, const struct amb_peer *peer, const char *text) {
     amb_http_call(peer->addr, "POST", NOTICE_PATH, "application/json", text, strlen(text),
                   (amb_ms)(node->settings.heartbeat_s * 1000), ignore_response, NULL);
 }
@@ -28,7 +28,8 @@
     return false;
 }
 
-/* To the leader; to all peers when none is known to lead. Revision 0: the cancellation is not written yet. */
+/* Sends a notice to the leader, or to all peers if none is known to lead. Revision 0 means that the
+ * cancellation is not written yet. */
 static void send_notice(struct amb_node *node, const struct amb_job *job, uint64_t revision) {
     if (amb_election_has_leader_role(node)) return;
     const struct amb_peer_cancellation cancellation = {job->ref, job->cancelled_wall_ms, revision};
@@ -36,7 +37,7 @@
     const struct amb_peers *peers = &node->peers;
     bool leader_known = is_leader_known(peers);
     for (uint32_t i = 0; i < peers->count; i++)
-        if (peers->list[i].is_leader || !leader_known) send_to(node, &peers->list[i], text);
+        if (peers->list[i].is_leader || !leader_known) send_to_peer(node, &peers->list[i], text);
     free(text);
 }
 
@@ -63,6 +64,6 @@
 
 bool amb_cancellation_is_pending(const struct amb_node *node, const struct amb_job *job) {
     if (!job->cancel_pending_at) return false;
-    amb_ms decided_at = job->cancel_pending_at + PENDING_CALL_TIMEOUTS * node->store.call_timeout;
-    return node->watch.last_read_sent_at <= decided_at;
+    amb_ms decided_by = job->cancel_pending_at + PENDING_CALL_TIMEOUTS * node->store.call_timeout;
+    return node->watch.last_read_sent_at <= decided_by;
 }
--- a/lib/job/cancellations.c
+++ b/lib/job/cancellations.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a cancelled job may have tasks, in units of `cancel_s`; the protocol itself allows one. */
-enum { TASKS_GONE_AFTER = 2 };
+/* Multiple of `cancel_s` after which a cancelled job has no tasks left; the protocol itself allows one. */
+enum { TASKS_GONE_CANCEL_PERIODS = 2 };
 
 size_t amb_cancellations_find_after(const struct amb_cancellation_list *list, int64_t key) {
     size_t low = 0, high = list->count;
@@ -41,7 +41,7 @@
     memmove(&list->entries[at], &list->entries[at + 1], (list->count - at) * sizeof *list->entries);
 }
 
-/* From the end: a job whose entry changes is usually one of the latest. */
+/* Searches from the end, because a job whose entry changes is usually one of the latest. */
 static void remove_job(struct amb_cancellation_list *list, const struct amb_job *job) {
     for (size_t i = list->count; i-- > 0;) {
         if (list->entries[i].job != job) continue;
@@ -69,11 +69,11 @@
     job->tasks_gone = true;
 }
 
-/* A job that is still active is tried again when as much time has passed. */
+/* A job that is still active is checked again after the same time. */
 void amb_cancellations_drop_specs(struct amb_node *node, amb_ms now) {
     struct amb_cancellation_list *with_spec = &node->jobs.cancellations.with_spec;
-    amb_ms heard_by = now - amb_seconds_to_ms(TASKS_GONE_AFTER * node->settings.cancel_s);
-    while (with_spec->count && with_spec->entries[0].key <= heard_by) {
+    amb_ms known_before = now - amb_seconds_to_ms(TASKS_GONE_CANCEL_PERIODS * node->settings.cancel_s);
+    while (with_spec->count && with_spec->entries[0].key <= known_before) {
         struct amb_job *job = with_spec->entries[0].job;
         remove_at(with_spec, 0);
         if (job->active)
--- a/lib/job/dependency_graph.c
+++ b/lib/job/dependency_graph.c
@@ -7,21 +7,21 @@
 #include <string.h>
 #include <uthash.h>
 
-/* An edge is in two lists: of its dependent's dependencies, and of its dependency's dependents. */
+/* An edge is in two lists: the dependencies of its dependent, and the dependents of its dependency. */
 struct dependency_edge {
     struct amb_graph_job *dependent, *dependency;
-    struct dependency_edge *next_dependency, *prev_dependency; /* of the same dependent */
-    struct dependency_edge *next_dependent, *prev_dependent;   /* of the same dependency */
+    struct dependency_edge *next_dependency, *prev_dependency; /* list of the same dependent */
+    struct dependency_edge *next_dependent, *prev_dependent;   /* list of the same dependency */
 };
 
 struct amb_graph_job {
     char name[AMB_NAME_SIZE];
     struct dependency_edge *dependencies, *dependents;
-    struct amb_dependent own; /* of a job that has dependencies */
+    struct amb_dependent own; /* set if the job has dependencies */
     bool cancelled;
-    struct amb_graph_job *next_work; /* of a work list */
-    /* While priorities are propagated: */
-    uint32_t pending_dependents; /* dependents whose priority is not known yet */
+    struct amb_graph_job *next_work; /* next job in a work list, or in the list of removed jobs */
+    /* Used while priorities are propagated: */
+    uint32_t pending_dependents; /* number of dependents that are not processed yet */
     struct amb_effective_priority inherited;
     UT_hash_handle hh;
 };
@@ -89,7 +89,7 @@
     free(edge);
 }
 
-/* Removes the job's dependencies. Those that have no dependents any more inherit nothing. */
+/* Unlinks the job from its dependencies. A dependency that has no dependents left inherits no priority. */
 static void unlink_dependencies(struct amb_dependency_graph *graph, struct amb_graph_job *job) {
     while (job->dependencies) {
         /* NOLINTNEXTLINE(clang-analyzer-unix.Malloc): unlink_edge has moved the head */
@@ -102,7 +102,7 @@
     }
 }
 
-/* Cancels every job that depends on this one, and removes them and this one. */
+/* Cancels all jobs that depend on this one, directly or indirectly, and removes them and this one. */
 static void cancel_dependents(struct amb_dependency_graph *graph, struct amb_graph_job *first,
                               const char *cause) {
     struct amb_graph_job *work = first;
@@ -126,7 +126,8 @@
     }
 }
 
-/* Links the job to those of the names that are not final. Returns the first that is cancelled; NULL: none. */
+/* Links the job to its dependencies that are not final yet. Returns the first cancelled dependency, or NULL.
+ */
 static const char *link_dependencies(struct amb_dependency_graph *graph, struct amb_graph_job *job,
                                      const char (*dependencies)[AMB_NAME_SIZE], uint32_t count) {
     const char *cancelled = NULL;
@@ -135,7 +136,7 @@
         if (outcome == AMB_JOB_OUTCOME_CANCELLED && !cancelled) cancelled = dependencies[i];
         if (outcome != AMB_JOB_OUTCOME_OPEN) continue;
         struct amb_graph_job *dependency = find_or_create(graph, dependencies[i]);
-        link_jobs(job, dependency); /* twice, if it is named twice: both edges end together */
+        link_jobs(job, dependency); /* a name listed twice has two edges, which are removed together */
     }
     return cancelled;
 }
@@ -201,26 +202,26 @@
     if (due_wall_ms < dependency->inherited.due_wall_ms) dependency->inherited.due_wall_ms = due_wall_ms;
 }
 
-/* Prepares all jobs, and returns a work list of those that have no dependents. */
+/* Resets all jobs, and returns a work list of the jobs that have no dependents. */
 static struct amb_graph_job *begin_propagation(struct amb_dependency_graph *graph) {
-    struct amb_graph_job *last_jobs = NULL;
+    struct amb_graph_job *work = NULL;
     for (struct amb_graph_job *job = graph->by_name; job; job = job->hh.next) {
         job->inherited = NO_INHERITED_PRIORITY;
         job->pending_dependents = 0;
         for (const struct dependency_edge *edge = job->dependents; edge; edge = edge->next_dependent)
             job->pending_dependents++;
         if (job->pending_dependents) continue;
-        job->next_work = last_jobs;
-        last_jobs = job;
+        job->next_work = work;
+        work = job;
     }
-    return last_jobs;
+    return work;
 }
 
 void amb_dependency_graph_propagate_priorities(struct amb_dependency_graph *graph) {
     if (graph->priorities_current) return;
     graph->priorities_current = true;
     struct amb_graph_job *work = begin_propagation(graph);
-    while (work) { /* each job after all that depend on it */
+    while (work) { /* a job is processed after all of its dependents */
         struct amb_graph_job *job = work;
         work = job->next_work;
         if (job->dependents) graph->events->on_priority_inherited(graph->owner, job->name, &job->inherited);
--- a/lib/job/job_activation.c
+++ b/lib/job/job_activation.c
@@ -15,7 +15,7 @@
     }
 }
 
-/* A job may become active again, after a change of leaders. */
+/* A job can be activated again after a failover, so values of an earlier activation are cleared. */
 static void reset_scheduling_state(struct amb_job *job) {
     job->done_count = job->bound_count = job->running_count = job->first_waiting_task = 0;
     memset(job->zone_task_counts, 0, sizeof job->zone_task_counts);
--- a/lib/job/job_record.c
+++ b/lib/job/job_record.c
@@ -14,11 +14,12 @@
 /* ---- writing ---- */
 
 void amb_job_encode_record(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state) {
-    bool brief = state == AMB_JOB_DONE; /* a job that is done needs no description any more */
-    amb_cbor_write_map(buffer, brief ? 2 : 2u + (state == AMB_JOB_CANCELLED) + (job->spec != NULL));
+    bool omits_description = state == AMB_JOB_DONE; /* nothing needs it any more */
+    amb_cbor_write_map(buffer,
+                       omits_description ? 2 : 2u + (state == AMB_JOB_CANCELLED) + (job->spec != NULL));
     amb_cbor_write_string(buffer, "s");
     amb_cbor_write_string(buffer, amb_codec_job_state_text(state, false));
-    if (brief) {
+    if (omits_description) {
         amb_cbor_write_string(buffer, "n");
         amb_cbor_write_uint(buffer, job->spec ? job->spec->task_count : job->done_count);
         return;
@@ -29,7 +30,7 @@
         amb_cbor_write_string(buffer, "c");
         amb_cbor_write_uint(buffer, (uint64_t)job->cancelled_wall_ms);
     }
-    if (!job->spec) return; /* its record could not be read */
+    if (!job->spec) return; /* the record that was read has no valid description */
     amb_cbor_write_string(buffer, "d");
     amb_codec_encode_job(buffer, job->spec, job->dependencies);
 }
@@ -56,7 +57,7 @@
     return amb_cbor_text_equals(name, "cancelled") ? AMB_JOB_CANCELLED : AMB_JOB_QUEUED;
 }
 
-/* A field that comes twice is left to the general parser. */
+/* A field that occurs twice makes the decoder fail: the general parser handles it. */
 static uint64_t read_unique_uint(struct amb_cbor_reader *reader, bool *seen) {
     if (*seen) reader->failed = true;
     *seen = true;
--- a/lib/job/jobs.c
+++ b/lib/job/jobs.c
@@ -19,7 +19,7 @@
     if (job->spec->kind == AMB_JOB_KIND_GANG) amb_gang_set_state(job, AMB_GANG_TEARING, cause);
 }
 
-/* Returns whether the state has changed. Jobs that depend on it are not told. */
+/* Returns whether the state has changed. Does not notify the jobs that depend on this one. */
 static bool change_state(struct amb_node *node, struct amb_job *job, enum amb_job_state new_state) {
     if (new_state == AMB_JOB_CANCELLED) amb_cancellations_update(node, job);
     if (job->state == new_state) return false;
@@ -28,7 +28,7 @@
     job->state = new_state;
     if (new_state == AMB_JOB_DONE && !job->active) amb_job_drop_spec(node, job);
     if (new_state == AMB_JOB_CANCELLED && job->active) {
-        withdraw_tasks(node, job, "its job is cancelled");
+        withdraw_tasks(node, job, "job cancelled");
         amb_node_request_cycle(node);
     }
     return true;
@@ -60,18 +60,18 @@
         node->jobs.spec_count++;
         job->team = amb_settings_find_team(&node->settings, spec->team);
     } else {
-        amb_error("job %s: its record can't be read", job->ref);
+        amb_error("job %s: record cannot be decoded", job->ref);
         free(spec);
     }
 }
 
-/* Whether a record of this state has to be read for its description. job NULL: it is new. */
+/* Whether the description of a record with this state has to be decoded. A NULL job is a new one. */
 static bool needs_description(const struct amb_job *job, enum amb_job_state state) {
     return state != AMB_JOB_DONE && (!job || (!job->spec && !job->tasks_gone));
 }
 
-/* Older changes are applied no more, and most changes are echoes of what this node wrote. job NULL: it is
- * new. */
+/* Whether a change is already applied: it is older than the job's last change, or it is a write of this node,
+ * as most changes are. A NULL job is a new one. */
 static bool is_known_revision(const struct amb_job *job, uint64_t revision) {
     return job && revision <= job->revision;
 }
@@ -94,10 +94,10 @@
     enum amb_job_state new_state = record->state;
     copy_fields(job, record, revision);
     if (needs_description(job, new_state)) read_spec(node, job, record->description);
-    /* A peer may tell of a cancellation before the job's record is read, and a cancellation is final. (One
-     * that follows from another job's may bear an older revision than the job itself.) */
+    /* A peer may report a cancellation before the job's record is read, and a cancellation is final. (One
+     * that follows from the cancellation of a dependency may have an older revision than the job itself.) */
     if (new_state == AMB_JOB_QUEUED && job->state == AMB_JOB_CANCELLED) new_state = AMB_JOB_CANCELLED;
-    /* A user's submission or cancellation, at whichever node. */
+    /* This is a user's submission or cancellation, through any node. */
     if (node->watch.loaded && (is_new || new_state == AMB_JOB_CANCELLED))
         amb_store_count_user_write(&node->store);
     set_state(node, job, new_state);
@@ -120,7 +120,7 @@
     if (item) cbor_decref(&item);
 }
 
-/* NULL: there is none, it is not needed, or it is not CBOR. */
+/* Returns NULL if there is no description, if it is not needed, or if it is not valid CBOR. */
 static cbor_item_t *parse_description(const struct amb_job *job, const struct amb_job_record *record) {
     size_t description_len = (size_t)(record->description_end - record->description_start);
     if (!description_len || !needs_description(job, record->state)) return NULL;
@@ -161,16 +161,16 @@
 }
 
 void amb_job_apply_own_cancellation(struct amb_node *node, struct amb_job *job, uint64_t revision) {
-    if (revision <= job->revision) return; /* the watch was faster */
+    if (revision <= job->revision) return; /* the watch has already delivered it */
     job->revision = job->cancel_revision = revision;
     job->cancelled_wall_ms = amb_wall_ms();
     amb_store_count_user_write(&node->store);
     set_state(node, job, AMB_JOB_CANCELLED);
 }
 
-/* The job keeps its revision: no compare-and-swap of ours under it can succeed, and the change, when it is
- * read, is newer. A job that is not known is added without a description: its tasks may be on machines whose
- * heartbeats come to us. */
+/* The job keeps its revision: a compare-and-swap of this node under that revision fails, and the change is
+ * newer when it is read. An unknown job is added without a description, because its tasks may be on machines
+ * that send their heartbeats to this node. */
 void amb_job_apply_cancel_hint(struct amb_node *node, const char *ref, int64_t cancelled_wall_ms,
                                uint64_t revision) {
     struct amb_job *job = amb_job_find(node, ref);
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -3,7 +3,7 @@
 #include "amberpin/base/log.h"
 #include "amberpin/node/node.h"
 
-/* Estimates are often wrong by half. */
+/* Users' estimates of run times are often wrong by half. */
 static const double ESTIMATE_ERROR_FACTOR = 1.5;
 
 static const struct amb_effective_priority NO_INHERITED_PRIORITY = {AMB_PRIORITY_BEST_EFFORT,
@@ -13,7 +13,7 @@
     return spec->estimated_runtime_s * ESTIMATE_ERROR_FACTOR;
 }
 
-/* ---- the graph's events ---- */
+/* ---- callbacks of the dependency graph ---- */
 
 static enum amb_job_outcome get_outcome(void *owner, const char *name) {
     const struct amb_job *job = amb_job_find(owner, name);
@@ -25,9 +25,9 @@
     struct amb_node *node = owner;
     struct amb_job *job = amb_job_find(node, name);
     job->dependencies_pending = false;
-    /* When records are read for the first time it is not known when the last dependency was done. */
+    /* During the first listing of the store it is unknown when the last dependency was done. */
     if (node->watch.loaded) job->ready_wall_ms = amb_wall_ms();
-    amb_info("job %s: all jobs that it awaited are done", name);
+    amb_info("job %s: all dependencies are done", name);
     amb_job_handle_ready(node, job);
 }
 
@@ -39,7 +39,7 @@
 static void on_priority_inherited(void *owner, const char *name,
                                   const struct amb_effective_priority *priority) {
     struct amb_job *job = amb_job_find(owner, name);
-    if (!job) return; /* not heard of yet */
+    if (!job) return; /* a dependency that is not known yet */
     job->inherited_priority = *priority;
     job->inherits_priority = priority->priority != NO_INHERITED_PRIORITY.priority ||
                              priority->due_wall_ms != NO_INHERITED_PRIORITY.due_wall_ms;
@@ -54,7 +54,7 @@
     return graph;
 }
 
-/* ---- changes of jobs ---- */
+/* ---- state changes of jobs ---- */
 
 static struct amb_dependent make_dependent(const struct amb_job *job) {
     const struct amb_job_spec *spec = job->spec;
@@ -81,7 +81,8 @@
         amb_dependency_graph_set_cancelled(get_graph(node), job->ref);
 }
 
-/* The latest time of day at which its tasks may start for the job to be in time. */
+/* Returns the latest wall time in ms at which the job's tasks may start for the job to end by its due time.
+ */
 static int64_t latest_start_wall_ms(const struct amb_job *job) {
     int64_t due = amb_job_due_wall_ms(job);
     return due == AMB_NO_DUE_TIME ? AMB_NO_DUE_TIME : due - amb_seconds_to_ms(amb_job_spec_work_s(job->spec));
@@ -89,7 +90,7 @@
 
 void amb_pipelines_update_priorities(struct amb_node *node) {
     if (amb_dependency_graph_is_empty(get_graph(node)))
-        return; /* no job has dependents: whether one is late has no effect */
+        return; /* no job has dependents, so pipeline_late has no effect */
     amb_dependency_graph_propagate_priorities(get_graph(node));
     int64_t now = amb_wall_ms();
     for (struct amb_job *job = node->jobs.active; job; job = job->next_active) {
@@ -102,7 +103,7 @@
     amb_dependency_graph_clear(get_graph(node));
 }
 
-/* ---- the order of jobs ---- */
+/* ---- scheduling order of jobs ---- */
 
 int64_t amb_job_ready_wall_ms(const struct amb_job *job) {
     return job->ready_wall_ms ? job->ready_wall_ms : job->accepted_wall_ms;
--- a/lib/job/placement_blocks.c
+++ b/lib/job/placement_blocks.c
@@ -14,9 +14,9 @@
     return amb_placement_block_capacity(AMB_LAYOUT_BY_SETTINGS, settings->value_kb);
 }
 
-/* Before the second format is in use, exactly what a process of the first one reads; after that, what the
- * state service takes also when it has lowered its limits. */
-static enum amb_block_layout layout_in_use(const struct amb_node *node) {
+/* Returns the layout of new blocks. Until the second format is active, it is the layout that a process of the
+ * first format reads; from then on, the layout whose blocks the store accepts even with lowered limits. */
+static enum amb_block_layout get_active_layout(const struct amb_node *node) {
     return amb_format_active(node) >= AMB_FORMAT_2 ? AMB_LAYOUT_BY_KEY : AMB_LAYOUT_BY_SETTINGS;
 }
 
@@ -24,15 +24,15 @@
     return amb_settings_lowered_limits(&node->settings).value_kb;
 }
 
-static uint32_t wanted_tasks_per_block(const struct amb_node *node, const struct amb_job *job) {
-    if (layout_in_use(node) == AMB_LAYOUT_BY_SETTINGS)
+static uint32_t get_wanted_block_size(const struct amb_node *node, const struct amb_job *job) {
+    if (get_active_layout(node) == AMB_LAYOUT_BY_SETTINGS)
         return amb_placement_blocks_first_format_size(&node->settings);
     uint32_t tasks =
         amb_placement_block_capacity(AMB_LAYOUT_BY_KEY, amb_placement_blocks_lowered_value_kb(node));
     return job->max_tasks_per_block && job->max_tasks_per_block < tasks ? job->max_tasks_per_block : tasks;
 }
 
-static void make_blocks(struct amb_job *job, enum amb_block_layout layout, uint32_t tasks_per_block) {
+static void create_blocks(struct amb_job *job, enum amb_block_layout layout, uint32_t tasks_per_block) {
     job->block_layout = layout;
     job->tasks_per_block = tasks_per_block;
     job->block_count = (job->spec->task_count + tasks_per_block - 1) / tasks_per_block;
@@ -46,7 +46,7 @@
 
 void amb_placement_blocks_create(struct amb_node *node, struct amb_job *job) {
     job->max_tasks_per_block = 0;
-    make_blocks(job, layout_in_use(node), wanted_tasks_per_block(node, job));
+    create_blocks(job, get_active_layout(node), get_wanted_block_size(node, job));
 }
 
 void amb_placement_blocks_free(struct amb_job *job) {
@@ -92,10 +92,11 @@
     set_dirty(&task->job->blocks[task->index / task->job->tasks_per_block], urgent);
 }
 
-/* ---- blocks of another size ----
- * A block that has become too large to write can't be changed any more, not even to mark it as superseded. So
- * the blocks that replace it are authoritative for the tasks that they hold from the moment when they exist,
- * whatever it says, and it is for the others: no step of the change depends on another one. */
+/* ---- replacement of blocks by smaller ones ----
+ * A block that has become too large to write cannot be changed any more, not even to mark it as superseded.
+ * Therefore each block that replaces it is authoritative for the tasks that it holds from the moment when it
+ * exists, whatever the old block says. The old block stays authoritative for all other tasks, so that no step
+ * of the replacement depends on another step. */
 
 static bool needs_write(const struct amb_task *task) {
     return task->state == AMB_TASK_PLACED || (task->done && task->completion != AMB_COMPLETION_DURABLE);
@@ -112,7 +113,7 @@
     }
 }
 
-/* The block exists in the state service, or may. */
+/* Keeps the id and the revision of a block that exists, or may exist, in the store. */
 static void keep_as_superseded(struct amb_job *job, const struct amb_placement_block *old) {
     struct amb_placement_block *block = amb_placement_blocks_add_superseded(job);
     block->revision = old->revision;
@@ -125,25 +126,25 @@
                                   uint32_t tasks_per_block) {
     struct amb_placement_block *old = job->blocks;
     uint32_t old_count = job->block_count;
-    amb_info("job %s: %u blocks of %u tasks are replaced by blocks of %u", job->ref, old_count,
+    amb_info("job %s: replacing %u blocks of %u tasks by blocks of %u tasks", job->ref, old_count,
              job->tasks_per_block, tasks_per_block);
     for (uint32_t i = 0; i < old_count; i++) {
         if (old[i].write_in_flight) amb_placement_block_abandon_write(&old[i]);
         if (old[i].revision || old[i].revision_uncertain) keep_as_superseded(job, &old[i]);
     }
     free(old);
-    make_blocks(job, layout, tasks_per_block);
+    create_blocks(job, layout, tasks_per_block);
     for (uint32_t i = 0; i < job->spec->task_count; i++)
         if (needs_write(&job->tasks[i])) set_dirty(&job->blocks[i / tasks_per_block], true);
 }
 
-/* The size that is to be written may have changed: the second format has come into use, or a block came out
- * too large. Tasks are never moved to larger blocks, which would not be authoritative. */
+/* The size to be written changes when the second format becomes active, or when a block is found to be too
+ * large. Tasks are never moved to larger blocks, which would not be authoritative. */
 void amb_placement_blocks_adapt_size(struct amb_node *node, struct amb_job *job) {
-    enum amb_block_layout layout = layout_in_use(node);
-    uint32_t tasks_per_block = wanted_tasks_per_block(node, job);
+    enum amb_block_layout layout = get_active_layout(node);
+    uint32_t tasks_per_block = get_wanted_block_size(node, job);
     const struct amb_placement_block_id wanted = {layout, tasks_per_block, 0},
-                                        present = {job->block_layout, job->tasks_per_block, 0};
-    if (amb_placement_block_precedes(wanted, present))
+                                        current = {job->block_layout, job->tasks_per_block, 0};
+    if (amb_placement_block_precedes(wanted, current))
         amb_placement_blocks_replace(job, layout, tasks_per_block);
 }
--- a/lib/job/tasks.c
+++ b/lib/job/tasks.c
@@ -4,7 +4,7 @@
 #include "amberpin/node/node.h"
 
 uint32_t amb_job_count_waiting_tasks(const struct amb_job *job) {
-    /* A task that is done may still be bound until a heartbeat of its machine shows it gone. */
+    /* A task that is done may still be bound, until a heartbeat of its machine shows it gone. */
     return job->spec->task_count - job->done_count - job->bound_count;
 }
 
@@ -17,7 +17,7 @@
                         const char *cause) {
     (void)node;
     if (task->state != new_state && amb_log_is_enabled(AMB_LOG_DEBUG))
-        amb_debug("task %s/%u try %llu on %s: %s -> %s: %s", task->job->ref, task->index,
+        amb_debug("task %s/%u attempt %llu on %s: %s -> %s: %s", task->job->ref, task->index,
                   (unsigned long long)task->attempt, task->machine ? task->machine->name : "-",
                   task_state_name(task->state), task_state_name(new_state), cause);
     if (task->state != new_state) task->state_since = amb_now();
@@ -78,7 +78,7 @@
     job->bound_count--;
     if (task->index < job->first_waiting_task) job->first_waiting_task = task->index;
     if (job->spec->kind == AMB_JOB_KIND_GANG && !job->bound_count)
-        amb_gang_set_state(job, AMB_GANG_IDLE, "all its tasks are gone");
+        amb_gang_set_state(job, AMB_GANG_IDLE, "all tasks are gone");
     amb_node_request_cycle(node);
 }
 
@@ -88,7 +88,7 @@
         task->done = true;
         job->done_count++;
         job->progress_changed = true;
-        /* A machine that is drained is kept until its last completion is durable. */
+        /* Urgent on a machine that is being drained: it is kept until its last completion is durable. */
         amb_placement_block_mark_dirty(node, task, task->machine && task->machine->draining);
     }
     amb_node_request_cycle(node);
@@ -97,7 +97,7 @@
 void amb_task_request_stop(struct amb_node *node, struct amb_task *task, double grace_s, const char *cause) {
     if (!task->machine || (task->stop_requested && task->grace_s <= grace_s)) return;
     if (!task->stop_requested) {
-        amb_info("task %s/%u on %s: to stop, grace %g s: %s", task->job->ref, task->index,
+        amb_info("task %s/%u on %s: stop requested, grace %g s: %s", task->job->ref, task->index,
                  task->machine->name, grace_s, cause);
     }
     task->stop_requested = true;
@@ -106,7 +106,8 @@
     (void)node;
 }
 
-/* Before its placement has been sent to the state service no command can have been, so it needs no stop. */
+/* No command can have been sent for a task whose placement has not been sent to the store, so it needs no
+ * stop. */
 void amb_task_withdraw(struct amb_node *node, struct amb_task *task, const char *cause) {
     if (!task->machine) return;
     if (task->state == AMB_TASK_PLACED && !task->write_in_flight)
--- a/lib/placement_log/block_removal.c
+++ b/lib/placement_log/block_removal.c
@@ -1,4 +1,4 @@
-/* Removing the blocks of jobs that are over. */
+/* Removal of the blocks of jobs that are over. */
 #include "block_removal.h"
 
 #include "amberpin/codec/kvstore_messages.h"
@@ -49,7 +49,7 @@
                      amb_placement_log_call_new(node, block));
 }
 
-/* Only once nothing of the job is on any machine. */
+/* Call this only when no task of the job is on a machine. */
 static void send_block_removal(struct amb_node *node, struct amb_placement_block *block) {
     char key[AMB_BLOCK_KEY_SIZE];
     amb_placement_block_get_key(key, block);
--- a/lib/placement_log/block_restore.c
+++ b/lib/placement_log/block_restore.c
@@ -4,37 +4,37 @@
 
 #include <stdlib.h>
 
-/* A block that is being restored. */
+/* The state of restoring one block. */
 struct block_restore {
     struct amb_node *node;
     struct amb_job *job;
     const struct amb_placement_block_value *value;
-    amb_ms age;                      /* since the value was written; 0: unknown */
-    struct amb_task_range range;     /* the tasks that it may name */
-    bool *superseded;                /* by task: a block that precedes it counts; NULL: for none. Owned */
-    struct amb_task_range mentioned; /* the tasks that it has named so far lie in here */
+    amb_ms age;                  /* since the value was written; 0 if unknown */
+    struct amb_task_range range; /* tasks that the block may name */
+    bool *superseded; /* by task index: a preceding block is authoritative; NULL if for none; owned */
+    struct amb_task_range named; /* covers the tasks that the value has named so far */
 };
 
-/* A block of the first format may have had any size: it holds the tasks that it names. */
+/* A block of the first format may have been written with any size, so it may name any task of the job. */
 struct amb_task_range amb_placement_log_possible_range(const struct amb_job *job,
                                                        struct amb_placement_block_id id) {
     const struct amb_task_range all = {0, job->spec->task_count};
     return id.layout == AMB_LAYOUT_BY_SETTINGS ? all : amb_placement_block_task_range(id, all.end);
 }
 
-/* ---- which tasks a block counts for ---- */
+/* ---- tasks for which a block is authoritative ---- */
 
-static const struct amb_placement_block *get_block(const struct amb_job *job, uint32_t position) {
+static const struct amb_placement_block *get_nth_block(const struct amb_job *job, uint32_t position) {
     return position < job->block_count ? &job->blocks[position]
                                        : &job->superseded_blocks[position - job->block_count];
 }
 
-/* By task, whether a block that precedes this one holds it; NULL: for none. Such blocks come first in the
- * listing, so they have been restored. */
+/* Returns, by task index, whether a block that precedes this one holds the task; NULL if no task is held by
+ * one. Preceding blocks come first in the listing, so they have been restored already. */
 static bool *find_superseded_tasks(const struct amb_job *job, const struct amb_placement_block *block) {
     bool *superseded = NULL;
     for (uint32_t i = 0; i < job->block_count + job->superseded_count; i++) {
-        const struct amb_placement_block *other = get_block(job, i);
+        const struct amb_placement_block *other = get_nth_block(job, i);
         if (!other->revision || !amb_placement_block_precedes(other->id, block->id)) continue;
         if (!superseded) superseded = amb_alloc(job->spec->task_count * sizeof *superseded);
         for (uint32_t task = other->task_range.first; task < other->task_range.end; task++)
@@ -43,17 +43,17 @@
     return superseded;
 }
 
-static void note_mention(struct block_restore *restore, uint32_t task) {
-    struct amb_task_range *mentioned = &restore->mentioned;
-    bool is_first = mentioned->first == mentioned->end;
-    if (is_first || task < mentioned->first) mentioned->first = task;
-    if (is_first || task >= mentioned->end) mentioned->end = task + 1;
+static void extend_named_range(struct block_restore *restore, uint32_t task) {
+    struct amb_task_range *named = &restore->named;
+    bool is_first = named->first == named->end;
+    if (is_first || task < named->first) named->first = task;
+    if (is_first || task >= named->end) named->end = task + 1;
 }
 
-/* The value names this task: does the block count for it? */
-static bool mention_task(struct block_restore *restore, uint32_t task) {
+/* Handles a task that the value names. Returns whether the block is authoritative for it. */
+static bool accept_named_task(struct block_restore *restore, uint32_t task) {
     if (task < restore->range.first || task >= restore->range.end) return false;
-    note_mention(restore, task);
+    extend_named_range(restore, task);
     return !restore->superseded || !restore->superseded[task];
 }
 
@@ -61,10 +61,10 @@
 
 static void restore_completed_task(struct block_restore *restore, uint32_t index) {
     struct amb_task *task = &restore->job->tasks[index];
-    if (!mention_task(restore, index) || task->done) return;
+    if (!accept_named_task(restore, index) || task->done) return;
     task->done = true;
     task->completion = AMB_COMPLETION_DURABLE;
-    amb_task_set_state(restore->node, task, AMB_TASK_DONE, "its record says so");
+    amb_task_set_state(restore->node, task, AMB_TASK_DONE, "restored from the placement log");
     restore->job->done_count++;
 }
 
@@ -96,15 +96,16 @@
     amb_ms written_at = amb_now() - restore->age;
     if (machine->type_index < 0) machine->type_index = find_type(restore, placement->type);
     if (machine->zone_index < 0) amb_machine_set_zone(machine, find_zone(restore, placement->zone));
-    /* A list asked for long after that must name the machine: else it is gone, and need not be waited for as
-     * if it had first been seen just now. */
+    /* A machine that was known when the block was written must be in a machine list that is requested long
+     * after that, else it is gone. So it is dated back, and not waited for as if it had first been seen just
+     * now. */
     if (restore->age > 0 && written_at < machine->first_known_at)
         machine->first_known_at = machine->created_at = written_at;
     machine->spot = placement->spot;
 }
 
 static void restore_placement(struct block_restore *restore, const struct amb_placement *placement) {
-    if (!mention_task(restore, placement->task)) return;
+    if (!accept_named_task(restore, placement->task)) return;
     struct amb_machine *machine = amb_machine_get(restore->node, placement->machine, true);
     if (!machine) return;
     restore_machine(restore, machine, placement);
@@ -135,5 +136,5 @@
     restore_completed(&restore);
     restore_placements(&restore);
     free(restore.superseded);
-    return restore.mentioned;
+    return restore.named;
 }
--- a/lib/placement_log/block_value.c
+++ b/lib/placement_log/block_value.c
@@ -1,4 +1,4 @@
-/* What the value of a block says: which of its tasks are done, and on which machines the others are. */
+/* Encodes the value of a block: which of its tasks are done, and on which machines the others are placed. */
 #include "amberpin/node/node.h"
 #include "amberpin/placement_log/placement_log.h"
 
--- a/lib/placement_log/block_write.c
+++ b/lib/placement_log/block_write.c
@@ -12,14 +12,14 @@
 
 static void mark_durable(struct amb_node *node, struct amb_task *task) {
     if (task->write_in_flight && task->state == AMB_TASK_PLACED) {
-        amb_task_set_state(node, task, AMB_TASK_BOUND, "recorded");
+        amb_task_set_state(node, task, AMB_TASK_BOUND, "placement recorded");
         amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_PLACEMENT_DURABLE, .task = task});
     }
     task->write_in_flight = false;
     if (task->completion == AMB_COMPLETION_WRITING) task->completion = AMB_COMPLETION_DURABLE;
 }
 
-/* The write in flight is known to have been carried out. */
+/* Handles a write in flight that is known to have been applied. */
 static void complete_write(struct amb_node *node, struct amb_placement_block *block, uint64_t revision) {
     block->revision = revision;
     block->write_in_flight = false;
@@ -30,13 +30,13 @@
 }
 
 void amb_placement_log_abandon_write(struct amb_node *node, struct amb_placement_block *block) {
-    amb_placement_block_abandon_write(block); /* a copy may have been written before the job changed */
+    amb_placement_block_abandon_write(block); /* a copy may have been applied before the job changed */
     block->retry_at = 0;
     block->dirty = true;
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
         if (task->machine && task->state == AMB_TASK_PLACED && block->job->state != AMB_JOB_QUEUED)
-            amb_task_unbind(node, task, "its job is over, and no order went out");
+            amb_task_unbind(node, task, "job is over, and no start command was sent");
     }
 }
 
@@ -50,18 +50,19 @@
             complete_write(node, block, entry.revision);
             return;
         }
-        if (entry.revision != block->revision) { /* not expected: only one leader at a time writes here */
-            amb_error("block %s/%u: changed by another", block->job->ref, block->id.index);
+        if (entry.revision != block->revision) { /* unexpected: only the leader writes blocks */
+            amb_error("block %s/%u: modified by another writer", block->job->ref, block->id.index);
             block->revision = entry.revision;
         }
     }
-    /* The same content is sent again, with the same comparisons: whichever copy comes first makes every other
-     * fail. Only when the job itself has changed can no copy ever be carried out. */
+    /* The same content is sent again with the same comparisons, so that the first copy to be applied makes
+     * all others fail. Only a change of the job's record guarantees that no copy is ever applied. */
     block->retry_at = amb_now() + node->store.call_timeout / 10;
 }
 
-/* A value that the present limits allow and the lowered ones don't is refused only once they are lowered,
- * which happens after the upgrade. The block keeps its content until it is replaced by smaller ones. */
+/* A value whose size is above the lowered limits but within the present ones is refused only after the store
+ * has lowered its limits, which it does after the upgrade. The block keeps its content until smaller blocks
+ * replace it. */
 static void handle_refused_value(struct amb_node *node, struct amb_placement_block *block) {
     double size = (double)amb_cbor_json_size(block->value.data, block->value.len);
     if (size > amb_placement_blocks_lowered_value_kb(node) * 1024 && size <= node->settings.value_kb * 1024) {
@@ -69,12 +70,13 @@
         amb_format_complete_upgrade(node, "a value was refused for its size");
         block->retry_at += node->store.call_timeout;
     } else {
-        amb_error("block %s/%u: the state service calls it malformed", block->job->ref, block->id.index);
+        amb_error("block %s/%u: rejected as malformed by the state service", block->job->ref,
+                  block->id.index);
         block->retry_at += node->store.call_timeout * 10;
     }
 }
 
-/* Whether the write in flight was carried out is not known: it is read back. */
+/* Reads the block back, because it is unknown whether the write in flight was applied. */
 static void read_back(struct amb_node *node, struct amb_placement_block *block) {
     char key[AMB_BLOCK_KEY_SIZE];
     amb_placement_block_get_key(key, block);
@@ -117,14 +119,14 @@
                      amb_placement_log_call_new(node, block));
 }
 
-/* Blocks of the first format keep their size: an older process must be able to read them. */
+/* Blocks of the first format keep their size, because an older process must be able to read them. */
 static bool is_too_large(const struct amb_node *node, const struct amb_placement_block *block) {
     return block->id.layout == AMB_LAYOUT_BY_KEY && block->id.tasks_per_block > 1 &&
            (double)amb_cbor_json_size(block->value.data, block->value.len) >
                amb_placement_blocks_lowered_value_kb(node) * 1024;
 }
 
-/* Notes which placements and results the value holds that is about to be sent. */
+/* Marks the placements and results that are in the value about to be sent. */
 static void mark_in_flight(struct amb_placement_block *block) {
     for (uint32_t i = block->task_range.first; i < block->task_range.end; i++) {
         struct amb_task *task = &block->job->tasks[i];
--- a/lib/placement_log/block_write.h
+++ b/lib/placement_log/block_write.h
@@ -1,4 +1,4 @@
-/* Writing one block until it is known whether its content is in the store. */
+/* Writes a block, and repeats the write until it is known whether the store has its content. */
 #ifndef AMBERPIN_LIB_PLACEMENT_LOG_BLOCK_WRITE_H
 #define AMBERPIN_LIB_PLACEMENT_LOG_BLOCK_WRITE_H
 
@@ -6,12 +6,12 @@
 
 struct amb_node;
 
-/* Begins to write the block as its tasks are now. */
+/* Starts a write of the block with the present state of its tasks. */
 void amb_placement_log_write_block(struct amb_node *node, struct amb_placement_block *block);
-/* Sends the write that is in flight, with the same content and comparisons each time. */
+/* Sends the write that is in flight, with the same content and comparisons on every call. */
 void amb_placement_log_send_block(struct amb_node *node, struct amb_placement_block *block);
-/* The write in flight is known never to be carried out: the block is written anew, and placements of a job
- * that is over are undone. */
+/* Handles a write in flight that cannot be applied any more: marks the block as having to be written again,
+ * and undoes placements of a job that is over. */
 void amb_placement_log_abandon_write(struct amb_node *node, struct amb_placement_block *block);
 
 #endif
--- a/lib/placement_log/flush.c
+++ b/lib/placement_log/flush.c
@@ -1,4 +1,5 @@
-/* When the blocks of the leader's active jobs are written and removed, and the ends of these jobs written. */
+/* Schedules the writes and removals of the blocks of the leader's active jobs, and the writes of these jobs'
+ * final states. */
 #include "amberpin/node/node.h"
 #include "block_removal.h"
 #include "block_write.h"
@@ -12,20 +13,22 @@
 
 static void retry_write(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
     if (!block->value.len || now < block->retry_at) return;
-    /* Once the job has changed, the comparison with its revision always fails: no copy is carried out. */
+    /* Once the job's record has changed, the comparison with its revision always fails: no copy is applied.
+     */
     if (block->job_revision != block->job->revision)
         amb_placement_log_abandon_write(node, block);
     else
         amb_placement_log_send_block(node, block);
 }
 
-/* Results wait a little, so that one write holds several; placements are written at once. */
+/* Results are delayed, so that one write holds several of them. Placements are written at once. */
 static bool is_due(const struct amb_node *node, const struct amb_placement_block *block, amb_ms now) {
     amb_ms delay = block->urgent ? 0 : (amb_ms)(node->settings.heartbeat_s * 2000);
     return block->dirty && now >= block->retry_at && now - block->dirty_at >= delay;
 }
 
-/* True: the block is being written, or its job is over and it may still be in the store. */
+/* Returns true if the block is being written, or if its job is over and the block may still be in the store.
+ */
 static bool flush_block(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
     if (block->write_in_flight) {
         retry_write(node, block, now);
@@ -36,11 +39,12 @@
     return false;
 }
 
-/* True: a block of the job remains, as flush_block says. */
+/* Returns true if flush_block does for any block of the job. */
 static bool flush_blocks(struct amb_node *node, struct amb_job *job, amb_ms now) {
     bool any_block_remains = false;
-    /* Not before the job's end, even if others hold all their tasks: of a write that was sent more than once
-     * a late copy, which requires that the key is absent, would find it absent again. */
+    /* Superseded blocks are removed only after the job's end, even if other blocks hold all their tasks: if a
+     * block's first write was sent more than once, a late copy requires that the key is absent, and after an
+     * early removal it would be applied. */
     for (uint32_t i = 0; i < job->superseded_count && job->state != AMB_JOB_QUEUED; i++)
         any_block_remains |= amb_placement_log_remove_block(node, &job->superseded_blocks[i], now);
     for (uint32_t i = 0; i < job->block_count; i++)
@@ -48,8 +52,8 @@
     return any_block_remains;
 }
 
-/* All its tasks are done, and nothing of it is being written. A block in flight comes first: its write may
- * have to be sent again, and the end of the job must not overtake it. */
+/* Whether all tasks are done and no block is being written. A write in flight must end first, because it may
+ * have to be sent again and the job's final state must not overtake it. */
 static bool is_complete(const struct amb_job *job) {
     return job->state == AMB_JOB_QUEUED && job->done_count == job->spec->task_count && !job->bound_count &&
            !has_block_in_flight(job);
--- a/lib/placement_log/job_completion.c
+++ b/lib/placement_log/job_completion.c
@@ -1,4 +1,4 @@
-/* Writing that a job is done. */
+/* Writes the final state of a job that is done. */
 #include "job_completion.h"
 
 #include "amberpin/codec/kvstore_messages.h"
@@ -16,8 +16,8 @@
     if (status == 200 && amb_kvstore_decode_commit(body, &revision)) {
         amb_job_apply_own_write(node, job, AMB_JOB_DONE, revision);
     } else if (status == 409) {
-        /* Unless it was the term, the job was cancelled or an earlier try was carried out: the watch will
-         * say. */
+        /* If the conflict is not on the leader key, the job was cancelled or an earlier attempt was applied.
+         * The watch delivers that change. */
         amb_placement_log_handle_conflict(node, body);
     }
 }
--- a/lib/placement_log/job_completion.h
+++ b/lib/placement_log/job_completion.h
@@ -1,4 +1,4 @@
-/* Writing that a job is done. */
+/* Writes the final state of a job that is done. */
 #ifndef AMBERPIN_LIB_PLACEMENT_LOG_JOB_COMPLETION_H
 #define AMBERPIN_LIB_PLACEMENT_LOG_JOB_COMPLETION_H
 
@@ -6,7 +6,7 @@
 
 struct amb_node;
 
-/* Writes the job's final state. Its blocks are removed afterwards: by the next leader if need be. */
+/* Writes the job's final state. Its blocks are removed afterwards, if necessary by the next leader. */
 void amb_placement_log_finish_job(struct amb_node *node, struct amb_job *job);
 
 #endif
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -1,13 +1,12 @@
-/* Restoring the placement log when a controller becomes leader: one block after another, as they are listed.
+/* Restores the placement log when a controller becomes leader: block by block, in the order of the listing.
  */
 #include "amberpin/base/log.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 #include "block_restore.h"
 
-/* Its job is done or none of its tasks can be left: an earlier leader was lost before it had removed the
- * block.
- */
+/* Removes a block whose job is done or cannot have tasks any more: an earlier leader ended before it had
+ * removed the block. */
 static void remove_obsolete_block(struct amb_node *node, const char *key, uint64_t revision) {
     struct amb_txn transaction = {0};
     amb_txn_require_leadership(&transaction, node);
@@ -16,13 +15,13 @@
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_READ, NULL, NULL);
 }
 
-/* The job's block of this id, or a new one among those that are superseded. */
+/* Returns the job's block with this id, or adds it to the superseded blocks. */
 static struct amb_placement_block *find_or_add_block(struct amb_node *node, struct amb_job *job,
                                                      struct amb_placement_block_id id) {
     if (id.layout == AMB_LAYOUT_BY_SETTINGS)
         id.tasks_per_block = amb_placement_blocks_first_format_size(&node->settings);
-    const struct amb_placement_block_id present = {job->block_layout, job->tasks_per_block, 0};
-    if (amb_placement_block_precedes(id, present)) { /* of a leader that had to write smaller ones */
+    const struct amb_placement_block_id current = {job->block_layout, job->tasks_per_block, 0};
+    if (amb_placement_block_precedes(id, current)) { /* an earlier leader had to write smaller blocks */
         job->max_tasks_per_block = id.tasks_per_block;
         amb_placement_blocks_replace(job, id.layout, id.tasks_per_block);
     }
@@ -34,12 +33,12 @@
     return block;
 }
 
-/* The job whose block this is, among the leader's active jobs. NULL: the block is of no use. */
+/* Returns the block's job, which becomes active if it is not; NULL if the block is to be ignored. */
 static struct amb_job *activate_job(struct amb_node *node, const char *ref, const char *key,
                                     uint64_t revision) {
     struct amb_job *job = amb_job_find(node, ref);
     if (!job || !job->spec) {
-        amb_debug("block %s: its job is over", key);
+        amb_debug("block %s: job is over or unknown", key);
         if (job && (job->state == AMB_JOB_DONE || job->tasks_gone))
             remove_obsolete_block(node, key, revision);
         return NULL;
@@ -48,13 +47,13 @@
     return job->active ? job : NULL;
 }
 
-/* What follows for the job from its restored tasks, which lie in this range. */
-static void resume_job(struct amb_node *node, struct amb_job *job, struct amb_task_range mentioned) {
+/* Updates the job's state after tasks in this range have been restored. */
+static void resume_job(struct amb_node *node, struct amb_job *job, struct amb_task_range restored) {
     if (job->spec->kind == AMB_JOB_KIND_GANG && job->bound_count && job->gang_state == AMB_GANG_IDLE)
-        amb_gang_set_state(job, AMB_GANG_STARTING, "taken over");
+        amb_gang_set_state(job, AMB_GANG_STARTING, "taken over from an earlier leader");
     if (job->state != AMB_JOB_CANCELLED) return;
-    for (uint32_t i = mentioned.first; i < mentioned.end; i++)
-        amb_task_request_stop(node, &job->tasks[i], 0, "its job is cancelled");
+    for (uint32_t i = restored.first; i < restored.end; i++)
+        amb_task_request_stop(node, &job->tasks[i], 0, "job cancelled");
 }
 
 void amb_placement_log_restore(struct amb_node *node, const char *key, const cbor_item_t *item,
--- a/lib/placement_log/store_call.c
+++ b/lib/placement_log/store_call.c
@@ -11,7 +11,7 @@
     struct amb_node *node;
     uint64_t term;
     char ref[AMB_NAME_SIZE];
-    struct amb_placement_block_id id; /* of the block, if it is about one */
+    struct amb_placement_block_id id; /* set if the request is about a block */
 };
 
 struct amb_placement_log_call *amb_placement_log_call_new_for_job(struct amb_node *node,
@@ -30,7 +30,7 @@
     return call;
 }
 
-static struct amb_job *find_led_job(const struct amb_placement_log_call *call) {
+static struct amb_job *find_job_of_call(const struct amb_placement_log_call *call) {
     const struct amb_election *election = &call->node->election;
     if (election->role < AMB_ROLE_LEADER || election->term != call->term) return NULL;
     struct amb_job *job = amb_job_find(call->node, call->ref);
@@ -38,7 +38,7 @@
 }
 
 struct amb_job *amb_placement_log_call_take_job(struct amb_placement_log_call *call, struct amb_node **node) {
-    struct amb_job *job = find_led_job(call);
+    struct amb_job *job = find_job_of_call(call);
     *node = call->node;
     free(call);
     return job;
@@ -46,7 +46,7 @@
 
 struct amb_placement_block *amb_placement_log_call_take_block(struct amb_placement_log_call *call,
                                                               struct amb_node **node) {
-    struct amb_job *job = find_led_job(call);
+    struct amb_job *job = find_job_of_call(call);
     struct amb_placement_block *block = job ? amb_placement_blocks_find(job, call->id) : NULL;
     *node = call->node;
     free(call);
--- a/lib/watch/fresh_read.c
+++ b/lib/watch/fresh_read.c
@@ -1,4 +1,4 @@
-/* Fresh reads: one read of all changes answers everybody who asked before it was sent. */
+/* Fresh reads: one read of all changes answers all callers that asked before it was sent. */
 #include "amberpin/node/node.h"
 #include "internal.h"
 
@@ -15,7 +15,8 @@
     }
 }
 
-/* Spaced out, so that several who ask share a read when they come faster than reads may be made. */
+/* Spaces fresh reads out, so that several callers share one when they ask faster than the rate limit of the
+ * store allows. */
 static void schedule_fresh_read(struct amb_node *node) {
     amb_ms gap = (amb_ms)(4000.0 / node->store.request_bucket.tokens_per_second);
     amb_timer_set_after(&node->watch.fresh_read_timer, gap, send_fresh_read, node);
--- a/lib/watch/key_changes.c
+++ b/lib/watch/key_changes.c
@@ -1,4 +1,4 @@
-/* Applying changes of keys: each goes to the module that reads this kind of key. */
+/* Applies changes of keys: each change goes to the module that handles this kind of key. */
 #include "amberpin/base/log.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
@@ -14,7 +14,7 @@
 static const char DUTY_PREFIX[] = "a/duty";
 static const char DUTY_INTENT_PREFIX[] = "a/order/";
 
-/* What follows the prefix; NULL: the key does not begin with it. */
+/* Returns the part after the prefix, or NULL if the key does not begin with it. */
 static const char *strip_prefix(const char *key, const char *prefix) {
     size_t len = strlen(prefix);
     return strncmp(key, prefix, len) ? NULL : key + len;
@@ -41,8 +41,8 @@
         amb_event_post(node, &(struct amb_event){.type = AMB_EVENT_DUTY_KEY_CHANGED, .change = change});
 }
 
-/* The values of jobs are most of a page, and are parsed only where the revision is newer than the known one.
- */
+/* Values of jobs make up most of a page, so they are parsed only if their revision is newer than the known
+ * one. */
 static void apply_change(void *context, const struct amb_change *change) {
     struct amb_node *node = context;
     const char *ref = strip_prefix(change->key, JOB_PREFIX);
@@ -59,9 +59,9 @@
     amb_watch_apply_key(context, change->key, change->value, change->revision);
 }
 
-/* A page in encodings that amb_change_page_decode does not know. */
+/* Handles a page in an encoding that amb_change_page_decode does not support. */
 static bool apply_parsed_page(struct amb_node *node, const void *page, size_t len, uint64_t *store_revision) {
-    amb_debug("changes: %zu bytes are parsed in full", len);
+    amb_debug("changes: %zu bytes need the full CBOR parser", len);
     return amb_change_page_parse(page, len, store_revision, apply_parsed_change, node);
 }
 
--- a/lib/watch/watch.c
+++ b/lib/watch/watch.c
@@ -1,4 +1,4 @@
-/* Listing all keys, then watching their changes. */
+/* Lists all keys, then watches their changes. */
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
 #include "internal.h"
@@ -15,8 +15,8 @@
     return status == 410 || status == AMB_HTTP_RESPONSE_TOO_LARGE;
 }
 
-/* One listing at a time: a second one would move the first one's cursor and revision, and what changed
- * between the two beginnings would be missed. */
+/* Only one listing runs at a time: a second one would overwrite the cursor and the revision of the first, and
+ * changes between the starts of the two would be missed. */
 void amb_watch_relist(struct amb_node *node) {
     struct amb_watch *watch = &node->watch;
     if (watch->list_in_flight) return;
@@ -39,7 +39,7 @@
     }
 }
 
-/* The leader key may be on any page, so only now is it known whether it exists. */
+/* The leader key may be on any page, so its absence is known only after the last page. */
 static void finish_listing(struct amb_node *node, uint64_t store_revision) {
     struct amb_watch *watch = &node->watch;
     if (!watch->leader_key_listed) amb_election_apply_key(node, NULL, store_revision);
@@ -60,7 +60,7 @@
         amb_timer_set_after(&watch->watch_timer, node->store.call_timeout / 5, send_list, node);
         return;
     }
-    /* What changes while the pages come is watched from the first page on. */
+    /* The watch starts at the first page's revision, because keys may change while further pages are read. */
     if (!watch->list_revision) watch->list_revision = page.store_revision;
     apply_list_page(node, &page);
     if (page.has_more)
@@ -94,8 +94,8 @@
     if (watch->watch_in_flight) return;
     watch->watch_in_flight = true;
     watch->watch_sent_at = amb_now();
-    /* Answered within two thirds of the leadership lease, before what is known would count as old
-     * (amb_lease_proxy_tick). */
+    /* The store answers within two thirds of the leadership lease, before this node's state would count as
+     * stale (amb_lease_proxy_tick). */
     amb_store_watch(&node->store, AMB_WATCHED_PREFIX, watch->known_revision, node->store.call_timeout * 2,
                     handle_watch_page, node);
 }
