--- a/tests/job/test_cancellation.c
+++ b/tests/job/test_cancellation.c
@@ -1,12 +1,12 @@
-/* Tasks of cancelled jobs: told to stop until they are gone, also by the next leader. */
+/* Tasks of cancelled jobs: they are commanded to stop until they are gone, also by the next leader. */
 #include "check.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-static void cancelled_tasks_that_stay_cost_their_machine(void **state) {
+static void machine_of_a_lingering_cancelled_task_is_released(void **state) {
     (void)state;
     static const struct {
-        amb_ms cancelled; /* how long ago; cancel_s is 30 */
+        amb_ms cancelled; /* how long ago, in ms; cancel_s is 30 */
         bool returned;
     } rows[] = {{17900, false}, {18100, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
@@ -17,12 +17,12 @@
         amb_job_apply_cancel_hint(node, "wk-1", amb_wall_ms() - rows[i].cancelled, 61);
         amb_fleet_tick(node, amb_now());
         if (machine->release_pending != rows[i].returned)
-            fail_msg("cancelled %lld ms ago: returned %d", (long long)rows[i].cancelled,
+            fail_msg("cancelled %lld ms ago: machine returned: %d", (long long)rows[i].cancelled,
                      machine->release_pending);
     }
 }
 
-static void new_leaders_stop_what_was_cancelled(void **state) {
+static void new_leader_stops_tasks_of_cancelled_job(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     machine_up("m-1", 0);
@@ -37,13 +37,15 @@
     cbor_decref(&value);
     amb_buf_free(&buffer);
     send_heartbeat((struct sent_heartbeat){"m-1", "a", 1, 1, TERM, "wk-1/0", 1, "running"});
-    if (count_replied_commands("halt") != 1) fail_msg("not told to stop");
+    if (count_replied_commands("halt") != 1) fail_msg("no stop command was sent");
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(cancelled_tasks_that_stay_cost_their_machine, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(new_leaders_stop_what_was_cancelled, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machine_of_a_lingering_cancelled_task_is_released, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(new_leader_stops_tasks_of_cancelled_job, fixture_setup,
+                                        fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/job/test_dependencies.c
+++ b/tests/job/test_dependencies.c
@@ -1,22 +1,23 @@
-/* The graph of awaited jobs: tables of small pipelines, drawn ones against a plain oracle, and large ones. */
+/* The dependency graph: tables of small pipelines, random graphs compared with a simple oracle, and large
+ * graphs. */
 #include "amberpin/base/util.h"
 #include "amberpin/job/dependency_graph.h"
 #include "check.h"
 
 #include <sys/resource.h>
 
-/* ---- the owner of a graph, which notes what it is told ---- */
+/* ---- the owner of the graph, which records the callbacks ---- */
 
-enum { JOBS_MOST = 20000 };
+enum { MAX_JOBS = 20000 };
 
-static struct world {
+static struct recorder {
     struct amb_dependency_graph graph;
-    enum amb_job_outcome outcome[JOBS_MOST];
-    uint32_t ready[JOBS_MOST]; /* times told */
+    enum amb_job_outcome outcome[MAX_JOBS];
+    uint32_t ready[MAX_JOBS]; /* number of on_ready calls */
     uint32_t ready_count, cancelled_count;
-    uint32_t cause[JOBS_MOST]; /* of its cancellation, as told */
-    struct amb_effective_priority need[JOBS_MOST];
-} * world;
+    uint32_t cause[MAX_JOBS]; /* from on_cancelled */
+    struct amb_effective_priority inherited[MAX_JOBS];
+} * recorder;
 
 static const char *name_of(uint32_t job) {
     static char names[4][AMB_NAME_SIZE];
@@ -26,91 +27,91 @@
     return name;
 }
 
-static uint32_t job_of(const char *name) {
+static uint32_t job_number(const char *name) {
     return (uint32_t)strtoul(name + 3, NULL, 10);
 }
 
-static enum amb_job_outcome outcome_of(void *owner, const char *name) {
-    return ((struct world *)owner)->outcome[job_of(name)];
+static enum amb_job_outcome get_outcome(void *owner, const char *name) {
+    return ((struct recorder *)owner)->outcome[job_number(name)];
 }
 
-static void told_ready(void *owner, const char *name) {
-    struct world *told = owner;
-    told->ready[job_of(name)]++;
+static void record_ready(void *owner, const char *name) {
+    struct recorder *told = owner;
+    told->ready[job_number(name)]++;
     told->ready_count++;
 }
 
-static void told_cancelled(void *owner, const char *name, const char *cause) {
-    struct world *told = owner;
-    if (told->outcome[job_of(name)] != AMB_JOB_OUTCOME_OPEN)
-        fail_msg("%s: cancelled though it is over", name);
-    told->outcome[job_of(name)] = AMB_JOB_OUTCOME_CANCELLED;
-    told->cause[job_of(name)] = job_of(cause);
+static void record_cancelled(void *owner, const char *name, const char *cause) {
+    struct recorder *told = owner;
+    if (told->outcome[job_number(name)] != AMB_JOB_OUTCOME_OPEN)
+        fail_msg("%s: cancelled though it is final", name);
+    told->outcome[job_number(name)] = AMB_JOB_OUTCOME_CANCELLED;
+    told->cause[job_number(name)] = job_number(cause);
     told->cancelled_count++;
 }
 
-static void told_priority(void *owner, const char *name, const struct amb_effective_priority *need) {
-    ((struct world *)owner)->need[job_of(name)] = *need;
+static void record_priority(void *owner, const char *name, const struct amb_effective_priority *inherited) {
+    ((struct recorder *)owner)->inherited[job_number(name)] = *inherited;
 }
 
-static const struct amb_dependency_events events = {outcome_of, told_ready, told_cancelled, told_priority};
+static const struct amb_dependency_events events = {get_outcome, record_ready, record_cancelled,
+                                                    record_priority};
 
 static int begin(void **state) {
     (void)state;
-    world = amb_alloc(sizeof *world);
-    for (uint32_t i = 0; i < JOBS_MOST; i++)
-        world->need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME};
-    amb_dependency_graph_init(&world->graph, &events, world);
+    recorder = amb_alloc(sizeof *recorder);
+    for (uint32_t i = 0; i < MAX_JOBS; i++)
+        recorder->inherited[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME};
+    amb_dependency_graph_init(&recorder->graph, &events, recorder);
     return 0;
 }
 
 static int end(void **state) {
     (void)state;
-    amb_dependency_graph_clear(&world->graph);
-    free(world);
+    amb_dependency_graph_clear(&recorder->graph);
+    free(recorder);
     return 0;
 }
 
-static void anew(void) {
+static void reset(void) {
     end(NULL);
     begin(NULL);
 }
 
-static void add_urgent(uint32_t job, const uint32_t *awaited, uint32_t count, enum amb_priority priority,
-                       int64_t due, int64_t work) {
+static void add_with_priority(uint32_t job, const uint32_t *dependencies, uint32_t count,
+                              enum amb_priority priority, int64_t due, int64_t work) {
     char(*names)[AMB_NAME_SIZE] = amb_alloc((count + 1) * sizeof *names);
-    for (uint32_t i = 0; i < count; i++) strcpy(names[i], name_of(awaited[i]));
+    for (uint32_t i = 0; i < count; i++) strcpy(names[i], name_of(dependencies[i]));
     const struct amb_dependent dependent = {{priority, due}, work};
-    amb_dependency_graph_add(&world->graph, name_of(job), &dependent, (const char(*)[AMB_NAME_SIZE])names,
+    amb_dependency_graph_add(&recorder->graph, name_of(job), &dependent, (const char(*)[AMB_NAME_SIZE])names,
                              count);
     free(names);
 }
 
-static void add(uint32_t job, const uint32_t *awaited, uint32_t count) {
-    add_urgent(job, awaited, count, AMB_PRIORITY_NORMAL, AMB_NO_DUE_TIME, 0);
+static void add(uint32_t job, const uint32_t *dependencies, uint32_t count) {
+    add_with_priority(job, dependencies, count, AMB_PRIORITY_NORMAL, AMB_NO_DUE_TIME, 0);
 }
 
 static void done(uint32_t job) {
-    world->outcome[job] = AMB_JOB_OUTCOME_DONE;
-    amb_dependency_graph_set_done(&world->graph, name_of(job));
+    recorder->outcome[job] = AMB_JOB_OUTCOME_DONE;
+    amb_dependency_graph_set_done(&recorder->graph, name_of(job));
 }
 
 static void cancel(uint32_t job) {
-    if (world->outcome[job] != AMB_JOB_OUTCOME_OPEN) return;
-    world->outcome[job] = AMB_JOB_OUTCOME_CANCELLED;
-    amb_dependency_graph_set_cancelled(&world->graph, name_of(job));
+    if (recorder->outcome[job] != AMB_JOB_OUTCOME_OPEN) return;
+    recorder->outcome[job] = AMB_JOB_OUTCOME_CANCELLED;
+    amb_dependency_graph_set_cancelled(&recorder->graph, name_of(job));
 }
 
-static bool waits(uint32_t job) {
-    return amb_dependency_graph_is_blocked(&world->graph, name_of(job));
+static bool is_blocked(uint32_t job) {
+    return amb_dependency_graph_is_blocked(&recorder->graph, name_of(job));
 }
 
 /* ---- small pipelines ---- */
 
-/* A script: "2:0,1" job 2 awaits 0 and 1; "+1" job 1 is done; "-1" it is cancelled. Steps are parted by
- * blanks.
- */
-static void play(const char *script) {
+/* Runs a script of steps separated by blanks. "2:0,1" adds job 2, which depends on 0 and 1; "+1" marks job 1
+ * as done; "-1" cancels it. */
+static void run_script(const char *script) {
     char text[256], *rest = text;
     snprintf(text, sizeof text, "%s", script);
     for (char *step; (step = strtok_r(rest, " ", &rest));) {
@@ -119,47 +120,48 @@
         } else if (*step == '-') {
             cancel((uint32_t)strtoul(step + 1, NULL, 10));
         } else {
-            uint32_t awaited[16], count = 0;
+            uint32_t dependencies[16], count = 0;
             char *end = step;
             uint32_t job = (uint32_t)strtoul(step, &end, 10);
-            while (*end == ':' || *end == ',') awaited[count++] = (uint32_t)strtoul(end + 1, &end, 10);
-            add(job, awaited, count);
+            while (*end == ':' || *end == ',') dependencies[count++] = (uint32_t)strtoul(end + 1, &end, 10);
+            add(job, dependencies, count);
         }
     }
 }
 
-static char fate_of(uint32_t job) {
-    if (world->outcome[job] == AMB_JOB_OUTCOME_CANCELLED) return 'c';
-    if (world->outcome[job] == AMB_JOB_OUTCOME_DONE) return 'd';
-    if (waits(job)) return 'w';
-    if (world->ready[job] > 1) return '!';
-    return world->ready[job] ? 'r' : '-';
+static char get_state_letter(uint32_t job) {
+    if (recorder->outcome[job] == AMB_JOB_OUTCOME_CANCELLED) return 'c';
+    if (recorder->outcome[job] == AMB_JOB_OUTCOME_DONE) return 'd';
+    if (is_blocked(job)) return 'w';
+    if (recorder->ready[job] > 1) return '!';
+    return recorder->ready[job] ? 'r' : '-';
 }
 
-/* What has become of jobs 0 to 5: (c)ancelled, (d)one, told (r)eady, (w)aiting, or - nothing of all that. */
-static void expect(const char *what, const char *fates) {
+/* Compares the states of jobs 0 to 5: (c)ancelled, (d)one, (r)eady once, (w)aiting, - for none of these, and
+ * ! for ready more than once. */
+static void expect_states(const char *what, const char *states) {
     char seen[16] = {0};
-    for (uint32_t i = 0; fates[i]; i++) seen[i] = fate_of(i);
-    if (strcmp(seen, fates)) fail_msg("%s: %s where %s was due", what, seen, fates);
+    for (uint32_t i = 0; states[i]; i++) seen[i] = get_state_letter(i);
+    if (strcmp(seen, states)) fail_msg("%s: %s, expected %s", what, seen, states);
 }
 
 static void small_pipelines(void **state) {
     (void)state;
     static const struct {
-        const char *what, *script, *fates;
+        const char *what, *script, *states;
     } rows[] = {
-        {"nothing awaited", "0", "-"},
-        {"one awaited", "1:0", "-w"},
-        {"it is done", "1:0 +0", "dr"},
-        {"it was done before", "+0 1:0", "d-"},
-        {"several awaited", "3:0,1,2 +0 +2", "d-dw"},
-        {"and all are done", "3:0,1,2 +0 +2 +1", "dddr"},
-        {"some before, some after", "+0 3:0,1,2 +1 +2", "dddr"},
-        {"a name that comes twice counts once", "1:0,0,0 +0", "dr"},
-        {"a job that comes twice counts once", "1:0 1:0 +0 1:0", "dr"},
+        {"no dependency", "0", "-"},
+        {"one dependency", "1:0", "-w"},
+        {"the dependency is done", "1:0 +0", "dr"},
+        {"the dependency was done before", "+0 1:0", "d-"},
+        {"several dependencies", "3:0,1,2 +0 +2", "d-dw"},
+        {"several dependencies, all done", "3:0,1,2 +0 +2 +1", "dddr"},
+        {"some done before, some after", "+0 3:0,1,2 +1 +2", "dddr"},
+        {"a dependency listed twice counts once", "1:0,0,0 +0", "dr"},
+        {"a job added twice counts once", "1:0 1:0 +0 1:0", "dr"},
         {"a chain", "1:0 2:1 3:2 +0", "drww"},
-        {"a chain goes on one by one", "1:0 2:1 3:2 +0 +1", "ddrw"},
-        {"a chain heard of backwards", "3:2 2:1 1:0 +0 +1", "ddrw"},
+        {"a chain becomes ready one by one", "1:0 2:1 3:2 +0 +1", "ddrw"},
+        {"a chain added in reverse order", "3:2 2:1 1:0 +0 +1", "ddrw"},
         {"a diamond", "1:0 2:0 3:1,2 +0", "drrw"},
         {"a diamond, one side done", "1:0 2:0 3:1,2 +0 +1", "ddrw"},
         {"a diamond, both sides done", "1:0 2:0 3:1,2 +0 +1 +2", "dddr"},
@@ -169,23 +171,23 @@
         {"cancelled at the end", "1:0 2:1 3:2 -3", "-wwc"},
         {"a diamond cancelled at its head", "1:0 2:0 3:1,2 -0", "cccc"},
         {"a diamond cancelled at one side", "1:0 2:0 3:1,2 -1", "-cwc"},
-        {"the other side goes on", "1:0 2:0 3:1,2 -1 +0 +2", "dcdc"},
-        {"cancelled before the next is heard of", "-0 1:0", "cc"},
-        {"and the one after it", "-0 1:0 2:1", "ccc"},
-        {"the last heard of first", "2:1 -0 1:0", "ccc"},
-        {"the middle heard of last", "3:2 1:0 -0 2:1", "cccc"},
-        {"cancelled with one that it names beside one done", "-0 +1 2:1,0", "cdc"},
-        {"what is done is done: nothing after it is cancelled", "1:0 +0 -0", "dr"},
-        {"done, though what is before it is not known to be", "2:1 1:0 +1", "-dr"},
-        {"a job after two pipelines", "2:0 3:1 4:2,3 -1", "-cwcc"},
-        {"a job that names itself never starts", "0:0", "w"},
-        {"and can be cancelled", "0:0 1:0 -0", "cc"},
-        {"and done", "0:0 1:0 +0", "dr"},
+        {"a diamond cancelled at one side, the other side goes on", "1:0 2:0 3:1,2 -1 +0 +2", "dcdc"},
+        {"cancelled before its dependent is added", "-0 1:0", "cc"},
+        {"cancelled before a chain is added", "-0 1:0 2:1", "ccc"},
+        {"the last job added first", "2:1 -0 1:0", "ccc"},
+        {"the middle job added last", "3:2 1:0 -0 2:1", "cccc"},
+        {"one dependency cancelled, one done", "-0 +1 2:1,0", "cdc"},
+        {"a done job is not cancelled, nor its dependents", "1:0 +0 -0", "dr"},
+        {"done before its dependency is known to be", "2:1 1:0 +1", "-dr"},
+        {"a job that depends on two pipelines", "2:0 3:1 4:2,3 -1", "-cwcc"},
+        {"a job that depends on itself never starts", "0:0", "w"},
+        {"a job that depends on itself can be cancelled", "0:0 1:0 -0", "cc"},
+        {"a job that depends on itself can be done", "0:0 1:0 +0", "dr"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        play(rows[i].script);
-        expect(rows[i].what, rows[i].fates);
+        reset();
+        run_script(rows[i].script);
+        expect_states(rows[i].what, rows[i].states);
     }
 }
 
@@ -195,29 +197,29 @@
         const char *what, *script;
         uint32_t job, cause;
     } rows[] = {
-        {"the next", "1:0 -0", 1, 0},
-        {"through others", "1:0 2:1 3:2 -0", 3, 0},
-        {"heard of later: the one that it names", "-0 1:0 2:1", 2, 1},
-        {"cancelled by what came late", "2:1 -0 1:0", 2, 0},
+        {"a direct dependent", "1:0 -0", 1, 0},
+        {"an indirect dependent", "1:0 2:1 3:2 -0", 3, 0},
+        {"added later: its direct dependency", "-0 1:0 2:1", 2, 1},
+        {"cancelled by a dependency added late", "2:1 -0 1:0", 2, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        anew();
-        play(rows[i].script);
-        if (world->cause[rows[i].job] != rows[i].cause) fail_msg("%s", rows[i].what);
+        reset();
+        run_script(rows[i].script);
+        if (recorder->cause[rows[i].job] != rows[i].cause) fail_msg("%s", rows[i].what);
     }
 }
 
-/* ---- needs ---- */
+/* ---- inherited priorities ---- */
 
 static void priorities_are_inherited(void **state) {
     (void)state;
     static const uint32_t on0[] = {0}, on1[] = {1}, on12[] = {1, 2};
-    /* 0 <- 1 <- 3, 0 <- 2 <- 3; 0 <- 4 */
-    add_urgent(1, on0, 1, AMB_PRIORITY_NORMAL, AMB_NO_DUE_TIME, 20);
-    add_urgent(2, on0, 1, AMB_PRIORITY_BEST_EFFORT, 500, 30);
-    add_urgent(3, on12, 2, AMB_PRIORITY_HIGH, 1000, 7);
-    add_urgent(4, on0, 1, AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME, 5);
-    amb_dependency_graph_propagate_priorities(&world->graph);
+    /* dependency <- dependent: 0 <- 1 <- 3, 0 <- 2 <- 3, 0 <- 4 */
+    add_with_priority(1, on0, 1, AMB_PRIORITY_NORMAL, AMB_NO_DUE_TIME, 20);
+    add_with_priority(2, on0, 1, AMB_PRIORITY_BEST_EFFORT, 500, 30);
+    add_with_priority(3, on12, 2, AMB_PRIORITY_HIGH, 1000, 7);
+    add_with_priority(4, on0, 1, AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME, 5);
+    amb_dependency_graph_propagate_priorities(&recorder->graph);
     static const struct {
         enum amb_priority priority;
         int64_t due;
@@ -226,168 +228,174 @@
                {AMB_PRIORITY_HIGH, 993},
                {AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME}};
     for (uint32_t i = 0; i < ROWS(due); i++) {
-        assert_int_equal(world->need[i].priority, due[i].priority);
-        assert_int_equal(world->need[i].due_wall_ms, due[i].due);
+        assert_int_equal(recorder->inherited[i].priority, due[i].priority);
+        assert_int_equal(recorder->inherited[i].due_wall_ms, due[i].due);
     }
     cancel(2); /* and 3 with it */
-    amb_dependency_graph_propagate_priorities(&world->graph);
-    assert_int_equal(world->need[0].priority, AMB_PRIORITY_NORMAL);
-    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE_TIME);
-    assert_int_equal(world->need[1].priority, AMB_PRIORITY_BEST_EFFORT);
-    assert_int_equal(world->need[1].due_wall_ms, AMB_NO_DUE_TIME);
-    add_urgent(5, on1, 1, AMB_PRIORITY_PRODUCTION, 90, 1); /* a later stage is submitted */
-    amb_dependency_graph_propagate_priorities(&world->graph);
-    assert_int_equal(world->need[1].priority, AMB_PRIORITY_PRODUCTION);
-    assert_int_equal(world->need[1].due_wall_ms, 89);
-    assert_int_equal(world->need[0].priority, AMB_PRIORITY_PRODUCTION);
-    assert_int_equal(world->need[0].due_wall_ms, 69);
-    cancel(1); /* nobody but 4 needs 0 */
-    amb_dependency_graph_propagate_priorities(&world->graph);
-    assert_int_equal(world->need[0].priority, AMB_PRIORITY_BEST_EFFORT);
+    amb_dependency_graph_propagate_priorities(&recorder->graph);
+    assert_int_equal(recorder->inherited[0].priority, AMB_PRIORITY_NORMAL);
+    assert_int_equal(recorder->inherited[0].due_wall_ms, AMB_NO_DUE_TIME);
+    assert_int_equal(recorder->inherited[1].priority, AMB_PRIORITY_BEST_EFFORT);
+    assert_int_equal(recorder->inherited[1].due_wall_ms, AMB_NO_DUE_TIME);
+    add_with_priority(5, on1, 1, AMB_PRIORITY_PRODUCTION, 90, 1); /* a later stage is submitted */
+    amb_dependency_graph_propagate_priorities(&recorder->graph);
+    assert_int_equal(recorder->inherited[1].priority, AMB_PRIORITY_PRODUCTION);
+    assert_int_equal(recorder->inherited[1].due_wall_ms, 89);
+    assert_int_equal(recorder->inherited[0].priority, AMB_PRIORITY_PRODUCTION);
+    assert_int_equal(recorder->inherited[0].due_wall_ms, 69);
+    cancel(1); /* only 4 still depends on 0 */
+    amb_dependency_graph_propagate_priorities(&recorder->graph);
+    assert_int_equal(recorder->inherited[0].priority, AMB_PRIORITY_BEST_EFFORT);
     cancel(4);
-    assert_int_equal(world->need[0].due_wall_ms, AMB_NO_DUE_TIME);
-    assert_null(world->graph.by_name); /* nothing is kept of what is over */
+    assert_int_equal(recorder->inherited[0].due_wall_ms, AMB_NO_DUE_TIME);
+    assert_null(recorder->graph.by_name); /* final jobs are not kept */
 }
 
-/* ---- drawn graphs against an oracle ---- */
+/* ---- random graphs, compared with an oracle ---- */
 
-enum { DRAWN = 24, AWAITED_MOST = 4, GRAPHS = 1000 };
+enum { GENERATED_JOBS = 24, MAX_DEPENDENCIES = 4, GRAPH_COUNT = 1000 };
 
-static struct drawn {
-    uint32_t count[DRAWN], awaited[DRAWN][AWAITED_MOST];
-    struct amb_dependent dependent[DRAWN];
-    bool accepted[DRAWN], done[DRAWN], cancelled[DRAWN]; /* as heard of */
-} drawn;
+static struct generated {
+    uint32_t count[GENERATED_JOBS], dependencies[GENERATED_JOBS][MAX_DEPENDENCIES];
+    struct amb_dependent dependent[GENERATED_JOBS];
+    bool accepted[GENERATED_JOBS], done[GENERATED_JOBS], cancelled[GENERATED_JOBS]; /* as told to the graph */
+} generated;
 
 static uint32_t seed;
 
-static uint32_t draw(uint32_t below) {
+static uint32_t random_below(uint32_t below) {
     seed = seed * 1664525u + 1013904223u;
     return (seed >> 8) % below;
 }
 
-/* What has to be known now, worked out anew from all that was heard. Awaited jobs have lower numbers. */
+/* The expected state, computed from scratch from all that the graph was told. Dependencies have lower numbers
+ * than their dependents. */
 static struct oracle {
-    bool cancelled[DRAWN], waits[DRAWN];
-    struct amb_effective_priority need[DRAWN];
+    bool cancelled[GENERATED_JOBS], is_blocked[GENERATED_JOBS];
+    struct amb_effective_priority inherited[GENERATED_JOBS];
 } oracle;
 
-static void ask_outcomes(void) {
-    for (uint32_t i = 0; i < DRAWN; i++) {
+static void compute_outcomes(void) {
+    for (uint32_t i = 0; i < GENERATED_JOBS; i++) {
         bool before = false, open = false;
-        for (uint32_t k = 0; drawn.accepted[i] && k < drawn.count[i]; k++) {
-            before |= oracle.cancelled[drawn.awaited[i][k]];
-            open |= !drawn.done[drawn.awaited[i][k]];
+        for (uint32_t k = 0; generated.accepted[i] && k < generated.count[i]; k++) {
+            before |= oracle.cancelled[generated.dependencies[i][k]];
+            open |= !generated.done[generated.dependencies[i][k]];
         }
-        oracle.cancelled[i] = !drawn.done[i] && (drawn.cancelled[i] || before);
-        oracle.waits[i] = open && !drawn.done[i] && !oracle.cancelled[i];
+        oracle.cancelled[i] = !generated.done[i] && (generated.cancelled[i] || before);
+        oracle.is_blocked[i] = open && !generated.done[i] && !oracle.cancelled[i];
     }
 }
 
-static void inherit_priority(struct amb_effective_priority *need, struct amb_effective_priority other,
+static void inherit_priority(struct amb_effective_priority *inherited, struct amb_effective_priority other,
                              int64_t work) {
-    if (other.priority > need->priority) need->priority = other.priority;
+    if (other.priority > inherited->priority) inherited->priority = other.priority;
     if (other.due_wall_ms == AMB_NO_DUE_TIME) return;
-    if (other.due_wall_ms - work < need->due_wall_ms) need->due_wall_ms = other.due_wall_ms - work;
-}
-
-static void ask_priorities(void) {
-    for (uint32_t i = 0; i < DRAWN; i++)
-        oracle.need[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME};
-    for (uint32_t later = DRAWN; later-- > 0;) {
-        if (!drawn.accepted[later] || drawn.done[later] || oracle.cancelled[later]) continue;
-        const struct amb_dependent *dependent = &drawn.dependent[later];
-        for (uint32_t k = 0; k < drawn.count[later]; k++) {
-            struct amb_effective_priority *need = &oracle.need[drawn.awaited[later][k]];
-            inherit_priority(need, dependent->own_priority, dependent->work_ms);
-            inherit_priority(need, oracle.need[later], dependent->work_ms);
+    if (other.due_wall_ms - work < inherited->due_wall_ms) inherited->due_wall_ms = other.due_wall_ms - work;
+}
+
+static void compute_priorities(void) {
+    for (uint32_t i = 0; i < GENERATED_JOBS; i++)
+        oracle.inherited[i] = (struct amb_effective_priority){AMB_PRIORITY_BEST_EFFORT, AMB_NO_DUE_TIME};
+    for (uint32_t later = GENERATED_JOBS; later-- > 0;) {
+        if (!generated.accepted[later] || generated.done[later] || oracle.cancelled[later]) continue;
+        const struct amb_dependent *dependent = &generated.dependent[later];
+        for (uint32_t k = 0; k < generated.count[later]; k++) {
+            struct amb_effective_priority *inherited = &oracle.inherited[generated.dependencies[later][k]];
+            inherit_priority(inherited, dependent->own_priority, dependent->work_ms);
+            inherit_priority(inherited, oracle.inherited[later], dependent->work_ms);
         }
     }
 }
 
-static void draw_graph(void) {
-    memset(&drawn, 0, sizeof drawn);
-    for (uint32_t i = 0; i < DRAWN; i++) {
-        drawn.count[i] = i ? draw(AWAITED_MOST + 1) : 0;
-        for (uint32_t k = 0; k < drawn.count[i]; k++) drawn.awaited[i][k] = draw(i);
-        bool due = draw(3) == 0;
-        drawn.dependent[i] = (struct amb_dependent){{(enum amb_priority)draw(AMB_PRIORITY_PRODUCTION + 1),
-                                                     due ? 1000 + (int64_t)draw(1000) : AMB_NO_DUE_TIME},
-                                                    (int64_t)draw(50)};
+static void generate_graph(void) {
+    memset(&generated, 0, sizeof generated);
+    for (uint32_t i = 0; i < GENERATED_JOBS; i++) {
+        generated.count[i] = i ? random_below(MAX_DEPENDENCIES + 1) : 0;
+        for (uint32_t k = 0; k < generated.count[i]; k++) generated.dependencies[i][k] = random_below(i);
+        bool due = random_below(3) == 0;
+        generated.dependent[i] =
+            (struct amb_dependent){{(enum amb_priority)random_below(AMB_PRIORITY_PRODUCTION + 1),
+                                    due ? 1000 + (int64_t)random_below(1000) : AMB_NO_DUE_TIME},
+                                   (int64_t)random_below(50)};
     }
 }
 
-/* One thing that can be heard of next: a job's acceptance, end or cancellation. Jobs end in order, but news
- * of it come in any. */
-static void hear_something(const bool *ended) {
-    uint32_t job = draw(DRAWN);
-    bool over = drawn.done[job] || drawn.cancelled[job];
-    if (!drawn.accepted[job] && !over && draw(3)) {
-        drawn.accepted[job] = true;
-        if (world->outcome[job] == AMB_JOB_OUTCOME_OPEN)
-            add_urgent(job, drawn.awaited[job], drawn.count[job], drawn.dependent[job].own_priority.priority,
-                       drawn.dependent[job].own_priority.due_wall_ms, drawn.dependent[job].work_ms);
+/* Tells the graph of one possible event: a job is accepted, done or cancelled. Jobs become done in the order
+ * of their dependencies, but the graph may be told of it in any order. */
+static void tell_random_event(const bool *ended) {
+    uint32_t job = random_below(GENERATED_JOBS);
+    bool over = generated.done[job] || generated.cancelled[job];
+    if (!generated.accepted[job] && !over && random_below(3)) {
+        generated.accepted[job] = true;
+        if (recorder->outcome[job] == AMB_JOB_OUTCOME_OPEN)
+            add_with_priority(job, generated.dependencies[job], generated.count[job],
+                              generated.dependent[job].own_priority.priority,
+                              generated.dependent[job].own_priority.due_wall_ms,
+                              generated.dependent[job].work_ms);
     } else if (!over && ended[job]) {
-        drawn.done[job] = true;
+        generated.done[job] = true;
         done(job);
-    } else if (!over && draw(4) == 0) {
-        drawn.cancelled[job] = true;
+    } else if (!over && random_below(4) == 0) {
+        generated.cancelled[job] = true;
         cancel(job);
     }
 }
 
 static void compare(uint32_t graph, uint32_t step, const uint32_t *ready) {
-    for (uint32_t i = 0; i < DRAWN; i++) {
-        enum amb_job_outcome outcome = drawn.done[i]         ? AMB_JOB_OUTCOME_DONE
+    for (uint32_t i = 0; i < GENERATED_JOBS; i++) {
+        enum amb_job_outcome outcome = generated.done[i]     ? AMB_JOB_OUTCOME_DONE
                                        : oracle.cancelled[i] ? AMB_JOB_OUTCOME_CANCELLED
                                                              : AMB_JOB_OUTCOME_OPEN;
-        if (world->outcome[i] != outcome)
-            fail_msg("graph %u step %u job %u: outcome %d", graph, step, i, world->outcome[i]);
-        if (waits(i) != oracle.waits[i]) fail_msg("graph %u step %u job %u: waits", graph, step, i);
-        if (world->ready[i] != ready[i]) fail_msg("graph %u step %u job %u: ready", graph, step, i);
+        if (recorder->outcome[i] != outcome)
+            fail_msg("graph %u step %u job %u: outcome %d", graph, step, i, recorder->outcome[i]);
+        if (is_blocked(i) != oracle.is_blocked[i]) fail_msg("graph %u step %u job %u: waits", graph, step, i);
+        if (recorder->ready[i] != ready[i]) fail_msg("graph %u step %u job %u: ready", graph, step, i);
     }
-    amb_dependency_graph_propagate_priorities(&world->graph);
-    for (uint32_t i = 0; i < DRAWN; i++) {
-        if (world->outcome[i] != AMB_JOB_OUTCOME_OPEN) continue;
-        struct amb_effective_priority need = oracle.need[i];
-        if (world->need[i].priority != need.priority || world->need[i].due_wall_ms != need.due_wall_ms)
-            fail_msg("graph %u step %u job %u: need", graph, step, i);
+    amb_dependency_graph_propagate_priorities(&recorder->graph);
+    for (uint32_t i = 0; i < GENERATED_JOBS; i++) {
+        if (recorder->outcome[i] != AMB_JOB_OUTCOME_OPEN) continue;
+        struct amb_effective_priority inherited = oracle.inherited[i];
+        if (recorder->inherited[i].priority != inherited.priority ||
+            recorder->inherited[i].due_wall_ms != inherited.due_wall_ms)
+            fail_msg("graph %u step %u job %u: inherited priority", graph, step, i);
     }
 }
 
-/* Jobs that may be heard of as done: a set that holds all that each of its members awaits. */
-static void draw_ended(bool *ended) {
-    for (uint32_t i = 0; i < DRAWN; i++) {
-        ended[i] = draw(3) > 0;
-        for (uint32_t k = 0; k < drawn.count[i]; k++) ended[i] &= ended[drawn.awaited[i][k]];
+/* Draws the set of jobs that may become done. It contains all dependencies of its members. */
+static void generate_ended_jobs(bool *ended) {
+    for (uint32_t i = 0; i < GENERATED_JOBS; i++) {
+        ended[i] = random_below(3) > 0;
+        for (uint32_t k = 0; k < generated.count[i]; k++) ended[i] &= ended[generated.dependencies[i][k]];
     }
 }
 
-static void drawn_graphs(void **state) {
+static void random_graphs(void **state) {
     (void)state;
-    for (uint32_t graph = 0; graph < GRAPHS; graph++) {
-        anew();
+    for (uint32_t graph = 0; graph < GRAPH_COUNT; graph++) {
+        reset();
         seed = graph * 7919 + 1;
-        draw_graph();
-        bool ended[DRAWN];
-        uint32_t ready[DRAWN] = {0};
-        draw_ended(ended);
+        generate_graph();
+        bool ended[GENERATED_JOBS];
+        uint32_t ready[GENERATED_JOBS] = {0};
+        generate_ended_jobs(ended);
         memset(&oracle, 0, sizeof oracle);
-        for (uint32_t step = 0; step < DRAWN * 4; step++) {
+        for (uint32_t step = 0; step < GENERATED_JOBS * 4; step++) {
             struct oracle before = oracle;
-            hear_something(ended);
-            ask_outcomes();
-            ask_priorities();
-            for (uint32_t i = 0; i < DRAWN; i++)
-                ready[i] += before.waits[i] && !oracle.waits[i] && !drawn.done[i] && !oracle.cancelled[i];
+            tell_random_event(ended);
+            compute_outcomes();
+            compute_priorities();
+            for (uint32_t i = 0; i < GENERATED_JOBS; i++)
+                ready[i] += before.is_blocked[i] && !oracle.is_blocked[i] && !generated.done[i] &&
+                            !oracle.cancelled[i];
             compare(graph, step, ready);
         }
     }
 }
 
-/* ---- large ones ---- */
+/* ---- large graphs ---- */
 
-enum { DEEP = 10000, STACK_BYTES = 256 * 1024 };
+enum { CHAIN_JOBS = 10000, STACK_BYTES = 256 * 1024 };
 
 static struct rlimit shrink_stack(void) {
     struct rlimit was, small;
@@ -399,59 +407,60 @@
 }
 
 static void add_chain(bool backwards) {
-    for (uint32_t i = 1; i < DEEP; i++) {
-        uint32_t job = backwards ? DEEP - i : i, before = job - 1;
-        add_urgent(job, &before, 1, AMB_PRIORITY_NORMAL, job == DEEP - 1 ? 1000000 : AMB_NO_DUE_TIME, 1);
+    for (uint32_t i = 1; i < CHAIN_JOBS; i++) {
+        uint32_t job = backwards ? CHAIN_JOBS - i : i, before = job - 1;
+        add_with_priority(job, &before, 1, AMB_PRIORITY_NORMAL,
+                          job == CHAIN_JOBS - 1 ? 1000000 : AMB_NO_DUE_TIME, 1);
     }
 }
 
-/* On a stack that has no room for a frame for each job. */
+/* Long chains are processed on a stack that is too small for one frame per job. */
 static void deep_chains(void **state) {
     (void)state;
     struct rlimit was = shrink_stack();
     for (int backwards = 0; backwards < 2; backwards++) {
-        anew();
+        reset();
         add_chain(backwards);
-        amb_dependency_graph_propagate_priorities(&world->graph);
-        assert_int_equal(world->need[0].due_wall_ms, 1000000 - (DEEP - 1));
+        amb_dependency_graph_propagate_priorities(&recorder->graph);
+        assert_int_equal(recorder->inherited[0].due_wall_ms, 1000000 - (CHAIN_JOBS - 1));
         cancel(0);
-        assert_int_equal(world->cancelled_count, DEEP - 1);
-        assert_null(world->graph.by_name);
-        anew();
+        assert_int_equal(recorder->cancelled_count, CHAIN_JOBS - 1);
+        assert_null(recorder->graph.by_name);
+        reset();
         add_chain(backwards);
-        for (uint32_t i = 0; i < DEEP; i++) done(i);
-        assert_int_equal(world->ready_count, DEEP - 1);
-        assert_null(world->graph.by_name);
-        anew();
+        for (uint32_t i = 0; i < CHAIN_JOBS; i++) done(i);
+        assert_int_equal(recorder->ready_count, CHAIN_JOBS - 1);
+        assert_null(recorder->graph.by_name);
+        reset();
         add_chain(backwards);
-        amb_dependency_graph_clear(&world->graph);
+        amb_dependency_graph_clear(&recorder->graph);
     }
     assert_int_equal(setrlimit(RLIMIT_STACK, &was), 0);
 }
 
-enum { WIDE = JOBS_MOST - 2 };
+enum { WIDE_JOBS = MAX_JOBS - 2 };
 
 static void wide_graphs(void **state) {
     (void)state;
     static const uint32_t head = 0;
-    uint32_t *all = amb_alloc(WIDE * sizeof *all);
-    for (uint32_t i = 0; i < WIDE; i++) all[i] = i + 1;
+    uint32_t *all = amb_alloc(WIDE_JOBS * sizeof *all);
+    for (uint32_t i = 0; i < WIDE_JOBS; i++) all[i] = i + 1;
     for (int cancelled = 0; cancelled < 2; cancelled++) {
-        anew();
-        for (uint32_t i = 0; i < WIDE; i++) add(all[i], &head, 1);
-        add_urgent(WIDE + 1, all, WIDE, AMB_PRIORITY_HIGH, 100, 1);
-        amb_dependency_graph_propagate_priorities(&world->graph);
-        assert_int_equal(world->need[0].priority, AMB_PRIORITY_HIGH);
+        reset();
+        for (uint32_t i = 0; i < WIDE_JOBS; i++) add(all[i], &head, 1);
+        add_with_priority(WIDE_JOBS + 1, all, WIDE_JOBS, AMB_PRIORITY_HIGH, 100, 1);
+        amb_dependency_graph_propagate_priorities(&recorder->graph);
+        assert_int_equal(recorder->inherited[0].priority, AMB_PRIORITY_HIGH);
         if (cancelled) {
             cancel(head);
-            assert_int_equal(world->cancelled_count, WIDE + 1);
+            assert_int_equal(recorder->cancelled_count, WIDE_JOBS + 1);
         } else {
             done(head);
-            assert_int_equal(world->ready_count, WIDE);
-            for (uint32_t i = 0; i < WIDE; i++) done(all[i]);
-            assert_int_equal(world->ready[WIDE + 1], 1);
+            assert_int_equal(recorder->ready_count, WIDE_JOBS);
+            for (uint32_t i = 0; i < WIDE_JOBS; i++) done(all[i]);
+            assert_int_equal(recorder->ready[WIDE_JOBS + 1], 1);
         }
-        assert_null(world->graph.by_name);
+        assert_null(recorder->graph.by_name);
     }
     free(all);
 }
@@ -461,7 +470,7 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         TEST(small_pipelines), TEST(causes),      TEST(priorities_are_inherited),
-        TEST(drawn_graphs),    TEST(deep_chains), TEST(wide_graphs),
+        TEST(random_graphs),   TEST(deep_chains), TEST(wide_graphs),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement_log/test_records.c
+++ b/tests/placement_log/test_records.c
@@ -1,5 +1,5 @@
-/* The placement log: the comparisons of its writes, writes whose response is lost, their order, and
- * restoring. */
+/* The placement log: the comparisons in its writes, writes whose response is lost, the order of writes, and
+ * restoring it. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -16,7 +16,7 @@
     return open_call("POST", "/commit");
 }
 
-static struct fake_call *begin_job_end(void) {
+static struct fake_call *begin_final_state(void) {
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     job->revision = 20;
     job->blocks[0].revision = 33;
@@ -25,8 +25,8 @@
     return open_call("POST", "/commit");
 }
 
-static struct fake_call *begin_removal_after_end(void) {
-    answer_committed(begin_job_end(), 61);
+static struct fake_call *begin_removal_after_final_state(void) {
+    answer_committed(begin_final_state(), 61);
     fake_clock_advance(1000);
     amb_placement_log_flush(node);
     return open_call("POST", "/commit");
@@ -45,21 +45,22 @@
     return open_call("POST", "/commit");
 }
 
-static void leaders_writes_are_guarded(void **state) {
+static void leader_writes_are_conditional(void **state) {
     (void)state;
-    static const uint64_t FREE = FAKE_NOT_COMPARED;
+    static const uint64_t NOT_COMPARED = FAKE_NOT_COMPARED;
     static const struct {
         const char *what;
         struct fake_call *(*begin)(void);
-        uint64_t job, block; /* the stamps that it must be guarded with, beside the term */
+        uint64_t job, block; /* revisions that it must compare, beside the leader key */
         const char *puts, *removes;
     } rows[] = {
-        {"a block of placements", begin_block_write, 20, 33, BLOCK_KEY, NULL},
-        {"a block removed", begin_block_removal, FREE, 33, NULL, BLOCK_KEY},
-        {"a job's end", begin_job_end, 20, FREE, "a/job/wk-1", NULL},
-        {"a block removed after the job's end", begin_removal_after_end, FREE, 33, NULL, BLOCK_KEY},
-        {"a rental", begin_rental, FREE, FREE, "b/r/r-50-1", NULL},
-        {"a rental's record removed", begin_rental_removal, FREE, FREE, NULL, "b/r/r-50-1"},
+        {"a placement block", begin_block_write, 20, 33, BLOCK_KEY, NULL},
+        {"a block removed", begin_block_removal, NOT_COMPARED, 33, NULL, BLOCK_KEY},
+        {"a job's final state", begin_final_state, 20, NOT_COMPARED, "a/job/wk-1", NULL},
+        {"a block removed after the job's end", begin_removal_after_final_state, NOT_COMPARED, 33, NULL,
+         BLOCK_KEY},
+        {"a rental request", begin_rental, NOT_COMPARED, NOT_COMPARED, "b/r/r-50-1", NULL},
+        {"a rental request removed", begin_rental_removal, NOT_COMPARED, NOT_COMPARED, NULL, "b/r/r-50-1"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
@@ -69,29 +70,29 @@
         if (rows[i].removes && !fake_txn_removes(commit, rows[i].removes))
             fail_msg("%s: not removed", rows[i].what);
         if (fake_txn_compared_revision(commit, LEADER_KEY) != TERM)
-            fail_msg("%s is written without a guard on the leader's term", rows[i].what);
+            fail_msg("%s is written without a comparison of the leader's term", rows[i].what);
         if (fake_txn_compared_revision(commit, "a/job/wk-1") != rows[i].job)
-            fail_msg("%s is not guarded by the job's stamp", rows[i].what);
+            fail_msg("%s: wrong comparison of the job's revision", rows[i].what);
         if (fake_txn_compared_revision(commit, BLOCK_KEY) != rows[i].block)
-            fail_msg("%s is not guarded by the block's stamp", rows[i].what);
+            fail_msg("%s: wrong comparison of the block's revision", rows[i].what);
     }
 }
 
-/* ---- placement before start ---- */
+/* ---- placements become durable before tasks start ---- */
 
-static void placements_without_answer(void **state) {
+static void placement_writes_without_response(void **state) {
     (void)state;
-    enum read { FAILS, MISSING, OTHERS, OURS };
+    enum read { FAILS, MISSING, OTHER_WRITE, OWN_WRITE };
     static const struct {
         const char *what;
         enum read read;
-        bool job_changed; /* meanwhile */
+        bool job_changed; /* while the write is unconfirmed */
         bool sent_again;
         enum amb_task_state state;
     } rows[] = {
-        {"it stands there", OURS, false, false, AMB_TASK_BOUND},
-        {"it does not", MISSING, false, true, AMB_TASK_PLACED},
-        {"an older one stands there", OTHERS, false, true, AMB_TASK_PLACED},
+        {"the block was written", OWN_WRITE, false, false, AMB_TASK_BOUND},
+        {"the block does not exist", MISSING, false, true, AMB_TASK_PLACED},
+        {"an older block exists", OTHER_WRITE, false, true, AMB_TASK_PLACED},
         {"the read fails", FAILS, false, true, AMB_TASK_PLACED},
         {"the job was cancelled meanwhile", MISSING, true, false, AMB_TASK_WAITING},
     };
@@ -105,12 +106,13 @@
         assert_true(amb_cbor_copy_string(amb_cbor_map_get(fake_txn_put(commit, BLOCK_KEY, NULL), "w"), id,
                                          sizeof id));
         fake_answer(commit, 0, NULL);
-        if (job->tasks[0].state != AMB_TASK_PLACED) fail_msg("%s: bound before it is known", rows[i].what);
+        if (job->tasks[0].state != AMB_TASK_PLACED)
+            fail_msg("%s: bound before the write is confirmed", rows[i].what);
         struct fake_call *read = open_call("GET", "/store/b/p/wk-1/00000");
         if (rows[i].read == FAILS) fake_answer(read, 0, NULL);
         if (rows[i].read == MISSING) fake_answer(read, 404, NULL);
-        if (rows[i].read == OTHERS) answer_value(read, "w", "49-1", 0, 33);
-        if (rows[i].read == OURS) answer_value(read, "w", id, 0, 61);
+        if (rows[i].read == OTHER_WRITE) answer_value(read, "w", "49-1", 0, 33);
+        if (rows[i].read == OWN_WRITE) answer_value(read, "w", id, 0, 61);
         if (rows[i].job_changed) {
             job->state = AMB_JOB_CANCELLED;
             job->revision = 21;
@@ -123,14 +125,14 @@
         bool puts = again && fake_txn_put(again, BLOCK_KEY, NULL);
         if (puts != rows[i].sent_again) fail_msg("%s: sent again %d", rows[i].what, puts);
         if (puts && (again->body.len != first.len || memcmp(again->body.data, first.data, first.len) != 0))
-            fail_msg("%s: sent again with other content or guards", rows[i].what);
+            fail_msg("%s: sent again with other content or comparisons", rows[i].what);
         amb_buf_free(&first);
     }
 }
 
-/* A block of a job that is not known yet would be taken for that of a job that is over, and its running tasks
- * would not count. */
-static void records_are_read_after_the_jobs(void **state) {
+/* If blocks were read before the jobs, a block of an unknown job would be taken for that of a job that is
+ * over, and its running tasks would be ignored. */
+static void log_is_read_after_the_jobs(void **state) {
     (void)state;
     char err[128];
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
@@ -141,22 +143,24 @@
     for (int i = 0; i < 5; i++) {
         fake_clock_advance(1500);
         node->election.renewed_at = amb_now();
-        if (find_call("GET", "/store?prefix=b/")) fail_msg("the records are read before the jobs");
+        if (find_call("GET", "/store?prefix=b/")) fail_msg("the placement log is read before the jobs");
     }
     answer_change_list(read, 70, "wk-000001", AMB_JOB_QUEUED, 70);
     fake_clock_advance(1500);
     assert_non_null(find_call("GET", "/store?prefix=b/"));
 }
 
-/* Its write may have to be sent again, and would find the job over and its block removed. */
-static void jobs_end_after_their_blocks(void **state) {
+/* A job's final state is written after its blocks: a block's write may have to be sent again, and must not
+ * find the job over and the block removed. */
+static void final_state_follows_the_blocks(void **state) {
     (void)state;
     struct fake_call *block = begin_block_write();
     struct amb_job *job = amb_job_find(node, "wk-1");
     amb_task_mark_done(node, &job->tasks[0]);
     amb_task_unbind(node, &job->tasks[0], "done");
     amb_placement_log_flush(node);
-    if (fake_count_open_calls("POST", "/commit") != 1) fail_msg("the job ends while its block is being written");
+    if (fake_count_open_calls("POST", "/commit") != 1)
+        fail_msg("the job ends while its block is being written");
     answer_committed(block, 61);
     fake_clock_advance(1000);
     amb_placement_log_flush(node);
@@ -177,8 +181,8 @@
 
 /* ---- restoring ---- */
 
-/* A new leader restores what was written. */
-static void records_are_read_back(void **state) {
+/* A new leader restores the tasks from the block. */
+static void log_is_restored(void **state) {
     (void)state;
     uint32_t tasks_per_block = amb_placement_blocks_first_format_size(&node->settings);
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_ARRAY, tasks_per_block + 10);
@@ -198,7 +202,7 @@
     strcpy(job->blocks[0].write_id, "50-1");
     amb_placement_log_encode_block(node, &job->blocks[0], &buffer);
     assert_true(buffer.len <
-                (size_t)(node->settings.value_kb * 1024)); /* the limit holds for the fullest block */
+                (size_t)(node->settings.value_kb * 1024)); /* the fullest block is below the limit */
     cbor_item_t *item = amb_cbor_parse(buffer.data, buffer.len);
     amb_job_deactivate(node, job);
     amb_fleet_clear(node);
@@ -222,7 +226,7 @@
     assert_int_equal(job->zone_task_counts[0], tasks_per_block - 1);
 }
 
-static void damaged_records_do_no_harm(void **state) {
+static void damaged_blocks_are_tolerated(void **state) {
     (void)state;
     static const char *const texts[] = {
         "",      ";", "0", "0,1", "0,1,m-1,0,0", "9999,1,m-1,0,0,0;", "-1,1,m,0,0,0;", "0,1,m-1,99,99,0;",
@@ -247,12 +251,12 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(leaders_writes_are_guarded, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(placements_without_answer, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(records_are_read_after_the_jobs, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(jobs_end_after_their_blocks, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(records_are_read_back, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(damaged_records_do_no_harm, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(leader_writes_are_conditional, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(placement_writes_without_response, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(log_is_read_after_the_jobs, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(final_state_follows_the_blocks, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(log_is_restored, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(damaged_blocks_are_tolerated, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -1,7 +1,7 @@
-/* The placement log while the second format comes into use and the key-value store lowers its limits: one
- * block of many tasks is replaced by several, and a leader may end between any two transactions. The store is
- * fake_store.c; a successor restores what is in it and must know all starts that its predecessor may have
- * commanded. */
+/* The placement log while the second format becomes active and the key-value store lowers its limits: one
+ * block of many tasks is replaced by several blocks, and a leader may end between any two transactions. The
+ * store is fake_store.c. A successor restores the log from it, and must know all tasks that its predecessor
+ * may have started. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -10,7 +10,7 @@
 
 #include "amberpin/codec/placement_block.h"
 
-enum { TASKS = 200, MACHINES = 8, ROUNDS = 400, NEVER = 100000 };
+enum { TASKS = 200, MACHINES = 8, MAX_FLUSHES = 400, UNLIMITED = 100000 };
 static const double VALUE_KB = 8, LOWERED_KB = 1;
 static const char JOB_KEY[] = "a/job/wk-1";
 static const char FORMAT_KEY[] = "a/format";
@@ -29,7 +29,7 @@
     amb_buf_free(&value);
 }
 
-/* A new process has been elected leader and has restored the log. */
+/* Starts a new process, which has been elected leader and has restored the log. */
 static void start_leader(double value_kb, double lowered_kb) {
     fake_http_reset();
     setup(NULL);
@@ -43,8 +43,8 @@
     node->settings.announced_limits.value_kb = lowered_kb;
     node->settings.store_rps = node->settings.store_write_rps = 3000;
     node->settings.announced_limits.write_rps = 2000;
-    node->peers.count = 1;          /* never heard of */
-    node->controller.ready = false; /* the test places tasks, not the round */
+    node->peers.count = 1;          /* no message from it yet */
+    node->controller.ready = false; /* the test places tasks, not the scheduling cycle */
     amb_store_init(&node->store, &node->settings, 1000);
     amb_store_set_leadership(&node->store, true);
     if (fake_store_value(FORMAT_KEY)) amb_format_apply_key(node, fake_store_value(FORMAT_KEY));
@@ -53,20 +53,20 @@
     fake_store_load_records(node);
 }
 
-/* The process ends; calls that are open get this fate. */
-static void stop_leader(enum fake_outcome fate) {
+/* Ends the process. Open calls get this outcome. */
+static void stop_leader(enum fake_outcome outcome) {
     node->election.role = AMB_ROLE_FOLLOWER;
     do {
-        while (fake_store_serve(fate)) continue;
-        fake_clock_advance(2000); /* what waits for tokens is sent */
+        while (fake_store_serve(outcome)) continue;
+        fake_clock_advance(2000); /* writes that wait for tokens are sent */
     } while (fake_open_call(""));
     fake_clock_reset();
     fake_http_reset();
-    node->election.role = AMB_ROLE_LEADER; /* as the fixture takes it down */
+    node->election.role = AMB_ROLE_LEADER; /* the fixture tears down a leader */
     teardown(NULL);
 }
 
-static void begin(void) {
+static void reset(void) {
     fake_http_reset();
     fake_clock_reset();
     fake_store_reset();
@@ -75,22 +75,22 @@
     start_leader(VALUE_KB, LOWERED_KB);
 }
 
-static struct amb_machine *machine(uint32_t index) {
+static struct amb_machine *get_machine(uint32_t index) {
     char name[AMB_NAME_SIZE];
     snprintf(name, sizeof name, machine_names, index % MACHINES); /* NOLINT: one of the formats above */
     return amb_machine_get(node, name, true);
 }
 
-static void place(uint32_t first, uint32_t end, uint32_t shift) {
+static void place_tasks(uint32_t first, uint32_t end, uint32_t shift) {
     for (uint32_t i = first; i < end; i++) {
         struct amb_task *task = &job->tasks[i];
         if (task->machine || task->done) continue;
-        amb_task_bind(node, task, machine(i + shift), job->next_attempt++, AMB_TASK_PLACED);
+        amb_task_bind(node, task, get_machine(i + shift), job->next_attempt++, AMB_TASK_PLACED);
         amb_placement_block_mark_dirty(node, task, true);
     }
 }
 
-static void finish(uint32_t first, uint32_t end) {
+static void finish_tasks(uint32_t first, uint32_t end) {
     for (uint32_t i = first; i < end; i++) {
         struct amb_task *task = &job->tasks[i];
         if (!task->machine || task->state == AMB_TASK_PLACED) continue;
@@ -99,31 +99,32 @@
     }
 }
 
-/* The task is lost on its machine, and placed on another. */
-static void move(uint32_t index) {
+/* Loses the task on its machine, and places it on another one. */
+static void move_task(uint32_t index) {
     struct amb_task *task = &job->tasks[index];
     if (task->state == AMB_TASK_PLACED || task->done) return;
     amb_task_unbind(node, task, "lost");
-    place(index, index + 1, 3);
+    place_tasks(index, index + 1, 3);
 }
 
 static void flush(void) {
-    if (fake_store_value(FORMAT_KEY)) amb_format_apply_key(node, fake_store_value(FORMAT_KEY)); /* news */
+    if (fake_store_value(FORMAT_KEY))
+        amb_format_apply_key(node, fake_store_value(FORMAT_KEY)); /* the watch */
     amb_format_tick(node, amb_now());
     amb_placement_log_flush(node);
 }
 
-/* ---- what a successor must know ---- */
+/* ---- what a successor must restore ---- */
 
 struct known {
     enum amb_task_state state;
-    bool done, done_saved;
+    bool done, done_durable;
     uint64_t attempt;
     char machine[AMB_NAME_SIZE];
 };
 
 static struct known known[TASKS];
-static uint64_t bound_attempts; /* higher than any that may have been ordered */
+static uint64_t bound_attempts; /* above the attempt of any task that may have been started */
 
 static void remember_state(void) {
     bound_attempts = 0;
@@ -137,34 +138,37 @@
     }
 }
 
-/* A task that was started, or may have been, is where it was; one that was reported as done is done; no other
- * is. A task that has ended may still be named on its last machine. */
+/* Checks that a task that was or may have been started is on the same machine, that a task whose result is
+ * durable is done, and that no task is done that was not. A task that has ended may still be on its last
+ * machine. */
 static void check_known(const char *what, size_t when) {
     for (uint32_t i = 0; i < TASKS; i++) {
         const struct amb_task *task = &job->tasks[i];
         const struct known *expected = &known[i];
         bool there = task->machine && !strcmp(task->machine->name, expected->machine) &&
                      task->attempt == expected->attempt;
-        if (expected->done_saved && !task->done)
-            fail_msg("%s, end %zu: task %u: its result is gone", what, when, i);
-        if (!expected->done && task->done) fail_msg("%s, end %zu: task %u: never done", what, when, i);
+        if (expected->done_durable && !task->done)
+            fail_msg("%s, end %zu: task %u: its result is lost", what, when, i);
+        if (!expected->done && task->done)
+            fail_msg("%s, end %zu: task %u: done, but never finished", what, when, i);
         if (expected->state >= AMB_TASK_BOUND && expected->machine[0] && !expected->done && !there)
             fail_msg("%s, end %zu: task %u: on %s by attempt %llu, known on %s by %llu", what, when, i,
                      expected->machine, (unsigned long long)expected->attempt,
                      task->machine ? task->machine->name : "none", (unsigned long long)task->attempt);
         if (expected->state == AMB_TASK_WAITING && !expected->attempt && task->machine)
-            fail_msg("%s, end %zu: task %u: never placed", what, when, i);
+            fail_msg("%s, end %zu: task %u: on a machine, but never placed", what, when, i);
     }
-    if (job->next_attempt < bound_attempts) fail_msg("%s, end %zu: attempts would be used again", what, when);
+    if (job->next_attempt < bound_attempts)
+        fail_msg("%s, end %zu: attempt numbers would be used again", what, when);
 }
 
-/* Everything runs to its end, and nothing is left of it. */
+/* Runs the job to its end, and checks that no block is left. */
 static void run_to_the_end(const char *what, size_t when) {
     uint32_t round = 0;
-    for (; job->active && round < ROUNDS; round++) {
+    for (; job->active && round < MAX_FLUSHES; round++) {
         if (job->state == AMB_JOB_QUEUED) {
-            finish(0, TASKS);
-            place(0, TASKS, 1);
+            finish_tasks(0, TASKS);
+            place_tasks(0, TASKS, 1);
         }
         flush();
         while (fake_store_serve(FAKE_APPLIED)) continue;
@@ -175,63 +179,64 @@
     if (fake_store_count("b/")) fail_msg("%s, end %zu: %s is left", what, when, fake_store_key("b/", 0));
 }
 
-/* ---- the days that are played ---- */
+/* ---- scenarios ---- */
 
-enum { PHASES = 7, TURNS = 4 };
+enum { PHASE_COUNT = 7, FLUSHES_PER_PHASE = 4 };
 
-struct day {
+struct scenario {
     const char *what;
-    bool written;   /* the second format comes into use by its key; else by the first refusal */
-    bool lowered;   /* limits are lowered */
-    uint32_t burst; /* changes a second then */
+    bool written;   /* the second format is activated by its key, else by the first refused value */
+    bool lowered;   /* the store lowers its limits */
+    uint32_t burst; /* changes between refills after that; 0: any number */
     const char *machines;
 };
 
-static void begin_phase(const struct day *day, int phase) {
+static void begin_phase(const struct scenario *scenario, int phase) {
     switch (phase) {
-    case 0: place(0, 150, 0); break;
+    case 0: place_tasks(0, 150, 0); break;
     case 1:
-        if (day->written) put_number(FORMAT_KEY, "format", 2);
-        if (day->lowered)
-            fake_store_set_limits((struct fake_store_limits){LOWERED_KB, .txn_ops = 4, .burst = day->burst});
-        place(190, 192, 0);
+        if (scenario->written) put_number(FORMAT_KEY, "format", 2);
+        if (scenario->lowered)
+            fake_store_set_limits(
+                (struct fake_store_limits){LOWERED_KB, .txn_ops = 4, .burst = scenario->burst});
+        place_tasks(190, 192, 0);
         break;
     case 2:
-        finish(10, 12);
-        move(20);
+        finish_tasks(10, 12);
+        move_task(20);
         break;
-    case 3: place(150, 161, 0); break;
+    case 3: place_tasks(150, 161, 0); break;
     case 4:
-        finish(0, 10);
-        finish(100, 150);
-        move(20);
-        move(21);
+        finish_tasks(0, 10);
+        finish_tasks(100, 150);
+        move_task(20);
+        move_task(21);
         break;
-    case 5: move(60), place(161, 200, 0); break;
+    case 5: move_task(60), place_tasks(161, 200, 0); break;
     default: break;
     }
 }
 
-struct fault { /* transactions, and reads, that are not just carried out and answered */
+struct fault { /* transactions and reads that get another outcome than FAKE_APPLIED */
     size_t at, count;
-    enum fake_outcome fate;
-    size_t late_at; /* when what was kept is carried out */
+    enum fake_outcome outcome;
+    size_t late_at; /* number of served calls after which late calls are applied */
 };
 
-static enum fake_outcome fate_of(size_t served, const struct fault *fault) {
-    return fault && served >= fault->at && served - fault->at < fault->count ? fault->fate : FAKE_APPLIED;
+static enum fake_outcome get_outcome(size_t served, const struct fault *fault) {
+    return fault && served >= fault->at && served - fault->at < fault->count ? fault->outcome : FAKE_APPLIED;
 }
 
-/* Until `stop` transactions and reads have been served; how many were. */
-static size_t play(const struct day *day, size_t stop, const struct fault *fault) {
+/* Runs until `stop` transactions and reads have been served. Returns how many were. */
+static size_t run_scenario(const struct scenario *scenario, size_t stop, const struct fault *fault) {
     size_t served = 0, refused, carried_out;
-    for (int phase = 0; phase < PHASES; phase++) {
-        begin_phase(day, phase);
-        for (int turn = 0; turn < TURNS; turn++) {
+    for (int phase = 0; phase < PHASE_COUNT; phase++) {
+        begin_phase(scenario, phase);
+        for (int flush_index = 0; flush_index < FLUSHES_PER_PHASE; flush_index++) {
             flush();
             while (fake_open_call("/")) {
                 if (served == stop) return served;
-                fake_store_serve(fate_of(served, fault));
+                fake_store_serve(get_outcome(served, fault));
                 served++;
                 if (fault && served == fault->late_at) fake_store_serve_late(&refused, &carried_out);
             }
@@ -242,83 +247,85 @@
     return served;
 }
 
-static const struct day days[] = {
-    {"first format all along", .written = false, .lowered = false, .burst = 0, .machines = "m-%06u"},
-    {"second format, limits as they were", .written = true, .lowered = false, .burst = 0,
-     .machines = "m-%06u"},
+static const struct scenario scenarios[] = {
+    {"first format throughout", .written = false, .lowered = false, .burst = 0, .machines = "m-%06u"},
+    {"second format, limits unchanged", .written = true, .lowered = false, .burst = 0, .machines = "m-%06u"},
     {"second format, limits lowered", .written = true, .lowered = true, .burst = 0, .machines = "m-%06u"},
     {"lowered before the format is written", .written = false, .lowered = true, .burst = 0,
      .machines = "m-%06u"},
     {"lowered in a burst", .written = true, .lowered = true, .burst = 2, .machines = "m-%06u"},
     {"lowered in a burst, format not written", .written = false, .lowered = true, .burst = 2,
      .machines = "m-%06u"},
-    {"names too long for a block of the usual size", .written = true, .lowered = true, .burst = 0,
+    {"machine names too long for a block of the usual size", .written = true, .lowered = true, .burst = 0,
      .machines = "m-%06u-with-a-longer-name"},
-    {"names too long for the limits of now", .written = true, .lowered = true, .burst = 0,
+    {"machine names too long for the present limits", .written = true, .lowered = true, .burst = 0,
      .machines = "m-%06u-of-a-cloud-that-gives-its-machines-very-long-names"},
 };
 
-static void leader_ends_at_any_time(void **state) {
+static void leader_ends_after_any_transaction(void **state) {
     (void)state;
-    static const enum fake_outcome fates[] = {FAKE_REQUEST_LOST, FAKE_ANSWER_LOST, FAKE_APPLIED_LATE};
-    for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
-        machine_names = days[day_index].machines;
-        for (size_t fate_index = 0; fate_index < ROWS(fates); fate_index++) {
+    static const enum fake_outcome outcomes[] = {FAKE_REQUEST_LOST, FAKE_ANSWER_LOST, FAKE_APPLIED_LATE};
+    for (size_t scenario_index = 0; scenario_index < ROWS(scenarios); scenario_index++) {
+        machine_names = scenarios[scenario_index].machines;
+        for (size_t outcome_index = 0; outcome_index < ROWS(outcomes); outcome_index++) {
             size_t stop = 0, served;
             do {
-                begin();
-                served = play(&days[day_index], stop, NULL);
+                reset();
+                served = run_scenario(&scenarios[scenario_index], stop, NULL);
                 remember_state();
-                stop_leader(fates[fate_index]);
+                stop_leader(outcomes[outcome_index]);
                 start_leader(VALUE_KB, LOWERED_KB);
                 size_t refused, carried_out;
                 fake_store_serve_late(&refused, &carried_out);
                 if (carried_out)
-                    fail_msg("%s, end %zu: a late transaction is carried out", days[day_index].what, stop);
-                check_known(days[day_index].what, stop);
-                if (days[day_index].written)
-                    node->peers.list[0].format = AMB_FORMAT_2; /* if it was not yet */
-                run_to_the_end(days[day_index].what, stop);
+                    fail_msg("%s, end %zu: a late transaction is applied", scenarios[scenario_index].what,
+                             stop);
+                check_known(scenarios[scenario_index].what, stop);
+                if (scenarios[scenario_index].written)
+                    node->peers.list[0].format = AMB_FORMAT_2; /* if not active yet */
+                run_to_the_end(scenarios[scenario_index].what, stop);
                 stop_leader(FAKE_REQUEST_LOST);
             } while (served == stop++);
-            if (stop < 8) fail_msg("%s: over after %zu transactions", days[day_index].what, stop);
+            if (stop < 8) fail_msg("%s: over after %zu transactions", scenarios[scenario_index].what, stop);
         }
     }
 }
 
-/* Answers are lost, one or all for a while, and the transactions carried out some time later, or never. The
- * leader stays to the end, or ends after the day. */
-static void answers_lost_at_any_time(void **state) {
+/* Responses are lost, one or all of them for a while, and the transactions are applied at once, later or
+ * never. The leader either finishes the job itself, or ends after the scenario and its successor does. */
+static void responses_are_lost_at_any_time(void **state) {
     (void)state;
     static const struct {
-        enum fake_outcome fate;
-        size_t count, later;
+        enum fake_outcome outcome;
+        size_t count, delay;
     } rows[] = {
-        {FAKE_ANSWER_LOST, 1, NEVER},   {FAKE_REQUEST_LOST, 1, NEVER}, {FAKE_APPLIED_LATE, 1, 1},
-        {FAKE_APPLIED_LATE, 1, 2},      {FAKE_APPLIED_LATE, 1, 6},     {FAKE_APPLIED_LATE, 1, 12},
-        {FAKE_APPLIED_LATE, 1, NEVER},  {FAKE_ANSWER_LOST, 12, NEVER}, {FAKE_REQUEST_LOST, 12, NEVER},
-        {FAKE_APPLIED_LATE, 12, 12},    {FAKE_APPLIED_LATE, 12, 16},   {FAKE_APPLIED_LATE, 12, 24},
-        {FAKE_APPLIED_LATE, 12, NEVER},
+        {FAKE_ANSWER_LOST, 1, UNLIMITED},   {FAKE_REQUEST_LOST, 1, UNLIMITED},
+        {FAKE_APPLIED_LATE, 1, 1},          {FAKE_APPLIED_LATE, 1, 2},
+        {FAKE_APPLIED_LATE, 1, 6},          {FAKE_APPLIED_LATE, 1, 12},
+        {FAKE_APPLIED_LATE, 1, UNLIMITED},  {FAKE_ANSWER_LOST, 12, UNLIMITED},
+        {FAKE_REQUEST_LOST, 12, UNLIMITED}, {FAKE_APPLIED_LATE, 12, 12},
+        {FAKE_APPLIED_LATE, 12, 16},        {FAKE_APPLIED_LATE, 12, 24},
+        {FAKE_APPLIED_LATE, 12, UNLIMITED},
     };
-    for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
-        machine_names = days[day_index].machines;
+    for (size_t scenario_index = 0; scenario_index < ROWS(scenarios); scenario_index++) {
+        machine_names = scenarios[scenario_index].machines;
         for (size_t row_index = 0; row_index < ROWS(rows); row_index++) {
-            size_t served = NEVER;
+            size_t served = UNLIMITED;
             for (size_t at = 0; at < served; at++) {
-                const struct fault fault = {at, rows[row_index].count, rows[row_index].fate,
-                                            at + rows[row_index].later};
-                for (int stays = 0; stays < 2; stays++) {
-                    begin();
-                    served = play(&days[day_index], NEVER, &fault);
+                const struct fault fault = {at, rows[row_index].count, rows[row_index].outcome,
+                                            at + rows[row_index].delay};
+                for (int leader_stays = 0; leader_stays < 2; leader_stays++) {
+                    reset();
+                    served = run_scenario(&scenarios[scenario_index], UNLIMITED, &fault);
                     size_t refused, carried_out;
                     fake_store_serve_late(&refused, &carried_out);
-                    if (!stays) {
+                    if (!leader_stays) {
                         remember_state();
                         stop_leader(FAKE_REQUEST_LOST);
                         start_leader(VALUE_KB, LOWERED_KB);
-                        check_known(days[day_index].what, at);
+                        check_known(scenarios[scenario_index].what, at);
                     }
-                    run_to_the_end(days[day_index].what, at);
+                    run_to_the_end(scenarios[scenario_index].what, at);
                     stop_leader(FAKE_REQUEST_LOST);
                 }
             }
@@ -326,35 +333,35 @@
     }
 }
 
-/* Which blocks stand there when the day is over, and what the state service refused on the way. Tasks 29 to
- * 57 do not change, so that no small block holds them, and the old one stays for them. */
-static void what_is_written(void **state) {
+/* The blocks that exist at the end of the scenario, and the refusals of the store during it. Tasks 29 to 57
+ * do not change, so that no small block holds them, and the old block remains for them. */
+static void written_blocks(void **state) {
     (void)state;
     static const struct {
         size_t old_blocks, new_blocks;
         bool sizes_refused, rates_refused, lowered;
-    } want[ROWS(days)] = {
+    } want[ROWS(scenarios)] = {
         {2, 0, false, false, false},  {1, 6, false, false, false}, {1, 6, false, false, false},
         {2, 6, true, false, true},    {1, 6, false, true, true},   {2, 6, true, true, true},
         {1, 12, false, false, false}, {0, 32, true, false, false},
     };
-    for (size_t day_index = 0; day_index < ROWS(days); day_index++) {
-        machine_names = days[day_index].machines;
-        begin();
-        play(&days[day_index], NEVER, NULL);
-        const char *what = days[day_index].what;
+    for (size_t scenario_index = 0; scenario_index < ROWS(scenarios); scenario_index++) {
+        machine_names = scenarios[scenario_index].machines;
+        reset();
+        run_scenario(&scenarios[scenario_index], UNLIMITED, NULL);
+        const char *what = scenarios[scenario_index].what;
         size_t old = fake_store_count("b/p/"), new = fake_store_count("b/n/");
-        if (old != want[day_index].old_blocks || new != want[day_index].new_blocks)
+        if (old != want[scenario_index].old_blocks || new != want[scenario_index].new_blocks)
             fail_msg("%s: %zu old blocks, %zu new ones", what, old, new);
-        if ((fake_store_answers(400) > 0) != want[day_index].sizes_refused)
+        if ((fake_store_answers(400) > 0) != want[scenario_index].sizes_refused)
             fail_msg("%s: %zu refused for their size", what, fake_store_answers(400));
-        if ((fake_store_answers(429) > 0) != want[day_index].rates_refused)
+        if ((fake_store_answers(429) > 0) != want[scenario_index].rates_refused)
             fail_msg("%s: %zu refused for their rate", what, fake_store_answers(429));
-        if (node->store.limits_lowered != want[day_index].lowered) fail_msg("%s: limits lowered", what);
-        if (node->store.writes_per_second != (want[day_index].lowered ? 2000 : 3000))
+        if (node->store.limits_lowered != want[scenario_index].lowered) fail_msg("%s: limits lowered", what);
+        if (node->store.writes_per_second != (want[scenario_index].lowered ? 2000 : 3000))
             fail_msg("%s: %g changes a second", what, node->store.writes_per_second);
-        if (fake_store_answers(409)) fail_msg("%s: a guard failed", what);
-        if (node->election.role != AMB_ROLE_LEADER) fail_msg("%s: the lead was given up", what);
+        if (fake_store_answers(409)) fail_msg("%s: a comparison failed", what);
+        if (node->election.role != AMB_ROLE_LEADER) fail_msg("%s: the leader resigned", what);
         for (uint32_t i = 0; i < TASKS; i++)
             if (job->tasks[i].state == AMB_TASK_PLACED) fail_msg("%s: task %u is not recorded", what, i);
         stop_leader(FAKE_REQUEST_LOST);
@@ -373,8 +380,8 @@
     amb_buf_free(&value);
 }
 
-/* Two blocks name a task: what the preceding one says counts, and nothing of the other. */
-static void one_block_counts(void **state) {
+/* If two blocks name a task, only the preceding one is authoritative for it. */
+static void one_block_is_authoritative(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -386,28 +393,28 @@
         {"an old block alone",
          {{"b/p/wk-1/00000", "0,1,m-1,0,0,0;30,1,m-1,0,0,0;", "4-5;"}},
          "0@m-1/1 4! 5! 30@m-1/1 "},
-        {"a new one says that a task is elsewhere",
+        {"a new block has a task on another machine",
          {{"b/n/wk-1/000029/000000", "0,2,m-2,0,0,0;", ""}, {"b/p/wk-1/00000", "0,1,m-1,0,0,0;", ""}},
          "0@m-2/2 "},
-        {"a new one says that it is nowhere",
+        {"a new block has no machine for a task",
          {{"b/n/wk-1/000029/000000", "", ""}, {"b/p/wk-1/00000", "0,1,m-1,0,0,0;30,1,m-1,0,0,0;", ""}},
          "30@m-1/1 "},
-        {"a new one says that it is done",
+        {"a new block has a task as done",
          {{"b/n/wk-1/000029/000000", "", "0-0;"}, {"b/p/wk-1/00000", "0,1,m-1,0,0,0;1,1,m-1,0,0,0;", ""}},
          "0! "},
-        {"three sizes",
+        {"blocks of three sizes",
          {{"b/n/wk-1/000014/000001", "14,3,m-3,0,0,0;", ""},
           {"b/n/wk-1/000029/000000", "0,2,m-2,0,0,0;14,2,m-2,0,0,0;", ""},
           {"b/p/wk-1/00000", "0,1,m-1,0,0,0;14,1,m-1,0,0,0;28,1,m-1,0,0,0;29,1,m-1,0,0,0;", ""}},
          "0@m-2/2 14@m-3/3 29@m-1/1 "},
-        {"a new one names tasks that it does not hold",
+        {"a new block names tasks outside its range",
          {{"b/n/wk-1/000029/000001", "0,2,m-2,0,0,0;30,2,m-2,0,0,0;", "1-2;"}},
          "30@m-2/2 "},
-        {"an old one of other settings",
+        {"an old block of other settings",
          {{"b/p/wk-1/00009", "0,1,m-1,0,0,0;199,1,m-1,0,0,0;", ""}},
          "0@m-1/1 199@m-1/1 "},
     };
-    begin();
+    reset();
     stop_leader(FAKE_REQUEST_LOST);
     for (size_t i = 0; i < ROWS(rows); i++) {
         fake_store_reset();
@@ -437,52 +444,54 @@
     }
 }
 
-static void count_answer(void *arg, int status, const cbor_item_t *body) {
+static void store_status(void *arg, int status, const cbor_item_t *body) {
     (void)body;
     *(int *)arg = status;
 }
 
-/* Only a refused write shows that fewer are allowed. Its caller gets the status, and repeats it. */
-static void signs_of_a_lower_rate(void **state) {
+/* Only a refused write shows that the store has lowered its write rate. The caller gets the status, and
+ * repeats the write. */
+static void refused_writes_lower_the_rate(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        enum amb_store_priority urgency;
+        enum amb_store_priority priority;
         bool change;
         int status;
         bool lowered;
     } rows[] = {
         {"a change is refused", AMB_STORE_PRIORITY_PLACEMENT, true, 429, true},
         {"a user's change", AMB_STORE_PRIORITY_USER, true, 429, true},
-        {"a claim", AMB_STORE_PRIORITY_LEASE, true, 429, true},
+        {"a change of a lease key", AMB_STORE_PRIORITY_LEASE, true, 429, true},
         {"a read is refused", AMB_STORE_PRIORITY_READ, false, 429, false},
         {"an outage", AMB_STORE_PRIORITY_PLACEMENT, true, 503, false},
-        {"no answer", AMB_STORE_PRIORITY_PLACEMENT, true, 0, false},
-        {"a guard did not hold", AMB_STORE_PRIORITY_PLACEMENT, true, 409, false},
+        {"no response", AMB_STORE_PRIORITY_PLACEMENT, true, 0, false},
+        {"a comparison failed", AMB_STORE_PRIORITY_PLACEMENT, true, 409, false},
         {"malformed", AMB_STORE_PRIORITY_PLACEMENT, true, 400, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin();
+        reset();
         int status = -1;
         if (rows[i].change) {
             struct amb_txn transaction = {0};
             amb_txn_remove(&transaction, "a/x");
-            amb_store_commit(&node->store, &transaction, rows[i].urgency, count_answer, &status);
+            amb_store_commit(&node->store, &transaction, rows[i].priority, store_status, &status);
         } else {
-            amb_store_get(&node->store, "a/x", rows[i].urgency, count_answer, &status);
+            amb_store_get(&node->store, "a/x", rows[i].priority, store_status, &status);
         }
         struct fake_call *call = fake_open_call("/");
         assert_non_null(call);
         fake_answer(call, rows[i].status, NULL);
-        if (status != rows[i].status) fail_msg("%s: told %d", rows[i].what, status);
+        if (status != rows[i].status) fail_msg("%s: status %d", rows[i].what, status);
         if (node->store.limits_lowered != rows[i].lowered) fail_msg("%s", rows[i].what);
-        if (node->formats.upgrade_complete) fail_msg("%s: the upgrade is taken as over", rows[i].what);
+        if (node->formats.upgrade_complete) fail_msg("%s: the upgrade counts as complete", rows[i].what);
         stop_leader(FAKE_REQUEST_LOST);
     }
 }
 
-/* A block that the first version wrote is read whole, whatever limits the reader goes by. */
-static void old_blocks_are_read(void **state) {
+/* A block that the first version wrote is restored completely, whatever limits the reader is configured with.
+ */
+static void old_blocks_are_restored(void **state) {
     (void)state;
     static const struct {
         double written_kb, read_kb, lowered_kb;
@@ -493,11 +502,11 @@
     };
     machine_names = "m-%06u";
     for (size_t i = 0; i < ROWS(rows); i++) {
-        begin();
+        reset();
         stop_leader(FAKE_REQUEST_LOST);
         fake_store_set_limits((struct fake_store_limits){.value_kb = 16});
         start_leader(rows[i].written_kb, 0);
-        place(0, TASKS, 0);
+        place_tasks(0, TASKS, 0);
         flush();
         while (fake_store_serve(FAKE_APPLIED)) continue;
         uint32_t tasks_per_block = amb_placement_block_capacity(AMB_LAYOUT_BY_SETTINGS, rows[i].written_kb);
@@ -517,12 +526,13 @@
     }
 }
 
-/* As the version in production: it reads and writes the old layout only. */
-static void old_nodes_ignore_new_blocks(void **state) {
+/* A node of the version in production reads and writes the old layout only. */
+static void old_version_ignores_new_blocks(void **state) {
     (void)state;
-    static const struct day day = {"", .written = true, .lowered = true, .burst = 0, .machines = "m-%06u"};
-    begin();
-    play(&day, NEVER, NULL);
+    static const struct scenario scenario = {"", .written = true, .lowered = true, .burst = 0,
+                                             .machines = "m-%06u"};
+    reset();
+    run_scenario(&scenario, UNLIMITED, NULL);
     assert_true(fake_store_count("b/n/") > 0);
     assert_int_equal(fake_store_count("b/p/"), 1);
     stop_leader(FAKE_REQUEST_LOST);
@@ -536,9 +546,9 @@
     assert_int_equal(job->block_layout, AMB_LAYOUT_BY_SETTINGS);
     assert_int_equal(job->tasks_per_block, amb_placement_blocks_first_format_size(&node->settings));
     assert_int_equal(job->superseded_count, 0);
-    assert_int_equal(job->tasks[60].attempt, 61); /* as the old block says */
+    assert_int_equal(job->tasks[60].attempt, 61); /* from the old block */
     assert_true(moved > 61);
-    place(161, 163, 0);
+    place_tasks(161, 163, 0);
     flush();
     struct fake_call *commit = fake_open_call("/commit");
     assert_non_null(commit);
@@ -548,13 +558,13 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(leader_ends_at_any_time),
-        cmocka_unit_test(answers_lost_at_any_time),
-        cmocka_unit_test(what_is_written),
-        cmocka_unit_test(one_block_counts),
-        cmocka_unit_test(signs_of_a_lower_rate),
-        cmocka_unit_test(old_blocks_are_read),
-        cmocka_unit_test(old_nodes_ignore_new_blocks),
+        cmocka_unit_test(leader_ends_after_any_transaction),
+        cmocka_unit_test(responses_are_lost_at_any_time),
+        cmocka_unit_test(written_blocks),
+        cmocka_unit_test(one_block_is_authoritative),
+        cmocka_unit_test(refused_writes_lower_the_rate),
+        cmocka_unit_test(old_blocks_are_restored),
+        cmocka_unit_test(old_version_ignores_new_blocks),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
