--- a/include/amberpin/job/cancellations.h
+++ b/include/amberpin/job/cancellations.h
@@ -1,7 +1,6 @@
 /* Indexes of cancelled jobs. The indexes by revision and by time keep the cost of a message that lists the
  * newest cancellations proportional to its length, without a scan of the table of all jobs. The index by the
- * time at which this node learned of the cancellation serves to free descriptions once no task can be left.
- */
+ * time at which this node learned of the cancellation serves to free descriptions when no task is left. */
 #ifndef AMBERPIN_CANCELLATIONS_H
 #define AMBERPIN_CANCELLATIONS_H
 
--- a/include/amberpin/job/job_record.h
+++ b/include/amberpin/job/job_record.h
@@ -19,8 +19,7 @@
 /* Writes the key of the job's record, truncated to `cap` bytes. */
 void amb_job_format_key(char *out, size_t cap, const char *ref);
 
-/* Appends the value of the job's record in this state. The record of a job that is done has no description.
- */
+/* Appends the value of the job's record in this state. A record in state DONE has no description. */
 void amb_job_encode_record(struct amb_buf *buffer, const struct amb_job *job, enum amb_job_state state);
 
 /* Decodes a parsed value. The record borrows from the value. */
--- a/include/amberpin/job/pipelines.h
+++ b/include/amberpin/job/pipelines.h
@@ -39,8 +39,7 @@
 /* Returns the wall time in ms by which the job is ordered among jobs of its priority: the time since which it
  * could run or, in a pipeline, its latest start if that is earlier. */
 int64_t amb_job_order_wall_ms(const struct amb_job *job);
-/* Returns how long the job's tasks may take, in seconds, with an allowance for estimates that are too short.
- */
+/* Returns how long the job's tasks may take in seconds, with an allowance for estimates that are too low. */
 double amb_job_spec_work_s(const struct amb_job_spec *spec);
 
 #endif
--- a/include/amberpin/job/tasks.h
+++ b/include/amberpin/job/tasks.h
@@ -28,8 +28,7 @@
 /* Requests a command to the agent to stop the task within `grace_s` seconds. A request whose grace period is
  * not shorter than that of an earlier request has no effect. */
 void amb_task_request_stop(struct amb_node *node, struct amb_task *task, double grace_s, const char *cause);
-/* Takes the task off its machine if it cannot have been started, else requests a stop without grace period.
- */
+/* Takes the task off its machine if it cannot have been started, else requests a stop without grace. */
 void amb_task_withdraw(struct amb_node *node, struct amb_task *task, const char *cause);
 
 void amb_gang_set_state(struct amb_job *job, enum amb_gang_state new_state, const char *cause);
--- a/lib/job/dependency_graph.c
+++ b/lib/job/dependency_graph.c
@@ -126,8 +126,7 @@
     }
 }
 
-/* Links the job to its dependencies that are not final yet. Returns the first cancelled dependency, or NULL.
- */
+/* Links the job to its dependencies that are not final yet. Returns the first cancelled one, or NULL. */
 static const char *link_dependencies(struct amb_dependency_graph *graph, struct amb_graph_job *job,
                                      const char (*dependencies)[AMB_NAME_SIZE], uint32_t count) {
     const char *cancelled = NULL;
--- a/lib/job/pipelines.c
+++ b/lib/job/pipelines.c
@@ -81,8 +81,7 @@
         amb_dependency_graph_set_cancelled(get_graph(node), job->ref);
 }
 
-/* Returns the latest wall time in ms at which the job's tasks may start for the job to end by its due time.
- */
+/* Returns the latest wall time in ms at which the job's tasks may start to end by its due time. */
 static int64_t latest_start_wall_ms(const struct amb_job *job) {
     int64_t due = amb_job_due_wall_ms(job);
     return due == AMB_NO_DUE_TIME ? AMB_NO_DUE_TIME : due - amb_seconds_to_ms(amb_job_spec_work_s(job->spec));
--- a/lib/placement_log/flush.c
+++ b/lib/placement_log/flush.c
@@ -13,8 +13,7 @@
 
 static void retry_write(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
     if (!block->value.len || now < block->retry_at) return;
-    /* Once the job's record has changed, the comparison with its revision always fails: no copy is applied.
-     */
+    /* Once the job's record has changed, the comparison with its revision fails: no copy is applied. */
     if (block->job_revision != block->job->revision)
         amb_placement_log_abandon_write(node, block);
     else
@@ -27,8 +26,7 @@
     return block->dirty && now >= block->retry_at && now - block->dirty_at >= delay;
 }
 
-/* Returns true if the block is being written, or if its job is over and the block may still be in the store.
- */
+/* Returns true if the block is being written, or if its job is over and the store may still have it. */
 static bool flush_block(struct amb_node *node, struct amb_placement_block *block, amb_ms now) {
     if (block->write_in_flight) {
         retry_write(node, block, now);
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -1,5 +1,4 @@
-/* Restores the placement log when a controller becomes leader: block by block, in the order of the listing.
- */
+/* Restores the placement log when a controller becomes leader, block by block in the order of the listing. */
 #include "amberpin/base/log.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
--- a/lib/watch/internal.h
+++ b/lib/watch/internal.h
@@ -7,8 +7,7 @@
 
 extern const char AMB_WATCHED_PREFIX[];
 
-/* Passes a key and its value to the module that handles this kind of key. NULL means that the key is removed.
- */
+/* Passes a key and its value to the module that handles this kind of key. NULL means a removed key. */
 void amb_watch_apply_key(struct amb_node *node, const char *key, const cbor_item_t *value, uint64_t revision);
 /* Applies a page of changes that was requested at `sent_at`. Returns false if it cannot be decoded; nothing
  * of it is applied then. */
--- a/tests/placement_log/test_upgrade_limits.c
+++ b/tests/placement_log/test_upgrade_limits.c
@@ -489,8 +489,7 @@
     }
 }
 
-/* A block that the first version wrote is restored completely, whatever limits the reader is configured with.
- */
+/* A block that the first version wrote is restored completely, whatever the reader's configured limits. */
 static void old_blocks_are_restored(void **state) {
     (void)state;
     static const struct {
