--- a/include/amberpin/cloud_duty/participation.h
+++ b/include/amberpin/cloud_duty/participation.h
@@ -1,4 +1,5 @@
-/* A controller's part in single-holder duties: when it is a member, and what it is told of their records. */
+/* Membership of a controller in single-holder duties: when it takes part, and the changes of records that it
+ * receives. */
 #ifndef AMBERPIN_CLOUD_DUTY_PARTICIPATION_H
 #define AMBERPIN_CLOUD_DUTY_PARTICIPATION_H
 
@@ -8,12 +9,13 @@
 
 struct amb_node;
 
-/* A key below a/ has changed; value NULL: it has been removed. */
+/* Applies a change of a key below a/; `value` is NULL if the key was removed. */
 void amb_duties_apply_change(struct amb_node *node, const char *key, const cbor_item_t *value,
                              uint64_t revision);
-/* All keys have been listed: at the start, or because changes may have been missed. */
+/* To be called when all keys have been listed: at the start, or because changes may have been missed. */
 void amb_duties_note_listed(struct amb_node *node);
-/* Is all known that a new leader must know before it places: which machines are being released? */
+/* Returns true if a new leader knows all machines that are being released, which it must before it places
+ * tasks. */
 bool amb_duties_is_ready(const struct amb_node *node);
 
 #endif
--- a/include/amberpin/cloud_duty/scaling_mode.h
+++ b/include/amberpin/cloud_duty/scaling_mode.h
@@ -1,5 +1,6 @@
-/* The mode of the whole service, `a/duty-mode`: whether the leader or the holders of duties call the cloud.
- * The leader changes it once neither has a call left that the other must not meet. */
+/* The scaling mode of the whole service, `a/duty-mode`: whether the leader or the holders of duties call the
+ * cloud. The leader changes it once the present side has no call left that could overlap with calls of the
+ * other. */
 #ifndef AMBERPIN_CLOUD_DUTY_SCALING_MODE_H
 #define AMBERPIN_CLOUD_DUTY_SCALING_MODE_H
 
@@ -9,11 +10,11 @@
 
 struct amb_node;
 
-/* The leader's step: changes the mode if that is due, and writes intents. */
+/* Periodic work of the leader: changes the mode if due, and writes intents. */
 void amb_duties_tick(struct amb_node *node, amb_ms now);
-/* A term of leadership begins or ends: what was about to be written is given up. */
+/* To be called when a term of leadership begins or ends: discards pending writes. */
 void amb_duties_reset(struct amb_node *node);
-/* The key of the mode has changed; value NULL: it has been removed. */
+/* Applies a change of the key of the mode; `value` is NULL if the key was removed. */
 void amb_duties_apply_mode(struct amb_node *node, const cbor_item_t *value, uint64_t revision);
 
 #endif
--- a/include/amberpin/duty/core.h
+++ b/include/amberpin/duty/core.h
@@ -1,15 +1,15 @@
-/* The pure core of single-holder duties for one member: what happened, and when, goes in; what is to be
- * done comes out. No input or output, no clock or randomness of its own, no allocation.
+/* The pure core of single-holder duties for one member. It takes events with their times and returns actions.
+ * It does no input or output, has no clock or source of randomness of its own, and allocates nothing.
  *
- * After the first reading of the key-value store, and after each that follows a gap in its changes, the
- * wiring feeds what it found: RECORD_CHANGED for every duty (also one without a record: not present,
- * revision 0), MEMBER_CHANGED and INTENT_CHANGED for all that are there, and for those that were known and
- * are not.
+ * After the first read of the key-value store, and after each read that follows a gap in the watch, the
+ * caller feeds what it found: RECORD_CHANGED for every duty (a duty without a record as not present, at
+ * revision 0), and MEMBER_CHANGED and INTENT_CHANGED for every member and intent that exists, and for each
+ * that was known before and no longer exists.
  *
- * The wiring feeds every answer and every change as events, each with the time of the monotonic clock read
- * just then, and carries out the actions in their order. An answer may come late, twice or never.
- * Immediately before the wiring sends AMB_DUTY_CALL_CLOUD it asks amb_duty_may_send with the time read
- * anew; if that says no, it does not send, and answers AMB_DUTY_CLOUD_NOT_SENT. */
+ * The caller feeds every response and every change as an event that carries the current time of the monotonic
+ * clock, and carries out the actions in order. A response may come late, twice or never. Immediately before
+ * the caller sends AMB_DUTY_CALL_CLOUD it reads the clock again and asks amb_duty_may_send; if that returns
+ * false, it does not send, and feeds AMB_DUTY_CLOUD_NOT_SENT. */
 #ifndef AMBERPIN_DUTY_CORE_H
 #define AMBERPIN_DUTY_CORE_H
 
@@ -18,57 +18,58 @@
 #include "amberpin/duty/lease.h"
 
 enum amb_duty_state {
-    AMB_DUTY_IDLE,      /* another holds the duty, or its record is not known yet */
-    AMB_DUTY_CANDIDATE, /* nobody holds it: waiting for our turn, or a claim is under way */
-    AMB_DUTY_HELD,      /* ours, and the lease is certainly alive */
-    AMB_DUTY_DRAINING,  /* ours; no new intents, then released */
-    AMB_DUTY_FENCED,    /* ours by the record, but the lease may have run out: sends nothing */
-    AMB_DUTY_LOST,      /* was ours; will be idle after a backoff */
+    AMB_DUTY_IDLE,      /* another member holds the duty, or its record is not known yet */
+    AMB_DUTY_CANDIDATE, /* the duty is vacant: this member waits for its turn to claim, or its claim is in
+                           flight */
+    AMB_DUTY_HELD,      /* held by this member, whose lease is certainly alive */
+    AMB_DUTY_DRAINING,  /* held; no new intents are begun, then the duty is released */
+    AMB_DUTY_FENCED,    /* held according to the record, but the lease may have expired: nothing is sent */
+    AMB_DUTY_LOST,      /* was held until now; becomes idle after a backoff */
 };
 
-/* The state's name, for logs and status. */
+/* The name of the state in logs and in the status. */
 const char *amb_duty_state_text(enum amb_duty_state state);
 
-/* One duty as this member sees it. Read it freely. */
+/* One duty as this member sees it. Callers may read it and must not change it. */
 struct amb_duty {
     enum amb_duty_state state;
-    amb_ms state_since; /* of the state */
+    amb_ms state_since; /* when `state` was entered */
     struct amb_duty_record record;
     bool record_known;
-    uint64_t fencing_token, revision; /* of our claim; meaningful while held, draining or fenced */
-    /* the claim or release under way, or the last */
-    uint64_t call; /* 0: none under way */
+    uint64_t fencing_token, revision; /* of this member's claim; meaningful while held, draining or fenced */
+    /* The claim or release that is in flight, or the last one. */
+    uint64_t call; /* number of the call; 0: none is in flight */
     amb_ms called_at;
     uint64_t nonce;
     uint32_t attempts;
     amb_ms claim_at, vacant_since;
     bool vacant;
-    /* planned handover */
+    /* Planned handover. */
     amb_ms drain_deadline;
-    bool release_sent; /* the release may have been carried out: the cloud must not be called any more */
+    bool release_sent; /* the release may have taken effect, so the cloud must not be called any more */
     char successor[AMB_NAME_SIZE];
-    char cause[AMB_DUTY_CAUSE_LENGTH];
-    uint64_t handovers;    /* changes of holder seen */
-    uint64_t fenced_calls; /* calls that the cloud refused as stale */
+    char cause[AMB_DUTY_CAUSE_SIZE];
+    uint64_t handovers;    /* changes of holder observed */
+    uint64_t fenced_calls; /* calls that the cloud refused because of a stale fencing token */
 };
 
-/* This member's own key at the key-value store. */
+/* State of this member's own key in the key-value store. */
 enum amb_duty_incarnation_state {
     AMB_DUTY_INCARNATION_NONE,
-    AMB_DUTY_INCARNATION_GRANTING, /* a lease is asked for */
-    AMB_DUTY_INCARNATION_WRITING,  /* the member key is being written on it */
-    AMB_DUTY_INCARNATION_READING,  /* the write got no answer, or a comparison failed: waiting to read it */
+    AMB_DUTY_INCARNATION_GRANTING, /* a lease has been requested */
+    AMB_DUTY_INCARNATION_WRITING,  /* the member key is being written on the lease */
+    AMB_DUTY_INCARNATION_READING,  /* the write timed out or a comparison failed: the key is being read */
     AMB_DUTY_INCARNATION_LIVE,
 };
 
 struct amb_duty_incarnation {
     enum amb_duty_incarnation_state state;
     struct amb_duty_lease lease;
-    uint64_t nonce, revision; /* of our key; revision is meaningful while live */
-    uint64_t call;            /* grant or write under way */
+    uint64_t nonce, revision; /* of the member key; the revision is meaningful while live */
+    uint64_t call;            /* number of the grant or write in flight */
     amb_ms called_at;
     amb_ms grant_sent_at;
-    uint64_t renewal; /* call number of the renewal under way; 0: none */
+    uint64_t renewal; /* call number of the renewal in flight; 0: none */
     amb_ms renewal_sent_at, last_renewal_at;
     amb_ms retry_at;
 };
@@ -76,28 +77,29 @@
 struct amb_duty_core {
     struct amb_duty_settings settings;
     char member[AMB_NAME_SIZE];
-    uint64_t random_state; /* state of the generator for jitter and nonces */
-    uint64_t call_counter; /* number of the last call */
+    uint64_t random_state; /* state of the pseudorandom generator for jitter and nonces */
+    uint64_t call_counter; /* number of the latest call */
     struct amb_duty_incarnation incarnation;
-    struct amb_duty_member members[AMB_DUTY_MEMBERS];
+    struct amb_duty_member members[AMB_DUTY_MAX_MEMBERS];
     struct amb_duty duties[AMB_DUTY_COUNT];
     struct amb_duty_intent_table intents;
-    bool stopping; /* hands everything over, and claims nothing more */
+    bool stopping; /* the member hands over all its duties and claims no more */
 };
 
 enum amb_duty_event_type {
-    AMB_DUTY_TICK, /* time has passed; at least every quarter of the backoff, and at once if `more` */
-    AMB_DUTY_LEASE_GRANTED,   /* answer to GRANT_LEASE: call, result, lease */
-    AMB_DUTY_LEASE_EXTENDED,  /* to EXTEND_LEASE: call, result */
-    AMB_DUTY_COMMITTED,       /* to every PUT_, COMMIT_ and REMOVE_ action: call, result, revision */
-    AMB_DUTY_MEMBER_CHANGED,  /* a change or a read of a member key: member */
-    AMB_DUTY_RECORD_CHANGED,  /* of a duty's record: duty, record */
-    AMB_DUTY_INTENT_CHANGED,  /* of an intent: intent */
-    AMB_DUTY_INTENT_READ,     /* answer to READ_INTENT: intent (not present: gone). It never adds an intent */
-    AMB_DUTY_CLOUD_ANSWERED,  /* to CALL_CLOUD: call, answer */
-    AMB_DUTY_PROVED_GONE,     /* the machines of a scale-in intent are gone: duty, intent.id */
-    AMB_DUTY_DRAIN_REQUESTED, /* hand a duty over: duty, successor (or empty), cause */
-    AMB_DUTY_STOP_REQUESTED,  /* hand all over, and claim nothing more */
+    AMB_DUTY_TICK, /* to be fed at least every quarter of the backoff, and at once if `more` is set */
+    AMB_DUTY_LEASE_GRANTED,  /* response to GRANT_LEASE: call, result, lease */
+    AMB_DUTY_LEASE_EXTENDED, /* response to EXTEND_LEASE: call, result */
+    AMB_DUTY_COMMITTED,      /* response to any PUT_, COMMIT_ or REMOVE_ action: call, result, revision */
+    AMB_DUTY_MEMBER_CHANGED, /* a member key has changed or was read: member */
+    AMB_DUTY_RECORD_CHANGED, /* a duty's record has changed or was read: duty, record */
+    AMB_DUTY_INTENT_CHANGED, /* an intent has changed: intent */
+    AMB_DUTY_INTENT_READ, /* response to READ_INTENT: intent (not present: removed); never adds an intent to
+                             the table */
+    AMB_DUTY_CLOUD_ANSWERED,  /* response to CALL_CLOUD: call, answer */
+    AMB_DUTY_ABSENCE_PROVEN,  /* the machines of a scale-in intent are proven absent: duty, intent.id */
+    AMB_DUTY_DRAIN_REQUESTED, /* hand over a duty: duty, successor (may be empty), cause */
+    AMB_DUTY_STOP_REQUESTED,  /* hand over all duties and claim no more */
 };
 
 struct amb_duty_event {
@@ -116,26 +118,27 @@
 };
 
 enum amb_duty_action_type {
-    AMB_DUTY_GRANT_LEASE,   /* of settings.ttl: call */
+    AMB_DUTY_GRANT_LEASE,   /* with settings.ttl: call */
     AMB_DUTY_EXTEND_LEASE,  /* call, lease */
-    AMB_DUTY_REVOKE_LEASE,  /* lease; no answer is needed */
+    AMB_DUTY_REVOKE_LEASE,  /* lease; the response is not needed */
     AMB_DUTY_PUT_MEMBER,    /* write a/duty-member/ME on `lease`: call, lease, member, expected_member */
-    AMB_DUTY_READ_MEMBER,   /* read a/duty-member/NAME (expected_member.member), feed MEMBER_CHANGED */
-    AMB_DUTY_READ_RECORD,   /* read a/duty/NAME, feed RECORD_CHANGED: duty */
-    AMB_DUTY_READ_INTENT,   /* read one intent, feed INTENT_READ: duty, intent.id */
-    AMB_DUTY_LIST_INTENTS,  /* read all intents, feed INTENT_CHANGED for each */
-    AMB_DUTY_COMMIT_RECORD, /* claim or release: call, duty, record; comparisons as below */
+    AMB_DUTY_READ_MEMBER,   /* read a/duty-member/NAME (expected_member.member) and feed MEMBER_CHANGED */
+    AMB_DUTY_READ_RECORD,   /* read a/duty/NAME and feed RECORD_CHANGED: duty */
+    AMB_DUTY_READ_INTENT,   /* read one intent and feed INTENT_READ: duty, intent.id */
+    AMB_DUTY_LIST_INTENTS,  /* read all intents and feed INTENT_CHANGED for each */
+    AMB_DUTY_COMMIT_RECORD, /* claim or release: call, duty, record; compared as described below */
     AMB_DUTY_COMMIT_INTENT, /* call, duty, intent, expected_revision (of the duty's record), intent.revision
                               (of the intent) */
-    AMB_DUTY_REMOVE_INTENT, /* likewise; the duty compared is cleanup, intent.duty is the intent's */
-    AMB_DUTY_CALL_CLOUD,    /* call, duty, intent (id is the request name), fencing token */
-    AMB_DUTY_STATE_CHANGED, /* to be logged: duty, from, to, cause */
+    AMB_DUTY_REMOVE_INTENT, /* like COMMIT_INTENT; the record compared is that of the cleanup duty, and
+                               intent.duty is the duty of the intent */
+    AMB_DUTY_CALL_CLOUD,    /* call, duty, intent (its id is the request id), fencing token */
+    AMB_DUTY_STATE_CHANGED, /* for the log: duty, from, to, cause */
 };
 
-/* Comparisons of COMMIT_RECORD: a/duty/NAME at expected_revision (0: absent); and if expected_member.member
- * is not empty, a/duty-member/THAT at expected_member.revision (0: absent); and if expected_incarnation is
- * not 0, a/duty-member/ME at expected_incarnation. PUT_MEMBER is compared with its own key at
- * expected_revision. */
+/* The transaction of COMMIT_RECORD compares a/duty/NAME with expected_revision (0: absent); if
+ * expected_member.member is not empty, also a/duty-member/MEMBER with expected_member.revision (0: absent);
+ * and if expected_incarnation is not 0, also a/duty-member/ME with expected_incarnation. The transaction of
+ * PUT_MEMBER compares a/duty-member/ME with expected_revision. */
 struct amb_duty_action {
     enum amb_duty_action_type type;
     enum amb_duty_name duty;
@@ -152,27 +155,27 @@
 
 struct amb_duty_output {
     uint32_t count;
-    bool more; /* there was no room for all: tick again at once */
+    bool more; /* not all actions fitted: feed a tick at once */
     struct amb_duty_action actions[AMB_DUTY_MAX_ACTIONS];
 };
 
-/* Prepares a core that knows of nothing yet. `intents` is the storage for `capacity` intents; it must live as
- * long as the core. The seed must differ from member to member and from start to start (the nonces are drawn
- * from it). */
+/* Initializes a core without any knowledge of records. `intents` is storage for `capacity` intents and must
+ * outlive the core. The seed must differ between members and between starts, because nonces are drawn from
+ * it. */
 void amb_duty_core_init(struct amb_duty_core *core, const struct amb_duty_settings *settings,
                         const char *member, uint64_t seed, struct amb_duty_intent *intents,
                         uint32_t capacity);
 
-/* Takes one event, at the time it carries, and decides what is to be done. */
+/* Applies one event at the time that it carries and writes the resulting actions to `out`. */
 void amb_duty_core_step(struct amb_duty_core *core, const struct amb_duty_event *event,
                         struct amb_duty_output *out);
 
-/* May this member call the cloud for this duty at this moment? */
+/* Returns true if this member may call the cloud for this duty at `now`. */
 bool amb_duty_may_call(const struct amb_duty_core *core, enum amb_duty_name duty, amb_ms now);
 
-/* May this call of the cloud, decided earlier, be sent at this moment? To be asked immediately before
- * sending. The right alone is not enough: the duty may have been lost and won again since, under a higher
- * fencing token. */
+/* Returns true if this cloud call, which was decided earlier, may be sent at `now`. To be asked immediately
+ * before sending. A valid lease alone is not enough: the duty may have been lost and won again since, under a
+ * higher fencing token. */
 bool amb_duty_may_send(const struct amb_duty_core *core, const struct amb_duty_action *call, amb_ms now);
 
 #endif
--- a/include/amberpin/duty/duty_status.h
+++ b/include/amberpin/duty/duty_status.h
@@ -1,4 +1,4 @@
-/* What operators see of duties, and may ask for, on the listener for other controllers. */
+/* Status of duties and requests for handovers, for operators, on the listener for other controllers. */
 #ifndef AMBERPIN_DUTY_DUTY_STATUS_H
 #define AMBERPIN_DUTY_DUTY_STATUS_H
 
@@ -7,7 +7,8 @@
 struct amb_http_req;
 struct amb_node;
 
-/* Answers GET /duties and POST /duties/handover. False: the request is for something else. */
+/* Handles GET /duties and POST /duties/handover. Returns false if the request is for another path or method.
+ */
 bool amb_duties_handle_request(struct amb_node *node, struct amb_http_req *request);
 
 #endif
--- a/include/amberpin/duty/intents.h
+++ b/include/amberpin/duty/intents.h
@@ -1,91 +1,94 @@
-/* The table of intents: what is known of every intent, and what a duty's holder does next with each. */
+/* The intent table: the known state of each intent, and the next step that the holder of its duty takes. */
 #ifndef AMBERPIN_DUTY_INTENTS_H
 #define AMBERPIN_DUTY_INTENTS_H
 
 #include "amberpin/duty/settings.h"
 
-/* The write or call under way for an intent. */
+/* The write or cloud call that is in flight for an intent. */
 enum amb_duty_intent_phase {
     AMB_DUTY_PHASE_IDLE,
-    AMB_DUTY_PHASE_MARKING,  /* its record is being written as sent, under our fencing token */
-    AMB_DUTY_PHASE_CALLING,  /* the cloud has been called */
-    AMB_DUTY_PHASE_SETTLING, /* its result is being written */
-    AMB_DUTY_PHASE_REMOVING, /* its record is being removed */
+    AMB_DUTY_PHASE_MARKING_SENT, /* its record is being written as sent, under this member's fencing token */
+    AMB_DUTY_PHASE_CALLING,      /* the cloud has been called */
+    AMB_DUTY_PHASE_SETTLING,     /* its result is being written */
+    AMB_DUTY_PHASE_REMOVING,     /* its record is being removed */
 };
 
 struct amb_duty_intent {
-    struct amb_duty_intent_record record; /* as last known; id empty: the place is free */
+    struct amb_duty_intent_record record; /* as last known; an empty id marks a free entry */
     enum amb_duty_intent_phase phase;
-    uint64_t call;         /* number of the call under way */
-    amb_ms called_at;      /* when it began */
-    amb_ms retry_at;       /* nothing is tried before */
-    amb_ms state_known_at; /* when its present state was received: the age of evidence counts from here */
+    uint64_t call;         /* number of the call in flight */
+    amb_ms called_at;      /* when the call was sent */
+    amb_ms retry_at;       /* no step is taken earlier */
+    amb_ms state_known_at; /* when its current state was received; retention counts from here */
     uint32_t tries, refusals, unanswered;
-    enum amb_duty_intent_result result;   /* known from an answer, to be written */
-    enum amb_duty_intent_result settling; /* being written */
-    bool proved_gone;                     /* scale in: its machines are proved to be gone */
+    enum amb_duty_intent_result result;   /* known from a response, still to be written */
+    enum amb_duty_intent_result settling; /* the result that is being written */
+    bool absence_proven;                  /* scale in: its machines are proven absent */
 };
 
-/* What the holder does next. */
+/* The next step that the holder takes for an intent. */
 enum amb_duty_intent_step {
-    AMB_DUTY_STEP_NONE, /* nothing now */
-    AMB_DUTY_STEP_MARK, /* write it as sent under our fencing token: a new one, or one left by an earlier
-                           holder */
-    AMB_DUTY_STEP_CALL, /* call the cloud, under the same id as ever: it is marked under our fencing token */
-    AMB_DUTY_STEP_SETTLE, /* write its result: known from an answer, adopted from evidence, or void */
+    AMB_DUTY_STEP_NONE,      /* nothing for now */
+    AMB_DUTY_STEP_MARK_SENT, /* write it as sent under this member's fencing token: the intent is new, or was
+                                left by a previous holder */
+    AMB_DUTY_STEP_CALL,   /* call the cloud, always under the same id: the record is sent under this member's
+                             token */
+    AMB_DUTY_STEP_SETTLE, /* write its result: known from a response, proven by absence, or void */
 };
 
-/* Decides for an intent whose phase is idle. On AMB_DUTY_STEP_SETTLE, `result` is what to write.
- * `may_begin`: may intents be begun that are not sent yet? */
+/* Decides the next step of an intent whose phase is idle. For AMB_DUTY_STEP_SETTLE, `result` is the result to
+ * write. `may_begin` says whether an intent that is not yet sent under this fencing token may be begun. */
 enum amb_duty_intent_step amb_duty_intent_next_step(const struct amb_duty_intent *intent,
                                                     uint64_t fencing_token, bool may_begin, amb_ms now,
                                                     enum amb_duty_intent_result *result);
 
-/* May the record be removed? Its result must be known for long enough that no list shows what it ended, and
- * none fails to show what it began. */
+/* Returns true if the record may be removed: its result must have been known for so long that every machine
+ * list reflects it, without the machines that it released and with those that it acquired. */
 bool amb_duty_intent_is_removable(const struct amb_duty_intent *intent,
                                   const struct amb_duty_settings *settings, amb_ms now);
 
-/* The record as it is to be written as sent under this fencing token. A copy that an earlier holder may
- * have sent counts as unanswered. */
+/* Returns the record to write for an intent that is sent under this fencing token. A copy that a previous
+ * holder may have sent counts as unanswered. */
 struct amb_duty_intent_record amb_duty_intent_as_sent(const struct amb_duty_intent *intent,
                                                       uint64_t fencing_token);
-/* The record as it is to be written with this result. Copies that were not answered are counted on, unless a
- * late one can do nothing any more. */
+/* Returns the record to write for an intent with this result. Unanswered copies stay counted, unless a late
+ * copy can have no effect any more. */
 struct amb_duty_intent_record amb_duty_intent_as_settled(const struct amb_duty_intent *intent,
                                                          uint64_t fencing_token,
                                                          enum amb_duty_intent_result result);
 
-/* The record has changed, or was read. False: this one is older than what is known, and nothing changes. */
+/* Applies a record that has changed or was read. Returns false, and changes nothing, if it is not newer than
+ * the known one. */
 bool amb_duty_intent_apply_record(struct amb_duty_intent *intent, const struct amb_duty_intent_record *record,
                                   amb_ms now);
 
-/* An answer of the cloud to the call under way. True: the result is known, and can be settled. */
+/* Applies the response of the cloud to the call in flight. Returns true if the result is known and can be
+ * settled. */
 bool amb_duty_intent_apply_answer(struct amb_duty_intent *intent, enum amb_duty_cloud_answer answer,
                                   const struct amb_duty_settings *settings);
 
 struct amb_duty_intent_table {
-    struct amb_duty_intent *entries; /* storage of the owner */
+    struct amb_duty_intent *entries; /* storage owned by the caller */
     uint32_t capacity;
-    bool overflowed;          /* a record found no place: all are to be read again when there is room */
-    amb_ms list_requested_at; /* when that was last asked for */
+    bool overflowed; /* a record did not fit: all intents are to be read again once an entry is free */
+    amb_ms list_requested_at; /* when that read was last requested */
 };
 
-/* NULL: unknown. */
+/* Returns NULL if the table does not contain the intent. */
 struct amb_duty_intent *amb_duty_intent_table_find(const struct amb_duty_intent_table *table,
                                                    enum amb_duty_name duty, const char *id);
-/* NULL: unknown, and no room for it. */
+/* Adds an intent that is not in the table. Returns NULL, and sets `overflowed`, if the table is full. */
 struct amb_duty_intent *amb_duty_intent_table_add(struct amb_duty_intent_table *table,
                                                   enum amb_duty_name duty, const char *id);
-/* Frees the place. */
+/* Frees the entry. */
 void amb_duty_intent_table_remove(struct amb_duty_intent *intent);
-/* Orders of this duty that are not settled. */
+/* Counts the intents of this duty that are not settled. */
 uint32_t amb_duty_intent_table_count_open(const struct amb_duty_intent_table *table, enum amb_duty_name duty);
-/* Is anything of this duty under way here, or sent under this fencing token and not settled? For the
- * clean-up: is a record being removed? */
+/* Returns true if an intent of this duty has a call in flight from this member, or is sent under this fencing
+ * token and not settled. For the cleanup duty: if a record is being removed. */
 bool amb_duty_intent_table_is_open(const struct amb_duty_intent_table *table, enum amb_duty_name duty,
                                    uint64_t fencing_token);
-/* The duty is not held by this member any more: what was under way for it is forgotten. */
+/* Discards all calls in flight for a duty that this member no longer holds. */
 void amb_duty_intent_table_reset(struct amb_duty_intent_table *table, enum amb_duty_name duty);
 
 #endif
--- a/include/amberpin/duty/scaling_path.h
+++ b/include/amberpin/duty/scaling_path.h
@@ -1,4 +1,4 @@
-/* Who calls the cloud to scale out and in: the leader itself, or the holders of duties. */
+/* The scaling path: whether the leader itself or the holders of duties call the cloud to scale out and in. */
 #ifndef AMBERPIN_DUTY_SCALING_PATH_H
 #define AMBERPIN_DUTY_SCALING_PATH_H
 
@@ -7,28 +7,29 @@
 struct amb_node;
 struct amb_peer;
 
-/* What a peer's latest heartbeat says of duties. */
+/* What the latest heartbeat of a peer says about duties. */
 enum amb_peer_duties {
-    AMB_PEER_DUTIES_UNKNOWN, /* none has been received */
-    AMB_PEER_DUTIES_OFF,     /* switched off, or a version without them */
+    AMB_PEER_DUTIES_UNKNOWN, /* no heartbeat has been received */
+    AMB_PEER_DUTIES_OFF,     /* disabled, or the peer runs a version without duties */
     AMB_PEER_DUTIES_ON,
 };
 
 enum amb_scaling_path {
     AMB_SCALING_BY_LEADER,
-    AMB_SCALING_BY_HOLDER, /* by intents of the leader */
-    AMB_SCALING_PAUSED,    /* what was begun is finished; nothing new is begun */
+    AMB_SCALING_BY_HOLDER, /* by intents that the leader writes */
+    AMB_SCALING_PAUSED,    /* open requests and intents are finished; no new ones are begun */
 };
 
-/* Are duties switched on by this controller's own options? */
+/* Returns true if this controller's own options enable duties. */
 bool amb_duties_is_enabled(const struct amb_node *node);
-/* Should duties be in use, by the latest heartbeat of every peer, however old? They come into use when all
- * say so, and go out of use when one says no: one that has not been heard of since this controller started
- * changes nothing. */
+/* Returns true if duties should be in use, according to the options of this controller and the latest
+ * heartbeat of every peer, however old. Duties come into use when all peers have them enabled, and go out of
+ * use when one peer has them disabled. A peer without a heartbeat since this controller started changes
+ * nothing. */
 bool amb_duties_is_agreed(const struct amb_node *node);
-/* Takes over what a message of the peer says: whether duties are switched on there. */
+/* Records whether a message of the peer says that duties are enabled there. */
 void amb_duties_update_peer(struct amb_peer *peer, bool on);
-/* The path that is in use now. */
+/* Returns the scaling path that is in use now. */
 enum amb_scaling_path amb_duties_scaling_path(const struct amb_node *node);
 
 #endif
--- a/lib/cloud_duty/cloud_access.c
+++ b/lib/cloud_duty/cloud_access.c
@@ -13,15 +13,15 @@
     void *arg;
 };
 
-static void add_machines(const cbor_item_t *body, struct amb_duty_intent_payload *work) {
+static void add_machines(const cbor_item_t *body, struct amb_duty_intent_payload *payload) {
     const struct amb_cloud_acquired acquired = amb_codec_decode_acquired(body);
     for (size_t i = 0; i < acquired.count; i++) {
         char name[AMB_NAME_SIZE];
-        if (amb_codec_acquired_name(&acquired, i, name)) amb_duty_intent_payload_add_machine(work, name);
+        if (amb_codec_acquired_name(&acquired, i, name)) amb_duty_intent_payload_add_machine(payload, name);
     }
 }
 
-/* An answer to scale out that can't be read proves nothing: the same id is requested again. */
+/* A response to scale out that cannot be decoded counts as no answer, so the same id is requested again. */
 static enum amb_duty_cloud_answer decode_answer(enum amb_duty_name duty, int status,
                                                 const cbor_item_t *body) {
     switch (status) {
@@ -47,33 +47,33 @@
 }
 
 static void encode_body(struct amb_buf *body, const struct amb_duty_intent_record *intent,
-                        const struct amb_duty_intent_payload *work, uint64_t fencing_token) {
+                        const struct amb_duty_intent_payload *payload, uint64_t fencing_token) {
     const struct amb_cloud_fence fence = {.duty = amb_duty_name_text(intent->duty),
                                           .fencing_token = fencing_token};
     if (intent->duty == AMB_DUTY_RENT) {
         const struct amb_cloud_scale_out request = {.request_id = intent->id,
-                                                    .type = work->type,
-                                                    .zone = work->zone,
-                                                    .spot = work->spot,
-                                                    .count = work->count,
+                                                    .type = payload->type,
+                                                    .zone = payload->zone,
+                                                    .spot = payload->spot,
+                                                    .count = payload->count,
                                                     .fence = fence};
         amb_codec_encode_scale_out(body, &request);
     } else {
         const struct amb_cloud_release release = {
-            .names = work->machines, .count = work->machine_count, .fence = fence};
+            .names = payload->machines, .count = payload->machine_count, .fence = fence};
         amb_codec_encode_release(body, &release);
     }
 }
 
 bool amb_duties_call_cloud(struct amb_node *node, const struct amb_duty_intent_record *intent,
-                           const struct amb_duty_intent_payload *work, uint64_t fencing_token,
+                           const struct amb_duty_intent_payload *payload, uint64_t fencing_token,
                            amb_duty_cloud_done done, void *arg) {
     if (!amb_cloud_take_token(node, amb_now())) return false;
     struct amb_buf body = {0};
     const char *path = intent->duty == AMB_DUTY_RENT ? AMB_CLOUD_MACHINES_PATH : AMB_CLOUD_RELEASE_PATH;
     struct cloud_duty_call *call = amb_alloc(sizeof *call);
     *call = (struct cloud_duty_call){.node = node, .duty = intent->duty, .done = done, .arg = arg};
-    encode_body(&body, intent, work, fencing_token);
+    encode_body(&body, intent, payload, fencing_token);
     amb_cloud_post(node, path, &body, handle_answer, call);
     return true;
 }
--- a/lib/cloud_duty/duty_options.c
+++ b/lib/cloud_duty/duty_options.c
@@ -6,7 +6,7 @@
 
 #include <stdio.h>
 
-/* An answer of the key-value store is waited for at least so long, in heartbeat periods. */
+/* Minimum call timeout of the key-value store, in heartbeat periods. */
 static const double CALL_TIMEOUT_HEARTBEATS = 0.1;
 
 struct amb_duty_settings amb_duties_make_settings(const struct amb_settings *settings,
@@ -18,7 +18,8 @@
     if (duty_settings.call_timeout < call_timeout) duty_settings.call_timeout = call_timeout;
     if (duty_settings.backoff < duty_settings.call_timeout)
         duty_settings.backoff = duty_settings.call_timeout;
-    if (duty_settings.keep_settled <= 0) duty_settings.keep_settled = duty_settings.keep_uncertain = ttl;
+    if (duty_settings.settled_retention <= 0)
+        duty_settings.settled_retention = duty_settings.uncertain_retention = ttl;
     char wrong_name[AMB_NAME_SIZE];
     amb_duty_settings_parse_names(&duty_settings, options->duty_names, wrong_name, sizeof wrong_name);
     return duty_settings;
--- a/lib/cloud_duty/participation.c
+++ b/lib/cloud_duty/participation.c
@@ -10,67 +10,68 @@
 
 #include <string.h>
 
-/* Ticks of the service within a backoff. */
+/* Ticks of the service per backoff. */
 enum { TICKS_PER_BACKOFF = 4 };
 
-/* ---- what the service needs of the controller ---- */
+/* ---- callbacks of the duty service ---- */
 
-static amb_ms port_now(void *context) {
+static amb_ms callback_now(void *context) {
     (void)context;
     return amb_now();
 }
 
-static bool port_call_cloud(void *context, const struct amb_duty_intent_record *intent,
-                            const struct amb_duty_intent_payload *work, uint64_t fencing_token,
-                            amb_duty_cloud_done done, void *arg) {
-    return amb_duties_call_cloud(context, intent, work, fencing_token, done, arg);
+static bool callback_call_cloud(void *context, const struct amb_duty_intent_record *intent,
+                                const struct amb_duty_intent_payload *payload, uint64_t fencing_token,
+                                amb_duty_cloud_done done, void *arg) {
+    return amb_duties_call_cloud(context, intent, payload, fencing_token, done, arg);
 }
 
-/* Only leaders read the cloud's list: this controller knows what was proved while it led, and no more. */
-static bool port_proved_gone(void *context, const struct amb_duty_intent_payload *work) {
-    for (uint32_t i = 0; i < work->machine_count; i++)
-        if (!amb_machine_was_removed(context, work->machines[i])) return false;
-    return work->machine_count > 0;
+/* Only leaders read the machine list of the cloud, so this controller knows only the absences that were
+ * proven while it was the leader. */
+static bool callback_is_absence_proven(void *context, const struct amb_duty_intent_payload *payload) {
+    for (uint32_t i = 0; i < payload->machine_count; i++)
+        if (!amb_machine_was_removed(context, payload->machines[i])) return false;
+    return payload->machine_count > 0;
 }
 
-static void port_order_changed(void *context, const struct amb_duty_intent_record *intent,
-                               const struct amb_duty_intent_payload *work) {
-    amb_duties_apply_intent(context, intent, work);
+static void callback_intent_changed(void *context, const struct amb_duty_intent_record *intent,
+                                    const struct amb_duty_intent_payload *payload) {
+    amb_duties_apply_intent(context, intent, payload);
 }
 
-static void port_loaded(void *context) {
+static void callback_loaded(void *context) {
     struct amb_node *node = context;
-    amb_info("duties: records read, %u orders open",
+    amb_info("duties: all records read, %u open intents",
              amb_duty_service_count_open_intents(&node->duties.service));
 }
 
-static void port_log(void *context, const char *line) {
+static void callback_log(void *context, const char *line) {
     (void)context;
     amb_info("%s", line);
 }
 
-/* ---- taking part ---- */
+/* ---- membership ---- */
 
-/* A controller takes part even with duties switched off, as long as the cluster works by them, so that open
- * intents find a holder, and until the last record of an intent is removed. */
+/* A controller takes part even if its own options disable duties, as long as the mode says that duties are in
+ * use, so that open intents find a holder, and until the record of the last intent is removed. */
 static bool is_participant(const struct amb_node *node) {
     const struct amb_duties *duties = &node->duties;
     return duties->keys_listed && (amb_duties_is_enabled(node) || duties->mode == AMB_DUTY_MODE_DUTIES ||
                                    duties->records_exist || duties->service.entries);
 }
 
-/* The share of all holders' writes that the duties held here need: scale out takes two writes, as scale in
- * does, and is more frequent. */
+/* The part of the holders' write budget that the duties held by this member need. Scale out and scale in both
+ * take two writes per intent, and scale out is more frequent. */
 static double held_write_share(const struct amb_duty_service *service) {
-    static const double parts[AMB_DUTY_COUNT] = {
+    static const double shares[AMB_DUTY_COUNT] = {
         [AMB_DUTY_RENT] = 0.5, [AMB_DUTY_RETURN] = 0.2, [AMB_DUTY_RECLAIM] = 0.2, [AMB_DUTY_CLEANUP] = 0.1};
     double held = 0;
     for (int i = 0; i < AMB_DUTY_COUNT; i++)
-        if (amb_duty_service_is_holder(service, (enum amb_duty_name)i)) held += parts[i];
+        if (amb_duty_service_is_holder(service, (enum amb_duty_name)i)) held += shares[i];
     return held;
 }
 
-static void share_writes(struct amb_node *node) {
+static void update_write_share(struct amb_node *node) {
     const struct amb_duties *duties = &node->duties;
     bool in_use = duties->service.active && duties->mode == AMB_DUTY_MODE_DUTIES;
     amb_store_set_duty_share(&node->store, in_use, in_use ? held_write_share(&duties->service) : 0);
@@ -81,7 +82,7 @@
     struct amb_duties *duties = &node->duties;
     amb_duty_service_tick(&duties->service);
     if (!is_participant(node)) amb_duty_service_stop(&duties->service);
-    share_writes(node);
+    update_write_share(node);
     if (!duties->service.active) return;
     amb_timer_set_after(&duties->timer, duties->service.core.settings.backoff / TICKS_PER_BACKOFF, tick,
                         node);
@@ -90,18 +91,19 @@
 static void participate(struct amb_node *node) {
     struct amb_duties *duties = &node->duties;
     if (duties->service.active || !is_participant(node)) return;
-    const struct amb_duty_service_callbacks ports = {.kvstore = amb_duty_kvstore_from_client(&node->store),
-                                                     .context = node,
-                                                     .now = port_now,
-                                                     .call_cloud = port_call_cloud,
-                                                     .is_absence_proven = port_proved_gone,
-                                                     .intent_changed = port_order_changed,
-                                                     .loaded = port_loaded,
-                                                     .log = port_log};
+    const struct amb_duty_service_callbacks callbacks = {.kvstore =
+                                                             amb_duty_kvstore_from_client(&node->store),
+                                                         .context = node,
+                                                         .now = callback_now,
+                                                         .call_cloud = callback_call_cloud,
+                                                         .is_absence_proven = callback_is_absence_proven,
+                                                         .intent_changed = callback_intent_changed,
+                                                         .loaded = callback_loaded,
+                                                         .log = callback_log};
     struct amb_duty_settings settings = amb_duties_make_settings(&node->settings, &node->options);
     duties->records_exist = false;
-    amb_info("duties: this node takes part, lease %lld ms", (long long)settings.ttl);
-    amb_duty_service_start(&duties->service, &ports, &settings, node->settings.member, amb_nonce());
+    amb_info("duties: this node joins as a member, lease %lld ms", (long long)settings.ttl);
+    amb_duty_service_start(&duties->service, &callbacks, &settings, node->settings.member, amb_nonce());
     tick(node);
 }
 
--- a/lib/cloud_duty/scaling_mode.c
+++ b/lib/cloud_duty/scaling_mode.c
@@ -13,13 +13,14 @@
     if (revision <= duties->mode_revision) return;
     duties->mode_revision = value ? revision : 0;
     duties->mode_unknown = value && amb_duty_decode_mode(value, &mode) != AMB_DUTY_DECODED;
-    if (duties->mode_unknown) amb_error("duties: %s is of a form that is not known", AMB_DUTY_MODE_KEY);
+    if (duties->mode_unknown) amb_error("duties: ignoring %s: unknown version", AMB_DUTY_MODE_KEY);
     duties->mode_write_pending = false;
     if (mode != duties->mode) amb_info("duties: mode %s is in use", amb_duty_mode_text(mode));
     duties->mode = mode;
 }
 
-/* Has the leader a call in flight, or to repeat, that a holder's call must not meet? */
+/* Returns true if the leader has a scale-out or release call in flight or to repeat, which must not overlap
+ * with calls of a holder. */
 static bool leader_has_open_calls(const struct amb_node *node) {
     const struct amb_cloud *cloud = &node->cloud;
     if (cloud->release.count) return true;
@@ -41,11 +42,11 @@
     struct amb_duties *duties = &node->duties;
     (void)status, (void)body;
     duties->mode_write_in_flight = false;
-    /* A change of the key tells whether it was carried out; until then nothing is begun. */
+    /* A change of the key shows whether the write was committed; until then nothing new is begun. */
     duties->mode_retry_at = amb_now() + node->store.call_timeout;
 }
 
-/* The same comparisons each time: of several copies one is carried out at most. */
+/* Every copy has the same comparisons, so at most one of them is committed. */
 static void write_mode(struct amb_node *node, enum amb_duty_mode mode) {
     struct amb_duties *duties = &node->duties;
     struct amb_txn transaction = {0};
@@ -82,7 +83,8 @@
 
 void amb_duties_reset(struct amb_node *node) {
     struct amb_duties *duties = &node->duties;
-    duties->mode_write_pending = false; /* the term is over: what was not carried out never is */
-    amb_duty_intent_payload_free(&duties->scale_in.work);
+    /* The term has ended, so a write that is not committed yet never will be. */
+    duties->mode_write_pending = false;
+    amb_duty_intent_payload_free(&duties->scale_in.payload);
     memset(&duties->scale_in, 0, sizeof duties->scale_in);
 }
--- a/lib/duty/assignment.c
+++ b/lib/duty/assignment.c
@@ -14,8 +14,8 @@
 }
 
 uint64_t amb_duty_weight(enum amb_duty_name duty, const char *member) {
-    /* FNV-1a over the duty's name and the member's, then the finalizer of splitmix64: FNV alone leaves the
-     * high bits of names that differ at the end nearly alike. */
+    /* FNV-1a over the names of the duty and the member, then the finalizer of splitmix64: with FNV alone,
+     * names that differ only at the end have nearly the same high bits. */
     uint64_t hash = 14695981039346656037ULL;
     for (const char *text = amb_duty_name_text(duty); *text; text++)
         hash = (hash ^ (unsigned char)*text) * 1099511628211ULL;
@@ -26,7 +26,7 @@
     return hash ^ (hash >> 31);
 }
 
-/* Does `other` come before the member? Names decide between equal weights. */
+/* Returns true if `other` ranks before the member. Names break ties between equal weights. */
 static bool is_preferred(enum amb_duty_name duty, const struct amb_duty_member *other, bool other_flaps,
                          const char *name, bool flaps) {
     if (other_flaps != flaps) return flaps;
--- a/lib/duty/candidacy.c
+++ b/lib/duty/candidacy.c
@@ -1,10 +1,10 @@
-/* Candidacy for a duty that nobody holds: when to claim it, and what became of the claim. */
+/* Candidacy for a vacant duty: when to claim it, and the result of the claim. */
 #include "internal.h"
 
 #include <string.h>
 
-/* Does nobody hold it, as far as is known? A member's key of another incarnation than the one that claimed
- * shows that the claim's incarnation is over, as its absence does. */
+/* Returns true if no member holds the duty, as far as is known. The incarnation that claimed it is over if
+ * the member key is absent or belongs to another incarnation. */
 static bool is_vacant(struct amb_duty_core *core, const struct amb_duty *duty) {
     if (!duty->record_known) return false;
     if (!duty->record.present || duty->record.state == AMB_DUTY_RECORD_RELEASED) return true;
@@ -19,13 +19,14 @@
     duty->vacant = vacant;
 }
 
-/* When to claim: the preferred member at once, each other one a backoff later than the one before it. A
- * successor that the last holder named goes first, and whoever released the duty comes last. */
+/* Delay before claiming: the preferred member claims at once, and each further member one backoff after the
+ * member ranked before it. A successor named by the last holder claims first, and the member that released
+ * the duty claims last. */
 static amb_ms candidacy_delay(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty_core *core = step->core;
     const struct amb_duty *duty = &core->duties[name];
     const struct amb_duty_record *record = &duty->record;
-    uint32_t rank = amb_duty_rank(core->members, AMB_DUTY_MEMBERS, name, core->member,
+    uint32_t rank = amb_duty_rank(core->members, AMB_DUTY_MAX_MEMBERS, name, core->member,
                                   core->settings.flap_decay, step->now);
     if (record->present && record->state == AMB_DUTY_RECORD_RELEASED) {
         const struct amb_duty_member *successor = duty_find_member(core, record->successor);
@@ -33,10 +34,10 @@
             rank = 0;
         else if (successor && successor->alive)
             rank++;
-        if (!strcmp(record->holder, core->member)) rank = AMB_DUTY_MEMBERS;
+        if (!strcmp(record->holder, core->member)) rank = AMB_DUTY_MAX_MEMBERS;
     }
     uint32_t alive = 0;
-    for (int i = 0; i < AMB_DUTY_MEMBERS; i++) alive += core->members[i].alive;
+    for (int i = 0; i < AMB_DUTY_MAX_MEMBERS; i++) alive += core->members[i].alive;
     if (rank > alive) rank = alive;
     if (!rank) return 0;
     amb_ms jitter = (amb_ms)(duty_next_random(core) % (uint64_t)(core->settings.backoff / 2 + 1));
@@ -49,7 +50,7 @@
     amb_ms after_failure =
         duty->attempts ? step->now + duty_backoff(step->core, duty->attempts - 1) : step->now;
     duty->claim_at = at > after_failure ? at : after_failure;
-    duty_set_state(step, name, AMB_DUTY_CANDIDATE, "nobody holds it");
+    duty_set_state(step, name, AMB_DUTY_CANDIDATE, "the duty is vacant");
 }
 
 static void send_claim(struct duty_step *step, enum amb_duty_name name) {
@@ -69,7 +70,7 @@
     commit->expected_incarnation = core->incarnation.revision;
     if (duty->record.present && duty->record.state == AMB_DUTY_RECORD_HELD &&
         strcmp(duty->record.holder, core->member) != 0) {
-        /* The incarnation that holds it must be over: its key gone, or that of another incarnation. */
+        /* The incarnation of the holder must be over: its key is absent or belongs to another incarnation. */
         const struct amb_duty_member *holder = duty_find_member(core, duty->record.holder);
         strcpy(commit->expected_member.member, duty->record.holder);
         commit->expected_member.revision = holder && holder->alive ? holder->incarnation : 0;
@@ -78,8 +79,8 @@
     duty->called_at = step->now;
 }
 
-/* The claim may have been carried out, or may be later: only the record tells. A second claim has the same
- * comparisons, so that one of the two at most is carried out. */
+/* The claim may have been committed, or may still be: only the record shows it. A second claim compares the
+ * same revisions, so at most one of the two is committed. */
 static void handle_claim_timeout(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty *duty = &step->core->duties[name];
     duty->call = 0;
@@ -108,14 +109,14 @@
     strcpy(record.holder, core->member);
     switch (step->event->result) {
     case AMB_CALL_OK:
-        /* The answer may come when a later record is known already: then another has claimed since. */
+        /* If a later record is already known, another member has claimed since. */
         if (record.revision > duty->record.revision)
-            duty_win(step, name, &record, "the claim was carried out");
+            duty_win(step, name, &record, "the claim was committed");
         else
-            handle_claim_failure(step, name, "the claim is older than what is known");
+            handle_claim_failure(step, name, "a later record than the claim is known");
         break;
     case AMB_CALL_NO_ANSWER: handle_claim_timeout(step, name); break;
-    case AMB_CALL_CONFLICT: handle_claim_failure(step, name, "somebody else was first"); break;
+    case AMB_CALL_CONFLICT: handle_claim_failure(step, name, "another member claimed first"); break;
     case AMB_CALL_NOT_FOUND:
     case AMB_CALL_REFUSED: handle_claim_failure(step, name, "the claim was refused"); break;
     }
@@ -127,7 +128,8 @@
         handle_claim_timeout(step, name);
     if (duty->call) return;
     if (!duty->vacant || step->core->stopping)
-        duty_set_state(step, name, AMB_DUTY_IDLE, duty->vacant ? "the member stops" : "another holds it");
+        duty_set_state(step, name, AMB_DUTY_IDLE,
+                       duty->vacant ? "the member stops" : "another member holds it");
     else if (step->now >= duty->claim_at && duty_incarnation_is_valid(step->core, step->now))
         send_claim(step, name);
 }
--- a/lib/duty/core.c
+++ b/lib/duty/core.c
@@ -7,30 +7,30 @@
 static void advance_duty(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty_core *core = step->core;
     struct amb_duty *duty = &core->duties[name];
-    bool sure = duty_incarnation_is_valid(core, step->now);
+    bool lease_valid = duty_incarnation_is_valid(core, step->now);
     if (!core->settings.enabled[name]) return;
     if (!duty_is_owned(duty)) duty_candidacy_update_vacancy(step, duty);
     switch (duty->state) {
     case AMB_DUTY_IDLE:
-        if (duty->vacant && sure && !core->stopping) duty_candidacy_begin(step, name);
+        if (duty->vacant && lease_valid && !core->stopping) duty_candidacy_begin(step, name);
         break;
     case AMB_DUTY_CANDIDATE: duty_candidacy_advance(step, name); break;
     case AMB_DUTY_HELD:
         if (core->stopping)
             duty_drain(step, name, "", "the member stops");
-        else if (!sure)
-            duty_set_state(step, name, AMB_DUTY_FENCED, "the lease may have run out");
+        else if (!lease_valid)
+            duty_set_state(step, name, AMB_DUTY_FENCED, "the lease may have expired");
         break;
     case AMB_DUTY_FENCED:
-        if (sure) duty_set_state(step, name, AMB_DUTY_HELD, "the lease is renewed");
+        if (lease_valid) duty_set_state(step, name, AMB_DUTY_HELD, "the lease was renewed");
         break;
     case AMB_DUTY_DRAINING: duty_handover_advance(step, name); break;
     case AMB_DUTY_LOST:
         if (step->now - duty->state_since >= core->settings.backoff)
-            duty_set_state(step, name, AMB_DUTY_IDLE, "the loss is over");
+            duty_set_state(step, name, AMB_DUTY_IDLE, "the backoff after the loss is over");
         break;
     }
-    /* The preferred member claims at once. */
+    /* The preferred member claims in the same step. */
     if (duty->state == AMB_DUTY_CANDIDATE && !duty->call) duty_candidacy_advance(step, name);
 }
 
@@ -73,7 +73,7 @@
     case AMB_DUTY_INTENT_CHANGED:
     case AMB_DUTY_INTENT_READ: duty_intents_apply_record(step); break;
     case AMB_DUTY_CLOUD_ANSWERED: duty_intents_handle_answer(step); break;
-    case AMB_DUTY_PROVED_GONE: duty_intents_note_gone(step); break;
+    case AMB_DUTY_ABSENCE_PROVEN: duty_intents_note_gone(step); break;
     case AMB_DUTY_DRAIN_REQUESTED:
         duty_drain(step, event->duty, event->successor, event->cause ? event->cause : "handed over");
         break;
--- a/lib/duty/handover.c
+++ b/lib/duty/handover.c
@@ -1,4 +1,4 @@
-/* Planned handover: a duty is drained of its intents, then released. */
+/* Planned handover: the duty drains its open intents and is then released. */
 #include "internal.h"
 
 #include <stdio.h>
@@ -17,8 +17,8 @@
 void duty_handle_fenced_call(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty *duty = &step->core->duties[name];
     if (!duty_is_owned(duty)) return;
-    /* If we have been replaced, the release fails by its comparison. If not, the next claim has a higher
-     * fencing token. */
+    /* If another member has taken over, the comparison of the release fails. Otherwise the next claim has a
+     * higher fencing token. */
     duty->fenced_calls++;
     duty_drain(step, name, "", "the cloud has seen a higher token");
     duty->drain_deadline = step->now;
@@ -52,22 +52,22 @@
         duty_finish_release(step, name);
         break;
     case AMB_CALL_CONFLICT:
-        duty_lose(step, name, "replaced before it was released");
+        duty_lose(step, name, "replaced by another holder before the release");
         duty_request_record(step, name);
         break;
-    default: duty_request_record(step, name); /* and tried again, under the same comparison */
+    default: duty_request_record(step, name); /* the release is retried with the same comparison */
     }
 }
 
 void duty_handover_advance(struct duty_step *step, enum amb_duty_name name) {
     struct amb_duty *duty = &step->core->duties[name];
-    bool late = duty_has_timed_out(step->core, duty->called_at, step->now);
-    if (duty->call && late) {
+    bool timed_out = duty_has_timed_out(step->core, duty->called_at, step->now);
+    if (duty->call && timed_out) {
         duty->call = 0;
         duty_request_record(step, name);
     }
-    bool again = duty->release_sent && step->now - duty->called_at >= step->core->settings.call_timeout;
+    bool retry_due = duty->release_sent && step->now - duty->called_at >= step->core->settings.call_timeout;
     bool ready = step->now >= duty->drain_deadline ||
                  !amb_duty_intent_table_is_open(&step->core->intents, name, duty->fencing_token);
-    if (!duty->call && (duty->release_sent ? again : ready)) send_release(step, name);
+    if (!duty->call && (duty->release_sent ? retry_due : ready)) send_release(step, name);
 }
--- a/lib/duty/holding.c
+++ b/lib/duty/holding.c
@@ -1,4 +1,5 @@
-/* What this member holds: winning, losing and releasing a duty, and the right to call the cloud for it. */
+/* Duties held by this member: winning, losing and releasing them, and whether it may call the cloud for them.
+ */
 #include "internal.h"
 
 #include <string.h>
@@ -10,7 +11,7 @@
 bool amb_duty_may_call(const struct amb_duty_core *core, enum amb_duty_name name, amb_ms now) {
     const struct amb_duty *duty = &core->duties[name];
     bool holds = duty->state == AMB_DUTY_HELD || duty->state == AMB_DUTY_FENCED ||
-                 /* Once the release is on its way, a successor may hold the duty at any moment. */
+                 /* Once the release has been sent, a successor may hold the duty at any moment. */
                  (duty->state == AMB_DUTY_DRAINING && !duty->call && !duty->release_sent);
     return holds && duty_incarnation_is_valid(core, now);
 }
@@ -24,7 +25,7 @@
                     const char *cause) {
     struct amb_duty *duty = &step->core->duties[name];
     if (duty->state == to) return;
-    /* Only a line in the log: when there is no room for it, nothing depends on it. */
+    /* The action is only logged, so nothing depends on it if the output is full. */
     struct amb_duty_action *action = duty_emit(step, AMB_DUTY_STATE_CHANGED, name);
     if (action) {
         action->from = duty->state;
@@ -97,10 +98,10 @@
             record->fencing_token == duty->fencing_token)
             duty_finish_release(step, name);
         else
-            duty_lose(step, name, "the record names another");
+            duty_lose(step, name, "the record names another holder");
     } else if (ours) {
-        /* A claim whose answer was lost, or that was carried out late. */
-        duty_win(step, name, record, "the record is ours");
+        /* The claim whose response was lost, or that was committed late. */
+        duty_win(step, name, record, "the record names this incarnation");
         return;
     }
     if (record->fencing_token != duty->record.fencing_token) duty->handovers++;
--- a/lib/duty/incarnation.c
+++ b/lib/duty/incarnation.c
@@ -1,4 +1,4 @@
-/* This member's incarnation: its lease and the key on it. Also the keys of the other members. */
+/* The incarnation of this member (its lease and the key on it), and the keys of the other members. */
 #include "internal.h"
 
 #include <string.h>
@@ -10,36 +10,36 @@
 }
 
 struct amb_duty_member *duty_find_member(struct amb_duty_core *core, const char *name) {
-    for (int i = 0; i < AMB_DUTY_MEMBERS; i++)
+    for (int i = 0; i < AMB_DUTY_MAX_MEMBERS; i++)
         if (core->members[i].name[0] && !strcmp(core->members[i].name, name)) return &core->members[i];
     return NULL;
 }
 
-/* A place for a member that is not known yet: a free one, or that of the member that was lost the longest
- * ago. */
+/* Adds a member that is not known yet: in a free slot, or in that of the dead member whose lease was lost
+ * longest ago. Returns NULL if all members are alive. */
 static struct amb_duty_member *add_member(struct amb_duty_core *core, const char *name) {
-    struct amb_duty_member *place = NULL;
-    for (int i = 1; i < AMB_DUTY_MEMBERS; i++) {
+    struct amb_duty_member *slot = NULL;
+    for (int i = 1; i < AMB_DUTY_MAX_MEMBERS; i++) {
         struct amb_duty_member *member = &core->members[i];
         if (member->alive) continue;
         if (!member->name[0]) {
-            place = member;
+            slot = member;
             break;
         }
-        if (!place || member->last_loss_at < place->last_loss_at) place = member;
+        if (!slot || member->last_loss_at < slot->last_loss_at) slot = member;
     }
-    if (!place) return NULL;
-    memset(place, 0, sizeof *place);
-    strcpy(place->name, name);
-    return place;
+    if (!slot) return NULL;
+    memset(slot, 0, sizeof *slot);
+    strcpy(slot->name, name);
+    return slot;
 }
 
-/* ---- ending and beginning ---- */
+/* ---- start, renewal and end of the incarnation ---- */
 
 static void end_incarnation(struct duty_step *step, const char *cause) {
     struct amb_duty_incarnation *incarnation = &step->core->incarnation;
-    struct amb_duty_action *drop = incarnation->lease.id ? duty_emit(step, AMB_DUTY_REVOKE_LEASE, 0) : NULL;
-    if (drop) drop->lease = incarnation->lease.id;
+    struct amb_duty_action *revoke = incarnation->lease.id ? duty_emit(step, AMB_DUTY_REVOKE_LEASE, 0) : NULL;
+    if (revoke) revoke->lease = incarnation->lease.id;
     bool live = incarnation->state == AMB_DUTY_INCARNATION_LIVE;
     memset(incarnation, 0, sizeof *incarnation);
     incarnation->retry_at = step->now + duty_backoff(step->core, 0);
@@ -55,8 +55,8 @@
     incarnation->called_at = incarnation->grant_sent_at = step->now;
 }
 
-/* The key is written over what is known of it. A copy of this write that comes late is compared with the
- * same revision, and says the same. */
+/* The write compares the known revision of the key. A late copy of it compares the same revision and writes
+ * the same value. */
 static void write_key(struct duty_step *step) {
     struct amb_duty_core *core = step->core;
     struct amb_duty_incarnation *incarnation = &core->incarnation;
@@ -112,40 +112,41 @@
 void duty_incarnation_advance(struct duty_step *step) {
     struct amb_duty_core *core = step->core;
     struct amb_duty_incarnation *incarnation = &core->incarnation;
-    bool late = duty_has_timed_out(core, incarnation->called_at, step->now);
+    bool timed_out = duty_has_timed_out(core, incarnation->called_at, step->now);
     switch (incarnation->state) {
     case AMB_DUTY_INCARNATION_NONE:
         if (step->now >= incarnation->retry_at && !core->stopping) request_lease(step);
         break;
     case AMB_DUTY_INCARNATION_GRANTING:
-        if (late) end_incarnation(step, "no lease");
+        if (timed_out) end_incarnation(step, "no lease was granted");
         break;
     case AMB_DUTY_INCARNATION_WRITING:
     case AMB_DUTY_INCARNATION_READING:
-        /* The lease is not renewed meanwhile. */
+        /* The lease is not renewed in these states. */
         if (!amb_duty_lease_is_valid(&incarnation->lease, &core->settings, step->now))
             end_incarnation(step, "the member key could not be written in time");
-        else if (late)
+        else if (timed_out)
             request_key(step);
         break;
     case AMB_DUTY_INCARNATION_LIVE: renew_lease(step); break;
     }
 }
 
-/* ---- answers and changes ---- */
+/* ---- responses and changes ---- */
 
 void duty_incarnation_handle_grant(struct duty_step *step) {
     struct amb_duty_incarnation *incarnation = &step->core->incarnation;
     const struct amb_duty_event *event = step->event;
     if (incarnation->state != AMB_DUTY_INCARNATION_GRANTING || event->call != incarnation->call) {
-        /* Not waited for any more, unless it is a copy of the answer that brought the present lease. */
-        bool unused = event->result == AMB_CALL_OK && event->lease != incarnation->lease.id;
-        struct amb_duty_action *drop = unused ? duty_emit(step, AMB_DUTY_REVOKE_LEASE, 0) : NULL;
-        if (drop) drop->lease = event->lease;
+        /* A response that is no longer waited for: its lease is unused, unless this is a copy of the response
+         * that granted the current lease. */
+        bool is_unused = event->result == AMB_CALL_OK && event->lease != incarnation->lease.id;
+        struct amb_duty_action *revoke = is_unused ? duty_emit(step, AMB_DUTY_REVOKE_LEASE, 0) : NULL;
+        if (revoke) revoke->lease = event->lease;
         return;
     }
     if (event->result != AMB_CALL_OK) {
-        end_incarnation(step, "no lease");
+        end_incarnation(step, "no lease was granted");
         return;
     }
     incarnation->lease.id = event->lease;
@@ -162,7 +163,7 @@
     if (event->result == AMB_CALL_OK)
         amb_duty_lease_note_renewal(&incarnation->lease, incarnation->renewal_sent_at);
     else if (event->result == AMB_CALL_NOT_FOUND)
-        end_incarnation(step, "the lease has run out");
+        end_incarnation(step, "the lease has expired");
 }
 
 bool duty_incarnation_handle_commit(struct duty_step *step) {
@@ -179,7 +180,7 @@
     return true;
 }
 
-/* News of our own key. */
+/* Applies a change or a read of this member's own key. */
 static void apply_own_key(struct duty_step *step, const struct amb_duty_member_record *record) {
     struct amb_duty_incarnation *incarnation = &step->core->incarnation;
     bool ours = record->present && record->nonce == incarnation->nonce;
@@ -195,8 +196,8 @@
         break;
     case AMB_DUTY_INCARNATION_LIVE:
         if (!ours && record->revision > incarnation->revision)
-            end_incarnation(step,
-                            record->present ? "another process has our name" : "the member key is gone");
+            end_incarnation(step, record->present ? "another process uses this member name"
+                                                  : "the member key was removed");
         break;
     default: break;
     }
--- a/lib/duty/intent.c
+++ b/lib/duty/intent.c
@@ -2,13 +2,15 @@
 
 #include <string.h>
 
-/* A result that an earlier holder, or this one, can't prove by an answer of the cloud alone. */
+/* The result that follows from evidence other than a response of the cloud: void, or the absence of the
+ * machines. */
 static enum amb_duty_intent_result result_from_evidence(const struct amb_duty_intent *intent) {
     const struct amb_duty_intent_record *record = &intent->record;
-    /* Never sent: the mark as sent, which comes before every call, can't be written any more once the
-     * record has been written as void, since both are compared with the revision of the pending record. */
+    /* The intent was never sent. Every call comes after a write that marks the record as sent, and that write
+     * cannot be committed once the record is void, because both compare the revision of the pending record.
+     */
     if (record->withdrawn && record->state == AMB_DUTY_INTENT_PENDING) return AMB_DUTY_RESULT_VOID;
-    if (intent->proved_gone && record->duty != AMB_DUTY_RENT) return AMB_DUTY_RESULT_GONE;
+    if (intent->absence_proven && record->duty != AMB_DUTY_RENT) return AMB_DUTY_RESULT_GONE;
     return AMB_DUTY_RESULT_NONE;
 }
 
@@ -22,13 +24,13 @@
     if (*result) return AMB_DUTY_STEP_SETTLE;
     if (record->state == AMB_DUTY_INTENT_SENT && record->fencing_token == fencing_token)
         return AMB_DUTY_STEP_CALL;
-    return may_begin ? AMB_DUTY_STEP_MARK : AMB_DUTY_STEP_NONE;
+    return may_begin ? AMB_DUTY_STEP_MARK_SENT : AMB_DUTY_STEP_NONE;
 }
 
 bool amb_duty_intent_is_removable(const struct amb_duty_intent *intent,
                                   const struct amb_duty_settings *settings, amb_ms now) {
     if (intent->record.state != AMB_DUTY_INTENT_SETTLED || now < intent->retry_at) return false;
-    amb_ms keep = intent->record.unanswered ? settings->keep_uncertain : settings->keep_settled;
+    amb_ms keep = intent->record.unanswered ? settings->uncertain_retention : settings->settled_retention;
     return now - intent->state_known_at >= keep;
 }
 
@@ -48,9 +50,9 @@
     record.state = AMB_DUTY_INTENT_SETTLED;
     record.result = result;
     record.fencing_token = fencing_token;
-    /* Where the cloud has carried it out, a copy that comes later does nothing: names are used once. */
-    bool closed = result != AMB_DUTY_RESULT_NO_CAPACITY && result != AMB_DUTY_RESULT_MALFORMED;
-    record.unanswered = closed ? 0 : record.unanswered + intent->unanswered;
+    /* If the cloud has carried out the call, a later copy has no effect, because ids are used once. */
+    bool copies_harmless = result != AMB_DUTY_RESULT_NO_CAPACITY && result != AMB_DUTY_RESULT_MALFORMED;
+    record.unanswered = copies_harmless ? 0 : record.unanswered + intent->unanswered;
     return record;
 }
 
--- a/lib/duty/intent_dispatch.c
+++ b/lib/duty/intent_dispatch.c
@@ -1,9 +1,10 @@
-/* The holder's work on its intents: marked as sent, sent, settled; and removal of settled records. */
+/* Processing of intents by the holder: recorded as sent, sent to the cloud, settled; and removal of settled
+ * records. */
 #include "internal.h"
 
 #include <string.h>
 
-/* Actions of the output that intents leave to whatever else an event may need. */
+/* Slots of the output that intents leave free for other actions of an event. */
 enum { RESERVED_ACTIONS = 4 };
 
 static bool has_room(struct duty_step *step) {
@@ -30,9 +31,9 @@
     if (read) read->intent = intent->record;
 }
 
-/* ---- beginning ---- */
+/* ---- writes and calls ---- */
 
-/* Every write is compared with the revision of our claim of the duty, and with that of the intent. */
+/* Every write compares the revision of this member's claim of the duty, and that of the intent. */
 static void commit_intent(struct duty_step *step, struct amb_duty_intent *intent,
                           const struct amb_duty_intent_record *record, enum amb_duty_intent_phase phase) {
     struct amb_duty_action *commit = duty_emit_call(step, AMB_DUTY_COMMIT_INTENT, intent->record.duty);
@@ -54,16 +55,17 @@
 
 static void begin_intent(struct duty_step *step, struct amb_duty_intent *intent) {
     const struct amb_duty *duty = &step->core->duties[intent->record.duty];
-    bool ours = duty->state == AMB_DUTY_HELD || (duty->state == AMB_DUTY_DRAINING && !duty->release_sent);
-    if (!ours || !has_room(step)) return;
+    bool is_holder =
+        duty->state == AMB_DUTY_HELD || (duty->state == AMB_DUTY_DRAINING && !duty->release_sent);
+    if (!is_holder || !has_room(step)) return;
     enum amb_duty_intent_result result;
     struct amb_duty_intent_record record;
     switch (amb_duty_intent_next_step(intent, duty->fencing_token, duty->state == AMB_DUTY_HELD, step->now,
                                       &result)) {
     case AMB_DUTY_STEP_NONE: break;
-    case AMB_DUTY_STEP_MARK:
+    case AMB_DUTY_STEP_MARK_SENT:
         record = amb_duty_intent_as_sent(intent, duty->fencing_token);
-        commit_intent(step, intent, &record, AMB_DUTY_PHASE_MARKING);
+        commit_intent(step, intent, &record, AMB_DUTY_PHASE_MARKING_SENT);
         break;
     case AMB_DUTY_STEP_CALL: call_cloud(step, intent); break;
     case AMB_DUTY_STEP_SETTLE:
@@ -86,7 +88,7 @@
     set_phase(step, intent, AMB_DUTY_PHASE_REMOVING, remove->call);
 }
 
-/* No answer came: whatever was asked for may have been done, or may be done later. */
+/* Handles a call without a response: it may have taken effect, or may do so later. */
 static void give_up_call(struct duty_step *step, struct amb_duty_intent *intent) {
     if (intent->phase == AMB_DUTY_PHASE_CALLING)
         amb_duty_intent_apply_answer(intent, AMB_DUTY_CLOUD_NO_ANSWER, &step->core->settings);
@@ -108,7 +110,8 @@
         begin_intent(step, intent);
         if (!intent->phase) remove_if_due(step, intent);
     }
-    /* Without room, from time to time all the same: what fills the table may be gone by now. */
+    /* A full table is relisted once per ttl all the same, because intents in it may have been removed by now.
+     */
     bool due = used < table->capacity || step->now - table->list_requested_at >= step->core->settings.ttl;
     if (!table->overflowed || !due || !has_room(step)) return;
     table->overflowed = false;
@@ -116,7 +119,7 @@
     duty_emit(step, AMB_DUTY_LIST_INTENTS, 0);
 }
 
-/* ---- answers and changes ---- */
+/* ---- responses and changes ---- */
 
 static struct amb_duty_intent *find_by_call(struct amb_duty_core *core, uint64_t call) {
     for (uint32_t i = 0; i < core->intents.capacity; i++) {
@@ -130,7 +133,7 @@
     struct amb_duty_intent_record record;
     uint64_t fencing_token = step->core->duties[intent->record.duty].fencing_token;
     switch (intent->phase) {
-    case AMB_DUTY_PHASE_MARKING:
+    case AMB_DUTY_PHASE_MARKING_SENT:
         record = amb_duty_intent_as_sent(intent, fencing_token);
         intent->unanswered = 0;
         break;
@@ -187,17 +190,17 @@
         if (intent && record->revision > intent->record.revision) amb_duty_intent_table_remove(intent);
         return;
     }
-    /* Only intents that are known are read: this one has been removed since, which was received first.
-     * Added, it would stay for ever. */
+    /* Only known intents are read, so this one was removed after the read, and the removal was received
+     * first. If it were added again, it would stay forever. */
     if (!intent && step->event->type == AMB_DUTY_INTENT_READ) return;
-    bool missed = table->overflowed;
+    bool had_overflowed = table->overflowed;
     if (!intent) intent = amb_duty_intent_table_add(table, record->duty, record->id);
-    if (table->overflowed && !missed) table->list_requested_at = step->now;
+    if (table->overflowed && !had_overflowed) table->list_requested_at = step->now;
     if (intent) amb_duty_intent_apply_record(intent, record, step->now);
 }
 
 void duty_intents_note_gone(struct duty_step *step) {
     struct amb_duty_intent *intent =
         amb_duty_intent_table_find(&step->core->intents, step->event->duty, step->event->intent.id);
-    if (intent) intent->proved_gone = true;
+    if (intent) intent->absence_proven = true;
 }
--- a/lib/duty/intent_table.c
+++ b/lib/duty/intent_table.c
@@ -60,8 +60,8 @@
     for (uint32_t i = 0; i < table->capacity; i++) {
         struct amb_duty_intent *intent = &table->entries[i];
         bool removing = intent->phase == AMB_DUTY_PHASE_REMOVING;
-        bool concerned = duty == AMB_DUTY_CLEANUP ? removing : intent->record.duty == duty && !removing;
-        if (!intent->record.id[0] || !concerned) continue;
+        bool is_affected = duty == AMB_DUTY_CLEANUP ? removing : intent->record.duty == duty && !removing;
+        if (!intent->record.id[0] || !is_affected) continue;
         intent->phase = AMB_DUTY_PHASE_IDLE;
         intent->call = 0;
         intent->retry_at = 0;
--- a/lib/duty/lease.c
+++ b/lib/duty/lease.c
@@ -3,9 +3,9 @@
 enum { PPM = 1000000 };
 
 amb_ms amb_duty_lease_local_ttl(const struct amb_duty_settings *settings) {
-    /* The key-value store's clock may be fast by the drift while ours is slow by it: of a ttl there, no
-     * more than (1 - d) / (1 + d), which is at least 1 - 2d, may pass here. Rounded up, so that the span is
-     * rounded down. */
+    /* The clock of the key-value store may be fast by the drift d while the local clock is slow by d. While a
+     * ttl passes there, only (1 - d) / (1 + d) of it, at least 1 - 2d, passes here. The drift is rounded up,
+     * so that the result is rounded down. */
     amb_ms drift = (settings->ttl * 2 * settings->drift_ppm + PPM - 1) / PPM;
     return settings->ttl - drift - settings->safety_margin;
 }
--- a/lib/duty/scaling_path.c
+++ b/lib/duty/scaling_path.c
@@ -22,7 +22,7 @@
 
 enum amb_scaling_path amb_duties_scaling_path(const struct amb_node *node) {
     const struct amb_duties *duties = &node->duties;
-    /* Off and never on: the leader rents, whatever the rest. */
+    /* Duties are disabled and were never in use, so the leader scales, whatever the other state. */
     if (!amb_duties_is_enabled(node) && !duties->mode_revision) return AMB_SCALING_BY_LEADER;
     if (duties->mode_write_pending || duties->mode_unknown) return AMB_SCALING_PAUSED;
     bool in_use = duties->mode == AMB_DUTY_MODE_DUTIES;
--- a/lib/duty/service.c
+++ b/lib/duty/service.c
@@ -3,12 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-void amb_duty_service_start(struct amb_duty_service *service, const struct amb_duty_service_callbacks *ports,
+void amb_duty_service_start(struct amb_duty_service *service,
+                            const struct amb_duty_service_callbacks *callbacks,
                             const struct amb_duty_settings *settings, const char *member, uint64_t seed) {
     uint64_t incarnation = service->activation + 1;
     memset(service, 0, sizeof *service);
     service->activation = incarnation;
-    service->ports = *ports;
+    service->callbacks = *callbacks;
     service->perform = duty_perform_action;
     service->intent_storage = amb_alloc(AMB_DUTY_MAX_INTENTS * sizeof *service->intent_storage);
     amb_duty_core_init(&service->core, settings, member, seed, service->intent_storage, AMB_DUTY_MAX_INTENTS);
@@ -25,7 +26,7 @@
 void amb_duty_service_abort(struct amb_duty_service *service) {
     if (!service->active) return;
     uint64_t lease = service->core.incarnation.lease.id;
-    if (lease) service->ports.kvstore.revoke(service->ports.kvstore.context, lease);
+    if (lease) service->callbacks.kvstore.revoke(service->callbacks.kvstore.context, lease);
     duty_free_entries(service);
     free(service->intent_storage);
     free(service->queue);
@@ -41,7 +42,8 @@
     return false;
 }
 
-/* An operator's request concerns the holder at that time: one that has claimed since is not meant. */
+/* A request of an operator applies to the holder at the time of the request, not to one that claimed later.
+ */
 static void apply_handovers(struct amb_duty_service *service) {
     for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         const struct amb_duty *duty = &service->core.duties[i];
@@ -56,14 +58,15 @@
     }
 }
 
-/* A scale-in intent of a duty held here that may have been sent, and of which no proof has been fed yet. */
+/* Returns true for a scale-in intent of a duty held by this member that may have been sent, if no proof of
+ * absence has been fed yet. */
 static bool needs_proof(const struct amb_duty_service *service, const struct amb_duty_intent *intent) {
     const struct amb_duty_intent_record *record = &intent->record;
     return record->id[0] && record->duty != AMB_DUTY_RENT && record->state == AMB_DUTY_INTENT_SENT &&
-           !intent->proved_gone && amb_duty_service_is_holder(service, record->duty);
+           !intent->absence_proven && amb_duty_service_is_holder(service, record->duty);
 }
 
-/* A scale-in intent whose calls are never answered is settled once its machines are proved to be gone. */
+/* A scale-in intent whose calls get no response settles once its machines are proven absent. */
 static void feed_proofs(struct amb_duty_service *service) {
     for (uint32_t i = 0; i < service->core.intents.capacity; i++) {
         const struct amb_duty_intent *intent = &service->core.intents.entries[i];
@@ -71,8 +74,9 @@
         char key[AMB_DUTY_KEY_SIZE];
         amb_duty_intent_key(key, intent->record.duty, intent->record.id);
         const struct amb_duty_intent_entry *entry = duty_find_entry(service, key);
-        if (!entry || !service->ports.is_absence_proven(service->ports.context, &entry->work)) continue;
-        duty_feed_event(service, &(struct amb_duty_event){.type = AMB_DUTY_PROVED_GONE,
+        if (!entry || !service->callbacks.is_absence_proven(service->callbacks.context, &entry->payload))
+            continue;
+        duty_feed_event(service, &(struct amb_duty_event){.type = AMB_DUTY_ABSENCE_PROVEN,
                                                           .duty = intent->record.duty,
                                                           .intent = intent->record});
     }
--- a/lib/duty/service_actions.c
+++ b/lib/duty/service_actions.c
@@ -1,4 +1,4 @@
-/* Carries out what the core of single-holder duties decides. */
+/* Carries out the actions of the duty core. */
 #include "service_internal.h"
 
 #include "amberpin/base/trace.h"
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void handle_grant(void *arg, int status, const cbor_item_t *body) {
     struct duty_call call;
@@ -15,8 +15,8 @@
     event.result = amb_store_lease_result(status, body, &event.lease);
     if (service)
         duty_feed_event(service, &event);
-    else if (event.result == AMB_CALL_OK) /* nobody will use it */
-        call.service->ports.kvstore.revoke(call.service->ports.kvstore.context, event.lease);
+    else if (event.result == AMB_CALL_OK) /* the lease is unused */
+        call.service->callbacks.kvstore.revoke(call.service->callbacks.kvstore.context, event.lease);
 }
 
 static void handle_renewal(void *arg, int status, const cbor_item_t *body) {
@@ -57,7 +57,7 @@
 
 /* ---- writes ---- */
 
-/* Not even tried: as if the key-value store had refused it. */
+/* Reports a write that is not attempted as refused by the key-value store. */
 static void refuse_commit(struct amb_duty_service *service, uint64_t number) {
     duty_feed_event(service, &(struct amb_duty_event){
                                  .type = AMB_DUTY_COMMITTED, .call = number, .result = AMB_CALL_REFUSED});
@@ -65,8 +65,8 @@
 
 static void send_commit(struct amb_duty_service *service, struct amb_txn *transaction,
                         enum amb_store_priority urgency, uint64_t number) {
-    service->ports.kvstore.commit(service->ports.kvstore.context, transaction, urgency, handle_commit,
-                                  duty_call_new(service, number));
+    service->callbacks.kvstore.commit(service->callbacks.kvstore.context, transaction, urgency, handle_commit,
+                                      duty_call_new(service, number));
 }
 
 static void put_member(struct amb_duty_service *service, const struct amb_duty_action *action) {
@@ -87,7 +87,7 @@
     amb_txn_compare(transaction, key, revision);
 }
 
-/* A claim or a release. */
+/* Commits a claim or a release. */
 static void commit_record(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_txn transaction = {0};
@@ -108,13 +108,13 @@
     send_commit(service, &transaction, AMB_STORE_PRIORITY_LEASE, action->call);
 }
 
-/* Comparisons of every write of a holder: its claim, and the intent as it was read. */
+/* Adds the comparisons that every write of a holder needs: its claim, and the intent as it was read. */
 static void compare_intent(struct amb_txn *transaction, const struct amb_duty_action *action,
-                           const char *order_key) {
+                           const char *intent_key) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_record_key(key, action->duty);
     amb_txn_compare(transaction, key, action->expected_revision);
-    amb_txn_compare(transaction, order_key, action->intent.revision);
+    amb_txn_compare(transaction, intent_key, action->intent.revision);
 }
 
 static void commit_intent(struct amb_duty_service *service, const struct amb_duty_action *action) {
@@ -127,13 +127,14 @@
         refuse_commit(service, action->call);
         return;
     }
-    struct amb_duty_intent_payload work = entry->work;
-    bool rented = action->intent.duty == AMB_DUTY_RENT && action->intent.result == AMB_DUTY_RESULT_DONE;
-    if (rented && entry->acquired.machine_count) {
-        work.machine_count = entry->acquired.machine_count;
-        work.machines = entry->acquired.machines;
+    struct amb_duty_intent_payload payload = entry->payload;
+    bool acquired_machines =
+        action->intent.duty == AMB_DUTY_RENT && action->intent.result == AMB_DUTY_RESULT_DONE;
+    if (acquired_machines && entry->acquired.machine_count) {
+        payload.machine_count = entry->acquired.machine_count;
+        payload.machines = entry->acquired.machines;
     }
-    amb_duty_encode_intent(&value, &action->intent, &work);
+    amb_duty_encode_intent(&value, &action->intent, &payload);
     compare_intent(&transaction, action, key);
     AMB_TRACE3(duty_order, action->intent.id, action->intent.state, action->intent.fencing_token);
     amb_txn_put(&transaction, key, &value, 0);
@@ -154,9 +155,10 @@
     send_commit(service, &transaction, AMB_STORE_PRIORITY_READ, action->call);
 }
 
-/* ---- the cloud ---- */
+/* ---- cloud calls ---- */
 
-/* The lease is checked again at the last moment: the process may have been stalled since the core decided. */
+/* The lease is checked again immediately before sending, because the process may have been stalled since the
+ * core decided. */
 static void call_cloud(struct amb_duty_service *service, const struct amb_duty_action *action) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_intent_key(key, action->intent.duty, action->intent.id);
@@ -165,17 +167,17 @@
     struct duty_call *call = duty_call_new(service, action->call);
     call->duty = action->duty;
     strcpy(call->key, key);
-    const struct amb_duty_service_callbacks *ports = &service->ports;
-    bool may_send = known && amb_duty_may_send(&service->core, action, ports->now(ports->context));
+    const struct amb_duty_service_callbacks *callbacks = &service->callbacks;
+    bool may_send = known && amb_duty_may_send(&service->core, action, callbacks->now(callbacks->context));
     AMB_TRACE3(duty_call, action->intent.id, action->fencing_token, may_send);
-    if (may_send && ports->call_cloud(ports->context, &action->intent, &entry->work, action->fencing_token,
-                                      handle_cloud_answer, call))
+    if (may_send && callbacks->call_cloud(callbacks->context, &action->intent, &entry->payload,
+                                          action->fencing_token, handle_cloud_answer, call))
         return;
     struct amb_duty_cloud_reply not_sent = {.answer = AMB_DUTY_CLOUD_NOT_SENT};
     handle_cloud_answer(call, &not_sent);
 }
 
-/* ---- what the core decides ---- */
+/* ---- dispatch of actions ---- */
 
 static void log_state(struct amb_duty_service *service, const struct amb_duty_action *action) {
     duty_log(service, "duty %s: %s -> %s, token %llu: %s", amb_duty_name_text(action->duty),
@@ -186,17 +188,18 @@
 }
 
 void duty_perform_action(struct amb_duty_service *service, const struct amb_duty_action *action) {
-    const struct amb_duty_kvstore *state = &service->ports.kvstore;
+    const struct amb_duty_kvstore *kvstore = &service->callbacks.kvstore;
     char key[AMB_DUTY_KEY_SIZE];
     switch (action->type) {
     case AMB_DUTY_GRANT_LEASE:
-        state->grant(state->context, service->core.settings.ttl, handle_grant,
-                     duty_call_new(service, action->call));
+        kvstore->grant(kvstore->context, service->core.settings.ttl, handle_grant,
+                       duty_call_new(service, action->call));
         break;
     case AMB_DUTY_EXTEND_LEASE:
-        state->extend(state->context, action->lease, handle_renewal, duty_call_new(service, action->call));
+        kvstore->extend(kvstore->context, action->lease, handle_renewal,
+                        duty_call_new(service, action->call));
         break;
-    case AMB_DUTY_REVOKE_LEASE: state->revoke(state->context, action->lease); break;
+    case AMB_DUTY_REVOKE_LEASE: kvstore->revoke(kvstore->context, action->lease); break;
     case AMB_DUTY_PUT_MEMBER: put_member(service, action); break;
     case AMB_DUTY_READ_MEMBER:
         amb_duty_member_key(key, action->expected_member.member);
--- a/lib/duty/service_queue.c
+++ b/lib/duty/service_queue.c
@@ -1,5 +1,4 @@
-/* What the parts of the duty service stand on: calls under way, the log, and the queue of events into the
- * core. */
+/* Shared base of the duty service: calls in flight, the log, and the queue of events for the core. */
 #include "service_internal.h"
 
 #include <stdarg.h>
@@ -26,16 +25,16 @@
 }
 
 void duty_log(struct amb_duty_service *service, const char *fmt, ...) {
-    enum { LINE_MOST = 400 };
-    char line[LINE_MOST];
+    enum { MAX_LINE_SIZE = 400 };
+    char line[MAX_LINE_SIZE];
     va_list arguments;
     va_start(arguments, fmt);
     vsnprintf(line, sizeof line, fmt, arguments);
     va_end(arguments);
-    service->ports.log(service->ports.context, line);
+    service->callbacks.log(service->callbacks.context, line);
 }
 
-/* ---- events into the core ---- */
+/* ---- events for the core ---- */
 
 static void enqueue(struct amb_duty_service *service, const struct amb_duty_event *event) {
     if (service->queue_count == service->queue_capacity) {
@@ -49,13 +48,13 @@
     struct amb_duty_event event = service->queue[0];
     struct amb_duty_output out;
     memmove(service->queue, service->queue + 1, --service->queue_count * sizeof *service->queue);
-    event.now = service->ports.now(service->ports.context);
+    event.now = service->callbacks.now(service->callbacks.context);
     amb_duty_core_step(&service->core, &event, &out);
     for (uint32_t i = 0; i < out.count; i++) service->perform(service, &out.actions[i]);
     if (out.more) enqueue(service, &(struct amb_duty_event){.type = AMB_DUTY_TICK});
 }
 
-/* What the core decides may bring new events at once: they wait until all of it is carried out. */
+/* Carrying out an action may produce new events at once; they wait until all actions are carried out. */
 void duty_feed_event(struct amb_duty_service *service, const struct amb_duty_event *event) {
     enqueue(service, event);
     if (service->is_stepping) return;
--- a/lib/duty/service_records.c
+++ b/lib/duty/service_records.c
@@ -1,4 +1,4 @@
-/* The records of single-holder duties as this member knows them: read once, and followed by changes. */
+/* The records of single-holder duties as this member knows them: read once, then kept current by changes. */
 #include "service_internal.h"
 
 #include "amberpin/codec/change_page.h"
@@ -27,7 +27,7 @@
 
 static void free_entry(struct amb_duty_service *service, struct amb_duty_intent_entry *entry) {
     HASH_DEL(service->entries, entry);
-    amb_duty_intent_payload_free(&entry->work);
+    amb_duty_intent_payload_free(&entry->payload);
     amb_duty_intent_payload_free(&entry->acquired);
     free(entry);
 }
@@ -37,10 +37,10 @@
     HASH_ITER(hh, service->entries, entry, next) free_entry(service, entry);
 }
 
-/* How what is known of an intent was received: INTENT_CHANGED or INTENT_READ. */
-static void feed_intent(struct amb_duty_service *service, enum amb_duty_event_type how,
+/* Feeds the record of an intent to the core. `event_type` is INTENT_CHANGED or INTENT_READ. */
+static void feed_intent(struct amb_duty_service *service, enum amb_duty_event_type event_type,
                         const struct amb_duty_intent_record *record) {
-    struct amb_duty_event event = {.type = how, .duty = record->duty, .intent = *record};
+    struct amb_duty_event event = {.type = event_type, .duty = record->duty, .intent = *record};
     duty_feed_event(service, &event);
 }
 
@@ -49,46 +49,46 @@
         if (entry->record.present) feed_intent(service, AMB_DUTY_INTENT_CHANGED, &entry->record);
 }
 
-/* While all records are being read, what is removed leaves its revision behind: a page that was made before
- * would bring it back. */
-static void remove_intent(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
-                          struct amb_duty_intent_record *record) {
+/* While all records are being read, the entry of a removed intent stays with the revision of the removal;
+ * otherwise a page that was made before the removal would restore the intent. */
+static void remove_intent(struct amb_duty_service *service, enum amb_duty_event_type event_type,
+                          const char *key, struct amb_duty_intent_record *record) {
     struct amb_duty_intent_entry *entry = duty_find_entry(service, key);
     if (entry && record->revision <= entry->record.revision) return;
     if (!entry && service->listing) entry = add_entry(service, key);
     if (entry) entry->record = *record;
-    feed_intent(service, how, record);
-    service->ports.intent_changed(service->ports.context, record, NULL);
+    feed_intent(service, event_type, record);
+    service->callbacks.intent_changed(service->callbacks.context, record, NULL);
     if (entry && !service->listing) free_entry(service, entry);
 }
 
-static void apply_intent(struct amb_duty_service *service, enum amb_duty_event_type how, const char *key,
-                         const cbor_item_t *value, uint64_t revision) {
+static void apply_intent(struct amb_duty_service *service, enum amb_duty_event_type event_type,
+                         const char *key, const cbor_item_t *value, uint64_t revision) {
     struct amb_duty_intent_record record = {.revision = revision};
-    struct amb_duty_intent_payload work;
+    struct amb_duty_intent_payload payload;
     if (!amb_duty_parse_intent_key(key, &record.duty, record.id)) return;
     if (!value) {
-        remove_intent(service, how, key, &record);
+        remove_intent(service, event_type, key, &record);
         return;
     }
     struct amb_duty_intent_entry *entry = duty_find_entry(service, key);
     if (entry) entry->listed = true;
     if (entry && revision <= entry->record.revision) return;
-    if (amb_duty_decode_intent(value, &record, &work) != AMB_DUTY_DECODED) {
-        duty_log(service, "duty %s: order %s is of a form that is not known: left alone",
+    if (amb_duty_decode_intent(value, &record, &payload) != AMB_DUTY_DECODED) {
+        duty_log(service, "duty %s: ignoring intent %s: unknown record version",
                  amb_duty_name_text(record.duty), record.id);
         record = (struct amb_duty_intent_record){.revision = revision, .duty = record.duty};
         amb_duty_parse_intent_key(key, &record.duty, record.id);
-        remove_intent(service, how, key, &record);
+        remove_intent(service, event_type, key, &record);
         return;
     }
     if (!entry) entry = add_entry(service, key);
     entry->listed = true;
     entry->record = record;
-    amb_duty_intent_payload_free(&entry->work);
-    entry->work = work;
-    feed_intent(service, how, &record);
-    service->ports.intent_changed(service->ports.context, &entry->record, &entry->work);
+    amb_duty_intent_payload_free(&entry->payload);
+    entry->payload = payload;
+    feed_intent(service, event_type, &record);
+    service->callbacks.intent_changed(service->callbacks.context, &entry->record, &entry->payload);
 }
 
 /* ---- duties and members ---- */
@@ -114,7 +114,7 @@
         &service->holder_history[service->holder_changes++ % AMB_DUTY_HOLDER_HISTORY];
     struct amb_duty_holder_change entry = {.duty = duty,
                                            .fencing_token = record->fencing_token,
-                                           .at = service->ports.now(service->ports.context)};
+                                           .at = service->callbacks.now(service->callbacks.context)};
     if (last) strcpy(entry.from, last->to);
     strcpy(entry.to, record->holder);
     strcpy(entry.cause, record->cause);
@@ -129,7 +129,7 @@
     service->record_listed[event.duty] = true;
     if (value && amb_duty_decode_record(value, &event.record) != AMB_DUTY_DECODED) {
         if (!service->unknown_version[event.duty])
-            duty_log(service, "duty %s: its record is of a form that is not known: left alone", name);
+            duty_log(service, "duty %s: ignoring its record: unknown version", name);
         service->unknown_version[event.duty] = true;
         return;
     }
@@ -150,10 +150,10 @@
     struct amb_duty_event event = {.type = AMB_DUTY_MEMBER_CHANGED, .member = {.revision = revision}};
     if (strlen(member) >= AMB_NAME_SIZE) return;
     strcpy(event.member.member, member);
-    /* One of a version that is not known is alive: its duties are not taken. */
+    /* A member whose key has an unknown version counts as alive, so its duties are not claimed. */
     if (value && amb_duty_decode_member(value, &event.member) != AMB_DUTY_DECODED)
         event.member.present = true;
-    if (value && !is_listed(service, member) && service->listed_member_count < AMB_DUTY_MEMBERS)
+    if (value && !is_listed(service, member) && service->listed_member_count < AMB_DUTY_MAX_MEMBERS)
         strcpy(service->listed_members[service->listed_member_count++], member);
     duty_feed_event(service, &event);
 }
@@ -167,8 +167,8 @@
         return;
     service->handover_revision[duty] = revision;
     service->handover[duty] = handover;
-    duty_log(service, "duty %s: an operator wants it handed over to %s", name,
-             handover.successor[0] ? handover.successor : "anybody else");
+    duty_log(service, "duty %s: an operator requested a handover to %s", name,
+             handover.successor[0] ? handover.successor : "any other member");
 }
 
 void amb_duty_service_apply_change(struct amb_duty_service *service, const char *key,
@@ -184,10 +184,10 @@
         apply_intent(service, AMB_DUTY_INTENT_CHANGED, key, value, revision);
 }
 
-/* ---- reading ---- */
+/* ---- reads ---- */
 
-/* What the read of one key found; value NULL: it is not there. An intent that the core has removed
- * meanwhile is not added to its table again, though the removal has not been received yet. */
+/* Applies the read of one key; `value` is NULL if the key is absent. An intent that the core has removed
+ * since is not added to its table again, even if the removal has not been received yet. */
 static void apply_read(struct amb_duty_service *service, const char *key, const cbor_item_t *value,
                        uint64_t revision) {
     if (has_prefix(key, AMB_DUTY_INTENT_KEYS))
@@ -196,7 +196,8 @@
         amb_duty_service_apply_change(service, key, value, revision);
 }
 
-/* Applies a page; its last key goes to `after`. Whether `key` is among its keys. */
+/* Applies a page and copies its last key to `after`. Returns true if `key` is among its keys. With a `key`,
+ * the page is the response to a read of that key alone. */
 static bool apply_page(struct amb_duty_service *service, const struct amb_list_page *page, const char *key,
                        char *after, size_t cap) {
     struct amb_parsed_change pair;
@@ -204,7 +205,7 @@
     bool found = false;
     while (amb_list_page_next(page, &position, &pair)) {
         if (key && !strcmp(pair.key, key)) found = true;
-        /* Only intents that are known are read: this one has been removed since. */
+        /* Only known intents are read, so this one was removed since. */
         bool is_intent = has_prefix(pair.key, AMB_DUTY_INTENT_KEYS);
         if (key && is_intent && !duty_find_entry(service, pair.key)) continue;
         if (key)
@@ -220,7 +221,7 @@
     struct duty_call call;
     struct amb_duty_service *service = duty_call_take(arg, &call);
     struct amb_list_page page;
-    /* The core asks again, in time. */
+    /* After a failure the core requests the read again later. */
     if (!service || status != 200 || !amb_list_page_decode(body, &page)) return;
     bool found = apply_page(service, &page, call.key, NULL, 0);
     if (!found) apply_read(service, call.key, NULL, page.store_revision);
@@ -229,13 +230,13 @@
 void duty_read_key(struct amb_duty_service *service, const char *key) {
     struct duty_call *call = duty_call_new(service, 0);
     strcpy(call->key, key);
-    service->ports.kvstore.list(service->ports.kvstore.context, key, "", handle_read, call);
+    service->callbacks.kvstore.list(service->callbacks.kvstore.context, key, "", handle_read, call);
 }
 
 static void request_next_page(struct amb_duty_service *service);
 
 static void finish_members(struct amb_duty_service *service, uint64_t revision) {
-    for (int i = 0; i < AMB_DUTY_MEMBERS; i++) {
+    for (int i = 0; i < AMB_DUTY_MAX_MEMBERS; i++) {
         const struct amb_duty_member *member = &service->core.members[i];
         if (member->alive && !is_listed(service, member->name) && member->incarnation <= revision)
             apply_member(service, member->name, NULL, revision);
@@ -267,7 +268,7 @@
     }
     bool first = !service->loaded;
     service->loaded = true;
-    if (first) service->ports.loaded(service->ports.context);
+    if (first) service->callbacks.loaded(service->callbacks.context);
 }
 
 static void handle_page(void *arg, int status, const cbor_item_t *body) {
@@ -277,7 +278,7 @@
     if (!service || !service->listing) return;
     if (status != 200 || !amb_list_page_decode(body, &page)) {
         service->listing_retry_at =
-            service->ports.now(service->ports.context) + service->core.settings.call_timeout;
+            service->callbacks.now(service->callbacks.context) + service->core.settings.call_timeout;
         return;
     }
     if (!service->listing_revision) service->listing_revision = page.store_revision;
@@ -292,11 +293,11 @@
 
 static void request_next_page(struct amb_duty_service *service) {
     service->listing_retry_at = 0;
-    service->ports.kvstore.list(service->ports.kvstore.context, service->listing_prefix,
-                                service->listing_cursor, handle_page, duty_call_new(service, 0));
+    service->callbacks.kvstore.list(service->callbacks.kvstore.context, service->listing_prefix,
+                                    service->listing_cursor, handle_page, duty_call_new(service, 0));
 }
 
-/* One reading at a time. Changes that are received meanwhile are told from older pages by their revisions. */
+/* Only one read of all records runs at a time. Revisions tell changes received meanwhile from older pages. */
 void amb_duty_service_read_all(struct amb_duty_service *service) {
     struct amb_duty_intent_entry *entry, *next;
     if (!service->active || service->listing) return;
@@ -312,5 +313,6 @@
 
 void duty_records_tick(struct amb_duty_service *service) {
     if (!service->listing || !service->listing_retry_at) return;
-    if (service->ports.now(service->ports.context) >= service->listing_retry_at) request_next_page(service);
+    if (service->callbacks.now(service->callbacks.context) >= service->listing_retry_at)
+        request_next_page(service);
 }
--- a/lib/duty/status.c
+++ b/lib/duty/status.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- what is seen ---- */
+/* ---- status ---- */
 
 static const struct amb_duty_intent_entry *find_oldest_open(const struct amb_duty_service *service,
                                                             enum amb_duty_name duty, int *open) {
@@ -21,12 +21,12 @@
             entry->record.state == AMB_DUTY_INTENT_SETTLED)
             continue;
         (*open)++;
-        if (!oldest || entry->work.created_wall_ms < oldest->work.created_wall_ms) oldest = entry;
+        if (!oldest || entry->payload.created_wall_ms < oldest->payload.created_wall_ms) oldest = entry;
     }
     return oldest;
 }
 
-/* Only the holder itself knows how long its right lasts. */
+/* Only the holder itself knows how long its lease remains valid. */
 static json_t *describe_remaining(const struct amb_duty_service *service, enum amb_duty_name duty,
                                   amb_ms now) {
     const struct amb_duty_core *core = &service->core;
@@ -46,7 +46,7 @@
                                (json_int_t)(now - duty->state_since), "open_orders", open);
     json_object_set_new(status, "left_ms", describe_remaining(service, name, now));
     json_object_set_new(status, "oldest_open_ms",
-                        oldest ? json_integer(amb_wall_ms() - oldest->work.created_wall_ms) : json_null());
+                        oldest ? json_integer(amb_wall_ms() - oldest->payload.created_wall_ms) : json_null());
     json_object_set_new(status, "stale_refused", json_integer((json_int_t)duty->fenced_calls));
     json_object_set_new(status, "cause", json_string(record->cause));
     json_object_set_new(status, "unknown_form", json_boolean(service->unknown_version[name]));
@@ -55,15 +55,15 @@
 
 static json_t *describe_handovers(const struct amb_duty_service *service, amb_ms now) {
     json_t *list = json_array();
-    uint32_t kept =
+    uint32_t count =
         service->holder_changes < AMB_DUTY_HOLDER_HISTORY ? service->holder_changes : AMB_DUTY_HOLDER_HISTORY;
-    for (uint32_t i = 0; i < kept; i++) {
-        const struct amb_duty_holder_change *seen =
+    for (uint32_t i = 0; i < count; i++) {
+        const struct amb_duty_holder_change *change =
             &service->holder_history[(service->holder_changes - 1 - i) % AMB_DUTY_HOLDER_HISTORY];
         json_array_append_new(list, json_pack("{s:s, s:s, s:s, s:I, s:s, s:I}", "duty",
-                                              amb_duty_name_text(seen->duty), "from", seen->from, "to",
-                                              seen->to, "token", (json_int_t)seen->fencing_token, "cause",
-                                              seen->cause, "age_ms", (json_int_t)(now - seen->at)));
+                                              amb_duty_name_text(change->duty), "from", change->from, "to",
+                                              change->to, "token", (json_int_t)change->fencing_token, "cause",
+                                              change->cause, "age_ms", (json_int_t)(now - change->at)));
     }
     return list;
 }
@@ -104,7 +104,7 @@
     free(text);
 }
 
-/* ---- a handover that is asked for ---- */
+/* ---- handover requests ---- */
 
 static void answer_error(struct amb_http_req *request, int status, const char *message) {
     json_t *error_body = json_pack("{s:s}", "error", message);
@@ -129,10 +129,10 @@
     json_t *body = json_loadb(request->body, request->body_len, 0, NULL);
     const char *name = json_string_value(json_object_get(body, "duty"));
     const char *to = json_string_value(json_object_get(body, "to"));
-    bool good = name && amb_duty_name_parse(name, &duty) && (!to || strlen(to) < AMB_NAME_SIZE);
-    if (good && to) strcpy(handover.successor, to);
+    bool is_valid = name && amb_duty_name_parse(name, &duty) && (!to || strlen(to) < AMB_NAME_SIZE);
+    if (is_valid && to) strcpy(handover.successor, to);
     json_decref(body);
-    if (!good) {
+    if (!is_valid) {
         answer_error(request, 400, "duty must be rent, return, reclaim or cleanup; to: a member, or nothing");
         return;
     }
--- a/lib/duty/step.c
+++ b/lib/duty/step.c
@@ -1,12 +1,12 @@
-/* Actions, random numbers and timeouts of one step of the core. */
+/* Output actions, random numbers, backoff and timeouts of the core. */
 #include "internal.h"
 
 #include <string.h>
 
 enum {
     MAX_DOUBLINGS = 4,
-    TIMEOUTS_UNTIL_GIVEN_UP =
-        3, /* an answer that has not come after so many call timeouts is not waited for */
+    CALL_TIMEOUTS_UNTIL_LOST =
+        3, /* a call without a response for this many call timeouts is considered lost */
 };
 
 struct amb_duty_action *duty_emit(struct duty_step *step, enum amb_duty_action_type type,
@@ -44,5 +44,5 @@
 }
 
 bool duty_has_timed_out(const struct amb_duty_core *core, amb_ms since, amb_ms now) {
-    return now - since >= core->settings.call_timeout * TIMEOUTS_UNTIL_GIVEN_UP;
+    return now - since >= core->settings.call_timeout * CALL_TIMEOUTS_UNTIL_LOST;
 }
--- a/tests/duty/test_duty_components.c
+++ b/tests/duty/test_duty_components.c
@@ -23,7 +23,7 @@
         {" reclaim\t", AMB_DUTY_SETTINGS_OK, "", {false, false, true, false}},
         {"", AMB_DUTY_SETTINGS_NO_NAME, "", {false}},
         {" , ", AMB_DUTY_SETTINGS_NO_NAME, "", {false}},
-        {"rent,rent", AMB_DUTY_SETTINGS_DOUBLED_NAME, "rent", {true}},
+        {"rent,rent", AMB_DUTY_SETTINGS_DUPLICATE_NAME, "rent", {true}},
         {"rent,renting", AMB_DUTY_SETTINGS_UNKNOWN_NAME, "renting", {true}},
         {"Rent", AMB_DUTY_SETTINGS_UNKNOWN_NAME, "Rent", {false}},
         {"rent all", AMB_DUTY_SETTINGS_UNKNOWN_NAME, "all", {true}},
@@ -74,9 +74,9 @@
     ROW("calls without a time limit", SHORT_LEASE, changed->call_timeout = 0);
     ROW("a backoff shorter than a call", BACKOFF_RANGE, changed->backoff = changed->call_timeout - 1);
     ROW("a backoff longer than the lease", BACKOFF_RANGE, changed->backoff = TTL + 1);
-    ROW("records removed at once", KEEP_RANGE, changed->keep_settled = 0);
-    ROW("uncertain ones removed before others", KEEP_RANGE,
-        changed->keep_uncertain = changed->keep_settled - 1);
+    ROW("records removed at once", RETENTION_RANGE, changed->settled_retention = 0);
+    ROW("uncertain ones removed before others", RETENTION_RANGE,
+        changed->uncertain_retention = changed->settled_retention - 1);
     ROW("a rental refused before it was asked for", REFUSALS_RANGE, changed->max_refusals = 0);
 #undef ROW
     for (size_t i = 0; i < count; i++) {
@@ -131,9 +131,9 @@
             settings.safety_margin = 0;
             for (int sign = -1; sign <= 1; sign += 2) {
                 double drift = drifts[drift_index] / 1e6 * sign;
-                double lease_really = (double)ttls[ttl_index] / (1 + drift);
-                double right_really = (double)amb_duty_lease_local_ttl(&settings) / (1 - drift);
-                if (right_really > lease_really + 1e-9)
+                double true_lease = (double)ttls[ttl_index] / (1 + drift);
+                double true_validity = (double)amb_duty_lease_local_ttl(&settings) / (1 - drift);
+                if (true_validity > true_lease + 1e-9)
                     fail_msg("ttl %d, drift %u: the right outlasts the lease", (int)ttls[ttl_index],
                              drifts[drift_index]);
             }
@@ -293,12 +293,16 @@
     (void)state;
     static const struct {
         const char *what;
-        struct amb_duty_intent order;
-        bool fresh;
+        struct amb_duty_intent intent;
+        bool may_begin;
         enum amb_duty_intent_step step;
         enum amb_duty_intent_result result;
     } rows[] = {
-        {"a new order is marked first", {.record = RECORD(RENT, PENDING, 0)}, true, AMB_DUTY_STEP_MARK, 0},
+        {"a new order is marked first",
+         {.record = RECORD(RENT, PENDING, 0)},
+         true,
+         AMB_DUTY_STEP_MARK_SENT,
+         0},
         {"not while the duty is drained", {.record = RECORD(RENT, PENDING, 0)}, false, AMB_DUTY_STEP_NONE, 0},
         {"one that we marked is sent", {.record = RECORD(RENT, SENT, OURS)}, true, AMB_DUTY_STEP_CALL, 0},
         {"and sent again while the duty is drained",
@@ -309,7 +313,7 @@
         {"one of an earlier holder is marked anew",
          {.record = RECORD(RENT, SENT, THEIRS)},
          true,
-         AMB_DUTY_STEP_MARK,
+         AMB_DUTY_STEP_MARK_SENT,
          0},
         {"not while the duty is drained",
          {.record = RECORD(RETURN, SENT, THEIRS)},
@@ -339,20 +343,20 @@
         {"withdrawn too late: repeated until its result is known",
          {.record = RECORD(RENT, SENT, THEIRS, .withdrawn = true)},
          true,
-         AMB_DUTY_STEP_MARK,
+         AMB_DUTY_STEP_MARK_SENT,
          0},
         {"a return whose machines are proved gone is adopted",
-         {.record = RECORD(RETURN, SENT, THEIRS), .proved_gone = true},
+         {.record = RECORD(RETURN, SENT, THEIRS), .absence_proven = true},
          true,
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_GONE},
         {"a rental never is",
-         {.record = RECORD(RENT, SENT, OURS), .proved_gone = true},
+         {.record = RECORD(RENT, SENT, OURS), .absence_proven = true},
          true,
          AMB_DUTY_STEP_CALL,
          0},
         {"nothing is left of a settled one",
-         {.record = RECORD(RETURN, SETTLED, THEIRS), .proved_gone = true},
+         {.record = RECORD(RETURN, SETTLED, THEIRS), .absence_proven = true},
          true,
          AMB_DUTY_STEP_NONE,
          0},
@@ -360,7 +364,7 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         enum amb_duty_intent_result result;
         enum amb_duty_intent_step step =
-            amb_duty_intent_next_step(&rows[i].order, OURS, rows[i].fresh, 100, &result);
+            amb_duty_intent_next_step(&rows[i].intent, OURS, rows[i].may_begin, 100, &result);
         if (step != rows[i].step || result != rows[i].result)
             fail_msg("%s: step %d, result %d", rows[i].what, (int)step, (int)result);
     }
@@ -370,7 +374,7 @@
     (void)state;
     static const struct {
         const char *what;
-        struct amb_duty_intent order;
+        struct amb_duty_intent intent;
         uint32_t unanswered;
     } rows[] = {
         {"a new order", {.record = RECORD(RENT, PENDING, 0)}, 0},
@@ -379,7 +383,7 @@
         {"marked by us already", {.record = RECORD(RENT, SENT, OURS, .unanswered = 1)}, 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_duty_intent_record record = amb_duty_intent_as_sent(&rows[i].order, OURS);
+        struct amb_duty_intent_record record = amb_duty_intent_as_sent(&rows[i].intent, OURS);
         if (record.state != AMB_DUTY_INTENT_SENT || record.fencing_token != OURS ||
             strcmp(record.id, "o-1") != 0 || record.unanswered != rows[i].unanswered)
             fail_msg("%s", rows[i].what);
@@ -441,7 +445,7 @@
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
     static const struct {
         const char *what;
-        struct amb_duty_intent order;
+        struct amb_duty_intent intent;
         amb_ms age;
         bool removable;
     } rows[] = {
@@ -458,7 +462,7 @@
         {"never while it is open", {.record = RECORD(RETURN, SENT, OURS)}, 100 * LIST_SPAN, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        if (amb_duty_intent_is_removable(&rows[i].order, &settings, rows[i].age) != rows[i].removable)
+        if (amb_duty_intent_is_removable(&rows[i].intent, &settings, rows[i].age) != rows[i].removable)
             fail_msg("%s", rows[i].what);
 }
 
--- a/tests/duty/test_duty_core.c
+++ b/tests/duty/test_duty_core.c
@@ -7,29 +7,29 @@
     TTL = 3000,
     LIST_SPAN = 10000,
     BACKOFF = 500,
-    RIGHT = TTL - 3 - TTL / 20, /* after a renewal was sent */
+    LOCAL_TTL = TTL - 3 - TTL / 20, /* after a renewal was sent */
     START = 100000,
     LEASE = 7,
-    SESSION = 20, /* stamp of our member key */
-    CLAIM = 50,   /* stamp of our claim */
-    THEIR_SESSION = 10,
-    ORDERS = 3,
+    INCARNATION = 20, /* stamp of our member key */
+    CLAIM = 50,       /* stamp of our claim */
+    THEIR_INCARNATION = 10,
+    MAX_INTENTS = 3,
 };
 
 static struct amb_duty_core core;
-static struct amb_duty_intent storage[ORDERS];
+static struct amb_duty_intent storage[MAX_INTENTS];
 static struct amb_duty_output out;
-static char said[512];
+static char actions_text[512];
 
 /* ---- what was done, as text ---- */
 
 static void append(const char *format, ...) __attribute__((format(printf, 1, 2)));
 static void append(const char *format, ...) {
-    size_t length = strlen(said);
+    size_t length = strlen(actions_text);
     va_list args;
     va_start(args, format);
-    if (length) length += (size_t)snprintf(said + length, sizeof said - length, ", ");
-    vsnprintf(said + length, sizeof said - length, format, args);
+    if (length) length += (size_t)snprintf(actions_text + length, sizeof actions_text - length, ", ");
+    vsnprintf(actions_text + length, sizeof actions_text - length, format, args);
     va_end(args);
 }
 
@@ -82,9 +82,9 @@
 
 static const char *step(struct amb_duty_event event) {
     amb_duty_core_step(&core, &event, &out);
-    said[0] = 0;
+    actions_text[0] = 0;
     for (uint32_t i = 0; i < out.count; i++) append_action(&out.actions[i]);
-    return said;
+    return actions_text;
 }
 
 /* ---- events ---- */
@@ -139,7 +139,7 @@
 
 static struct amb_duty_event released(amb_ms at, const char *holder, uint64_t fencing_token,
                                       uint64_t revision, const char *successor) {
-    struct amb_duty_event event = record(at, holder, THEIR_SESSION, fencing_token, revision);
+    struct amb_duty_event event = record(at, holder, THEIR_INCARNATION, fencing_token, revision);
     event.record.state = AMB_DUTY_RECORD_RELEASED;
     strcpy(event.record.successor, successor);
     return event;
@@ -168,9 +168,9 @@
 static void expect_at(int line, struct amb_duty_event event, enum amb_duty_state state, const char *actions) {
     step(event);
     enum amb_duty_state is = core.duties[AMB_DUTY_RENT].state;
-    if (is != state || strcmp(said, actions) != 0)
+    if (is != state || strcmp(actions_text, actions) != 0)
         fail_msg("line %d: %s, wanted %s; '%s', wanted '%s'", line, amb_duty_state_text(is),
-                 amb_duty_state_text(state), said, actions);
+                 amb_duty_state_text(state), actions_text, actions);
 }
 #define EXPECT(event, state, actions) expect_at(__LINE__, event, AMB_DUTY_##state, actions)
 
@@ -188,7 +188,7 @@
 
 static void start(void) {
     struct amb_duty_settings settings = settings_for(AMB_DUTY_RENT);
-    amb_duty_core_init(&core, &settings, "n-0", 1, storage, ORDERS);
+    amb_duty_core_init(&core, &settings, "n-0", 1, storage, MAX_INTENTS);
 }
 
 /* A member of which n-1 holds the duty, under token 3. */
@@ -196,9 +196,9 @@
     start();
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
-    step(committed(2, AMB_CALL_OK, SESSION));
-    step(member(3, "n-1", true, THEIR_SESSION, 1));
-    step(record(4, "n-1", THEIR_SESSION, 3, 15));
+    step(committed(2, AMB_CALL_OK, INCARNATION));
+    step(member(3, "n-1", true, THEIR_INCARNATION, 1));
+    step(record(4, "n-1", THEIR_INCARNATION, 3, 15));
 }
 
 /* One that holds it, under token 4. */
@@ -217,9 +217,9 @@
     EXPECT(tick(0), IDLE, "grant");
     EXPECT(tick(1), IDLE, "");
     EXPECT(granted(5, AMB_CALL_OK, LEASE), IDLE, "join on 7 over 0");
-    EXPECT(committed(9, AMB_CALL_OK, SESSION), IDLE, "");
+    EXPECT(committed(9, AMB_CALL_OK, INCARNATION), IDLE, "");
     assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_LIVE);
-    assert_int_equal(amb_duty_lease_remaining(&core.incarnation.lease, &core.settings, START), RIGHT);
+    assert_int_equal(amb_duty_lease_remaining(&core.incarnation.lease, &core.settings, START), LOCAL_TTL);
     EXPECT(tick(TTL / 4 - 1), IDLE, "");
     EXPECT(tick(TTL / 4), IDLE, "extend 7");
     EXPECT(tick(TTL / 4 + 1), IDLE, ""); /* one at a time */
@@ -257,8 +257,8 @@
     start();
     step(member(0, "n-0", true, 9, 1234));
     step(granted(5, AMB_CALL_OK, LEASE));
-    assert_string_equal(said, "join on 7 over 9");
-    EXPECT(committed(6, AMB_CALL_OK, SESSION), IDLE, "");
+    assert_string_equal(actions_text, "join on 7 over 9");
+    EXPECT(committed(6, AMB_CALL_OK, INCARNATION), IDLE, "");
     /* Its record names a session that is over. */
     EXPECT(record(7, "n-0", 9, 3, 8), CANDIDATE, "claim 4 over 8, none 0, self 20");
 }
@@ -268,8 +268,8 @@
     start();
     step(tick(0));
     step(granted(5, AMB_CALL_OK, LEASE));
-    EXPECT(tick(RIGHT - 1), IDLE, "read n-0"); /* overdue */
-    EXPECT(tick(RIGHT), IDLE, "drop 7");
+    EXPECT(tick(LOCAL_TTL - 1), IDLE, "read n-0"); /* overdue */
+    EXPECT(tick(LOCAL_TTL), IDLE, "drop 7");
     assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_NONE);
 }
 
@@ -289,8 +289,8 @@
     EXPECT(member(100, "n-0", true, 60, 4321), LOST, "drop 7"); /* another process of our name */
 
     hold();
-    EXPECT(member(100, "n-0", false, SESSION - 1, 0), HELD, ""); /* old news */
-    EXPECT(member(100, "n-0", true, SESSION, core.incarnation.nonce), HELD, "");
+    EXPECT(member(100, "n-0", false, INCARNATION - 1, 0), HELD, ""); /* old news */
+    EXPECT(member(100, "n-0", true, INCARNATION, core.incarnation.nonce), HELD, "");
 }
 
 /* ---- campaigns ---- */
@@ -299,7 +299,7 @@
     (void)state;
     join();
     EXPECT(tick(10), IDLE, "");
-    EXPECT(member(11, "n-1", false, THEIR_SESSION - 1, 0), IDLE, ""); /* old news */
+    EXPECT(member(11, "n-1", false, THEIR_INCARNATION - 1, 0), IDLE, ""); /* old news */
     /* The only member left claims at once, guarded by the record, the holder's absence and its own presence.
      */
     EXPECT(member(20, "n-1", false, 30, 0), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
@@ -307,8 +307,8 @@
     EXPECT(committed(30, AMB_CALL_OK, CLAIM), HELD, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].fencing_token, 4);
     assert_true(may_call(31));
-    EXPECT(record(40, "n-0", SESSION, 4, CLAIM), HELD, ""); /* its own news */
-    EXPECT(committed(41, AMB_CALL_CONFLICT, 0), HELD, "");  /* a copy of an answer */
+    EXPECT(record(40, "n-0", INCARNATION, 4, CLAIM), HELD, ""); /* its own news */
+    EXPECT(committed(41, AMB_CALL_CONFLICT, 0), HELD, "");      /* a copy of an answer */
 }
 
 static void claiming_over_a_new_incarnation(void **state) {
@@ -324,7 +324,7 @@
     start();
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
-    step(committed(2, AMB_CALL_OK, SESSION));
+    step(committed(2, AMB_CALL_OK, INCARNATION));
     EXPECT(tick(3), IDLE, ""); /* the record is not known yet */
     EXPECT(record(4, "", 0, 0, 0), CANDIDATE, "claim 1 over 0, none 0, self 20");
     EXPECT(committed(5, AMB_CALL_OK, CLAIM), HELD, "");
@@ -352,11 +352,11 @@
     join();
     step(member(20, "n-1", false, 30, 0));
     EXPECT(committed(30, AMB_CALL_NO_ANSWER, 0), CANDIDATE, "read record");
-    EXPECT(record(31, "n-1", THEIR_SESSION, 3, 15), CANDIDATE, ""); /* not carried out yet */
+    EXPECT(record(31, "n-1", THEIR_INCARNATION, 3, 15), CANDIDATE, ""); /* not carried out yet */
     EXPECT(tick(31 + BACKOFF * 2), CANDIDATE, "extend 7, claim 4 over 15, n-1 0, self 20");
     /* The first copy was carried out after all. */
     EXPECT(committed(1100, AMB_CALL_CONFLICT, 0), CANDIDATE, "read record, read n-1");
-    EXPECT(record(1101, "n-0", SESSION, 4, CLAIM), HELD, "");
+    EXPECT(record(1101, "n-0", INCARNATION, 4, CLAIM), HELD, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].revision, CLAIM);
 
     /* Never answered at all: the core gives up waiting itself. */
@@ -396,7 +396,8 @@
         step(member(5, "n-2", true, 11, 2));
         EXPECT(released(20, "n-1", 3, 30, "n-2"), CANDIDATE, "");
         amb_ms wait = core.duties[AMB_DUTY_RENT].claim_at - START - 20;
-        uint32_t rank = amb_duty_rank(core.members, AMB_DUTY_MEMBERS, AMB_DUTY_RENT, "n-0", TTL, START) + 1;
+        uint32_t rank =
+            amb_duty_rank(core.members, AMB_DUTY_MAX_MEMBERS, AMB_DUTY_RENT, "n-0", TTL, START) + 1;
         assert_in_range(wait, rank * BACKOFF, rank * BACKOFF + BACKOFF / 2);
         if (wait < earliest) earliest = wait;
         if (wait > latest) latest = wait;
@@ -434,9 +435,9 @@
 static void no_claim_without_a_valid_lease(void **state) {
     (void)state;
     join();
-    EXPECT(tick(RIGHT), IDLE, "extend 7");
-    EXPECT(member(RIGHT + 1, "n-1", false, 30, 0), IDLE, "");
-    EXPECT(extended(RIGHT + 2, AMB_CALL_OK), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
+    EXPECT(tick(LOCAL_TTL), IDLE, "extend 7");
+    EXPECT(member(LOCAL_TTL + 1, "n-1", false, 30, 0), IDLE, "");
+    EXPECT(extended(LOCAL_TTL + 2, AMB_CALL_OK), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
 }
 
 /* ---- holding ---- */
@@ -445,14 +446,14 @@
     (void)state;
     hold();
     EXPECT(tick(TTL / 4), HELD, "extend 7");
-    assert_true(may_call(RIGHT - 1));
-    assert_false(may_call(RIGHT)); /* also before a tick has noticed */
-    EXPECT(tick(RIGHT), FENCED, "extend 7");
-    EXPECT(intent_event(RIGHT + 1, AMB_DUTY_INTENT_PENDING, 0, 55), FENCED, ""); /* nothing is begun */
+    assert_true(may_call(LOCAL_TTL - 1));
+    assert_false(may_call(LOCAL_TTL)); /* also before a tick has noticed */
+    EXPECT(tick(LOCAL_TTL), FENCED, "extend 7");
+    EXPECT(intent_event(LOCAL_TTL + 1, AMB_DUTY_INTENT_PENDING, 0, 55), FENCED, ""); /* nothing is begun */
     /* The lease was alive after all: the record is still ours. */
-    EXPECT(extended(RIGHT + 10, AMB_CALL_OK), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
-    assert_true(may_call(2 * RIGHT - 1));
-    assert_false(may_call(2 * RIGHT));
+    EXPECT(extended(LOCAL_TTL + 10, AMB_CALL_OK), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
+    assert_true(may_call(2 * LOCAL_TTL - 1));
+    assert_false(may_call(2 * LOCAL_TTL));
 }
 
 static void being_replaced(void **state) {
@@ -499,12 +500,12 @@
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     /* The answer to the mark is read after a pause past the lease. */
-    EXPECT(committed(RIGHT + 1, AMB_CALL_OK, 56), FENCED, "extend 7");
-    EXPECT(extended(RIGHT + 2, AMB_CALL_OK), HELD, "call o-1 by 4");
+    EXPECT(committed(LOCAL_TTL + 1, AMB_CALL_OK, 56), FENCED, "extend 7");
+    EXPECT(extended(LOCAL_TTL + 2, AMB_CALL_OK), HELD, "call o-1 by 4");
     /* Paused between deciding and sending: the wiring asks once more. */
-    assert_false(may_call(3 * RIGHT));
+    assert_false(may_call(3 * LOCAL_TTL));
     EXPECT(((struct amb_duty_event){.type = AMB_DUTY_CLOUD_ANSWERED,
-                                    AT(3 * RIGHT),
+                                    AT(3 * LOCAL_TTL),
                                     .call = last_call(),
                                     .answer = AMB_DUTY_CLOUD_NOT_SENT}),
            FENCED, "extend 7");
@@ -582,7 +583,7 @@
 static void more_intents_than_capacity(void **state) {
     (void)state;
     hold();
-    for (int i = 0; i <= ORDERS; i++) {
+    for (int i = 0; i <= MAX_INTENTS; i++) {
         struct amb_duty_event event = intent_event(10, AMB_DUTY_INTENT_SETTLED, 4, 60 + (uint64_t)i);
         event.intent.id[2] = (char)('1' + i);
         step(event);
@@ -636,7 +637,7 @@
     step((struct amb_duty_event){
         .type = AMB_DUTY_LEASE_EXTENDED, AT(15 + TTL), .call = renewal, .result = AMB_CALL_OK});
     step(tick(14 + TTL + 2 * BACKOFF)); /* nobody else claims it */
-    assert_string_equal(said, "extend 7, claim 5 over 60, none 0, self 20");
+    assert_string_equal(actions_text, "extend 7, claim 5 over 60, none 0, self 20");
     step(committed(15 + TTL + 2 * BACKOFF, AMB_CALL_OK, 61));
     assert_true(may_call(16 + TTL + 2 * BACKOFF));
     assert_false(amb_duty_may_send(&core, &call, START + 16 + TTL + 2 * BACKOFF));
@@ -704,10 +705,10 @@
 static void spreading(void **state) {
     (void)state;
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-    amb_duty_core_init(&core, &settings, "n-0", 1, storage, ORDERS);
+    amb_duty_core_init(&core, &settings, "n-0", 1, storage, MAX_INTENTS);
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
-    step(committed(2, AMB_CALL_OK, SESSION));
+    step(committed(2, AMB_CALL_OK, INCARNATION));
     for (int i = 0; i < AMB_DUTY_COUNT; i++) {
         struct amb_duty_event event = record(3, "", 0, 0, 0);
         event.duty = (enum amb_duty_name)i;
@@ -737,10 +738,10 @@
 static void cleaning_up(void **state) {
     (void)state;
     struct amb_duty_settings settings = settings_for(AMB_DUTY_CLEANUP);
-    amb_duty_core_init(&core, &settings, "n-0", 1, storage, ORDERS);
+    amb_duty_core_init(&core, &settings, "n-0", 1, storage, MAX_INTENTS);
     step(tick(0));
     step(granted(1, AMB_CALL_OK, LEASE));
-    step(committed(2, AMB_CALL_OK, SESSION));
+    step(committed(2, AMB_CALL_OK, INCARNATION));
     struct amb_duty_event unheld = record(3, "", 0, 0, 0);
     unheld.duty = AMB_DUTY_CLEANUP;
     step(unheld);
@@ -748,11 +749,11 @@
     step(intent_event(10, AMB_DUTY_INTENT_SETTLED, 3, 45)); /* of another duty */
     step(tick(10 + LIST_SPAN - 1));
     step(extended(10 + LIST_SPAN - 1, AMB_CALL_OK));
-    assert_string_equal(said, "");
+    assert_string_equal(actions_text, "");
     step(tick(10 + LIST_SPAN));
-    assert_string_equal(said, "remove o-1 over 50/45");
+    assert_string_equal(actions_text, "remove o-1 over 50/45");
     step(committed(11 + LIST_SPAN, AMB_CALL_NO_ANSWER, 0));
-    assert_string_equal(said, "read o-1, read record");
+    assert_string_equal(actions_text, "read o-1, read record");
     struct amb_duty_event gone = intent_event(12 + LIST_SPAN, AMB_DUTY_INTENT_SETTLED, 3, 90);
     gone.intent.present = false;
     step(gone);
--- a/tests/duty/test_duty_integration.c
+++ b/tests/duty/test_duty_integration.c
@@ -19,7 +19,7 @@
 
 #define MODE_KEY AMB_DUTY_MODE_KEY
 
-enum { MODE_STAMP = 60 };
+enum { MODE_REVISION = 60 };
 
 /* ---- what the state service holds ---- */
 
@@ -42,12 +42,12 @@
     struct amb_buf value = {0};
     struct amb_duty_intent_record intent = {
         .duty = duty, .state = state, .result = result, .fencing_token = 1};
-    struct amb_duty_intent_payload work = {
+    struct amb_duty_intent_payload payload = {
         .type = "g8", .zone = "a", .count = 1, .reason = "idle", .created_wall_ms = 1};
-    if (machine) amb_duty_intent_payload_add_machine(&work, machine);
+    if (machine) amb_duty_intent_payload_add_machine(&payload, machine);
     amb_duty_intent_key(key, duty, id);
-    amb_duty_encode_intent(&value, &intent, &work);
-    amb_duty_intent_payload_free(&work);
+    amb_duty_encode_intent(&value, &intent, &payload);
+    amb_duty_intent_payload_free(&payload);
     apply_change(key, &value, revision);
 }
 
@@ -80,7 +80,7 @@
 static void use_duties(void) {
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
     take_part();
     assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_HOLDER);
 }
@@ -123,24 +123,24 @@
     assert_int_equal(fake_count_sent_calls(""), 0);
     assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
     assert_true(amb_duties_is_ready(node));
-    char *said = amb_peer_encode_heartbeat(node);
-    assert_null(strstr(said, "duties"));
-    free(said);
+    char *message = amb_peer_encode_heartbeat(node);
+    assert_null(strstr(message, "duties"));
+    free(message);
 }
 
 static void heartbeats_say_whether_duties_are_enabled(void **state) {
     (void)state;
     node->options.duties = 1;
     char *text = amb_peer_encode_heartbeat(node);
-    json_t *said = json_loads(text, 0, NULL);
-    assert_int_equal(json_integer_value(json_object_get(said, "duties")), 1);
+    json_t *message = json_loads(text, 0, NULL);
+    assert_int_equal(json_integer_value(json_object_get(message, "duties")), 1);
     start_peer_heartbeats();
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_UNKNOWN);
-    apply_peer_json(node, &node->peers.list[0], said, 0);
+    apply_peer_json(node, &node->peers.list[0], message, 0);
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_ON);
     receive_peer_heartbeat(0, (struct peer_state){.term = TERM}); /* of a version that does not know them */
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_OFF);
-    json_decref(said);
+    json_decref(message);
     free(text);
 }
 
@@ -150,9 +150,9 @@
     (void)state;
     static const struct {
         const char *what;
-        double own;
+        double own_option;
         enum amb_peer_duties first, second;
-        bool renting, returning, unsure, written;
+        bool scaling_out, scaling_in, lease_expired, written;
     } rows[] = {
         {"all say so", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, false, true},
         {"it is off here", 0, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, false, false},
@@ -164,14 +164,14 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
-        if (rows[i].renting) {
+        if (rows[i].scaling_out) {
             amb_scale_out_submit(node, 0, 0, false, 1);
             node->cloud.scale_out.requests->state = AMB_SCALE_OUT_REQUESTING;
         }
-        node->cloud.release.count = rows[i].returning;
-        node->options.duties = rows[i].own;
+        node->cloud.release.count = rows[i].scaling_in;
+        node->options.duties = rows[i].own_option;
         set_peers(rows[i].first, rows[i].second);
-        if (rows[i].unsure) node->election.renewed_at -= LEADER_TTL_MS;
+        if (rows[i].lease_expired) node->election.renewed_at -= LEADER_TTL_MS;
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].written) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
@@ -196,7 +196,7 @@
         amb_duties_tick(node, amb_now());
         struct fake_call *commit = open_commit(MODE_KEY);
         if (statuses[i] == 200)
-            answer_committed(commit, MODE_STAMP);
+            answer_committed(commit, MODE_REVISION);
         else
             fake_answer(commit, statuses[i], NULL);
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
@@ -211,7 +211,7 @@
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF); /* too late: it may be carried out */
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-        apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+        apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_HOLDER);
     }
 }
@@ -224,7 +224,7 @@
     amb_cbor_write_map(&value, 2);
     amb_cbor_write_string(&value, "form"), amb_cbor_write_uint(&value, AMB_DUTY_RECORD_VERSION + 1);
     amb_cbor_write_string(&value, "mode"), amb_cbor_write_string(&value, "duties");
-    apply_change(MODE_KEY, &value, MODE_STAMP);
+    apply_change(MODE_KEY, &value, MODE_REVISION);
     amb_duties_tick(node, amb_now());
     assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
     assert_null(find_commit(MODE_KEY));
@@ -234,7 +234,7 @@
     (void)state;
     static const struct {
         const char *what;
-        double own;
+        double own_option;
         enum amb_peer_duties peer;
         bool leaves;
     } rows[] = {
@@ -248,7 +248,7 @@
         use_duties();
         apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 61);
         fake_answer_all_lost();
-        node->options.duties = rows[i].own;
+        node->options.duties = rows[i].own_option;
         set_peers(AMB_PEER_DUTIES_ON, rows[i].peer);
         amb_duties_tick(node, amb_now());
         if (find_commit(MODE_KEY)) fail_msg("%s: written while an order is open", rows[i].what);
@@ -261,7 +261,7 @@
         struct fake_call *commit = find_commit(MODE_KEY);
         if ((commit != NULL) != rows[i].leaves) fail_msg("%s: written: %d", rows[i].what, commit != NULL);
         if (!commit) continue;
-        assert_int_equal(fake_txn_compared_revision(commit, MODE_KEY), MODE_STAMP);
+        assert_int_equal(fake_txn_compared_revision(commit, MODE_KEY), MODE_REVISION);
         apply_mode(AMB_DUTY_MODE_LEADER, 63);
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_BY_LEADER);
     }
@@ -270,7 +270,7 @@
 /* A node that is switched off takes part as long as there is something to finish. */
 static void a_disabled_node_takes_part_until_intents_are_settled(void **state) {
     (void)state;
-    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
     take_part();
     assert_true(node->duties.service.active);
     apply_intent(AMB_DUTY_RENT, "r-1-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 61);
@@ -286,7 +286,7 @@
 /* ---- orders ---- */
 
 /* The leader's turn, as far as rentals go: what the leader asks for itself, then what it orders. */
-static void take_turn(void) {
+static void run_leader_tick(void) {
     amb_cloud_tick(node, amb_now());
     amb_duties_tick(node, amb_now());
 }
@@ -295,7 +295,7 @@
     (void)state;
     use_duties();
     amb_scale_out_submit(node, 0, 0, false, 1);
-    take_turn();
+    run_leader_tick();
     struct fake_call *commit = open_commit("a/order/rent/r-50-1");
     assert_int_equal(fake_txn_compared_revision(commit, LEADER_KEY), TERM);
     assert_int_equal(fake_txn_compared_revision(commit, "a/order/rent/r-50-1"), 0);
@@ -304,7 +304,7 @@
     for (int i = 0; i < 5; i++) {
         fake_clock_advance(500);
         node->election.renewed_at = node->cloud.list.started_at = amb_now();
-        take_turn();
+        run_leader_tick();
     }
     assert_null(find_call("POST", "/machines"));
     assert_int_equal(node->cloud.scale_out.requests->state,
@@ -453,7 +453,7 @@
     (void)state;
     node->options.duties = 1;
     set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
-    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
     amb_duties_note_listed(node);
     assert_false(amb_duties_is_ready(node));
     answer_list("a/duty&");
@@ -541,11 +541,11 @@
     (void)state;
     struct amb_buf leader = {0}, order = {0};
     struct amb_duty_intent_record record = {.duty = AMB_DUTY_RETURN};
-    struct amb_duty_intent_payload work = {.reason = "idle"};
+    struct amb_duty_intent_payload payload = {.reason = "idle"};
     amb_cbor_write_map(&leader, 2);
     amb_cbor_write_string(&leader, "member"), amb_cbor_write_string(&leader, "n-0");
     amb_cbor_write_string(&leader, "nonce"), amb_cbor_write_uint(&leader, 1);
-    amb_duty_encode_intent(&order, &record, &work);
+    amb_duty_encode_intent(&order, &record, &payload);
     amb_watch_start(node);
     answer_page(LEADER_KEY, TERM, &leader, true);
     answer_page("a/order/return/t-1-1", 61, &order, false);
@@ -555,7 +555,7 @@
 /* ---- proofs that machines are gone ---- */
 
 /* The cloud's list is read, from now: one page that names this machine (NULL: none). */
-static void read_list(const char *machine, const char *stance, bool more) {
+static void read_machine_list(const char *machine, const char *stance, bool more) {
     struct amb_buf body = {0};
     node->cloud.list.started_at = 0;
     amb_cloud_list_tick(node, amb_now());
@@ -575,41 +575,41 @@
     (void)state;
     static const struct {
         const char *what, *listed, *stance;
-        bool early, more, no_list, second, stops_leading, proved;
+        bool early, more, no_list, second, stops_leading, proven;
     } rows[] = {
         {.what = "no list was read", .no_list = true},
         {.what = "the list may be too old", .early = true},
         {.what = "it is listed", .listed = "m-1", .stance = "running"},
         {.what = "it is listed as failed", .listed = "m-1", .stance = "failed"},
         {.what = "there is another page", .listed = "m-0", .stance = "running", .more = true},
-        {.what = "not listed", .proved = true},
+        {.what = "not listed", .proven = true},
         {.what = "one of two is listed", .listed = "m-2", .stance = "running", .second = true},
-        {.what = "neither is listed", .second = true, .proved = true},
-        {.what = "it leads no more", .stops_leading = true, .proved = true},
+        {.what = "neither is listed", .second = true, .proven = true},
+        {.what = "it leads no more", .stops_leading = true, .proven = true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
         use_duties();
         fake_answer_all_lost();
-        struct amb_duty_intent_payload work = {0};
-        const struct amb_duty_service_callbacks *ports = &node->duties.service.ports;
-        amb_duty_intent_payload_add_machine(&work, "m-1");
+        struct amb_duty_intent_payload payload = {0};
+        const struct amb_duty_service_callbacks *callbacks = &node->duties.service.callbacks;
+        amb_duty_intent_payload_add_machine(&payload, "m-1");
         apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-1", 61);
         if (rows[i].second) {
-            amb_duty_intent_payload_add_machine(&work, "m-2");
+            amb_duty_intent_payload_add_machine(&payload, "m-2");
             apply_intent(AMB_DUTY_RETURN, "t-50-2", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, "m-2", 62);
         }
         amb_ms span = amb_absence_list_span(node->settings.list_lag_s, node->settings.heartbeat_s);
         fake_clock_advance(rows[i].early ? span : span + 1);
         fake_answer_all_lost();
-        if (!rows[i].no_list) read_list(rows[i].listed, rows[i].stance, rows[i].more);
+        if (!rows[i].no_list) read_machine_list(rows[i].listed, rows[i].stance, rows[i].more);
         if (rows[i].stops_leading) amb_controller_stop_leading(node, "a test");
-        if (ports->is_absence_proven(node, &work) != rows[i].proved)
-            fail_msg("%s: proved: %d", rows[i].what, !rows[i].proved);
-        amb_duty_intent_payload_free(&work);
+        if (callbacks->is_absence_proven(node, &payload) != rows[i].proven)
+            fail_msg("%s: proved: %d", rows[i].what, !rows[i].proven);
+        amb_duty_intent_payload_free(&payload);
     }
     const struct amb_duty_intent_payload empty = {0};
-    assert_false(node->duties.service.ports.is_absence_proven(node, &empty));
+    assert_false(node->duties.service.callbacks.is_absence_proven(node, &empty));
 }
 
 /* ---- the holder's calls ---- */
@@ -641,14 +641,15 @@
         uint64_t fencing_token = 0;
         enum amb_duty_cloud_answer answer = AMB_DUTY_CLOUD_NOT_SENT;
         const struct amb_duty_intent_record intent = {.duty = rows[i].duty, .id = "r-1-1"};
-        const struct amb_duty_intent_payload work = {.type = "g8", .zone = "a", .count = 1};
+        const struct amb_duty_intent_payload payload = {.type = "g8", .zone = "a", .count = 1};
         struct amb_buf body = {0};
         begin_duties_anew();
-        assert_true(amb_duties_call_cloud(node, &intent, &work, 7, cloud_done, &answer));
+        assert_true(amb_duties_call_cloud(node, &intent, &payload, 7, cloud_done, &answer));
         struct fake_call *call = open_call("POST", "/machines");
         assert_true(amb_cbor_get_uint(amb_cbor_map_get(call->cbor_body, "baton"), &fencing_token));
         assert_int_equal(fencing_token, 7);
-        assert_true(amb_cbor_equals(amb_cbor_map_get(call->cbor_body, "duty"), amb_duty_name_text(rows[i].duty)));
+        assert_true(
+            amb_cbor_equals(amb_cbor_map_get(call->cbor_body, "duty"), amb_duty_name_text(rows[i].duty)));
         if (rows[i].duty == AMB_DUTY_RENT)
             assert_true(amb_cbor_equals(amb_cbor_map_get(call->cbor_body, "charter"), "r-1-1"));
         if (rows[i].error) {
@@ -677,7 +678,7 @@
         begin_duties_anew();
         amb_store_set_leadership(&node->store, false);
         use_duties();
-        if (!rows[i].in_use) apply_mode(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
+        if (!rows[i].in_use) apply_mode(AMB_DUTY_MODE_LEADER, MODE_REVISION + 1);
         struct amb_duty_service *service = &node->duties.service;
         for (int k = 0; k < AMB_DUTY_COUNT; k++)
             service->core.duties[k].state = rows[i].held[k] ? AMB_DUTY_FENCED : AMB_DUTY_IDLE;
@@ -693,11 +694,11 @@
 static void larger_write_budget_ends_with_duties(void **state) {
     (void)state;
     amb_store_set_leadership(&node->store, false);
-    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_STAMP);
+    apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
     take_part();
     fake_clock_advance(1000);
     assert_true(node->store.duties_in_use);
-    apply_mode(AMB_DUTY_MODE_LEADER, MODE_STAMP + 1);
+    apply_mode(AMB_DUTY_MODE_LEADER, MODE_REVISION + 1);
     fake_clock_advance(1000);
     fake_answer_all_lost();
     assert_false(node->duties.service.active);
@@ -717,19 +718,19 @@
     apply_change("a/duty/rent", &value, 64);
     assert_true(amb_duties_handle_request(node, new_request("GET", "/duties", NULL)));
     assert_int_equal(latest_reply()->status, 200);
-    json_t *said = json_loadb(latest_reply()->body.data, latest_reply()->body.len, 0, NULL);
-    assert_string_equal(json_string_value(json_object_get(said, "node")), "n-0");
-    assert_int_equal(json_integer_value(json_object_get(said, "term")), TERM);
-    assert_string_equal(json_string_value(json_object_get(said, "mode")), "duties");
-    assert_non_null(json_object_get(said, "age_ms"));
-    const json_t *rent = json_array_get(json_object_get(said, "duties"), 0);
+    json_t *message = json_loadb(latest_reply()->body.data, latest_reply()->body.len, 0, NULL);
+    assert_string_equal(json_string_value(json_object_get(message, "node")), "n-0");
+    assert_int_equal(json_integer_value(json_object_get(message, "term")), TERM);
+    assert_string_equal(json_string_value(json_object_get(message, "mode")), "duties");
+    assert_non_null(json_object_get(message, "age_ms"));
+    const json_t *rent = json_array_get(json_object_get(message, "duties"), 0);
     assert_string_equal(json_string_value(json_object_get(rent, "holder")), "n-2");
     assert_int_equal(json_integer_value(json_object_get(rent, "token")), 4);
     assert_int_equal(json_integer_value(json_object_get(rent, "open_orders")), 1);
-    const json_t *handover = json_array_get(json_object_get(said, "handovers"), 0);
+    const json_t *handover = json_array_get(json_object_get(message, "handovers"), 0);
     assert_string_equal(json_string_value(json_object_get(handover, "to")), "n-2");
     assert_string_equal(json_string_value(json_object_get(handover, "cause")), "vacant");
-    json_decref(said);
+    json_decref(message);
 }
 
 static void operators_ask_for_handovers(void **state) {
@@ -789,12 +790,14 @@
         cmocka_unit_test_setup_teardown(duties_come_into_use_once_all_peers_agree, fixture_setup, end_duties),
         cmocka_unit_test_setup_teardown(nothing_is_begun_while_the_mode_changes, fixture_setup, end_duties),
         cmocka_unit_test_setup_teardown(a_mode_of_a_newer_version_is_not_acted_on, fixture_setup, end_duties),
-        cmocka_unit_test_setup_teardown(duties_go_out_of_use_once_intents_are_settled, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(duties_go_out_of_use_once_intents_are_settled, fixture_setup,
+                                        end_duties),
         cmocka_unit_test_setup_teardown(a_disabled_node_takes_part_until_intents_are_settled, fixture_setup,
                                         end_duties),
         cmocka_unit_test_setup_teardown(scale_out_intents_are_written, fixture_setup, end_duties),
         cmocka_unit_test_setup_teardown(refusals_start_the_capacity_backoff, fixture_setup, end_duties),
-        cmocka_unit_test_setup_teardown(intents_whose_removal_was_missed_are_dropped, fixture_setup, end_duties),
+        cmocka_unit_test_setup_teardown(intents_whose_removal_was_missed_are_dropped, fixture_setup,
+                                        end_duties),
         cmocka_unit_test_setup_teardown(intents_are_written_once, fixture_setup, end_duties),
         cmocka_unit_test_setup_teardown(machines_are_returned_by_reason, fixture_setup, end_duties),
         cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, fixture_setup, end_duties),
--- a/tests/duty/test_duty_records.c
+++ b/tests/duty/test_duty_records.c
@@ -3,15 +3,15 @@
 #include "amberpin/duty/record_codec.h"
 #include "check.h"
 
-static cbor_item_t *parse(struct amb_buf *text) {
-    cbor_item_t *item = amb_cbor_parse(text->data, text->len);
-    amb_buf_free(text);
+static cbor_item_t *parse(struct amb_buf *buffer) {
+    cbor_item_t *item = amb_cbor_parse(buffer->data, buffer->len);
+    amb_buf_free(buffer);
     return item;
 }
 
 static void duty_records_are_read_back(void **state) {
     (void)state;
-    struct amb_buf text = {0};
+    struct amb_buf buffer = {0};
     struct amb_duty_record out = {0}, record = {.state = AMB_DUTY_RECORD_RELEASED,
                                                 .holder = "n-1",
                                                 .holder_incarnation = 412,
@@ -19,8 +19,8 @@
                                                 .nonce = 77,
                                                 .successor = "n-2",
                                                 .cause = "handed over"};
-    amb_duty_encode_record(&text, &record);
-    cbor_item_t *item = parse(&text);
+    amb_duty_encode_record(&buffer, &record);
+    cbor_item_t *item = parse(&buffer);
     assert_int_equal(amb_duty_decode_record(item, &out), AMB_DUTY_DECODED);
     cbor_decref(&item);
     record.present = true;
@@ -30,7 +30,7 @@
 static void intents_are_read_back(void **state) {
     (void)state;
     for (int duty = 0; duty < AMB_DUTY_CLEANUP; duty++) {
-        struct amb_buf text = {0};
+        struct amb_buf buffer = {0};
         struct amb_duty_intent_record out = {.duty = (enum amb_duty_name)duty},
                                       intent = {.duty = (enum amb_duty_name)duty,
                                                 .state = AMB_DUTY_INTENT_SETTLED,
@@ -38,47 +38,47 @@
                                                 .fencing_token = 5,
                                                 .unanswered = 2,
                                                 .withdrawn = true};
-        struct amb_duty_intent_payload read, work = {.created_wall_ms = 1700000000123};
+        struct amb_duty_intent_payload read, payload = {.created_wall_ms = 1700000000123};
         if (duty == AMB_DUTY_RENT) {
-            strcpy(work.type, "g8"), strcpy(work.zone, "a");
-            work.spot = true;
-            work.count = 12;
+            strcpy(payload.type, "g8"), strcpy(payload.zone, "a");
+            payload.spot = true;
+            payload.count = 12;
         } else {
-            strcpy(work.reason, "idle");
+            strcpy(payload.reason, "idle");
         }
-        amb_duty_intent_payload_add_machine(&work, "m-1");
-        amb_duty_intent_payload_add_machine(&work, "m-2");
-        amb_duty_encode_intent(&text, &intent, &work);
-        cbor_item_t *item = parse(&text);
+        amb_duty_intent_payload_add_machine(&payload, "m-1");
+        amb_duty_intent_payload_add_machine(&payload, "m-2");
+        amb_duty_encode_intent(&buffer, &intent, &payload);
+        cbor_item_t *item = parse(&buffer);
         assert_int_equal(amb_duty_decode_intent(item, &out, &read), AMB_DUTY_DECODED);
         cbor_decref(&item);
         intent.present = true;
         assert_memory_equal(&out, &intent, sizeof out);
-        assert_string_equal(read.type, work.type);
-        assert_string_equal(read.zone, work.zone);
-        assert_string_equal(read.reason, work.reason);
-        assert_true(read.spot == work.spot && read.count == work.count);
-        assert_true(read.created_wall_ms == work.created_wall_ms);
+        assert_string_equal(read.type, payload.type);
+        assert_string_equal(read.zone, payload.zone);
+        assert_string_equal(read.reason, payload.reason);
+        assert_true(read.spot == payload.spot && read.count == payload.count);
+        assert_true(read.created_wall_ms == payload.created_wall_ms);
         assert_int_equal(read.machine_count, 2);
         assert_string_equal(read.machines[1], "m-2");
-        amb_duty_intent_payload_free(&work);
+        amb_duty_intent_payload_free(&payload);
         amb_duty_intent_payload_free(&read);
     }
 }
 
-static void put_mode(struct amb_buf *text, uint64_t form, const char *mode, bool more) {
-    amb_cbor_write_map(text, more ? 3 : 2);
-    amb_cbor_write_string(text, "form"), amb_cbor_write_uint(text, form);
-    amb_cbor_write_string(text, "mode"), amb_cbor_write_string(text, mode);
-    if (more) amb_cbor_write_string(text, "colour"), amb_cbor_write_string(text, "red");
+static void write_mode(struct amb_buf *buffer, uint64_t version, const char *mode, bool extra_field) {
+    amb_cbor_write_map(buffer, extra_field ? 3 : 2);
+    amb_cbor_write_string(buffer, "form"), amb_cbor_write_uint(buffer, version);
+    amb_cbor_write_string(buffer, "mode"), amb_cbor_write_string(buffer, mode);
+    if (extra_field) amb_cbor_write_string(buffer, "colour"), amb_cbor_write_string(buffer, "red");
 }
 
 static void record_versions_are_checked(void **state) {
     (void)state;
     static const struct {
-        uint64_t form;
+        uint64_t version;
         const char *mode;
-        bool more;
+        bool extra_field;
         enum amb_duty_decode_result decoded;
     } rows[] = {
         {AMB_DUTY_RECORD_VERSION, "duties", false, AMB_DUTY_DECODED},
@@ -89,10 +89,10 @@
         {AMB_DUTY_RECORD_VERSION + 1, "other", true, AMB_DUTY_NEWER_VERSION},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct amb_buf text = {0};
+        struct amb_buf buffer = {0};
         enum amb_duty_mode mode = AMB_DUTY_MODE_LEADER;
-        put_mode(&text, rows[i].form, rows[i].mode, rows[i].more);
-        cbor_item_t *item = parse(&text);
+        write_mode(&buffer, rows[i].version, rows[i].mode, rows[i].extra_field);
+        cbor_item_t *item = parse(&buffer);
         enum amb_duty_decode_result decoded = amb_duty_decode_mode(item, &mode);
         cbor_decref(&item);
         if (decoded != rows[i].decoded || (mode == AMB_DUTY_MODE_DUTIES) != (decoded == AMB_DUTY_DECODED))
@@ -103,11 +103,11 @@
 /* Any field that is missing makes a record malformed: none is taken for something else. */
 static void missing_fields_are_noticed(void **state) {
     (void)state;
-    struct amb_buf text = {0};
+    struct amb_buf buffer = {0};
     struct amb_duty_record out;
     struct amb_duty_record record = {.holder = "n-1", .fencing_token = 3};
-    amb_duty_encode_record(&text, &record);
-    cbor_item_t *item = parse(&text);
+    amb_duty_encode_record(&buffer, &record);
+    cbor_item_t *item = parse(&buffer);
     struct cbor_pair *pairs = cbor_map_handle(item);
     for (size_t i = 0; i < cbor_map_size(item); i++) {
         cbor_item_t *name = pairs[i].key, *other = cbor_build_string("x");
@@ -155,25 +155,26 @@
     (void)state;
     static const double limits[] = {1, 2.5, 8, 64};
     for (size_t i = 0; i < ROWS(limits); i++) {
-        struct amb_buf text = {0};
+        struct amb_buf buffer = {0};
         struct amb_duty_intent_record intent = {.duty = AMB_DUTY_RENT,
                                                 .state = AMB_DUTY_INTENT_SETTLED,
                                                 .result = AMB_DUTY_RESULT_MALFORMED,
                                                 .fencing_token = UINT32_MAX,
                                                 .unanswered = UINT32_MAX};
-        struct amb_duty_intent_payload work = {
+        struct amb_duty_intent_payload payload = {
             .created_wall_ms = 1700000000123, .count = 50, .type = "g8-large", .zone = "zone-a"};
-        uint32_t most = amb_duty_max_machines(limits[i]);
-        assert_true(most >= 1 && most <= AMB_DUTY_MAX_MACHINES);
-        for (uint32_t k = 0; k < most; k++) amb_duty_intent_payload_add_machine(&work, "m-000231-longer");
-        amb_duty_encode_intent(&text, &intent, &work);
-        cbor_item_t *item = parse(&text);
+        uint32_t max_machines = amb_duty_max_machines(limits[i]);
+        assert_true(max_machines >= 1 && max_machines <= AMB_DUTY_MAX_MACHINES);
+        for (uint32_t k = 0; k < max_machines; k++)
+            amb_duty_intent_payload_add_machine(&payload, "m-000231-longer");
+        amb_duty_encode_intent(&buffer, &intent, &payload);
+        cbor_item_t *item = parse(&buffer);
         unsigned char *bytes = NULL;
         size_t room, len = cbor_serialize_alloc(item, &bytes, &room);
         if ((double)len > limits[i] * 1024) fail_msg("%g KiB: %zu bytes", limits[i], len);
         free(bytes);
         cbor_decref(&item);
-        amb_duty_intent_payload_free(&work);
+        amb_duty_intent_payload_free(&payload);
     }
 }
 
--- a/tests/duty/test_duty_service.c
+++ b/tests/duty/test_duty_service.c
@@ -24,25 +24,26 @@
 }
 
 static void create_scale_out(const char *id) {
-    const struct amb_duty_intent_payload work = {.type = "g8", .zone = "a", .count = 3, .created_wall_ms = 1};
-    members_put_intent(AMB_DUTY_RENT, id, &work);
+    const struct amb_duty_intent_payload payload = {
+        .type = "g8", .zone = "a", .count = 3, .created_wall_ms = 1};
+    members_put_intent(AMB_DUTY_RENT, id, &payload);
 }
 
 static void create_scale_in(enum amb_duty_name duty, const char *id) {
-    struct amb_duty_intent_payload work = {.reason = "idle", .created_wall_ms = 1};
-    amb_duty_intent_payload_add_machine(&work, "m-1");
-    amb_duty_intent_payload_add_machine(&work, "m-2");
-    members_put_intent(duty, id, &work);
-    amb_duty_intent_payload_free(&work);
+    struct amb_duty_intent_payload payload = {.reason = "idle", .created_wall_ms = 1};
+    amb_duty_intent_payload_add_machine(&payload, "m-1");
+    amb_duty_intent_payload_add_machine(&payload, "m-2");
+    members_put_intent(duty, id, &payload);
+    amb_duty_intent_payload_free(&payload);
 }
 
 static struct amb_duty_intent_record read_intent(enum amb_duty_name duty, const char *id,
                                                  uint32_t *machines) {
     struct amb_duty_intent_record record;
-    struct amb_duty_intent_payload work;
-    if (!members_read_intent(duty, id, &record, &work)) fail_msg("order %s is not on record", id);
-    *machines = work.machine_count;
-    amb_duty_intent_payload_free(&work);
+    struct amb_duty_intent_payload payload;
+    if (!members_read_intent(duty, id, &record, &payload)) fail_msg("order %s is not on record", id);
+    *machines = payload.machine_count;
+    amb_duty_intent_payload_free(&payload);
     return record;
 }
 
@@ -209,7 +210,7 @@
     members[first].cut_off = true;
     members_run(MEMBER_TTL_MS);
     assert_false(amb_duty_may_call(&members[first].service.core, AMB_DUTY_RENT,
-                                   members[first].service.ports.now(&members[first])));
+                                   members[first].service.callbacks.now(&members[first])));
     members_run(SUCCESSION_MS);
     assert_int_not_equal(members_holder(AMB_DUTY_RENT), first);
     create_scale_out("r-1-1");
@@ -248,26 +249,26 @@
     (void)state;
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
-    int first = members_holder(AMB_DUTY_RENT), wanted = member_without_duty();
-    struct amb_duty_handover wish = {{0}};
-    strcpy(wish.successor, members[wanted].name);
+    int first = members_holder(AMB_DUTY_RENT), successor = member_without_duty();
+    struct amb_duty_handover handover = {{0}};
+    strcpy(handover.successor, members[successor].name);
     amb_duty_handover_key(key, AMB_DUTY_RENT);
-    amb_duty_encode_handover(&value, &wish);
+    amb_duty_encode_handover(&value, &handover);
     members_put(key, &value);
     amb_buf_free(&value);
     members_run(2000);
-    assert_int_equal(members_holder(AMB_DUTY_RENT), wanted);
+    assert_int_equal(members_holder(AMB_DUTY_RENT), successor);
     uint32_t seen = members[first].service.holder_changes;
     members_run(LONG_MS); /* the wish concerned the holder of its time: it does not move again */
-    assert_int_equal(members_holder(AMB_DUTY_RENT), wanted);
+    assert_int_equal(members_holder(AMB_DUTY_RENT), successor);
     assert_int_equal(members[first].service.holder_changes, seen);
 }
 
-static void put_record_of_form(const char *key, uint64_t form) {
+static void put_record_of_version(const char *key, uint64_t version) {
     struct amb_buf value = {0};
     amb_cbor_write_map(&value, 1);
     amb_cbor_write_string(&value, "form");
-    amb_cbor_write_uint(&value, form);
+    amb_cbor_write_uint(&value, version);
     members_put(key, &value);
     amb_buf_free(&value);
 }
@@ -275,8 +276,8 @@
 /* A record of a later version: its duty is left alone, and nothing is called under it. */
 static void newer_record_versions_are_not_acted_on(void **state) {
     (void)state;
-    put_record_of_form("a/duty/rent", AMB_DUTY_RECORD_VERSION + 1);
-    put_record_of_form("a/order/return/t-1-1", AMB_DUTY_RECORD_VERSION + 1);
+    put_record_of_version("a/duty/rent", AMB_DUTY_RECORD_VERSION + 1);
+    put_record_of_version("a/order/return/t-1-1", AMB_DUTY_RECORD_VERSION + 1);
     members_run(1000);
     create_scale_out("r-1-1");
     uint32_t before = members_writes();
@@ -319,7 +320,8 @@
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
     members[holder].lists_held = true;
-    members_inject_fault((struct member_fault){MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST}); /* so it reads the order */
+    members_inject_fault(
+        (struct member_fault){MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST}); /* so it reads the order */
     create_scale_out("r-1-1");
     members_run(MEMBER_LIST_MS + 2L * MEMBER_TTL_MS);
     assert_null(members_value("a/order/rent/r-1-1"));
@@ -329,7 +331,7 @@
 }
 
 /* The member hears of an order, misses that it is settled, and sends a read of it. */
-static struct amb_duty_service *read_what_news_missed(int index) {
+static struct amb_duty_service *send_read_after_missed_change(int index) {
     struct amb_duty_service *service = &members[index].service;
     struct amb_duty_action read = {.type = AMB_DUTY_READ_INTENT, .duty = AMB_DUTY_RENT};
     read.intent = (struct amb_duty_intent_record){.duty = AMB_DUTY_RENT, .id = "r-1-1"};
@@ -351,7 +353,7 @@
     (void)state;
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_CLEANUP) || idle == members_holder(AMB_DUTY_RENT)) idle++;
-    struct amb_duty_service *service = read_what_news_missed(idle);
+    struct amb_duty_service *service = send_read_after_missed_change(idle);
     amb_duty_intent_table_remove(tracked_intent(service));
     members_run(2L * MEMBER_STEP_MS);
     assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_SETTLED); /* the read was answered */
@@ -366,7 +368,7 @@
     (void)state;
     int idle = 0;
     while (idle == members_holder(AMB_DUTY_RENT)) idle++;
-    struct amb_duty_service *service = read_what_news_missed(idle);
+    struct amb_duty_service *service = send_read_after_missed_change(idle);
     assert_int_equal(tracked_intent(service)->record.state, AMB_DUTY_INTENT_PENDING);
     members_run(2L * MEMBER_STEP_MS);
     assert_int_equal(tracked_intent(service)->record.state, AMB_DUTY_INTENT_SETTLED);
