--- a/include/amberpin/duty/assignment.h
+++ b/include/amberpin/duty/assignment.h
@@ -11,7 +11,7 @@
     bool alive;
     uint64_t incarnation; /* revision of its key; meaningful while alive */
     uint64_t nonce;
-    uint64_t seen_revision; /* highest revision known of its key */
+    uint64_t seen_revision; /* highest revision of its key seen so far, or of its absence */
     amb_ms alive_since;
     uint32_t lease_losses; /* times that it lost its lease, counted up to 2 */
     amb_ms last_loss_at;
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -61,7 +61,7 @@
 enum amb_duty_intent_state {
     AMB_DUTY_INTENT_PENDING, /* created by the leader; certainly not sent to the cloud yet */
     AMB_DUTY_INTENT_SENT, /* may have been sent to the cloud any number of times, always under the same id */
-    AMB_DUTY_INTENT_SETTLED, /* its result is known */
+    AMB_DUTY_INTENT_SETTLED, /* its result is known and recorded */
 };
 
 enum amb_duty_intent_result {
--- a/lib/duty/internal.h
+++ b/lib/duty/internal.h
@@ -5,7 +5,7 @@
 
 #include "amberpin/duty/core.h"
 
-/* One call of amb_duty_core_step. */
+/* Context of one call of amb_duty_core_step. */
 struct duty_step {
     struct amb_duty_core *core;
     const struct amb_duty_event *event;
--- a/tests/duty/test_duty_components.c
+++ b/tests/duty/test_duty_components.c
@@ -1,5 +1,5 @@
-/* The parts of single-holder duties that have no state of their own: settings, the local right, the ranking
- * of members, and the decision for an order. By tables. */
+/* The stateless functions of the duty core: settings, local validity of a lease, ranking of members, steps
+ * and records of intents; and the intent table. */
 #include "amberpin/duty/assignment.h"
 #include "amberpin/duty/intents.h"
 #include "amberpin/duty/lease.h"
@@ -59,43 +59,43 @@
     } while (0)
     ROW("the defaults", OK, (void)changed);
     ROW("no duty", NO_NAME, memset(changed->enabled, 0, sizeof changed->enabled));
-    ROW("a lease below what the state service takes", TTL_RANGE, changed->ttl = 99);
-    ROW("a lease above it", TTL_RANGE, changed->ttl = 600001);
+    ROW("a ttl below the limit of the key-value store", TTL_RANGE, changed->ttl = 99);
+    ROW("a ttl above its limit", TTL_RANGE, changed->ttl = 600001);
     ROW("drift above a tenth", DRIFT_RANGE, changed->drift_ppm = 100001);
-    /* 3000 - 3 (drift) - 150 (margin) is left; 750 + 3 x 699 = 2847 is needed. */
-    ROW("a lease that leaves no more than a renewal and three calls", SHORT_LEASE,
+    /* The local validity is 3000 - 3 (drift) - 150 (margin); 750 + 3 x 699 = 2847 is needed. */
+    ROW("local validity equal to a renewal interval and three calls", SHORT_LEASE,
         changed->call_timeout = 699;
         changed->backoff = 700);
-    ROW("and one that leaves just more", OK, changed->call_timeout = 698; changed->backoff = 700);
-    ROW("a lease shorter than drift allows", SHORT_LEASE, changed->drift_ppm = 100000;
+    ROW("local validity just above it", OK, changed->call_timeout = 698; changed->backoff = 700);
+    ROW("a lease too short for the drift", SHORT_LEASE, changed->drift_ppm = 100000;
         changed->safety_margin = 750);
     ROW("a margin as long as the lease", SHORT_LEASE, changed->safety_margin = TTL);
     ROW("a negative margin", SHORT_LEASE, changed->safety_margin = -1);
     ROW("calls without a time limit", SHORT_LEASE, changed->call_timeout = 0);
     ROW("a backoff shorter than a call", BACKOFF_RANGE, changed->backoff = changed->call_timeout - 1);
     ROW("a backoff longer than the lease", BACKOFF_RANGE, changed->backoff = TTL + 1);
-    ROW("records removed at once", RETENTION_RANGE, changed->settled_retention = 0);
-    ROW("uncertain ones removed before others", RETENTION_RANGE,
+    ROW("no retention of settled records", RETENTION_RANGE, changed->settled_retention = 0);
+    ROW("uncertain records removed before others", RETENTION_RANGE,
         changed->uncertain_retention = changed->settled_retention - 1);
-    ROW("a rental refused before it was asked for", REFUSALS_RANGE, changed->max_refusals = 0);
+    ROW("a scale out refused before it is requested", REFUSALS_RANGE, changed->max_refusals = 0);
 #undef ROW
     for (size_t i = 0; i < count; i++) {
         enum amb_duty_settings_error error = amb_duty_settings_check(&rows[i].settings);
         if (error != rows[i].error)
             fail_msg("%s: error %d, wanted %d", rows[i].what, (int)error, (int)rows[i].error);
         bool named = amb_duty_settings_field(error)[0] && amb_duty_settings_allowed(error)[0];
-        if (named != (error != AMB_DUTY_SETTINGS_OK)) fail_msg("%s: field and what is allowed", rows[i].what);
+        if (named != (error != AMB_DUTY_SETTINGS_OK)) fail_msg("%s: field and allowed values", rows[i].what);
     }
 }
 
 static void vacancy_bound(void **state) {
     (void)state;
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
-    /* 3000 + 1 + 1 (drift, rounded up) + 100 (lateness) + 300 (news) + 5 x 500 (ranks) + 300 (claim) */
+    /* 3000 + 1 + 1 (drift, rounded up) + 100 (late expiry) + 300 (change) + 5 x 500 (ranks) + 300 (claim) */
     assert_int_equal(amb_duty_settings_vacancy_bound(&settings, 5), 6202);
 }
 
-/* ---- the local right ---- */
+/* ---- local validity ---- */
 
 static void local_validity(void **state) {
     (void)state;
@@ -104,10 +104,10 @@
         uint32_t drift_ppm;
         amb_ms margin, span;
     } rows[] = {
-        {"without drift or margin, all of the lease", 0, 0, 3000},
-        {"the drift of both clocks", 500, 0, 2997},
-        {"rounded against the holder", 1, 0, 2999},
-        {"and the margin", 500, 150, 2847},
+        {"the whole lease without drift and margin", 0, 0, 3000},
+        {"less the drift of both clocks", 500, 0, 2997},
+        {"drift rounded up", 1, 0, 2999},
+        {"less drift and margin", 500, 150, 2847},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
@@ -118,8 +118,8 @@
     }
 }
 
-/* The member's clock is slow by the drift while the state service's is fast by it, and the other way about:
- * the right never outlasts the lease. */
+/* The clock of the member is slow by the drift while that of the key-value store is fast by it, or the
+ * reverse: the local validity never outlasts the lease. */
 static void local_validity_within_lease(void **state) {
     (void)state;
     static const uint32_t drifts[] = {0, 1, 500, 10000, 100000};
@@ -134,7 +134,7 @@
                 double true_lease = (double)ttls[ttl_index] / (1 + drift);
                 double true_validity = (double)amb_duty_lease_local_ttl(&settings) / (1 - drift);
                 if (true_validity > true_lease + 1e-9)
-                    fail_msg("ttl %d, drift %u: the right outlasts the lease", (int)ttls[ttl_index],
+                    fail_msg("ttl %d, drift %u: the local validity outlasts the lease", (int)ttls[ttl_index],
                              drifts[drift_index]);
             }
         }
@@ -146,21 +146,21 @@
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
     amb_ms span = amb_duty_lease_local_ttl(&settings);
     struct amb_duty_lease lease = {0};
-    assert_false(amb_duty_lease_is_valid(&lease, &settings, 0)); /* none */
+    assert_false(amb_duty_lease_is_valid(&lease, &settings, 0)); /* no lease */
     lease.id = 7;
-    assert_false(amb_duty_lease_is_valid(&lease, &settings, 0)); /* not counted yet */
+    assert_false(amb_duty_lease_is_valid(&lease, &settings, 0)); /* not granted yet */
     amb_duty_lease_note_renewal(&lease, 1000);
     assert_true(amb_duty_lease_is_valid(&lease, &settings, 1000 + span - 1));
     assert_false(amb_duty_lease_is_valid(&lease, &settings, 1000 + span));
     assert_int_equal(amb_duty_lease_remaining(&lease, &settings, 1000), span);
     assert_int_equal(amb_duty_lease_remaining(&lease, &settings, 1000 + 2 * span), 0);
-    amb_duty_lease_note_renewal(&lease, 500); /* a late answer to an older request */
+    amb_duty_lease_note_renewal(&lease, 500); /* a late response to an older request */
     assert_true(amb_duty_lease_is_valid(&lease, &settings, 1000 + span - 1));
     amb_duty_lease_note_renewal(&lease, 2000);
     assert_true(amb_duty_lease_is_valid(&lease, &settings, 2000 + span - 1));
 }
 
-/* ---- the ranking ---- */
+/* ---- ranking ---- */
 
 enum { MEMBERS = 5 };
 
@@ -194,8 +194,8 @@
     assert_int_equal(amb_duty_rank(members, MEMBERS, AMB_DUTY_RENT, "n-2", DECAY, 0), MEMBERS - 1);
 }
 
-/* When a member goes, only the duties that it was preferred for have another preference; when it is back, as
- * before. */
+/* When a member leaves, the preference changes only for the duties that preferred it; when it returns, the
+ * former preference is restored. */
 static void ranks_are_stable(void **state) {
     (void)state;
     struct amb_duty_member members[MEMBERS];
@@ -212,7 +212,7 @@
     }
 }
 
-/* Names that differ in their last character only must not all prefer the same member. */
+/* Member names that differ only in their last character must not make all duties prefer the same member. */
 static void duties_are_spread(void **state) {
     (void)state;
     uint32_t first[MEMBERS] = {0};
@@ -235,14 +235,14 @@
         amb_ms at;
         bool flaps;
     } rows[] = {
-        {"never lost", {0}, 100, false},
-        {"lost once", {50}, 60, false},
-        {"lost twice at once", {50, 60}, 70, true},
-        {"until the decay is over", {50, 60}, 59 + DECAY, true},
-        {"and no longer", {50, 60}, 60 + DECAY, false},
-        {"lost twice with a long time between", {50, 50 + DECAY}, 51 + DECAY, false},
-        {"lost twice with just less", {50, 49 + DECAY}, 50 + DECAY, true},
-        {"lost again after a long time", {50, 60, 60 + 2 * DECAY}, 61 + 2 * DECAY, false},
+        {"no loss", {0}, 100, false},
+        {"one loss", {50}, 60, false},
+        {"two losses within the decay", {50, 60}, 70, true},
+        {"until the end of the decay", {50, 60}, 59 + DECAY, true},
+        {"not after the decay", {50, 60}, 60 + DECAY, false},
+        {"two losses a decay apart", {50, 50 + DECAY}, 51 + DECAY, false},
+        {"two losses just less than a decay apart", {50, 49 + DECAY}, 50 + DECAY, true},
+        {"another loss long after two", {50, 60, 60 + 2 * DECAY}, 61 + 2 * DECAY, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_duty_member member = {.name = "n-0", .alive = true};
@@ -268,7 +268,7 @@
         amb_duty_member_note_loss(&members[i], 10);
         amb_duty_member_note_loss(&members[i], 20);
     }
-    /* When all flap, the order is as before. */
+    /* When all members flap, the order is as without flapping. */
     assert_int_equal(amb_duty_rank(members, MEMBERS, AMB_DUTY_RENT, name, DECAY, 20), 0);
 }
 
@@ -279,7 +279,7 @@
         assert_int_equal(amb_duty_fair_share(rows[i][0], rows[i][1]), rows[i][2]);
 }
 
-/* ---- orders ---- */
+/* ---- intents ---- */
 
 enum { OURS = 9, THEIRS = 8 };
 
@@ -298,29 +298,37 @@
         enum amb_duty_intent_step step;
         enum amb_duty_intent_result result;
     } rows[] = {
-        {"a new order is marked first",
+        {"a new intent is first recorded as sent",
          {.record = RECORD(RENT, PENDING, 0)},
          true,
          AMB_DUTY_STEP_MARK_SENT,
          0},
-        {"not while the duty is drained", {.record = RECORD(RENT, PENDING, 0)}, false, AMB_DUTY_STEP_NONE, 0},
-        {"one that we marked is sent", {.record = RECORD(RENT, SENT, OURS)}, true, AMB_DUTY_STEP_CALL, 0},
-        {"and sent again while the duty is drained",
+        {"not while the duty is draining",
+         {.record = RECORD(RENT, PENDING, 0)},
+         false,
+         AMB_DUTY_STEP_NONE,
+         0},
+        {"an intent recorded under this token is sent",
+         {.record = RECORD(RENT, SENT, OURS)},
+         true,
+         AMB_DUTY_STEP_CALL,
+         0},
+        {"also while the duty is draining",
          {.record = RECORD(RENT, SENT, OURS)},
          false,
          AMB_DUTY_STEP_CALL,
          0},
-        {"one of an earlier holder is marked anew",
+        {"an intent of a previous holder is recorded again",
          {.record = RECORD(RENT, SENT, THEIRS)},
          true,
          AMB_DUTY_STEP_MARK_SENT,
          0},
-        {"not while the duty is drained",
+        {"not while the duty is draining",
          {.record = RECORD(RETURN, SENT, THEIRS)},
          false,
          AMB_DUTY_STEP_NONE,
          0},
-        {"nothing before its time",
+        {"nothing before retry_at",
          {.record = RECORD(RENT, SENT, OURS), .retry_at = 101},
          true,
          AMB_DUTY_STEP_NONE,
@@ -330,7 +338,7 @@
          true,
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_DONE},
-        {"also while the duty is drained",
+        {"a known result is written while the duty is draining",
          {.record = RECORD(RENT, SENT, OURS), .result = AMB_DUTY_RESULT_NO_CAPACITY},
          false,
          AMB_DUTY_STEP_SETTLE,
@@ -340,22 +348,22 @@
          true,
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_VOID},
-        {"withdrawn too late: repeated until its result is known",
+        {"withdrawn after it was sent: repeated until its result is known",
          {.record = RECORD(RENT, SENT, THEIRS, .withdrawn = true)},
          true,
          AMB_DUTY_STEP_MARK_SENT,
          0},
-        {"a return whose machines are proved gone is adopted",
+        {"a scale in whose machines are proven absent settles",
          {.record = RECORD(RETURN, SENT, THEIRS), .absence_proven = true},
          true,
          AMB_DUTY_STEP_SETTLE,
          AMB_DUTY_RESULT_GONE},
-        {"a rental never is",
+        {"a scale out never settles by proof of absence",
          {.record = RECORD(RENT, SENT, OURS), .absence_proven = true},
          true,
          AMB_DUTY_STEP_CALL,
          0},
-        {"nothing is left of a settled one",
+        {"no step for a settled intent",
          {.record = RECORD(RETURN, SETTLED, THEIRS), .absence_proven = true},
          true,
          AMB_DUTY_STEP_NONE,
@@ -377,10 +385,10 @@
         struct amb_duty_intent intent;
         uint32_t unanswered;
     } rows[] = {
-        {"a new order", {.record = RECORD(RENT, PENDING, 0)}, 0},
-        {"an earlier holder may have sent it", {.record = RECORD(RENT, SENT, THEIRS)}, 1},
-        {"two of them", {.record = RECORD(RENT, SENT, THEIRS, .unanswered = 1)}, 2},
-        {"marked by us already", {.record = RECORD(RENT, SENT, OURS, .unanswered = 1)}, 1},
+        {"a new intent", {.record = RECORD(RENT, PENDING, 0)}, 0},
+        {"a previous holder may have sent it", {.record = RECORD(RENT, SENT, THEIRS)}, 1},
+        {"two previous holders may have sent it", {.record = RECORD(RENT, SENT, THEIRS, .unanswered = 1)}, 2},
+        {"already recorded under this token", {.record = RECORD(RENT, SENT, OURS, .unanswered = 1)}, 1},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_duty_intent_record record = amb_duty_intent_as_sent(&rows[i].intent, OURS);
@@ -400,25 +408,25 @@
         uint32_t unanswered;                /* in the record once it is settled */
     } rows[] = {
         {"done", {AMB_DUTY_CLOUD_DONE}, 1, AMB_DUTY_RESULT_DONE, 0},
-        {"done after an answer was lost: the lost copy did it, or will do nothing",
+        {"done after a response was lost: one of the copies took effect, the other has none",
          {AMB_DUTY_CLOUD_NO_ANSWER, AMB_DUTY_CLOUD_DONE},
          2,
          AMB_DUTY_RESULT_DONE,
          0},
-        {"lost", {AMB_DUTY_CLOUD_NO_ANSWER}, 1, AMB_DUTY_RESULT_NONE, 0},
-        {"refused once of two times", {AMB_DUTY_CLOUD_NO_CAPACITY}, 1, AMB_DUTY_RESULT_NONE, 0},
+        {"no response", {AMB_DUTY_CLOUD_NO_ANSWER}, 1, AMB_DUTY_RESULT_NONE, 0},
+        {"first of two refusals", {AMB_DUTY_CLOUD_NO_CAPACITY}, 1, AMB_DUTY_RESULT_NONE, 0},
         {"refused",
          {AMB_DUTY_CLOUD_NO_CAPACITY, AMB_DUTY_CLOUD_NO_CAPACITY},
          2,
          AMB_DUTY_RESULT_NO_CAPACITY,
          0},
-        {"refused, but a copy may yet act",
+        {"refused, but an earlier copy may still take effect",
          {AMB_DUTY_CLOUD_NO_ANSWER, AMB_DUTY_CLOUD_NO_CAPACITY, AMB_DUTY_CLOUD_NO_CAPACITY},
          3,
          AMB_DUTY_RESULT_NO_CAPACITY,
          1},
         {"malformed", {AMB_DUTY_CLOUD_MALFORMED}, 1, AMB_DUTY_RESULT_MALFORMED, 0},
-        {"nothing is known after a refusal for want of calls, or of the right",
+        {"busy, not sent or fenced: the result stays unknown",
          {AMB_DUTY_CLOUD_BUSY, AMB_DUTY_CLOUD_NOT_SENT, AMB_DUTY_CLOUD_FENCED},
          3,
          AMB_DUTY_RESULT_NONE,
@@ -449,17 +457,20 @@
         amb_ms age;
         bool removable;
     } rows[] = {
-        {"not before no list can show the machine",
+        {"kept until no machine list can contain the machine",
          {.record = RECORD(RETURN, SETTLED, OURS)},
          LIST_SPAN - 1,
          false},
-        {"then", {.record = RECORD(RETURN, SETTLED, OURS)}, LIST_SPAN, true},
-        {"much later if a copy may yet rent",
+        {"removed after that", {.record = RECORD(RETURN, SETTLED, OURS)}, LIST_SPAN, true},
+        {"kept longer if an unanswered copy may still scale out",
          {.record = RECORD(RENT, SETTLED, OURS, .unanswered = 1)},
          LIST_SPAN,
          false},
-        {"then", {.record = RECORD(RENT, SETTLED, OURS, .unanswered = 1)}, 8 * LIST_SPAN, true},
-        {"never while it is open", {.record = RECORD(RETURN, SENT, OURS)}, 100 * LIST_SPAN, false},
+        {"removed after the longer time",
+         {.record = RECORD(RENT, SETTLED, OURS, .unanswered = 1)},
+         8 * LIST_SPAN,
+         true},
+        {"never removed while open", {.record = RECORD(RETURN, SENT, OURS)}, 100 * LIST_SPAN, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
         if (amb_duty_intent_is_removable(&rows[i].intent, &settings, rows[i].age) != rows[i].removable)
@@ -472,19 +483,19 @@
     struct amb_duty_intent_table table = {.entries = intents, .capacity = 2};
     struct amb_duty_intent *rent = amb_duty_intent_table_add(&table, AMB_DUTY_RENT, "o-1");
     struct amb_duty_intent *back =
-        amb_duty_intent_table_add(&table, AMB_DUTY_RETURN, "o-1"); /* another duty's */
+        amb_duty_intent_table_add(&table, AMB_DUTY_RETURN, "o-1"); /* the same id under another duty */
     assert_ptr_not_equal(rent, back);
     assert_ptr_equal(amb_duty_intent_table_find(&table, AMB_DUTY_RETURN, "o-1"), back);
     assert_null(amb_duty_intent_table_find(&table, AMB_DUTY_RENT, "o-2"));
-    assert_null(amb_duty_intent_table_add(&table, AMB_DUTY_RENT, "o-2")); /* no room */
+    assert_null(amb_duty_intent_table_add(&table, AMB_DUTY_RENT, "o-2")); /* the table is full */
     assert_true(table.overflowed);
     assert_int_equal(amb_duty_intent_table_count_open(&table, AMB_DUTY_RENT), 1);
     struct amb_duty_intent_record record = {.present = true, .id = "o-1", .revision = 5};
     assert_true(amb_duty_intent_apply_record(rent, &record, 10));
-    assert_false(amb_duty_intent_apply_record(rent, &record, 20)); /* told twice */
+    assert_false(amb_duty_intent_apply_record(rent, &record, 20)); /* a duplicate */
     record.revision = 4;
     record.state = AMB_DUTY_INTENT_SETTLED;
-    assert_false(amb_duty_intent_apply_record(rent, &record, 30)); /* told late */
+    assert_false(amb_duty_intent_apply_record(rent, &record, 30)); /* an outdated record */
     assert_int_equal(amb_duty_intent_table_count_open(&table, AMB_DUTY_RENT), 1);
     assert_int_equal(rent->state_known_at, 10);
     record.revision = 6;
--- a/tests/duty/test_duty_core.c
+++ b/tests/duty/test_duty_core.c
@@ -1,5 +1,5 @@
-/* The core of single-holder duties, by tables: what happens when, and what the member then holds and does.
- * The rows have one duty only, rent, so that its steps stand alone. */
+/* The core of single-holder duties: sequences of events, and the state of the duty and the actions expected
+ * after each. Most tests enable only one duty, rent, so that no other actions interfere. */
 #include "amberpin/duty/core.h"
 #include "check.h"
 
@@ -7,11 +7,11 @@
     TTL = 3000,
     LIST_SPAN = 10000,
     BACKOFF = 500,
-    LOCAL_TTL = TTL - 3 - TTL / 20, /* after a renewal was sent */
+    LOCAL_TTL = TTL - 3 - TTL / 20, /* local validity, counted from the sending of a renewal */
     START = 100000,
     LEASE = 7,
-    INCARNATION = 20, /* stamp of our member key */
-    CLAIM = 50,       /* stamp of our claim */
+    INCARNATION = 20, /* revision of the member key of n-0 */
+    CLAIM = 50,       /* revision of the claim of n-0 */
     THEIR_INCARNATION = 10,
     MAX_INTENTS = 3,
 };
@@ -21,7 +21,7 @@
 static struct amb_duty_output out;
 static char actions_text[512];
 
-/* ---- what was done, as text ---- */
+/* ---- actions as text ---- */
 
 static void append(const char *format, ...) __attribute__((format(printf, 1, 2)));
 static void append(const char *format, ...) {
@@ -71,11 +71,11 @@
                (int)action->intent.revision);
         break;
     case AMB_DUTY_CALL_CLOUD: append("call %s by %d", action->intent.id, (int)action->fencing_token); break;
-    case AMB_DUTY_STATE_CHANGED: break; /* the state is looked at itself */
+    case AMB_DUTY_STATE_CHANGED: break; /* the tests check the state itself */
     }
 }
 
-/* The number of the call that was asked for last, for its answer. */
+/* Number of the latest call, for its response. */
 static uint64_t last_call(void) {
     return core.call_counter;
 }
@@ -178,7 +178,7 @@
     return amb_duty_may_call(&core, AMB_DUTY_RENT, START + at);
 }
 
-/* ---- beginnings ---- */
+/* ---- initial states ---- */
 
 static struct amb_duty_settings settings_for(enum amb_duty_name duty) {
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, LIST_SPAN);
@@ -191,7 +191,7 @@
     amb_duty_core_init(&core, &settings, "n-0", 1, storage, MAX_INTENTS);
 }
 
-/* A member of which n-1 holds the duty, under token 3. */
+/* Starts member n-0 while n-1 holds the duty under token 3. */
 static void join(void) {
     start();
     step(tick(0));
@@ -201,7 +201,7 @@
     step(record(4, "n-1", THEIR_INCARNATION, 3, 15));
 }
 
-/* One that holds it, under token 4. */
+/* Starts member n-0, which then holds the duty under token 4. */
 static void hold(void) {
     join();
     step(member(5, "n-1", false, 30, 0));
@@ -222,7 +222,7 @@
     assert_int_equal(amb_duty_lease_remaining(&core.incarnation.lease, &core.settings, START), LOCAL_TTL);
     EXPECT(tick(TTL / 4 - 1), IDLE, "");
     EXPECT(tick(TTL / 4), IDLE, "extend 7");
-    EXPECT(tick(TTL / 4 + 1), IDLE, ""); /* one at a time */
+    EXPECT(tick(TTL / 4 + 1), IDLE, ""); /* one renewal at a time */
     EXPECT(extended(1000, AMB_CALL_OK), IDLE, "");
     assert_int_equal(core.incarnation.lease.valid_from, START + TTL / 4);
 }
@@ -232,21 +232,21 @@
     start();
     step(tick(0));
     EXPECT(granted(5, AMB_CALL_REFUSED, 0), IDLE, "");
-    EXPECT(tick(6), IDLE, ""); /* a backoff first */
+    EXPECT(tick(6), IDLE, ""); /* waits for the backoff */
     EXPECT(tick(5 + 2 * BACKOFF), IDLE, "grant");
     uint64_t call = last_call();
-    EXPECT(tick(5 + 2 * BACKOFF + 900), IDLE, ""); /* no answer: given up */
+    EXPECT(tick(5 + 2 * BACKOFF + 900), IDLE, ""); /* no response: the request counts as lost */
     assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_NONE);
-    /* The answer comes late: its lease is of no use. */
+    /* The response comes late: its lease is revoked. */
     EXPECT(((struct amb_duty_event){
                .type = AMB_DUTY_LEASE_GRANTED, AT(2000), .call = call, .result = AMB_CALL_OK, .lease = 3}),
            IDLE, "drop 3");
     EXPECT(tick(5000), IDLE, "grant");
     EXPECT(granted(5001, AMB_CALL_OK, LEASE), IDLE, "join on 7 over 0");
-    /* No answer to the write: whether it was carried out is read. */
+    /* No response to the write: the key is read to see whether it was committed. */
     EXPECT(committed(5002, AMB_CALL_NO_ANSWER, 0), IDLE, "read n-0");
     EXPECT(member(5003, "n-0", false, 12, 0), IDLE, "join on 7 over 0");
-    EXPECT(committed(5004, AMB_CALL_CONFLICT, 0), IDLE, "read n-0"); /* the first came late */
+    EXPECT(committed(5004, AMB_CALL_CONFLICT, 0), IDLE, "read n-0"); /* the first write was committed late */
     EXPECT(member(5005, "n-0", true, 14, core.incarnation.nonce), IDLE, "");
     assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_LIVE);
     assert_int_equal(core.incarnation.revision, 14);
@@ -259,7 +259,7 @@
     step(granted(5, AMB_CALL_OK, LEASE));
     assert_string_equal(actions_text, "join on 7 over 9");
     EXPECT(committed(6, AMB_CALL_OK, INCARNATION), IDLE, "");
-    /* Its record names a session that is over. */
+    /* The record names an incarnation that is over. */
     EXPECT(record(7, "n-0", 9, 3, 8), CANDIDATE, "claim 4 over 8, none 0, self 20");
 }
 
@@ -268,7 +268,7 @@
     start();
     step(tick(0));
     step(granted(5, AMB_CALL_OK, LEASE));
-    EXPECT(tick(LOCAL_TTL - 1), IDLE, "read n-0"); /* overdue */
+    EXPECT(tick(LOCAL_TTL - 1), IDLE, "read n-0"); /* the write has timed out */
     EXPECT(tick(LOCAL_TTL), IDLE, "drop 7");
     assert_int_equal(core.incarnation.state, AMB_DUTY_INCARNATION_NONE);
 }
@@ -286,35 +286,36 @@
     EXPECT(member(100, "n-0", false, 60, 0), LOST, "drop 7");
 
     hold();
-    EXPECT(member(100, "n-0", true, 60, 4321), LOST, "drop 7"); /* another process of our name */
+    /* Another process uses the same member name. */
+    EXPECT(member(100, "n-0", true, 60, 4321), LOST, "drop 7");
 
     hold();
-    EXPECT(member(100, "n-0", false, INCARNATION - 1, 0), HELD, ""); /* old news */
+    EXPECT(member(100, "n-0", false, INCARNATION - 1, 0), HELD, ""); /* an outdated change */
     EXPECT(member(100, "n-0", true, INCARNATION, core.incarnation.nonce), HELD, "");
 }
 
-/* ---- campaigns ---- */
+/* ---- claims ---- */
 
 static void claiming(void **state) {
     (void)state;
     join();
     EXPECT(tick(10), IDLE, "");
-    EXPECT(member(11, "n-1", false, THEIR_INCARNATION - 1, 0), IDLE, ""); /* old news */
-    /* The only member left claims at once, guarded by the record, the holder's absence and its own presence.
-     */
+    EXPECT(member(11, "n-1", false, THEIR_INCARNATION - 1, 0), IDLE, ""); /* an outdated change */
+    /* The only live member claims at once, and compares the record, the absence of the holder's key and its
+     * own key. */
     EXPECT(member(20, "n-1", false, 30, 0), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
     assert_false(may_call(21));
     EXPECT(committed(30, AMB_CALL_OK, CLAIM), HELD, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].fencing_token, 4);
     assert_true(may_call(31));
-    EXPECT(record(40, "n-0", INCARNATION, 4, CLAIM), HELD, ""); /* its own news */
-    EXPECT(committed(41, AMB_CALL_CONFLICT, 0), HELD, "");      /* a copy of an answer */
+    EXPECT(record(40, "n-0", INCARNATION, 4, CLAIM), HELD, ""); /* the change of its own write */
+    EXPECT(committed(41, AMB_CALL_CONFLICT, 0), HELD, "");      /* a copy of a response */
 }
 
 static void claiming_over_a_new_incarnation(void **state) {
     (void)state;
     join();
-    /* The holder was started again before its absence was heard of. */
+    /* The holder restarted before the absence of its key was received. */
     EXPECT(member(20, "n-1", true, 35, 2), CANDIDATE, "");
     EXPECT(tick(20 + 2 * BACKOFF), CANDIDATE, "extend 7, claim 4 over 15, n-1 35, self 20");
 }
@@ -338,7 +339,7 @@
     EXPECT(record(31, "n-2", 25, 4, 40), CANDIDATE, ""); /* n-2 is not known to be alive */
     EXPECT(member(32, "n-2", true, 25, 3), IDLE, "");
 
-    /* The answer comes after the news that another claimed later. */
+    /* The response comes after the change by which another member claimed later. */
     join();
     step(member(20, "n-1", false, 30, 0));
     step(member(21, "n-2", true, 31, 3));
@@ -352,14 +353,14 @@
     join();
     step(member(20, "n-1", false, 30, 0));
     EXPECT(committed(30, AMB_CALL_NO_ANSWER, 0), CANDIDATE, "read record");
-    EXPECT(record(31, "n-1", THEIR_INCARNATION, 3, 15), CANDIDATE, ""); /* not carried out yet */
+    EXPECT(record(31, "n-1", THEIR_INCARNATION, 3, 15), CANDIDATE, ""); /* not committed yet */
     EXPECT(tick(31 + BACKOFF * 2), CANDIDATE, "extend 7, claim 4 over 15, n-1 0, self 20");
-    /* The first copy was carried out after all. */
+    /* The first copy was committed after all. */
     EXPECT(committed(1100, AMB_CALL_CONFLICT, 0), CANDIDATE, "read record, read n-1");
     EXPECT(record(1101, "n-0", INCARNATION, 4, CLAIM), HELD, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].revision, CLAIM);
 
-    /* Never answered at all: the core gives up waiting itself. */
+    /* No response at all: the core itself detects the timeout. */
     join();
     step(member(20, "n-1", false, 30, 0));
     EXPECT(tick(20 + 900), CANDIDATE, "extend 7, read record");
@@ -369,14 +370,14 @@
     (void)state;
     join();
     step(member(5, "n-2", true, 11, 2));
-    /* n-2 flaps: it comes last. */
+    /* n-2 is flapping, so it ranks last. */
     step(member(6, "n-2", false, 12, 0));
     step(member(7, "n-2", true, 13, 3));
     step(member(8, "n-2", false, 14, 0));
     step(member(9, "n-2", true, 16, 4));
     EXPECT(member(20, "n-1", false, 30, 0), CANDIDATE, "claim 4 over 15, n-1 0, self 20");
 
-    /* This member flaps: the others go first. */
+    /* This member is flapping, so the others claim first. */
     join();
     step(member(5, "n-2", true, 11, 2));
     amb_duty_member_note_loss(&core.members[0], START + 6);
@@ -386,7 +387,7 @@
     EXPECT(tick(20 + BACKOFF * 3 / 2 + 1), CANDIDATE, "extend 7, claim 4 over 15, n-1 0, self 20");
 }
 
-/* Members that are at the same place in rank, or fail together, don't claim in step for ever. */
+/* Jitter and backoff keep members of the same rank, or that fail together, from claiming in lockstep. */
 static void backoff_and_jitter(void **state) {
     (void)state;
     amb_ms earliest = INT64_MAX, latest = 0;
@@ -447,10 +448,10 @@
     hold();
     EXPECT(tick(TTL / 4), HELD, "extend 7");
     assert_true(may_call(LOCAL_TTL - 1));
-    assert_false(may_call(LOCAL_TTL)); /* also before a tick has noticed */
+    assert_false(may_call(LOCAL_TTL)); /* even before a tick changes the state */
     EXPECT(tick(LOCAL_TTL), FENCED, "extend 7");
-    EXPECT(intent_event(LOCAL_TTL + 1, AMB_DUTY_INTENT_PENDING, 0, 55), FENCED, ""); /* nothing is begun */
-    /* The lease was alive after all: the record is still ours. */
+    EXPECT(intent_event(LOCAL_TTL + 1, AMB_DUTY_INTENT_PENDING, 0, 55), FENCED, ""); /* no intent is begun */
+    /* The lease was still alive, and the record still names this member. */
     EXPECT(extended(LOCAL_TTL + 10, AMB_CALL_OK), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
     assert_true(may_call(2 * LOCAL_TTL - 1));
     assert_false(may_call(2 * LOCAL_TTL));
@@ -462,7 +463,8 @@
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     EXPECT(record(20, "n-1", 33, 5, 60), LOST, "");
     assert_false(may_call(21));
-    EXPECT(committed(22, AMB_CALL_OK, 56), LOST, ""); /* the mark's answer: too late to act on */
+    /* The response to the write as sent comes too late to act on. */
+    EXPECT(committed(22, AMB_CALL_OK, 56), LOST, "");
     EXPECT(answered(23, AMB_DUTY_CLOUD_DONE), LOST, "");
     assert_int_equal(core.duties[AMB_DUTY_RENT].handovers, 3); /* 0 to 3, 3 to 4, 4 to 5 */
 }
@@ -472,14 +474,14 @@
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     EXPECT(committed(11, AMB_CALL_OK, 56), HELD, "call o-1 by 4");
-    /* We have been replaced, or the next claim will have a higher token. */
+    /* Either another member holds the duty, or the next claim will have a higher token. */
     EXPECT(answered(12, AMB_DUTY_CLOUD_FENCED), DRAINING, "release 4 for '' over 50");
     assert_false(may_call(13));
     EXPECT(committed(14, AMB_CALL_CONFLICT, 0), LOST, "read record");
     assert_int_equal(core.duties[AMB_DUTY_RENT].fenced_calls, 1);
 }
 
-/* ---- orders ---- */
+/* ---- intents ---- */
 
 static void intent_life_cycle(void **state) {
     (void)state;
@@ -487,9 +489,9 @@
     EXPECT(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55), HELD, "o-1 sent by 4 over 50/55, 0 unanswered");
     EXPECT(tick(11), HELD, "");
     EXPECT(committed(12, AMB_CALL_OK, 56), HELD, "call o-1 by 4");
-    EXPECT(intent_event(13, AMB_DUTY_INTENT_SENT, 4, 56), HELD, ""); /* its own news */
+    EXPECT(intent_event(13, AMB_DUTY_INTENT_SENT, 4, 56), HELD, ""); /* the change of its own write */
     EXPECT(answered(14, AMB_DUTY_CLOUD_DONE), HELD, "o-1 done by 4 over 50/56, 0 unanswered");
-    EXPECT(answered(15, AMB_DUTY_CLOUD_DONE), HELD, ""); /* the answer comes twice */
+    EXPECT(answered(15, AMB_DUTY_CLOUD_DONE), HELD, ""); /* a copy of the response */
     EXPECT(committed(16, AMB_CALL_OK, 57), HELD, "");
     EXPECT(tick(17), HELD, "");
     assert_int_equal(amb_duty_intent_table_count_open(&core.intents, AMB_DUTY_RENT), 0);
@@ -499,10 +501,10 @@
     (void)state;
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
-    /* The answer to the mark is read after a pause past the lease. */
+    /* The response to the write as sent is read after a pause longer than the lease. */
     EXPECT(committed(LOCAL_TTL + 1, AMB_CALL_OK, 56), FENCED, "extend 7");
     EXPECT(extended(LOCAL_TTL + 2, AMB_CALL_OK), HELD, "call o-1 by 4");
-    /* Paused between deciding and sending: the wiring asks once more. */
+    /* A pause between the decision and the call: the service asks again before sending. */
     assert_false(may_call(3 * LOCAL_TTL));
     EXPECT(((struct amb_duty_event){.type = AMB_DUTY_CLOUD_ANSWERED,
                                     AT(3 * LOCAL_TTL),
@@ -517,8 +519,8 @@
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
-    /* The cloud's answer is read after the lease ended: what it says is true all the same, but only a holder
-     * settles. */
+    /* The response of the cloud is read after the lease expired. Its content still holds, but only a holder
+     * settles the intent. */
     EXPECT(answered(4 * TTL, AMB_DUTY_CLOUD_DONE), FENCED, "extend 7");
     EXPECT(extended(4 * TTL + 1, AMB_CALL_NOT_FOUND), LOST, "drop 7");
     assert_int_equal(storage[0].result, AMB_DUTY_RESULT_NONE);
@@ -528,17 +530,17 @@
     (void)state;
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
-    /* The mark: no answer. Had it been carried out, a second would fail by its guard. */
+    /* No response to the write as sent. If it was committed, a second one fails by its comparison. */
     EXPECT(committed(11, AMB_CALL_NO_ANSWER, 0), HELD, "read o-1, read record");
     EXPECT(tick(12), HELD, "");
     EXPECT(intent_event(13, AMB_DUTY_INTENT_SENT, 4, 56), HELD, "");
     EXPECT(tick(11 + BACKOFF * 2), HELD, "extend 7, call o-1 by 4");
-    /* The call: the same name again, and a lost copy is remembered. */
+    /* The call is repeated under the same id, and the lost copy stays counted. */
     EXPECT(answered(1100, AMB_DUTY_CLOUD_NO_ANSWER), HELD, "");
     EXPECT(tick(1100 + BACKOFF - 1), HELD, "");
     EXPECT(tick(1100 + BACKOFF * 3), HELD, "extend 7, call o-1 by 4");
     EXPECT(answered(2650, AMB_DUTY_CLOUD_NO_CAPACITY), HELD, "o-1 refused by 4 over 50/56, 1 unanswered");
-    /* The settling: no answer. */
+    /* No response to the write of the result. */
     EXPECT(committed(2651, AMB_CALL_NO_ANSWER, 0), HELD, "read o-1, read record");
     EXPECT(intent_event(2652, AMB_DUTY_INTENT_SETTLED, 4, 57), HELD, "");
     EXPECT(tick(2700), HELD, "");
@@ -553,7 +555,7 @@
     EXPECT(tick(11 + 900), HELD, "extend 7");
     step(extended(912, AMB_CALL_OK));
     EXPECT(tick(2500), HELD, "extend 7, call o-1 by 4");
-    /* The first answer comes after all: it is not the one that is waited for. */
+    /* The response to the first call comes late and is ignored. */
     EXPECT(
         ((struct amb_duty_event){
             .type = AMB_DUTY_CLOUD_ANSWERED, AT(2501), .call = call, .answer = AMB_DUTY_CLOUD_NO_CAPACITY}),
@@ -567,10 +569,10 @@
     step(intent_event(5, AMB_DUTY_INTENT_SENT, 3, 16));
     step(member(20, "n-1", false, 30, 0));
     EXPECT(committed(21, AMB_CALL_OK, CLAIM), HELD, "o-1 sent by 4 over 50/16, 1 unanswered");
-    EXPECT(committed(22, AMB_CALL_OK, 51), HELD, "call o-1 by 4"); /* under the same name */
+    EXPECT(committed(22, AMB_CALL_OK, 51), HELD, "call o-1 by 4"); /* under the same id */
     EXPECT(answered(23, AMB_DUTY_CLOUD_NO_CAPACITY), HELD, "o-1 refused by 4 over 50/51, 1 unanswered");
 
-    /* It had settled it, of which the news come late: the guard notices. */
+    /* The previous holder had settled the intent, and the change comes late: the comparison fails. */
     join();
     step(intent_event(5, AMB_DUTY_INTENT_SENT, 3, 16));
     step(member(20, "n-1", false, 30, 0));
@@ -591,10 +593,10 @@
     assert_true(core.intents.overflowed);
     struct amb_duty_event removed = intent_event(20, AMB_DUTY_INTENT_SETTLED, 4, 70);
     removed.intent.present = false;
-    EXPECT(removed, HELD, "list"); /* there is room: all are read again */
+    EXPECT(removed, HELD, "list"); /* an entry is free: all intents are read again */
     assert_false(core.intents.overflowed);
 
-    /* Without room, it is tried again from time to time. */
+    /* While the table stays full, the read is repeated once per ttl. */
     removed.intent.present = true;
     removed.intent.revision = 71;
     step(removed);
@@ -607,7 +609,7 @@
 static void late_reads(void **state) {
     (void)state;
     hold();
-    /* The order was removed, and the news of it came before the answer to a read. */
+    /* The intent was removed, and the removal was received before the response to a read. */
     struct amb_duty_event read = intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55);
     read.type = AMB_DUTY_INTENT_READ;
     EXPECT(read, HELD, "");
@@ -620,7 +622,7 @@
     assert_null(amb_duty_intent_table_find(&core.intents, AMB_DUTY_RENT, "o-1"));
 }
 
-/* A call that was decided under an earlier claim must not go out under the present one. */
+/* A call that was decided under an earlier claim must not be sent under the current one. */
 static void a_call_decided_before_the_last_claim(void **state) {
     (void)state;
     hold();
@@ -636,31 +638,31 @@
     step(committed(14 + TTL, AMB_CALL_OK, 60));
     step((struct amb_duty_event){
         .type = AMB_DUTY_LEASE_EXTENDED, AT(15 + TTL), .call = renewal, .result = AMB_CALL_OK});
-    step(tick(14 + TTL + 2 * BACKOFF)); /* nobody else claims it */
+    step(tick(14 + TTL + 2 * BACKOFF)); /* no other member claims the duty */
     assert_string_equal(actions_text, "extend 7, claim 5 over 60, none 0, self 20");
     step(committed(15 + TTL + 2 * BACKOFF, AMB_CALL_OK, 61));
     assert_true(may_call(16 + TTL + 2 * BACKOFF));
     assert_false(amb_duty_may_send(&core, &call, START + 16 + TTL + 2 * BACKOFF));
 }
 
-/* ---- handing over ---- */
+/* ---- handover ---- */
 
 static void draining(void **state) {
     (void)state;
     hold();
     step(intent_event(10, AMB_DUTY_INTENT_PENDING, 0, 55));
     step(committed(11, AMB_CALL_OK, 56));
-    EXPECT(drain(12, "n-1"), DRAINING, ""); /* the call under way is waited for */
+    EXPECT(drain(12, "n-1"), DRAINING, ""); /* the call in flight is waited for */
     struct amb_duty_event another = intent_event(13, AMB_DUTY_INTENT_PENDING, 0, 57);
     another.intent.id[2] = '2';
-    EXPECT(another, DRAINING, ""); /* nothing new is begun */
+    EXPECT(another, DRAINING, ""); /* no new intent is begun */
     assert_true(may_call(14));
     EXPECT(answered(15, AMB_DUTY_CLOUD_DONE), DRAINING, "o-1 done by 4 over 50/56, 0 unanswered");
     EXPECT(committed(16, AMB_CALL_OK, 58), DRAINING, "release 4 for 'n-1' over 50");
-    assert_false(may_call(18)); /* it may have been carried out */
+    assert_false(may_call(18)); /* the release may have been committed */
     EXPECT(committed(19, AMB_CALL_OK, 59), CANDIDATE, "");
     assert_false(may_call(20));
-    EXPECT(tick(19 + BACKOFF - 1), CANDIDATE, ""); /* others first */
+    EXPECT(tick(19 + BACKOFF - 1), CANDIDATE, ""); /* other members claim first */
 }
 
 static void draining_past_the_deadline(void **state) {
@@ -670,7 +672,8 @@
     step(committed(11, AMB_CALL_OK, 56));
     step(drain(12, ""));
     EXPECT(tick(12 + TTL - 1), DRAINING, "extend 7");
-    EXPECT(tick(12 + TTL), DRAINING, "release 4 for '' over 50"); /* the successor finishes what was sent */
+    /* The successor finishes the intent that was sent. */
+    EXPECT(tick(12 + TTL), DRAINING, "release 4 for '' over 50");
 }
 
 static void a_release_without_an_answer(void **state) {
@@ -680,12 +683,12 @@
     EXPECT(committed(14, AMB_CALL_NO_ANSWER, 0), DRAINING, "read record");
     assert_false(may_call(15));
     EXPECT(tick(14 + TTL / 10), DRAINING, "release 4 for '' over 50");
-    /* It was carried out the first time. */
+    /* The first release was committed. */
     EXPECT(released(400, "n-0", 4, 60, ""), CANDIDATE, "");
 
     hold();
     step(drain(12, ""));
-    EXPECT(record(400, "n-1", 33, 5, 60), LOST, ""); /* and another has claimed since */
+    EXPECT(record(400, "n-1", 33, 5, 60), LOST, ""); /* another member has claimed since */
 }
 
 static void stopping(void **state) {
@@ -694,9 +697,9 @@
     EXPECT(((struct amb_duty_event){.type = AMB_DUTY_STOP_REQUESTED, AT(12)}), DRAINING,
            "release 4 for '' over 50");
     EXPECT(committed(14, AMB_CALL_OK, 60), IDLE, "");
-    EXPECT(tick(14 + 2 * BACKOFF), IDLE, "extend 7"); /* it never campaigns again */
+    EXPECT(tick(14 + 2 * BACKOFF), IDLE, "extend 7"); /* it never claims again */
     assert_int_equal(out.count, 1);
-    EXPECT(tick(14 + 20 * BACKOFF), IDLE, "extend 7"); /* however long it lasts */
+    EXPECT(tick(14 + 20 * BACKOFF), IDLE, "extend 7"); /* nor later */
     assert_int_equal(out.count, 1);
 }
 
@@ -716,7 +719,8 @@
         step(committed(4, AMB_CALL_OK, CLAIM + (uint64_t)i));
         assert_int_equal(core.duties[i].state, AMB_DUTY_HELD);
     }
-    /* Another member comes: the four are one more than ceil(4 / 2) + 1. It must have been there for a ttl. */
+    /* Another member joins: four duties are one more than the fair share, ceil(4 / 2) + 1. A successor must
+     * have been alive for a ttl. */
     step(member(10, "n-1", true, 70, 1));
     step(tick(10 + TTL - 200));
     step(extended(10 + TTL - 199, AMB_CALL_OK));
@@ -746,7 +750,7 @@
     unheld.duty = AMB_DUTY_CLEANUP;
     step(unheld);
     step(committed(4, AMB_CALL_OK, CLAIM));
-    step(intent_event(10, AMB_DUTY_INTENT_SETTLED, 3, 45)); /* of another duty */
+    step(intent_event(10, AMB_DUTY_INTENT_SETTLED, 3, 45)); /* an intent of another duty */
     step(tick(10 + LIST_SPAN - 1));
     step(extended(10 + LIST_SPAN - 1, AMB_CALL_OK));
     assert_string_equal(actions_text, "");
--- a/tests/duty/test_duty_explore_small.c
+++ b/tests/duty/test_duty_explore_small.c
@@ -1,5 +1,5 @@
-/* Small worlds around the core of single-holder duties, explored to the end; and the same worlds with a
- * mechanism taken out, in which the explorer must find what goes wrong. */
+/* Exhaustive exploration of small models around the core of single-holder duties; and of the same models
+ * without one safety mechanism, in which the explorer must find a violation. */
 #include "check.h"
 #include "scenarios.h"
 
--- a/tests/duty/test_duty_integration.c
+++ b/tests/duty/test_duty_integration.c
@@ -1,5 +1,5 @@
-/* Single-holder duties on a node: who rents and returns, the leader's orders, and the way from one to the
- * other. */
+/* Single-holder duties on a controller: the scaling mode, the intents that the leader writes, failover,
+ * proofs of absence, and the calls, write budget and status of a holder. */
 #include "amberpin/cloud/machine_list.h"
 #include "amberpin/cloud/scale_out.h"
 #include "amberpin/cloud_duty/cloud_access.h"
@@ -21,7 +21,7 @@
 
 enum { MODE_REVISION = 60 };
 
-/* ---- what the state service holds ---- */
+/* ---- contents of the key-value store ---- */
 
 static void apply_change(const char *key, struct amb_buf *value, uint64_t revision) {
     cbor_item_t *item = value ? amb_cbor_parse(value->data, value->len) : NULL;
@@ -69,7 +69,7 @@
     node->peers.list[1].duties = second;
 }
 
-/* The node takes part, and has read all records: there are none. */
+/* Makes the node take part and read all records, of which there are none. */
 static void take_part(void) {
     amb_duties_note_listed(node);
     answer_list("a/duty&");
@@ -96,22 +96,22 @@
     fixture_setup(NULL);
 }
 
-/* A transaction on this key that is under way; NULL: none. */
+/* Returns the transaction in flight that writes this key, or NULL. */
 static struct fake_call *find_commit(const char *key) {
     for (struct fake_call *call = find_call("POST", "/commit"); call;) {
         if (fake_txn_put(call, key, NULL)) return call;
-        break; /* one at a time in these tests */
+        break; /* these tests have one transaction in flight at a time */
     }
     return NULL;
 }
 
 static struct fake_call *open_commit(const char *key) {
     struct fake_call *call = find_commit(key);
-    if (!call) fail_msg("%s is not being written", key);
+    if (!call) fail_msg("%s: no write in flight", key);
     return call;
 }
 
-/* ---- off ---- */
+/* ---- duties disabled ---- */
 
 static void off_costs_nothing(void **state) {
     (void)state;
@@ -138,13 +138,13 @@
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_UNKNOWN);
     apply_peer_json(node, &node->peers.list[0], message, 0);
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_ON);
-    receive_peer_heartbeat(0, (struct peer_state){.term = TERM}); /* of a version that does not know them */
+    receive_peer_heartbeat(0, (struct peer_state){.term = TERM}); /* from a version without duties */
     assert_int_equal(node->peers.list[0].duties, AMB_PEER_DUTIES_OFF);
     json_decref(message);
     free(text);
 }
 
-/* ---- the mode ---- */
+/* ---- the scaling mode ---- */
 
 static void duties_come_into_use_once_all_peers_agree(void **state) {
     (void)state;
@@ -154,13 +154,17 @@
         enum amb_peer_duties first, second;
         bool scaling_out, scaling_in, lease_expired, written;
     } rows[] = {
-        {"all say so", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, false, true},
-        {"it is off here", 0, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, false, false},
-        {"an old member", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF, false, false, false, false},
-        {"one was never heard", 1, AMB_PEER_DUTIES_UNKNOWN, AMB_PEER_DUTIES_ON, false, false, false, false},
-        {"the leader rents", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, true, false, false, false},
-        {"the leader returns", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, true, false, false},
-        {"the lease may be over", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, true, false},
+        {"enabled on all", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, false, true},
+        {"disabled on the leader", 0, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false, false, false},
+        {"a peer without duties", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF, false, false, false, false},
+        {"a peer without a heartbeat", 1, AMB_PEER_DUTIES_UNKNOWN, AMB_PEER_DUTIES_ON, false, false, false,
+         false},
+        {"an open scale out of the leader", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, true, false, false,
+         false},
+        {"an open release of the leader", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, true, false,
+         false},
+        {"the leadership lease may have expired", 1, AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON, false, false,
+         true, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
@@ -182,7 +186,8 @@
     }
 }
 
-/* Between the two ways nothing is begun on either, whatever becomes of the answer. */
+/* While the mode changes, neither the leader nor a holder begins a cloud call, whatever the response to the
+ * write. */
 static void nothing_is_begun_while_the_mode_changes(void **state) {
     (void)state;
     static const int statuses[] = {200, 409, 503, 0};
@@ -207,8 +212,9 @@
         fake_clock_advance(2000);
         node->election.renewed_at = amb_now();
         amb_duties_tick(node, amb_now());
-        assert_int_equal(fake_txn_compared_revision(open_commit(MODE_KEY), MODE_KEY), 0); /* the same again */
-        set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF); /* too late: it may be carried out */
+        /* The same write is repeated. */
+        assert_int_equal(fake_txn_compared_revision(open_commit(MODE_KEY), MODE_KEY), 0);
+        set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_OFF); /* too late: the write may be committed */
         assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
         set_peers(AMB_PEER_DUTIES_ON, AMB_PEER_DUTIES_ON);
         apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
@@ -238,10 +244,10 @@
         enum amb_peer_duties peer;
         bool leaves;
     } rows[] = {
-        {"switched off here", 0, AMB_PEER_DUTIES_ON, true},
-        {"an old member comes back", 1, AMB_PEER_DUTIES_OFF, true},
-        {"one is not heard of yet", 1, AMB_PEER_DUTIES_UNKNOWN, false},
-        {"all say so", 1, AMB_PEER_DUTIES_ON, false},
+        {"disabled on the leader", 0, AMB_PEER_DUTIES_ON, true},
+        {"a peer without duties returns", 1, AMB_PEER_DUTIES_OFF, true},
+        {"a peer without a heartbeat", 1, AMB_PEER_DUTIES_UNKNOWN, false},
+        {"enabled on all", 1, AMB_PEER_DUTIES_ON, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
@@ -251,7 +257,7 @@
         node->options.duties = rows[i].own_option;
         set_peers(AMB_PEER_DUTIES_ON, rows[i].peer);
         amb_duties_tick(node, amb_now());
-        if (find_commit(MODE_KEY)) fail_msg("%s: written while an order is open", rows[i].what);
+        if (find_commit(MODE_KEY)) fail_msg("%s: written while an intent is open", rows[i].what);
         if (rows[i].leaves) {
             assert_int_equal(amb_duties_scaling_path(node), AMB_SCALING_PAUSED);
             assert_int_equal(amb_scale_out_available_calls(node, amb_now()), 0);
@@ -267,7 +273,7 @@
     }
 }
 
-/* A node that is switched off takes part as long as there is something to finish. */
+/* A node with duties disabled takes part until the mode has changed and the last record is removed. */
 static void a_disabled_node_takes_part_until_intents_are_settled(void **state) {
     (void)state;
     apply_mode(AMB_DUTY_MODE_DUTIES, MODE_REVISION);
@@ -283,9 +289,10 @@
     assert_false(node->duties.service.active);
 }
 
-/* ---- orders ---- */
+/* ---- intents ---- */
 
-/* The leader's turn, as far as rentals go: what the leader asks for itself, then what it orders. */
+/* The part of a leader's tick that scales out: its own calls to the cloud, then the intents that it writes.
+ */
 static void run_leader_tick(void) {
     amb_cloud_tick(node, amb_now());
     amb_duties_tick(node, amb_now());
@@ -308,7 +315,7 @@
     }
     assert_null(find_call("POST", "/machines"));
     assert_int_equal(node->cloud.scale_out.requests->state,
-                     AMB_SCALE_OUT_REQUESTING); /* what is coming counts in plans */
+                     AMB_SCALE_OUT_REQUESTING); /* capacity plans count the requested machines */
     apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SENT, AMB_DUTY_RESULT_NONE, NULL, 71);
     assert_non_null(node->cloud.scale_out.requests);
     apply_intent(AMB_DUTY_RENT, "r-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 72);
@@ -327,7 +334,7 @@
     assert_true(amb_scale_out_is_backing_off(node, 0, 0, false, amb_now()));
 }
 
-/* Else it would count as coming for ever, and keep duties in use. */
+/* Otherwise the request would count as open forever and keep duties in use. */
 static void intents_whose_removal_was_missed_are_dropped(void **state) {
     (void)state;
     use_duties();
@@ -338,7 +345,7 @@
     assert_null(node->cloud.scale_out.requests);
 }
 
-/* A write without an answer is repeated under the same name. */
+/* A write without a response is repeated under the same id. */
 static void intents_are_written_once(void **state) {
     (void)state;
     use_duties();
@@ -351,7 +358,7 @@
     amb_duties_tick(node, amb_now());
     struct fake_call *again = open_commit("a/order/return/t-50-1");
     assert_int_equal(fake_txn_compared_revision(again, "a/order/return/t-50-1"), 0);
-    fake_answer(again, 409, NULL); /* the first had been carried out */
+    fake_answer(again, 409, NULL); /* the first write was committed */
     apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_PENDING, AMB_DUTY_RESULT_NONE, "m-1", 71);
     fake_clock_advance(2000);
     node->election.renewed_at = amb_now();
@@ -394,17 +401,18 @@
     assert_null(find_call("POST", "/machines/release"));
     apply_intent(AMB_DUTY_RETURN, "t-50-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1", 80);
     assert_null(amb_machine_get(node, "m-1", false));
-    /* Not accepted: the machine is there, is not used, and is ordered away under another name. */
+    /* The cloud rejected the release: the machine still exists, is not used, and is released by another
+     * intent. */
     apply_intent(AMB_DUTY_RECLAIM, "t-50-2", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_MALFORMED, "m-2", 81);
     assert_false(amb_machine_is_schedulable(node, amb_machine_get(node, "m-2", false), amb_now()));
     amb_duties_tick(node, amb_now());
     assert_non_null(open_commit("a/order/reclaim/t-50-4"));
 }
 
-/* ---- take-over ---- */
+/* ---- failover ---- */
 
-/* A new leader knew nothing of its predecessor's returns: it placed on such machines, and returned them
- * again (docs/incidents). */
+/* A new leader did not know which machines its predecessor was releasing: it placed tasks on them and
+ * released them again (docs/incidents). */
 static void new_leaders_know_what_is_being_returned(void **state) {
     (void)state;
     static const enum amb_duty_name duties[] = {AMB_DUTY_RETURN, AMB_DUTY_RECLAIM};
@@ -416,10 +424,10 @@
             node->controller.restored_at = 0;
             apply_intent(duties[duty_index], "t-40-1", states[state_index], AMB_DUTY_RESULT_NONE, "m-1", 61);
             apply_intent(duties[duty_index], "t-40-2", states[state_index], AMB_DUTY_RESULT_NONE, "m-2", 62);
-            struct amb_machine *machine = machine_up("m-1", 0); /* from the records */
+            struct amb_machine *machine = machine_up("m-1", 0); /* known from the records */
             amb_duties_restore(node);
             node->controller.restored_at = amb_now();
-            struct amb_machine *later = amb_machine_get(node, "m-2", true); /* from a report */
+            struct amb_machine *later = amb_machine_get(node, "m-2", true); /* known from a report */
             assert_false(amb_machine_is_schedulable(node, machine, amb_now()));
             amb_machine_set_state(machine, AMB_MACHINE_UP, "it reports");
             assert_int_equal(machine->state, AMB_MACHINE_RELEASING);
@@ -428,15 +436,14 @@
             amb_cloud_release(node, later, "silent for too long");
             fake_answer_all_lost();
             amb_duties_tick(node, amb_now());
-            if (find_call("POST", "/commit")) fail_msg("returned twice");
+            if (find_call("POST", "/commit")) fail_msg("released twice");
             apply_intent(duties[duty_index], "t-40-1", AMB_DUTY_INTENT_SETTLED, AMB_DUTY_RESULT_DONE, "m-1",
                          63);
             assert_null(amb_machine_get(node, "m-1", false));
         }
 }
 
-/* A copy of a report of a machine that is gone may come late, and a list may be old: nothing is started
- * there. */
+/* A report of a released machine may come late, and a machine list may be old: no task is started there. */
 static void released_machines_do_not_come_back(void **state) {
     (void)state;
     use_duties();
@@ -474,7 +481,7 @@
     assert_int_equal(amb_machine_get(node, "m-7", false)->state, AMB_MACHINE_BOOTING);
 }
 
-/* Of a leader before duties came into use: it had been answered, and the leader calls no more. */
+/* The request of a leader before duties came into use has been answered, so it is not repeated. */
 static void old_requests_are_not_repeated(void **state) {
     (void)state;
     struct amb_buf buffer = {0};
@@ -493,7 +500,7 @@
     assert_null(find_call("POST", "/machines"));
 }
 
-/* From the claim on: a fresh read, the records, and only then the way is free. */
+/* A new leader reads the key-value store and all records, and only then is ready to place tasks. */
 static void takeover_comes_before_placing(void **state) {
     (void)state;
     char err[128];
@@ -513,10 +520,11 @@
     fake_answer(open_call("GET", "/store?prefix=b/"), 200, &body);
     assert_int_not_equal(node->controller.restored_at, 0);
     const struct amb_machine *machine = amb_machine_get(node, "m-1", false);
-    if (!machine || machine->state != AMB_MACHINE_RELEASING) fail_msg("not known to be on its way back");
+    if (!machine || machine->state != AMB_MACHINE_RELEASING)
+        fail_msg("the machine is not known to be released");
 }
 
-/* ---- the listing of all keys ---- */
+/* ---- listing of all keys ---- */
 
 static void put_pair(struct amb_buf *body, const char *key, uint64_t revision, const struct amb_buf *value) {
     amb_cbor_write_map(body, 3);
@@ -536,25 +544,25 @@
     fake_answer(open_call("GET", "/store?prefix=a/"), 200, &body);
 }
 
-/* Orders sort after the leader key: that the last page lacks it shows nothing. */
+/* The keys of intents sort after the leader key, so the last page may lack it although it exists. */
 static void the_leader_key_may_be_on_an_earlier_page(void **state) {
     (void)state;
-    struct amb_buf leader = {0}, order = {0};
+    struct amb_buf leader = {0}, intent_value = {0};
     struct amb_duty_intent_record record = {.duty = AMB_DUTY_RETURN};
     struct amb_duty_intent_payload payload = {.reason = "idle"};
     amb_cbor_write_map(&leader, 2);
     amb_cbor_write_string(&leader, "member"), amb_cbor_write_string(&leader, "n-0");
     amb_cbor_write_string(&leader, "nonce"), amb_cbor_write_uint(&leader, 1);
-    amb_duty_encode_intent(&order, &record, &payload);
+    amb_duty_encode_intent(&intent_value, &record, &payload);
     amb_watch_start(node);
     answer_page(LEADER_KEY, TERM, &leader, true);
-    answer_page("a/order/return/t-1-1", 61, &order, false);
+    answer_page("a/order/return/t-1-1", 61, &intent_value, false);
     assert_true(amb_election_has_leader_role(node));
 }
 
-/* ---- proofs that machines are gone ---- */
+/* ---- proofs of absence ---- */
 
-/* The cloud's list is read, from now: one page that names this machine (NULL: none). */
+/* Reads the machine list of the cloud now: one page that contains this machine, or none if it is NULL. */
 static void read_machine_list(const char *machine, const char *stance, bool more) {
     struct amb_buf body = {0};
     node->cloud.list.started_at = 0;
@@ -570,22 +578,23 @@
     fake_answer(open_call("GET", "/machines"), 200, &body);
 }
 
-/* Without the cloud's answer a holder settles a return by what this node has seen as leader, no less. */
+/* Without a response of the cloud, a holder settles a scale in only by an absence that this node observed as
+ * the leader. */
 static void only_a_machine_list_proves_absence(void **state) {
     (void)state;
     static const struct {
         const char *what, *listed, *stance;
         bool early, more, no_list, second, stops_leading, proven;
     } rows[] = {
-        {.what = "no list was read", .no_list = true},
+        {.what = "no machine list was read", .no_list = true},
         {.what = "the list may be too old", .early = true},
-        {.what = "it is listed", .listed = "m-1", .stance = "running"},
-        {.what = "it is listed as failed", .listed = "m-1", .stance = "failed"},
+        {.what = "listed", .listed = "m-1", .stance = "running"},
+        {.what = "listed as failed", .listed = "m-1", .stance = "failed"},
         {.what = "there is another page", .listed = "m-0", .stance = "running", .more = true},
         {.what = "not listed", .proven = true},
         {.what = "one of two is listed", .listed = "m-2", .stance = "running", .second = true},
         {.what = "neither is listed", .second = true, .proven = true},
-        {.what = "it leads no more", .stops_leading = true, .proven = true},
+        {.what = "proven before the node stopped leading", .stops_leading = true, .proven = true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin_duties_anew();
@@ -605,14 +614,14 @@
         if (!rows[i].no_list) read_machine_list(rows[i].listed, rows[i].stance, rows[i].more);
         if (rows[i].stops_leading) amb_controller_stop_leading(node, "a test");
         if (callbacks->is_absence_proven(node, &payload) != rows[i].proven)
-            fail_msg("%s: proved: %d", rows[i].what, !rows[i].proven);
+            fail_msg("%s: proven: %d", rows[i].what, !rows[i].proven);
         amb_duty_intent_payload_free(&payload);
     }
     const struct amb_duty_intent_payload empty = {0};
     assert_false(node->duties.service.callbacks.is_absence_proven(node, &empty));
 }
 
-/* ---- the holder's calls ---- */
+/* ---- cloud calls of a holder ---- */
 
 static void cloud_done(void *arg, struct amb_duty_cloud_reply *reply) {
     *(enum amb_duty_cloud_answer *)arg = reply->answer;
@@ -661,13 +670,13 @@
     }
 }
 
-/* With a follower's share of the writes alone, a rental waited for tokens at its holder. All parts together
- * are one. */
+/* With only a follower's share of the write budget, a scale out waited for tokens at its holder. The shares
+ * of all duties add up to one. */
 static void holders_have_a_larger_write_budget(void **state) {
     (void)state;
     static const struct {
         bool in_use, held[AMB_DUTY_COUNT];
-        double writes; /* of 3000 a second, at one follower of three */
+        double writes; /* per second, of 3000 in all, for one follower of three controllers */
     } rows[] = {
         {false, {[AMB_DUTY_RENT] = true}, 500},   {true, {false}, 250},
         {true, {[AMB_DUTY_RENT] = true}, 500},    {true, {[AMB_DUTY_RETURN] = true}, 350},
@@ -690,7 +699,7 @@
     }
 }
 
-/* A node that takes part no longer has a follower's share again. */
+/* A node that no longer takes part has a follower's share of the write budget again. */
 static void larger_write_budget_ends_with_duties(void **state) {
     (void)state;
     amb_store_set_leadership(&node->store, false);
@@ -757,7 +766,7 @@
             assert_int_equal(latest_reply()->status, 400);
             continue;
         }
-        assert_int_equal(latest_reply()->status, 0); /* only once it is on record */
+        assert_int_equal(latest_reply()->status, 0); /* the reply waits until the request is recorded */
         assert_non_null(fake_txn_put(commit, i ? "a/duty-handover/cleanup" : "a/duty-handover/rent", NULL));
         answer_committed(commit, 70 + i);
         assert_int_equal(latest_reply()->status, 200);
--- a/tests/duty/test_duty_records.c
+++ b/tests/duty/test_duty_records.c
@@ -1,5 +1,5 @@
-/* The records of single-holder duties: what is written is read back, fields that are not known are ignored,
- * and a newer form is told from a malformed value. */
+/* Encoding of the records of single-holder duties: round trips, unknown fields are ignored, and a newer
+ * version is distinguished from a malformed value. */
 #include "amberpin/duty/record_codec.h"
 #include "check.h"
 
@@ -100,7 +100,7 @@
     }
 }
 
-/* Any field that is missing makes a record malformed: none is taken for something else. */
+/* A record without any one of its fields is malformed; no field has a default. */
 static void missing_fields_are_noticed(void **state) {
     (void)state;
     struct amb_buf buffer = {0};
@@ -112,7 +112,8 @@
     for (size_t i = 0; i < cbor_map_size(item); i++) {
         cbor_item_t *name = pairs[i].key, *other = cbor_build_string("x");
         pairs[i].key = other;
-        if (amb_duty_decode_record(item, &out) != AMB_DUTY_MALFORMED) fail_msg("field %zu is not missed", i);
+        if (amb_duty_decode_record(item, &out) != AMB_DUTY_MALFORMED)
+            fail_msg("field %zu: its absence is not detected", i);
         pairs[i].key = name;
         cbor_decref(&other);
     }
@@ -150,7 +151,7 @@
     }
 }
 
-/* A record must keep within the limit of values, in JSON form, also once it names its machines. */
+/* A record must fit the limit of values even when it names the most machines allowed. */
 static void intents_fit_the_value_limit(void **state) {
     (void)state;
     static const double limits[] = {1, 2.5, 8, 64};
--- a/tests/duty/test_duty_service.c
+++ b/tests/duty/test_duty_service.c
@@ -1,8 +1,8 @@
-/* The duty service: several members around one state service and one cloud (duty_members.h). */
+/* The duty service: several members with one key-value store and one cloud (duty_members.h). */
 #include "check.h"
 #include "duty_members.h"
 
-/* Long enough for a successor: a lease, its lateness, and campaigns. */
+/* SUCCESSION_MS is long enough for a successor to take over: lease expiry and claims. */
 enum { SETTLED_MS = 4000, SUCCESSION_MS = 4 * MEMBER_TTL_MS, LONG_MS = 60000 };
 
 static int begin_members(void **state) {
@@ -41,7 +41,7 @@
                                                  uint32_t *machines) {
     struct amb_duty_intent_record record;
     struct amb_duty_intent_payload payload;
-    if (!members_read_intent(duty, id, &record, &payload)) fail_msg("order %s is not on record", id);
+    if (!members_read_intent(duty, id, &record, &payload)) fail_msg("intent %s is not recorded", id);
     *machines = payload.machine_count;
     amb_duty_intent_payload_free(&payload);
     return record;
@@ -85,7 +85,7 @@
     assert_string_equal(members_unconditional_change(), "");
 }
 
-/* Whoever holds a duty ends, stands still, or hears no answer, at each step of an order. */
+/* The holder of a duty crashes, pauses or loses a response at each step of an intent. */
 static void successors_finish_intents(void **state) {
     (void)state;
     static const struct {
@@ -94,18 +94,24 @@
         bool changes_hands;
         uint32_t calls_least;
     } rows[] = {
-        {"ends before the order is marked", {MEMBER_CALL_INTENT, MEMBER_CRASHES_BEFORE}, true, 1},
-        {"ends once it is marked", {MEMBER_CALL_INTENT, MEMBER_CRASHES_AFTER}, true, 1},
-        {"ends before the cloud has heard", {MEMBER_CALL_CLOUD, MEMBER_CRASHES_BEFORE}, true, 1},
-        {"ends once the cloud has acted", {MEMBER_CALL_CLOUD, MEMBER_CRASHES_AFTER}, true, 2},
-        {"ends before the result is written", {MEMBER_CALL_RESULT, MEMBER_CRASHES_BEFORE}, true, 2},
-        {"ends once the result is written", {MEMBER_CALL_RESULT, MEMBER_CRASHES_AFTER}, true, 1},
-        {"stands still while it is marked", {MEMBER_CALL_INTENT, MEMBER_PAUSES_BEFORE}, true, 1},
-        {"stands still while the cloud acts", {MEMBER_CALL_CLOUD, MEMBER_PAUSES_BEFORE}, true, 2},
-        {"stands still while the result is written", {MEMBER_CALL_RESULT, MEMBER_PAUSES_BEFORE}, true, 1},
-        {"does not hear that it is marked", {MEMBER_CALL_INTENT, MEMBER_RESPONSE_LOST}, false, 1},
-        {"does not hear the cloud", {MEMBER_CALL_CLOUD, MEMBER_RESPONSE_LOST}, false, 2},
-        {"does not hear that the result is written", {MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST}, false, 1},
+        {"crashes before the intent is recorded as sent",
+         {MEMBER_CALL_INTENT, MEMBER_CRASHES_BEFORE},
+         true,
+         1},
+        {"crashes after it is recorded as sent", {MEMBER_CALL_INTENT, MEMBER_CRASHES_AFTER}, true, 1},
+        {"crashes before the cloud call", {MEMBER_CALL_CLOUD, MEMBER_CRASHES_BEFORE}, true, 1},
+        {"crashes after the cloud call", {MEMBER_CALL_CLOUD, MEMBER_CRASHES_AFTER}, true, 2},
+        {"crashes before the result is written", {MEMBER_CALL_RESULT, MEMBER_CRASHES_BEFORE}, true, 2},
+        {"crashes after the result is written", {MEMBER_CALL_RESULT, MEMBER_CRASHES_AFTER}, true, 1},
+        {"pauses while it is recorded as sent", {MEMBER_CALL_INTENT, MEMBER_PAUSES_BEFORE}, true, 1},
+        {"pauses during the cloud call", {MEMBER_CALL_CLOUD, MEMBER_PAUSES_BEFORE}, true, 2},
+        {"pauses while the result is written", {MEMBER_CALL_RESULT, MEMBER_PAUSES_BEFORE}, true, 1},
+        {"loses the response to the write as sent", {MEMBER_CALL_INTENT, MEMBER_RESPONSE_LOST}, false, 1},
+        {"loses the response of the cloud", {MEMBER_CALL_CLOUD, MEMBER_RESPONSE_LOST}, false, 2},
+        {"loses the response to the write of the result",
+         {MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST},
+         false,
+         1},
     };
     static const enum amb_duty_name duties[] = {AMB_DUTY_RENT, AMB_DUTY_RETURN, AMB_DUTY_RECLAIM};
     for (size_t i = 0; i < ROWS(rows); i++)
@@ -132,7 +138,7 @@
             members_run(SUCCESSION_MS);
             if (duties[duty_index] == AMB_DUTY_RENT &&
                 (member_cloud.rentals != 1 || member_cloud.rented != 3))
-                fail_msg("%s: %u rentals, %u machines", rows[i].what, member_cloud.rentals,
+                fail_msg("%s: %u scale outs, %u machines", rows[i].what, member_cloud.rentals,
                          member_cloud.rented);
             if (member_cloud.calls < rows[i].calls_least || member_cloud.calls > rows[i].calls_least + 1 ||
                 member_cloud.stale_token_refusals)
@@ -141,7 +147,8 @@
         }
 }
 
-/* A holder settles by its own proof only; without one the call is repeated until it is answered. */
+/* A holder settles a scale in only by its own proof of absence; without one it repeats the call until the
+ * cloud responds. */
 static void scale_ins_are_settled_by_proof_of_absence(void **state) {
     (void)state;
     static const struct {
@@ -176,7 +183,8 @@
         }
 }
 
-/* A process that stood still between deciding and sending must not send: its right has run out meanwhile. */
+/* A process that was paused between the decision and the call must not send it, because its lease has expired
+ * meanwhile. */
 static void a_pause_before_sending_is_noticed(void **state) {
     (void)state;
     int first = members_holder(AMB_DUTY_RENT);
@@ -187,12 +195,13 @@
     assert_true(second >= 0 && second != first);
     uint32_t calls = member_cloud.calls;
     assert_int_equal(calls, 1);
-    members_resume(first); /* the answer that lets it go on is the first thing that it hears */
+    /* The first event that it receives is the response on which it would send the call. */
+    members_resume(first);
     members_run(1000);
     assert_int_equal(member_cloud.calls, calls);
 }
 
-/* The right is looked at when the call is sent, not only when it is decided. */
+/* The lease is checked when the call is sent, not only when it is decided. */
 static void validity_is_checked_right_before_sending(void **state) {
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
@@ -234,7 +243,8 @@
     assert_int_equal(machines, 0);
 }
 
-/* A duty that goes to a member with more than its share would move on. */
+/* Returns a member that holds no duty: rebalancing would move a duty on from one that holds its fair share.
+ */
 static int member_without_duty(void) {
     for (int i = 0; i < MEMBERS; i++) {
         bool holds = false;
@@ -259,7 +269,7 @@
     members_run(2000);
     assert_int_equal(members_holder(AMB_DUTY_RENT), successor);
     uint32_t seen = members[first].service.holder_changes;
-    members_run(LONG_MS); /* the wish concerned the holder of its time: it does not move again */
+    members_run(LONG_MS); /* the request applied to the former holder only, so the duty does not move again */
     assert_int_equal(members_holder(AMB_DUTY_RENT), successor);
     assert_int_equal(members[first].service.holder_changes, seen);
 }
@@ -273,7 +283,7 @@
     amb_buf_free(&value);
 }
 
-/* A record of a later version: its duty is left alone, and nothing is called under it. */
+/* With a record of a later version, no member acts on the duty or calls the cloud for it. */
 static void newer_record_versions_are_not_acted_on(void **state) {
     (void)state;
     put_record_of_version("a/duty/rent", AMB_DUTY_RECORD_VERSION + 1);
@@ -285,7 +295,7 @@
     assert_int_equal(member_cloud.calls, 0);
     assert_non_null(members_value("a/order/return/t-1-1"));
     if (members_writes() - before > 1)
-        fail_msg("%u writes, though there is nothing to write", members_writes() - before);
+        fail_msg("%u writes, though nothing is to be written", members_writes() - before);
 }
 
 static void stopping_hands_over(void **state) {
@@ -299,7 +309,7 @@
     for (int i = 0; i < AMB_DUTY_COUNT; i++) assert_true(members_holder((enum amb_duty_name)i) >= 0);
 }
 
-/* What is removed while all is read does not come back by a page that was made before. */
+/* A member that missed the removal of a record detects it when it reads all records again. */
 static void reloading_detects_removed_keys(void **state) {
     (void)state;
     create_scale_out("r-1-1");
@@ -320,8 +330,8 @@
     (void)state;
     int holder = members_holder(AMB_DUTY_RENT);
     members[holder].lists_held = true;
-    members_inject_fault(
-        (struct member_fault){MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST}); /* so it reads the order */
+    /* Makes the holder read the intent. */
+    members_inject_fault((struct member_fault){MEMBER_CALL_RESULT, MEMBER_RESPONSE_LOST});
     create_scale_out("r-1-1");
     members_run(MEMBER_LIST_MS + 2L * MEMBER_TTL_MS);
     assert_null(members_value("a/order/rent/r-1-1"));
@@ -330,7 +340,7 @@
     assert_null(members[holder].service.entries);
 }
 
-/* The member hears of an order, misses that it is settled, and sends a read of it. */
+/* The member receives a new intent, misses the change that settles it, and sends a read of it. */
 static struct amb_duty_service *send_read_after_missed_change(int index) {
     struct amb_duty_service *service = &members[index].service;
     struct amb_duty_action read = {.type = AMB_DUTY_READ_INTENT, .duty = AMB_DUTY_RENT};
@@ -348,7 +358,8 @@
     return amb_duty_intent_table_find(&service->core.intents, AMB_DUTY_RENT, "r-1-1");
 }
 
-/* A member removes an order itself, and a read of before is answered before it hears the news of it. */
+/* A member removes an intent from its table, and the response to an earlier read comes before the change that
+ * removes the record. */
 static void late_reads_add_nothing_to_the_intent_table(void **state) {
     (void)state;
     int idle = 0;
@@ -356,14 +367,15 @@
     struct amb_duty_service *service = send_read_after_missed_change(idle);
     amb_duty_intent_table_remove(tracked_intent(service));
     members_run(2L * MEMBER_STEP_MS);
-    assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_SETTLED); /* the read was answered */
+    /* The response to the read was applied. */
+    assert_int_equal(service->entries->record.state, AMB_DUTY_INTENT_SETTLED);
     assert_null(tracked_intent(service));
     members[idle].watch_held = false;
     members_run(MEMBER_LIST_MS + MEMBER_TTL_MS);
     assert_null(service->entries);
 }
 
-/* What a read finds of an order that the member still tracks, it learns. */
+/* A read updates an intent that the member still tracks. */
 static void reads_reveal_missed_changes(void **state) {
     (void)state;
     int idle = 0;
--- a/tests/duty/test_duty_simulation.c
+++ b/tests/duty/test_duty_simulation.c
@@ -1,5 +1,5 @@
-/* Drawn days of single-holder duties in simulated time; and the same with a mechanism taken out, of which
- * some must go wrong. More days: `duty_simulate FIRST COUNT`. */
+/* Simulations of single-holder duties with random faults, one per seed; and simulations without one safety
+ * mechanism, which must find a violation. More seeds: `duty_simulate FIRST COUNT`. */
 #include "check.h"
 #include "simulation.h"
 
@@ -18,21 +18,21 @@
         simulation_print(&least);
         fail_msg("seed %llu: %s", (unsigned long long)seed, result.violation);
     }
-    print_message("%d days, %llu handovers, %llu orders\n", (int)DAYS, (unsigned long long)handovers,
+    print_message("%d simulations, %llu handovers, %llu intents\n", (int)DAYS, (unsigned long long)handovers,
                   (unsigned long long)intents);
     assert_true(handovers >= HANDOVERS_LEAST);
 }
 
-/* Days that went wrong once, with the fault that they showed. */
+/* Seeds that once found a violation, with its cause. */
 static void days_with_past_failures(void **state) {
     (void)state;
     static const struct {
         uint64_t seed;
         const char *what;
     } rows[] = {
-        {1318, "a call decided before the duty was lost and won again went out under the old token"},
-        {162, "orders that had been removed came back with late reads, and filled the ledger"},
-        {769, "the same"},
+        {1318, "a call decided before the duty was lost and won again was sent under the old token"},
+        {162, "removed intents were added again by late reads, and filled the intent table"},
+        {769, "removed intents were added again by late reads"},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct simulation_scenario day = simulation_generate(rows[i].seed);
