--- a/include/amberpin/duty/assignment.h
+++ b/include/amberpin/duty/assignment.h
@@ -26,9 +26,8 @@
 bool amb_duty_member_is_flapping(const struct amb_duty_member *member, amb_ms decay, amb_ms now);
 
 /* Rendezvous-hashing weight of a member for a duty; the member with the highest weight is preferred. The
- * order of two members does not depend on the others, so when a member joins or leaves, only its own duties
- * move.
- */
+ * order of two members does not depend on the others, so when a member joins or leaves, only the duties that
+ * prefer it move. */
 uint64_t amb_duty_weight(enum amb_duty_name duty, const char *member);
 
 /* Rank of `name` among the live members for this duty: 0 is preferred, and flapping members rank last.
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -13,8 +13,8 @@
 /* The response of the cloud to one call. */
 struct amb_duty_cloud_reply {
     enum amb_duty_cloud_answer answer;
-    struct amb_duty_intent_payload
-        acquired; /* machines acquired by a scale out; only `machines` is set, and the service frees it */
+    /* Machines acquired by a scale out: only the machine names are set, and the service frees them. */
+    struct amb_duty_intent_payload acquired;
 };
 
 typedef void (*amb_duty_cloud_done)(void *arg, struct amb_duty_cloud_reply *reply);
@@ -36,14 +36,14 @@
     void *context;
     amb_ms (*now)(void *context); /* monotonic clock */
     /* Returns false, and does not call `done`, if the cloud cannot be called now. */
-    bool (*call_cloud)(void *context, const struct amb_duty_intent_record *order,
-                       const struct amb_duty_intent_payload *payload, uint64_t token,
+    bool (*call_cloud)(void *context, const struct amb_duty_intent_record *intent,
+                       const struct amb_duty_intent_payload *payload, uint64_t fencing_token,
                        amb_duty_cloud_done done, void *arg);
     /* Returns true if all machines of this scale-in intent are proven absent by what the owner itself has
      * observed. Only a permanent absence counts: a machine that is listed as failed still exists. */
     bool (*is_absence_proven)(void *context, const struct amb_duty_intent_payload *payload);
     /* The record of an intent has changed; `payload` is NULL if it was removed. */
-    void (*intent_changed)(void *context, const struct amb_duty_intent_record *order,
+    void (*intent_changed)(void *context, const struct amb_duty_intent_record *intent,
                            const struct amb_duty_intent_payload *payload);
     /* All records have been read. */
     void (*loaded)(void *context);
@@ -55,9 +55,9 @@
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_duty_intent_record record; /* not present: removed while all records are being read */
     struct amb_duty_intent_payload payload;
-    struct amb_duty_intent_payload
-        acquired; /* by the latest successful call of this member; still to be recorded */
-    bool listed;  /* found by the read of all records that is in progress, or by the last one */
+    /* Machines acquired by the latest successful call of this member; still to be recorded. */
+    struct amb_duty_intent_payload acquired;
+    bool listed; /* found by the read of all records that is in progress, or by the last one */
     UT_hash_handle hh;
 };
 
--- a/include/amberpin/duty/settings.h
+++ b/include/amberpin/duty/settings.h
@@ -24,14 +24,14 @@
     AMB_DUTY_SETTINGS_UNKNOWN_NAME,    /* there is no duty of this name */
     AMB_DUTY_SETTINGS_DUPLICATE_NAME,  /* a duty is listed twice */
     AMB_DUTY_SETTINGS_NO_NAME,         /* no duty is listed */
-    AMB_DUTY_SETTINGS_TTL_RANGE,       /* the key-value store accepts 100 ms to 600 s */
-    AMB_DUTY_SETTINGS_DRIFT_RANGE,     /* below 100,000 millionths */
+    AMB_DUTY_SETTINGS_TTL_RANGE,       /* allowed by the key-value store: 100 ms to 600 s */
+    AMB_DUTY_SETTINGS_DRIFT_RANGE,     /* allowed: at most 100,000 millionths */
     AMB_DUTY_SETTINGS_SHORT_LEASE,     /* the lease less drift and margin is too short to renew it: it must be
                                           longer than the time between renewals plus three call timeouts */
-    AMB_DUTY_SETTINGS_BACKOFF_RANGE,   /* at least one call timeout, at most the ttl */
+    AMB_DUTY_SETTINGS_BACKOFF_RANGE,   /* allowed: one call timeout to the ttl */
     AMB_DUTY_SETTINGS_RETENTION_RANGE, /* uncertain_retention is below settled_retention, or settled_retention
                                           is not positive */
-    AMB_DUTY_SETTINGS_REFUSALS_RANGE,  /* at least one */
+    AMB_DUTY_SETTINGS_REFUSALS_RANGE,  /* allowed: at least one */
 };
 
 /* Default settings: durations as fractions of the ttl, drift as the protocol states it. `list_span` is the
--- a/include/amberpin/duty/types.h
+++ b/include/amberpin/duty/types.h
@@ -85,8 +85,7 @@
     uint32_t unanswered; /* lower bound of the number of copies sent without a response; they may still take
                             effect */
     bool withdrawn;      /* the leader no longer needs it: it becomes void if it is not sent yet */
-    uint64_t
-        revision; /* of the key, or the revision at which its absence was observed; not part of the value */
+    uint64_t revision;   /* of the key or of its observed absence; not part of the value */
 };
 
 /* ---- responses of the cloud ---- */
--- a/lib/duty/internal.h
+++ b/lib/duty/internal.h
@@ -11,8 +11,8 @@
     const struct amb_duty_event *event;
     struct amb_duty_output *out;
     amb_ms now;
-    const char
-        *end_cause; /* why the event ended a live incarnation and with it all duties; NULL: it did not */
+    /* Why the event ended a live incarnation, and with it all duties; NULL: it did not. */
+    const char *end_cause;
 };
 
 /* ---- step.c ---- */
--- a/lib/duty/step.c
+++ b/lib/duty/step.c
@@ -5,8 +5,7 @@
 
 enum {
     MAX_DOUBLINGS = 4,
-    CALL_TIMEOUTS_UNTIL_LOST =
-        3, /* a call without a response for this many call timeouts is considered lost */
+    CALL_TIMEOUTS_UNTIL_LOST = 3, /* a call counts as lost after this many call timeouts */
 };
 
 struct amb_duty_action *duty_emit(struct duty_step *step, enum amb_duty_action_type type,
