--- a/bench/bench.c
+++ b/bench/bench.c
@@ -28,9 +28,15 @@
 /* ---- cases ---- */
 
 typedef struct bench_cases (*case_source)(void);
-static const case_source sources[] = {bench_codec_cases,  bench_http_cases,  bench_report_cases,
-                                      bench_submit_cases, bench_scheduling_cycle_cases, bench_heartbeat_cases,
-                                      bench_watch_cases, bench_load_cases,  bench_tick_cases};
+static const case_source sources[] = {bench_codec_cases,
+                                      bench_http_cases,
+                                      bench_report_cases,
+                                      bench_submit_cases,
+                                      bench_scheduling_cycle_cases,
+                                      bench_heartbeat_cases,
+                                      bench_watch_cases,
+                                      bench_load_cases,
+                                      bench_tick_cases};
 enum { SOURCES = sizeof sources / sizeof *sources };
 
 static void case_name(char out[CASE_NAME], const struct bench_case *bench) {
--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -208,14 +208,19 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(work_goes_to_machines_that_have_shown_our_token, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(work_goes_to_machines_that_have_shown_our_token, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(machines_that_hear_badly_rest, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_nobody_expected_are_known_by_reporting, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(returned_machines_are_not_used_again, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_nobody_expected_are_known_by_reporting, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(returned_machines_are_not_used_again, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(returned_machines_never_come_back, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(learned_when_nearly_all_have_shown_the_token, setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(learned_when_nearly_all_have_shown_the_token, setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(unreachable_zones, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_come_back_one_after_the_other, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_come_back_one_after_the_other, fixture_setup,
+                                        fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cloud/test_scale_in_log.c
+++ b/tests/cloud/test_scale_in_log.c
@@ -196,10 +196,14 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(recorded_before_the_cloud_is_called, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(writes_without_an_answer, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(not_recorded_while_old_versions_may_lead, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(the_record_is_of_the_past_once_duties_are_in_use, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(answers_of_an_earlier_term_mean_nothing, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(not_recorded_while_old_versions_may_lead, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(new_leaders_know_what_is_being_returned, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(the_record_is_of_the_past_once_duties_are_in_use, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(answers_of_an_earlier_term_mean_nothing, fixture_setup,
+                                        fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cloud/test_scale_out.c
+++ b/tests/cloud/test_scale_out.c
@@ -333,7 +333,8 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
-        const struct amb_agent_task ended = make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
+        const struct amb_agent_task ended =
+            make_agent_task("wk-1", 0, 1, AMB_AGENT_TASK_EXITED, AMB_EXIT_DONE);
         struct amb_machine *machine = machine_with_an_end(rows[i].tasks, rows[i].drain, amb_now());
         run_plan();
         if (machine->release_pending) fail_msg("%s: returned before the end is written", rows[i].what);
@@ -358,12 +359,14 @@
         cmocka_unit_test_setup_teardown(broken_jobs_take_little, setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(overdue_boots_keep_their_age, setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(rental_names_are_never_used_twice, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(rentals_are_recorded_until_they_must_be_listed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(rentals_are_recorded_until_they_must_be_listed, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(successors_repeat_rentals, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(rentals_add_up, setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(demand_is_remembered, setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(room_for_what_is_as_good_as_lost, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_are_kept_until_their_last_end_is_on_record, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_are_kept_until_their_last_end_is_on_record, fixture_setup,
+                                        fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -23,7 +23,8 @@
     amb_timer_stop(&call->delivery_timer);
     amb_timer_stop(&call->reply_timer);
     amb_timer_stop(&call->timeout_timer);
-    if (call->on_done == NULL && call->user && call->destination != SIM_TO_API) proof_leave_unanswered(call->user);
+    if (call->on_done == NULL && call->user && call->destination != SIM_TO_API)
+        proof_leave_unanswered(call->user);
     free(call->body);
     amb_buf_free(&call->answer);
     memset(call, 0, sizeof *call);
@@ -123,7 +124,8 @@
     copy->len = call->len;
     copy->unanswered = true;
     amb_timer_set_after(&copy->timeout_timer, FORGET_MS, forget, copy);
-    amb_timer_set_after(&copy->delivery_timer, sim_random_between(LATE_LEAST_MS, LATE_MOST_MS), sim_call_deliver, copy);
+    amb_timer_set_after(&copy->delivery_timer, sim_random_between(LATE_LEAST_MS, LATE_MOST_MS),
+                        sim_call_deliver, copy);
 }
 
 /* For some seconds now and then half of the orders to the cloud arrive late, whoever sends them: a
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -323,11 +323,14 @@
         cmocka_unit_test_setup_teardown(answering_a_copy_counts_as_renewal, setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(leases_expire_with_a_margin, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(unverified_machine_fenced_by_all_peers, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(what_lists_prove, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(incomplete_lists_prove_nothing, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(machine_that_ignores_replies, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -288,12 +288,16 @@
 int main(void) {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(every_machine_is_told_of, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_that_are_gone_are_forgotten, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(progress_of_many_jobs_is_told_in_parts, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_that_are_gone_are_forgotten, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(progress_of_many_jobs_is_told_in_parts, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(the_longest_gone_are_forgotten, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_beyond_a_bound_are_not_used, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_beyond_a_bound_are_not_used, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(machines_wait_for_the_catalogue, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(long_lists_keep_to_the_calls_allowed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(long_lists_keep_to_the_calls_allowed, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(starts_beyond_an_answer_go_out_next, fixture_setup, fixture_teardown),
         cmocka_unit_test(quotas_that_hold_no_such_fleet_are_refused),
     };
--- a/tests/scenarios/test_standin_pipelines.c
+++ b/tests/scenarios/test_standin_pipelines.c
@@ -39,8 +39,10 @@
                "rate; %s\n",
                day->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
                result.open_jobs, result.dependents, result.dependents_done, result.dependents_cancelled,
-               result.unknown_dependency_refusals, result.size_refusals, result.rate_refusals, result.violation);
-    if (result.violation[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.violation);
+               result.unknown_dependency_refusals, result.size_refusals, result.rate_refusals,
+               result.violation);
+    if (result.violation[0])
+        fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.violation);
     if (result.open_jobs)
         fail_msg("%s, seed %llu: %u left open", day->what, (unsigned long long)seed, result.open_jobs);
     if (result.unknown_dependency_refusals < 1)
@@ -177,19 +179,20 @@
         {"and a stream of one-task jobs", SIM_LOAD_STREAM, {{SIM_KILL, 40000, 1, -1}}, 1, 0},
         {"and teams at their limits", SIM_LOAD_SMALL_QUOTAS, {{SIM_KILL, 40000, 1, -1}}, 1, LONG_DAY},
         {"and more work than room", SIM_LOAD_OVERLOAD, {{SIM_KILL, 40000, 1, -1}}, 1, 0},
-        {"and hanging machines", 0, {{SIM_MACHINE_HANG, 30000, 20000, -1}, {SIM_MACHINE_HANG, 60000, 20000, -1}}, 2, 0},
+        {"and hanging machines",
+         0,
+         {{SIM_MACHINE_HANG, 30000, 20000, -1}, {SIM_MACHINE_HANG, 60000, 20000, -1}},
+         2,
+         0},
     };
     play_days(days, ROWS(days));
 }
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(days_without_faults),
-        cmocka_unit_test(cancelled_as_a_job_finishes),
-        cmocka_unit_test(cancelled_across_failovers),
-        cmocka_unit_test(cancelled_in_a_long_outage),
-        cmocka_unit_test(frequent_status_queries),
-        cmocka_unit_test(beside_other_loads),
+        cmocka_unit_test(days_without_faults),        cmocka_unit_test(cancelled_as_a_job_finishes),
+        cmocka_unit_test(cancelled_across_failovers), cmocka_unit_test(cancelled_in_a_long_outage),
+        cmocka_unit_test(frequent_status_queries),    cmocka_unit_test(beside_other_loads),
     };
     if (!choose_named_test(tests, ROWS(tests), argc, argv)) return 2;
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/scenarios/test_upgrade.c
+++ b/tests/scenarios/test_upgrade.c
@@ -41,7 +41,8 @@
                day->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
                result.open_jobs, (long long)result.upgraded_at, result.dependents, result.dependents_done,
                result.dependents_cancelled, result.size_refusals, result.rate_refusals, result.violation);
-    if (result.violation[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.violation);
+    if (result.violation[0])
+        fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.violation);
     if ((day->load & SIM_LOAD_PIPELINES) &&
         (result.dependents < 15 || result.dependents_done < 4 || result.dependents_cancelled < 2))
         fail_msg("%s, seed %llu: of jobs that await others %u accepted, %u done, %u cancelled", day->what,
--- a/tests/scenarios/test_zone_recovery_days.c
+++ b/tests/scenarios/test_zone_recovery_days.c
@@ -20,11 +20,11 @@
     size_t count = 0;
     while (count < FAULTS && day->faults[count].lasts) count++;
     const struct sim_scenario plan = {.size = size,
-                                  .seed = seed,
-                                  .length = DAY_MS,
-                                  .load = SIM_LOAD_ZONAL | load,
-                                  .faults = day->faults,
-                                  .fault_count = count};
+                                      .seed = seed,
+                                      .length = DAY_MS,
+                                      .load = SIM_LOAD_ZONAL | load,
+                                      .faults = day->faults,
+                                      .fault_count = count};
     return sim_run_until_done(&plan, OVERTIME_MS);
 }
 
@@ -153,7 +153,8 @@
     static const struct zone_day day = {"one cut", {{SIM_CUT_ZONE, LOSS_MS, LONG_CUT_MS, ZONE_B}}};
     uint32_t noticed = 0;
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        struct sim_result result = play(&crowded, &day, seed, SIM_LOAD_ZONE_RECOVERY | SIM_LOAD_REVERSED_RECOVERY_ORDER);
+        struct sim_result result =
+            play(&crowded, &day, seed, SIM_LOAD_ZONE_RECOVERY | SIM_LOAD_REVERSED_RECOVERY_ORDER);
         noticed += strstr(result.violation, "order: ") != NULL;
     }
     if (!noticed) fail_msg("no day with the order reversed is noticed");
--- a/tests/standin/cloud.c
+++ b/tests/standin/cloud.c
@@ -86,7 +86,8 @@
 static amb_ms boot_time(void) {
     if (sim_fault_active(SIM_QUICK_BOOTS, -1)) return sim_random_between(200, 2000);
     if (sim_fault_strikes(SIM_FAILED_BOOTS)) return SIM_PERMANENT_MS;
-    if (sim_fault_active(SIM_SLOW_BOOTS, -1)) return sim_random_between(2 * sim_cloud_timing.boot, 6 * sim_cloud_timing.boot);
+    if (sim_fault_active(SIM_SLOW_BOOTS, -1))
+        return sim_random_between(2 * sim_cloud_timing.boot, 6 * sim_cloud_timing.boot);
     return sim_random_between(sim_cloud_timing.boot / 2, sim_cloud_timing.boot * 3 / 2);
 }
 
--- a/tests/standin/day.c
+++ b/tests/standin/day.c
@@ -99,7 +99,8 @@
     sim_draw_jobs(plan->length);
     amb_ms end = START_MS + plan->length, latest_end = end + overtime;
     amb_ms at = START_MS;
-    for (; !world.result.violation[0] && (at < end || (at < latest_end && sim_open_jobs())); at += SIM_TICK_MS)
+    for (; !world.result.violation[0] && (at < end || (at < latest_end && sim_open_jobs()));
+         at += SIM_TICK_MS)
         play_tick(at + SIM_TICK_MS);
     if (at >= end + SIM_TICK_MS) world.result.overtime_ms = at - end;
     sim_check_end(overtime > 0);
@@ -124,7 +125,7 @@
 }
 
 struct sim_result sim_run_default_load(const struct sim_size *size, uint64_t seed, amb_ms length,
-                          const struct sim_fault *faults, size_t count) {
+                                       const struct sim_fault *faults, size_t count) {
     const struct sim_scenario plan = {size, seed, length, 0, faults, count};
     return sim_run(&plan);
 }
--- a/tests/standin/digest.c
+++ b/tests/standin/digest.c
@@ -18,8 +18,8 @@
     char heading[HEADING_MOST];
     int length = snprintf(heading, sizeof heading, "request %lld %llu %d %d %d %d %d %lld %s %s %zu",
                           (long long)world.now, (unsigned long long)call->serial, call->from,
-                          call->from_machine, (int)call->destination, call->node, call->machine, (long long)timeout,
-                          call->method, call->path, call->len);
+                          call->from_machine, (int)call->destination, call->node, call->machine,
+                          (long long)timeout, call->method, call->path, call->len);
     add(heading, (size_t)length);
     if (call->len) add(call->body, call->len);
 }
--- a/tests/standin/faults.c
+++ b/tests/standin/faults.c
@@ -116,8 +116,8 @@
 }
 
 static bool of_machine(enum sim_fault_kind kind) {
-    return kind == SIM_MACHINE_HANG || kind == SIM_MACHINE_CRASH || kind == SIM_LOSE_HEARTBEAT_REPLIES || kind == SIM_DUPLICATE_HEARTBEATS ||
-           kind == SIM_FAULTY_MACHINE || kind == SIM_LOSE_HEARTBEATS;
+    return kind == SIM_MACHINE_HANG || kind == SIM_MACHINE_CRASH || kind == SIM_LOSE_HEARTBEAT_REPLIES ||
+           kind == SIM_DUPLICATE_HEARTBEATS || kind == SIM_FAULTY_MACHINE || kind == SIM_LOSE_HEARTBEATS;
 }
 
 static bool of_node(enum sim_fault_kind kind) {
@@ -191,7 +191,8 @@
         amb_ms end = world.faults[i].at + world.faults[i].lasts + AFTERMATH_MS;
         if (world.faults[i].kind == SIM_LATE_HEARTBEAT_COPIES) end += world.size->agent_lease_ms * 3 / 2;
         if (world.faults[i].kind == SIM_UPGRADE) end += world.faults[i].lasts * world.size->nodes;
-        if (world.faults[i].kind == SIM_SWITCH_DUTIES) end = sim_duties_switched(&world.faults[i]) + AFTERMATH_MS;
+        if (world.faults[i].kind == SIM_SWITCH_DUTIES)
+            end = sim_duties_switched(&world.faults[i]) + AFTERMATH_MS;
         if (end > over) over = end;
     }
     return over;
--- a/tests/standin/large_day.c
+++ b/tests/standin/large_day.c
@@ -136,8 +136,9 @@
            "overtime "
            "%.0f s, %u late returns; played in %.0f s of processor; %s\n",
            (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.starts,
-           result.open_jobs, result.peak_machines, (double)result.overtime_ms / 1000, result.late_return_calls,
-           (processor_ms() - began) / 1000, result.violation[0] ? result.violation : "no rule broken");
+           result.open_jobs, result.peak_machines, (double)result.overtime_ms / 1000,
+           result.late_return_calls, (processor_ms() - began) / 1000,
+           result.violation[0] ? result.violation : "no rule broken");
     print_turns(day_s, size->nodes);
     fflush(stdout);
     return result.violation[0] || result.open_jobs;
--- a/tests/standin/network.c
+++ b/tests/standin/network.c
@@ -79,7 +79,8 @@
 
 static bool machine_hears(const struct sim_call *call) {
     if (call->from_machine < 0 || call->destination != SIM_TO_API) return true;
-    return !sim_fault_active(SIM_LOSE_HEARTBEAT_REPLIES, call->from_machine) && !world.machines[call->from_machine].dead;
+    return !sim_fault_active(SIM_LOSE_HEARTBEAT_REPLIES, call->from_machine) &&
+           !world.machines[call->from_machine].dead;
 }
 
 static void call_back(void *arg) {
@@ -98,7 +99,8 @@
 }
 
 static amb_ms travel_time(const struct sim_call *call) {
-    if (call->destination == SIM_TO_STORE && sim_fault_active(SIM_SLOW_STORE, -1)) return sim_random_between(50, 1000);
+    if (call->destination == SIM_TO_STORE && sim_fault_active(SIM_SLOW_STORE, -1))
+        return sim_random_between(50, 1000);
     if (sim_fault_active(SIM_SLOW_LINKS, -1)) return sim_random_between(20, 300);
     return sim_random_between(1, 4);
 }
--- a/tests/standin/record.c
+++ b/tests/standin/record.c
@@ -15,8 +15,9 @@
 
 /* The first keeps the nodes at the production version. */
 static const struct sim_fault faults[] = {
-    {SIM_UPGRADE, NEVER_MS, 1000, -1},   {SIM_KILL, 40000, 1, -1},     {SIM_RESTART, 95000, 1, -1},
-    {SIM_ZONE_PARTITION, 55000, 25000, -1}, {SIM_MACHINE_HANG, 50000, 15000, -1},
+    {SIM_UPGRADE, NEVER_MS, 1000, -1},    {SIM_KILL, 40000, 1, -1},
+    {SIM_RESTART, 95000, 1, -1},          {SIM_ZONE_PARTITION, 55000, 25000, -1},
+    {SIM_MACHINE_HANG, 50000, 15000, -1},
 };
 
 static void write_samples(const char *directory, enum sim_sample_kind kind) {
--- a/tests/standin/recovery.c
+++ b/tests/standin/recovery.c
@@ -147,8 +147,9 @@
         const struct sim_job *lost = &world.jobs[i];
         if (!recovery()->lost[i] || class_of(lost) >= class_of(task->job)) continue;
         if (lost->spec.task_resources.gpus <= room && any_waits(leader, lost, machine->zone))
-            sim_report_violation("order: %s of %s starts on %s before %s of %s", task->ref, task->job->spec.class_name,
-                       machine->name, lost->spec.ref, lost->spec.class_name);
+            sim_report_violation("order: %s of %s starts on %s before %s of %s", task->ref,
+                                 task->job->spec.class_name, machine->name, lost->spec.ref,
+                                 lost->spec.class_name);
     }
 }
 
@@ -162,7 +163,7 @@
         amb_ms since = world.now - (cut->at + cut->lasts);
         if (since >= 0 && since < steady)
             sim_report_violation("unsteady: %s starts on %s %lld ms after the cut", task->ref, machine->name,
-                       (long long)since);
+                                 (long long)since);
     }
 }
 
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -18,7 +18,8 @@
     va_start(arguments, format);
     vsnprintf(text, sizeof text, format, arguments);
     va_end(arguments);
-    snprintf(world.result.violation, sizeof world.result.violation, "at %lld ms: %s", (long long)world.now, text);
+    snprintf(world.result.violation, sizeof world.result.violation, "at %lld ms: %s", (long long)world.now,
+             text);
 }
 
 static bool is_submission(const struct amb_http_req *request) {
@@ -63,7 +64,8 @@
     const struct sim_job *job = task->job;
     if (other->job == job) {
         crowd->in_zone[machine->zone]++;
-        if (other->index == task->index) sim_report_violation("ran_twice: %s on %s too", task->ref, machine->name);
+        if (other->index == task->index)
+            sim_report_violation("ran_twice: %s on %s too", task->ref, machine->name);
     }
     const struct sim_job *other_job = other->job;
     if (!strcmp(other_job->spec.team, job->spec.team))
@@ -175,7 +177,7 @@
     amb_ms told = sim_cancel_told_at(job);
     if (told && world.now > told + world.size->cancel_ms)
         sim_report_violation("orphaned: %s, %lld ms after one that it needs was cancelled", job->spec.ref,
-                   (long long)(world.now - told));
+                             (long long)(world.now - told));
 }
 
 static void tell_cancelled(struct sim_job *job) {
@@ -212,11 +214,13 @@
     struct sim_job *job = call->user;
     const cbor_item_t *stance = amb_cbor_map_get(body, "stance");
     bool done = amb_cbor_equals(stance, "done"), cancelled = amb_cbor_equals(stance, "cancelled");
-    if (call->status == 404 && call->known_before >= SIM_ACCEPTED) sim_report_violation("forgotten: %s", job->spec.ref);
+    if (call->status == 404 && call->known_before >= SIM_ACCEPTED)
+        sim_report_violation("forgotten: %s", job->spec.ref);
     if (call->status == 400 || call->status == 422) check_refusal(job, call);
     if (call->status == 200 && !job->submitted) sim_report_violation("invented: %s", job->spec.ref);
     if (call->status != 200 && call->status != 201) return;
-    if (job->oddity != SIM_SOUND) sim_report_violation("took_unfit: %s, oddity %d", job->spec.ref, (int)job->oddity);
+    if (job->oddity != SIM_SOUND)
+        sim_report_violation("took_unfit: %s, oddity %d", job->spec.ref, (int)job->oddity);
     if (done && !sim_all_tasks_done(job)) sim_report_violation("not_done: %s", job->spec.ref);
     if (cancelled) check_cause(job);
     if (!done && !cancelled) check_orphan(job);
@@ -229,7 +233,8 @@
 static amb_ms latest_ignorance(void) {
     struct amb_options options;
     amb_options_set_defaults(&options);
-    return (amb_ms)(options.leader_lease_share * (double)world.size->agent_lease_ms) + world.size->heartbeat_ms;
+    return (amb_ms)(options.leader_lease_share * (double)world.size->agent_lease_ms) +
+           world.size->heartbeat_ms;
 }
 
 void sim_check_order(const struct sim_job *job, amb_ms issued) {
@@ -237,10 +242,11 @@
     if (!told || issued <= told) return;
     amb_ms late = issued - told;
     world.result.commands_after_cancel++;
-    if (late > world.result.latest_command_after_cancel_ms) world.result.latest_command_after_cancel_ms = late;
+    if (late > world.result.latest_command_after_cancel_ms)
+        world.result.latest_command_after_cancel_ms = late;
     if (late > latest_ignorance())
         sim_report_violation("started_cancelled: %s, ordered %lld ms after its cancellation was confirmed",
-                   job->spec.ref, (long long)late);
+                             job->spec.ref, (long long)late);
 }
 
 /* What runs where, for the checks of what must not last. */
@@ -324,12 +330,13 @@
     if (!waits || world.now < world.troubles_over) job->waits_from = world.now;
     if (world.now - job->waits_from > LONGEST_WAIT_MS)
         sim_report_violation("left_waiting: %s, kind %d, %u tasks", job->spec.ref, (int)job->spec.kind,
-                   job->spec.task_count);
+                             job->spec.task_count);
 }
 
 static void check_answered(const struct sim_job *job) {
     amb_ms since = job->answered_at > world.troubles_over ? job->answered_at : world.troubles_over;
-    if (job->accepted && world.now - since > LONGEST_SILENCE_MS) sim_report_violation("unanswered: %s", job->spec.ref);
+    if (job->accepted && world.now - since > LONGEST_SILENCE_MS)
+        sim_report_violation("unanswered: %s", job->spec.ref);
 }
 
 void sim_check_second(void) {
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -130,8 +130,8 @@
 }
 
 static bool is_open_follow(const struct sim_call *call) {
-    return call->used && call->destination == SIM_TO_STORE && !call->answered && !strncmp(call->path, "/follow", 7) &&
-           !call->delivery_timer.position && !call->given_up;
+    return call->used && call->destination == SIM_TO_STORE && !call->answered &&
+           !strncmp(call->path, "/follow", 7) && !call->delivery_timer.position && !call->given_up;
 }
 
 /* Watches of whoever is refused wait; what they missed is told once the refusal ends. */
@@ -301,11 +301,12 @@
         amb_duty_decode_record(item, &before);
         cbor_decref(&item);
     }
-    if (amb_duty_decode_record(now, &after) != AMB_DUTY_DECODED) sim_report_violation("duty: %s can't be read", key);
+    if (amb_duty_decode_record(now, &after) != AMB_DUTY_DECODED)
+        sim_report_violation("duty: %s can't be read", key);
     bool claim = after.state == AMB_DUTY_RECORD_HELD;
     if (after.fencing_token != before.fencing_token + claim)
         sim_report_violation("duty: %s: token %llu after %llu", key, (unsigned long long)after.fencing_token,
-                   (unsigned long long)before.fencing_token);
+                             (unsigned long long)before.fencing_token);
     world.result.handovers += claim;
 }
 
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -149,7 +149,8 @@
     }
     sim_errand(job, SIM_REPEAT, -1, sim_random_between(0, 20));
     sim_errand(job, SIM_REPEAT, -1, sim_random_between(20, 200));
-    if (sim_fault_active(SIM_INVALID_REQUESTS, -1)) sim_errand(job, SIM_REPEAT_SPOILT, -1, sim_random_between(0, 20));
+    if (sim_fault_active(SIM_INVALID_REQUESTS, -1))
+        sim_errand(job, SIM_REPEAT_SPOILT, -1, sim_random_between(0, 20));
     if (sim_random() % 4 == 0) sim_errand(job, SIM_CANCEL, -1, sim_random_between(0, 20));
 }
 
@@ -271,8 +272,8 @@
     spec->kind = (enum amb_job_kind)(sim_random() % 3);
     spec->priority =
         spec->kind == AMB_JOB_KIND_SERVICE ? AMB_PRIORITY_PRODUCTION : (enum amb_priority)(sim_random() % 3);
-    spec->task_count =
-        (uint32_t)sim_random_between(1, spec->kind == AMB_JOB_KIND_ARRAY ? (amb_ms)world.size->max_array_tasks : 4);
+    spec->task_count = (uint32_t)sim_random_between(
+        1, spec->kind == AMB_JOB_KIND_ARRAY ? (amb_ms)world.size->max_array_tasks : 4);
     spec->task_resources = (struct amb_resources){8, (double)sim_random_between(1, 2), 40};
     spec->estimated_runtime_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_random_between(5, 30);
     spec->one_zone = spec->kind == AMB_JOB_KIND_GANG && sim_random() % 2;
@@ -290,7 +291,8 @@
 
 static void draw_other_fields(struct amb_job_spec *spec) {
     spec->deadline_s = sim_random() % 2 ? (double)sim_random_between(60, 600) + 0.5 : 0;
-    spec->checkpoint_interval_s = spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_random_between(0, 3) * 10;
+    spec->checkpoint_interval_s =
+        spec->kind == AMB_JOB_KIND_SERVICE ? 0 : (double)sim_random_between(0, 3) * 10;
     spec->checkpoint_save_s = spec->checkpoint_interval_s > 0 ? 2.5 : 0;
     if (sim_random() % 2) {
         strcpy(spec->allowed_types[0], "g8");
@@ -338,13 +340,15 @@
     spec->priority = class == SIM_ASSISTANT ? AMB_PRIORITY_PRODUCTION
                      : class == SIM_DRAFTS  ? AMB_PRIORITY_HIGH
                                             : AMB_PRIORITY_BEST_EFFORT;
-    spec->task_count = (uint32_t)sim_random_between(2, class == SIM_SWEEP ? (amb_ms)world.size->max_array_tasks : 4);
+    spec->task_count =
+        (uint32_t)sim_random_between(2, class == SIM_SWEEP ? (amb_ms)world.size->max_array_tasks : 4);
     spec->task_resources.gpus = class == SIM_SWEEP ? 1 : 2;
     spec->estimated_runtime_s = class == SIM_SWEEP ? (double)sim_random_between(10, 40) : 0;
     spec->one_zone = false;
     spec->spread_zones = class == SIM_ASSISTANT;
     spec->spot_allowed = false; /* spot machines would take the cloud's room from replicas */
-    job->submit_at = world.now + sim_random_between(2000, class == SIM_SWEEP ? length * 3 / 4 : LAST_SERVICE_MS);
+    job->submit_at =
+        world.now + sim_random_between(2000, class == SIM_SWEEP ? length * 3 / 4 : LAST_SERVICE_MS);
     amb_timer_set(&job->timer, job->submit_at, user_acts, job);
 }
 
@@ -374,7 +378,8 @@
 static void draw_flood(amb_ms length) {
     enum { JOBS = 2000, RUN_S = 1 };
     for (int i = 0; i < JOBS; i++)
-        array_new(world.now + sim_random_between(10000, 10000 + length / 8), 1, RUN_S)->spec.task_resources.gpus = 1;
+        array_new(world.now + sim_random_between(10000, 10000 + length / 8), 1, RUN_S)
+            ->spec.task_resources.gpus = 1;
 }
 
 static void draw_uneven(amb_ms length) {
@@ -387,8 +392,8 @@
 static void draw_crowd(amb_ms length) {
     for (int i = 0; i < world.size->jobs / 2; i++) {
         amb_ms at = world.now + sim_random_between(2000, length / 4);
-        struct sim_job *job =
-            array_new(at, (uint32_t)sim_random_between(20, SIM_JOB_TASKS), (double)sim_random_between(10, 40));
+        struct sim_job *job = array_new(at, (uint32_t)sim_random_between(20, SIM_JOB_TASKS),
+                                        (double)sim_random_between(10, 40));
         job->spec.priority = (enum amb_priority)(sim_random() % 4);
     }
 }
--- a/tests/standin/workers.c
+++ b/tests/standin/workers.c
@@ -378,7 +378,8 @@
         struct sim_kept_report *kept = &world.kept_reports[i];
         if (!kept->body.len) continue;
         for (int node = 0; node < world.size->nodes; node++)
-            send_copy(kept->machine, node, &kept->body, 1, sim_random() % 2 ? 20 : 3 * world.size->heartbeat_ms);
+            send_copy(kept->machine, node, &kept->body, 1,
+                      sim_random() % 2 ? 20 : 3 * world.size->heartbeat_ms);
         amb_buf_free(&kept->body);
     }
 }
--- a/tests/standin/world.h
+++ b/tests/standin/world.h
@@ -287,7 +287,7 @@
 /* network.c */
 struct sim_call *sim_call_new(void);
 void sim_call_start(struct sim_call *call, amb_ms timeout);
-void sim_call_deliver(void *arg);                                                   /* it reaches its place */
+void sim_call_deliver(void *arg);                                              /* it reaches its place */
 void sim_call_answer(struct sim_call *call, int status, struct amb_buf *body); /* takes body over */
 
 /* digest.c: what is added to the digest of the day */
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -371,7 +371,8 @@
         carry_out(call);
     if (fate == MEMBER_CRASHES_BEFORE || fate == MEMBER_CRASHES_AFTER) member_dies(call->member);
     if (fate == MEMBER_PAUSES_BEFORE) members[call->member].paused = true;
-    if (fate == MEMBER_RESPONSE_LOST || (call->verb == CLOUD && member_cloud.responses_lost)) lose_answer(call);
+    if (fate == MEMBER_RESPONSE_LOST || (call->verb == CLOUD && member_cloud.responses_lost))
+        lose_answer(call);
     call->carried_out = true;
 }
 
@@ -613,7 +614,7 @@
 }
 
 bool members_read_intent(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
-                        struct amb_duty_intent_payload *work) {
+                         struct amb_duty_intent_payload *work) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_intent_key(key, duty, id);
     const cbor_item_t *value = members_value(key);
--- a/tests/support/fake_store.c
+++ b/tests/support/fake_store.c
@@ -228,7 +228,8 @@
     if (!call || (read && read < call)) call = read; /* calls are kept in their order */
     if (!call) return false;
     bool commit = call != read;
-    int status = commit && (fate == FAKE_APPLIED || fate == FAKE_ANSWER_LOST) ? carry_out(call->cbor_body) : 0;
+    int status =
+        commit && (fate == FAKE_APPLIED || fate == FAKE_ANSWER_LOST) ? carry_out(call->cbor_body) : 0;
     if (commit && fate == FAKE_APPLIED_LATE) {
         assert_true(nlate < LATE);
         late[nlate++] = cbor_incref(call->cbor_body);
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -37,7 +37,8 @@
 const cbor_item_t *latest_reply_body(void) {
     static cbor_item_t *map;
     if (map) cbor_decref(&map);
-    map = latest_reply()->body.len ? amb_cbor_parse(latest_reply()->body.data, latest_reply()->body.len) : NULL;
+    map =
+        latest_reply()->body.len ? amb_cbor_parse(latest_reply()->body.data, latest_reply()->body.len) : NULL;
     return map;
 }
 
@@ -173,7 +174,7 @@
 }
 
 void answer_change_list(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
-                 uint64_t stamp) {
+                        uint64_t stamp) {
     struct amb_buf buffer = {0};
     char key[AMB_NAME_SIZE + 16];
     amb_cbor_write_map(&buffer, 2);
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -59,7 +59,7 @@
 }
 
 bool deliver_heartbeat(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
-            const struct amb_agent_task *tasks, size_t ntasks) {
+                       const struct amb_agent_task *tasks, size_t ntasks) {
     struct amb_agent_heartbeat heartbeat = {.incarnation = session,
                                             .sequence = seq,
                                             .fencing_token = token,
@@ -88,7 +88,8 @@
 }
 
 struct amb_agent_task make_agent_task(const char *ref, uint32_t index, uint64_t attempt,
-                              enum amb_agent_task_state agent_state, enum amb_exit_reason exit_reason) {
+                                      enum amb_agent_task_state agent_state,
+                                      enum amb_exit_reason exit_reason) {
     struct amb_agent_task agent_task = {
         .index = index, .attempt = attempt, .state = agent_state, .exit_reason = exit_reason};
     strcpy(agent_task.job_ref, ref);
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -249,9 +249,9 @@
     if (!strcmp(state, "done"))
         record->value = cbor_from_text("{\"s\":\"done\",\"n\":%d}", TASKS_PER_JOB);
     else
-        record->value =
-            cbor_from_text("{\"s\":\"%s\",\"a\":%lld,\"c\":%lld,\"d\":%s}", state, (long long)amb_wall_ms(),
-                           (long long)amb_wall_ms(), format_submission(letter, awaited[letter - 'a'], "batch"));
+        record->value = cbor_from_text("{\"s\":\"%s\",\"a\":%lld,\"c\":%lld,\"d\":%s}", state,
+                                       (long long)amb_wall_ms(), (long long)amb_wall_ms(),
+                                       format_submission(letter, awaited[letter - 'a'], "batch"));
 }
 
 static void hear_news(void) {
--- a/tests/zone_recovery/test_zone_recovery.c
+++ b/tests/zone_recovery/test_zone_recovery.c
@@ -335,7 +335,8 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(settings_are_refused, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(disabled_recovery_decides_nothing, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(a_returning_zone_takes_replicas_only, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(a_returning_zone_takes_replicas_only, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(a_returning_zone_keeps_its_machines, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(classes_recover_in_order, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(batch_leaves_reserved_room_alone, fixture_setup, fixture_teardown),
