--- a/include/amberpin/cloud/cloud.h
+++ b/include/amberpin/cloud/cloud.h
@@ -1,5 +1,5 @@
-/* The cloud as the leader uses it: its catalogue of machine types, scale out, scale in, and the list of the
- * machines that there are. */
+/* The leader's use of the cloud: the catalogue of machine types, scale out, scale in, and the list of
+ * existing machines. */
 #ifndef AMBERPIN_CLOUD_H
 #define AMBERPIN_CLOUD_H
 
@@ -12,10 +12,10 @@
 
 struct amb_node;
 
-/* State of this module. Others read it through node.h; only this module changes it. */
+/* State of the cloud module. Other modules read it through node.h; only the cloud module changes it. */
 struct amb_cloud {
     struct amb_token_bucket call_budget;
-    amb_ms throttled_until; /* no call is sent before, since the cloud answered "too many requests" */
+    amb_ms throttled_until; /* no call is sent before this, after the cloud answered "too many requests" */
     bool catalog_known;
     amb_ms catalog_requested_at; /* 0: never */
     struct amb_scale_out scale_out;
@@ -24,11 +24,11 @@
     struct amb_machine_list list;
 };
 
-/* Prepares the state of a controller that starts. */
+/* Initializes the cloud state when the controller starts. */
 void amb_cloud_init(struct amb_node *node);
-/* Sends what is due at `now`. Without leadership only the catalogue is read. */
+/* Sends the cloud calls that are due at `now`. A controller that does not lead only reads the catalogue. */
 void amb_cloud_tick(struct amb_node *node, amb_ms now);
-/* Forgets all that belongs to a term of leadership: it has begun, or ended. */
+/* Discards all state that belongs to one term. Called when leadership begins and when it ends. */
 void amb_cloud_reset(struct amb_node *node);
 
 #endif
--- a/include/amberpin/cloud/scale_out.h
+++ b/include/amberpin/cloud/scale_out.h
@@ -1,6 +1,7 @@
-/* Scale out: requests for machines. A request is recorded, then sent to the cloud under its id until it is
- * answered, and its machines are known by name before more are requested for the same need. The record lets a
- * new leader repeat a request of its predecessor, which the cloud carries out once. */
+/* Scale out: requests for machines. A request is recorded in the key-value store, then sent to the cloud with
+ * the same request id until it is answered. The names of its machines are known before more machines are
+ * requested for the same demand. The record lets a new leader repeat a request of its predecessor; the cloud
+ * carries out each request id once. */
 #ifndef AMBERPIN_CLOUD_SCALE_OUT_H
 #define AMBERPIN_CLOUD_SCALE_OUT_H
 
@@ -12,17 +13,17 @@
 
 struct amb_node;
 
-/* What is requested: indexes of the type and the zone in the catalogue. */
+/* The kind of machine that is requested. type and zone are indexes in the catalogue. */
 struct amb_scale_out_kind {
     int type, zone;
     bool spot;
 };
 
 enum amb_scale_out_state {
-    AMB_SCALE_OUT_RECORDING,  /* its record is to be written */
-    AMB_SCALE_OUT_REQUESTING, /* recorded; the cloud is to be called, or has been and has not answered */
-    AMB_SCALE_OUT_DONE,       /* carried out; the record is kept until lists show the machines */
-    AMB_SCALE_OUT_REMOVING,   /* its record is to be removed */
+    AMB_SCALE_OUT_RECORDING,  /* the record is not written yet */
+    AMB_SCALE_OUT_REQUESTING, /* recorded; the cloud has not been called, or has not answered yet */
+    AMB_SCALE_OUT_DONE,       /* carried out; the record is kept until listings show the machines */
+    AMB_SCALE_OUT_REMOVING,   /* the record is to be removed */
 };
 
 /* A request for machines of one kind. */
@@ -30,60 +31,62 @@
     char id[AMB_CLOUD_REQUEST_ID_SIZE];
     int type, zone; /* indexes in the catalogue */
     bool spot;
-    bool via_intent; /* the holder of the duty calls the cloud, by an intent of this leader */
+    bool via_intent; /* the holder of the rent duty calls the cloud, following an intent of this leader */
     uint32_t count;
     enum amb_scale_out_state state;
-    bool in_flight; /* a call for it has not been answered yet */
+    bool in_flight; /* a call for this request has not been answered yet */
     amb_ms retry_at, done_at;
     struct amb_scale_out_request *next;
 };
 
-/* Kinds of which the cloud had too little capacity are not requested for a while. */
+/* Capacity backoff of a kind of machine: after the cloud lacked capacity, the kind is not requested before
+ * `until`. */
 struct amb_capacity_backoff {
     amb_ms until;
-    uint32_t failures; /* in a row */
+    uint32_t failures; /* consecutive answers that there is no capacity */
 };
 
 struct amb_scale_out {
-    struct amb_scale_out_request *requests; /* owned; the longest waiting first */
+    struct amb_scale_out_request *requests; /* owned; oldest first */
     uint64_t request_counter;               /* makes ids unique within a term */
     struct amb_capacity_backoff capacity_backoff[AMB_MACHINE_TYPES_MAX][AMB_ZONES_MAX][2]; /* 1: spot */
 };
 
 /* ---- requests ---- */
 
-/* Adds a request for so many machines of this kind, at most as many as one call may ask for. */
+/* Adds a request for `count` machines of this kind, or for as many as one call may request. */
 void amb_scale_out_submit(struct amb_node *node, int type, int zone, bool spot, uint32_t count);
-/* How many requests submitted at `now` could be sent at once. What is needed beyond them stays in the plan,
- * where it adds up by kind until its turn comes. */
+/* The number of new requests that could be sent immediately at `now`. Demand beyond them stays in the
+ * capacity plan, which combines it by kind of machine until calls are available. */
 uint32_t amb_scale_out_available_calls(struct amb_node *node, amb_ms now);
-/* Adds a request that is on record as an intent of an earlier leader; borrowed. */
+/* Adds a request that an earlier leader recorded as an intent. Returns it, borrowed. */
 struct amb_scale_out_request *amb_scale_out_adopt_intent(struct amb_node *node, const char *id,
                                                          const struct amb_scale_out_kind *kind,
                                                          uint32_t count);
-/* A new leader takes over a request of an earlier one, if the key is that of a request's record: it is
- * repeated, and the answer names the machines. */
+/* Restores a request of an earlier leader on a new leader, if the key is that of a request record. The
+ * request is repeated, and the answer names its machines. */
 void amb_scale_out_restore(struct amb_node *node, const char *key, const cbor_item_t *value);
-/* Borrowed; NULL: there is none of this id. */
+/* Returns the request with this id, borrowed; NULL: there is none. */
 struct amb_scale_out_request *amb_scale_out_find(struct amb_node *node, const char *id);
-/* Takes the request off the list and frees it. */
+/* Removes the request from the list and frees it. */
 void amb_scale_out_remove(struct amb_node *node, struct amb_scale_out_request *request);
-/* Takes the next step of every request, as far as it is due at `now`. */
+/* Takes the next step of each request for which it is due at `now`. */
 void amb_scale_out_tick(struct amb_node *node, amb_ms now);
-/* Removes all requests. */
+/* Removes all requests and all capacity backoffs. */
 void amb_scale_out_reset(struct amb_node *node);
 
 /* ---- results ---- */
 
-/* The cloud has given us this machine. */
+/* Adds a machine that the cloud has granted to the leader's table. */
 void amb_scale_out_add_machine(struct amb_node *node, const struct amb_scale_out_kind *kind,
                                const char *name);
-/* The request was carried out, with so many machines. */
+/* Notes that the cloud has granted `machine_count` machines, and backs off if that is fewer than requested.
+ */
 void amb_scale_out_note_filled(struct amb_node *node, const struct amb_scale_out_request *request,
                                size_t machine_count);
-/* The cloud has no capacity of the requested kind. */
+/* Notes that the cloud has no capacity of the requested kind, and backs off. */
 void amb_scale_out_note_no_capacity(struct amb_node *node, const struct amb_scale_out_request *request);
-/* Had the cloud too little capacity of this kind lately? */
+/* Is the capacity backoff of this kind of machine in effect at `now`? */
 bool amb_scale_out_is_backing_off(const struct amb_node *node, int type, int zone, bool spot, amb_ms now);
 
 #endif
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -8,7 +8,7 @@
 
 #include <stdlib.h>
 
-/* Age at which the leader reads the catalogue again, in agent leases. */
+/* The age at which the leader reads the catalogue again, in agent leases. */
 static const double REFRESH_LEASES = 6;
 /* Time between attempts while the catalogue is unknown, in heartbeat periods. */
 static const double RETRY_HEARTBEATS = 0.5;
@@ -18,7 +18,7 @@
     if (index < 0 && node->catalog.type_count < AMB_MACHINE_TYPES_MAX)
         index = (int)node->catalog.type_count++;
     if (index < 0) {
-        amb_error("the cloud offers more than %d types: %s is not used", AMB_MACHINE_TYPES_MAX, type->name);
+        amb_error("catalogue: more than %d machine types: %s is ignored", AMB_MACHINE_TYPES_MAX, type->name);
         return;
     }
     node->catalog.types[index] = *type;
--- a/lib/cloud/catalog_refresh.h
+++ b/lib/cloud/catalog_refresh.h
@@ -1,5 +1,5 @@
-/* The cloud's catalogue of machine types: read once by every controller, and again from time to time by the
- * leader. */
+/* The cloud's catalogue of machine types. Every controller reads it once; the leader reads it periodically.
+ */
 #ifndef AMBERPIN_CLOUD_CATALOG_REFRESH_H
 #define AMBERPIN_CLOUD_CATALOG_REFRESH_H
 
@@ -7,7 +7,7 @@
 
 struct amb_node;
 
-/* Requests the catalogue if it is unknown or stale, and a call may be made at `now`. */
+/* Requests the catalogue if it is unknown or stale and a call may be made at `now`. */
 void amb_cloud_catalog_tick(struct amb_node *node, amb_ms now);
 
 #endif
--- a/lib/cloud/cloud_calls.c
+++ b/lib/cloud/cloud_calls.c
@@ -2,7 +2,7 @@
 
 #include "amberpin/node/node.h"
 
-/* How long an answer is waited for, in heartbeat periods. */
+/* Timeouts of calls, in heartbeat periods. */
 static const double GET_TIMEOUT_HEARTBEATS = 3, POST_TIMEOUT_HEARTBEATS = 2;
 
 struct amb_cloud_call *amb_cloud_call_new(struct amb_node *node) {
@@ -41,14 +41,16 @@
     amb_buf_free(body);
 }
 
-/* The leader makes nearly all calls; the others read the catalogue once. */
-static double share_by_leader(const struct amb_node *node) {
+/* This node's share of the call budget while the leader scales out and in itself: the leader makes nearly all
+ * calls, and the other controllers read the catalogue once. */
+static double call_share_without_duties(const struct amb_node *node) {
     if (!node->settings.peer_count) return 1.0;
     return amb_election_is_leader(node) ? 0.8 : 0.2 / node->settings.peer_count;
 }
 
-/* The leader lists machines; holders of duties rent and return them, on whichever node. */
-static double share_by_duties(const struct amb_node *node) {
+/* This node's share of the call budget while duties are in use: the leader lists machines, and the holders of
+ * the duties, on any node, request and release them. */
+static double call_share_with_duties(const struct amb_node *node) {
     const struct amb_duty_service *service = &node->duties.service;
     double share = 0.1 / (node->settings.peer_count + 1);
     if (amb_election_is_leader(node)) share += 0.3;
@@ -60,8 +62,9 @@
 
 void amb_cloud_refill_budget(struct amb_node *node, amb_ms now) {
     struct amb_cloud *cloud = &node->cloud;
-    double share = node->duties.mode == AMB_DUTY_MODE_DUTIES ? share_by_duties(node) : share_by_leader(node);
-    cloud->call_budget.burst_seconds = 2; /* the protocol: bursts worth two seconds are permitted */
+    double share = node->duties.mode == AMB_DUTY_MODE_DUTIES ? call_share_with_duties(node)
+                                                             : call_share_without_duties(node);
+    cloud->call_budget.burst_seconds = 2; /* the protocol permits bursts of two seconds' worth of calls */
     amb_token_bucket_set_rate(&cloud->call_budget, node->settings.cloud_rps * share);
     amb_token_bucket_refill(&cloud->call_budget, now);
 }
--- a/lib/cloud/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -9,23 +9,24 @@
 #include <string.h>
 
 enum {
-    MACHINES_PER_PAGE = 500, /* the most that the protocol allows */
-    MAX_PAGE_FAILURES = 5,   /* in a row; then the listing begins anew */
+    MACHINES_PER_PAGE = 500, /* the protocol allows no more */
+    MAX_PAGE_FAILURES = 5,   /* consecutive failures of a page after which the listing starts over */
 };
 
-/* Of all calls to the cloud, what a listing of many pages may take: the rest is for scale out and in. */
+/* The share of all calls to the cloud that a listing of several pages may use. The rest is left for scale out
+ * and scale in. */
 static const double LIST_CALL_SHARE = 0.25;
-/* Least time between listings, in lags of the list. */
+/* The minimum time between listings, in multiples of the list lag. */
 static const double INTERVAL_LAGS = 0.25;
-/* Time until a page that failed is requested again, in heartbeat periods. */
+/* The delay before a failed page is requested again, in heartbeat periods. */
 static const double PAGE_RETRY_HEARTBEATS = 0.25;
 
-/* ---- a page ---- */
+/* ---- contents of a page ---- */
 
-/* (A new leader once counted boots that would never end from its own beginning: six machines that had been
- * paid for since 250 s were returned at 604 s.) */
-static void apply_age(struct amb_machine *machine, const struct amb_cloud_machine *listed, bool is_new,
-                      amb_ms requested_at) {
+/* Takes over the age that the cloud reports. A new leader that measured the boot timeout from its own start
+ * released six machines that never finished booting, paid for since 250 s, only at 604 s. */
+static void apply_listed_age(struct amb_machine *machine, const struct amb_cloud_machine *listed, bool is_new,
+                             amb_ms requested_at) {
     if (!listed->is_age_known) return;
     amb_ms created_at = requested_at - amb_seconds_to_ms(listed->age_s);
     if (created_at < machine->created_at) machine->created_at = created_at;
@@ -42,11 +43,11 @@
     machine->last_listed_at = list->page_requested_at;
     amb_machine_set_location(node, machine, listed->type, listed->zone);
     if (!machine->address[0]) strcpy(machine->address, listed->address);
-    apply_age(machine, listed, is_new, list->page_requested_at);
+    apply_listed_age(machine, listed, is_new, list->page_requested_at);
     if (is_new) machine->spot = listed->spot;
     if (is_new && listed->state == AMB_CLOUD_MACHINE_BOOTING)
         amb_machine_set_state(machine, AMB_MACHINE_BOOTING, "listed");
-    /* A list may be old, but a machine that failed once never works again. */
+    /* A listing may be stale, but a failed machine never recovers. */
     if (listed->state == AMB_CLOUD_MACHINE_FAILED && machine->state != AMB_MACHINE_RELEASING) {
         machine->failed_by_cloud = true;
         amb_cloud_release(node, machine, "the cloud says it failed");
@@ -85,8 +86,8 @@
     finish_list(node, list->started_at);
 }
 
-/* A page was refused, or its answer lost. The first: another listing begins when its turn comes. A later one
- * is requested again, since a listing of 4,000 machines has eight. */
+/* Handles a page that was refused or not answered. After a failure of the first page, a new listing starts
+ * when it is due. A later page is requested again, because a listing of 4,000 machines has eight pages. */
 static void handle_page_failure(struct amb_node *node) {
     struct amb_machine_list *list = &node->cloud.list;
     bool is_retried = list->page_count > 0 && ++list->page_failures < MAX_PAGE_FAILURES;
@@ -121,7 +122,7 @@
     amb_cloud_get(node, path, handle_page, amb_cloud_call_new(node));
 }
 
-/* Requests the page that is due, if a call may be made now; else the next tick tries again. */
+/* Requests the page that is due if a call may be made at `now`. Otherwise the next tick tries again. */
 static void request_page_if_due(struct amb_node *node, amb_ms now) {
     const struct amb_machine_list *list = &node->cloud.list;
     if (list->state != AMB_MACHINE_LIST_PAGE_DUE || now < list->page_retry_at) return;
--- a/lib/cloud/machine_release.c
+++ b/lib/cloud/machine_release.c
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-/* Time until a call without a positive answer is repeated, in heartbeat periods. */
+/* The delay before a call that was not answered with 200 is repeated, in heartbeat periods. */
 static const double RETRY_HEARTBEATS = 0.25;
 
 void amb_cloud_post_machine_gone(struct amb_node *node, struct amb_machine *machine, enum amb_absence proof) {
@@ -17,14 +17,14 @@
         node, &(struct amb_event){.type = AMB_EVENT_MACHINE_REMOVED, .machine = machine, .proof = proof});
 }
 
-/* ---- which machines are to be released ---- */
+/* ---- machines marked for release ---- */
 
 static void mark_for_release(struct amb_machine *machine, bool planned, const char *cause) {
     if (machine->release_pending) return;
     machine->release_pending = true;
     machine->scale_in_planned = planned;
     machine->release_reason = cause;
-    amb_info("machine %s: to be returned: %s", machine->name, cause);
+    amb_info("machine %s: marked for release: %s", machine->name, cause);
 }
 
 void amb_cloud_release(struct amb_node *node, struct amb_machine *machine, const char *cause) {
@@ -37,8 +37,8 @@
     mark_for_release(machine, true, cause);
 }
 
-/* Takes the machines of the next call, unless one is at hand: that is the same until it is answered. False:
- * there is nothing to release. */
+/* Collects the machines of the next call. While a call has not been answered its machines stay the same.
+ * False: there is nothing to release. */
 static bool collect_names(struct amb_node *node) {
     struct amb_machine_release *release = &node->cloud.release;
     if (release->count) return true;
@@ -49,13 +49,13 @@
         size_t bytes = strlen(machine->name) + AMB_SCALE_IN_NAME_BYTES;
         if (!machine->release_pending || release->count == AMB_RELEASE_MAX || bytes > bytes_left) continue;
         bytes_left -= bytes;
-        amb_machine_set_state(machine, AMB_MACHINE_RELEASING, "being returned");
+        amb_machine_set_state(machine, AMB_MACHINE_RELEASING, "added to a release call");
         strcpy(release->names[release->count++], machine->name);
     }
     return release->count > 0;
 }
 
-/* ---- the call ---- */
+/* ---- the release call ---- */
 
 static void handle_release_answer(void *arg, int status, const char *body, size_t body_size) {
     struct amb_node *node = amb_cloud_call_take(arg);
@@ -69,7 +69,8 @@
         return;
     }
     for (uint32_t i = 0; i < release->count; i++) {
-        /* Added to the table if it is unknown, so that late copies of its heartbeats are ignored. */
+        /* An unknown machine is added to the table, so that late copies of its heartbeats are ignored once it
+         * has been removed as gone. */
         struct amb_machine *machine = amb_machine_get(node, release->names[i], true);
         if (machine) amb_cloud_post_machine_gone(node, machine, AMB_ABSENCE_RELEASED);
     }
--- a/lib/cloud/scale_in_log.c
+++ b/lib/cloud/scale_in_log.c
@@ -12,13 +12,13 @@
 
 enum { BYTES_PER_KB = 1024 };
 
-/* Attempts to write or read the record are a quarter of a store call's timeout apart. */
+/* A failed write or read of the record is retried after a quarter of a store call's timeout. */
 enum { RETRIES_PER_TIMEOUT = 4 };
 
 static void set_state(struct amb_node *node, enum amb_scale_in_log_state to, const char *cause) {
     static const char *const names[] = {"unrecorded", "writing", "unsure", "reading", "recorded"};
     struct amb_scale_in_log *scale_in_log = &node->cloud.scale_in_log;
-    amb_debug("return record: %s -> %s: %s", names[scale_in_log->state], names[to], cause);
+    amb_debug("scale-in log: %s -> %s: %s", names[scale_in_log->state], names[to], cause);
     scale_in_log->state = to;
 }
 
@@ -26,7 +26,8 @@
     node->cloud.scale_in_log.retry_at = amb_now() + node->store.call_timeout / RETRIES_PER_TIMEOUT;
 }
 
-/* The node, if it still leads under the term of the call and waits for it; else NULL. Frees the call. */
+/* Returns the node if it still leads under the term of the call and the log is in the expected state, else
+ * NULL. Frees the call. */
 static struct amb_node *take_call(void *arg, enum amb_scale_in_log_state expected) {
     struct amb_node *node = amb_cloud_call_take(arg);
     return node && node->cloud.scale_in_log.state == expected ? node : NULL;
@@ -49,12 +50,12 @@
     }
     bool perhaps_written = status == 200 || status == 0 || status == 409;
     set_state(node, perhaps_written ? AMB_SCALE_IN_LOG_UNKNOWN : AMB_SCALE_IN_LOG_UNRECORDED,
-              "not written, or not known");
+              "the write is not confirmed");
     retry_later(node);
 }
 
-/* Compared with the revision that the key is known to have: of several copies of a write one is carried out
- * at most, and none once a later one has been. */
+/* Compares the last known revision of the key: at most one of several copies of this write is carried out,
+ * and none after a later write. */
 static void write_record(struct amb_node *node) {
     struct amb_txn transaction = {0};
     struct amb_buf value = {0};
@@ -64,7 +65,7 @@
     amb_txn_compare(&transaction, AMB_SCALE_IN_KEY, node->cloud.scale_in_log.revision);
     amb_txn_put(&transaction, AMB_SCALE_IN_KEY, &value, 0);
     amb_buf_free(&value);
-    set_state(node, AMB_SCALE_IN_LOG_WRITING, "machines are to be returned");
+    set_state(node, AMB_SCALE_IN_LOG_WRITING, "machines are to be released");
     amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_FINAL_STATE, handle_write_answer,
                      amb_cloud_call_new(node));
 }
@@ -78,23 +79,24 @@
     if (is_present) scale_in_log->revision = entry.revision;
     const struct amb_machine_release *release = &node->cloud.release;
     if (is_present && amb_codec_scale_in_record_equals(entry.value, release->names, release->count)) {
-        set_state(node, AMB_SCALE_IN_LOG_RECORDED, "it had been written");
+        set_state(node, AMB_SCALE_IN_LOG_RECORDED, "the read shows the release");
         return;
     }
     if (status == 404) scale_in_log->revision = 0;
     set_state(node, is_present || status == 404 ? AMB_SCALE_IN_LOG_UNRECORDED : AMB_SCALE_IN_LOG_UNKNOWN,
-              "read back");
+              "the read does not show the release");
     if (scale_in_log->state == AMB_SCALE_IN_LOG_UNKNOWN) retry_later(node);
 }
 
 static void read_record(struct amb_node *node) {
-    set_state(node, AMB_SCALE_IN_LOG_READING, "what stands there is not known");
+    set_state(node, AMB_SCALE_IN_LOG_READING, "the content of the record is unknown");
     amb_store_get(&node->store, AMB_SCALE_IN_KEY, AMB_STORE_PRIORITY_FINAL_STATE, handle_read_answer,
                   amb_cloud_call_new(node));
 }
 
-/* A program of an old format neither writes nor reads the record, and one that it left behind could name
- * machines that have been given work since: the log is used once no such process can lead any more. */
+/* The log is used once no controller of format version 1 can lead any more. Such a controller neither writes
+ * nor reads the record, and a record that it left in place could name machines that have been given work
+ * since. */
 static bool is_in_use(const struct amb_node *node) {
     return amb_format_active(node) >= AMB_FORMAT_2;
 }
@@ -112,19 +114,19 @@
 
 void amb_scale_in_log_note_released(struct amb_node *node) {
     if (node->cloud.scale_in_log.state == AMB_SCALE_IN_LOG_RECORDED)
-        set_state(node, AMB_SCALE_IN_LOG_UNRECORDED, "the machines are gone");
+        set_state(node, AMB_SCALE_IN_LOG_UNRECORDED, "the machines are released");
 }
 
 void amb_scale_in_log_reset(struct amb_node *node) {
     memset(&node->cloud.scale_in_log, 0, sizeof node->cloud.scale_in_log);
 }
 
-/* ---- taking over ---- */
+/* ---- restoring ---- */
 
-static const char RESTORED_CAUSE[] = "an earlier leader is returning it";
+static const char RESTORED_CAUSE[] = "an earlier leader recorded its release";
 
-/* With duties in use the record is of before, and all calls for it had been answered when the mode was
- * written. */
+/* While duties are in use the names in the record are ignored: the record dates from before, and all its
+ * calls had been answered when the mode was written. */
 void amb_scale_in_log_restore(struct amb_node *node, const char *key, const cbor_item_t *value,
                               uint64_t revision) {
     struct amb_machine_release *release = &node->cloud.release;
@@ -136,7 +138,7 @@
         struct amb_machine *machine = amb_machine_get(node, release->names[i], false);
         if (machine) amb_machine_mark_releasing(machine, RESTORED_CAUSE);
     }
-    if (release->count) set_state(node, AMB_SCALE_IN_LOG_RECORDED, "written by an earlier leader");
+    if (release->count) set_state(node, AMB_SCALE_IN_LOG_RECORDED, "restored from an earlier leader");
 }
 
 void amb_scale_in_log_note_machine(struct amb_node *node, struct amb_machine *machine) {
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -10,17 +10,17 @@
 #include <string.h>
 
 enum {
-    MAX_MACHINES_PER_REQUEST = 50, /* as the protocol allows */
-    CALL_BURST_SECONDS = 2,        /* bursts worth so many seconds of calls are permitted (the protocol) */
+    MAX_MACHINES_PER_REQUEST = 50, /* the protocol allows no more */
+    CALL_BURST_SECONDS = 2,        /* the protocol permits bursts of this many seconds' worth of calls */
 };
 
-/* A request's record is kept until the cloud must list its machines, in lags of the list: until then only the
- * record tells a successor of them. */
+/* How long a request's record is kept after the answer, in multiples of the list lag: until listings must
+ * show the machines, only the record tells a new leader about them. */
 static const double RECORD_KEPT_LAGS = 2.2;
 
 /* ---- new requests ---- */
 
-/* What the holder of the rent duty may call at a time, as far as is known here. */
+/* The calls that the holder of the rent duty may make in one burst, as far as this node knows. */
 static double holder_call_burst(const struct amb_node *node) {
     return node->settings.cloud_rps * AMB_CLOUD_RENT_SHARE * CALL_BURST_SECONDS;
 }
@@ -30,8 +30,9 @@
            (request->state == AMB_SCALE_OUT_REQUESTING && !request->in_flight);
 }
 
-/* (At the start of a day all that was needed stood in a queue, 25 calls for a machine or two each before the
- * 9 that had been needed first, 18 s late.) */
+/* Only requests that can be sent soon are submitted. When all demand was queued as requests, 25 calls for one
+ * or two machines each stood ahead of the 9 that were needed first at the start of a day, which were 18 s
+ * late. */
 uint32_t amb_scale_out_available_calls(struct amb_node *node, amb_ms now) {
     enum amb_scaling_path path = amb_duties_scaling_path(node);
     if (path == AMB_SCALING_PAUSED) return 0;
@@ -45,7 +46,7 @@
 
 void amb_scale_out_submit(struct amb_node *node, int type, int zone, bool spot, uint32_t count) {
     struct amb_scale_out_request *request = amb_alloc(sizeof *request);
-    /* The term is never used twice, nor is the counter within it. */
+    /* The id is unique: no term is used twice, and no counter value within a term. */
     snprintf(request->id, sizeof request->id, "r-%llu-%llu", (unsigned long long)node->election.term,
              (unsigned long long)++node->cloud.scale_out.request_counter);
     request->type = type;
@@ -56,7 +57,7 @@
     uint32_t recordable = amb_duty_max_machines(amb_settings_lowered_limits(&node->settings).value_kb);
     if (request->via_intent && request->count > recordable) request->count = recordable;
     scale_out_append(node, request);
-    amb_info("rental request %s: wants %u %s in %s%s", request->id, request->count,
+    amb_info("scale-out request %s: submitted for %u %s in %s%s", request->id, request->count,
              node->catalog.types[type].name, node->catalog.zones[zone], spot ? ", spot" : "");
 }
 
@@ -75,7 +76,7 @@
     return request;
 }
 
-/* ---- the next steps ---- */
+/* ---- steps of a request ---- */
 
 static void tick_request(struct amb_node *node, struct amb_scale_out_request *request, amb_ms now) {
     if (request->in_flight || now < request->retry_at) return;
@@ -89,7 +90,7 @@
         break;
     case AMB_SCALE_OUT_DONE:
         if (now - request->done_at > amb_seconds_to_ms(node->settings.list_lag_s * RECORD_KEPT_LAGS))
-            scale_out_set_state(request, AMB_SCALE_OUT_REMOVING, "listed by now");
+            scale_out_set_state(request, AMB_SCALE_OUT_REMOVING, "its machines must be listed by now");
         break;
     case AMB_SCALE_OUT_REMOVING:
         if (amb_election_may_act(node)) scale_out_remove_record(node, request);
--- a/lib/cloud/scale_out_call.c
+++ b/lib/cloud/scale_out_call.c
@@ -1,4 +1,4 @@
-/* The leader's calls to the cloud for machines. */
+/* Scale-out calls of the leader to the cloud. */
 #include "amberpin/base/log.h"
 #include "amberpin/codec/cloud_messages.h"
 #include "amberpin/node/events.h"
@@ -6,7 +6,7 @@
 
 #include "scale_out_internal.h"
 
-/* Time until a call without a final answer is repeated, in heartbeat periods. */
+/* The delay before a call without a final answer is repeated, in heartbeat periods. */
 static const double RETRY_HEARTBEATS = 0.5;
 
 static void handle_filled(struct amb_node *node, struct amb_scale_out_request *request,
@@ -41,9 +41,9 @@
     } else if (status == 503 && amb_codec_is_no_capacity(item)) {
         handle_no_capacity(node, request);
     } else if (status == 400) {
-        amb_error("rental request %s: the cloud calls it malformed", request->id);
+        amb_error("scale-out request %s: rejected by the cloud as malformed", request->id);
         scale_out_set_state(request, AMB_SCALE_OUT_REMOVING, "malformed");
-    } else { /* no answer, an outage, too many calls: the same id again is carried out once */
+    } else { /* no answer, an outage or too many calls; a repeated id is carried out only once */
         request->retry_at = now + amb_seconds_to_ms(node->settings.heartbeat_s * RETRY_HEARTBEATS);
     }
     if (item) cbor_decref(&item);
--- a/lib/cloud/scale_out_record.c
+++ b/lib/cloud/scale_out_record.c
@@ -1,5 +1,5 @@
-/* The records of scale-out requests: written before the cloud is called, read by a new leader, and removed
- * once lists show the machines. */
+/* Records of scale-out requests. A record is written before the cloud is called, read by a new leader, and
+ * removed once listings must show the machines. */
 #include "amberpin/codec/scaling_records.h"
 #include "amberpin/kvstore/leader_key.h"
 #include "amberpin/node/node.h"
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A write that the store refused is repeated after a quarter of a call's timeout. */
+/* A write that the key-value store refused is repeated after a quarter of a call's timeout. */
 enum { WRITES_PER_TIMEOUT = 4 };
 
 static void handle_write_answer(void *arg, int status, const cbor_item_t *body) {
@@ -18,8 +18,8 @@
     struct amb_scale_out_request *request = scale_out_call_take(arg, &node);
     (void)body;
     if (!request) return;
-    /* No answer: calling the cloud is safe all the same, since a successor that finds no record loses nothing
-     * but the names, which the list shows. */
+    /* Without an answer (status 0) the cloud may be called all the same: a new leader that finds no record
+     * only lacks the machine names, which the listings show. */
     if (status == 200 || status == 0)
         scale_out_set_state(request, AMB_SCALE_OUT_REQUESTING, "recorded");
     else if (status == 409)
@@ -81,7 +81,7 @@
     request->count = record.count;
     request->state = AMB_SCALE_OUT_REQUESTING; /* repeated: the answer names the machines */
     if (node->duties.mode == AMB_DUTY_MODE_DUTIES) {
-        /* It had been answered before duties came into use; the leader calls no more. */
+        /* The cloud had answered this request before duties came into use, and the leader no longer calls. */
         request->state = AMB_SCALE_OUT_DONE;
         request->done_at = amb_now();
     }
--- a/lib/cloud/scale_out_requests.c
+++ b/lib/cloud/scale_out_requests.c
@@ -1,4 +1,4 @@
-/* The list of scale-out requests, and the calls that are made for them. */
+/* The list of scale-out requests, and the bookkeeping of calls in flight for them. */
 #include "amberpin/base/log.h"
 #include "amberpin/node/node.h"
 
@@ -10,7 +10,7 @@
 void scale_out_set_state(struct amb_scale_out_request *request, enum amb_scale_out_state to,
                          const char *cause) {
     static const char *const names[] = {"recording", "asking", "done", "removing"};
-    amb_debug("rental request %s: %s -> %s: %s", request->id, names[request->state], names[to], cause);
+    amb_debug("scale-out request %s: %s -> %s: %s", request->id, names[request->state], names[to], cause);
     request->state = to;
 }
 
--- a/lib/cloud/scale_out_result.c
+++ b/lib/cloud/scale_out_result.c
@@ -1,10 +1,10 @@
-/* What came of scale-out requests, whoever called the cloud: machines, or a capacity backoff. */
+/* Results of scale-out requests, whichever process called the cloud: new machines or a capacity backoff. */
 #include "amberpin/base/log.h"
 #include "amberpin/cloud/scale_out.h"
 #include "amberpin/node/node.h"
 
-/* A kind is not requested for so many agent leases after it was given in part, or after each failure in a row
- * up to a limit. */
+/* The capacity backoff of a kind of machine, in agent leases: PARTIAL_BACKOFF_LEASES after a request that was
+ * granted in part, else one for each consecutive failure, up to MAX_BACKOFF_LEASES. */
 static const double PARTIAL_BACKOFF_LEASES = 1.5;
 enum { MAX_BACKOFF_LEASES = 4 };
 
@@ -27,7 +27,7 @@
 void amb_scale_out_note_filled(struct amb_node *node, const struct amb_scale_out_request *request,
                                size_t machine_count) {
     struct amb_capacity_backoff *backoff = backoff_of(node, request);
-    amb_info("rental request %s: got %zu of %u", request->id, machine_count, request->count);
+    amb_info("scale-out request %s: granted %zu of %u", request->id, machine_count, request->count);
     if (machine_count < request->count)
         backoff->until = amb_now() + amb_seconds_to_ms(node->settings.agent_lease_s * PARTIAL_BACKOFF_LEASES);
     else
@@ -39,7 +39,7 @@
     backoff->failures++;
     uint32_t leases = backoff->failures > MAX_BACKOFF_LEASES ? MAX_BACKOFF_LEASES : backoff->failures;
     backoff->until = amb_now() + amb_seconds_to_ms(node->settings.agent_lease_s * leases);
-    amb_info("rental request %s: no capacity", request->id);
+    amb_info("scale-out request %s: no capacity", request->id);
 }
 
 bool amb_scale_out_is_backing_off(const struct amb_node *node, int type, int zone, bool spot, amb_ms now) {
