--- a/include/amberpin/zone_recovery/health.h
+++ b/include/amberpin/zone_recovery/health.h
@@ -1,16 +1,16 @@
-/* Health of a zone: evidence and time go in, a state comes out. Pure: no input or output, no clock.
+/* Health of a zone: a state machine driven by evidence and time. It does no I/O and reads no clock.
  *
- *     healthy <---> suspect          a good part of the machines is unresponsive, or responds again
+ *     healthy <---> suspect          over a third of the machines are unresponsive, or fewer again
  *        \            |  ^
  *         v           v  |
- *          ----> lost     |          nearly all are unresponsive
+ *          ----> lost     |          at least nine in ten are unresponsive
  *                 |  ^    |
  *                 v  |    |
  *              returning -+--> healthy
  *
- * A zone that was lost is returning until its machines have been stable, that is responsive without many
- * dropping out, for the stability period. The period doubles with each loss up to a bound, and losses expire
- * one by one while the zone is available. */
+ * A lost zone that responds again is returning until its machines have been stable for the stability period,
+ * that is, responsive without many of them dropping out. The period doubles with each loss up to a bound, and
+ * losses expire one by one while the zone is available. */
 #ifndef AMBERPIN_ZONE_RECOVERY_HEALTH_H
 #define AMBERPIN_ZONE_RECOVERY_HEALTH_H
 
@@ -26,52 +26,52 @@
     AMB_ZONE_HEALTH_STATES,
 };
 
-/* What is known of a zone at one moment. Machines are numbers, each used for one machine only. The sets are
+/* What is known about a zone at one moment. The sets hold machine numbers, which are never reused, and are
  * borrowed. */
 struct amb_zone_evidence {
     const roaring_bitmap_t *expected;   /* machines that should respond */
-    const roaring_bitmap_t *responsive; /* machines that do */
-    bool lease_proxy_active;            /* another controller keeps the zone's tasks running */
-    bool all_unresponsive;              /* no zone responds, which shows nothing of this one */
+    const roaring_bitmap_t *responsive; /* machines that do respond */
+    bool lease_proxy_active;            /* a lease proxy keeps the agents of the zone alive */
+    bool all_unresponsive;              /* no zone responds, which says nothing about this zone */
 };
 
-/* Healthy when zeroed. To be freed by amb_zone_health_free. */
+/* A zeroed structure is healthy. Free it with amb_zone_health_free. */
 struct amb_zone_health {
     enum amb_zone_health_state state;
-    uint32_t losses;          /* that have not expired */
-    amb_ms available_since;   /* neither lost nor returning since then */
-    amb_ms stable_since;      /* while returning: its machines have been stable since then */
-    roaring_bitmap_t *stable; /* while returning: these machines; owned; NULL: never returning yet */
+    uint32_t losses;          /* losses that have not expired */
+    amb_ms available_since;   /* when the zone last became available (healthy or suspect) */
+    amb_ms stable_since;      /* while returning: start of the stability period */
+    roaring_bitmap_t *stable; /* while returning: the stable machines; owned; NULL: never returning so far */
 };
 
-/* How much of a zone responds, by counts alone. */
+/* How much of a zone responds, judged by machine counts alone. */
 enum amb_zone_responsiveness { AMB_ZONE_RESPONSIVE, AMB_ZONE_PARTLY_RESPONSIVE, AMB_ZONE_UNRESPONSIVE };
 
-/* unresponsive: so many of the expected machines don't respond. */
+/* unresponsive: the number of expected machines that do not respond. */
 enum amb_zone_responsiveness amb_zone_classify_responsiveness(uint64_t expected, uint64_t unresponsive);
 
-/* Updates the state from evidence of this moment. True: it has changed. */
+/* Updates the state from the evidence at `now`. True: the state has changed. */
 bool amb_zone_health_update(struct amb_zone_health *health, const struct amb_zone_settings *settings,
                             const struct amb_zone_evidence *evidence, amb_ms now);
 
-/* Restores what an earlier leader recorded. A returning zone begins its stability period anew. */
+/* Restores the health that an earlier leader recorded. A returning zone starts a new stability period. */
 void amb_zone_health_restore(struct amb_zone_health *health, enum amb_zone_health_state state,
                              uint32_t losses, amb_ms now);
 
-/* How long the machines of a returning zone must be stable, with the losses that count now. */
+/* How long the machines of a returning zone must be stable, given the losses that have not expired. */
 amb_ms amb_zone_health_stability_period(const struct amb_zone_health *health,
                                         const struct amb_zone_settings *settings);
 
-/* Frees what the health owns and makes it healthy. */
+/* Frees the set that the structure owns and resets the state to healthy. */
 void amb_zone_health_free(struct amb_zone_health *health);
 
-/* May batch tasks start in a zone of this state? */
+/* May batch tasks start in a zone with this state? */
 bool amb_zone_health_state_admits_batch(enum amb_zone_health_state state);
 
-/* The state's name in logs and records. */
+/* The name of the state in logs and records. */
 const char *amb_zone_health_state_name(enum amb_zone_health_state state);
 
-/* False: no state has this name. */
+/* Sets *state to the state with this name. False: there is none. */
 bool amb_zone_health_state_parse(const char *name, enum amb_zone_health_state *state);
 
 #endif
--- a/include/amberpin/zone_recovery/zone_recovery.h
+++ b/include/amberpin/zone_recovery/zone_recovery.h
@@ -1,6 +1,6 @@
 /* Loss and return of zones: the health of each zone, the order in which replicas that were lost with a zone
- * are started again, and the record from which a new leader goes on (docs/design/zone-loss.md). All of it
- * runs on the leader, and only if the operators enable it. */
+ * are started again, and the record from which a new leader continues (docs/design/zone-loss.md). Zone
+ * recovery runs only on the leader, and only if the operators enable it. */
 #ifndef AMBERPIN_ZONE_RECOVERY_H
 #define AMBERPIN_ZONE_RECOVERY_H
 
@@ -19,23 +19,23 @@
 /* The state of zone recovery on a leader. */
 struct amb_zone_recovery {
     struct amb_zone_settings settings;
-    struct amb_zone_health zones[AMB_ZONES_MAX]; /* by their indexes in the catalogue */
+    struct amb_zone_health zones[AMB_ZONES_MAX]; /* by zone index in the catalogue */
     struct amb_recovery_order order;
     amb_ms order_checked_at;
     struct amb_zone_record record;
 };
 
-/* Can the operators' settings be used? False: err, of cap bytes, names file and field, and what is allowed.
- * file: of the options; NULL: there is none. */
+/* Are the operators' settings valid? False: err, of cap bytes, names the file, the field and what is allowed.
+ * file: the options file; NULL: there is none. */
 bool amb_zone_recovery_check(const struct amb_settings *settings, const struct amb_options *options,
                              const char *file, char *err, size_t cap);
 
 bool amb_zone_recovery_is_enabled(const struct amb_node *node);
 
-/* Once, before the node serves requests. */
+/* Called once, before the node serves requests. */
 void amb_zone_recovery_init(struct amb_node *node);
 
-/* Forgets all that is known of zones: when a node begins or ceases to lead. */
+/* Discards all state about zones. Called when a node begins or ceases to lead. */
 void amb_zone_recovery_clear(struct amb_node *node);
 
 #endif
--- a/lib/zone_recovery/health.c
+++ b/lib/zone_recovery/health.c
@@ -5,9 +5,9 @@
 static const char *const STATE_NAMES[AMB_ZONE_HEALTH_STATES] = {"healthy", "suspect", "lost", "returning"};
 
 enum {
-    UNRELATED_FAILURES_MAX = 2, /* so many machines may be unresponsive for reasons of their own */
-    DROPPED_DIVISOR = 10,       /* more than one in so many stable machines dropping out: unstable */
-    DOUBLINGS_MAX = 30,         /* of a period, without overflow */
+    UNRELATED_FAILURES_MAX = 2, /* this many machines may be unresponsive for unrelated reasons */
+    DROPPED_DIVISOR = 10,       /* unstable if more than one in this many stable machines drops out */
+    DOUBLINGS_MAX = 30,         /* most doublings of a period, so that it does not overflow */
 };
 
 /* ---- names ---- */
@@ -33,10 +33,10 @@
 
 enum amb_zone_responsiveness amb_zone_classify_responsiveness(uint64_t expected, uint64_t unresponsive) {
     if (unresponsive <= UNRELATED_FAILURES_MAX) return AMB_ZONE_RESPONSIVE;
-    bool nearly_all = unresponsive * 10 >= expected * 9; /* nine in ten */
-    bool good_part = unresponsive * 3 > expected;        /* one in three */
+    bool nearly_all = unresponsive * 10 >= expected * 9; /* at least nine in ten */
+    bool over_one_third = unresponsive * 3 > expected;
     if (nearly_all) return AMB_ZONE_UNRESPONSIVE;
-    return good_part ? AMB_ZONE_PARTLY_RESPONSIVE : AMB_ZONE_RESPONSIVE;
+    return over_one_third ? AMB_ZONE_PARTLY_RESPONSIVE : AMB_ZONE_RESPONSIVE;
 }
 
 static enum amb_zone_responsiveness classify_evidence(const struct amb_zone_evidence *evidence) {
@@ -45,9 +45,9 @@
     return amb_zone_classify_responsiveness(expected, unresponsive);
 }
 
-/* Does its silence show nothing of the zone? With a lease proxy the network between two zones is at fault,
- * and when no zone responds it is this leader's. */
-static bool is_excused(const struct amb_zone_evidence *evidence) {
+/* Do the missing heartbeats have another cause than a zone loss? If a lease proxy is active, the network
+ * between two zones is at fault; if no zone responds, the network of this leader is. */
+static bool is_loss_ruled_out(const struct amb_zone_evidence *evidence) {
     return evidence->lease_proxy_active || evidence->all_unresponsive;
 }
 
@@ -61,7 +61,7 @@
     return settings->stability_period << doublings;
 }
 
-/* The library takes no NULL. */
+/* roaring_bitmap_free does not accept NULL. */
 static void free_stable(struct amb_zone_health *health) {
     if (health->stable) roaring_bitmap_free(health->stable);
     health->stable = NULL;
@@ -74,7 +74,8 @@
     health->stable_since = now;
 }
 
-/* Have too many of the stable machines dropped out? One that is not expected any more was released. */
+/* Have too many of the stable machines dropped out? A machine that is no longer expected was released, and
+ * does not count. */
 static bool is_unstable(const struct amb_zone_health *health, const struct amb_zone_evidence *evidence) {
     roaring_bitmap_and_inplace(health->stable, evidence->expected);
     uint64_t stable = roaring_bitmap_get_cardinality(health->stable);
@@ -82,9 +83,9 @@
     return dropped > UNRELATED_FAILURES_MAX && dropped * DROPPED_DIVISOR > stable;
 }
 
-/* ---- the state ---- */
+/* ---- state changes ---- */
 
-/* The state of an available zone. */
+/* The state of a zone that is neither lost nor returning. */
 static enum amb_zone_health_state available_state(enum amb_zone_responsiveness responsiveness) {
     return responsiveness == AMB_ZONE_RESPONSIVE ? AMB_ZONE_HEALTHY : AMB_ZONE_SUSPECT;
 }
@@ -103,13 +104,14 @@
 static void update_available(struct amb_zone_health *health, const struct amb_zone_settings *settings,
                              const struct amb_zone_evidence *evidence, amb_ms now) {
     enum amb_zone_responsiveness responsiveness = classify_evidence(evidence);
-    if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_excused(evidence))
+    if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_loss_ruled_out(evidence))
         mark_lost(health, settings, now);
     else
         health->state = available_state(responsiveness);
 }
 
-/* A zone without any machine returns, too: nothing else would ever show that it can be used again. */
+/* A lost zone without any machine becomes returning too, because no evidence would ever show that it can be
+ * used again. */
 static void update_lost(struct amb_zone_health *health, const struct amb_zone_evidence *evidence,
                         amb_ms now) {
     if (evidence->all_unresponsive) return;
@@ -121,7 +123,7 @@
 static void update_returning(struct amb_zone_health *health, const struct amb_zone_settings *settings,
                              const struct amb_zone_evidence *evidence, amb_ms now) {
     enum amb_zone_responsiveness responsiveness = classify_evidence(evidence);
-    if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_excused(evidence)) {
+    if (responsiveness == AMB_ZONE_UNRESPONSIVE && !is_loss_ruled_out(evidence)) {
         mark_lost(health, settings, now);
         return;
     }
--- a/lib/zone_recovery/health_tick.c
+++ b/lib/zone_recovery/health_tick.c
@@ -5,36 +5,36 @@
 #include "lost_classes.h"
 #include "machine_evidence.h"
 
-/* Sets of machines of one zone, by their numbers; owned. */
+/* The machines of one zone, as owned sets of machine numbers. */
 struct zone_machines {
     roaring_bitmap_t *expected, *responsive;
 };
 
-/* All zones of the catalogue at one moment. */
-struct survey {
+/* The machines of all zones of the catalogue at one moment. */
+struct zone_snapshot {
     uint32_t count;
     struct zone_machines zones[AMB_ZONES_MAX];
 };
 
 /* ---- evidence ---- */
 
-static void survey_take(const struct amb_node *node, amb_ms now, struct survey *survey) {
-    survey->count = node->catalog.zone_count;
-    for (uint32_t zone = 0; zone < survey->count; zone++)
-        survey->zones[zone] = (struct zone_machines){roaring_bitmap_create(), roaring_bitmap_create()};
+static void take_snapshot(const struct amb_node *node, amb_ms now, struct zone_snapshot *snapshot) {
+    snapshot->count = node->catalog.zone_count;
+    for (uint32_t zone = 0; zone < snapshot->count; zone++)
+        snapshot->zones[zone] = (struct zone_machines){roaring_bitmap_create(), roaring_bitmap_create()};
     for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next) {
         if (!amb_zone_machine_is_expected(node, machine, now)) continue;
-        const struct zone_machines *machines = &survey->zones[machine->zone_index];
+        const struct zone_machines *machines = &snapshot->zones[machine->zone_index];
         roaring_bitmap_add(machines->expected, machine->number);
         if (amb_zone_machine_is_responsive(node, machine, now))
             roaring_bitmap_add(machines->responsive, machine->number);
     }
 }
 
-static void survey_free(const struct survey *survey) {
-    for (uint32_t zone = 0; zone < survey->count; zone++) {
-        roaring_bitmap_free(survey->zones[zone].expected);
-        roaring_bitmap_free(survey->zones[zone].responsive);
+static void free_snapshot(const struct zone_snapshot *snapshot) {
+    for (uint32_t zone = 0; zone < snapshot->count; zone++) {
+        roaring_bitmap_free(snapshot->zones[zone].expected);
+        roaring_bitmap_free(snapshot->zones[zone].responsive);
     }
 }
 
@@ -42,10 +42,10 @@
     return roaring_bitmap_andnot_cardinality(machines->expected, machines->responsive);
 }
 
-/* No zone responds: it is this node that can't be reached. */
-static bool is_all_unresponsive(const struct survey *survey) {
-    for (uint32_t zone = 0; zone < survey->count; zone++) {
-        const struct zone_machines *machines = &survey->zones[zone];
+/* Is every zone unresponsive? If so, it is this node that cannot be reached. */
+static bool are_all_zones_unresponsive(const struct zone_snapshot *snapshot) {
+    for (uint32_t zone = 0; zone < snapshot->count; zone++) {
+        const struct zone_machines *machines = &snapshot->zones[zone];
         uint64_t expected = roaring_bitmap_get_cardinality(machines->expected);
         if (amb_zone_classify_responsiveness(expected, count_unresponsive(machines)) != AMB_ZONE_UNRESPONSIVE)
             return false;
@@ -71,15 +71,15 @@
                       const struct zone_machines *machines) {
     const struct amb_zone_health *health = &node->zone_recovery.zones[zone];
     amb_ms stability_period = amb_zone_health_stability_period(health, &node->zone_recovery.settings);
-    amb_info("zone %s: %s -> %s: %llu of %llu machines silent, %u losses count, steady for %lld ms is asked",
+    amb_info("zone %s: %s -> %s: %llu of %llu machines unresponsive, %u losses, stability period %lld ms",
              node->catalog.zones[zone], amb_zone_health_state_name(previous),
              amb_zone_health_state_name(health->state), (unsigned long long)count_unresponsive(machines),
              (unsigned long long)roaring_bitmap_get_cardinality(machines->expected), health->losses,
              (long long)stability_period);
 }
 
-static void state_changed(struct amb_node *node, uint32_t zone, enum amb_zone_health_state previous,
-                          amb_ms now) {
+static void handle_state_change(struct amb_node *node, uint32_t zone, enum amb_zone_health_state previous,
+                                amb_ms now) {
     enum amb_zone_health_state state = node->zone_recovery.zones[zone].state;
     if (state == AMB_ZONE_LOST) amb_zone_recovery_handle_loss(node, (int)zone, now);
     if (!amb_zone_health_state_admits_batch(previous) || !amb_zone_health_state_admits_batch(state))
@@ -98,16 +98,16 @@
     };
     if (!amb_zone_health_update(health, &node->zone_recovery.settings, &evidence, now)) return;
     log_state(node, zone, previous, machines);
-    state_changed(node, zone, previous, now);
+    handle_state_change(node, zone, previous, now);
 }
 
 static void update_zones(struct amb_node *node, amb_ms now) {
-    struct survey survey;
-    survey_take(node, now, &survey);
-    bool all_unresponsive = is_all_unresponsive(&survey);
-    for (uint32_t zone = 0; zone < survey.count; zone++)
-        update_zone(node, zone, &survey.zones[zone], all_unresponsive, now);
-    survey_free(&survey);
+    struct zone_snapshot snapshot;
+    take_snapshot(node, now, &snapshot);
+    bool all_unresponsive = are_all_zones_unresponsive(&snapshot);
+    for (uint32_t zone = 0; zone < snapshot.count; zone++)
+        update_zone(node, zone, &snapshot.zones[zone], all_unresponsive, now);
+    free_snapshot(&snapshot);
 }
 
 void amb_zone_health_tick(struct amb_node *node, amb_ms now) {
--- a/lib/zone_recovery/health_tick.h
+++ b/lib/zone_recovery/health_tick.h
@@ -1,5 +1,4 @@
-/* Feeds the health of all zones with evidence from the leader's table of machines, and acts on its changes.
- */
+/* Collects the evidence for zone health from the leader's table of machines, and acts on changes. */
 #ifndef AMBERPIN_ZONE_RECOVERY_HEALTH_TICK_H
 #define AMBERPIN_ZONE_RECOVERY_HEALTH_TICK_H
 
--- a/lib/zone_recovery/lost_classes.c
+++ b/lib/zone_recovery/lost_classes.c
@@ -7,9 +7,9 @@
 #include <math.h>
 #include <string.h>
 
-enum { CLASSES_MAX = 2 * AMB_RECOVERY_STEPS }; /* that are told apart at a loss; others get no step */
+enum { CLASSES_MAX = 2 * AMB_RECOVERY_STEPS }; /* most classes counted at a loss; others get no step */
 
-/* Replicas of a class at the moment of a loss. */
+/* The replicas of a class at the time of a loss. */
 struct class_count {
     const struct amb_job *oldest; /* the job of the class that was accepted first */
     uint32_t lost, total;
@@ -22,7 +22,7 @@
 
 /* ---- counting ---- */
 
-/* The count of the job's class; NULL: there is none, or no room to add one. */
+/* The count of the job's class; NULL: it is missing, and is not to be added or does not fit. */
 static struct class_count *find_class(struct class_counts *counts, const struct amb_job *job,
                                       bool add_if_missing) {
     for (uint32_t i = 0; i < counts->count; i++)
@@ -60,9 +60,9 @@
     }
 }
 
-/* ---- positions in the order ---- */
+/* ---- recovery classes ---- */
 
-/* The position of the class in the operators' list. */
+/* The position of the class in the operators' list, or AMB_RECOVERY_UNLISTED. */
 static uint32_t list_position(const struct amb_node *node, const char *class_name) {
     const char *list = node->options.zone_recovery_order;
     char name[AMB_NAME_SIZE];
@@ -71,14 +71,14 @@
     return AMB_RECOVERY_UNLISTED;
 }
 
-static double share(double part, double whole) {
+static double ratio(double part, double whole) {
     return whole > 0 ? part / whole : 0;
 }
 
-/* The larger share of its guaranteed GPUs and CPUs that the team uses. */
+/* The share of its guarantee that the team uses: of GPUs or of CPUs, whichever is larger. */
 static double guarantee_used_share(const struct amb_team *team) {
-    double gpus = share(team->used.gpus, team->guarantee.gpus);
-    double cpus = share(team->used.cpus, team->guarantee.cpus);
+    double gpus = ratio(team->used.gpus, team->guarantee.gpus);
+    double cpus = ratio(team->used.cpus, team->guarantee.cpus);
     return fmax(gpus, cpus);
 }
 
@@ -88,7 +88,7 @@
     struct amb_recovery_class lost = {
         .list_position = list_position(node, job->spec->class_name),
         .priority = job->spec->priority,
-        .missing_share = share(count->lost, count->total),
+        .missing_share = ratio(count->lost, count->total),
         .within_guarantee = amb_wdrr_is_within_guarantee(job->team, &nothing),
         .guarantee_used_share = guarantee_used_share(job->team),
         .accepted_wall_ms = job->accepted_wall_ms,
--- a/lib/zone_recovery/lost_classes.h
+++ b/lib/zone_recovery/lost_classes.h
@@ -1,4 +1,5 @@
-/* Which classes of services lost replicas with a zone, and how their places in the recovery order compare. */
+/* The classes of services that lost replicas with a zone, and what decides their positions in the recovery
+ * order. */
 #ifndef AMBERPIN_ZONE_RECOVERY_LOST_CLASSES_H
 #define AMBERPIN_ZONE_RECOVERY_LOST_CLASSES_H
 
@@ -6,7 +7,7 @@
 
 struct amb_node;
 
-/* The zone is lost: extends the recovery order by the classes that had replicas there. */
+/* Handles the loss of a zone: extends the recovery order by the classes that had replicas there. */
 void amb_zone_recovery_handle_loss(struct amb_node *node, int zone, amb_ms now);
 
 #endif
--- a/lib/zone_recovery/machine_evidence.c
+++ b/lib/zone_recovery/machine_evidence.c
@@ -4,7 +4,7 @@
 
 enum {
     MISSED_HEARTBEATS_MAX = 3, /* heartbeat periods after which a machine counts as unresponsive */
-    BOOT_TIMES_MAX = 2,        /* times the usual boot time after which a machine should have booted */
+    BOOT_TIMES_MAX = 2,        /* a machine should have booted after this many boot times of its type */
 };
 
 amb_ms amb_zone_heartbeat_timeout(const struct amb_node *node) {
--- a/lib/zone_recovery/machine_evidence.h
+++ b/lib/zone_recovery/machine_evidence.h
@@ -1,5 +1,4 @@
-/* Which machines should respond, and which do: the evidence for the health and reachability of their zones.
- */
+/* The machines that should respond and those that do: evidence for the health and reachability of zones. */
 #ifndef AMBERPIN_ZONE_RECOVERY_MACHINE_EVIDENCE_H
 #define AMBERPIN_ZONE_RECOVERY_MACHINE_EVIDENCE_H
 
@@ -10,13 +9,14 @@
 struct amb_machine;
 struct amb_node;
 
-/* How long a machine's latest heartbeat shows that it is responsive. */
+/* How long a machine counts as responsive after its latest heartbeat. */
 amb_ms amb_zone_heartbeat_timeout(const struct amb_node *node);
 
-/* Is the leader so new that machines may not have found it yet? */
+/* Is this node a new leader that some machines may not have found yet? */
 bool amb_zone_leader_is_warming_up(const struct amb_node *node, amb_ms now);
 
-/* Should the machine send heartbeats by now? Not while its zone or type is unknown, or while it boots. */
+/* Should the machine send heartbeats at `now`? False while its zone or type is unknown, and while it may
+ * still be booting. */
 bool amb_zone_machine_is_expected(const struct amb_node *node, const struct amb_machine *machine, amb_ms now);
 
 bool amb_zone_machine_is_responsive(const struct amb_node *node, const struct amb_machine *machine,
--- a/lib/zone_recovery/reachability.c
+++ b/lib/zone_recovery/reachability.c
@@ -7,7 +7,7 @@
 
 #include <string.h>
 
-/* Of a zone's machines. */
+/* Counts of the machines of one zone. */
 struct machine_count {
     uint32_t expected, unresponsive;
 };
@@ -21,7 +21,7 @@
     };
     enum amb_zone_reachability *current = &node->fleet.zone_reachability[zone];
     if (*current == next) return;
-    amb_info("zone %s: %s -> %s: %u of %u machines silent", node->catalog.zones[zone], names[*current],
+    amb_info("zone %s: %s -> %s: %u of %u machines unresponsive", node->catalog.zones[zone], names[*current],
              names[next], count.unresponsive, count.expected);
     *current = next;
 }
@@ -44,9 +44,10 @@
     return AMB_ZONE_REACHABLE;
 }
 
-/* Silence of all zones at once shows nothing of any of them: it is this node that can't be reached. And a
- * zone with a lease proxy is working. */
-static bool is_excused(const struct amb_node *node, uint32_t zone, uint32_t unreachable_zones) {
+/* Do the missing heartbeats have another cause than an unreachable zone? If no zone responds, it is this node
+ * that cannot be reached; and a zone with an active lease proxy is working. */
+static bool is_unreachability_ruled_out(const struct amb_node *node, uint32_t zone,
+                                        uint32_t unreachable_zones) {
     return unreachable_zones == node->catalog.zone_count ||
            amb_lease_proxy_is_active_in_zone(node, (int)zone);
 }
@@ -62,7 +63,8 @@
         unreachable += reachability[zone] == AMB_ZONE_UNREACHABLE;
     }
     for (uint32_t zone = 0; zone < AMB_ZONES_MAX; zone++) {
-        if (reachability[zone] == AMB_ZONE_UNREACHABLE && is_excused(node, zone, unreachable))
+        if (reachability[zone] == AMB_ZONE_UNREACHABLE &&
+            is_unreachability_ruled_out(node, zone, unreachable))
             reachability[zone] = AMB_ZONE_DEGRADED;
         set_reachability(node, zone, reachability[zone], counts[zone]);
         if (reachability[zone] != AMB_ZONE_REACHABLE) node->fleet.zone_last_unreachable_at[zone] = now;
--- a/lib/zone_recovery/record.c
+++ b/lib/zone_recovery/record.c
@@ -14,13 +14,14 @@
 _Static_assert((int)AMB_ZONE_RECORD_STEPS_MAX == (int)AMB_RECOVERY_STEPS,
                "the record holds a whole recovery order");
 
-/* The node, if it still leads under the term of the call and is in this state; else NULL. Frees the call. */
+/* Returns the node if it still leads under the term of the call and the record is in the expected state, else
+ * NULL. Frees the call. */
 static struct amb_node *take_call(void *context, enum amb_zone_record_state expected) {
     struct amb_node *node = amb_cloud_call_take(context);
     return node && node->zone_recovery.record.state == expected ? node : NULL;
 }
 
-/* What is stored is to be read, after a while. */
+/* Schedules a read of the stored record after one call timeout. */
 static void mark_uncertain(struct amb_node *node) {
     node->zone_recovery.record.state = AMB_ZONE_RECORD_UNCERTAIN;
     node->zone_recovery.record.retry_at = amb_now() + node->store.call_timeout;
@@ -51,7 +52,7 @@
     }
 }
 
-static void record_written(void *context, int status, const cbor_item_t *body) {
+static void handle_write_answer(void *context, int status, const cbor_item_t *body) {
     struct amb_node *node = take_call(context, AMB_ZONE_RECORD_WRITING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
@@ -63,7 +64,7 @@
     record->state = record->changed_since_write ? AMB_ZONE_RECORD_DIRTY : AMB_ZONE_RECORD_CURRENT;
 }
 
-/* Compares the last known revision: a copy of this write that is carried out late changes nothing. */
+/* Compares the last known revision, so that a late copy of this write changes nothing. */
 static void send_record(struct amb_node *node, const struct amb_zone_record_value *value) {
     const struct amb_zone_record *record = &node->zone_recovery.record;
     struct amb_txn transaction = {0};
@@ -73,7 +74,7 @@
     amb_txn_compare(&transaction, KEY, record->revision);
     amb_txn_put(&transaction, KEY, &encoded, 0);
     amb_buf_free(&encoded);
-    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, record_written,
+    amb_store_commit(&node->store, &transaction, AMB_STORE_PRIORITY_PLACEMENT, handle_write_answer,
                      amb_cloud_call_new(node));
 }
 
@@ -102,7 +103,7 @@
     return true;
 }
 
-static void record_read(void *context, int status, const cbor_item_t *body) {
+static void handle_read_answer(void *context, int status, const cbor_item_t *body) {
     struct amb_node *node = take_call(context, AMB_ZONE_RECORD_READING);
     if (!node) return;
     struct amb_zone_record *record = &node->zone_recovery.record;
@@ -114,10 +115,11 @@
 
 static void read_record(struct amb_node *node) {
     node->zone_recovery.record.state = AMB_ZONE_RECORD_READING;
-    amb_store_get(&node->store, KEY, AMB_STORE_PRIORITY_PLACEMENT, record_read, amb_cloud_call_new(node));
+    amb_store_get(&node->store, KEY, AMB_STORE_PRIORITY_PLACEMENT, handle_read_answer,
+                  amb_cloud_call_new(node));
 }
 
-/* ---- when ---- */
+/* ---- scheduling of writes and reads ---- */
 
 void amb_zone_record_mark_dirty(struct amb_node *node) {
     struct amb_zone_record *record = &node->zone_recovery.record;
@@ -128,7 +130,7 @@
 void amb_zone_record_tick(struct amb_node *node, amb_ms now) {
     const struct amb_zone_record *record = &node->zone_recovery.record;
     if (now < record->retry_at || !amb_election_may_act(node)) return;
-    /* An old version would neither write nor read it. */
+    /* A leader of format version 1 would neither write nor read the record. */
     if (amb_format_active(node) < AMB_FORMAT_2) return;
     if (record->state == AMB_ZONE_RECORD_DIRTY) write_record(node);
     if (record->state == AMB_ZONE_RECORD_UNCERTAIN) read_record(node);
@@ -144,7 +146,7 @@
     amb_zone_health_restore(&node->zone_recovery.zones[zone], state, recorded->losses, amb_now());
     if (!amb_zone_health_state_admits_batch(state))
         node->zone_recovery.record.unavailable_zones |= 1u << zone;
-    amb_info("zone %s: %s, as an earlier leader left it", recorded->name, recorded->state);
+    amb_info("zone %s: %s, restored from the record of an earlier leader", recorded->name, recorded->state);
 }
 
 static void restore_steps(struct amb_recovery_order *order, const struct amb_zone_record_value *value) {
--- a/lib/zone_recovery/recovery_order.c
+++ b/lib/zone_recovery/recovery_order.c
@@ -27,8 +27,9 @@
     return -1;
 }
 
-/* The position of a new step: before the first that comes after it. */
-static uint32_t position_of(const struct amb_recovery_order *order, const struct amb_recovery_class *lost) {
+/* The position at which a new step for the class is inserted: before the first step that it precedes. */
+static uint32_t find_insert_position(const struct amb_recovery_order *order,
+                                     const struct amb_recovery_class *lost) {
     uint32_t position = 0;
     while (position < order->count && !amb_recovery_class_precedes(lost, &order->steps[position].lost_class))
         position++;
@@ -48,9 +49,9 @@
         if (step->wait == AMB_RECOVERY_WAIT_NONE) open_step(step, now);
         return true;
     }
-    uint32_t position = position_of(order, lost);
+    uint32_t position = find_insert_position(order, lost);
     if (position == AMB_RECOVERY_STEPS) return false;
-    if (order->count == AMB_RECOVERY_STEPS) order->count--; /* drops the last */
+    if (order->count == AMB_RECOVERY_STEPS) order->count--; /* drops the last step */
     memmove(&order->steps[position + 1], &order->steps[position],
             (order->count - position) * sizeof *order->steps);
     order->steps[position] = (struct amb_recovery_step){.lost_class = *lost};
--- a/lib/zone_recovery/replica_recovery.c
+++ b/lib/zone_recovery/replica_recovery.c
@@ -6,16 +6,16 @@
 #include "amberpin/placement/wdrr.h"
 #include "machine_evidence.h"
 
-/* How often the order is checked within one tick interval of the controller. */
+/* How often the recovery order is checked within one tick interval of the controller. */
 static const double CHECKS_PER_TICK = 2;
 
-/* What a step of the order lacks. */
+/* The replicas that a step of the order lacks. */
 struct missing_replicas {
     uint32_t replicas;
-    const struct amb_job *waiting_job; /* the first with replicas to place; NULL: none */
+    const struct amb_job *waiting_job; /* the first job of the class with replicas to place; NULL: none */
 };
 
-/* Its replicas were running, or were to be started. */
+/* Has a replica of the job been running, or been bound to a machine, before? */
 static bool was_placed(const struct amb_job *job) {
     return job->next_attempt > 1;
 }
@@ -29,9 +29,9 @@
     return node->zone_recovery.order.count && was_placed(job) && step_of_class(node, job) >= 0;
 }
 
-/* ---- what is missing ---- */
+/* ---- missing replicas ---- */
 
-/* Replicas of the machine, which is unresponsive: they are not proven absent yet. */
+/* Counts the replicas on an unresponsive machine, which are not proven absent yet. */
 static void count_on_machine(const struct amb_node *node, const struct amb_machine *machine,
                              struct missing_replicas missing[AMB_RECOVERY_STEPS]) {
     for (const struct amb_task *task = machine->tasks; task; task = task->next_on_machine) {
@@ -61,15 +61,16 @@
 
 /* May another replica of the job be placed in a zone that is not lost? */
 static bool spread_allows(const struct amb_node *node, const struct amb_job *job) {
-    uint32_t most = amb_placement_max_tasks_per_zone(job->spec->task_count);
+    uint32_t max_per_zone = amb_placement_max_tasks_per_zone(job->spec->task_count);
     for (uint32_t zone = 0; zone < node->catalog.zone_count; zone++) {
         if (node->zone_recovery.zones[zone].state == AMB_ZONE_LOST) continue;
-        if (!job->spec->spread_zones || job->zone_task_counts[zone] < most) return true;
+        if (!job->spec->spread_zones || job->zone_task_counts[zone] < max_per_zone) return true;
     }
     return false;
 }
 
-static enum amb_recovery_wait wait_of(const struct amb_node *node, const struct missing_replicas *missing) {
+static enum amb_recovery_wait find_wait_reason(const struct amb_node *node,
+                                               const struct missing_replicas *missing) {
     const struct amb_job *job = missing->waiting_job;
     if (!missing->replicas) return AMB_RECOVERY_WAIT_NONE;
     if (!job) return AMB_RECOVERY_WAIT_ABSENCE_PROOF;
@@ -94,7 +95,7 @@
     count_unreachable(node, now, missing);
     count_waiting(node, missing);
     for (uint32_t i = 0; i < order->count; i++)
-        if (amb_recovery_order_update(order, i, missing[i].replicas, wait_of(node, &missing[i])))
+        if (amb_recovery_order_update(order, i, missing[i].replicas, find_wait_reason(node, &missing[i])))
             log_step(&order->steps[i], now);
 }
 
@@ -113,9 +114,10 @@
     if (!amb_recovery_order_is_open(&recovery->order) && !amb_zones_unavailable(node)) end_order(node);
 }
 
-/* ---- the scheduler's order ---- */
+/* ---- scheduling order ---- */
 
-/* A job that lost nothing is scheduled before the steps of lower priority, as without an order. */
+/* A job that lost no replica is scheduled before the steps of lower priority, as it would be without a
+ * recovery order. */
 static uint8_t step_by_priority(const struct amb_recovery_order *order, const struct amb_job *job) {
     for (uint32_t i = 0; i < order->count; i++)
         if (order->steps[i].lost_class.priority < job->spec->priority) return (uint8_t)i;
