--- a/tests/cloud/test_machines.c
+++ b/tests/cloud/test_machines.c
@@ -1,36 +1,38 @@
-/* The leader's table of machines: which may be given work, which are silent, and those that were returned. */
+/* The leader's table of machines: which machines may be given work, which zones are unreachable, and how
+ * released machines are treated. */
 #include "amberpin/agent/machine_loss.h"
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
 #include "leader_fixture.h"
 
-static void work_goes_to_machines_that_have_shown_our_token(void **state) {
+static void machine_is_schedulable_once_it_has_carried_our_token(void **state) {
     (void)state;
     static const struct {
         uint64_t token;
-        bool usable;
+        bool schedulable;
     } rows[] = {{TERM - 1, false}, {TERM, true}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
         deliver_heartbeat("m-1", 1, 1, rows[i].token, amb_now(), NULL, 0);
         if (amb_machine_is_schedulable(node, amb_machine_get(node, "m-1", false), amb_now()) !=
-            rows[i].usable)
-            fail_msg("token %llu: usable %d", (unsigned long long)rows[i].token, !rows[i].usable);
+            rows[i].schedulable)
+            fail_msg("token %llu: schedulable %d", (unsigned long long)rows[i].token, !rows[i].schedulable);
     }
 }
 
-static void machines_that_hear_badly_rest(void **state) {
+static void machine_that_ignores_a_run_command_is_quarantined(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     bind_task(job, 0, "m-1", 1);
     struct amb_machine *machine = amb_machine_get(node, "m-1", false);
     for (uint64_t seq = 1; seq <= 3; seq++) deliver_heartbeat("m-1", 1, seq, TERM, amb_now(), NULL, 0);
     assert_null(job->tasks[0].machine);
-    if (amb_machine_is_schedulable(node, machine, amb_now())) fail_msg("used again at once");
+    if (amb_machine_is_schedulable(node, machine, amb_now()))
+        fail_msg("schedulable although it ignored a run command");
 }
 
-static void machines_nobody_expected_are_known_by_reporting(void **state) {
+static void unknown_machine_is_added_by_its_heartbeat(void **state) {
     (void)state;
     send_heartbeat((struct sent_heartbeat){.machine = "m-9", .incarnation = 1, .sequence = 1, .token = TERM});
     struct amb_machine *machine = amb_machine_get(node, "m-9", false);
@@ -38,17 +40,17 @@
     assert_true(amb_machine_is_schedulable(node, machine, amb_now()));
 }
 
-static void returned_machines_are_not_used_again(void **state) {
+static void machine_to_be_released_gets_no_run_command(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        bool wanted;
+        bool release_pending;
         enum amb_machine_state state;
-        size_t starts;
+        size_t run_commands;
     } rows[] = {
-        {"at work", false, AMB_MACHINE_UP, 1},
-        {"to be returned", true, AMB_MACHINE_UP, 0},
-        {"its return was asked for", false, AMB_MACHINE_RELEASING, 0},
+        {"in use", false, AMB_MACHINE_UP, 1},
+        {"marked for release", true, AMB_MACHINE_UP, 0},
+        {"its release was requested", false, AMB_MACHINE_RELEASING, 0},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
@@ -56,16 +58,16 @@
         struct amb_machine *machine = machine_up("m-1", 0);
         bind_task(job, 0, "m-1", 1);
         machine->state = rows[i].state;
-        machine->release_pending = rows[i].wanted;
+        machine->release_pending = rows[i].release_pending;
         deliver_heartbeat("m-1", 1, 1, TERM, amb_now(), NULL, 0);
-        if (count_commands(AMB_COMMAND_RUN) != rows[i].starts)
-            fail_msg("%s: %zu starts", rows[i].what, count_commands(AMB_COMMAND_RUN));
+        if (count_commands(AMB_COMMAND_RUN) != rows[i].run_commands)
+            fail_msg("%s: %zu run commands", rows[i].what, count_commands(AMB_COMMAND_RUN));
         if (machine->state != rows[i].state)
-            fail_msg("%s: state %d by a report", rows[i].what, machine->state);
+            fail_msg("%s: state %d after a heartbeat", rows[i].what, machine->state);
     }
 }
 
-static void returned_machines_never_come_back(void **state) {
+static void released_machine_is_not_added_again_by_a_heartbeat(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
     bind_task(job, 0, "m-1", 1);
@@ -76,20 +78,21 @@
     assert_int_equal(reply_command_count, 0);
 }
 
-/* A new leader once waited a period and a third of reports even when there was nothing left to learn. */
-static void learned_when_nearly_all_have_shown_the_token(void **state) {
+/* Guards against a new leader that waits although nearly all machines have acknowledged its token: it used to
+ * wait one and a third heartbeat periods in every case. */
+static void token_is_acknowledged_by_nine_in_ten_machines(void **state) {
     (void)state;
     static const struct {
         const char *what;
         uint32_t up, unproven, booting, failed;
-        bool want;
+        bool acknowledged;
     } rows[] = {
         {"no machines", 0, 0, 0, 0, true},
-        {"none has shown it", 0, 3, 0, 0, false},
+        {"none has acknowledged it", 0, 3, 0, 0, false},
         {"nine of ten", 9, 1, 0, 0, true},
         {"eight of ten", 8, 2, 0, 0, false},
-        {"those that boot have nothing to tell", 9, 1, 30, 0, true},
-        {"nor those that have failed", 9, 1, 0, 30, true},
+        {"booting machines do not count", 9, 1, 30, 0, true},
+        {"failed machines do not count", 9, 1, 0, 30, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         uint32_t total = rows[i].up + rows[i].unproven + rows[i].booting + rows[i].failed;
@@ -102,28 +105,28 @@
             if (k >= total - rows[i].failed)
                 machine->state = AMB_MACHINE_UNPROVEN, machine->failed_by_cloud = true;
         }
-        if (amb_fleet_has_acknowledged_token(node) != rows[i].want) fail_msg("%s", rows[i].what);
+        if (amb_fleet_has_acknowledged_token(node) != rows[i].acknowledged) fail_msg("%s", rows[i].what);
         amb_fleet_clear(node);
     }
 }
 
-/* Machines that boot beyond a cut are neither waited for nor rented there; a zone where many have died still
- * has its place in the plan. */
-static void unreachable_zones(void **state) {
+/* In an unreachable zone booting machines are not waited for, and no machines are requested. A zone in which
+ * many machines have died must not count as unreachable, because it stays in the capacity plan. */
+static void zone_is_unreachable_when_nearly_all_machines_are_silent(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        uint32_t heard_a, silent_a, heard_b, silent_b;
-        amb_ms leading;
-        bool deputy, unreachable; /* deputy: in b */
+        uint32_t responsive_a, silent_a, responsive_b, silent_b; /* machines in each zone */
+        amb_ms leader_age;
+        bool lease_proxy, unreachable; /* zone b: has a lease proxy; counts as unreachable */
     } rows[] = {
-        {"all heard", 10, 0, 10, 0, 60000, false, false},
+        {"all responsive", 10, 0, 10, 0, 60000, false, false},
         {"nearly all silent", 10, 0, 1, 9, 60000, false, true},
-        {"nearly all silent, but a deputy answers them", 10, 0, 1, 9, 60000, true, false},
+        {"nearly all silent, but a lease proxy is active", 10, 0, 1, 9, 60000, true, false},
         {"half have died", 10, 0, 10, 10, 60000, false, false},
-        {"two machines are no zone", 10, 0, 0, 2, 60000, false, false},
-        {"nobody is heard anywhere", 0, 10, 0, 10, 60000, false, false},
-        {"a new leader has heard nobody yet", 10, 0, 0, 10, 2000, false, false},
+        {"two silent machines are too few", 10, 0, 0, 2, 60000, false, false},
+        {"all zones are silent", 0, 10, 0, 10, 60000, false, false},
+        {"the leader is too new", 10, 0, 0, 10, 2000, false, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_teardown(NULL);
@@ -131,8 +134,9 @@
         amb_ms now = amb_now() + 1000000;
         amb_catalog_find_or_add_zone(&node->catalog, "a");
         amb_catalog_find_or_add_zone(&node->catalog, "b");
-        node->controller.leader_since = now - rows[i].leading;
-        const uint32_t counts[] = {rows[i].heard_a, rows[i].silent_a, rows[i].heard_b, rows[i].silent_b};
+        node->controller.leader_since = now - rows[i].leader_age;
+        const uint32_t counts[] = {rows[i].responsive_a, rows[i].silent_a, rows[i].responsive_b,
+                                   rows[i].silent_b};
         for (int column = 0; column < 4; column++)
             for (uint32_t machine_index = 0; machine_index < counts[column]; machine_index++) {
                 char name[AMB_NAME_SIZE];
@@ -146,28 +150,29 @@
             }
         node->lease_proxy.known_count = 1;
         node->lease_proxy.known[0].zone = 1;
-        node->lease_proxy.known[0].present = rows[i].deputy;
+        node->lease_proxy.known[0].present = rows[i].lease_proxy;
         amb_fleet_tick(node, now);
         if (amb_zone_is_unreachable(node, 1) != rows[i].unreachable || amb_zone_is_unreachable(node, 0))
             fail_msg("%s", rows[i].what);
     }
 }
 
-/* Machines were returned 0.1 to 0.4 s after a cut of their zone had ended, as the first to report again made
- * it a reached one (incidents 3f8a, 78d8). They have three report periods first. */
-static void machines_come_back_one_after_the_other(void **state) {
+/* Guards against releases right after a network partition of a zone: the first heartbeats made the zone
+ * reachable again, and the machines that were still silent were released 0.1 to 0.4 s later (incidents 3f8a,
+ * 78d8). Silent machines have three heartbeat periods to respond first. */
+static void silent_machines_are_kept_for_three_heartbeat_periods_after_a_partition(void **state) {
     (void)state;
     enum { MACHINES = 10, SILENT_MS = 25000 };
     static const struct {
         const char *what;
-        amb_ms since; /* the others report again */
-        bool unproven, returned;
+        amb_ms since; /* time from the last check with a silent zone until the others send heartbeats again */
+        bool unproven, released;
     } rows[] = {
         {"the others have just come back", 100, false, false},
-        {"three report periods ago", 3000, false, false},
+        {"three heartbeat periods ago", 3000, false, false},
         {"longer ago", 3100, false, true},
-        {"never heard by this leader, the others have just come back", 100, true, false},
-        {"never heard by this leader, longer ago", 3100, true, true},
+        {"unproven to this leader, the others have just come back", 100, true, false},
+        {"unproven to this leader, longer ago", 3100, true, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
@@ -201,21 +206,30 @@
             list[k]->last_heartbeat_at = list[k]->last_response_at = now;
         }
         amb_fleet_tick(node, now);
-        if (last->release_pending != rows[i].returned)
+        if (last->release_pending != rows[i].released)
             fail_msg("%s: %d", rows[i].what, last->release_pending);
     }
 }
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(work_goes_to_machines_that_have_shown_our_token, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_that_hear_badly_rest, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_nobody_expected_are_known_by_reporting, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(returned_machines_are_not_used_again, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(returned_machines_never_come_back, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(learned_when_nearly_all_have_shown_the_token, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(unreachable_zones, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_come_back_one_after_the_other, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(machine_is_schedulable_once_it_has_carried_our_token, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(machine_that_ignores_a_run_command_is_quarantined, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(unknown_machine_is_added_by_its_heartbeat, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(machine_to_be_released_gets_no_run_command, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(released_machine_is_not_added_again_by_a_heartbeat, setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(token_is_acknowledged_by_nine_in_ten_machines, setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(zone_is_unreachable_when_nearly_all_machines_are_silent, setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(
+            silent_machines_are_kept_for_three_heartbeat_periods_after_a_partition, fixture_setup,
+            fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/zone_recovery/test_recovery_order.c
+++ b/tests/zone_recovery/test_recovery_order.c
@@ -1,10 +1,10 @@
-/* The recovery order: which class precedes which, and that steps keep their positions. */
+/* The recovery order: the criteria by which classes precede each other, and stable positions of steps. */
 #include "amberpin/zone_recovery/recovery_order.h"
 #include "check.h"
 
 /* ---- precedence and steps ---- */
 
-/* Each row precedes the next, by the one thing in which they differ. */
+/* Each row precedes the next, by the first criterion in which the two differ. */
 static const struct amb_recovery_class rows[] = {
     {"listed first", 0, AMB_PRIORITY_HIGH, 0.1, false, 2, 9},
     {"listed second", 1, AMB_PRIORITY_PRODUCTION, 1.0, true, 0, 1},
@@ -22,7 +22,7 @@
     for (size_t i = 0; i < ROWS(rows); i++)
         for (size_t k = 0; k < ROWS(rows); k++)
             if (amb_recovery_class_precedes(&rows[i], &rows[k]) != (i < k))
-                fail_msg("%s, %s", rows[i].name, rows[k].name);
+                fail_msg("wrong precedence of %s and %s", rows[i].name, rows[k].name);
 }
 
 static void steps_open_and_close(void **state) {
@@ -40,7 +40,7 @@
     assert_true(amb_recovery_order_is_open(&order));
     amb_recovery_order_update(&order, 1, 0, AMB_RECOVERY_WAIT_NONE);
     assert_false(amb_recovery_order_is_open(&order));
-    /* Lost again: it keeps its position, and its time counts from now. */
+    /* A class that is lost again keeps its position, and its step is reopened at the new time. */
     assert_true(amb_recovery_order_extend(&order, &rows[3], 900));
     assert_int_equal(order.count, 2);
     assert_int_equal(order.steps[1].opened_at, 900);
@@ -67,7 +67,7 @@
     return lost;
 }
 
-/* A list that is searched for the position each time. */
+/* A reference implementation: a list that is searched linearly for each insertion. */
 struct reference_order {
     struct amb_recovery_class classes[64];
     uint32_t count;
@@ -100,7 +100,7 @@
             assert_int_equal(order.count, reference.count);
             for (uint32_t k = 0; k < order.count; k++)
                 if (strcmp(order.steps[k].lost_class.name, reference.classes[k].name) != 0)
-                    fail_msg("run %llu, loss %d, step %u", (unsigned long long)run, i, k);
+                    fail_msg("run %llu, loss %d: wrong class at step %u", (unsigned long long)run, i, k);
         }
         full += order.count == AMB_RECOVERY_STEPS;
     }
--- a/tests/zone_recovery/test_zone_health.c
+++ b/tests/zone_recovery/test_zone_health.c
@@ -1,5 +1,5 @@
-/* Health of a zone: settings, each change of state by tables, and random evidence against a simple oracle
- * that keeps sets as arrays. */
+/* Zone health: settings, state changes by tables, and random evidence compared with a simple oracle that
+ * keeps sets as arrays. */
 #include "amberpin/zone_recovery/health.h"
 #include "check.h"
 
@@ -30,7 +30,9 @@
 
 /* ---- changes of state ---- */
 
-struct observation { /* at one moment: machines 0 to expected - 1 should answer, those in the list do not */
+/* What is observed at one moment: machines 0 to expected - 1 should respond, and the `unresponsive` machines
+ * from first_unresponsive on do not. */
+struct observation {
     amb_ms at;
     uint32_t expected, first_unresponsive, unresponsive;
     bool lease_proxy, all_unresponsive;
@@ -62,30 +64,30 @@
 
 static void health_state_changes(void **state) {
     (void)state;
-    enum { LOOKS = 12, N = MACHINES };
+    enum { OBSERVATIONS_MAX = 12, N = MACHINES };
     static const struct {
         const char *what;
-        struct observation looks[LOOKS];
+        struct observation observations[OBSERVATIONS_MAX];
     } rows[] = {
         {"a few unresponsive machines are no loss", {{1, N, 0, 2, 0, 0, H}, {2, N, 0, 6, 0, 0, H}}},
-        {"a good part is suspected", {{1, N, 0, 7, 0, 0, S}, {2, N, 0, 17, 0, 0, S}, {3, N, 0, 6, 0, 0, H}}},
-        {"nine in ten are a loss, at once", {{1, N, 0, 18, 0, 0, L}}},
-        {"a small zone of which two are unresponsive", {{1, 2, 0, 2, 0, 0, H}}},
-        {"a cut between zones is no loss", {{1, N, 0, N, 1, 0, S}, {2, N, 0, 0, 0, 0, H}}},
-        {"nor is a leader that hears nobody", {{1, N, 0, N, 0, 1, S}, {2, N, 0, N, 0, 0, L}}},
-        {"lost, and nobody heard: still lost", {{1, N, 0, N, 0, 0, L}, {2, N, 0, 0, 0, 1, L}}},
-        {"a lost zone whose deputy is heard of returns", {{1, N, 0, N, 0, 0, L}, {2, N, 0, N, 1, 0, R}}},
-        {"steady for as long as is asked",
+        {"over a third is suspect", {{1, N, 0, 7, 0, 0, S}, {2, N, 0, 17, 0, 0, S}, {3, N, 0, 6, 0, 0, H}}},
+        {"nine in ten are a loss immediately", {{1, N, 0, 18, 0, 0, L}}},
+        {"two unresponsive machines of a small zone", {{1, 2, 0, 2, 0, 0, H}}},
+        {"a partition between zones is no loss", {{1, N, 0, N, 1, 0, S}, {2, N, 0, 0, 0, 0, H}}},
+        {"no loss while no zone responds", {{1, N, 0, N, 0, 1, S}, {2, N, 0, N, 0, 0, L}}},
+        {"a lost zone stays lost while no zone responds", {{1, N, 0, N, 0, 0, L}, {2, N, 0, 0, 0, 1, L}}},
+        {"a lost zone with a lease proxy returns", {{1, N, 0, N, 0, 0, L}, {2, N, 0, N, 1, 0, R}}},
+        {"healthy after the stability period",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {5999, N, 0, 0, 0, 0, R},
           {6000, N, 0, 0, 0, 0, H}}},
-        {"half a zone is used as half a zone",
+        {"half a zone becomes suspect after the stability period",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 10, 0, 0, R},
           {6000, N, 0, 10, 0, 0, S},
           {7000, 10, 0, 0, 0, 0, H}}},
-        {"an empty zone is tried again",
+        {"an empty zone returns",
          {{1, N, 0, N, 0, 0, L}, {1000, 0, 0, 0, 0, 0, R}, {6000, 0, 0, 0, 0, 0, H}}},
         {"machines that drop out restart the stability period",
          {{1, N, 0, N, 0, 0, L},
@@ -93,22 +95,22 @@
           {4000, N, 0, 5, 0, 0, R},
           {6000, N, 0, 0, 0, 0, R},
           {9000, N, 0, 0, 0, 0, H}}},
-        {"two that do are a matter of their own",
+        {"two machines that drop out do not",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {4000, N, 0, 2, 0, 0, R},
           {6000, N, 0, 2, 0, 0, H}}},
-        {"machines that were released have not dropped out",
+        {"released machines have not dropped out",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {4000, 10, 0, 0, 0, 0, R},
           {6000, 10, 0, 0, 0, 0, H}}},
-        {"returning, and nobody heard",
+        {"the stability period restarts while no zone responds",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {4000, N, 0, N, 0, 1, R},
           {6000, N, 0, 0, 0, 0, R}}},
-        {"each flap doubles the time, up to the bound",
+        {"each loss doubles the stability period, up to the bound",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {2000, N, 0, N, 0, 0, L},
@@ -121,14 +123,14 @@
           {17000, N, 0, 0, 0, 0, R},
           {36999, N, 0, 0, 0, 0, R},
           {37000, N, 0, 0, 0, 0, H}}},
-        {"a loss is forgotten in time",
+        {"a loss expires",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {6000, N, 0, 0, 0, 0, H},
           {106000, N, 0, N, 0, 0, L},
           {107000, N, 0, 0, 0, 0, R},
           {112000, N, 0, 0, 0, 0, H}}},
-        {"but not sooner",
+        {"a loss has not expired yet",
          {{1, N, 0, N, 0, 0, L},
           {1000, N, 0, 0, 0, 0, R},
           {6000, N, 0, 0, 0, 0, H},
@@ -138,11 +140,12 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
-        for (size_t k = 0; k < LOOKS && rows[i].looks[k].at; k++) {
+        for (size_t k = 0; k < OBSERVATIONS_MAX && rows[i].observations[k].at; k++) {
             enum amb_zone_health_state before = health.state;
-            bool changed = observe(&health, &rows[i].looks[k]);
-            if (health.state != rows[i].looks[k].state)
-                fail_msg("%s: look %zu: %s", rows[i].what, k, amb_zone_health_state_name(health.state));
+            bool changed = observe(&health, &rows[i].observations[k]);
+            if (health.state != rows[i].observations[k].state)
+                fail_msg("%s: observation %zu: %s", rows[i].what, k,
+                         amb_zone_health_state_name(health.state));
             assert_int_equal(changed, health.state != before);
         }
         amb_zone_health_free(&health);
@@ -160,15 +163,15 @@
     amb_zone_health_free(&health);
 }
 
-/* A leader that never saw a zone go frees nothing; the library takes no NULL. */
-static void nothing_is_freed_of_a_zone_that_was_never_lost(void **state) {
+/* A zone that was never lost owns no set, and roaring_bitmap_free does not accept NULL. */
+static void zone_that_was_never_lost_can_be_freed(void **state) {
     (void)state;
     struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
     amb_zone_health_free(&health);
     amb_zone_health_free(&health);
 }
 
-static void names_are_read_back(void **state) {
+static void state_names_are_parsed(void **state) {
     (void)state;
     enum amb_zone_health_state read;
     for (int i = 0; i < AMB_ZONE_HEALTH_STATES; i++) {
@@ -188,8 +191,9 @@
     return (uint32_t)(seed % below);
 }
 
-/* What must hold, by simple arrays: batch tasks are admitted after a loss only when, for the stability period
- * that the losses require, at most two or a tenth of the machines that responded dropped out at once. */
+/* The oracle for random evidence: after a loss, batch tasks may be admitted only if, for the stability period
+ * that the number of losses requires, at most two machines or a tenth of the stable machines dropped out
+ * together. */
 struct oracle {
     bool lost, stable[MACHINES];
     amb_ms stable_since;
@@ -232,32 +236,33 @@
         seed = run * 0x9e3779b97f4a7c15u;
         struct amb_zone_health health = {.state = AMB_ZONE_HEALTHY};
         struct oracle oracle = {.lost = false};
-        uint32_t silence = 0;
+        uint32_t unresponsive_percent = 0;
         for (amb_ms at = 500; at < 60000; at += 500) {
-            if (!draw(12)) silence = draw(4) ? draw(5) : 100; /* percent */
+            if (!draw(12)) unresponsive_percent = draw(4) ? draw(5) : 100;
             bool responsive[MACHINES];
-            roaring_bitmap_t *expected = machines(0, MACHINES), *answering = roaring_bitmap_create();
+            roaring_bitmap_t *expected = machines(0, MACHINES), *responsive_set = roaring_bitmap_create();
             for (uint32_t i = 0; i < MACHINES; i++)
-                if ((responsive[i] = draw(100) >= silence)) roaring_bitmap_add(answering, i);
-            const struct amb_zone_evidence evidence = {expected, answering, false, false};
+                if ((responsive[i] = draw(100) >= unresponsive_percent))
+                    roaring_bitmap_add(responsive_set, i);
+            const struct amb_zone_evidence evidence = {expected, responsive_set, false, false};
             amb_zone_health_update(&health, &settings, &evidence, at);
             oracle_observe(&oracle, responsive, at);
             bool admits = amb_zone_health_state_admits_batch(health.state);
             bool may = !oracle.losses ||
                        (!oracle.lost && at - oracle.stable_since >= oracle_stability_period(&oracle));
             if (admits && !may && health.available_since == at)
-                fail_msg("run %llu at %lld", (unsigned long long)run, (long long)at);
+                fail_msg("run %llu at %lld: admitted too early", (unsigned long long)run, (long long)at);
             if (oracle.lost && admits)
-                fail_msg("run %llu at %lld: lost", (unsigned long long)run, (long long)at);
+                fail_msg("run %llu at %lld: admitted to a lost zone", (unsigned long long)run, (long long)at);
             admitted += admits && oracle.losses;
             lost += oracle.lost;
             roaring_bitmap_free(expected);
-            roaring_bitmap_free(answering);
+            roaring_bitmap_free(responsive_set);
         }
         amb_zone_health_free(&health);
     }
     if (admitted < 1000 || lost < 1000)
-        fail_msg("%u looks at zones that are back, %u at lost ones", admitted, lost);
+        fail_msg("%u observations of available zones after a loss, %u of lost zones", admitted, lost);
 }
 
 int main(void) {
@@ -265,8 +270,8 @@
         cmocka_unit_test(invalid_settings),
         cmocka_unit_test(health_state_changes),
         cmocka_unit_test(new_leader_restarts_the_stability_period),
-        cmocka_unit_test(nothing_is_freed_of_a_zone_that_was_never_lost),
-        cmocka_unit_test(names_are_read_back),
+        cmocka_unit_test(zone_that_was_never_lost_can_be_freed),
+        cmocka_unit_test(state_names_are_parsed),
         cmocka_unit_test(random_evidence_matches_the_oracle),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
