--- a/include/amberpin/cloud/scale_in_log.h
+++ b/include/amberpin/cloud/scale_in_log.h
@@ -34,12 +34,10 @@
 /* Notes that the cloud has confirmed the release. A late copy of the call can then do no harm, and the record
  * may be overwritten. */
 void amb_scale_in_log_note_released(struct amb_node *node);
-/* Restores the record on a new leader, if the key is that of the log. `revision` is the revision of the key.
- */
+/* Restores the record on a new leader, if the key is that of the log. revision: of the key. */
 void amb_scale_in_log_restore(struct amb_node *node, const char *key, const cbor_item_t *value,
                               uint64_t revision);
-/* Handles a machine that is new to the leader's table: marks it as releasing if the current release names it.
- */
+/* Marks a machine that is new to the leader's table as releasing if the current release names it. */
 void amb_scale_in_log_note_machine(struct amb_node *node, struct amb_machine *machine);
 /* Discards what is known about the record. */
 void amb_scale_in_log_reset(struct amb_node *node);
--- a/include/amberpin/cloud/scale_out.h
+++ b/include/amberpin/cloud/scale_out.h
@@ -80,8 +80,7 @@
 /* Adds a machine that the cloud has granted to the leader's table. */
 void amb_scale_out_add_machine(struct amb_node *node, const struct amb_scale_out_kind *kind,
                                const char *name);
-/* Notes that the cloud has granted `machine_count` machines, and backs off if that is fewer than requested.
- */
+/* Notes that the cloud has granted `machine_count` machines, and backs off if these are too few. */
 void amb_scale_out_note_filled(struct amb_node *node, const struct amb_scale_out_request *request,
                                size_t machine_count);
 /* Notes that the cloud has no capacity of the requested kind, and backs off. */
--- a/lib/cloud/catalog_refresh.c
+++ b/lib/cloud/catalog_refresh.c
@@ -10,7 +10,7 @@
 
 /* The age at which the leader reads the catalogue again, in agent leases. */
 static const double REFRESH_LEASES = 6;
-/* Time between attempts while the catalogue is unknown, in heartbeat periods. */
+/* The time between requests while the catalogue is unknown, in heartbeat periods. */
 static const double RETRY_HEARTBEATS = 0.5;
 
 static void add_type(struct amb_node *node, const struct amb_machine_type *type) {
--- a/lib/cloud/catalog_refresh.h
+++ b/lib/cloud/catalog_refresh.h
@@ -1,5 +1,4 @@
-/* The cloud's catalogue of machine types. Every controller reads it once; the leader reads it periodically.
- */
+/* The cloud's catalogue of machine types: every controller reads it once, the leader periodically. */
 #ifndef AMBERPIN_CLOUD_CATALOG_REFRESH_H
 #define AMBERPIN_CLOUD_CATALOG_REFRESH_H
 
--- a/lib/cloud/machine_list.c
+++ b/lib/cloud/machine_list.c
@@ -23,8 +23,9 @@
 
 /* ---- contents of a page ---- */
 
-/* Takes over the age that the cloud reports. A new leader that measured the boot timeout from its own start
- * released six machines that never finished booting, paid for since 250 s, only at 604 s. */
+/* Takes over the age that the cloud reports. A new leader that measured boot times from its own start
+ * released six machines that never finished booting only at 604 s, although they had been paid for since 250
+ * s. */
 static void apply_listed_age(struct amb_machine *machine, const struct amb_cloud_machine *listed, bool is_new,
                              amb_ms requested_at) {
     if (!listed->is_age_known) return;
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -80,7 +80,7 @@
 
 static void tick_request(struct amb_node *node, struct amb_scale_out_request *request, amb_ms now) {
     if (request->in_flight || now < request->retry_at) return;
-    if (request->via_intent) return; /* see amb_duties_write_scale_out */
+    if (request->via_intent) return; /* handled by amb_duties_write_scale_out */
     switch (request->state) {
     case AMB_SCALE_OUT_RECORDING:
         if (amb_election_may_act(node)) scale_out_write_record(node, request);
