--- a/include/amberpin/scheduler/demand.h
+++ b/include/amberpin/scheduler/demand.h
@@ -13,7 +13,7 @@
 struct amb_demand {
     char class_name[AMB_NAME_SIZE];
     struct amb_job_spec last_spec; /* of its latest job */
-    double tasks_per_s;            /* decaying average */
+    double jobs_per_s;             /* decaying average */
     double mean_square_tasks;      /* of a job's task count */
     uint32_t image_count;
     char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* that were asked for, latest first */
--- a/lib/scheduler/demand_forecast.c
+++ b/lib/scheduler/demand_forecast.c
@@ -53,11 +53,11 @@
                           double decay_s) {
     double elapsed_s = (double)(ready_at - demand->updated_at) / 1000;
     if (elapsed_s >= 0) {
-        demand->tasks_per_s = demand->tasks_per_s * exp(-elapsed_s / decay_s) + 1 / decay_s;
+        demand->jobs_per_s = demand->jobs_per_s * exp(-elapsed_s / decay_s) + 1 / decay_s;
         demand->updated_at = ready_at;
         demand->last_spec = *spec;
     } else {
-        demand->tasks_per_s += exp(elapsed_s / decay_s) / decay_s;
+        demand->jobs_per_s += exp(elapsed_s / decay_s) / decay_s;
     }
 }
 
@@ -97,7 +97,7 @@
     double decay = exp(-age_s / (ARRIVAL_DECAY_BOOTS * boot_s));
     double share = demand->last_spec.kind == AMB_JOB_KIND_GANG ? GANG_SHARE : 1;
     return node->options.headroom_deviations * share *
-           sqrt(demand->tasks_per_s * decay * boot_s * demand->mean_square_tasks);
+           sqrt(demand->jobs_per_s * decay * boot_s * demand->mean_square_tasks);
 }
 
 /* ---- the peak ---- */
--- a/lib/scheduler/reserved_capacity.c
+++ b/lib/scheduler/reserved_capacity.c
@@ -56,5 +56,5 @@
 void amb_plan_reserved_capacity(struct amb_capacity_plan *plan) {
     const struct amb_controller *controller = &plan->cycle->node->controller;
     for (uint32_t i = 0; i < controller->demand_count; i++)
-        if (controller->demands[i].tasks_per_s > 0) reserve_for_class(plan, &controller->demands[i]);
+        if (controller->demands[i].jobs_per_s > 0) reserve_for_class(plan, &controller->demands[i]);
 }
--- a/tests/cloud/test_scale_out.c
+++ b/tests/cloud/test_scale_out.c
@@ -190,8 +190,8 @@
         assert_int_equal(node->controller.demand_count, 1);
         struct amb_demand *demand = &node->controller.demands[0];
         /* The rate holds at the latest arrival that was noted, a moment ago at most. */
-        if (fabs(demand->tasks_per_s - rows[i].rate) > rows[i].rate * 0.01 || demand->mean_square_tasks != 4)
-            fail_msg("%s: %g a second, squares %g", rows[i].what, demand->tasks_per_s,
+        if (fabs(demand->jobs_per_s - rows[i].rate) > rows[i].rate * 0.01 || demand->mean_square_tasks != 4)
+            fail_msg("%s: %g a second, squares %g", rows[i].what, demand->jobs_per_s,
                      demand->mean_square_tasks);
     }
 }
