--- a/include/amberpin/codec/kvstore_messages.h
+++ b/include/amberpin/codec/kvstore_messages.h
@@ -1,6 +1,6 @@
-/* Requests to the key-value store and its answers: the only place that spells the methods, paths and fields
- * of its HTTP interface (its pages of changes are read by change_page.c). The layer above speaks of
- * revisions, compares, leases and entries. */
+/* Requests to the key-value store and its responses. The methods, paths and fields of its HTTP interface
+ * appear only in this codec (change_page.c reads its pages of changes); other code deals with revisions,
+ * compares, leases and entries. */
 #ifndef AMBERPIN_KVSTORE_MESSAGES_H
 #define AMBERPIN_KVSTORE_MESSAGES_H
 
@@ -8,35 +8,35 @@
 
 #include <cbor.h>
 
-/* HTTP statuses of the store's answers that its client tells apart. */
+/* HTTP statuses of the store's responses that its client distinguishes. */
 enum amb_kvstore_status {
-    AMB_KVSTORE_STATUS_NO_ANSWER = 0, /* in place of a status: the connection gave none in time */
+    AMB_KVSTORE_STATUS_NO_ANSWER = 0, /* in place of a status: no response arrived in time */
     AMB_KVSTORE_STATUS_OK = 200,
     AMB_KVSTORE_STATUS_NOT_FOUND = 404,         /* no such key or lease */
     AMB_KVSTORE_STATUS_CONFLICT = 409,          /* a compare of the transaction failed */
-    AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS = 429, /* over the limit of requests or of changes a second */
+    AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS = 429, /* over the limit of requests or changes per second */
     AMB_KVSTORE_STATUS_UNAVAILABLE = 503,       /* not carried out */
 };
 
 enum { AMB_KVSTORE_PATH_SIZE = 320 };
 
-/* One HTTP request. The body's memory is the message's. */
+/* One HTTP request, which owns its body. */
 struct amb_kvstore_message {
     const char *method; /* static text */
     char path[AMB_KVSTORE_PATH_SIZE];
     struct amb_buf body; /* CBOR; empty: none */
 };
 
-/* ---- requests: each fills an empty message ---- */
+/* ---- requests; each function fills an empty message ---- */
 
 /* Reads one key. */
 void amb_kvstore_encode_get(const char *key, struct amb_kvstore_message *message);
 
-/* Lists a page of the keys with a prefix, in order; `after`: the last key of the page before, NULL or empty
- * for the first page. */
+/* Lists a page of the keys with a prefix, in order. `after` is the last key of the previous page; NULL or
+ * empty requests the first page. */
 void amb_kvstore_encode_list(const char *prefix, const char *after, struct amb_kvstore_message *message);
 
-/* Asks for the changes after a store revision, to be answered when there are any or after `wait`. */
+/* Requests the changes after a store revision. The store responds when there are any, or after `wait`. */
 void amb_kvstore_encode_watch(const char *prefix, uint64_t after, amb_ms wait,
                               struct amb_kvstore_message *message);
 
@@ -50,33 +50,33 @@
 void amb_kvstore_encode_renew_lease(uint64_t lease_id, struct amb_kvstore_message *message);
 void amb_kvstore_encode_revoke_lease(uint64_t lease_id, struct amb_kvstore_message *message);
 
-/* ---- parts of a transaction: each appends one ---- */
+/* ---- parts of a transaction; each function appends one ---- */
 
-/* Commits only if the key has this revision; 0: if there is no such key. */
+/* The transaction commits only if the key has this revision; 0: only if the key does not exist. */
 void amb_kvstore_encode_compare(const char *key, uint64_t revision, struct amb_buf *compares);
 
-/* Sets a key to a value of CBOR; lease_id 0: on no lease. */
+/* Sets a key to a CBOR value. lease_id 0: the key has no lease. */
 void amb_kvstore_encode_put(const char *key, const struct amb_buf *value, uint64_t lease_id,
                             struct amb_buf *operations);
 
 void amb_kvstore_encode_remove(const char *key, struct amb_buf *operations);
 
-/* ---- answers of success: false, and nothing set, if the body is not of that form ---- */
+/* ---- successful responses; each function returns false and sets nothing if the body is malformed ---- */
 
-/* A key as it was read. The value is borrowed from the body. */
+/* A key that was read. The value is borrowed from the body. */
 struct amb_kvstore_entry {
     const cbor_item_t *value;
     uint64_t revision;
 };
 
 bool amb_kvstore_decode_entry(const cbor_item_t *body, struct amb_kvstore_entry *entry);
-/* The store revision of a commit, which is the revision of every key that it has put. */
+/* Reads the store revision of a commit, which is the revision of every key that it has put. */
 bool amb_kvstore_decode_commit(const cbor_item_t *body, uint64_t *revision);
 bool amb_kvstore_decode_lease(const cbor_item_t *body, uint64_t *lease_id);
 
-/* ---- the answer to a transaction that was refused for a conflict ---- */
+/* ---- the response to a transaction that was rejected for a conflict ---- */
 
-/* Whether the compare of this key is among those that failed. */
+/* Whether the compare on this key failed. */
 bool amb_kvstore_conflict_is_on(const cbor_item_t *body, const char *key);
 
 #endif
--- a/include/amberpin/codec/placement_block.h
+++ b/include/amberpin/codec/placement_block.h
@@ -1,10 +1,10 @@
-/* The form in which placements and results are stored in the key-value store: which block of a job holds a
- * task, under which key it is stored, what its value says, and which of two blocks counts when both name a
- * task. Pure: no input or output. docs/safety.md, "Formats and records", has the reasoning.
+/* Storage format of placements and results in the key-value store: which block of a job holds a task, the
+ * block's key and value, and which of two blocks takes precedence if both contain a task. These functions do
+ * no input or output. docs/safety.md, "Formats and records", gives the reasons.
  *
- * Two layouts exist. Of a block `b/p/REF/INDEX` the key says too little: how many tasks it holds follows from
- * `value_kb` in the settings of the process that wrote it. The key of a block `b/n/REF/SIZE/INDEX` says all:
- * it holds the tasks from SIZE * INDEX on, SIZE of them. */
+ * There are two layouts. The key `b/p/REF/INDEX` does not state how many tasks the block holds: that follows
+ * from `value_kb` in the settings of the process that wrote it. The key `b/n/REF/SIZE/INDEX` does: the block
+ * holds SIZE tasks, from task SIZE * INDEX on. */
 #ifndef AMBERPIN_CODEC_PLACEMENT_BLOCK_H
 #define AMBERPIN_CODEC_PLACEMENT_BLOCK_H
 
@@ -13,18 +13,18 @@
 
 enum { AMB_BLOCK_KEY_SIZE = AMB_NAME_SIZE + 32 };
 
-/* How many tasks a block holds for values of this size. */
+/* Returns the number of tasks per block for values of this size. */
 uint32_t amb_placement_block_capacity(enum amb_block_layout layout, double value_kb);
-/* The tasks that a block holds, of a job with so many. */
+/* Returns the range of tasks in a block of a job that has `tasks` tasks. */
 struct amb_task_range amb_placement_block_task_range(struct amb_placement_block_id id, uint32_t tasks);
 
 void amb_placement_key_format(char out[AMB_BLOCK_KEY_SIZE], const char *ref,
                               struct amb_placement_block_id id);
-/* False: not the key of a block. tasks_per_block is 0 where the key does not say it. */
+/* Returns false if the key is not that of a block. tasks_per_block is 0 if the key does not state it. */
 bool amb_placement_key_parse(const char *key, char ref[AMB_NAME_SIZE], struct amb_placement_block_id *id);
 
-/* Does the block `id` count, and not `other`, for the tasks that both hold? Keys are ordered so that it also
- * comes first in a listing. */
+/* Whether block `id` takes precedence over `other` for the tasks that are in both. The key of the block that
+ * takes precedence also sorts first, so it comes first in a listing. */
 bool amb_placement_block_precedes(struct amb_placement_block_id id, struct amb_placement_block_id other);
 
 /* ---- values ---- */
@@ -34,29 +34,29 @@
     uint32_t task;
     uint64_t attempt;
     char machine[AMB_NAME_SIZE];
-    int type, zone; /* of the machine: positions in the value's own lists of names; -1: unknown */
+    int type, zone; /* of the machine: index in the value's own list of names; -1: unknown */
     bool spot;
 };
 
-/* What a value says of tasks, while it is being built. */
+/* The task entries of a value under construction. */
 struct amb_placement_block_builder {
     struct amb_buf placed, completed;
 };
 
-/* What a value says beside. */
+/* The other fields of a value. */
 struct amb_placement_block_header {
-    int64_t written_wall_ms;           /* its machines existed then */
+    int64_t written_wall_ms;           /* the machines in it existed at this time */
     const char *write_id;              /* unique to this value */
-    uint64_t next_attempt;             /* higher than any attempt of the job that may have been started */
-    const struct amb_catalog *catalog; /* names of types and zones */
+    uint64_t next_attempt;             /* higher than every attempt of the job that may have been started */
+    const struct amb_catalog *catalog; /* has the names of types and zones */
 };
 
 /* A value that was read from the store. */
 struct amb_placement_block_value {
     bool has_written_wall_ms;
     int64_t written_wall_ms;
-    uint64_t next_attempt;            /* 0: not named */
-    char *placed, *completed;         /* owned; NULL: not named */
+    uint64_t next_attempt;            /* 0: absent */
+    char *placed, *completed;         /* owned; NULL: absent */
     const cbor_item_t *types, *zones; /* names, borrowed from the CBOR item */
 };
 
@@ -66,21 +66,22 @@
                                        const struct amb_placement *placement);
 void amb_placement_block_add_completed(struct amb_placement_block_builder *text,
                                        struct amb_task_range completed);
-/* Appends the value to `out`, and frees the text. */
+/* Appends the value to `out` and frees the builder's buffers. */
 void amb_placement_block_encode(struct amb_buf *out, const struct amb_placement_block_header *header,
                                 struct amb_placement_block_builder *text);
 
 /* ---- decoding ---- */
 
-/* Never fails: what is missing or malformed is empty. To be freed; borrows from the item. */
+/* Decodes a value, which must be freed and borrows from the item. Never fails: missing or malformed fields
+ * are empty. */
 struct amb_placement_block_value amb_placement_block_decode(const cbor_item_t *item);
 void amb_placement_block_value_free(struct amb_placement_block_value *value);
-/* Is this the value that was written with this id? */
+/* Whether the value was written with this id. */
 bool amb_placement_block_has_write_id(const cbor_item_t *item, const char *write_id);
-/* The name at a position of one of the value's lists of names. False: there is none. */
+/* Reads the name at an index in one of the value's lists of names. Returns false if there is none. */
 bool amb_placement_block_get_name(const cbor_item_t *names, int position, char name[AMB_NAME_SIZE]);
-/* Reads the next placement, or range of tasks that are done, and moves `at` behind it. False: there is none,
- * or what follows is damaged. */
+/* Read the next placement, or the next range of completed tasks, and advance `at`. Return false at the end or
+ * if the rest is malformed. */
 bool amb_placement_block_next_placement(const char **at, struct amb_placement *out);
 bool amb_placement_block_next_completed(const char **at, struct amb_task_range *out);
 
--- a/include/amberpin/codec/user_messages.h
+++ b/include/amberpin/codec/user_messages.h
@@ -1,4 +1,4 @@
-/* Messages with users: which request a path names, submissions, and what is told of a job. */
+/* Messages to and from users: routes of requests, submissions, and the status of a job. */
 #ifndef AMBERPIN_CODEC_USER_MESSAGES_H
 #define AMBERPIN_CODEC_USER_MESSAGES_H
 
@@ -11,17 +11,18 @@
 
 struct amb_user_route {
     enum amb_user_operation operation;
-    char job_ref[AMB_NAME_SIZE]; /* as the path has it, valid or not; empty for a submission */
+    char job_ref[AMB_NAME_SIZE]; /* copied from the path, valid or not; empty for a submission */
 };
 
 enum amb_user_route_result {
     AMB_USER_ROUTE_FOUND,
-    AMB_USER_ROUTE_FOREIGN,      /* the path is not of the users' interface */
-    AMB_USER_ROUTE_UNKNOWN,      /* it is, and names nothing there */
-    AMB_USER_ROUTE_WRONG_METHOD, /* the operation takes another method */
+    AMB_USER_ROUTE_FOREIGN,      /* the path does not belong to the users' interface */
+    AMB_USER_ROUTE_UNKNOWN,      /* the path belongs to it, but names nothing */
+    AMB_USER_ROUTE_WRONG_METHOD, /* the operation needs another method */
 };
 
-/* What a request asks for. The route is valid when it is found. */
+/* Determines the operation that a request asks for. The route is valid if the result is
+ * AMB_USER_ROUTE_FOUND. */
 enum amb_user_route_result amb_codec_decode_user_route(const char *method, const char *path,
                                                        struct amb_user_route *route);
 
@@ -29,22 +30,22 @@
 
 enum amb_submission_problem {
     AMB_SUBMISSION_VALID,
-    AMB_SUBMISSION_NOT_A_MAP, /* the body is no CBOR map */
+    AMB_SUBMISSION_NOT_A_MAP, /* the body is not a CBOR map */
     AMB_SUBMISSION_FIELD_MISSING,
-    AMB_SUBMISSION_FIELD_INVALID, /* of another type, out of its bounds, or not one of the values allowed */
+    AMB_SUBMISSION_FIELD_INVALID, /* of the wrong type, out of bounds, or not an allowed value */
 };
 
-/* Why a submission is malformed, by the first field that is at fault. */
+/* Why a submission is malformed: the problem of the first invalid field. */
 struct amb_submission_error {
     enum amb_submission_problem problem;
-    const char *field; /* its name on the wire, a constant; NULL: no field is */
+    const char *field; /* its name on the wire, a constant; NULL: no single field is at fault */
 };
 
 /* The problem's name, for logs and tests. */
 const char *amb_submission_problem_text(enum amb_submission_problem problem);
 
 struct amb_submission {
-    /* The name that it gives its job, also where the rest is malformed; empty: it gives none. */
+    /* The name of the job, set even if the rest is malformed; empty: there is none. */
     char job_ref[AMB_NAME_SIZE];
     struct amb_job_spec *spec;                 /* NULL: malformed */
     struct amb_job_dependencies *dependencies; /* NULL: none, or malformed */
@@ -54,11 +55,11 @@
 struct amb_submission_error amb_codec_decode_submission(const void *data, size_t len,
                                                         struct amb_submission *submission);
 
-/* ---- what users are told of a job ---- */
+/* ---- the status of a job ---- */
 
 enum amb_job_status_detail {
-    AMB_JOB_STATUS_BRIEF, /* of a submission or cancellation */
-    AMB_JOB_STATUS_FULL,  /* of a query: with counts of tasks */
+    AMB_JOB_STATUS_BRIEF, /* response to a submission or cancellation */
+    AMB_JOB_STATUS_FULL,  /* response to a query, with task counts */
 };
 
 struct amb_job_status {
--- a/include/amberpin/codec/zone_record.h
+++ b/include/amberpin/codec/zone_record.h
@@ -1,4 +1,4 @@
-/* The record of zone health and recovery order in the state service, as CBOR. Its one writer is the leader
+/* The record of zone health and recovery order in the state service, as CBOR. Only the leader writes it
  * (lib/zone_recovery/record.c). */
 #ifndef AMBERPIN_CODEC_ZONE_RECORD_H
 #define AMBERPIN_CODEC_ZONE_RECORD_H
@@ -23,13 +23,13 @@
 struct amb_zone_record_value {
     uint32_t zone_count, step_count;
     struct amb_zone_record_zone zones[AMB_ZONES_MAX];
-    struct amb_zone_record_step steps[AMB_ZONE_RECORD_STEPS_MAX]; /* in their order */
+    struct amb_zone_record_step steps[AMB_ZONE_RECORD_STEPS_MAX]; /* in recovery order */
 };
 
 void amb_codec_encode_zone_record(struct amb_buf *out, const struct amb_zone_record_value *value);
 
-/* Leaves out zones and steps that are incomplete, and those beyond the limits. False: the record is of a
- * version that this program does not know, or none at all. */
+/* Omits incomplete zones and steps, and those beyond the limits. Returns false if the item is not such a
+ * record, or is of a version that this program does not know. */
 bool amb_codec_decode_zone_record(const cbor_item_t *map, struct amb_zone_record_value *value);
 
 #endif
--- a/include/amberpin/http/parser.h
+++ b/include/amberpin/http/parser.h
@@ -1,13 +1,13 @@
-/* Parser of HTTP/1.1 messages with a body of stated length; chunked bodies are refused. */
+/* Parses HTTP/1.1 messages whose Content-Length gives the size of the body; chunked bodies are rejected. */
 #ifndef AMBERPIN_HTTP_PARSER_H
 #define AMBERPIN_HTTP_PARSER_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-enum { AMB_HTTP_HEAD_MAX = 8192 }; /* bytes, with the empty line that ends the head */
+enum { AMB_HTTP_HEAD_MAX = 8192 }; /* bytes, including the empty line that ends the head */
 
-/* A parsed message. Its pointers and offsets are into the input, which the caller keeps. */
+/* A parsed message. Its pointers and offsets refer to the input, which the caller owns. */
 struct amb_http_message {
     bool is_response;
     int status;        /* responses */
@@ -21,9 +21,9 @@
     int retry_after_s;
 };
 
-/* Looks for one message at the start of data, whose body may have max_body_bytes. Returns the bytes that it
- * takes, 0 when more input is needed, or the negative of the status that tells its sender what is wrong with
- * it (400, 413, 431, 501). */
+/* Parses one message at the start of data, whose body may have up to max_body_bytes. Returns the number of
+ * bytes of the message, 0 if more input is needed, or the negated status that describes the error (400, 413,
+ * 431, 501). */
 long amb_http_parse(const char *data, size_t len, bool is_response, size_t max_body_bytes,
                     struct amb_http_message *message);
 
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -1,4 +1,4 @@
-/* Agents' heartbeats, straight from their bytes as a rule, or else from a tree of items. */
+/* Decodes agents' heartbeats: directly from the bytes if possible, otherwise from a tree of items. */
 #include "amberpin/codec/cbor_reader.h"
 #include "amberpin/codec/messages.h"
 #include "fields.h"
@@ -34,14 +34,14 @@
     return true;
 }
 
-/* ---- from a tree of items ---- */
+/* ---- slow path: from a tree of items ---- */
 
 static bool decode_task_name(const cbor_item_t *item, struct amb_agent_task *task) {
     char text[AMB_NAME_SIZE];
     return amb_cbor_copy_string(item, text, sizeof text) && parse_task_name(text, task);
 }
 
-/* Exit reasons that are not known, and what is said of checkpoints in another type, are passed over. */
+/* Ignores unknown exit reasons, and a checkpoint flag of the wrong type. */
 static bool decode_task(const cbor_item_t *map, struct amb_agent_task *task) {
     int state, exit_reason = AMB_EXIT_NONE;
     if (!decode_task_name(amb_cbor_map_get(map, "leg"), task)) return false;
@@ -54,7 +54,7 @@
     return true;
 }
 
-/* Without one, or with null, the machine is not about to be taken back: -1. */
+/* A missing or null notice means that the machine is not about to be reclaimed: -1. */
 static bool decode_reclaim_notice(const cbor_item_t *item, double *notice_s) {
     *notice_s = -1;
     return amb_cbor_is_absent(item) || amb_cbor_get_number(item, notice_s);
@@ -94,12 +94,11 @@
     return AMB_CODEC_OK;
 }
 
-/* ---- straight from the bytes ----
- * Nothing is refused here: what these functions do not take as it is, amb_codec_decode_heartbeat_item decides
- * on. */
+/* ---- fast path: directly from the bytes ----
+ * A failure here rejects nothing: amb_codec_decode_heartbeat_item then decides about the heartbeat. */
 
-/* Which of the keys comes next, as a bit; 0: none of them, and its value is to be skipped. The reader fails
- * at a key that comes twice. */
+/* Reads a key and returns its bit in `keys`, or 0 for an unknown key, whose value the caller must skip. The
+ * reader fails on a duplicate key. */
 static uint32_t read_key(struct amb_cbor_reader *reader, const char *const *keys, uint32_t *seen) {
     struct amb_cbor_text key = amb_cbor_read_text(reader);
     for (uint32_t i = 0; keys[i]; i++) {
@@ -117,7 +116,7 @@
         reader->failed = true;
 }
 
-/* The value that a text is the name of; `unknown`: of none. */
+/* Reads a text and returns the value that it names, or `unknown`. */
 static int read_enum(struct amb_cbor_reader *reader, const struct amb_codec_enum_name *names, int unknown) {
     struct amb_cbor_text text = amb_cbor_read_text(reader);
     for (const struct amb_codec_enum_name *name = names; name->text; name++)
@@ -179,9 +178,9 @@
     HEARTBEAT_INCARNATION = 32,
     HEARTBEAT_SEQUENCE = 64,
     HEARTBEAT_TOKEN = 128,
-    HEARTBEAT_SPOT_NOTICE = 256,
+    HEARTBEAT_RECLAIM_NOTICE = 256,
     HEARTBEAT_TASKS = 512,
-    HEARTBEAT_REQUIRED = HEARTBEAT_SPOT_NOTICE - 1, /* all before it */
+    HEARTBEAT_REQUIRED = HEARTBEAT_RECLAIM_NOTICE - 1, /* all keys before it */
 };
 static const char *const heartbeat_keys[] = {"rig",   "address", "hull",     "yard", "driftwood", "watch",
                                              "tally", "baton",   "recall_s", "legs", NULL};
@@ -198,10 +197,10 @@
         case HEARTBEAT_INCARNATION: heartbeat->incarnation = amb_cbor_read_uint(reader); break;
         case HEARTBEAT_SEQUENCE: heartbeat->sequence = amb_cbor_read_uint(reader); break;
         case HEARTBEAT_TOKEN: heartbeat->fencing_token = amb_cbor_read_uint(reader); break;
-        case HEARTBEAT_SPOT_NOTICE:
+        case HEARTBEAT_RECLAIM_NOTICE:
             if (!amb_cbor_read_if_null(reader)) heartbeat->reclaim_notice_s = amb_cbor_read_number(reader);
             break;
-        case HEARTBEAT_TASKS: /* the reader has failed at a key that came twice */
+        case HEARTBEAT_TASKS: /* a duplicate key, which made the reader fail, must not allocate again */
             if (!reader->failed) read_tasks(reader, heartbeat);
             break;
         default: amb_cbor_skip_value(reader);
--- a/lib/codec/catalog.c
+++ b/lib/codec/catalog.c
@@ -1,4 +1,4 @@
-/* The catalogue of machine types, as the cloud lists it. */
+/* Decodes the machine types of the cloud's catalogue. */
 #include "amberpin/codec/messages.h"
 #include "fields.h"
 
--- a/lib/codec/cbor_item.c
+++ b/lib/codec/cbor_item.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* libcbor allocates room for as many items as a list or map claims before it looks for them: a body of five
- * bytes could take all memory there is. So claimed lengths are compared with what is left of the input first.
- */
+/* libcbor allocates memory for the claimed number of items of a list or map before it reads them, so a body
+ * of five bytes could exhaust the memory. Claimed lengths are therefore checked against the rest of the input
+ * first. */
 struct length_check {
     size_t bytes_left;
     bool too_long;
@@ -108,8 +108,8 @@
     return isfinite(*out);
 }
 
-/* No number, but true, false, null or the like. To be asked before cbor_is_bool, which asserts it and so
- * would end the process. */
+/* Whether the item is a simple value (true, false, null and the like). Must be checked before cbor_is_bool,
+ * whose assertion would end the process. */
 static bool is_simple(const cbor_item_t *item) {
     return cbor_isa_float_ctrl(item) && cbor_float_get_width(item) == CBOR_FLOAT_0;
 }
--- a/lib/codec/cbor_reader.c
+++ b/lib/codec/cbor_reader.c
@@ -21,7 +21,7 @@
     return (size_t)(reader->end - reader->at);
 }
 
-/* -1: none is left. */
+/* Returns -1 at the end of the input. */
 static int peek_byte(const struct amb_cbor_reader *reader) {
     return reader->at < reader->end ? *reader->at : -1;
 }
@@ -33,7 +33,7 @@
     return value;
 }
 
-/* The number in the head of a value of this type: itself, or a length. */
+/* Reads the head of a value of this major type and returns its argument: the value itself, or a length. */
 static uint64_t read_head(struct amb_cbor_reader *reader, enum major major) {
     int byte = peek_byte(reader);
     if (byte < 0 || byte >> 5 != (int)major) return fail(reader);
@@ -44,7 +44,7 @@
     return read_big_endian(reader, (size_t)1 << (info - 24));
 }
 
-/* Fails where more is claimed than the bytes left can hold: nobody then allocates room for it. */
+/* Fails if more is claimed than the bytes left can hold, so that no caller allocates memory for it. */
 static size_t read_count(struct amb_cbor_reader *reader, enum major major, size_t bytes_each) {
     uint64_t count = read_head(reader, major);
     return count <= bytes_left(reader) / bytes_each ? (size_t)count : (size_t)fail(reader);
@@ -103,7 +103,7 @@
     return isfinite(value) ? value : (double)fail(reader);
 }
 
-/* Passes over a value, but of a list or map over the head alone. Returns how many values within it follow. */
+/* Skips a value, but only the head of a list or map. Returns the number of nested values that follow. */
 static size_t skip_shallow(struct amb_cbor_reader *reader) {
     int byte = peek_byte(reader);
     switch (byte < 0 ? -1 : byte >> 5) {
@@ -122,12 +122,12 @@
 }
 
 void amb_cbor_skip_value(struct amb_cbor_reader *reader) {
-    /* This ends: each step takes a byte at least, and no list claims more items than bytes are left. */
+    /* Terminates: each step consumes at least one byte, and no list claims more items than bytes are left. */
     for (size_t values_left = 1; values_left && !reader->failed; values_left--)
         values_left += skip_shallow(reader);
 }
 
-/* ---- sizes ---- */
+/* ---- size as JSON ---- */
 
 enum {
     JSON_SEPARATOR = 2,
@@ -135,7 +135,7 @@
     JSON_BRACKETS = 2,
     JSON_NUMBER = 25,
     JSON_ESCAPE = 6
-}; /* bytes at most */
+}; /* upper bounds in bytes */
 
 static size_t json_text_size(struct amb_cbor_text text) {
     size_t size = text.len + JSON_QUOTES;
@@ -151,7 +151,8 @@
     return digits;
 }
 
-/* The size of a value, of a list or map without what is within it: so many values, which follow. */
+/* Reads a value and returns its size; of a list or map only the head, with *within nested values to
+ * follow. */
 static size_t json_shallow_size(struct amb_cbor_reader *reader, size_t *within) {
     int byte = peek_byte(reader);
     *within = 0;
@@ -169,7 +170,7 @@
     size_t size = 0, within;
     for (size_t values_left = 1; values_left && !reader.failed; values_left += within - 1)
         size += json_shallow_size(&reader, &within) + JSON_SEPARATOR;
-    return reader.failed ? len * JSON_ESCAPE : size; /* each byte escaped */
+    return reader.failed ? len * JSON_ESCAPE : size; /* as if each byte were escaped */
 }
 
 bool amb_cbor_text_equals(struct amb_cbor_text text, const char *expected) {
--- a/lib/codec/cbor_writer.c
+++ b/lib/codec/cbor_writer.c
@@ -5,7 +5,7 @@
 
 enum { HEAD_BYTES_MAX = 9 };
 
-/* libcbor's encoders of heads differ in the type of their number: these take them all alike. */
+/* libcbor's encoders of heads differ in the type of their argument; these wrappers have a common type. */
 typedef size_t (*head_encoder)(uint64_t value, unsigned char *out, size_t size);
 
 static void write_head(struct amb_buf *buffer, head_encoder encode, uint64_t value) {
--- a/lib/codec/change_page.c
+++ b/lib/codec/change_page.c
@@ -14,10 +14,10 @@
 static const char KEY[] = "path";
 static const char HAS_MORE[] = "truncated";
 
-/* ---- changes, from their bytes ---- */
+/* ---- changes, directly from the bytes ---- */
 
-/* Which of the keys comes next, as a bit; 0: none of them, and its value is to be skipped. A key that comes
- * twice makes the reader odd. */
+/* Reads a field name and returns its bit in `names`, or 0 for an unknown name, whose value the caller must
+ * skip. The reader fails on a duplicate name. */
 static uint32_t decode_field_name(struct amb_cbor_reader *reader, const char *const *names, uint32_t *seen) {
     struct amb_cbor_text name = amb_cbor_read_text(reader);
     for (uint32_t i = 0; names[i]; i++) {
@@ -69,7 +69,7 @@
 enum { PAGE_STORE_REVISION = 1, PAGE_CHANGE_LIST = 2 };
 static const char *const PAGE_FIELDS[] = {STORE_REVISION, CHANGES, NULL};
 
-/* With `visit` NULL it is only looked through. */
+/* If `visit` is NULL the page is only validated. */
 static bool decode_page(const void *page, size_t len, uint64_t *store_revision, amb_change_visitor visit,
                         void *context) {
     struct amb_cbor_reader reader = amb_cbor_reader_init(page, len);
@@ -79,7 +79,7 @@
         case PAGE_STORE_REVISION: *store_revision = amb_cbor_read_uint(&reader); break;
         case PAGE_CHANGE_LIST:
             if (!reader.failed)
-                decode_changes(&reader, visit, context); /* a key that comes twice has made it odd */
+                decode_changes(&reader, visit, context); /* a duplicate name made the reader fail */
             break;
         default: amb_cbor_skip_value(&reader);
         }
@@ -89,7 +89,8 @@
 
 bool amb_change_page_decode(const void *page, size_t len, uint64_t *store_revision, amb_change_visitor visit,
                             void *context) {
-    /* Looked through first: a page that turns out unreadable in the middle must not be applied by half. */
+    /* The page is validated first, because a page that is unreadable in the middle must not be applied in
+     * part. */
     return decode_page(page, len, store_revision, NULL, NULL) &&
            decode_page(page, len, store_revision, visit, context);
 }
--- a/lib/codec/commands.c
+++ b/lib/codec/commands.c
@@ -1,4 +1,4 @@
-/* What controllers send to agents: commands, in the response to a heartbeat or in a request of their own. */
+/* Encodes commands to agents, which are sent in the response to a heartbeat or in a separate request. */
 #include "amberpin/codec/messages.h"
 #include "fields.h"
 
--- a/lib/codec/election_records.c
+++ b/lib/codec/election_records.c
@@ -1,4 +1,4 @@
-/* Values of the keys of election, lease proxies and the format in use. */
+/* Encodes and decodes the records of the leader, of lease proxies and of the format version in use. */
 #include "amberpin/codec/election_records.h"
 
 #include "amberpin/codec/cbor_item.h"
--- a/lib/codec/fields.c
+++ b/lib/codec/fields.c
@@ -2,7 +2,7 @@
 
 #include "amberpin/codec/cbor_writer.h"
 
-/* No amount of the protocol comes near it. */
+/* Far above any amount in the protocol. */
 static const double AMOUNT_MAX = 1e9;
 
 bool amb_codec_read_enum(const struct amb_codec_enum_name *names, const cbor_item_t *item, int *out) {
--- a/lib/codec/kvstore_messages.c
+++ b/lib/codec/kvstore_messages.c
@@ -1,4 +1,4 @@
-/* The forms of the key-value store's HTTP interface. */
+/* Encodes requests to the key-value store's HTTP interface and decodes its responses. */
 #include "amberpin/codec/kvstore_messages.h"
 
 #include "amberpin/codec/cbor_item.h"
--- a/lib/codec/peer_messages.c
+++ b/lib/codec/peer_messages.c
@@ -1,4 +1,4 @@
-/* Messages between controllers: typed structs to JSON and back. */
+/* Encodes and decodes messages between controllers. */
 #include "amberpin/codec/peer_messages.h"
 
 #include <jansson.h>
@@ -21,12 +21,12 @@
 static const char IMAGES[] = "images";
 static const char JOBS[] = "jobs";
 
-/* Of notices of cancellations. */
+/* Fields of cancellation notices. */
 static const char NOTICE_REF[] = "ref";
 static const char NOTICE_WALL[] = "wall";
 static const char NOTICE_STAMP[] = "stamp";
 
-/* The message is its JSON tree, whose reference count jansson keeps. */
+/* A message is a JSON tree; jansson keeps the reference count. */
 static json_t *to_json(const struct amb_peer_message *message) {
     return (json_t *)message;
 }
@@ -56,7 +56,7 @@
     return "unknown";
 }
 
-/* ---- life of a message ---- */
+/* ---- ownership of messages ---- */
 
 struct amb_peer_message_error amb_peer_message_parse(const char *text, size_t len,
                                                      struct amb_peer_message **message) {
@@ -200,7 +200,8 @@
 }
 
 /* ---- decoding rows ----
- * By getters: json_unpack, which reads its format anew for each row, took most of what a heartbeat costs. */
+ * Rows are read with getters: json_unpack parses its format string for each row, which took most of the time
+ * of a heartbeat. */
 
 struct amb_peer_message_rows amb_peer_message_cancellations(const struct amb_peer_message *message) {
     return (struct amb_peer_message_rows){.list = get_field(message, CANCELLED)};
@@ -285,7 +286,7 @@
     return false;
 }
 
-/* ---- notices of cancellations ---- */
+/* ---- cancellation notices ---- */
 
 char *amb_peer_notice_to_text(const struct amb_peer_cancellation *cancellation) {
     json_t *notice = json_object();
--- a/lib/codec/placement_block.c
+++ b/lib/codec/placement_block.c
@@ -13,22 +13,22 @@
 static const char NEXT_ATTEMPT[] = "n";
 static const char PLACED[] = "p";
 static const char COMPLETED[] = "d";
-static const char TYPES[] = "t"; /* the names that the numbers of types stand for */
-static const char ZONES[] = "z"; /* likewise */
+static const char TYPES[] = "t"; /* names of machine types; placements refer to them by index */
+static const char ZONES[] = "z"; /* names of zones; placements refer to them by index */
 
 static const char SETTINGS_LAYOUT_PREFIX[] = "b/p/";
 static const char KEY_LAYOUT_PREFIX[] = "b/n/";
 
-/* Bytes of one placement: the longest possible one, by which the size of blocks of the first format is fixed;
- * and a long one of a large fleet. A block of the second format that comes out larger all the same is split
- * (placement_log/block_write.c). */
-enum { LONGEST_ENTRY_BYTES = 40, USUAL_ENTRY_BYTES = 28 };
+/* Bytes of one placement: the longest possible, which fixes the number of tasks per block of the first
+ * format, and a long one of a large fleet, which does so for the second format. A block of the second format
+ * that is still too large is split (placement_log/block_write.c). */
+enum { MAX_ENTRY_BYTES = 40, TYPICAL_ENTRY_BYTES = 28 };
 
-/* The share of a value that placements may take. The rest is its header, and the names of types and zones. */
+/* Share of a value for placements. The rest is for its header and the names of types and zones. */
 static const double ENTRIES_SHARE = 0.8;
 
 uint32_t amb_placement_block_capacity(enum amb_block_layout layout, double value_kb) {
-    int entry = layout == AMB_LAYOUT_BY_SETTINGS ? LONGEST_ENTRY_BYTES : USUAL_ENTRY_BYTES;
+    int entry = layout == AMB_LAYOUT_BY_SETTINGS ? MAX_ENTRY_BYTES : TYPICAL_ENTRY_BYTES;
     uint32_t tasks = (uint32_t)(value_kb * 1024 * ENTRIES_SHARE / entry);
     return tasks ? tasks : 1;
 }
@@ -54,7 +54,7 @@
     return !strncmp(text, prefix, strlen(prefix));
 }
 
-/* Reads "/NUMBER" and moves behind it. */
+/* Parses "/NUMBER" and advances *at. */
 static bool parse_number(const char **at, uint32_t *out) {
     char *end;
     if (**at != '/' || (*at)[1] < '0' || (*at)[1] > '9') return false;
@@ -103,7 +103,7 @@
     unsigned long task, attempt;
     long type, zone, spot;
     int length = 0;
-    /* NOLINTNEXTLINE(cert-err34-c): numbers out of range come out at the limit, out of bounds */
+    /* NOLINTNEXTLINE(cert-err34-c): numbers out of range become the limit, which is out of bounds */
     if (sscanf(*at, "%lu,%lu,%63[^,],%ld,%ld,%ld;%n", &task, &attempt, out->machine, &type, &zone, &spot,
                &length) != 6 ||
         !length || task >= AMB_TASKS_MAX)
@@ -157,7 +157,7 @@
     amb_buf_free(&text->completed);
 }
 
-/* ---- values that were read ---- */
+/* ---- decoding values ---- */
 
 struct amb_placement_block_value amb_placement_block_decode(const cbor_item_t *item) {
     struct amb_placement_block_value value = {
--- a/lib/codec/scaling_records.c
+++ b/lib/codec/scaling_records.c
@@ -7,7 +7,7 @@
 
 static const char SCALE_OUT_PREFIX[] = "b/r/";
 
-enum { SCALE_IN_VERSION = 1 }; /* of the records that are written */
+enum { SCALE_IN_VERSION = 1 }; /* of the records that this program writes */
 
 /* ---- scale out ---- */
 
--- a/lib/codec/submission.c
+++ b/lib/codec/submission.c
@@ -1,4 +1,4 @@
-/* Submissions: jobs as users describe them, in requests and in a job's record. */
+/* Encodes and decodes job descriptions, which submissions and job records contain. */
 #include "amberpin/codec/messages.h"
 #include "amberpin/codec/user_messages.h"
 #include "fields.h"
@@ -32,13 +32,13 @@
 
 /* ---- decoding ---- */
 
-/* The fields of a submission are read one by one until one is at fault. */
+/* Reads the fields of a submission one by one and keeps the first error. */
 struct field_reader {
     const cbor_item_t *map;
     struct amb_submission_error error;
 };
 
-/* Whether the field could be read; if not, and it is the first such, it is the reader's error. */
+/* Returns `valid`. If the field is invalid and the first such, it becomes the reader's error. */
 static bool check_field(struct field_reader *reader, const char *key, bool valid) {
     if (valid) return true;
     bool is_missing = amb_cbor_is_absent(amb_cbor_map_get(reader->map, key));
@@ -146,7 +146,7 @@
     return strcmp(left, right);
 }
 
-/* Sorts the names and keeps each once. */
+/* Sorts the names and removes duplicates. */
 static void sort_and_deduplicate(struct amb_job_dependencies *dependencies) {
     uint32_t kept = 0;
     qsort(dependencies->names, dependencies->count, sizeof *dependencies->names, compare_names);
@@ -181,7 +181,8 @@
     return AMB_CODEC_OK;
 }
 
-/* Takes the name also from a submission whose other fields are at fault: its job may have been accepted. */
+/* Reads the name even if other fields are invalid, because a job of this name may have been accepted
+ * before. */
 static void decode_job_ref(const cbor_item_t *map, char out[AMB_NAME_SIZE]) {
     if (!amb_cbor_copy_string(amb_cbor_map_get(map, "ref"), out, AMB_NAME_SIZE)) out[0] = 0;
 }
--- a/lib/codec/user_messages.c
+++ b/lib/codec/user_messages.c
@@ -1,4 +1,5 @@
-/* Users' requests by path and method, and the answers that tell of a job. Submissions are in submission.c. */
+/* Routes users' requests by path and method, and encodes the status of a job. submission.c decodes
+ * submissions. */
 #include "amberpin/codec/user_messages.h"
 
 #include "amberpin/codec/messages.h"
@@ -9,7 +10,7 @@
 static const char JOBS_PATH[] = "/v1/jobs";
 static const char CANCEL_SUFFIX[] = "/cancel";
 
-/* "/REF" or "/REF/cancel", what follows JOBS_PATH. */
+/* Decodes the part of a path after JOBS_PATH: "/REF" or "/REF/cancel". */
 static enum amb_user_route_result decode_job_path(const char *path, struct amb_user_route *route) {
     const char *ref = path + 1, *suffix = strchr(ref, '/');
     size_t len = suffix ? (size_t)(suffix - ref) : strlen(ref);
--- a/lib/http/client.c
+++ b/lib/http/client.c
@@ -1,4 +1,4 @@
-/* The client: connections of ours, with at most one request under way on each, kept for a while when idle. */
+/* HTTP client: connections with at most one request in progress on each, kept open for a while when idle. */
 #include "amberpin/base/log.h"
 #include "amberpin/http/http.h"
 #include "amberpin/http/parser.h"
@@ -12,7 +12,7 @@
 #include <unistd.h>
 
 enum {
-    IDLE_MS = 10000, /* an idle connection is closed after it */
+    IDLE_MS = 10000, /* an idle connection is closed after this time */
     DEFAULT_MAX_CONNECTIONS = 128,
     DEFAULT_MAX_RESPONSE_BYTES = 8 * 1024 * 1024,
 };
@@ -23,10 +23,10 @@
     struct amb_http_stream stream;
     enum client_state state;
     struct sockaddr_in address;
-    struct amb_timer deadline; /* of the request, or of an idle connection */
+    struct amb_timer deadline; /* of the request, or of the idle period */
     amb_http_done on_done;
     void *arg;
-    struct amb_http_client_connection *prev, *next; /* idle ones, newest first */
+    struct amb_http_client_connection *prev, *next; /* in the list of idle connections, most recent first */
 };
 
 static struct amb_http_client_connection *idle_connections;
@@ -60,7 +60,7 @@
     return left->sin_port == right->sin_port && left->sin_addr.s_addr == right->sin_addr.s_addr;
 }
 
-/* An idle connection to this address, idle no more; NULL: there is none. */
+/* Takes an idle connection to this address off the list. Returns NULL if there is none. */
 static struct amb_http_client_connection *idle_take(const struct sockaddr_in *address) {
     struct amb_http_client_connection *client = idle_connections;
     while (client && !is_same_address(&client->address, address)) client = client->next;
@@ -68,7 +68,7 @@
     return client;
 }
 
-/* ---- ends ---- */
+/* ---- end of a request or connection ---- */
 
 static void client_close(struct amb_http_client_connection *client) {
     if (client->state == CLIENT_IDLE) idle_remove(client);
@@ -90,7 +90,7 @@
 }
 
 static void client_fail_too_large(struct amb_http_client_connection *client) {
-    amb_info("an answer of more than %zu bytes is not read", max_response_bytes);
+    amb_info("response discarded: it is larger than %zu bytes", max_response_bytes);
     client_finish(client, AMB_HTTP_RESPONSE_TOO_LARGE);
 }
 
@@ -108,8 +108,8 @@
 
 /* ---- responses ---- */
 
-/* Keeps or closes the connection, then hands the response over, whose bytes it takes out of the connection
- * first: on_done may make the next call over it. */
+/* Keeps or closes the connection, then passes the response to on_done. The input is detached from the
+ * connection first, because on_done may make the next call over it. */
 static void client_complete(struct amb_http_client_connection *client, const struct amb_http_message *message,
                             bool can_be_kept) {
     struct amb_buf input = client->stream.input;
@@ -128,7 +128,7 @@
 static void client_read(struct amb_http_client_connection *client) {
     bool is_open = amb_http_stream_read(&client->stream) == AMB_HTTP_STREAM_OPEN;
     const struct amb_buf *input = &client->stream.input;
-    if (client->state == CLIENT_IDLE) { /* the server closed it, or sent what nobody asked for */
+    if (client->state == CLIENT_IDLE) { /* the server closed it, or sent unsolicited data */
         client_fail(client);
         return;
     }
@@ -149,7 +149,7 @@
 
 /* ---- requests ---- */
 
-/* Sends what it can, and waits for the response, or for room for the rest. */
+/* Writes as much of the request as possible, then waits for the response or until the rest can be written. */
 static enum amb_http_stream_state client_send(struct amb_http_client_connection *client) {
     struct amb_http_stream *stream = &client->stream;
     if (amb_http_stream_write(stream) == AMB_HTTP_STREAM_ENDED) return AMB_HTTP_STREAM_ENDED;
@@ -246,7 +246,8 @@
     amb_buf_append_text(output, "\r\n");
     amb_buf_append(output, body, len);
     if (is_reused) can_begin = client_send(client) == AMB_HTTP_STREAM_OPEN;
-    /* A call that can't even begin fails from the loop like any other: never inside this function. */
+    /* A call that cannot be started fails through the timer too, because on_done must not run within this
+     * function. */
     amb_timer_set_after(&client->deadline, can_begin ? timeout_ms : 0, on_deadline, client);
     return client;
 }
--- a/lib/http/connection.c
+++ b/lib/http/connection.c
@@ -23,7 +23,7 @@
     }
 }
 
-/* ---- the server's list ---- */
+/* ---- the server's list of connections ---- */
 
 static void list_remove(struct amb_http_connection *connection) {
     struct amb_http_server *server = connection->server;
@@ -39,7 +39,7 @@
     server->most_recent = connection;
 }
 
-/* ---- states ---- */
+/* ---- connection states ---- */
 
 void amb_http_connection_close(struct amb_http_connection *connection) {
     amb_timer_stop(&connection->idle_timer);
@@ -79,7 +79,7 @@
     amb_buf_append(output, body, len);
 }
 
-/* Writes what can be written now. May close the connection. */
+/* Writes as much of the output as possible now. May close the connection. */
 static void flush(struct amb_http_connection *connection) {
     struct amb_http_stream *stream = &connection->stream;
     if (amb_http_stream_write(stream) == AMB_HTTP_STREAM_ENDED) {
@@ -116,8 +116,8 @@
     return request;
 }
 
-/* Hands the next request to the handler, if it is here as a whole. What comes after it stays in the input
- * until it is answered. May close the connection. */
+/* Passes the next request to the handler if it has arrived completely. Input after it is kept until the
+ * request is answered. May close the connection. */
 static void read_request(struct amb_http_connection *connection) {
     struct amb_http_server *server = connection->server;
     struct amb_buf *input = &connection->stream.input;
@@ -132,12 +132,12 @@
     connection->request = request_new(connection, &message);
     connection->close_after_response = message.closes;
     amb_buf_drop_front(input, (size_t)taken);
-    if (!input->len) amb_buf_free(input); /* hundreds of idle connections must not hold buffers */
+    if (!input->len) amb_buf_free(input); /* hundreds of idle connections must not keep buffers */
     set_state(connection, AMB_HTTP_CONNECTION_ANSWERING);
     server->handler(server->handler_arg, connection->request);
 }
 
-/* Requests are not pipelined: more than a request's worth waiting is abuse. */
+/* Clients do not pipeline requests, so more buffered input than one request can have is abuse. */
 static bool has_too_much_input(const struct amb_http_connection *connection) {
     size_t request_max = connection->server->max_body_bytes + AMB_HTTP_HEAD_MAX;
     return connection->stream.input.len > request_max + AMB_HTTP_READ_BYTES;
@@ -173,7 +173,7 @@
 
 /* ---- replies ---- */
 
-/* bench/waits.c reads these lines. */
+/* bench/waits.c parses these lines. */
 static void log_response(const struct amb_http_req *request, int status) {
     amb_debug("request %s %s: %d after %lld ms%s", request->method, request->path, status,
               (long long)(amb_now() - request->arrived_at), request->deferred ? ", kept" : "");
--- a/lib/http/connection.h
+++ b/lib/http/connection.h
@@ -1,4 +1,4 @@
-/* The server's side of a connection, which carries one request at a time. */
+/* Server side of a connection, which carries one request at a time. */
 #ifndef AMBERPIN_HTTP_CONNECTION_H
 #define AMBERPIN_HTTP_CONNECTION_H
 
@@ -6,16 +6,16 @@
 #include "stream.h"
 
 enum amb_http_connection_state {
-    AMB_HTTP_CONNECTION_READING,   /* a request, or waiting for one */
+    AMB_HTTP_CONNECTION_READING,   /* reads a request, or waits for one */
     AMB_HTTP_CONNECTION_ANSWERING, /* the handler has the request */
-    AMB_HTTP_CONNECTION_CLOSING,   /* once what is left of the response is written */
+    AMB_HTTP_CONNECTION_CLOSING,   /* closes once the rest of the response is written */
 };
 
 struct amb_http_connection {
     struct amb_http_stream stream;
     struct amb_http_server *server;
     enum amb_http_connection_state state;
-    struct amb_http_req *request; /* that the handler has; NULL: none */
+    struct amb_http_req *request; /* the one that the handler has; NULL: none */
     struct amb_timer idle_timer;
     bool close_after_response;
     struct amb_http_connection *prev, *next; /* in the server's list */
@@ -28,13 +28,14 @@
     amb_ms idle_ms;
     amb_http_handler handler;
     void *handler_arg;
-    /* By when their state last changed. */
+    /* Connections, ordered by the time of their last change of state. */
     struct amb_http_connection *least_recent, *most_recent;
 };
 
-/* Serves the requests that come over this socket, which it takes over. */
+/* Serves the requests that arrive on this socket, and takes ownership of it. */
 void amb_http_connection_open(struct amb_http_server *server, int fd);
-/* Closes and frees it. A request that the handler has stays, and its reply goes nowhere. */
+/* Closes and frees the connection. A request that the handler still has stays valid; its reply is
+ * discarded. */
 void amb_http_connection_close(struct amb_http_connection *connection);
 
 #endif
--- a/lib/http/decimal.h
+++ b/lib/http/decimal.h
@@ -1,4 +1,4 @@
-/* Decimal numbers in heads and addresses. */
+/* Decimal numbers in message heads and addresses. */
 #ifndef AMBERPIN_HTTP_DECIMAL_H
 #define AMBERPIN_HTTP_DECIMAL_H
 
@@ -7,7 +7,7 @@
 
 enum { AMB_HTTP_DECIMAL_DIGITS_MAX = 9 };
 
-/* Reads one to nine digits and nothing else. False: the text is something else, and *out stays as it is. */
+/* Parses a text of one to nine digits. Returns false, and leaves *out unchanged, for any other text. */
 static inline bool amb_http_parse_decimal(const char *text, size_t len, long *out) {
     long value = 0;
     if (!len || len > AMB_HTTP_DECIMAL_DIGITS_MAX) return false;
--- a/lib/http/server.c
+++ b/lib/http/server.c
@@ -5,8 +5,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Closes the connection that has been without a request the longest, so that idle users can't keep agents and
- * health probes out. False: all are being answered. */
+/* Closes the connection that has been without a request for the longest time, so that idle users cannot block
+ * agents and health probes. Returns false if all connections have requests being answered. */
 static bool evict_idle_connection(struct amb_http_server *server) {
     struct amb_http_connection *connection = server->least_recent;
     while (connection && connection->state == AMB_HTTP_CONNECTION_ANSWERING) connection = connection->next;
@@ -28,7 +28,7 @@
     }
 }
 
-/* -1: it can't listen there, with errno set. */
+/* Returns -1, with errno set, if it cannot listen at the address. */
 static int open_listener(const struct sockaddr_in *address, int backlog) {
     int fd = amb_http_open_socket(); /* accepted sockets inherit its options */
     if (fd < 0) return -1;
