--- a/include/amberpin/base/log.h
+++ b/include/amberpin/base/log.h
@@ -1,4 +1,4 @@
-/* Levelled log to standard error: a line a message, with the time of day in seconds and the level. */
+/* Logs to standard error, one line per message, with the Unix time in seconds and the level. */
 #ifndef AMBERPIN_LOG_H
 #define AMBERPIN_LOG_H
 
@@ -6,14 +6,14 @@
 
 enum amb_log_level { AMB_LOG_ERROR, AMB_LOG_INFO, AMB_LOG_DEBUG };
 
-/* Sets the level ("error", "info" or "debug") up to which messages are written. NULL, or anything else: info.
- * Before the first call, errors alone are. */
+/* Sets the most verbose level that is written: "error", "info" or "debug". NULL and unknown levels mean
+ * "info". Before the first call only errors are written. */
 void amb_log_init(const char *level);
 bool amb_log_is_enabled(enum amb_log_level level);
-/* Writes a message, cut to what a line has room for. amb_error, amb_info and amb_debug are its usual form. */
+/* Writes one line; longer messages are truncated. Callers use amb_error, amb_info and amb_debug. */
 void amb_log(enum amb_log_level level, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
-/* The arguments of amb_debug are evaluated only when its level is enabled. */
+/* amb_debug evaluates its arguments only if the debug level is enabled. */
 #define amb_error(...) amb_log(AMB_LOG_ERROR, __VA_ARGS__)
 #define amb_info(...) amb_log(AMB_LOG_INFO, __VA_ARGS__)
 #define amb_debug(...)                                                                                       \
--- a/include/amberpin/base/trace.h
+++ b/include/amberpin/base/trace.h
@@ -1,6 +1,6 @@
 /* Static tracepoints (USDT) for perf, bpftrace and SystemTap: docs/operators/tracing.md lists them. A
  * tracepoint is one no-op instruction until a tracer attaches to it. Without AMB_TRACEPOINTS (a build option,
- * off by default) there are none, and the arguments are not evaluated. */
+ * off by default) no tracepoints are compiled in, and the arguments are not evaluated. */
 #ifndef AMBERPIN_TRACE_H
 #define AMBERPIN_TRACE_H
 
--- a/include/amberpin/base/util.h
+++ b/include/amberpin/base/util.h
@@ -1,4 +1,4 @@
-/* Small things every module uses: time, growing buffers, checked allocation. */
+/* Utilities that every module uses: time, growing buffers, checked allocation. */
 #ifndef AMBERPIN_UTIL_H
 #define AMBERPIN_UTIL_H
 
@@ -6,10 +6,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Milliseconds on the steady clock, unless a name says otherwise. */
+/* Milliseconds on the monotonic clock, unless a name says otherwise. */
 typedef int64_t amb_ms;
 
-/* Bytes that grow; zero-initialised. */
+/* A growing byte buffer; must be zero-initialised. */
 struct amb_buf {
     char *data;
     size_t len, cap;
@@ -24,33 +24,33 @@
     return left < right ? left : right;
 }
 
-/* ---- memory: no call returns NULL, and the process ends when there is none left ---- */
+/* ---- memory: these functions never return NULL; the process aborts when memory runs out ---- */
 
-/* Zeroed. */
+/* Allocates zeroed memory. */
 void *amb_alloc(size_t size);
-/* Like realloc: what is added is not zeroed. */
+/* Like realloc; added memory is not zeroed. */
 void *amb_realloc(void *memory, size_t size);
 
 /* ---- buffers ---- */
 
-/* The data has a zero byte after it, which len does not count, once anything was appended. */
+/* Appends bytes. From the first append on, a zero byte that len does not count follows the data. */
 void amb_buf_append(struct amb_buf *buffer, const void *data, size_t len);
 void amb_buf_append_text(struct amb_buf *buffer, const char *text);
-/* At most 511 bytes; what is longer is cut. */
+/* Appends formatted text, truncated to 511 bytes. */
 void amb_buf_append_format(struct amb_buf *buffer, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /* Removes the first len bytes, or all if there are fewer. */
 void amb_buf_drop_front(struct amb_buf *buffer, size_t len);
-/* Leaves an empty buffer. */
+/* Frees the data and leaves an empty buffer. */
 void amb_buf_free(struct amb_buf *buffer);
 
-/* ---- time and chance ---- */
+/* ---- time and random numbers ---- */
 
-/* The steady clock, which no one sets. */
+/* Time on the monotonic clock, which cannot be set. */
 amb_ms amb_now(void);
-/* The time of day. */
+/* The time of day: milliseconds since the Unix epoch. */
 int64_t amb_wall_ms(void);
-/* 63 bits from the system's random source. */
+/* A 63-bit random number from the system's random source. */
 uint64_t amb_nonce(void);
 
 #endif
--- a/include/amberpin/config/settings.h
+++ b/include/amberpin/config/settings.h
@@ -1,4 +1,4 @@
-/* The settings that the platform hands over (TOML). What the operators may add is in options.h. */
+/* The settings that the platform provides (TOML). options.h has the operators' options. */
 #ifndef AMBERPIN_SETTINGS_H
 #define AMBERPIN_SETTINGS_H
 
@@ -11,7 +11,7 @@
     char member[AMB_NAME_SIZE], addr[AMB_NAME_SIZE]; /* "A.B.C.D:PORT" */
 };
 
-/* A service-level objective: a share of the jobs of a class reach something within a time. */
+/* A service-level objective: a share of the jobs of a class must reach what `kind` names within a time. */
 struct amb_objective {
     char kind[24], class_name[AMB_NAME_SIZE];
     double within_s, share;
@@ -32,34 +32,34 @@
     struct amb_team teams[AMB_TEAMS_MAX];
     struct amb_objective objectives[AMB_OBJECTIVES_MAX];
     char zones[AMB_ZONES_MAX][AMB_NAME_SIZE];
-    double heartbeat_s;                /* between an agent's heartbeats */
-    double agent_lease_s;              /* an agent stops its tasks when it was not answered for so long */
-    double gang_wait_s;                /* a gang's tasks wait so long for all of them to be ready */
-    double gang_peer_s;                /* and go on so long without one of them */
-    double cancel_s;                   /* after its cancellation a job has no tasks */
-    double store_rps, store_write_rps; /* calls a second that this node may make */
-    double value_kb, txn_ops;          /* of a value, and of a transaction's changes, at most */
-    struct amb_store_limits announced_limits; /* use amb_settings_lowered_limits */
-    double cloud_rps;                         /* calls a second */
-    double list_lag_s;                        /* the cloud's list of machines is so late at most */
+    double heartbeat_s;                       /* interval of an agent's heartbeats */
+    double agent_lease_s;                     /* an agent without a response for this long stops its tasks */
+    double gang_wait_s;                       /* how long a gang's tasks wait for all of them to be ready */
+    double gang_peer_s;                       /* how long a gang's tasks go on without one of them */
+    double cancel_s;                          /* this long after its cancellation a job must have no tasks */
+    double store_rps, store_write_rps;        /* calls and writes per second that this node may make */
+    double value_kb, txn_ops;                 /* largest value; most changes in a transaction */
+    struct amb_store_limits announced_limits; /* callers use amb_settings_lowered_limits */
+    double cloud_rps;                         /* calls per second */
+    double list_lag_s;                        /* nominal lag of the cloud's list of machines */
     double cores, memory_mb, fd_limit;        /* this process's quota */
-    double clock_skew_ms;                     /* between two machines' times of day, at most */
+    double clock_skew_ms;                     /* largest difference of two machines' times of day */
 };
 
-/* NULL: there is no such team. */
+/* Returns NULL if there is no such team. */
 struct amb_team *amb_settings_find_team(struct amb_settings *settings, const char *name);
-/* Seconds that the leader's scheduling cycles are shares of: the heartbeat period, unless work is to start so
- * soon that waiting for cycles of that length would use up much of its time. */
+/* Seconds. The intervals of the leader's scheduling cycles are shares of it: the heartbeat interval, or less
+ * if work must start so soon that waiting for such cycles would take much of the time allowed. */
 double amb_settings_cycle_s(const struct amb_settings *settings);
-/* Seconds that leases of the key-value store are shares of: an agent's lease, or half of what a cancellation
- * allows beyond it where that is less. */
+/* Seconds. The durations of leases in the key-value store are shares of it: an agent's lease, or half of the
+ * time that a cancellation allows beyond it if that is less. */
 double amb_settings_lease_base_s(const struct amb_settings *settings);
-/* The limits that the key-value store may have from some moment on, without notice (`state.next`). Without an
- * announcement, the present ones; never more than these. */
+/* The announced limits (`state.next`), which the key-value store may apply at any time without notice. They
+ * are the present limits where none is announced, and never higher than these. */
 struct amb_store_limits amb_settings_lowered_limits(const struct amb_settings *settings);
 
-/* Reads the file at this path. On a problem the settings are not to be used, and error->text has one line
- * that names file and field. */
+/* Reads the file at this path. On an error the settings must not be used, and error->text holds one line that
+ * names the file and the field. */
 enum amb_config_problem amb_settings_load(const char *path, struct amb_settings *settings,
                                           struct amb_config_error *error);
 
--- a/include/amberpin/model/agent_messages.h
+++ b/include/amberpin/model/agent_messages.h
@@ -1,5 +1,5 @@
-/* What agents and the leader tell each other, decoded: an agent's heartbeats with the tasks on its machine,
- * and the commands that the responses carry. */
+/* Decoded messages between agents and the leader: an agent's heartbeats with the tasks on its machine, and
+ * the commands that the responses carry. */
 #ifndef AMBERPIN_MODEL_AGENT_MESSAGES_H
 #define AMBERPIN_MODEL_AGENT_MESSAGES_H
 
@@ -9,12 +9,12 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What a task does on its machine. */
+/* State of a task on its machine. */
 enum amb_agent_task_state {
-    AMB_AGENT_TASK_FETCHING, /* its image */
-    AMB_AGENT_TASK_WAITING,  /* for the other tasks of its gang */
+    AMB_AGENT_TASK_FETCHING, /* its image is being fetched */
+    AMB_AGENT_TASK_WAITING,  /* it waits for the other tasks of its gang */
     AMB_AGENT_TASK_RUNNING,
-    AMB_AGENT_TASK_SAVING, /* a checkpoint, before it stops */
+    AMB_AGENT_TASK_SAVING, /* it saves a checkpoint before it stops */
     AMB_AGENT_TASK_EXITED
 };
 
@@ -24,9 +24,9 @@
     AMB_EXIT_STOPPED,          /* as commanded */
     AMB_EXIT_GANG_PEER_GONE,   /* another task of its gang is gone */
     AMB_EXIT_GANG_INCOMPLETE,  /* its gang was not complete in time */
-    AMB_EXIT_ERROR,            /* failed by itself */
+    AMB_EXIT_ERROR,            /* the task itself failed */
     AMB_EXIT_MACHINE_FULL,     /* start refused: the machine has no room */
-    AMB_EXIT_ATTEMPT_CONFLICT, /* start refused: the task is there with another attempt */
+    AMB_EXIT_ATTEMPT_CONFLICT, /* start refused: another attempt of the task is on the machine */
     AMB_EXIT_UNKNOWN_JOB,      /* start refused: no such job or task, or it is not submitted */
 };
 
@@ -36,7 +36,7 @@
     uint32_t index;
     uint64_t attempt;
     enum amb_agent_task_state state;
-    enum amb_exit_reason exit_reason; /* of an exited task */
+    enum amb_exit_reason exit_reason; /* if the task has exited */
     bool checkpoint_saved;            /* it saved a checkpoint before it exited */
 };
 
@@ -45,7 +45,7 @@
     bool spot;
     uint64_t incarnation;    /* grows when the agent restarts */
     uint64_t sequence;       /* grows with each heartbeat of an incarnation */
-    uint64_t fencing_token;  /* the highest that the agent has met */
+    uint64_t fencing_token;  /* the highest that the agent has seen */
     double reclaim_notice_s; /* until the cloud takes the machine back; negative: no notice */
     size_t task_count;
     struct amb_agent_task *tasks; /* owned (amb_codec_free_heartbeat) */
@@ -62,7 +62,7 @@
     char job_ref[AMB_NAME_SIZE];
     uint32_t index;
     uint64_t attempt;
-    double grace_s; /* of STOP: time to save a checkpoint */
+    double grace_s; /* STOP only: grace period to save a checkpoint */
 };
 
 #endif
--- a/include/amberpin/model/failure_evidence.h
+++ b/include/amberpin/model/failure_evidence.h
@@ -1,11 +1,11 @@
-/* Attributes the failure of a task to its job or to its machine. Pure: no input or output. */
+/* Attributes the failure of a task to its job or to its machine, without input or output. */
 #ifndef AMBERPIN_MODEL_FAILURE_EVIDENCE_H
 #define AMBERPIN_MODEL_FAILURE_EVIDENCE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* More of them than this would tell no more. */
+/* Further entries would not change the attribution. */
 enum { AMB_FAILURE_SET_MAX = 3 };
 
 /* The machines that a job failed on, or the jobs that failed on a machine, since one last succeeded there. */
@@ -16,11 +16,11 @@
 
 void amb_failure_set_add(struct amb_failure_set *set, uint32_t id);
 
-/* After the failure has been added to both. */
+/* Evidence after the failure has been added to the sets of its job and its machine. */
 struct amb_failure_evidence {
-    uint32_t failed_machines; /* that the job failed on since its last success */
-    uint32_t failed_jobs;     /* that failed on the machine since the last success there */
-    bool job_has_succeeded;   /* some task of the job has succeeded, or has run for long */
+    uint32_t failed_machines; /* machines that the job failed on since its last success */
+    uint32_t failed_jobs;     /* jobs that failed on the machine since the last success there */
+    bool job_has_succeeded;   /* a task of the job has succeeded, or has run for a long time */
 };
 
 enum amb_fault {
--- a/include/amberpin/model/job_spec.h
+++ b/include/amberpin/model/job_spec.h
@@ -13,7 +13,7 @@
     AMB_JOB_KIND_SERVICE, /* replicas that run until they are cancelled */
 };
 
-/* Ascending. */
+/* In ascending order. */
 enum amb_priority {
     AMB_PRIORITY_BEST_EFFORT,
     AMB_PRIORITY_NORMAL,
@@ -27,7 +27,7 @@
     enum amb_job_kind kind;
     enum amb_priority priority;
     uint32_t task_count;
-    struct amb_resources task_resources; /* of each task */
+    struct amb_resources task_resources; /* needed by each task */
     double image_gb;
     double estimated_runtime_s;   /* of a task, as the user estimates it */
     double checkpoint_interval_s; /* 0: tasks write no checkpoints */
@@ -48,7 +48,7 @@
 
 #define AMB_NO_DUE_TIME INT64_MAX
 
-/* How urgent a job is, and by when it has to be complete. */
+/* A job's priority and the time by which it has to be complete. */
 struct amb_effective_priority {
     enum amb_priority priority;
     int64_t due_wall_ms; /* time of day; AMB_NO_DUE_TIME: none */
--- a/include/amberpin/model/model.h
+++ b/include/amberpin/model/model.h
@@ -1,4 +1,4 @@
-/* The domain types of the scheduler, all in one place for those who need most of them. */
+/* Includes all domain types of the scheduler, for files that need most of them. */
 #ifndef AMBERPIN_MODEL_H
 #define AMBERPIN_MODEL_H
 
--- a/include/amberpin/model/placement_block.h
+++ b/include/amberpin/model/placement_block.h
@@ -7,12 +7,12 @@
 struct amb_job;
 
 struct amb_task_range {
-    uint32_t first, end; /* up to, not including, end */
+    uint32_t first, end; /* `end` is not included */
 };
 
 enum amb_block_layout {
-    AMB_LAYOUT_BY_SETTINGS, /* of the first format: tasks a block as the settings have it */
-    AMB_LAYOUT_BY_KEY,      /* of the second: as the key says */
+    AMB_LAYOUT_BY_SETTINGS, /* first format: the settings determine the number of tasks per block */
+    AMB_LAYOUT_BY_KEY,      /* second format: the key states it */
 };
 
 /* Identifies a block within its job. */
@@ -24,17 +24,17 @@
 enum { AMB_WRITE_ID_SIZE = 40 }; /* bytes, with the terminating zero */
 
 struct amb_placement_block {
-    uint64_t revision; /* of its value; 0: it does not exist */
+    uint64_t revision; /* of its value in the state service; 0: it does not exist */
     bool dirty;        /* its tasks have changed since it was last sent */
-    bool urgent;       /* dirty, and to be written at once */
+    bool urgent;       /* dirty and to be written at once */
     bool write_in_flight;
-    bool revision_uncertain;          /* a write was sent whose outcome is not known */
-    bool superseded;                  /* never written again: blocks of another size hold its tasks */
-    uint64_t job_revision;            /* of the job, compared by the write in flight */
-    amb_ms dirty_at, retry_at;        /* dirty since; no write before */
-    char write_id[AMB_WRITE_ID_SIZE]; /* by which a write is recognised when its outcome was lost */
+    bool revision_uncertain;          /* the outcome of a write that was sent is unknown */
+    bool superseded;                  /* never written again, because blocks of another size hold its tasks */
+    uint64_t job_revision;            /* of the job's record, compared by the write in flight */
+    amb_ms dirty_at, retry_at;        /* since when it is dirty; earliest time of the next write */
+    char write_id[AMB_WRITE_ID_SIZE]; /* identifies a write whose response was lost */
     struct amb_buf value;             /* of the write, kept until its outcome is known */
-    struct amb_job *job;              /* which owns the block */
+    struct amb_job *job;              /* the block's owner */
     struct amb_placement_block_id id;
     struct amb_task_range task_range; /* that it holds, or may hold */
 };
--- a/include/amberpin/model/resources.h
+++ b/include/amberpin/model/resources.h
@@ -1,4 +1,4 @@
-/* Amounts of what machines offer and tasks need. */
+/* Resources that machines offer and tasks need. */
 #ifndef AMBERPIN_MODEL_RESOURCES_H
 #define AMBERPIN_MODEL_RESOURCES_H
 
--- a/include/amberpin/model/task.h
+++ b/include/amberpin/model/task.h
@@ -16,26 +16,26 @@
     AMB_TASK_DONE,    /* completed */
 };
 
-/* How far the completion of a task that is done has come into the state service. */
+/* Whether the completion of a done task has been recorded in the state service. */
 enum amb_completion_record {
     AMB_COMPLETION_UNRECORDED,
     AMB_COMPLETION_WRITING, /* in a block that is being written */
     AMB_COMPLETION_DURABLE,
 };
 
-/* There may be AMB_TASKS_MAX of one job and the memory budget counts them: its size matters. */
+/* Kept small: a job may have AMB_TASKS_MAX tasks, and the memory budget counts the size of each. */
 struct amb_task {
     enum amb_task_state state;
-    enum amb_agent_task_state agent_state;     /* when SEEN */
+    enum amb_agent_task_state agent_state;     /* valid in state SEEN */
     bool done;                                 /* completed */
     enum amb_completion_record completion : 8; /* one byte, for the size of the structure */
     bool write_in_flight;                      /* PLACED, and in the block that is being written */
     bool stop_requested;                       /* commanded, or to be commanded, to stop */
-    bool interrupted;                          /* was running and is gone: to be placed before others */
-    bool start_sent;                           /* a run command was sent */
-    bool inherited;                            /* placed by an earlier leader, which may have sent one */
-    uint8_t missed_heartbeats;                 /* heartbeats that should have listed it and did not */
-    uint32_t index;                            /* in its job */
+    bool interrupted;          /* it was running and was lost, so it is placed before others */
+    bool start_sent;           /* a run command was sent */
+    bool inherited;            /* placed by an earlier leader, which may have sent a run command */
+    uint8_t missed_heartbeats; /* heartbeats that should have listed it and did not */
+    uint32_t index;            /* in its job */
     uint64_t attempt;
     struct amb_machine *machine; /* borrowed; NULL: on none */
     struct amb_task *next_on_machine, *prev_on_machine;
@@ -43,7 +43,7 @@
     uint64_t last_listed_in; /* number of the heartbeat that last listed it */
     amb_ms state_since;
     amb_ms running_at; /* since when it runs; 0: it does not */
-    double grace_s;    /* of the stop that is requested */
+    double grace_s;    /* grace period of the requested stop */
 };
 
 #endif
--- a/include/amberpin/model/team.h
+++ b/include/amberpin/model/team.h
@@ -1,4 +1,4 @@
-/* A team: its quota, and its account in the weighted deficit round robin over the teams. */
+/* A team: its quota, and its state in the weighted deficit round robin over the teams. */
 #ifndef AMBERPIN_MODEL_TEAM_H
 #define AMBERPIN_MODEL_TEAM_H
 
@@ -10,7 +10,7 @@
     struct amb_resources guarantee, limit; /* 0: none */
     struct amb_resources used;             /* by tasks that are placed and not proven absent */
     double deficit, bucket_tokens, weight, bucket_capacity;
-    bool opportunistic; /* guaranteed nothing while others are: it uses what they leave idle */
+    bool opportunistic; /* without a guarantee while other teams have one: it uses what they leave idle */
 };
 
 #endif
--- a/include/amberpin/node/events.h
+++ b/include/amberpin/node/events.h
@@ -1,6 +1,6 @@
-/* Events that a module posts to those above it. A module calls only what lies below; when something happens
- * that others must act on it posts an event, and the node's handler (the controller's) passes it on at once.
- */
+/* Events that a module posts to the modules above it. A module calls only modules below it. When something
+ * happens that higher modules must act on, it posts an event, which the node's handler (set by the
+ * controller) dispatches at once. */
 #ifndef AMBERPIN_NODE_EVENTS_H
 #define AMBERPIN_NODE_EVENTS_H
 
@@ -14,16 +14,16 @@
 
 enum amb_event_type {
     AMB_EVENT_LEADERSHIP_GAINED,
-    AMB_EVENT_LEADERSHIP_LOST,      /* cause: why */
-    AMB_EVENT_JOB_READY,            /* job: no dependency keeps it from starting */
-    AMB_EVENT_JOB_HAS_DEPENDENCIES, /* job: it is accepted, and depends on others */
+    AMB_EVENT_LEADERSHIP_LOST,      /* cause: the reason */
+    AMB_EVENT_JOB_READY,            /* job: no dependency prevents it from starting */
+    AMB_EVENT_JOB_HAS_DEPENDENCIES, /* job: it is accepted and depends on other jobs */
     AMB_EVENT_JOB_FINAL,            /* job: it is done, or cancelled by its own record */
     AMB_EVENT_PLACEMENT_DURABLE,    /* task: its start may be commanded */
     AMB_EVENT_MACHINE_ADDED,        /* machine: added to the leader's table */
-    AMB_EVENT_MACHINE_REMOVED,      /* machine: it and its tasks are gone, by this proof; freed after */
-    AMB_EVENT_DUTY_KEY_CHANGED,     /* change: of a key of single-holder duties */
-    AMB_EVENT_STORE_LISTED,         /* every key of the state service that nodes watch has been listed */
-    AMB_EVENT_CYCLE_REQUESTED,      /* a change that the next scheduling cycle should see */
+    AMB_EVENT_MACHINE_REMOVED,      /* machine, proof: it and its tasks are gone; freed afterwards */
+    AMB_EVENT_DUTY_KEY_CHANGED,     /* change: to a key of the single-holder duties */
+    AMB_EVENT_STORE_LISTED,         /* all keys of the state service that nodes watch have been listed */
+    AMB_EVENT_CYCLE_REQUESTED,      /* a scheduling cycle should run soon */
 };
 
 /* A key of the state service and its present value. Borrowed: valid while the event is handled. */
@@ -33,7 +33,7 @@
     uint64_t revision;
 };
 
-/* Of the members, each type uses those that its comment names. All are borrowed. */
+/* Each type uses only the members that its comment names. All pointers are borrowed. */
 struct amb_event {
     enum amb_event_type type;
     enum amb_absence proof;
@@ -46,7 +46,7 @@
 
 typedef void (*amb_event_handler)(struct amb_node *node, const struct amb_event *event);
 
-/* Calls the node's handler, and returns when it has. */
+/* Calls the node's handler synchronously. */
 void amb_event_post(struct amb_node *node, const struct amb_event *event);
 /* Posts AMB_EVENT_CYCLE_REQUESTED: the leader runs a scheduling cycle soon. */
 void amb_node_request_cycle(struct amb_node *node);
--- a/include/amberpin/node/node.h
+++ b/include/amberpin/node/node.h
@@ -1,4 +1,5 @@
-/* One controller node: the state of every module. A module changes its own part only, and reads others'. */
+/* A controller: the state of every module. A module changes only its own state and may read that of
+ * others. */
 #ifndef AMBERPIN_NODE_H
 #define AMBERPIN_NODE_H
 
@@ -53,7 +54,7 @@
     amb_event_handler on_event;            /* see events.h */
 };
 
-/* Opens the servers and begins to read the state service. 0; or -1, and err says why not. */
+/* Opens the servers and begins to read the state service. Returns 0, or -1 with the reason in err. */
 int amb_node_start(struct amb_node *node, char *err, size_t err_size);
 
 #endif
--- a/lib/base/log.c
+++ b/lib/base/log.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-enum { LINE_BYTES = 1024 }; /* with the end of the line */
+enum { LINE_BYTES = 1024 }; /* including the line break */
 
 static enum amb_log_level threshold = AMB_LOG_ERROR;
 
@@ -36,5 +36,5 @@
     if (text_len > 0) len += text_len;
     if (len > LINE_BYTES - 2) len = LINE_BYTES - 2;
     line[len++] = '\n';
-    if (write(STDERR_FILENO, line, (size_t)len) < 0) return; /* a log that can't be written stops nobody */
+    if (write(STDERR_FILENO, line, (size_t)len) < 0) return; /* a failure to log is ignored */
 }
--- a/lib/base/loop.c
+++ b/lib/base/loop.c
@@ -11,22 +11,22 @@
 enum {
     MAX_EVENTS_PER_BATCH = 64,
     FIRST_HEAP_CAPACITY = 64,
-    IDLE_WAIT_MS = 1000, /* without a timer */
+    IDLE_WAIT_MS = 1000, /* if no timer is set */
     MAX_WAIT_MS = 60000,
 };
 
 static int epoll_fd = -1;
 static bool stopping;
-static struct amb_timer **heap; /* heap[1..count], the soonest first */
+static struct amb_timer **heap; /* binary heap in heap[1..timer_count], earliest timer first */
 static size_t timer_count, heap_capacity;
-/* Events being handed out; that of a deleted watch has no pointer any more. */
+/* The batch of events being dispatched. amb_loop_del clears the pointers to a deleted watch. */
 static struct epoll_event ready[MAX_EVENTS_PER_BATCH];
 static int ready_count;
 
 void amb_loop_init(void) {
     if (epoll_fd < 0) epoll_fd = epoll_create1(EPOLL_CLOEXEC);
     if (epoll_fd < 0) {
-        amb_error("epoll: %s", strerror(errno));
+        amb_error("event loop not started: epoll_create1: %s", strerror(errno));
         exit(1);
     }
 }
@@ -102,7 +102,7 @@
     stopping = true;
 }
 
-/* Bounded, so that a timer that sets itself again at once can't keep the sockets waiting. */
+/* The number of timers run is bounded, so that a timer that is always due again cannot starve the sockets. */
 static void run_due_timers(void) {
     amb_ms now = amb_now();
     for (int run = 0; run < MAX_EVENTS_PER_BATCH && timer_count && heap[1]->at <= now; run++) {
@@ -123,8 +123,9 @@
         run_due_timers();
         ready_count = epoll_wait(epoll_fd, ready, MAX_EVENTS_PER_BATCH, ms_until_next_timer());
         for (int i = 0; i < ready_count; i++) {
-            /* Whatever delayed us, a stall in epoll_wait or a slow handler: timers that fell due meanwhile,
-             * such as the one that fences a leader, go before events that came meanwhile (docs/safety.md). */
+            /* After any delay, be it a stall in epoll_wait or a slow handler, timers that have become due,
+             * such as the one that fences a leader, must run before events that have arrived since
+             * (docs/safety.md). */
             run_due_timers();
             struct amb_fd_watch *watch = ready[i].data.ptr;
             if (watch) watch->fn(watch, ready[i].events);
--- a/lib/config/options.c
+++ b/lib/config/options.c
@@ -1,4 +1,4 @@
-/* Reads the operators' options: a table of numbers by their name, and two lists of names. */
+/* Reads the operators' options: a table of numeric options, and two lists of names. */
 #include "amberpin/config/options.h"
 
 #include "amberpin/duty/settings.h"
@@ -47,7 +47,7 @@
     XML_Parser xml;
     struct amb_options *options;
     const char *file;
-    struct amb_config_error *error; /* the first */
+    struct amb_config_error *error; /* the first error */
     int depth;
 };
 
@@ -90,7 +90,8 @@
     fail_at_element(reader, DUTY_NAMES, AMB_CONFIG_INVALID_VALUE, message);
 }
 
-/* Classes are known from the platform's settings: what the names mean is checked with these. */
+/* Checks only the length. The names of classes are checked later against the platform's settings, which
+ * define the classes. */
 static void read_recovery_order(struct reader *reader, const char *names) {
     if (strlen(names) >= sizeof reader->options->zone_recovery_order)
         fail_at_element(reader, ZONE_RECOVERY_ORDER, AMB_CONFIG_INVALID_VALUE, "the list is too long");
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -1,4 +1,4 @@
-/* Values that follow from the platform's settings. settings_file.c reads them. */
+/* Values derived from the platform's settings. settings_file.c reads the file. */
 #include "amberpin/config/settings.h"
 
 #include <math.h>
@@ -10,26 +10,27 @@
     return NULL;
 }
 
-/* With heartbeats every 4 s and starts that are aimed at within 10 s, planning every half heartbeat period, a
- * scheduling cycle a twentieth and a tick a tenth of one later took 1 to 4 s of those 10 (fleet deployments).
- */
+/* With heartbeats every 4 s and a start objective of 10 s (fleet deployments), planning every half heartbeat
+ * interval, with a scheduling cycle a twentieth and a tick a tenth of an interval later, took 1 to 4 s of
+ * those 10 s. */
 double amb_settings_cycle_s(const struct amb_settings *settings) {
     double cycle_s = settings->heartbeat_s;
     for (uint32_t i = 0; i < settings->objective_count; i++)
         if (!strcmp(settings->objectives[i].kind, "wait") && settings->objectives[i].within_s > 0)
             cycle_s = fmin(cycle_s, settings->objectives[i].within_s / 10);
-    return fmax(cycle_s, settings->heartbeat_s / 4); /* cycles cost processor time */
+    return fmax(cycle_s, settings->heartbeat_s / 4); /* more frequent cycles cost too much processor time */
 }
 
-/* A lease longer than what a cancellation allows for serves nobody while its holder is dead: with agents'
- * leases of 22 s nothing was placed for 6.6 s, of the 10 s in which some work is to start. */
+/* Nothing is scheduled while the lease of a dead leader has not expired, so the base is limited by the time
+ * that a cancellation allows: with agents' leases of 22 s nothing was placed for 6.6 s of the 10 s within
+ * which some work has to start. */
 double amb_settings_lease_base_s(const struct amb_settings *settings) {
     double grace_s = settings->cancel_s - settings->agent_lease_s;
     return fmin(settings->agent_lease_s, grace_s > 0 ? grace_s / 2 : settings->agent_lease_s);
 }
 
-/* A limit that is not announced stays as it is. One that rises later is of no use to us: we would have to
- * tell by trial that it has risen. */
+/* A limit without an announcement stays as it is. A higher announced limit is not used, because only trial
+ * calls could show that it has taken effect. */
 static double lowered_limit(double present, double announced) {
     return announced > 0 ? fmin(present, announced) : present;
 }
--- a/lib/config/settings_file.c
+++ b/lib/config/settings_file.c
@@ -1,4 +1,4 @@
-/* Reads the platform's settings: a table of fields by their path, each with its type and bounds. */
+/* Reads the platform's settings by a table of fields, each with its path, type and bounds. */
 #include "amberpin/config/settings.h"
 
 #include "amberpin/config/toml_reader.h"
@@ -9,20 +9,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The list that a field is of; item_size 0: of none. */
+/* The list that contains a field; item_size 0: the field is not in a list. */
 struct list {
     size_t item_size;
     size_t max_items;
-    size_t count_offset; /* of its length, within amb_settings */
+    size_t count_offset; /* of the list's length, within amb_settings */
 };
 
 struct field {
     const char *path; /* "[]" stands for an index in a list */
-    bool is_text;     /* or else a number */
+    bool is_text;     /* otherwise a number */
     bool is_required;
-    size_t offset;   /* within amb_settings; in a list, of the first item's */
-    size_t size;     /* texts: bytes, with the terminating zero */
-    double min, max; /* numbers */
+    size_t offset;   /* within amb_settings; in a list, that of the first item's field */
+    size_t size;     /* of a text, in bytes, including the terminating zero */
+    double min, max; /* bounds of a number */
     struct list list;
 };
 
@@ -40,7 +40,7 @@
             0                                                                                                \
         }                                                                                                    \
     }
-/* NOLINTBEGIN(bugprone-macro-parentheses): the name of a member can't stand in parentheses */
+/* NOLINTBEGIN(bugprone-macro-parentheses): the name of a member cannot be put in parentheses */
 #define OPTIONAL_NUM(path, member, min, max)                                                                 \
     {                                                                                                        \
         path, false, false, OFFSET(member), 0, min, max, {                                                   \
@@ -102,11 +102,11 @@
 struct reader {
     struct amb_settings *settings;
     const char *file;
-    struct amb_config_error *error; /* the first */
+    struct amb_config_error *error; /* the first error */
     bool seen[FIELDS];
 };
 
-/* Whether the path is as the pattern has it; its index in the list goes to *index. */
+/* Whether the path matches the pattern. Sets *index to the path's list index. */
 static bool path_matches(const char *pattern, const char *path, size_t *index) {
     while (*pattern) {
         if (pattern[0] == '[' && pattern[1] == ']') {
@@ -135,7 +135,7 @@
     snprintf(error->text, sizeof error->text, "%s: %s: %s", reader->file, path, what);
 }
 
-/* Makes the list long enough for an item at this index. False: it may not be so long. */
+/* Extends the list to contain an item at this index. Returns false if that exceeds the list's maximum. */
 static bool extend_list(struct reader *reader, const struct list *list, size_t index) {
     if (index >= list->max_items) return false;
     uint32_t *count = (uint32_t *)((char *)reader->settings + list->count_offset);
@@ -159,7 +159,7 @@
     return NULL;
 }
 
-/* Settings that no field is for are the platform's own business. */
+/* Ignores settings without a field: the platform may have others for its own use. */
 static void on_value(void *arg, const char *path, enum amb_toml_kind kind, const char *text, double number) {
     struct reader *reader = arg;
     size_t index;
@@ -181,7 +181,7 @@
         fail_at_path(reader, path, AMB_CONFIG_INVALID_VALUE, "must be a number within its bounds");
 }
 
-/* ---- what must be there ---- */
+/* ---- required settings ---- */
 
 static void check_required_fields(struct reader *reader) {
     for (size_t i = 0; i < FIELDS; i++)
--- a/lib/model/absence_proof.c
+++ b/lib/model/absence_proof.c
@@ -1,9 +1,9 @@
 #include "amberpin/model/absence_proof.h"
 
-/* Clocks drift apart by at most 0.05% (the protocol): a twentieth of this. */
+/* The protocol bounds clock drift by 0.05%, a twentieth of the 1% allowed here. */
 static const double LEASE_DRIFT_FACTOR = 1.01;
 static const double LEASE_MARGIN_HEARTBEATS = 0.25;
-/* A list lags by up to twice the nominal time (the protocol). */
+/* The protocol allows a list to lag by up to twice the nominal time. */
 static const double LIST_LAG_FACTOR = 2.2;
 static const double LIST_MARGIN_HEARTBEATS = 1;
 
@@ -17,9 +17,9 @@
 
 const char *amb_absence_name(enum amb_absence absence) {
     static const char *const names[] = {
-        "not proven", "not proven before a fresh read", "its machine no longer reports it",
-        "it exited",  "its lease has run out",          "nobody can have answered it for a lease",
-        "returned",   "the cloud says it failed",       "no longer listed"};
+        "not proven", "not proven before a fresh read", "no longer in its machine's heartbeat",
+        "it exited",  "its lease has expired",          "no controller can have renewed its lease",
+        "returned",   "the cloud reports a failure",    "not in the cloud's list"};
     return names[absence];
 }
 
@@ -33,7 +33,7 @@
 enum amb_absence amb_absence_by_heartbeat(const struct amb_heartbeat_evidence *evidence) {
     if (!amb_heartbeat_order_is_newer(evidence->order, evidence->newest_seen)) return AMB_ABSENCE_UNPROVEN;
     if (evidence->heartbeat_term != evidence->own_term)
-        return AMB_ABSENCE_UNPROVEN; /* an earlier leader may still order */
+        return AMB_ABSENCE_UNPROVEN; /* an earlier leader may still send run commands */
     if (!evidence->placement_durable) return AMB_ABSENCE_UNPROVEN;
     if (!evidence->listed) return AMB_ABSENCE_NOT_IN_HEARTBEAT;
     return evidence->exited ? AMB_ABSENCE_EXITED : AMB_ABSENCE_UNPROVEN;
@@ -48,7 +48,7 @@
     amb_ms renewed_at = later(evidence->last_response_at, evidence->lease_proxy_known_at); /* at the latest */
     if (!evidence->follows_own_term) renewed_at = later(renewed_at, evidence->fenced_at);
     if (evidence->now - renewed_at <= evidence->lease_span) return AMB_ABSENCE_UNPROVEN;
-    /* A lease proxy that this read does not show came too late to renew the lease. */
+    /* A lease proxy that such a read does not show became active too late to renew the lease. */
     if (evidence->last_read_sent_at <= renewed_at + evidence->lease_span) return AMB_ABSENCE_READ_NEEDED;
     return evidence->follows_own_term ? AMB_ABSENCE_LEASE_EXPIRED : AMB_ABSENCE_FENCED;
 }
--- a/lib/model/failure_evidence.c
+++ b/lib/model/failure_evidence.c
@@ -1,9 +1,9 @@
 #include "amberpin/model/failure_evidence.h"
 
 enum {
-    MACHINES_AGAINST_JOB = 2,         /* that a job failed on, and never succeeded */
-    MACHINES_AGAINST_WORKING_JOB = 3, /* the same of one whose tasks have succeeded before */
-    JOBS_AGAINST_MACHINE = 2,
+    JOB_FAULT_MACHINES = 2,           /* machines that a job without successes has failed on */
+    SUCCEEDED_JOB_FAULT_MACHINES = 3, /* the same for a job that has succeeded before */
+    MACHINE_FAULT_JOBS = 2,           /* jobs that have failed on a machine */
 };
 
 void amb_failure_set_add(struct amb_failure_set *set, uint32_t id) {
@@ -12,18 +12,18 @@
     if (set->count < AMB_FAILURE_SET_MAX) set->ids[set->count++] = id;
 }
 
-/* A job with a mistake in it fails on every machine; a bad machine fails every job. */
+/* A faulty job fails on every machine; a faulty machine makes every job fail. */
 enum amb_fault amb_failure_attribute(const struct amb_failure_evidence *evidence) {
     uint32_t machine_threshold =
-        evidence->job_has_succeeded ? MACHINES_AGAINST_WORKING_JOB : MACHINES_AGAINST_JOB;
+        evidence->job_has_succeeded ? SUCCEEDED_JOB_FAULT_MACHINES : JOB_FAULT_MACHINES;
     bool job_at_fault = evidence->failed_machines >= machine_threshold;
     bool machine_at_fault =
-        evidence->failed_jobs >= JOBS_AGAINST_MACHINE || (evidence->job_has_succeeded && !job_at_fault);
+        evidence->failed_jobs >= MACHINE_FAULT_JOBS || (evidence->job_has_succeeded && !job_at_fault);
     if (job_at_fault) return machine_at_fault ? AMB_FAULT_BOTH : AMB_FAULT_JOB;
     return machine_at_fault ? AMB_FAULT_MACHINE : AMB_FAULT_UNKNOWN;
 }
 
 const char *amb_fault_name(enum amb_fault fault) {
-    static const char *const names[] = {"not known", "the machine's", "the job's", "of both"};
+    static const char *const names[] = {"unknown", "machine", "job", "job and machine"};
     return names[fault];
 }
--- a/lib/model/resources.c
+++ b/lib/model/resources.c
@@ -1,6 +1,6 @@
 #include "amberpin/model/resources.h"
 
-/* Sums of many tasks may be off by what floating point rounds. */
+/* Sums over many tasks accumulate floating-point rounding errors. */
 static const double ROUNDING_SLACK = 1e-6;
 
 bool amb_resources_fit(const struct amb_resources *need, const struct amb_resources *available) {
--- a/lib/node/fleet_capacity.c
+++ b/lib/node/fleet_capacity.c
@@ -5,13 +5,13 @@
 #include <math.h>
 #include <stdio.h>
 
-/* Of the sockets. A quarter is ours, to reach others with; nearly all of the rest is for those who reach us.
- * (With half as many machines again as the fleet deployments have, a node had 1653 connections open of the
- * 1746 that five eighths allowed.) */
+/* Shares of the file descriptor quota: a quarter is for outgoing connections, and nearly all of the rest for
+ * incoming ones. With 1.5 times the machines of the fleet deployments, a node had 1653 connections
+ * open of the 1746 that five eighths allowed. */
 static const double INCOMING_SHARE = 11.0 / 16, OUTGOING_SHARE = 1.0 / 4;
 
-/* Connections for users and health checks, for each one of an agent. */
-static const double USERS_PER_WORKER = 1.0 / 16;
+/* Connections of users and health checks per agent connection. */
+static const double USERS_PER_AGENT = 1.0 / 16;
 
 int amb_capacity_max_incoming_connections(const struct amb_settings *settings) {
     return (int)(settings->fd_limit * INCOMING_SHARE);
@@ -22,7 +22,7 @@
 }
 
 static double sockets_needed(double machines) {
-    return ceil(machines * (1 + USERS_PER_WORKER) / INCOMING_SHARE);
+    return ceil(machines * (1 + USERS_PER_AGENT) / INCOMING_SHARE);
 }
 
 static double memory_mb_needed(const struct amb_settings *settings, double machines) {
--- a/lib/node/memory_budget.c
+++ b/lib/node/memory_budget.c
@@ -2,16 +2,16 @@
 
 #include "amberpin/node/node.h"
 
-/* Shares of the quota. The rest is for the program itself, machines, connections and messages. */
+/* Shares of the memory quota. The rest is for the program itself, machines, connections and messages. */
 static const double TASK_SHARE = 1.0 / 3;
 static const double ONE_JOB_SHARE = 0.4; /* the largest job, when no other is active */
 static const double JOB_TABLE_SHARE = 1.0 / 3;
 static const double MACHINE_SHARE = 1.0 / 4;
 static const double REMOVED_MACHINES_SHARE = 1.0 / 64;
 static const double RESPONSE_SHARE = 1.0 / 8;
-static const double PEER_MESSAGE_SHARE = 1.0 / 256; /* of all peers' messages that are cached */
+static const double PEER_MESSAGE_SHARE = 1.0 / 256; /* all cached messages of peers */
 
-enum { ALLOCATION_OVERHEAD = 16, HASH_BUCKET = 16 }; /* bytes: of each allocation; of each entry of a table */
+enum { ALLOCATION_OVERHEAD = 16, HASH_BUCKET = 16 }; /* bytes per allocation; per entry of a hash table */
 
 static size_t share_of(const struct amb_settings *settings, double share) {
     return (size_t)(settings->memory_mb * 1024 * 1024 * share);
@@ -45,16 +45,16 @@
            spec->task_count <= amb_memory_max_tasks_of_one_job(settings);
 }
 
-/* ---- machines, messages ---- */
+/* ---- messages and machines ---- */
 
 enum {
-    PAGE_BYTES = 512 * 1024, /* of a listing of the state service (the protocol) */
-    MESSAGES_OF_A_PEER = 2,  /* that are kept: its heartbeat, and its answer to ours */
-    CONNECTION_BYTES = 1024, /* the connection of a machine, and its heartbeat while it is read */
-    TOLD_IMAGES = 6,         /* of a machine, as a rule: what a leader and a follower keep in mind of them */
-    TOLD_IMAGE_BYTES = 256,  /* as JSON in memory */
+    PAGE_BYTES = 512 * 1024,        /* largest page of a listing of the state service, by the protocol */
+    MESSAGES_PER_PEER = 2,          /* that are kept: its heartbeat and its response to ours */
+    CONNECTION_BYTES = 1024,        /* a machine's connection, with its heartbeat while it is read */
+    TYPICAL_IMAGES_PER_MACHINE = 6, /* whose location the leader and the followers keep */
+    IMAGE_BYTES = 256,              /* as JSON in memory */
     MACHINE_BYTES = sizeof(struct amb_machine) + ALLOCATION_OVERHEAD + HASH_BUCKET + CONNECTION_BYTES +
-                    (size_t)TOLD_IMAGES * TOLD_IMAGE_BYTES,
+                    (size_t)TYPICAL_IMAGES_PER_MACHINE * IMAGE_BYTES,
 };
 
 size_t amb_memory_max_response_bytes(const struct amb_settings *settings) {
@@ -64,7 +64,7 @@
 
 size_t amb_memory_max_peer_message_bytes(const struct amb_settings *settings) {
     size_t peers = settings->peer_count ? settings->peer_count : 1;
-    return share_of(settings, PEER_MESSAGE_SHARE) / (peers * (size_t)MESSAGES_OF_A_PEER);
+    return share_of(settings, PEER_MESSAGE_SHARE) / (peers * (size_t)MESSAGES_PER_PEER);
 }
 
 size_t amb_memory_removed_machines_bytes(const struct amb_settings *settings) {
--- a/src/main.c
+++ b/src/main.c
@@ -9,9 +9,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Whether the settings and options can be used together. False: text names the file and the field. */
-static bool check_together(const struct amb_node *node, const struct amb_command_line *command_line,
-                           char *text, size_t size) {
+/* Whether the settings and options are consistent. If not, text names the file and the field. */
+static bool check_consistency(const struct amb_node *node, const struct amb_command_line *command_line,
+                              char *text, size_t size) {
     const struct amb_settings *settings = &node->settings;
     const struct amb_options *options = &node->options;
     return amb_duties_check_options(settings, options, command_line->options_path, text, size) &&
@@ -27,7 +27,7 @@
     if (command_line->options_path &&
         amb_options_load(command_line->options_path, &node->options, error) != AMB_CONFIG_VALID)
         return false;
-    return check_together(node, command_line, error->text, sizeof error->text);
+    return check_consistency(node, command_line, error->text, sizeof error->text);
 }
 
 static enum amb_process_status run(struct amb_node *node) {
