--- a/tests/base/test_loop.c
+++ b/tests/base/test_loop.c
@@ -1,5 +1,5 @@
-/* The event loop: what is overdue goes first. A leader that stood still must find out that it may answer no
- * more before it reads the reports that came meanwhile (docs/safety.md). The clock is the test's own. */
+/* The event loop runs overdue timers before events. A leader that was stalled must be fenced by its timer
+ * before it handles heartbeats that arrived meanwhile (docs/safety.md). The test supplies the clock. */
 #include "check.h"
 
 #include "amberpin/base/loop.h"
@@ -10,7 +10,7 @@
 enum { TIMER_MS = 20, STALL_MS = 60, CALLS_EXPECTED = 3 };
 
 static amb_ms now_ms = 1000;
-static char called[CALLS_EXPECTED + 1]; /* 'e': an event, 't': the timer, in the order of the calls */
+static char called[CALLS_EXPECTED + 1]; /* order of the calls: 'e' an event, 't' the timer */
 static size_t ncalled;
 
 amb_ms __wrap_amb_now(void);
@@ -35,7 +35,7 @@
     note('t');
 }
 
-/* Two sockets are ready at once; while the first is served, a timer falls due. */
+/* Two descriptors are ready at once, and a timer becomes due while the first is handled. */
 static void overdue_timers_go_before_the_next_event(void **state) {
     (void)state;
     static struct amb_fd_watch watches[2];
--- a/tests/codec/test_change_page.c
+++ b/tests/codec/test_change_page.c
@@ -1,4 +1,5 @@
-/* Changes decoded straight from their bytes, against the same changes parsed into a tree of items. */
+/* Decoding a page of changes directly from its bytes must have the same effect as parsing it into a tree of
+ * items. Random pages are applied to two nodes, one for each way. */
 #include "check.h"
 #include "fake_http.h"
 #include "node_fixture.h"
@@ -14,7 +15,7 @@
     return seed % below;
 }
 
-/* ---- drawn pages ---- */
+/* ---- random pages ---- */
 
 static void put_description(struct amb_buf *out, const char *ref) {
     struct amb_job_spec spec = {
@@ -32,10 +33,10 @@
     if (draw(40))
         amb_cbor_write_uint(out, value);
     else
-        amb_cbor_write_number(out, (double)value); /* not the kind that belongs there */
+        amb_cbor_write_number(out, (double)value); /* wrong type */
 }
 
-/* A job's record, now and then with a field that is missing, unknown or of another kind, or comes twice. */
+/* A job's record, in which a field is sometimes missing, unknown, of the wrong type or duplicate. */
 static void put_record(struct amb_buf *out, const char *ref) {
     static const char *const states[] = {"queued", "cancelled", "done", "odd"};
     struct amb_buf fields = {0};
@@ -73,7 +74,7 @@
     put_record(out, key + strlen("a/job/"));
 }
 
-static struct amb_buf drawn_page(uint64_t store_revision) {
+static struct amb_buf random_page(uint64_t store_revision) {
     struct amb_buf page = {0};
     size_t changes = draw(PAGE_CHANGES);
     amb_cbor_write_map(&page, 2);
@@ -82,14 +83,14 @@
     amb_cbor_write_string(&page, "news");
     amb_cbor_write_list(&page, changes);
     while (changes--) put_change(&page);
-    if (!draw(10)) page.len -= draw(page.len);                      /* cut short */
-    if (!draw(10)) page.data[draw(page.len + 1)] = (char)draw(256); /* spoilt */
+    if (!draw(10)) page.len -= draw(page.len);                      /* truncated */
+    if (!draw(10)) page.data[draw(page.len + 1)] = (char)draw(256); /* corrupted */
     return page;
 }
 
-/* ---- the two ways ---- */
+/* ---- applying a page in both ways ---- */
 
-/* The plain version, which knows every encoding. */
+/* Applies the page by the reference implementation, which supports every encoding. */
 static bool apply_items(struct amb_node *target, const struct amb_buf *page) {
     uint64_t store_revision, revision;
     cbor_item_t *body = amb_cbor_parse(page->data, page->len);
@@ -150,8 +151,8 @@
     *(bool *)arg = ok;
 }
 
-/* The node reads all changes, and this page is the response. Returns whether it was understood. */
-static bool feed(const struct amb_buf *page) {
+/* Makes the node read changes and answers with this page. Returns whether the node accepted it. */
+static bool apply_as_watch_response(const struct amb_buf *page) {
     struct amb_buf copy = {0};
     bool understood = false;
     amb_watch_read_fresh(node, note_fresh_read, &understood);
@@ -180,9 +181,9 @@
         struct amb_node *reading = node;
         seed = run * 0x9e3779b97f4a7c15u;
         for (uint64_t round = 1; round <= ROUNDS; round++) {
-            struct amb_buf page = drawn_page(round);
+            struct amb_buf page = random_page(round);
             bool plain = is_plain(&page);
-            bool understood = feed(&page);
+            bool understood = apply_as_watch_response(&page);
             assert_int_equal(understood, apply_items(parsing, &page));
             assert_same_jobs(parsing, reading);
             plain_pages += plain;
@@ -194,12 +195,12 @@
         end(NULL);
         node = reading;
     }
-    assert_true(plain_pages > RUNS * ROUNDS / 4); /* each way was gone often */
+    assert_true(plain_pages > RUNS * ROUNDS / 4); /* each way was taken often */
     assert_true(other_pages > RUNS * ROUNDS / 20);
     assert_true(refused > RUNS * ROUNDS / 20);
 }
 
-/* ---- what a page says ---- */
+/* ---- contents of a page ---- */
 
 struct visited {
     char text[200];
@@ -216,7 +217,7 @@
     (void)state;
     static const struct {
         const char *what, *page; /* CBOR in hexadecimal digits */
-        const char *visited;     /* NULL: not a plain page */
+        const char *visited;     /* NULL: not a page in the plain encodings */
     } rows[] = {
         {"no changes", "a2 6565706f6368 07 646e657773 80", ""},
         {"fields in another order", "a2 646e657773 80 6565706f6368 07", ""},
@@ -225,7 +226,7 @@
          "a2 6565706f6368 07 646e657773 82 a3 63707574 6161 657374616d70 05 6576616c7565 a0"
          " a2 6672656d6f7665 6162 657374616d70 06",
          "a@5:1 b@6:0 "},
-        {"the second is odd",
+        {"the second is not in a plain encoding",
          "a2 6565706f6368 07 646e657773 82 a3 63707574 6161 657374616d70 05 6576616c7565 a0"
          " a2 6672656d6f7665 6162 657374616d70 20",
          NULL},
--- a/tests/codec/test_codec.c
+++ b/tests/codec/test_codec.c
@@ -1,12 +1,12 @@
-/* Messages: what is taken, what is refused, and that no bytes can hurt. */
+/* CBOR messages: which are accepted, which are rejected, and that malformed bytes do no harm. */
 #include "amberpin/codec/messages.h"
 #include "check.h"
 
-enum scale_out_choice { K_TEXT, K_NUM, K_UINT, K_BOOL, K_NULL, K_LIST, K_NEG };
+enum field_kind { K_TEXT, K_NUM, K_UINT, K_BOOL, K_NULL, K_LIST, K_NEG };
 
 struct field {
     const char *key;
-    enum scale_out_choice kind;
+    enum field_kind kind;
     const char *text;
     double num;
 };
@@ -37,7 +37,7 @@
     }
 }
 
-/* The good job with one field changed, or left out when the change has no key. */
+/* Decodes the valid job with one field changed, or left out if `change` is NULL. */
 static enum amb_codec_result parse_with(const char *key, const struct field *change,
                                         struct amb_job_spec *out) {
     struct amb_buf buffer = {0};
@@ -125,8 +125,8 @@
     }
 }
 
-/* Lists and maps that claim far more than the body holds must not make room for it. The sanitizer refuses a
- * single allocation of that size, so this fails without the check. */
+/* Lists and maps that claim far more items than the body holds must not cause an allocation of that size. The
+ * sanitizer rejects such an allocation, so this test fails without the check. */
 static void absurd_lengths_take_no_memory(void **state) {
     (void)state;
     static const struct {
@@ -143,7 +143,7 @@
         if (amb_cbor_parse(rows[i].bytes, rows[i].len)) fail_msg("row %zu", i);
 }
 
-/* A report, cut short and with each byte changed in turn: read or refused, never a crash. */
+/* A heartbeat that is truncated, or has any one byte changed, is accepted or rejected without a crash. */
 static void heartbeats_survive_damage(void **state) {
     (void)state;
     struct amb_buf buffer = {0};
@@ -199,7 +199,7 @@
     amb_buf_free(&buffer);
 }
 
-/* ---- reports read straight from their bytes, against the plain reading of the same bytes ---- */
+/* ---- heartbeats: the fast path against the slow path ---- */
 
 static uint32_t draw(uint32_t below) {
     static uint32_t seed = 2463534242u;
@@ -211,8 +211,8 @@
     return words[draw((uint32_t)count)];
 }
 
-/* Any value, sensible or not, in an encoding that a worker may use. */
-static void put_drawn_scalar(struct amb_buf *buffer) {
+/* Appends a random scalar, valid or not, in an encoding that an agent may use. */
+static void put_random_scalar(struct amb_buf *buffer) {
     static const char *const texts[] = {"running",  "exited", "done", "m-000231",    "",     "wk-000412/3",
                                         "wk-1/1x",  "a b",    "g8",   "caf\xc3\xa9", "\xff", "fetching",
                                         "wk-1/070", "wk-1",   "no",   "wk-1/100000"};
@@ -238,29 +238,30 @@
     }
 }
 
-static void put_drawn_value(struct amb_buf *buffer) {
+static void put_random_value(struct amb_buf *buffer) {
     uint32_t luck = draw(9);
     if (luck >= 7) {
         amb_cbor_write_map(buffer, 1);
         amb_cbor_write_string(buffer, "x");
     }
     if (luck >= 6) amb_cbor_write_list(buffer, 2);
-    if (luck >= 6) put_drawn_scalar(buffer);
-    put_drawn_scalar(buffer);
+    if (luck >= 6) put_random_scalar(buffer);
+    put_random_scalar(buffer);
 }
 
-/* A pair as it should be, or now and then with another key or value, or left out. Returns how many it put. */
-static size_t put_drawn_pair(struct amb_buf *buffer, uint32_t odds, const char *key,
-                             const struct field *value) {
+/* Appends a pair, which is sometimes left out or has another key or value. Returns the number of pairs
+ * appended. */
+static size_t put_random_pair(struct amb_buf *buffer, uint32_t odds, const char *key,
+                              const struct field *value) {
     static const char *const keys[] = {"rig", "legs", "try", "leg", "zz", "", "stance", "watch"};
     uint32_t luck = odds ? draw(odds) : 5;
     if (luck == 0) return 0;
     if (luck == 1) {
         amb_cbor_write_string(buffer, pick(keys, ROWS(keys)));
-        put_drawn_value(buffer);
+        put_random_value(buffer);
     } else if (luck == 2) {
         amb_cbor_write_string(buffer, key);
-        put_drawn_value(buffer);
+        put_random_value(buffer);
     } else {
         struct field field = *value;
         field.key = key;
@@ -269,7 +270,7 @@
     return 1;
 }
 
-static void put_drawn_task(struct amb_buf *list, uint32_t odds) {
+static void put_random_task(struct amb_buf *list, uint32_t odds) {
     static const char *const states[] = {"fetching", "waiting", "running", "saving", "exited"};
     static const char *const causes[] = {"done", "stopped", "peers", "incomplete", "error", "full", "odd"};
     char name[32];
@@ -281,13 +282,13 @@
                                    {"cause", K_TEXT, pick(causes, ROWS(causes)), 0},
                                    {"stored", K_BOOL, "", draw(2)}};
     size_t pairs = 0, most = draw(3) ? 3 : ROWS(fields);
-    for (size_t i = 0; i < most; i++) pairs += put_drawn_pair(&buffer, odds, fields[i].key, &fields[i]);
+    for (size_t i = 0; i < most; i++) pairs += put_random_pair(&buffer, odds, fields[i].key, &fields[i]);
     amb_cbor_write_map(list, pairs);
     if (buffer.len) amb_buf_append(list, buffer.data, buffer.len);
     amb_buf_free(&buffer);
 }
 
-static void put_drawn_heartbeat(struct amb_buf *out, uint32_t odds) {
+static void put_random_heartbeat(struct amb_buf *out, uint32_t odds) {
     struct amb_buf buffer = {0};
     const struct field fields[] = {{"rig", K_TEXT, "m-000231", 0},
                                    {"address", K_TEXT, "10.1.0.232:9000", 0},
@@ -301,14 +302,14 @@
     size_t pairs = 0, first = draw(ROWS(fields));
     for (size_t i = 0; i < ROWS(fields); i++) {
         const struct field *field = &fields[(first + i) % ROWS(fields)];
-        pairs += put_drawn_pair(&buffer, odds, field->key, field);
+        pairs += put_random_pair(&buffer, odds, field->key, field);
     }
     if (draw(20)) {
         uint32_t tasks = draw(6);
         pairs++;
         amb_cbor_write_string(&buffer, "legs");
         amb_cbor_write_list(&buffer, tasks);
-        for (uint32_t i = 0; i < tasks; i++) put_drawn_task(&buffer, odds);
+        for (uint32_t i = 0; i < tasks; i++) put_random_task(&buffer, odds);
     }
     amb_cbor_write_map(out, pairs);
     amb_buf_append(out, buffer.data, buffer.len);
@@ -336,10 +337,10 @@
     }
 }
 
-/* Whether the quick reading took it. */
+/* Decodes the bytes by both paths and compares the results. Returns whether the fast path accepted them. */
 static bool compare_readings(const char *data, size_t len, enum amb_codec_result *result) {
     struct amb_agent_heartbeat quick, full;
-    char *copy = malloc(len ? len : 1); /* of just this size, so that the sanitizer sees any read beyond */
+    char *copy = malloc(len ? len : 1); /* of exact size, so that the sanitizer detects reads beyond it */
     memcpy(copy, data, len);
     cbor_item_t *item = amb_cbor_parse(copy, len);
     *result = amb_codec_decode_heartbeat_item(item, &full);
@@ -365,29 +366,29 @@
     (void)state;
     static const struct {
         const char *what;
-        uint32_t odds; /* one pair in so many is out of order; 0: none */
+        uint32_t odds; /* one pair in `odds` is faulty; 0: none */
         bool damaged;
-        size_t taken_least, taken_most; /* of 10000 */
-    } rows[] = {{"as workers send them", 0, false, 4000, 9990},
-                {"now and then odd", 60, false, 1000, 8000},
-                {"odd", 12, false, 50, 5000},
+        size_t min_taken, max_taken; /* of 10000 heartbeats */
+    } rows[] = {{"as agents send them", 0, false, 4000, 9990},
+                {"sometimes faulty", 60, false, 1000, 8000},
+                {"often faulty", 12, false, 50, 5000},
                 {"damaged", 0, true, 500, 8000}};
     for (size_t row = 0; row < ROWS(rows); row++) {
         size_t taken = 0, good = 0;
         for (int i = 0; i < 10000; i++) {
             struct amb_buf buffer = {0};
             enum amb_codec_result result;
-            put_drawn_heartbeat(&buffer, rows[row].odds);
+            put_random_heartbeat(&buffer, rows[row].odds);
             if (rows[row].damaged) buffer.data[draw((uint32_t)buffer.len)] = (char)draw(256);
             if (rows[row].damaged && !draw(4)) buffer.len = draw((uint32_t)buffer.len + 1);
             taken += compare_readings(buffer.data, buffer.len, &result);
             good += result == AMB_CODEC_OK;
-            /* What workers send is never left to the slow way. */
+            /* The fast path accepts every valid heartbeat in the encoding that agents use. */
             if (!row && result == AMB_CODEC_OK) assert_int_equal(taken, good);
             amb_buf_free(&buffer);
         }
-        if (taken < rows[row].taken_least || taken > rows[row].taken_most || good < taken)
-            fail_msg("%s: %zu taken, %zu good", rows[row].what, taken, good);
+        if (taken < rows[row].min_taken || taken > rows[row].max_taken || good < taken)
+            fail_msg("%s: %zu accepted by the fast path, %zu valid", rows[row].what, taken, good);
     }
 }
 
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -1,5 +1,5 @@
-/* Which format nodes of two versions use: what is announced, when the leader writes it down for good, and
- * that nobody uses the newer one before. */
+/* The format version that controllers of two program versions use: what they announce, when the leader
+ * records the newer one permanently, and that no controller uses it before. */
 #include "amberpin/election/format_version.h"
 #include "check.h"
 #include "fake_http.h"
@@ -29,8 +29,9 @@
     teardown(NULL);
 }
 
-/* A peer's message; format 0: it names none, as the first version does. */
-static void hear(uint32_t peer, int format) {
+/* Applies a message of a peer. format 0: the message has no format version, like those of the first
+ * version. */
+static void receive_peer_message(uint32_t peer, int format) {
     json_t *said = json_pack("{s:b, s:I, s:b, s:b, s:b}", "loaded", 1, "term", (json_int_t)TERM, "leading", 0,
                              "store", 1, "reports_arrive", 0);
     if (format) json_object_set_new(said, "format", json_integer(format));
@@ -38,7 +39,7 @@
     json_decref(said);
 }
 
-static void answer_epoch(struct fake_call *call) {
+static void answer_commit(struct fake_call *call) {
     struct amb_buf body = {0};
     amb_cbor_write_map(&body, 1);
     amb_cbor_write_string(&body, "epoch");
@@ -56,7 +57,7 @@
     return value;
 }
 
-static void news_of_key(int format) {
+static void receive_key_change(int format) {
     cbor_item_t *value = format_value(format);
     amb_format_apply_key(node, value);
     cbor_decref(&value);
@@ -93,27 +94,27 @@
     }
 }
 
-/* Words of the two peers in turn: peer, format. */
-struct word {
+/* A format version announced by one of the two peers. */
+struct announcement {
     uint32_t peer;
     int format;
 };
 
-static void written_when_all_have_said_so(void **state) {
+static void written_when_all_peers_support_it(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        struct word words[4];
+        struct announcement announcements[4];
         uint32_t count;
         bool upgrade_over, follows, held, loading, known_old, writes;
     } rows[] = {
-        {"nobody heard", {{0, 0}}, 0, .known_old = false, .writes = false},
-        {"one heard, new", {{0, 2}}, 1, .known_old = false, .writes = false},
-        {"one heard, old", {{0, 0}}, 1, .known_old = true, .writes = false},
+        {"no peer has sent a message", {{0, 0}}, 0, .known_old = false, .writes = false},
+        {"one peer, new", {{0, 2}}, 1, .known_old = false, .writes = false},
+        {"one peer, old", {{0, 0}}, 1, .known_old = true, .writes = false},
         {"one new, one old", {{0, 2}, {1, 0}}, 2, .known_old = true, .writes = false},
-        {"one old by name", {{0, 2}, {1, 1}}, 2, .known_old = true, .writes = false},
+        {"one announces format 1", {{0, 2}, {1, 1}}, 2, .known_old = true, .writes = false},
         {"both new", {{0, 2}, {1, 2}}, 2, .known_old = false, .writes = true},
-        {"both of a version to come", {{0, 3}, {1, 3}}, 2, .known_old = false, .writes = true},
+        {"both of a later version", {{0, 3}, {1, 3}}, 2, .known_old = false, .writes = true},
         {"old, then new", {{0, 0}, {1, 2}, {0, 2}}, 3, .known_old = false, .writes = true},
         {"new, then old", {{0, 2}, {0, 0}, {1, 2}}, 3, .known_old = true, .writes = false},
         {"both new, follows", {{0, 2}, {1, 2}}, 2, .follows = true, .known_old = false, .writes = false},
@@ -124,7 +125,12 @@
          .known_old = false,
          .writes = false},
         {"both new, held at 1", {{0, 2}, {1, 2}}, 2, .held = true, .known_old = false, .writes = false},
-        {"one unheard, upgrade over", {{0, 2}}, 1, .upgrade_over = true, .known_old = false, .writes = true},
+        {"one without a message, upgrade over",
+         {{0, 2}},
+         1,
+         .upgrade_over = true,
+         .known_old = false,
+         .writes = true},
         {"one old long ago, upgrade over",
          {{0, 0}},
          1,
@@ -134,8 +140,9 @@
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        for (uint32_t word = 0; word < rows[i].count; word++)
-            hear(rows[i].words[word].peer, rows[i].words[word].format);
+        for (uint32_t announcement = 0; announcement < rows[i].count; announcement++)
+            receive_peer_message(rows[i].announcements[announcement].peer,
+                                 rows[i].announcements[announcement].format);
         if (rows[i].upgrade_over) amb_format_complete_upgrade(node, "test");
         if (rows[i].follows) node->election.role = AMB_ROLE_FOLLOWER;
         if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
@@ -153,70 +160,70 @@
 static void key_is_guarded(void **state) {
     (void)state;
     begin();
-    hear(0, 2);
-    hear(1, 2);
+    receive_peer_message(0, 2);
+    receive_peer_message(1, 2);
     amb_format_tick(node, amb_now());
     struct fake_call *commit = fake_open_call("/commit");
     assert_non_null(commit);
     uint64_t lease, format;
     const cbor_item_t *value = fake_txn_put(commit, "a/format", &lease);
     assert_true(amb_cbor_get_uint(amb_cbor_map_get(value, "format"), &format) && format == 2);
-    assert_int_equal(lease, 0); /* it stays when its writer ends */
+    assert_int_equal(lease, 0); /* the key outlives its writer */
     assert_int_equal(fake_txn_compared_revision(commit, "a/leader"), TERM);
     assert_int_equal(fake_txn_compared_revision(commit, "a/format"), 0);
     end();
 }
 
-/* In use only once the key is known to stand there; never again out of use. */
+/* The newer format is in use only once the key is known to exist, and stays in use from then on. */
 static void in_use_once_written(void **state) {
     (void)state;
     static const struct {
         const char *what;
         int status;
         bool held;
-        int news; /* what the key then says; 0: no news */
+        int received; /* value of the key that is then received; 0: none */
         enum amb_format in_use;
         bool again; /* the write is sent once more */
     } rows[] = {
         {"written", 200, false, 0, AMB_FORMAT_2, false},
         {"no answer", 0, false, 0, AMB_FORMAT_1, true},
-        {"no answer, but news", 0, false, 2, AMB_FORMAT_2, false},
-        {"refused, somebody else wrote it", 409, false, 2, AMB_FORMAT_2, false},
+        {"no answer, but a change of the key", 0, false, 2, AMB_FORMAT_2, false},
+        {"rejected, another node wrote it", 409, false, 2, AMB_FORMAT_2, false},
         {"too many changes", 429, false, 0, AMB_FORMAT_1, true},
         {"outage", 503, false, 0, AMB_FORMAT_1, true},
-        {"a version to come wrote it", 409, false, 3, AMB_FORMAT_2, false},
+        {"a later version wrote it", 409, false, 3, AMB_FORMAT_2, false},
         {"an older node ignores it", 409, true, 2, AMB_FORMAT_1, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
-        hear(0, 2);
-        hear(1, 2);
+        receive_peer_message(0, 2);
+        receive_peer_message(1, 2);
         amb_format_tick(node, amb_now());
         struct fake_call *commit = fake_open_call("/commit");
         assert_non_null(commit);
         if (rows[i].status == 200)
-            answer_epoch(commit);
+            answer_commit(commit);
         else
             fake_answer(commit, rows[i].status, NULL);
         if (rows[i].held) node->formats.test_override = AMB_FORMAT_1;
-        if (rows[i].news) news_of_key(rows[i].news);
+        if (rows[i].received) receive_key_change(rows[i].received);
         if (amb_format_active(node) != rows[i].in_use)
             fail_msg("%s: %d in use", rows[i].what, (int)amb_format_active(node));
         node->store.throttled_until = 0;
         amb_format_tick(node, amb_now() + 60000);
         if (fake_count_open_calls("POST", "/commit") != rows[i].again) fail_msg("%s: again", rows[i].what);
-        /* A late message of an ended process, or news that the key is gone, take nothing back. */
-        hear(0, 0);
+        /* Neither a late message of an ended process nor the removal of the key reverts the format. */
+        receive_peer_message(0, 0);
         amb_format_apply_key(node, NULL);
-        news_of_key(1);
-        if (amb_format_active(node) != rows[i].in_use) fail_msg("%s: taken back", rows[i].what);
+        receive_key_change(1);
+        if (amb_format_active(node) != rows[i].in_use) fail_msg("%s: reverted", rows[i].what);
         if (rows[i].in_use == AMB_FORMAT_2 && amb_format_has_older_peer(node))
-            fail_msg("%s: an old node where none can be", rows[i].what);
+            fail_msg("%s: an older peer is assumed where none can exist", rows[i].what);
         end();
     }
 }
 
-/* A node that begins learns it with its first listing. */
+/* A node that starts reads the format in its first listing. */
 static void read_at_the_start(void **state) {
     (void)state;
     begin();
@@ -241,13 +248,13 @@
     end();
 }
 
-/* A node that has seen the lowered limits tells the others, which go by them from then on. */
+/* A node that has observed lowered limits tells its peers, which apply them from then on. */
 static void lowered_limits_are_told(void **state) {
     (void)state;
     static const struct {
         const char *what;
         bool leads, announced;
-        double own, users; /* changes a second then */
+        double own, users; /* writes per second afterwards */
     } rows[] = {
         {"the leader", true, true, 300, 300},
         {"another node", false, true, 100, 300},
@@ -260,7 +267,7 @@
         amb_store_set_leadership(&node->store, rows[i].leads);
         json_t *before = peer_reply_json(node, 0);
         assert_null(json_object_get(before, "limits_lowered"));
-        hear(0, 2);
+        receive_peer_message(0, 2);
         assert_false(node->store.limits_lowered);
         json_object_set_new(before, "limits_lowered", json_true());
         apply_peer_json(node, &node->peers.list[0], before, 0);
@@ -274,7 +281,7 @@
         json_t *after = peer_reply_json(node, 0);
         assert_true(json_is_true(json_object_get(after, "limits_lowered")));
         json_decref(after);
-        hear(0, 2); /* a node that has not seen it yet takes nothing back */
+        receive_peer_message(0, 2); /* a peer that has not observed it yet does not revert it */
         amb_store_set_leadership(&node->store, !rows[i].leads);
         assert_float_equal(store->user_write_bucket.tokens_per_second, rows[i].users, 1e-9);
         end();
@@ -283,7 +290,7 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(announced),         cmocka_unit_test(written_when_all_have_said_so),
+        cmocka_unit_test(announced),         cmocka_unit_test(written_when_all_peers_support_it),
         cmocka_unit_test(key_is_guarded),    cmocka_unit_test(in_use_once_written),
         cmocka_unit_test(read_at_the_start), cmocka_unit_test(lowered_limits_are_told),
     };
--- a/tests/codec/test_peer_messages.c
+++ b/tests/codec/test_peer_messages.c
@@ -1,4 +1,5 @@
-/* Messages between controllers: the names on the wire, what is refused and why, and what is skipped. */
+/* Messages between controllers: names on the wire, which messages are rejected and why, and what is
+ * skipped. */
 #include "amberpin/codec/peer_messages.h"
 
 #include "check.h"
@@ -155,7 +156,7 @@
     }
 }
 
-/* Rows that are malformed are skipped, those around them are not. */
+/* A malformed row is skipped without its neighbours. */
 static void rows_are_skipped_one_by_one(void **state) {
     (void)state;
     struct amb_peer_message *message =
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -1,5 +1,5 @@
-/* The form of blocks of placements and results: keys, sizes, which block counts, and the text of values. The
- * rows of the first format are what the version in production reads and writes. */
+/* Placement blocks: their keys, sizes, precedence and values. The rows of the first format are what the
+ * version in production reads and writes. */
 #include "amberpin/codec/cbor_reader.h"
 #include "amberpin/codec/messages.h"
 #include "amberpin/codec/placement_block.h"
@@ -75,7 +75,7 @@
         char ref[AMB_NAME_SIZE] = "", key[AMB_BLOCK_KEY_SIZE];
         struct amb_placement_block_id id;
         bool ok = amb_placement_key_parse(rows[i].key, ref, &id);
-        if (ok != (rows[i].ref != NULL)) fail_msg("%s: %s", rows[i].key, ok ? "taken" : "refused");
+        if (ok != (rows[i].ref != NULL)) fail_msg("%s: %s", rows[i].key, ok ? "accepted" : "rejected");
         if (!ok) continue;
         assert_string_equal(ref, rows[i].ref);
         assert_memory_equal(&id, &rows[i].id, sizeof id);
@@ -84,8 +84,8 @@
     }
 }
 
-/* The block of fewer tasks counts, the first format's never over the second's; and a listing gives first what
- * counts. */
+/* The block with fewer tasks takes precedence, but a block of the first format never does over one of the
+ * second. The block that takes precedence comes first in a listing. */
 static void precedence(void **state) {
     (void)state;
     static const struct {
@@ -191,7 +191,7 @@
     return value;
 }
 
-/* Byte for byte what the first version writes. */
+/* Values are byte for byte what the first version writes. */
 static void value(void **state) {
     (void)state;
     static const char want[] =
@@ -209,8 +209,8 @@
     amb_buf_free(&expected);
 }
 
-/* Blocks full of placements: of the first format however long its entries are, of the second with those of a
- * large fleet. */
+/* A full block fits into a value: in the first format with the longest possible entries, in the second with
+ * those of a large fleet. */
 static void full_blocks_fit(void **state) {
     (void)state;
     static const struct {
@@ -243,7 +243,8 @@
     }
 }
 
-/* Sizes are counted in JSON: never fewer bytes than it takes, with blanks after separators, and few more. */
+/* The size as JSON is never underestimated, even with blanks after separators, and only slightly
+ * overestimated. */
 static void json_sizes(void **state) {
     (void)state;
     static const char *const rows[] = {
@@ -267,7 +268,7 @@
         if (size < want || size > want + 32 + want / 4) fail_msg("%s: %zu of %zu", rows[i], size, want);
         amb_buf_free(&buffer);
     }
-    /* What the quick reader does not know is overestimated. */
+    /* The size of anything that the reader does not support is overestimated. */
     static const char umlauts[] =
         "\x68\xc3\xa4\xc3\xa4\xc3\xa4\xc3\xa4"; /* four letters, six bytes each in JSON */
     assert_true(amb_cbor_json_size(umlauts, sizeof umlauts - 1) >= 2 + 4 * 6);
--- a/tests/codec/test_user_messages.c
+++ b/tests/codec/test_user_messages.c
@@ -1,5 +1,5 @@
-/* Users' messages: what a path and a method ask for, which field of a submission is at fault, and what is
- * told of a job. */
+/* Messages of users: the operation for a path and method, the field at fault in a submission, and the status
+ * of a job. */
 #include "amberpin/codec/user_messages.h"
 #include "check.h"
 #include "json_cbor.h"
@@ -9,7 +9,7 @@
     static const struct {
         const char *method, *path;
         enum amb_user_route_result result;
-        enum amb_user_operation operation; /* of a route that is found */
+        enum amb_user_operation operation; /* if the route is found */
         const char *job_ref;
     } rows[] = {
         {"POST", "/v1/jobs", AMB_USER_ROUTE_FOUND, AMB_USER_SUBMIT, ""},
@@ -53,8 +53,8 @@
     return job;
 }
 
-/* Decodes the good submission with one field changed; change NULL: left out. The submission's parts are
- * freed, and only whether they were there is left. */
+/* Decodes the valid submission with one field changed, or left out if `change` is NULL. The parts of the
+ * result are freed; only whether they are NULL may be read. */
 static struct amb_submission_error decode_changed(const char *field, const char *change,
                                                   struct amb_submission *submission) {
     json_t *job = good_submission();
@@ -75,7 +75,7 @@
 static void errors_name_the_field(void **state) {
     (void)state;
     static const struct {
-        const char *field, *change; /* change NULL: left out */
+        const char *field, *change; /* change NULL: the field is left out */
         enum amb_submission_problem problem;
     } rows[] = {
         {NULL, NULL, AMB_SUBMISSION_VALID},
--- a/tests/config/test_limits.c
+++ b/tests/config/test_limits.c
@@ -1,5 +1,5 @@
-/* What tasks that are not proven absent leave of zones and spread, when it is not known where all of them
- * are. */
+/* Zone limits of a job (one zone, or spread over zones) while some of its tasks are not proven absent, or are
+ * on machines whose zone is unknown. */
 #include "amberpin/scheduler/cycle.h"
 #include "check.h"
 #include "node_fixture.h"
@@ -8,7 +8,7 @@
 
 enum { A, B, UNKNOWN = -1 };
 
-/* A node that leads, with a team that has its turn, and two zones. */
+/* Sets up a leader with two zones, and teams that are prepared for scheduling. */
 static void begin(void) {
     setup(NULL);
     amb_wdrr_prepare(node->settings.teams, node->settings.team_count, true);
@@ -16,7 +16,7 @@
     amb_catalog_find_or_add_zone(&node->catalog, "b");
 }
 
-/* A machine that has shown our token, in this zone. */
+/* Adds a machine in this zone that has shown our fencing token. */
 static struct amb_machine *machine_in(const char *name, int zone) {
     deliver_heartbeat(name, 1, 1, TERM, amb_now(), NULL, 0);
     struct amb_machine *machine = amb_machine_get(node, name, false);
@@ -47,8 +47,8 @@
         uint32_t tasks;
         int on_record[3];
         uint32_t count;
-        uint32_t want_a, want_b; /* tasks in each zone then, of those whose zone is known */
-        bool either;             /* or the other way round */
+        uint32_t want_a, want_b; /* resulting tasks per zone, of those whose zone is known */
+        bool either;             /* the zones may be swapped */
     } rows[] = {
         {"array bound to one zone, nothing placed yet",
          AMB_JOB_KIND_ARRAY,
@@ -62,7 +62,7 @@
          true},
         {"array with a task in a", AMB_JOB_KIND_ARRAY, true, false, 4, {A}, 1, 4, 0, false},
         {"array with a task in b", AMB_JOB_KIND_ARRAY, true, false, 4, {B}, 1, 0, 4, false},
-        {"array on record in both: a block names tasks long gone",
+        {"array on record in both: a block still names tasks that are gone",
          AMB_JOB_KIND_ARRAY,
          true,
          false,
@@ -72,7 +72,7 @@
          1,
          1,
          false},
-        {"array with a task nobody knows where",
+        {"array with a task in an unknown zone",
          AMB_JOB_KIND_ARRAY,
          true,
          false,
@@ -82,7 +82,7 @@
          0,
          0,
          false},
-        {"array with one in a and one nobody knows where",
+        {"array with one in a and one in an unknown zone",
          AMB_JOB_KIND_ARRAY,
          true,
          false,
@@ -143,8 +143,8 @@
     }
 }
 
-/* A task of an earlier leader that its machine does not report starts there only if its limits surely hold.
- */
+/* A task placed by an earlier leader that its machine does not list is started there only if its zone limits
+ * hold for certain. */
 static void restarts(void **state) {
     (void)state;
     static const struct {
@@ -158,10 +158,10 @@
         {"alone in its zone", true, false, 4, {0}, 0, true},
         {"with another in its zone", true, false, 4, {A}, 1, true},
         {"another in the other zone", true, false, 4, {B}, 1, false},
-        {"another nobody knows where", true, false, 4, {UNKNOWN}, 1, false},
+        {"another in an unknown zone", true, false, 4, {UNKNOWN}, 1, false},
         {"spread: one more in its zone", false, true, 4, {A}, 1, true},
         {"spread: two more in its zone", false, true, 4, {A, A}, 2, false},
-        {"spread: one more there, one nobody knows where", false, true, 4, {A, UNKNOWN}, 2, false},
+        {"spread: one more there, one in an unknown zone", false, true, 4, {A, UNKNOWN}, 2, false},
         {"spread: one more there, one in the other zone", false, true, 4, {A, B}, 2, true},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
@@ -178,7 +178,7 @@
     }
 }
 
-/* Whoever tells of a machine's zone first: what is on record there counts in it from then on, once. */
+/* The first zone reported for a machine is kept, and the tasks on record there are counted in it once. */
 static void zone_learned_late(void **state) {
     (void)state;
     begin();
--- a/tests/config/test_settings.c
+++ b/tests/config/test_settings.c
@@ -1,11 +1,12 @@
-/* Settings: the platform's TOML and the operators' XML, each with its complaints. */
+/* The platform's settings (TOML) and the operators' options (XML): valid files, and the errors of invalid
+ * ones. */
 #include "amberpin/config/options.h"
 #include "amberpin/config/settings.h"
 #include "check.h"
 
 #include <unistd.h>
 
-static char *slurp(const char *path) {
+static char *read_file(const char *path) {
     FILE *file = fopen(path, "r");
     assert_non_null(file);
     char *text = calloc(1, 65536);
@@ -15,7 +16,7 @@
     return text;
 }
 
-static void spill(char *path, const char *text) {
+static void write_temp_file(char *path, const char *text) {
     strcpy(path, "/tmp/amberpin-test-XXXXXX");
     int fd = mkstemp(path);
     assert_true(fd >= 0);
@@ -39,7 +40,7 @@
     assert_string_equal(settings.objectives[0].class_name, "train");
 }
 
-/* What the state service will allow: as announced, or as now. */
+/* The lowered limits of the state service: those announced, or else the present ones. */
 static void lowered_limits(void **state) {
     (void)state;
     static const struct {
@@ -51,10 +52,10 @@
         {"an empty table", "[params.state.next]\n", {20, 8, 8}},
         {"values alone", "[params.state.next]\nvalue_kb = 2\n", {20, 2, 8}},
         {"the rate alone", "[params.state.next]\nwrite_rps = 15\n", {15, 8, 8}},
-        {"raised", "[params.state.next]\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 9\n", {20, 8, 8}},
+        {"higher limits", "[params.state.next]\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 9\n", {20, 8, 8}},
     };
     static const char announcement[] = "[params.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4\n";
-    char *good = slurp("tests/data/good.toml");
+    char *good = read_file("tests/data/good.toml");
     char *at = strstr(good, announcement);
     assert_non_null(at);
     for (size_t i = 0; i < ROWS(rows); i++) {
@@ -63,7 +64,7 @@
         struct amb_config_error error;
         snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good, rows[i].announced,
                  at + strlen(announcement));
-        spill(path, text);
+        write_temp_file(path, text);
         if (amb_settings_load(path, &settings, &error)) fail_msg("%s: %s", rows[i].what, error.text);
         unlink(path);
         struct amb_store_limits got = amb_settings_lowered_limits(&settings);
@@ -75,11 +76,12 @@
     free(good);
 }
 
-/* Starts aimed at sooner than reports allow for once waited for the leader's own turns. */
+/* Guards against jobs with a start objective shorter than the heartbeat interval allows waiting for
+ * scheduling cycles. */
 static void cycle_follows_the_shortest_start(void **state) {
     (void)state;
     static const struct {
-        double report_s, within_s[2], want;
+        double heartbeat_interval_s, within_s[2], want;
     } rows[] = {
         {1, {0, 0}, 1},   {1, {12, 30}, 1},     {4, {40, 10}, 1},
         {4, {40, 80}, 4}, {2.5, {25, 50}, 2.5}, {4, {1, 0}, 1},
@@ -87,19 +89,19 @@
     for (size_t i = 0; i < ROWS(rows); i++) {
         static struct amb_settings settings;
         memset(&settings, 0, sizeof settings);
-        settings.heartbeat_s = rows[i].report_s;
+        settings.heartbeat_s = rows[i].heartbeat_interval_s;
         for (size_t k = 0; k < 2 && rows[i].within_s[k] > 0; k++) {
             struct amb_objective *objective = &settings.objectives[settings.objective_count++];
             strcpy(objective->kind, "wait");
             objective->within_s = rows[i].within_s[k];
         }
-        strcpy(settings.objectives[settings.objective_count++].kind, "guarantee"); /* no start's aim */
+        strcpy(settings.objectives[settings.objective_count++].kind, "guarantee"); /* not a start objective */
         if (amb_settings_cycle_s(&settings) != rows[i].want)
             fail_msg("row %zu: %g", i, amb_settings_cycle_s(&settings));
     }
 }
 
-static void bad_settings_are_named(void **state) {
+static void errors_name_the_setting(void **state) {
     (void)state;
     static const struct {
         const char *from, *to, *complaint;
@@ -124,14 +126,14 @@
         {"addr = \"127.0.0.1:9\"", "", "others[]: needs member and addr", AMB_CONFIG_MISSING_VALUE},
         {"[endpoints]", "[endpoints", "line", AMB_CONFIG_SYNTAX},
     };
-    char *good = slurp("tests/data/good.toml");
+    char *good = read_file("tests/data/good.toml");
     for (size_t i = 0; i < ROWS(rows); i++) {
         char text[65536], path[64];
         char *at = strstr(good, rows[i].from);
         assert_non_null(at);
         snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good, rows[i].to,
                  at + strlen(rows[i].from));
-        spill(path, text);
+        write_temp_file(path, text);
         struct amb_settings settings;
         struct amb_config_error error;
         enum amb_config_problem problem = amb_settings_load(path, &settings, &error);
@@ -150,7 +152,7 @@
     (void)state;
     static const struct {
         const char *xml;
-        const char *complaint; /* NULL: fine */
+        const char *complaint; /* NULL: valid */
         enum amb_config_problem problem;
     } rows[] = {
         {"<amberpin/>", NULL, AMB_CONFIG_VALID},
@@ -182,7 +184,7 @@
         struct amb_config_error error;
         struct amb_options options;
         amb_options_set_defaults(&options);
-        spill(path, rows[i].xml);
+        write_temp_file(path, rows[i].xml);
         enum amb_config_problem problem = amb_options_load(path, &options, &error);
         unlink(path);
         if (problem != rows[i].problem || (rows[i].complaint && !strstr(error.text, rows[i].complaint)))
@@ -195,7 +197,7 @@
     amb_options_set_defaults(&normal);
     memset(&sample, 0, sizeof sample);
     if (amb_options_load("deploy/options.xml", &sample, &error)) fail_msg("%s", error.text);
-    assert_memory_equal(&normal, &sample, sizeof normal); /* the sample states every default */
+    assert_memory_equal(&normal, &sample, sizeof normal); /* the sample file states every default */
 }
 
 int main(void) {
@@ -203,7 +205,7 @@
         cmocka_unit_test(good_settings_load),
         cmocka_unit_test(lowered_limits),
         cmocka_unit_test(cycle_follows_the_shortest_start),
-        cmocka_unit_test(bad_settings_are_named),
+        cmocka_unit_test(errors_name_the_setting),
         cmocka_unit_test(options),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/http/test_http.c
+++ b/tests/http/test_http.c
@@ -1,13 +1,13 @@
-/* The HTTP parser: a table of inputs, and the same inputs broken in every place. */
+/* The HTTP parser: a table of inputs, and the same inputs truncated and corrupted at every byte. */
 #include "amberpin/http/parser.h"
 #include "check.h"
 
-enum { WHOLE = 1 }; /* all of the input is taken */
+enum { WHOLE = 1 }; /* the whole input is one message */
 
 struct row {
     const char *what, *input;
     bool response;
-    long result; /* WHOLE; 0: more is needed; negative: status */
+    long result; /* WHOLE; 0: more input is needed; negative: negated status */
     const char *method, *path;
     size_t body;
     bool close;
@@ -44,7 +44,7 @@
     {"not a response", "HTTP/1.1 abc\r\n\r\n", true, -400, 0, 0, 0, false},
 };
 
-static void parses(void **state) {
+static void valid_and_invalid_messages(void **state) {
     (void)state;
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct row *row = &rows[i];
@@ -62,9 +62,9 @@
     }
 }
 
-/* Whatever a byte is changed to, and wherever the input ends, the parser stays within it and says one of
- * its three things. The input is copied so that the sanitizer sees a read past its end. */
-static void survives(void **state) {
+/* Whatever a byte is changed to, and wherever the input ends, the parser does not read beyond the input and
+ * returns one of its three results. The input is copied so that the sanitizer detects a read past its end. */
+static void corrupted_input_is_handled(void **state) {
     (void)state;
     static const unsigned char bytes[] = {0, '\r', '\n', ' ', ':', 127, 255, '9'};
     for (size_t i = 0; i < ROWS(rows); i++) {
@@ -98,8 +98,8 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(parses),
-        cmocka_unit_test(survives),
+        cmocka_unit_test(valid_and_invalid_messages),
+        cmocka_unit_test(corrupted_input_is_handled),
         cmocka_unit_test(head_is_bounded),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/http/test_http_calls.c
+++ b/tests/http/test_http_calls.c
@@ -1,5 +1,5 @@
-/* Server and client over the loop-back, in one loop: every call is answered exactly once, never from within
- * the function that makes it, whatever becomes of the connection. */
+/* Server and client over the loopback interface, in one event loop: whatever happens to the connection, each
+ * call ends exactly once, and never from within the function that makes it. */
 #include "amberpin/http/http.h"
 #include "check.h"
 
@@ -18,10 +18,10 @@
     PORTS = 20000
 };
 
-static char address[32], closed_address[32], rude_address[32];
-static int rude_listener;
+static char address[32], closed_address[32], closing_server_address[32];
+static int closing_server_listener;
 
-/* ---- the server's side ---- */
+/* ---- servers ---- */
 
 static void serve(void *arg, struct amb_http_req *request) {
     (void)arg;
@@ -30,17 +30,17 @@
         amb_http_reply(request, 404, NULL, NULL, 0, 0);
         return;
     }
-    struct amb_buf copy = {0}; /* the request is gone before the answer is written */
+    struct amb_buf copy = {0}; /* the request is freed before the response is written */
     amb_buf_append(&copy, request->body, request->body_len);
     amb_http_reply(request, 200, "text/plain", copy.data, copy.len, 0);
     amb_buf_free(&copy);
 }
 
-/* Answers one request and closes, though it did not say that it would. */
-static void serve_rudely(void) {
+/* Answers one request and closes the connection without announcing it. */
+static void serve_and_close(void) {
     static const char answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     char request[4096];
-    int fd = accept(rude_listener, NULL, NULL);
+    int fd = accept(closing_server_listener, NULL, NULL);
     assert_true(fd >= 0);
     assert_true(read(fd, request, sizeof request) > 0);
     assert_int_equal(write(fd, answer, sizeof answer - 1), sizeof answer - 1);
@@ -49,40 +49,40 @@
 
 /* ---- calls ---- */
 
-struct plan { /* calls made together; the next follow once all have been answered */
+struct plan { /* calls made at once; the next plan follows when all have ended */
     const char *what, *path;
     const char **to;
     int count;
     size_t body;
     int status;
-    amb_ms pause; /* before them */
+    amb_ms pause; /* before the calls */
 };
 
-static const char *here = address, *nowhere = closed_address, *rude = rude_address;
+static const char *server = address, *closed_port = closed_address, *closing_server = closing_server_address;
 static const struct plan plans[] = {
-    {"the first", "/echo", &here, 1, 10, 200, 0},
-    {"on the connection that is open", "/echo", &here, 1, 10, 200, 0},
-    {"again", "/echo", &here, 1, 0, 200, 0},
-    {"not found", "/other", &here, 1, 3, 404, 0},
-    {"twenty at once", "/echo", &here, 20, 1000, 200, 0},
-    {"twenty more, on open connections", "/echo", &here, 20, 1000, 200, 0},
-    {"large", "/echo", &here, 1, LARGE, 200, 0},
-    {"large again, on an open connection", "/echo", &here, 3, LARGE, 200, 0},
-    {"longer than an answer may be", "/echo", &here, 2, ANSWER_LIMIT, AMB_HTTP_RESPONSE_TOO_LARGE, 0},
-    {"after the server closed idle connections", "/echo", &here, 2, 10, 200, IDLE_MS + 500},
-    {"no answer in time", "/silent", &here, 2, 10, 0, 0},
-    {"after that", "/echo", &here, 2, 10, 200, 0},
-    {"nobody listens", "/echo", &nowhere, 3, 10, 0, 0},
-    {"a server that closes", "/echo", &rude, 1, 10, 200, 0},
-    {"on the connection that it closed", "/echo", &rude, 1, 10, 0, 0},
-    {"the last", "/echo", &here, 1, 10, 200, 0},
+    {"the first", "/echo", &server, 1, 10, 200, 0},
+    {"on the connection that is open", "/echo", &server, 1, 10, 200, 0},
+    {"again", "/echo", &server, 1, 0, 200, 0},
+    {"not found", "/other", &server, 1, 3, 404, 0},
+    {"twenty at once", "/echo", &server, 20, 1000, 200, 0},
+    {"twenty more, on open connections", "/echo", &server, 20, 1000, 200, 0},
+    {"large", "/echo", &server, 1, LARGE, 200, 0},
+    {"large again, on an open connection", "/echo", &server, 3, LARGE, 200, 0},
+    {"longer than the response limit", "/echo", &server, 2, ANSWER_LIMIT, AMB_HTTP_RESPONSE_TOO_LARGE, 0},
+    {"after the server closed idle connections", "/echo", &server, 2, 10, 200, IDLE_MS + 500},
+    {"no answer in time", "/silent", &server, 2, 10, 0, 0},
+    {"after that", "/echo", &server, 2, 10, 200, 0},
+    {"nobody listens", "/echo", &closed_port, 3, 10, 0, 0},
+    {"a server that closes", "/echo", &closing_server, 1, 10, 200, 0},
+    {"on the connection that it closed", "/echo", &closing_server, 1, 10, 0, 0},
+    {"the last", "/echo", &server, 1, 10, 200, 0},
 };
 
 static size_t current;
 static int waiting;
 static bool calling;
 static char *body;
-static struct amb_timer pause_timer, rude_timer, watchdog;
+static struct amb_timer pause_timer, closing_server_timer, watchdog;
 
 static void make_calls(void *arg);
 
@@ -91,8 +91,8 @@
     if (calling) fail_msg("%s: answered within the call", plan->what);
     if (plan != &plans[current] || waiting <= 0) fail_msg("%s: answered twice", plan->what);
     if (status != plan->status) fail_msg("%s: status %d", plan->what, status);
-    if (status == 200 && plan->to != &rude && (len != plan->body || memcmp(data, body, len)))
-        fail_msg("%s: another body", plan->what);
+    if (status == 200 && plan->to != &closing_server && (len != plan->body || memcmp(data, body, len)))
+        fail_msg("%s: wrong body", plan->what);
     if (--waiting) return;
     if (++current == ROWS(plans))
         amb_loop_stop();
@@ -100,9 +100,9 @@
         amb_timer_set_after(&pause_timer, plans[current].pause, make_calls, NULL);
 }
 
-static void rude_turn(void *arg) {
+static void on_closing_server_timer(void *arg) {
     (void)arg;
-    serve_rudely();
+    serve_and_close();
 }
 
 static void make_calls(void *arg) {
@@ -114,17 +114,18 @@
         amb_http_call(*plan->to, "POST", plan->path, "text/plain", body, plan->body,
                       plan->status ? TIMEOUT_MS : 300, answered, (void *)plan);
     calling = false;
-    if (plan->to == &rude && plan->status) amb_timer_set_after(&rude_timer, 20, rude_turn, NULL);
+    if (plan->to == &closing_server && plan->status)
+        amb_timer_set_after(&closing_server_timer, 20, on_closing_server_timer, NULL);
 }
 
-static void too_long(void *arg) {
+static void on_timeout(void *arg) {
     (void)arg;
     fail_msg("%s: not all answered", plans[current].what);
 }
 
 /* ---- set-up ---- */
 
-static int listen_somewhere(char out[32]) {
+static int listen_on_free_port(char out[32]) {
     for (int i = 0; i < PORTS; i++) {
         int port = FIRST_PORT + (getpid() * 7 + i) % PORTS, fd = socket(AF_INET, SOCK_STREAM, 0);
         struct sockaddr_in bound_address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
@@ -142,19 +143,19 @@
     amb_loop_init();
     amb_http_client_set_max_connections(64);
     amb_http_client_set_max_response_bytes(ANSWER_LIMIT);
-    rude_listener = listen_somewhere(rude_address);
-    int taken = listen_somewhere(address); /* the port, for the server to open a moment later */
+    closing_server_listener = listen_on_free_port(closing_server_address);
+    int taken = listen_on_free_port(address); /* reserves a port that the server opens a moment later */
     close(taken);
     assert_non_null(amb_server_open(address, 64, LIMIT, IDLE_MS, serve, NULL));
-    close(listen_somewhere(closed_address));
+    close(listen_on_free_port(closed_address));
     body = malloc(LIMIT);
     for (size_t i = 0; i < LIMIT; i++) body[i] = (char)('a' + i % 26);
-    amb_timer_set_after(&watchdog, 60000, too_long, NULL);
+    amb_timer_set_after(&watchdog, 60000, on_timeout, NULL);
     make_calls(NULL);
     amb_loop_run();
     assert_int_equal(current, ROWS(plans));
     free(body);
-    close(rude_listener);
+    close(closing_server_listener);
 }
 
 int main(void) {
--- a/tests/model/test_absence.c
+++ b/tests/model/test_absence.c
@@ -1,39 +1,39 @@
-/* Every sentence of "Proof of absence" in docs/safety.md as rows, and each bound just inside and just
- * outside. */
+/* Proofs of absence: rows for every sentence of "Proof of absence" in docs/safety.md, with each bound tested
+ * just inside and just outside. */
 #include "amberpin/model/absence_proof.h"
 #include "check.h"
 
 enum { TERM = 50 };
 
-static void must_be(const char *what, enum amb_absence got, enum amb_absence want) {
+static void assert_absence(const char *what, enum amb_absence got, enum amb_absence want) {
     if (got != want) fail_msg("%s: %s, not %s", what, amb_absence_name(got), amb_absence_name(want));
 }
 
-static void report_order(void **state) {
+static void heartbeat_order(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        struct amb_heartbeat_order report, newest_seen;
+        struct amb_heartbeat_order heartbeat, newest_seen;
         bool newer;
     } rows[] = {
         {"the first of all", {1, 1}, {0, 0}, true},
         {"the next", {2, 8}, {2, 7}, true},
         {"a copy of the newest", {2, 7}, {2, 7}, false},
         {"one sent before the newest", {2, 6}, {2, 7}, false},
-        {"the first of the next session", {3, 1}, {2, 7}, true},
-        {"of an earlier session, however high its number", {1, 99}, {2, 7}, false},
+        {"the first of the next incarnation", {3, 1}, {2, 7}, true},
+        {"of an earlier incarnation, however high its number", {1, 99}, {2, 7}, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        if (amb_heartbeat_order_is_newer(rows[i].report, rows[i].newest_seen) != rows[i].newer)
+        if (amb_heartbeat_order_is_newer(rows[i].heartbeat, rows[i].newest_seen) != rows[i].newer)
             fail_msg("%s: should %sbe newer", rows[i].what, rows[i].newer ? "" : "not ");
 }
 
-static void by_report(void **state) {
+static void by_heartbeat(void **state) {
     (void)state;
     static const struct {
         const char *what;
         struct amb_heartbeat_evidence
-            evidence; /* report, newest seen, its term, ours, recorded, listed, exited */
+            evidence; /* heartbeat, newest seen, its term, ours, durable, listed, exited */
         enum amb_absence want;
     } rows[] = {
         {"our token, newer, does not list it",
@@ -43,7 +43,7 @@
          {{1, 8}, {1, 7}, TERM, TERM, true, true, true},
          AMB_ABSENCE_EXITED},
         {"our token, newer, lists it", {{1, 8}, {1, 7}, TERM, TERM, true, true, false}, AMB_ABSENCE_UNPROVEN},
-        {"an earlier leader's token: what that one ordered may still arrive",
+        {"an earlier leader's token: its commands may still arrive",
          {{1, 8}, {1, 7}, TERM - 1, TERM, true, false, false},
          AMB_ABSENCE_UNPROVEN},
         {"an earlier leader's token, exited: it may be started anew",
@@ -53,30 +53,32 @@
         {"a later leader's token: we may not conclude anything",
          {{1, 8}, {1, 7}, TERM + 1, TERM, true, false, false},
          AMB_ABSENCE_UNPROVEN},
-        {"the report whose answer carried the start",
+        {"the heartbeat whose response carried the run command",
          {{1, 7}, {1, 7}, TERM, TERM, true, false, false},
          AMB_ABSENCE_UNPROVEN},
         {"one sent before that", {{1, 6}, {1, 7}, TERM, TERM, true, false, false}, AMB_ABSENCE_UNPROVEN},
-        {"of an earlier session", {{1, 99}, {2, 1}, TERM, TERM, true, false, false}, AMB_ABSENCE_UNPROVEN},
-        {"of a new session, with our token",
+        {"of an earlier incarnation",
+         {{1, 99}, {2, 1}, TERM, TERM, true, false, false},
+         AMB_ABSENCE_UNPROVEN},
+        {"of a new incarnation, with our token",
          {{2, 1}, {1, 99}, TERM, TERM, true, false, false},
          AMB_ABSENCE_NOT_IN_HEARTBEAT},
-        {"its record is still being written: nothing was ordered, and nothing is concluded",
+        {"its record is still being written: no command was sent, and nothing is concluded",
          {{1, 8}, {1, 7}, TERM, TERM, false, false, false},
          AMB_ABSENCE_UNPROVEN},
     };
     for (size_t i = 0; i < ROWS(rows); i++)
-        must_be(rows[i].what, amb_absence_by_heartbeat(&rows[i].evidence), rows[i].want);
+        assert_absence(rows[i].what, amb_absence_by_heartbeat(&rows[i].evidence), rows[i].want);
 }
 
 static void lease_span(void **state) {
     (void)state;
     static const struct {
-        double lease_s, report_s;
+        double lease_s, heartbeat_interval_s;
         amb_ms want;
     } rows[] = {{10, 1, 10350}, {22, 4, 23220}, {60, 12, 63600}};
     for (size_t i = 0; i < ROWS(rows); i++)
-        assert_int_equal(amb_absence_lease_span(rows[i].lease_s, rows[i].report_s), rows[i].want);
+        assert_int_equal(amb_absence_lease_span(rows[i].lease_s, rows[i].heartbeat_interval_s), rows[i].want);
 }
 
 static void by_lease(void **state) {
@@ -85,37 +87,42 @@
     static const struct {
         const char *what;
         bool follows;
-        amb_ms answered, fenced, deputy, read; /* how long ago; -1: never */
+        amb_ms answered, fenced, lease_proxy, read; /* how long ago; -1: never */
         enum amb_absence want;
     } rows[] = {
-        {"it follows our term, and its lease has run out", true, SPAN + 1, -1, -1, 0,
+        {"it follows our term, and its lease has expired", true, SPAN + 1, -1, -1, 0,
          AMB_ABSENCE_LEASE_EXPIRED},
         {"it follows our term; the last moment of its lease", true, SPAN, -1, -1, 0, AMB_ABSENCE_UNPROVEN},
-        {"answered anything meanwhile, a late copy too", true, 5000, -1, -1, 0, AMB_ABSENCE_UNPROVEN},
-        {"it follows our term: the peers' words are not needed, nor do they count", true, SPAN + 1, 1, -1, 0,
+        {"we have responded to it since, even if to a late duplicate", true, 5000, -1, -1, 0,
+         AMB_ABSENCE_UNPROVEN},
+        {"it follows our term: the peers' confirmations do not matter", true, SPAN + 1, 1, -1, 0,
          AMB_ABSENCE_LEASE_EXPIRED},
-        {"a deputy kept it alive until a moment ago", true, SPAN * 3, -1, SPAN, 0, AMB_ABSENCE_UNPROVEN},
-        {"the deputy was last known longer ago than a lease", true, SPAN * 3, -1, SPAN + 1, 0,
+        {"a lease proxy may have renewed its lease until a moment ago", true, SPAN * 3, -1, SPAN, 0,
+         AMB_ABSENCE_UNPROVEN},
+        {"the lease proxy was last known longer ago than a lease", true, SPAN * 3, -1, SPAN + 1, 0,
          AMB_ABSENCE_LEASE_EXPIRED},
-        {"answered after the deputy was last known", true, SPAN, -1, SPAN * 2, 0, AMB_ABSENCE_UNPROVEN},
-        {"the read was sent before the lease would have ended: a deputy may have come since", true, SPAN + 5,
+        {"answered after the lease proxy was last known", true, SPAN, -1, SPAN * 2, 0, AMB_ABSENCE_UNPROVEN},
+        {"the read was sent before the lease expired: a lease proxy may have started since", true, SPAN + 5,
          -1, -1, 6, AMB_ABSENCE_READ_NEEDED},
         {"the read was sent at its very end", true, SPAN + 5, -1, -1, 5, AMB_ABSENCE_READ_NEEDED},
         {"the read was sent just after its end", true, SPAN + 5, -1, -1, 4, AMB_ABSENCE_LEASE_EXPIRED},
-        {"the read must come after the lease that the deputy renewed", true, SPAN * 3, -1, SPAN + 5, 5,
-         AMB_ABSENCE_READ_NEEDED},
-        {"... and so it does", true, SPAN * 3, -1, SPAN + 5, 4, AMB_ABSENCE_LEASE_EXPIRED},
+        {"the read was sent before the lease renewed by the lease proxy expired", true, SPAN * 3, -1,
+         SPAN + 5, 5, AMB_ABSENCE_READ_NEEDED},
+        {"the read was sent after the lease renewed by the lease proxy expired", true, SPAN * 3, -1, SPAN + 5,
+         4, AMB_ABSENCE_LEASE_EXPIRED},
 
         {"it has not shown our token: its silence proves nothing", false, SPAN * 9, -1, -1, 0,
          AMB_ABSENCE_UNPROVEN},
-        {"... never answered by us either", false, -1, -1, -1, 0, AMB_ABSENCE_UNPROVEN},
-        {"every peer knows our term for longer than a lease", false, -1, SPAN + 1, -1, 0, AMB_ABSENCE_FENCED},
-        {"every peer knows our term for a lease", false, -1, SPAN, -1, 0, AMB_ABSENCE_UNPROVEN},
+        {"it has not shown our token, and we never answered it", false, -1, -1, -1, 0, AMB_ABSENCE_UNPROVEN},
+        {"every peer has known our term for longer than a lease", false, -1, SPAN + 1, -1, 0,
+         AMB_ABSENCE_FENCED},
+        {"every peer has known our term for exactly a lease", false, -1, SPAN, -1, 0, AMB_ABSENCE_UNPROVEN},
         {"fenced, but answered by us since", false, SPAN, SPAN * 3, -1, 0, AMB_ABSENCE_UNPROVEN},
         {"fenced, and last answered by us longer ago than a lease", false, SPAN + 1, SPAN * 3, -1, 0,
          AMB_ABSENCE_FENCED},
-        {"fenced, but a deputy was known since", false, -1, SPAN * 3, SPAN, 0, AMB_ABSENCE_UNPROVEN},
-        {"fenced, and the deputy is long gone", false, -1, SPAN * 3, SPAN + 1, 0, AMB_ABSENCE_FENCED},
+        {"fenced, but a lease proxy was known since", false, -1, SPAN * 3, SPAN, 0, AMB_ABSENCE_UNPROVEN},
+        {"fenced, and the lease proxy was last known longer ago than a lease", false, -1, SPAN * 3, SPAN + 1,
+         0, AMB_ABSENCE_FENCED},
         {"fenced, without a read sent since", false, -1, SPAN + 5, -1, 5, AMB_ABSENCE_READ_NEEDED},
         {"fenced, with a read sent just after", false, -1, SPAN + 5, -1, 4, AMB_ABSENCE_FENCED},
         {"fenced, and no read was ever answered", false, -1, SPAN + 5, -1, -1, AMB_ABSENCE_READ_NEEDED},
@@ -127,45 +134,45 @@
             .last_response_at = rows[i].answered < 0 ? 0 : NOW - rows[i].answered,
             .follows_own_term = rows[i].follows,
             .fenced_at = rows[i].fenced < 0 ? 0 : NOW - rows[i].fenced,
-            .lease_proxy_known_at = rows[i].deputy < 0 ? 0 : NOW - rows[i].deputy,
+            .lease_proxy_known_at = rows[i].lease_proxy < 0 ? 0 : NOW - rows[i].lease_proxy,
             .last_read_sent_at = rows[i].read < 0 ? 0 : NOW - rows[i].read,
         };
-        must_be(rows[i].what, amb_absence_by_lease(&evidence), rows[i].want);
+        assert_absence(rows[i].what, amb_absence_by_lease(&evidence), rows[i].want);
     }
 }
 
 static void by_list(void **state) {
     (void)state;
-    enum { ASKED = 1000000, SPAN = 12000 };
+    enum { REQUESTED = 1000000, SPAN = 12000 };
     assert_int_equal(amb_absence_list_span(5, 1), SPAN);
     static const struct {
         const char *what;
-        amb_ms known, reported, named; /* how long before the list was asked for; -1: never */
+        amb_ms known, heartbeat_before, named; /* how long before the list was requested; -1: never */
         enum amb_absence want;
     } rows[] = {
-        {"known for long enough, never heard of since", SPAN + 1, -1, -1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
-        {"known for just not long enough: new machines are missing at first", SPAN, -1, -1,
-         AMB_ABSENCE_UNPROVEN},
-        {"it reported since", SPAN * 9, SPAN, -1, AMB_ABSENCE_UNPROVEN},
-        {"it reported long before", SPAN * 9, SPAN + 1, -1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
+        {"known for long enough, without a heartbeat or listing since", SPAN + 1, -1, -1,
+         AMB_ABSENCE_NOT_IN_CLOUD_LIST},
+        {"not known for long enough: lists lack new machines at first", SPAN, -1, -1, AMB_ABSENCE_UNPROVEN},
+        {"a heartbeat since", SPAN * 9, SPAN, -1, AMB_ABSENCE_UNPROVEN},
+        {"a heartbeat long before", SPAN * 9, SPAN + 1, -1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
         {"an earlier list names it, and this one may be older", SPAN * 9, SPAN * 9, SPAN,
          AMB_ABSENCE_UNPROVEN},
         {"a list of long before names it", SPAN * 9, SPAN * 9, SPAN + 1, AMB_ABSENCE_NOT_IN_CLOUD_LIST},
-        {"it reported after the list was asked for", SPAN * 9, 0, -1, AMB_ABSENCE_UNPROVEN},
+        {"a heartbeat after the list was requested", SPAN * 9, 0, -1, AMB_ABSENCE_UNPROVEN},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct amb_list_evidence evidence = {
             .list_span = SPAN,
-            .list_sent_at = ASKED,
-            .first_known_at = ASKED - rows[i].known,
-            .last_heartbeat_at = rows[i].reported < 0 ? 0 : ASKED - rows[i].reported,
-            .last_listed_at = rows[i].named < 0 ? 0 : ASKED - rows[i].named,
+            .list_sent_at = REQUESTED,
+            .first_known_at = REQUESTED - rows[i].known,
+            .last_heartbeat_at = rows[i].heartbeat_before < 0 ? 0 : REQUESTED - rows[i].heartbeat_before,
+            .last_listed_at = rows[i].named < 0 ? 0 : REQUESTED - rows[i].named,
         };
-        must_be(rows[i].what, amb_absence_by_list(&evidence), rows[i].want);
+        assert_absence(rows[i].what, amb_absence_by_list(&evidence), rows[i].want);
     }
 }
 
-/* What the cloud says of returns and failures proves absence by itself. */
+/* Which values are proofs. The cloud's confirmation of a release or a failure is one by itself. */
 static void proofs(void **state) {
     (void)state;
     static const struct {
@@ -184,8 +191,8 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(report_order), cmocka_unit_test(by_report), cmocka_unit_test(lease_span),
-        cmocka_unit_test(by_lease),     cmocka_unit_test(by_list),   cmocka_unit_test(proofs),
+        cmocka_unit_test(heartbeat_order), cmocka_unit_test(by_heartbeat), cmocka_unit_test(lease_span),
+        cmocka_unit_test(by_lease),        cmocka_unit_test(by_list),      cmocka_unit_test(proofs),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -1,5 +1,5 @@
-/* What proves to a leader that a task is absent from its machine: heartbeats, leases, releases and lists.
- * test_absence.c tests the decisions alone. */
+/* Proofs of absence on a leader: heartbeats, leases, releases and lists. test_absence.c tests the pure
+ * functions alone. */
 #include "check.h"
 #include "fake_clock.h"
 #include "fake_http.h"
@@ -19,7 +19,7 @@
     assert_true(team->used.gpus == 1 && machine->used.gpus == 1);
 }
 
-/* ---- by lease expiry ---- */
+/* ---- proof by lease expiry ---- */
 
 /* Silence proves absence only after the lease, only of a machine that has acknowledged our token, only with a
  * read that was sent after the lease had expired, and only when no lease proxy may have answered the machine
@@ -28,7 +28,7 @@
     (void)state;
     static const struct {
         uint64_t token;
-        /* After the response. read -1: none; lease_proxy -1: none, else when it was last known. */
+        /* Times after the response. read -1: none; lease_proxy -1: none, otherwise when it was last known. */
         amb_ms silent, read, lease_proxy;
         bool absent;
     } rows[] = {
@@ -36,7 +36,7 @@
         {TERM - 1, 11000, 11000, -1, false}, {TERM, 11000, 9000, -1, false},   {TERM, 11000, -1, -1, false},
         {TERM, 11000, 11000, 5000, false},   {TERM, 16000, 16000, 5000, true},
     };
-    node->peers.count = 1; /* unfenced: it may answer machines that have not acknowledged our token */
+    node->peers.count = 1; /* an unfenced peer: it may answer machines that have not acknowledged our token */
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct amb_job *job =
             add_active_job(i ? (char[]){'w', 'k', '-', (char)('0' + i), 0} : "wk-0", AMB_JOB_KIND_SERVICE, 1);
@@ -48,7 +48,7 @@
         node->controller.leader_since = now;
         assert_true(deliver_heartbeat(name, 1, 1, rows[i].token, now, &seen, 1));
         node->watch.last_read_sent_at = rows[i].read < 0 ? 0 : now + rows[i].read;
-        node->watch.fresh_read_in_flight = true; /* the read that would be asked for is not under test */
+        node->watch.fresh_read_in_flight = true; /* suppresses the read that would be requested */
         int zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
         node->lease_proxy.zone_covered_at[zone] = rows[i].lease_proxy < 0 ? 0 : now + rows[i].lease_proxy;
         amb_fleet_tick(node, now + rows[i].silent);
@@ -56,7 +56,7 @@
     }
 }
 
-/* Any 200 may be taken as a renewal, also one that answers what turns out to be a late copy. */
+/* An agent may treat any response with status 200 as a renewal, even one to a duplicate that arrives late. */
 static void answering_a_copy_counts_as_renewal(void **state) {
     (void)state;
     struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -72,7 +72,8 @@
     assert_null(task->machine);
 }
 
-/* A lease of 10 s, on a clock that may be 1% off, and a quarter heartbeat period for work under way. */
+/* The span is a lease of 10 s on a clock that may be 1% off, plus a quarter heartbeat interval for work in
+ * progress. */
 static void leases_expire_with_a_margin(void **state) {
     (void)state;
     static const struct {
@@ -93,8 +94,8 @@
     }
 }
 
-/* A machine that never acknowledged our token is proven to have lost its tasks once no other node can have
- * answered it for a lease. */
+/* The tasks of a machine that never acknowledged our token are proven absent once no other node can have
+ * answered it for the duration of a lease. */
 static void unverified_machine_fenced_by_all_peers(void **state) {
     (void)state;
     static const struct {
@@ -121,7 +122,7 @@
         machine->last_response_at = now - rows[i].answered;
         node->controller.leader_since = now - 20000;
         node->watch.last_read_sent_at = now - rows[i].read;
-        node->watch.fresh_read_in_flight = true; /* no call goes out */
+        node->watch.fresh_read_in_flight = true; /* suppresses calls */
         node->peers.count = 1;
         node->peers.list[0].fenced_term = rows[i].fenced_term;
         node->peers.list[0].fenced_at = now - rows[i].fenced;
@@ -130,7 +131,7 @@
     }
 }
 
-/* ---- by a release or a list ---- */
+/* ---- proof by a release or a list ---- */
 
 static void releases_count_once_they_are_confirmed(void **state) {
     (void)state;
@@ -147,7 +148,7 @@
     assert_null(job->tasks[0].machine);
 }
 
-/* A page of the cloud's list: one machine, or none (name NULL). */
+/* Answers with a page of the cloud's list: one machine, or none if name is NULL. */
 static void answer_list(struct fake_call *call, const char *name, const char *stance, bool truncated) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 2);
@@ -161,22 +162,22 @@
     fake_answer(call, 200, &buffer);
 }
 
-/* Lists lag by 5 s, at times by twice that; 2.2 lags and a report period are 12 s. */
+/* Lists lag by 5 s nominally and by up to twice that; 2.2 lags and a heartbeat interval are 12 s. */
 static void what_lists_prove(void **state) {
     (void)state;
     enum { NEVER = -1 };
     static const struct {
         const char *what;
-        amb_ms known, reported, listed; /* how long before the list was asked for */
-        amb_ms takes;                   /* the list, to come */
+        amb_ms known, reported, listed; /* how long before the list was requested */
+        amb_ms takes;                   /* time until the list arrives */
         const char *stance;             /* NULL: it does not name the machine */
         bool absent;
     } rows[] = {
         {"known and listed long ago, and left out", 60000, 60000, 60000, 0, NULL, true},
         {"never listed, and known long ago", 60000, NEVER, NEVER, 0, NULL, true},
-        {"known of late", 11000, NEVER, NEVER, 0, NULL, false},
-        {"heartbeat of late", 60000, 11000, 60000, 0, NULL, false},
-        {"listed of late", 60000, 60000, 11000, 0, NULL, false},
+        {"known recently", 11000, NEVER, NEVER, 0, NULL, false},
+        {"recent heartbeat", 60000, 11000, 60000, 0, NULL, false},
+        {"listed recently", 60000, 60000, 11000, 0, NULL, false},
         {"the list comes late", 60000, 11000, 60000, 2500, NULL, false},
         {"listed as running", 60000, 60000, 60000, 0, "running", false},
         {"listed as failed", 60000, 60000, 60000, 0, "failed", true},
@@ -199,7 +200,7 @@
     }
 }
 
-/* An incomplete list proves nothing by leaving a machine out. */
+/* Absence from an incomplete list proves nothing. */
 static void incomplete_lists_prove_nothing(void **state) {
     (void)state;
     static const struct {
@@ -207,7 +208,7 @@
         int status; /* of the second page */
         bool absent;
     } rows[] = {
-        {"all pages come", 200, true}, {"the last page is refused", 503, false}, {"no answer", 0, false}};
+        {"all pages come", 200, true}, {"the last page is rejected", 503, false}, {"no answer", 0, false}};
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_reset();
         struct amb_job *job = add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1);
@@ -229,7 +230,7 @@
 
 /* ---- machines that have not acknowledged our token ---- */
 
-/* What is on a machine may be on record, and the record not read yet. */
+/* Tasks on a machine may be on record in blocks that were not read yet. */
 static void nothing_is_concluded_before_the_records_are_read(void **state) {
     (void)state;
     node->controller.restored_at = 0;
@@ -249,7 +250,7 @@
     struct amb_machine *machine = machine_in("m-1", 0);
     strcpy(machine->address, "worker:1");
     bind_task(job, 0, "m-1", 1);
-    node->peers.count = 1; /* that may still answer it */
+    node->peers.count = 1; /* the peer may still answer it */
     fake_clock_advance(2500);
     amb_fleet_tick(node, amb_now());
     struct amb_buf buffer = {0};
@@ -292,20 +293,20 @@
         {"nothing there, beyond 3 leases", TERM - 1, false, false, 30001, 60000, 100, true},
         {"it has acknowledged our token", TERM, true, false, 60000, 60000, 100, false},
         {"a lease proxy answers it", TERM - 1, true, true, 60000, 60000, 100, false},
-        {"no heartbeat lately", TERM - 1, true, false, 60000, 60000, 2001, false},
+        {"no recent heartbeat", TERM - 1, true, false, 60000, 60000, 2001, false},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         fixture_teardown(NULL);
         setup(NULL);
         amb_ms now = amb_now() + 1000000;
         node->election.renewed_at = node->controller.leader_since =
-            now;               /* unresponsive machines are not under test */
+            now;               /* keeps unresponsive machines out of the test */
         node->peers.count = 1; /* unfenced */
         node->lease_proxy.known_count = 1;
         node->lease_proxy.known[0].present = rows[i].lease_proxy;
         node->lease_proxy.known[0].zone = amb_catalog_find_or_add_zone(&node->catalog, "a");
         if (rows[i].has_task) bind_task(add_active_job("wk-1", AMB_JOB_KIND_SERVICE, 1), 0, "m-1", 1);
-        node->controller.ready = false; /* no start is sent */
+        node->controller.ready = false; /* suppresses run commands */
         assert_true(deliver_heartbeat("m-1", 1, 1, rows[i].token, now - rows[i].reported, NULL, 0));
         struct amb_machine *machine = amb_machine_get(node, "m-1", false);
         machine->state_since = now - rows[i].since;
@@ -323,11 +324,14 @@
         cmocka_unit_test_setup_teardown(answering_a_copy_counts_as_renewal, setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(leases_expire_with_a_margin, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(unverified_machine_fenced_by_all_peers, setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(releases_count_once_they_are_confirmed, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(what_lists_prove, fixture_setup, fixture_teardown),
         cmocka_unit_test_setup_teardown(incomplete_lists_prove_nothing, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(nothing_is_concluded_before_the_records_are_read, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(unverified_machines_are_probed_with_the_token_alone, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(machine_that_ignores_replies, setup, fixture_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/model/test_failure_evidence.c
+++ b/tests/model/test_failure_evidence.c
@@ -1,4 +1,4 @@
-/* Which is at fault when tasks fail: days of failures and successes, and the verdict on the last of them. */
+/* Attribution of failures: sequences of failures and successes, and the attribution of the last failure. */
 #include "check.h"
 
 #include "amberpin/model/failure_evidence.h"
@@ -12,15 +12,15 @@
     bool ok;
 };
 
-static enum amb_fault play(const struct event *events, size_t count) {
+static enum amb_fault attribute_last_failure(const struct event *events, size_t count) {
     struct amb_failure_set of_job[JOBS] = {{{0}, 0}}, of_machine[MACHINES] = {{{0}, 0}};
-    bool works[JOBS] = {false};
+    bool has_succeeded[JOBS] = {false};
     enum amb_fault fault = AMB_FAULT_UNKNOWN;
     for (size_t i = 0; i < count; i++) {
         const struct event *event = &events[i];
         if (event->ok) {
             of_job[event->job].count = of_machine[event->machine].count = 0;
-            works[event->job] = true;
+            has_succeeded[event->job] = true;
             continue;
         }
         amb_failure_set_add(&of_job[event->job], event->machine);
@@ -28,14 +28,14 @@
         const struct amb_failure_evidence evidence = {
             .failed_machines = of_job[event->job].count,
             .failed_jobs = of_machine[event->machine].count,
-            .job_has_succeeded = works[event->job],
+            .job_has_succeeded = has_succeeded[event->job],
         };
         fault = amb_failure_attribute(&evidence);
     }
     return fault;
 }
 
-static void verdicts(void **state) {
+static void attribution(void **state) {
     (void)state;
     static const struct {
         const char *what;
@@ -54,21 +54,21 @@
          {{1, 0, true}, {0, 0, false}, {1, 1, true}, {0, 1, false}},
          AMB_FAULT_JOB},
         {"a bad machine", 2, {{0, 0, false}, {1, 0, false}}, AMB_FAULT_MACHINE},
-        {"a bad machine, for a job that works", 2, {{0, 1, true}, {0, 0, false}}, AMB_FAULT_MACHINE},
+        {"a bad machine, for a job that has succeeded", 2, {{0, 1, true}, {0, 0, false}}, AMB_FAULT_MACHINE},
         {"a broken job on a bad machine", 3, {{0, 1, false}, {1, 0, false}, {0, 0, false}}, AMB_FAULT_BOTH},
         {"a flaky machine: a success in between",
          3,
          {{0, 0, false}, {1, 0, true}, {2, 0, false}},
          AMB_FAULT_UNKNOWN},
-        {"a flaky machine, for a job that works",
+        {"a flaky machine, for a job that has succeeded",
          3,
          {{0, 0, true}, {0, 0, true}, {0, 0, false}},
          AMB_FAULT_MACHINE},
-        {"two bad machines in turn, for a job that works",
+        {"two bad machines in turn, for a job that has succeeded",
          3,
          {{0, 2, true}, {0, 0, false}, {0, 1, false}},
          AMB_FAULT_MACHINE},
-        {"a job that worked, now everywhere",
+        {"a job that has succeeded now fails everywhere",
          4,
          {{0, 2, true}, {0, 0, false}, {0, 1, false}, {0, 3, false}},
          AMB_FAULT_JOB},
@@ -78,7 +78,7 @@
          AMB_FAULT_MACHINE},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        enum amb_fault got = play(rows[i].events, rows[i].count);
+        enum amb_fault got = attribute_last_failure(rows[i].events, rows[i].count);
         if (got != rows[i].fault) fail_msg("%s: the fault is %s", rows[i].what, amb_fault_name(got));
     }
 }
@@ -92,7 +92,7 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(verdicts),
+        cmocka_unit_test(attribution),
         cmocka_unit_test(sets_are_bounded),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/node/test_fleet_limits.c
+++ b/tests/node/test_fleet_limits.c
@@ -1,5 +1,5 @@
-/* What grows with the fleet has a bound that holds for thousands of machines, and nothing is lost at it
- * (docs/operators/limits.md). */
+/* Data that grows with the fleet is bounded for thousands of machines, and nothing is lost when it reaches
+ * its bound (docs/operators/limits.md). */
 #include "amberpin/agent/machine_loss.h"
 #include "amberpin/fleet/agent_commands.h"
 #include "amberpin/node/fleet_capacity.h"
@@ -32,7 +32,8 @@
 
 /* ---- heartbeats ---- */
 
-/* One heartbeat to all other nodes; what it says of images is heard here as if by one of them. */
+/* Sends one heartbeat to all other nodes and applies its images here, as a follower would. Returns its
+ * size. */
 static size_t exchange_heartbeat(void) {
     char *text = amb_peer_encode_heartbeat(node);
     size_t len = strlen(text);
@@ -58,8 +59,8 @@
            is_in(node->peers.image_locations.previous, name);
 }
 
-/* All images have changed, as when a fleet comes up: each heartbeat fits, and all is told in time. */
-static void every_machine_is_told_of(void **state) {
+/* If all images have changed, as when a fleet starts, each heartbeat fits and all images are sent in time. */
+static void images_of_every_machine_are_sent(void **state) {
     (void)state;
     static const struct {
         uint32_t machines, images, heartbeats;
@@ -71,15 +72,16 @@
             if (exchange_heartbeat() > AMB_HEARTBEAT_MAX_BYTES)
                 fail_msg("row %zu: heartbeat %u is too long", i, k);
         for (uint32_t k = 0; k < rows[i].machines; k++)
-            if (!is_known(k)) fail_msg("row %zu: machine %u is not told of", i, k);
+            if (!is_known(k)) fail_msg("row %zu: images of machine %u were not sent", i, k);
         for (const struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
-            if (machine->images_changed) fail_msg("row %zu: %s would be told of again", i, machine->name);
+            if (machine->images_changed)
+                fail_msg("row %zu: images of %s would be sent again", i, machine->name);
     }
 }
 
-/* Names that are gone are forgotten, those that are there never: also when more than ever were there come and
- * go. */
-static void machines_that_are_gone_are_forgotten(void **state) {
+/* Removed machines are forgotten and present ones never, even if more machines come and go than were ever
+ * present at once. */
+static void removed_machines_are_forgotten(void **state) {
     (void)state;
     enum { KEPT = 4000, SPIKE = 1000, SPIKES = 12, HEARTBEATS = 50 };
     add_machines(0, KEPT, 2);
@@ -99,8 +101,8 @@
     assert_in_range(HASH_COUNT(node->peers.image_locations.previous), KEPT, KEPT + 3 * SPIKE);
 }
 
-/* Counts of a job change faster than there is room to tell them: the rest is told next. */
-static void progress_of_many_jobs_is_told_in_parts(void **state) {
+/* If the progress of more jobs has changed than fits into a heartbeat, later heartbeats carry the rest. */
+static void progress_of_many_jobs_is_sent_in_parts(void **state) {
     (void)state;
     enum { JOBS = 12000 };
     char ref[AMB_NAME_SIZE];
@@ -110,12 +112,12 @@
     }
     for (uint32_t i = 0; i < 8; i++) assert_in_range(exchange_heartbeat(), 1, AMB_HEARTBEAT_MAX_BYTES);
     for (const struct amb_job *job = node->jobs.active; job; job = job->next_active)
-        if (job->progress_changed) fail_msg("%s is not told of", job->ref);
+        if (job->progress_changed) fail_msg("progress of %s was not sent", job->ref);
 }
 
-/* ---- names of machines that are gone ---- */
+/* ---- names of removed machines ---- */
 
-static void the_longest_gone_are_forgotten(void **state) {
+static void oldest_removed_machines_are_forgotten(void **state) {
     (void)state;
     size_t most = amb_machines_removed_limit(node);
     char name[AMB_NAME_SIZE];
@@ -136,7 +138,7 @@
     assert_true(amb_machine_was_removed(node, name));
 }
 
-/* ---- types and zones that are not kept ---- */
+/* ---- types and zones that are not in the catalogue ---- */
 
 static void machines_beyond_a_bound_are_not_used(void **state) {
     (void)state;
@@ -161,12 +163,12 @@
         if (amb_machine_is_schedulable(node, machine, amb_now()) != rows[i].used)
             fail_msg("%s", rows[i].what);
         if (machine->missing_from_catalog == rows[i].used)
-            fail_msg("%s: said %d", rows[i].what, !rows[i].used);
+            fail_msg("%s: missing_from_catalog is %d", rows[i].what, !rows[i].used);
     }
 }
 
-/* A leader that has just started hears of machines before it has read the catalogue: they are not used yet,
- * and are once it is known. */
+/* A leader that has just started may receive heartbeats before it has read the catalogue. It does not use
+ * those machines until then. */
 static void machines_wait_for_the_catalogue(void **state) {
     (void)state;
     struct amb_machine *machine = amb_machine_get(node, "m-1", true);
@@ -207,9 +209,9 @@
     amb_cloud_tick(node, amb_now());
 }
 
-/* Each page takes a call, so that rentals are not refused for a long list; a page that fails is asked for
- * again. */
-static void long_lists_keep_to_the_calls_allowed(void **state) {
+/* Each page takes a token from the call budget, so that a long list does not cause scale-out requests to be
+ * rejected. A page that fails is requested again. */
+static void long_lists_keep_to_the_call_budget(void **state) {
     (void)state;
     enum { PAGES = 8, PAGE = 500 };
     node->settings.cloud_rps = 1;
@@ -218,29 +220,30 @@
     for (uint32_t page = 0; page < PAGES; page++) {
         if (page == 4) {
             fake_answer(open_call("GET", "/machines?"), 503, NULL);
-            if (find_call("GET", "/machines?")) fail_msg("the failed page is asked for at once");
+            if (find_call("GET", "/machines?")) fail_msg("the failed page is requested again at once");
             let_time_pass(5000);
         }
         char path[64];
         snprintf(path, sizeof path, page ? "/machines?after=m-%06u&" : "/machines?most", page * PAGE - 1);
         open_call("GET", path);
         answer_list_page(page * PAGE, PAGE, page < PAGES - 1);
-        if (find_call("GET", "/machines?")) fail_msg("page %u without a call left for it", page + 1);
+        if (find_call("GET", "/machines?"))
+            fail_msg("page %u is requested without a token for the call", page + 1);
         assert_int_equal(node->cloud.list.completed, page == PAGES - 1);
         let_time_pass(2500);
     }
     assert_int_equal(HASH_COUNT(node->fleet.machines), PAGES * PAGE);
-    /* The next one leaves most calls to others. */
+    /* The next list leaves most calls for other requests. */
     amb_ms began = node->cloud.list.started_at;
     while (node->cloud.list.started_at == began) let_time_pass(500);
     assert_in_range(node->cloud.list.started_at - began, PAGES * 1000 / 0.25, PAGES * 1000 / 0.25 + 3000);
 }
 
-/* ---- answers to reports ---- */
+/* ---- responses to heartbeats ---- */
 
-/* A start that finds no room in an answer is not on its way: it was once counted as sent, and its machine
+/* Guards against counting a run command that does not fit into a response as sent: the machine would be
  * blamed for not acting on it. */
-static void starts_beyond_an_answer_go_out_next(void **state) {
+static void starts_that_do_not_fit_are_sent_next(void **state) {
     (void)state;
     enum { TASKS = 3, ROOM = 2 };
     struct amb_agent_command list[ROOM];
@@ -257,13 +260,13 @@
     assert_true(job->tasks[ROOM].start_sent);
 }
 
-/* ---- the fleet that operators name ---- */
+/* ---- the fleet size that operators state ---- */
 
-static void quotas_that_hold_no_such_fleet_are_refused(void **state) {
+static void insufficient_quotas_are_errors(void **state) {
     (void)state;
     static const struct {
         double machines, sockets, memory_mb;
-        const char *complaint; /* NULL: fine */
+        const char *complaint; /* NULL: valid */
     } rows[] = {
         {0, 32, 4, NULL},
         {500, 800, 56, NULL},
@@ -287,15 +290,19 @@
 
 int main(void) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(every_machine_is_told_of, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_that_are_gone_are_forgotten, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(progress_of_many_jobs_is_told_in_parts, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(the_longest_gone_are_forgotten, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(machines_beyond_a_bound_are_not_used, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(images_of_every_machine_are_sent, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(removed_machines_are_forgotten, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(progress_of_many_jobs_is_sent_in_parts, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(oldest_removed_machines_are_forgotten, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test_setup_teardown(machines_beyond_a_bound_are_not_used, fixture_setup,
+                                        fixture_teardown),
         cmocka_unit_test_setup_teardown(machines_wait_for_the_catalogue, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(long_lists_keep_to_the_calls_allowed, fixture_setup, fixture_teardown),
-        cmocka_unit_test_setup_teardown(starts_beyond_an_answer_go_out_next, fixture_setup, fixture_teardown),
-        cmocka_unit_test(quotas_that_hold_no_such_fleet_are_refused),
+        cmocka_unit_test_setup_teardown(long_lists_keep_to_the_call_budget, fixture_setup, fixture_teardown),
+        cmocka_unit_test_setup_teardown(starts_that_do_not_fit_are_sent_next, fixture_setup,
+                                        fixture_teardown),
+        cmocka_unit_test(insufficient_quotas_are_errors),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -1,4 +1,4 @@
-/* What a node's memory quota has room for, and what users are told when it is full. */
+/* The shares of a node's memory quota, and the responses to users when they are used up. */
 #include "amberpin/node/memory_budget.h"
 #include "check.h"
 #include "fake_clock.h"
@@ -30,7 +30,7 @@
     }
 }
 
-/* A quarter of the smallest deployment's memory is enough to start with. */
+/* A quarter of the smallest deployment's memory is an allowed setting. */
 static void small_quotas_are_settings(void **state) {
     (void)state;
     static const struct {
@@ -69,7 +69,7 @@
     amb_codec_encode_spec(body, &spec);
 }
 
-/* The status at once; 0: the job is being written. */
+/* Returns the immediate reply; status 0: the job is being written. */
 static struct fake_reply submit(const char *ref, uint32_t tasks) {
     struct amb_buf body = {0};
     struct fake_reply reply = {0};
@@ -99,18 +99,18 @@
     static const struct {
         const char *what;
         uint32_t described, over;
-        int spare; /* bytes of the table's share beyond what it takes with one described job more */
-        int tasks; /* 0: as many as can be cared for at a time */
+        int spare; /* bytes left in the table's share after one more job with a description */
+        int tasks; /* 0: the most that may be active at a time */
         int status;
     } rows[] = {
         {"an empty table", 0, 0, 8, 1, 0},
         {"room for less than one job", 0, 0, -8, 1, 503},
         {"the last place", 2, 0, 8, 1, 0},
         {"a full table", 2, 0, -8, 1, 503},
-        {"jobs that are over take less", 1, 2, 8, 1, 0},
-        {"but something", 1, 2, -8, 1, 503},
+        {"done jobs take less", 1, 2, 8, 1, 0},
+        {"done jobs take some memory", 1, 2, -8, 1, 503},
         {"a job of many tasks", 0, 0, AMPLE, 0, 0},
-        {"of more than can ever be cared for", 0, 0, AMPLE, TOO_MANY, 503},
+        {"a job of more tasks than can ever be active", 0, 0, AMPLE, TOO_MANY, 503},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         begin();
@@ -140,7 +140,7 @@
     }
 }
 
-/* A job that was accepted is answered whatever the memory. */
+/* A repeated submission of an accepted job succeeds even without any memory left. */
 static void known_jobs_are_not_refused(void **state) {
     (void)state;
     begin();
