--- a/include/amberpin/codec/election_records.h
+++ b/include/amberpin/codec/election_records.h
@@ -10,8 +10,8 @@
 
 /* The leader key: the leader's member name, and a random number that identifies this claim. */
 struct amb_leader_record {
-    char member[AMB_NAME_SIZE]; /* empty if it can't be read */
-    uint64_t nonce;             /* 0 if it can't be read */
+    char member[AMB_NAME_SIZE]; /* empty if it cannot be read */
+    uint64_t nonce;             /* 0 if it cannot be read */
 };
 
 void amb_leader_record_encode(const char *member, uint64_t nonce, struct amb_buf *value);
--- a/include/amberpin/codec/kvstore_messages.h
+++ b/include/amberpin/codec/kvstore_messages.h
@@ -15,7 +15,7 @@
     AMB_KVSTORE_STATUS_NOT_FOUND = 404,         /* no such key or lease */
     AMB_KVSTORE_STATUS_CONFLICT = 409,          /* a compare of the transaction failed */
     AMB_KVSTORE_STATUS_TOO_MANY_REQUESTS = 429, /* over the limit of requests or changes per second */
-    AMB_KVSTORE_STATUS_UNAVAILABLE = 503,       /* not carried out */
+    AMB_KVSTORE_STATUS_UNAVAILABLE = 503,       /* the request was not carried out */
 };
 
 enum { AMB_KVSTORE_PATH_SIZE = 320 };
@@ -40,8 +40,7 @@
 void amb_kvstore_encode_watch(const char *prefix, uint64_t after, amb_ms wait,
                               struct amb_kvstore_message *message);
 
-/* Commits a transaction whose compares and operations were encoded one after another by the functions
- * below. */
+/* Commits a transaction. The functions below encode its compares and operations one after another. */
 void amb_kvstore_encode_commit(const struct amb_buf *compares, uint32_t compare_count,
                                const struct amb_buf *operations, uint32_t operation_count,
                                struct amb_kvstore_message *message);
--- a/include/amberpin/codec/peer_messages.h
+++ b/include/amberpin/codec/peer_messages.h
@@ -26,7 +26,7 @@
 /* Why a message is invalid. */
 struct amb_peer_message_error {
     enum amb_peer_message_fault fault;
-    const char *field; /* a constant; NULL: the message as a whole */
+    const char *field; /* a constant; NULL: the fault is not in one field */
 };
 
 const char *amb_peer_message_fault_name(enum amb_peer_message_fault fault);
@@ -38,7 +38,7 @@
     uint64_t term; /* its own if it leads, otherwise the highest that it knows */
     bool is_leader;
     bool has_read_store;            /* it has listed the whole key-value store since its process started */
-    bool store_reachable;           /* its own requests to the key-value store are answered */
+    bool store_reachable;           /* the key-value store answers its requests */
     bool receives_agent_heartbeats; /* it has recently received some */
     bool limits_lowered;            /* it has observed that the store's limits are lowered */
     int64_t format; /* latest format version that it reads; 0: absent, as from the first version */
@@ -77,10 +77,11 @@
 
 /* ---- ownership of messages ---- */
 
-/* Parses a message, which the caller then owns (amb_peer_message_release). On an error *message is NULL. */
+/* Parses a message, which the caller must release (amb_peer_message_release). On an error *message is
+ * NULL. */
 struct amb_peer_message_error amb_peer_message_parse(const char *text, size_t len,
                                                      struct amb_peer_message **message);
-/* A new message with this status and an empty list of cancellations, owned by the caller. */
+/* Creates a message with this status and an empty list of cancellations, which the caller must release. */
 struct amb_peer_message *amb_peer_message_new(const char *sender, const struct amb_peer_status *status);
 /* Adds a reference and returns the message. */
 struct amb_peer_message *amb_peer_message_retain(struct amb_peer_message *message);
@@ -92,7 +93,7 @@
 void amb_peer_message_add_cancellation(struct amb_peer_message *message,
                                        const struct amb_peer_cancellation *cancellation);
 void amb_peer_message_set_known_revision(struct amb_peer_message *message, uint64_t revision);
-/* Adds the part that only leaders send, with empty lists of images and of progress. */
+/* Adds the fields that only leaders send, with empty lists of images and progress. */
 void amb_peer_message_add_leader_part(struct amb_peer_message *message, double token_loan);
 /* Adds a machine's images to the leader's part. Each machine may be added once. */
 void amb_peer_message_add_machine_images(struct amb_peer_message *message,
--- a/include/amberpin/config/settings.h
+++ b/include/amberpin/config/settings.h
@@ -17,7 +17,7 @@
     double within_s, share;
 };
 
-/* Limits of the key-value store; 0: not announced. */
+/* Limits of the key-value store; 0: the limit is not announced. */
 struct amb_store_limits {
     double write_rps, value_kb, txn_ops;
 };
@@ -42,7 +42,7 @@
     struct amb_store_limits announced_limits; /* callers use amb_settings_lowered_limits */
     double cloud_rps;                         /* calls per second */
     double list_lag_s;                        /* nominal lag of the cloud's list of machines */
-    double cores, memory_mb, fd_limit;        /* this process's quota */
+    double cores, memory_mb, fd_limit;        /* quotas of this process */
     double clock_skew_ms;                     /* largest difference of two machines' times of day */
 };
 
--- a/include/amberpin/http/parser.h
+++ b/include/amberpin/http/parser.h
@@ -10,9 +10,9 @@
 /* A parsed message. Its pointers and offsets refer to the input, which the caller owns. */
 struct amb_http_message {
     bool is_response;
-    int status;        /* responses */
-    char method[12];   /* requests */
-    const char *path;  /* requests; not terminated */
+    int status;        /* responses only */
+    char method[12];   /* requests only */
+    const char *path;  /* requests only; no terminating zero */
     size_t path_len;   /* without the query */
     const char *query; /* after '?', or NULL */
     size_t query_len;
--- a/include/amberpin/model/absence_proof.h
+++ b/include/amberpin/model/absence_proof.h
@@ -20,7 +20,7 @@
 
 /* Whether the value is a proof of any kind. */
 bool amb_absence_is_proven(enum amb_absence absence);
-const char *amb_absence_name(enum amb_absence absence); /* for logs */
+const char *amb_absence_name(enum amb_absence absence); /* cause for logs */
 
 /* ---- proof by a heartbeat ---- */
 
--- a/include/amberpin/model/agent_messages.h
+++ b/include/amberpin/model/agent_messages.h
@@ -20,14 +20,14 @@
 
 enum amb_exit_reason {
     AMB_EXIT_NONE,
-    AMB_EXIT_DONE,             /* completed */
-    AMB_EXIT_STOPPED,          /* as commanded */
+    AMB_EXIT_DONE,
+    AMB_EXIT_STOPPED,          /* stopped as commanded */
     AMB_EXIT_GANG_PEER_GONE,   /* another task of its gang is gone */
     AMB_EXIT_GANG_INCOMPLETE,  /* its gang was not complete in time */
     AMB_EXIT_ERROR,            /* the task itself failed */
-    AMB_EXIT_MACHINE_FULL,     /* start refused: the machine has no room */
-    AMB_EXIT_ATTEMPT_CONFLICT, /* start refused: another attempt of the task is on the machine */
-    AMB_EXIT_UNKNOWN_JOB,      /* start refused: no such job or task, or it is not submitted */
+    AMB_EXIT_MACHINE_FULL,     /* start rejected: the machine lacks resources */
+    AMB_EXIT_ATTEMPT_CONFLICT, /* start rejected: another attempt of the task is on the machine */
+    AMB_EXIT_UNKNOWN_JOB,      /* start rejected: the job or task does not exist or is not submitted */
 };
 
 /* A task as an agent's heartbeat lists it. */
@@ -43,10 +43,10 @@
 struct amb_agent_heartbeat {
     char machine[AMB_NAME_SIZE], address[AMB_NAME_SIZE], type[AMB_NAME_SIZE], zone[AMB_NAME_SIZE];
     bool spot;
-    uint64_t incarnation;    /* grows when the agent restarts */
-    uint64_t sequence;       /* grows with each heartbeat of an incarnation */
+    uint64_t incarnation;    /* increases when the agent restarts */
+    uint64_t sequence;       /* increases with each heartbeat of an incarnation */
     uint64_t fencing_token;  /* the highest that the agent has seen */
-    double reclaim_notice_s; /* until the cloud takes the machine back; negative: no notice */
+    double reclaim_notice_s; /* time until the cloud reclaims the machine; negative: no notice */
     size_t task_count;
     struct amb_agent_task *tasks; /* owned (amb_codec_free_heartbeat) */
 };
@@ -54,7 +54,7 @@
 enum amb_agent_command_kind {
     AMB_COMMAND_RUN,
     AMB_COMMAND_STOP,
-    AMB_COMMAND_CLEAR, /* forget a task that has exited */
+    AMB_COMMAND_CLEAR, /* makes the agent forget a task that has exited */
 };
 
 struct amb_agent_command {
--- a/include/amberpin/model/job.h
+++ b/include/amberpin/model/job.h
@@ -36,17 +36,17 @@
 struct amb_job {
     char ref[AMB_NAME_SIZE];
     enum amb_job_state state;
-    uint64_t revision;         /* of its record in the state service */
+    uint64_t revision;         /* revision of its record in the state service */
     struct amb_job_spec *spec; /* owned; NULL if the job is done, or if unreadable or never read */
     struct amb_job_dependencies *dependencies; /* owned; NULL: none, or the job is done */
     struct amb_team *team;                     /* borrowed from the settings */
     int64_t accepted_wall_ms, cancelled_wall_ms;
 
     bool cancellation_listed; /* it is in struct amb_cancellations */
-    bool tasks_gone;          /* cancelled so long ago that no task can be left; its description is freed */
+    bool tasks_gone; /* it was cancelled so long ago that no task can be left; its description is freed */
     uint64_t cancel_revision; /* of its cancellation, as read, written or received from a peer; 0: none */
-    amb_ms cancel_pending_at; /* when a node was last known to be about to write its cancellation; 0: never */
-    bool leader_notified_of_cancel; /* this node did when it confirmed the cancellation to a user */
+    amb_ms cancel_pending_at; /* when a node last announced that it would write the cancellation; 0: never */
+    bool leader_notified_of_cancel; /* this node has sent the leader a notice of the cancellation */
 
     uint32_t progress_done, progress_running; /* task counts that the leader last reported */
     bool progress_changed;                    /* not sent to the peers yet */
@@ -59,7 +59,7 @@
     bool pipeline_late;        /* its pipeline misses its due time if it starts later than now */
     struct amb_effective_priority inherited_priority; /* combined from all jobs that depend on it */
     int64_t ready_wall_ms; /* when the last job that it depends on was done; 0: unknown, or none */
-    UT_hash_handle hh;     /* of struct amb_jobs, by ref */
+    UT_hash_handle hh;     /* in struct amb_jobs, by ref */
 
     /* Kept by the leader while the job is active: */
     struct amb_job *next_active, *prev_active;
@@ -79,7 +79,7 @@
     struct amb_job_failures failures;
     bool completion_in_flight; /* the record that it is done is being written */
     amb_ms completion_retry_at;
-    uint32_t allowed_type_mask; /* a bit for each machine type of the catalogue */
+    uint32_t allowed_type_mask; /* one bit per machine type of the catalogue */
     bool allowed_type_mask_known;
     amb_ms image_wait_since; /* since when it waits for room on a machine with its image; 0: not waiting */
     uint8_t recovery_step; /* step of the recovery order at which this cycle schedules it (zone_recovery.h) */
--- a/include/amberpin/model/job_spec.h
+++ b/include/amberpin/model/job_spec.h
@@ -29,12 +29,12 @@
     uint32_t task_count;
     struct amb_resources task_resources; /* needed by each task */
     double image_gb;
-    double estimated_runtime_s;   /* of a task, as the user estimates it */
+    double estimated_runtime_s;   /* the user's estimate for one task */
     double checkpoint_interval_s; /* 0: tasks write no checkpoints */
-    double checkpoint_save_s;     /* how long saving one takes */
+    double checkpoint_save_s;     /* how long it takes to save a checkpoint */
     double deadline_s;            /* from submission to completion; 0: none */
-    bool one_zone;                /* all tasks in one zone */
-    bool spread_zones;            /* at most half of the tasks, rounded up, in one zone */
+    bool one_zone;                /* all tasks must be in one zone */
+    bool spread_zones;            /* at most half of the tasks, rounded up, may be in one zone */
     bool spot_allowed;            /* may run on spot instances */
     uint32_t allowed_type_count;  /* 0: any machine type */
     char allowed_types[AMB_ALLOWED_TYPES_MAX][AMB_NAME_SIZE];
--- a/include/amberpin/model/machine.h
+++ b/include/amberpin/model/machine.h
@@ -20,7 +20,7 @@
     AMB_MACHINE_RELEASING, /* release requested: never used again, removed once the request is answered */
 };
 
-enum { AMB_MACHINE_NOT_RESERVED = -1 }; /* for reserved_priority */
+enum { AMB_MACHINE_NOT_RESERVED = -1 }; /* value of reserved_priority */
 
 struct amb_machine {
     char name[AMB_NAME_SIZE], address[AMB_NAME_SIZE];
@@ -33,7 +33,7 @@
     bool scale_in_planned;          /* it is released as surplus, not because of a fault */
     bool scale_in_logged;           /* the intent to release it is in the scale-in log */
     const char *release_reason;     /* static text; NULL: none given */
-    uint64_t incarnation, sequence; /* of the newest heartbeat */
+    uint64_t incarnation, sequence; /* those of the newest heartbeat */
     amb_ms exists_since;
     amb_ms last_heartbeat_at; /* 0: never */
     amb_ms last_response_at;  /* to a heartbeat; 0: never */
@@ -44,7 +44,7 @@
     amb_ms avoid_until;         /* after failures, nothing is placed on it before this */
     amb_ms first_known_at;      /* when this node first knew of it */
     amb_ms created_at;          /* latest possible time of its creation */
-    uint64_t last_listing;      /* number of the cloud's list that last named it */
+    uint64_t last_listing;      /* number of the latest cloud list that names it */
     int reserved_priority;      /* of the expected work that it is kept for, or AMB_MACHINE_NOT_RESERVED */
     bool claimed_by_gang;       /* a gang within its team's guarantee waits for room on it */
     bool stop_commands_due;     /* stop commands are to be sent without waiting for its next heartbeat */
@@ -62,10 +62,10 @@
     struct amb_deferred_response *deferred_response; /* NULL: none */
     bool images_changed;                             /* since they were last sent to the peers */
     uint64_t images_sent_in; /* number of the leader's heartbeat that last carried them (image_locations.h) */
-    uint32_t image_count, image_capacity; /* capacity: what is allocated (amb_machine_reserve_images) */
-    char (*images)[AMB_NAME_SIZE];        /* owned; most recently used first, AMB_IMAGES_MAX at most */
+    uint32_t image_count, image_capacity; /* image_capacity: entries allocated (amb_machine_reserve_images) */
+    char (*images)[AMB_NAME_SIZE];        /* owned; most recently used first, at most AMB_IMAGES_MAX */
     double *image_sizes_gb;               /* owned, parallel to `images` */
-    UT_hash_handle hh;                    /* of struct amb_fleet, by name */
+    UT_hash_handle hh;                    /* in struct amb_fleet, by name */
 };
 
 #endif
--- a/include/amberpin/model/placement_block.h
+++ b/include/amberpin/model/placement_block.h
@@ -33,10 +33,10 @@
     uint64_t job_revision;            /* of the job's record, compared by the write in flight */
     amb_ms dirty_at, retry_at;        /* since when it is dirty; earliest time of the next write */
     char write_id[AMB_WRITE_ID_SIZE]; /* identifies a write whose response was lost */
-    struct amb_buf value;             /* of the write, kept until its outcome is known */
+    struct amb_buf value;             /* value of the write, kept until its outcome is known */
     struct amb_job *job;              /* the block's owner */
     struct amb_placement_block_id id;
-    struct amb_task_range task_range; /* that it holds, or may hold */
+    struct amb_task_range task_range; /* tasks that the block holds or may hold */
 };
 
 #endif
--- a/include/amberpin/node/events.h
+++ b/include/amberpin/node/events.h
@@ -18,7 +18,7 @@
     AMB_EVENT_JOB_READY,            /* job: no dependency prevents it from starting */
     AMB_EVENT_JOB_HAS_DEPENDENCIES, /* job: it is accepted and depends on other jobs */
     AMB_EVENT_JOB_FINAL,            /* job: it is done, or cancelled by its own record */
-    AMB_EVENT_PLACEMENT_DURABLE,    /* task: its start may be commanded */
+    AMB_EVENT_PLACEMENT_DURABLE,    /* task: its run command may be sent */
     AMB_EVENT_MACHINE_ADDED,        /* machine: added to the leader's table */
     AMB_EVENT_MACHINE_REMOVED,      /* machine, proof: it and its tasks are gone; freed afterwards */
     AMB_EVENT_DUTY_KEY_CHANGED,     /* change: to a key of the single-holder duties */
@@ -26,10 +26,10 @@
     AMB_EVENT_CYCLE_REQUESTED,      /* a scheduling cycle should run soon */
 };
 
-/* A key of the state service and its present value. Borrowed: valid while the event is handled. */
+/* A key of the state service and its present value, valid only while the event is handled. */
 struct amb_key_change {
     const char *key;
-    const struct cbor_item_t *value; /* NULL: the key is gone */
+    const struct cbor_item_t *value; /* NULL: the key has been removed */
     uint64_t revision;
 };
 
--- a/lib/codec/agent_heartbeat.c
+++ b/lib/codec/agent_heartbeat.c
@@ -21,7 +21,7 @@
                                                           {"unknown", AMB_EXIT_UNKNOWN_JOB},
                                                           {0, 0}};
 
-/* Splits "REF/INDEX". */
+/* Splits "REF/INDEX" into the job's name and the task's index. */
 static bool parse_task_name(char text[AMB_NAME_SIZE], struct amb_agent_task *task) {
     char *slash = strchr(text, '/');
     if (!slash || !isdigit((unsigned char)slash[1])) return false;
--- a/lib/codec/zone_record.c
+++ b/lib/codec/zone_record.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-enum { RECORD_VERSION = 1 /* that this program writes and reads */ };
+enum { RECORD_VERSION = 1 /* the version that this program writes and reads */ };
 
 /* ---- encoding ---- */
 
--- a/lib/config/command_line.c
+++ b/lib/config/command_line.c
@@ -6,13 +6,13 @@
 const char *argp_program_version = "amberpin " AMB_VERSION;
 
 static const struct argp_option arguments[] = {
-    {"config", 'c', "FILE", 0, "settings that the platform hands over (TOML)", 0},
-    {"options", 'o', "FILE", 0, "the operators' own settings (XML)", 0},
-    {"check", 'k', 0, 0, "read the settings, say whether they can be used, and end", 0},
+    {"config", 'c', "FILE", 0, "settings that the platform provides (TOML)", 0},
+    {"options", 'o', "FILE", 0, "options that the operators set (XML)", 0},
+    {"check", 'k', 0, 0, "check the settings and options, then exit", 0},
     {0},
 };
 
-/* NOLINTNEXTLINE(readability-non-const-parameter): argp gives the type */
+/* NOLINTNEXTLINE(readability-non-const-parameter): argp prescribes the type */
 static error_t parse_argument(int key, char *arg, struct argp_state *state) {
     struct amb_command_line *command_line = state->input;
     switch (key) {
--- a/lib/http/client.c
+++ b/lib/http/client.c
@@ -186,7 +186,7 @@
         client_write(client);
 }
 
-/* Closes the connection that has been idle the longest. */
+/* Closes the connection that has been idle for the longest time. */
 static void evict_idle_connection(void) {
     struct amb_http_client_connection *oldest = idle_connections;
     if (!oldest) return;
--- a/lib/node/memory_budget.c
+++ b/lib/node/memory_budget.c
@@ -4,7 +4,7 @@
 
 /* Shares of the memory quota. The rest is for the program itself, machines, connections and messages. */
 static const double TASK_SHARE = 1.0 / 3;
-static const double ONE_JOB_SHARE = 0.4; /* the largest job, when no other is active */
+static const double ONE_JOB_SHARE = 0.4; /* the largest job, while no other is active */
 static const double JOB_TABLE_SHARE = 1.0 / 3;
 static const double MACHINE_SHARE = 1.0 / 4;
 static const double REMOVED_MACHINES_SHARE = 1.0 / 64;
--- a/tests/codec/test_formats.c
+++ b/tests/codec/test_formats.c
@@ -183,7 +183,7 @@
         bool held;
         int received; /* value of the key that is then received; 0: none */
         enum amb_format in_use;
-        bool again; /* the write is sent once more */
+        bool again; /* the write is sent again */
     } rows[] = {
         {"written", 200, false, 0, AMB_FORMAT_2, false},
         {"no answer", 0, false, 0, AMB_FORMAT_1, true},
--- a/tests/codec/test_record_layout.c
+++ b/tests/codec/test_record_layout.c
@@ -50,7 +50,7 @@
 static void keys(void **state) {
     (void)state;
     static const struct {
-        const char *key, *ref; /* NULL: not a block's key */
+        const char *key, *ref; /* ref NULL: not the key of a block */
         struct amb_placement_block_id id;
     } rows[] = {
         {"b/p/wk-000001/00003", "wk-000001", {BY_SETTINGS, 0, 3}},
@@ -119,7 +119,7 @@
 static void placements(void **state) {
     (void)state;
     static const struct {
-        const char *text, *want; /* as task@machine/attempt:type.zone.spot */
+        const char *text, *want; /* want: task@machine/attempt:type.zone.spot */
     } rows[] = {
         {"", ""},
         {"0,1,m-1,0,2,1;", "0@m-1/1:0.2.1 "},
--- a/tests/model/test_absence_proofs.c
+++ b/tests/model/test_absence_proofs.c
@@ -21,9 +21,8 @@
 
 /* ---- proof by lease expiry ---- */
 
-/* Silence proves absence only after the lease, only of a machine that has acknowledged our token, only with a
- * read that was sent after the lease had expired, and only when no lease proxy may have answered the machine
- * since. */
+/* Silence proves absence only once the lease has expired, only for a machine that has acknowledged our token,
+ * only with a read sent after the expiry, and only if no lease proxy may have answered the machine since. */
 static void lease_expiry_proves_absence(void **state) {
     (void)state;
     static const struct {
--- a/tests/node/test_memory.c
+++ b/tests/node/test_memory.c
@@ -9,7 +9,7 @@
 
 #include <unistd.h>
 
-enum { MIB = 1024 * 1024, TOO_MANY = -1, AMPLE = 50000 }; /* AMPLE: bytes */
+enum { MIB = 1024 * 1024, TOO_MANY = -1, AMPLE = 50000 }; /* AMPLE in bytes */
 
 static void shares_of_the_quota(void **state) {
     (void)state;
