--- a/include/amberpin/model/job_spec.h
+++ b/include/amberpin/model/job_spec.h
@@ -13,7 +13,7 @@
     AMB_JOB_KIND_SERVICE, /* replicas that run until they are cancelled */
 };
 
-/* Ascending. */
+/* In ascending order. */
 enum amb_priority {
     AMB_PRIORITY_BEST_EFFORT,
     AMB_PRIORITY_NORMAL,
@@ -27,14 +27,14 @@
     enum amb_job_kind kind;
     enum amb_priority priority;
     uint32_t task_count;
-    struct amb_resources task_resources; /* of each task */
+    struct amb_resources task_resources; /* needed by each task */
     double image_gb;
-    double estimated_runtime_s;   /* of a task, as the user estimates it */
+    double estimated_runtime_s;   /* the user's estimate for one task */
     double checkpoint_interval_s; /* 0: tasks write no checkpoints */
-    double checkpoint_save_s;     /* how long saving one takes */
+    double checkpoint_save_s;     /* how long it takes to save a checkpoint */
     double deadline_s;            /* from submission to completion; 0: none */
-    bool one_zone;                /* all tasks in one zone */
-    bool spread_zones;            /* at most half of the tasks, rounded up, in one zone */
+    bool one_zone;                /* all tasks must be in one zone */
+    bool spread_zones;            /* at most half of the tasks, rounded up, may be in one zone */
     bool spot_allowed;            /* may run on spot instances */
     uint32_t allowed_type_count;  /* 0: any machine type */
     char allowed_types[AMB_ALLOWED_TYPES_MAX][AMB_NAME_SIZE];
@@ -48,7 +48,7 @@
 
 #define AMB_NO_DUE_TIME INT64_MAX
 
-/* How urgent a job is, and by when it has to be complete. */
+/* A job's priority and the time by which it has to be complete. */
 struct amb_effective_priority {
     enum amb_priority priority;
     int64_t due_wall_ms; /* time of day; AMB_NO_DUE_TIME: none */
--- a/include/amberpin/scheduler/demand.h
+++ b/include/amberpin/scheduler/demand.h
@@ -12,9 +12,9 @@
 
 struct amb_demand {
     char class_name[AMB_NAME_SIZE];
-    struct amb_job_spec last_spec; /* description of its latest job */
-    double tasks_per_s;            /* arrivals per second, each job counted as one; exponential average */
-    double mean_square_tasks;      /* mean square of the task count of its jobs */
+    struct amb_job_spec last_spec; /* of its latest job */
+    double jobs_per_s;             /* decaying average */
+    double mean_square_tasks;      /* of a job's task count */
     uint32_t image_count;
     char images[AMB_DEMAND_IMAGES_MAX][AMB_NAME_SIZE]; /* images of its jobs, most recently used first */
     amb_ms updated_at;                                 /* when its latest job became ready */
--- a/tests/cloud/test_scale_out.c
+++ b/tests/cloud/test_scale_out.c
@@ -192,9 +192,9 @@
         for (int k = 0; k < 4 && rows[i].twice; k++) amb_capacity_plan_record_demand(node, &jobs[k]);
         assert_int_equal(node->controller.demand_count, 1);
         struct amb_demand *demand = &node->controller.demands[0];
-        /* The rate is as of the latest recorded arrival, at most a moment ago. */
-        if (fabs(demand->tasks_per_s - rows[i].rate) > rows[i].rate * 0.01 || demand->mean_square_tasks != 4)
-            fail_msg("%s: %g tasks per second, mean square %g", rows[i].what, demand->tasks_per_s,
+        /* The rate holds at the latest arrival that was noted, a moment ago at most. */
+        if (fabs(demand->jobs_per_s - rows[i].rate) > rows[i].rate * 0.01 || demand->mean_square_tasks != 4)
+            fail_msg("%s: %g a second, squares %g", rows[i].what, demand->jobs_per_s,
                      demand->mean_square_tasks);
     }
 }
