--- a/lib/model/failure_evidence.c
+++ b/lib/model/failure_evidence.c
@@ -24,6 +24,6 @@
 }
 
 const char *amb_fault_name(enum amb_fault fault) {
-    static const char *const names[] = {"unknown", "machine", "job", "job and machine"};
+    static const char *const names[] = {"undetermined", "machine", "job", "job and machine"};
     return names[fault];
 }
