--- a/tests/scenarios/test_fault_combinations_cancel.c
+++ b/tests/scenarios/test_fault_combinations_cancel.c
@@ -1,20 +1,21 @@
-/* Days of the stand-in on which a leader whose news came late ordered starts of jobs after their cancellation
- * had been confirmed to users: it is told by notices now (lib/job/cancellation_notice.c). */
+/* A leader that receives changes late must not order starts of a job after another controller has confirmed
+ * the job's cancellation to a user. It did in these scenarios before controllers sent cancellation notices
+ * (lib/job/cancellation_notice.c). */
 #include "check.h"
 #include "named_tests.h"
 #include "standin.h"
 
 #include "amberpin/base/log.h"
 
-enum { DAY = 200000, SHORT_DAY = 70000 };
+enum { LENGTH_MS = 200000, SHORT_LENGTH_MS = 70000 };
 
-/* Small jobs, several a second at times, on three nodes and few machines. */
+/* Small jobs, at times several a second, on three controllers and few machines. */
 static const struct sim_size many_jobs = {3, 20, 60, 6, 3, 1000, 10000, 30000, 200, 20, 3};
 
-static void must_order_nothing_late(const char *what, uint64_t seed, const struct sim_fault *faults,
-                                    size_t count) {
+static void expect_no_late_starts(const char *what, uint64_t seed, const struct sim_fault *faults,
+                                  size_t count) {
     struct sim_result result = sim_run(&(struct sim_scenario){
-        .size = &many_jobs, .seed = seed, .length = DAY, .faults = faults, .fault_count = count});
+        .size = &many_jobs, .seed = seed, .length = LENGTH_MS, .faults = faults, .fault_count = count});
     if (result.violation[0]) fail_msg("%s, seed %llu: %s", what, (unsigned long long)seed, result.violation);
     if (result.commands_after_cancel)
         fail_msg("%s, seed %llu: %u starts ordered after a confirmed cancellation, the latest %lld ms", what,
@@ -25,7 +26,8 @@
                  (unsigned long long)seed, result.accepted, result.done, result.cancelled, result.open_jobs);
 }
 
-/* Rows 13 and 16: users ask everywhere and cancel, while the leader's news are lost or slow. */
+/* Rows 13 and 16: users query all controllers and cancel jobs, while the leader's reads from the state
+ * service are lost or slow. */
 static void leader_receives_changes_late(void **state) {
     (void)state;
     static const struct {
@@ -43,13 +45,14 @@
         const struct sim_fault faults[] = {{SIM_POLL_BURST, 2000, 150000, -1},
                                            {SIM_INVALID_REQUESTS, 2000, 150000, -1},
                                            {rows[i].kind, 20000, 60000, -1}};
-        must_order_nothing_late(rows[i].what, rows[i].seed, faults, ROWS(faults));
+        expect_no_late_starts(rows[i].what, rows[i].seed, faults, ROWS(faults));
     }
 }
 
-/* Row 6: a leader that has just taken over is cut off from all but its workers, while users cancel at the
- * other nodes. What its predecessor had recorded it ordered up to 1.3 s after the confirmation on these days;
- * it stops once a renewal is overdue (amb_election_has_recent_renewal). */
+/* Row 6: a leader that has just taken over is cut off from everything but its workers, while users cancel
+ * jobs at the other controllers. With these seeds it ordered tasks that its predecessor had recorded up
+ * to 1.3 s after the cancellation was confirmed. It now stops as soon as a renewal of its lease is overdue
+ * (amb_election_has_recent_renewal). */
 static void cut_off_after_a_take_over(void **state) {
     (void)state;
     static const struct {
@@ -69,7 +72,7 @@
         };
         struct sim_result result = sim_run(&(struct sim_scenario){.size = &many_jobs,
                                                                   .seed = rows[i].seed,
-                                                                  .length = SHORT_DAY,
+                                                                  .length = SHORT_LENGTH_MS,
                                                                   .faults = faults,
                                                                   .fault_count = ROWS(faults)});
         if (result.violation[0])
@@ -83,26 +86,26 @@
     }
 }
 
-/* Row 1: the node that has confirmed cancellations can't be reached, while another one, which knows nothing
- * of them, vouches for the leader. The word of one peer is not enough. */
+/* Row 1: the controller that has confirmed cancellations cannot be reached, while another one, which does not
+ * know of them, confirms the leader. The confirmation of a single peer is not enough. */
 static void confirmed_by_a_node_out_of_reach(void **state) {
     (void)state;
     static const struct {
-        int vouches, confirms; /* nodes; the third one leads in some seeds */
+        int uninformed, confirming; /* controllers; the third one leads with some seeds */
     } rows[] = {{1, 2}, {0, 2}, {0, 1}};
     uint32_t cancelled = 0;
     for (size_t i = 0; i < ROWS(rows); i++) {
         const struct sim_fault faults[] = {
             {SIM_STORE_REFUSES_NODE, 40000, 50000, -1},
-            {SIM_CUT_STORE, 40000, 50000, rows[i].vouches},
-            {SIM_CUT_PEERS, 40000, 50000, rows[i].confirms},
+            {SIM_CUT_STORE, 40000, 50000, rows[i].uninformed},
+            {SIM_CUT_PEERS, 40000, 50000, rows[i].confirming},
             {SIM_CANCEL_BURST, 40300, 1, 12},
             {SIM_STORE_OUTAGE, 42200, 45000, -1},
         };
         for (uint64_t seed = 1; seed <= 8; seed++) {
             struct sim_result result = sim_run(&(struct sim_scenario){.size = &sim_small,
                                                                       .seed = seed,
-                                                                      .length = DAY,
+                                                                      .length = LENGTH_MS,
                                                                       .faults = faults,
                                                                       .fault_count = ROWS(faults)});
             if (result.violation[0])
--- a/tests/scenarios/test_fault_combinations_fleet.c
+++ b/tests/scenarios/test_fault_combinations_fleet.c
@@ -1,6 +1,6 @@
-/* Meetings of two troubles about machines, reports and what may start (docs/design/fault-combinations.md), a
- * function for each row there. Every rule must hold at every moment, and once the troubles are over nothing
- * is left undone. */
+/* Combinations of two faults that concern machines, their heartbeats and the tasks that may start: one test
+ * function for each row of docs/design/fault-combinations.md. Every rule must hold at every moment, and no
+ * accepted job may be left open once the faults are over. */
 #include "check.h"
 #include "named_tests.h"
 #include "standin.h"
@@ -9,40 +9,48 @@
 
 #include <stdlib.h>
 
-/* Where room or limits are scarce, the work of a day takes longer than the day. */
-enum { DAY_MS = 260000, LONG_DAY_MS = 520000, SEEDS = 5, FAULTS = 10, ALL = 100, LEADER = -1, BUSIEST = -1 };
+/* Scenarios with little capacity or low limits need the longer time to complete their jobs. */
+enum {
+    LENGTH_MS = 260000,
+    LONG_LENGTH_MS = 520000,
+    SEEDS = 5,
+    FAULTS = 10,
+    ALL = 100,
+    LEADER = -1,
+    BUSIEST = -1
+};
 
-struct meeting {
+struct combination {
     const char *what;
     unsigned load;
-    struct sim_fault faults[FAULTS]; /* the first that doesn't last ends them */
+    struct sim_fault faults[FAULTS]; /* ends with the first whose duration is 0 */
     uint32_t seeds;                  /* 0: SEEDS */
 };
 
-static size_t count_faults(const struct meeting *meeting) {
+static size_t count_faults(const struct combination *combination) {
     size_t count = 0;
-    while (count < FAULTS && meeting->faults[count].lasts) count++;
+    while (count < FAULTS && combination->faults[count].lasts) count++;
     return count;
 }
 
-static void must_hold(const struct meeting *meetings, size_t count) {
-    const char *only = getenv("SIM_SEEDS"); /* more of them, outside of CI */
+static void run_combinations(const struct combination *combinations, size_t count) {
+    const char *only = getenv("SIM_SEEDS"); /* raises the number of seeds outside of CI */
     for (size_t i = 0; i < count; i++) {
-        const struct meeting *meeting = &meetings[i];
-        uint64_t seeds = only ? strtoull(only, NULL, 10) : meeting->seeds ? meeting->seeds : SEEDS;
-        bool scarce = meeting->load & (SIM_LOAD_SMALL_QUOTAS | SIM_LOAD_OVERLOAD | SIM_LOAD_STREAM);
+        const struct combination *combination = &combinations[i];
+        uint64_t seeds = only ? strtoull(only, NULL, 10) : combination->seeds ? combination->seeds : SEEDS;
+        bool scarce = combination->load & (SIM_LOAD_SMALL_QUOTAS | SIM_LOAD_OVERLOAD | SIM_LOAD_STREAM);
         for (uint64_t seed = 1; seed <= seeds; seed++) {
-            const struct sim_scenario plan = {.size = &sim_small,
-                                              .seed = seed,
-                                              .length = scarce ? LONG_DAY_MS : DAY_MS,
-                                              .load = meeting->load,
-                                              .faults = meeting->faults,
-                                              .fault_count = count_faults(meeting)};
-            struct sim_result result = sim_run(&plan);
+            const struct sim_scenario scenario = {.size = &sim_small,
+                                                  .seed = seed,
+                                                  .length = scarce ? LONG_LENGTH_MS : LENGTH_MS,
+                                                  .load = combination->load,
+                                                  .faults = combination->faults,
+                                                  .fault_count = count_faults(combination)};
+            struct sim_result result = sim_run(&scenario);
             if (result.violation[0])
-                fail_msg("%s, seed %llu: %s", meeting->what, (unsigned long long)seed, result.violation);
+                fail_msg("%s, seed %llu: %s", combination->what, (unsigned long long)seed, result.violation);
             if (result.accepted < 12 || result.starts < 10 || result.open_jobs)
-                fail_msg("%s, seed %llu: %u accepted, %u starts, %u left open", meeting->what,
+                fail_msg("%s, seed %llu: %u accepted, %u starts, %u left open", combination->what,
                          (unsigned long long)seed, result.accepted, result.starts, result.open_jobs);
         }
     }
@@ -51,8 +59,8 @@
 /* Row 3. */
 static void held_up_commands(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"commands late, machines stand still within their lease",
+    static const struct combination rows[] = {
+        {"commands are late, machines pause for less than their lease",
          0,
          {{SIM_LATE_COMMANDS, 15000, 120000, ALL},
           {SIM_MACHINE_HANG, 30000, 7000, BUSIEST},
@@ -60,7 +68,7 @@
           {SIM_MACHINE_HANG, 60000, 9500, BUSIEST},
           {SIM_CANCEL_BURST, 80000, 9000, 8}},
          0},
-        {"machines go on at the end of their lease and beyond it",
+        {"machines resume at the end of their lease and after it",
          0,
          {{SIM_LATE_COMMANDS, 15000, 120000, ALL},
           {SIM_MACHINE_HANG, 30000, 10300, BUSIEST},
@@ -70,14 +78,14 @@
           {SIM_KILL, 62000, 1, LEADER}},
          0},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 9. */
 static void zone_bound_jobs_lose_machines(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"machines die, stand still, hear nothing",
+    static const struct combination rows[] = {
+        {"machines crash, hang, or receive no answers",
          SIM_LOAD_ZONE_BOUND,
          {{SIM_MACHINE_CRASH, 25000, 1, BUSIEST},
           {SIM_MACHINE_HANG, 35000, 15000, BUSIEST},
@@ -85,7 +93,7 @@
           {SIM_MACHINE_CRASH, 60000, 1, BUSIEST},
           {SIM_LOSE_HEARTBEATS, 70000, 20000, BUSIEST}},
          8},
-        {"and the leader ends meanwhile",
+        {"machines hang and crash while the leader is killed",
          SIM_LOAD_ZONE_BOUND,
          {{SIM_MACHINE_HANG, 25000, 15000, BUSIEST},
           {SIM_KILL, 27000, 1, LEADER},
@@ -95,21 +103,21 @@
           {SIM_KILL, 65000, 1, LEADER}},
          8},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 10. */
 static void full_teams_cancel_on_hanging_machines(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"cancelled on machines that hang, and the leader ends",
+    static const struct combination rows[] = {
+        {"jobs are cancelled on machines that hang, then the leader is killed",
          SIM_LOAD_SMALL_QUOTAS,
          {{SIM_CANCEL_BURST, 40000, 12000, 8},
           {SIM_KILL, 41000, 1, LEADER},
           {SIM_CANCEL_BURST, 70000, 25000, 8},
           {SIM_RESTART, 71000, 1, LEADER}},
          8},
-        {"cancelled on machines that are cut off",
+        {"jobs are cancelled on machines that are cut off",
          SIM_LOAD_SMALL_QUOTAS,
          {{SIM_ZONE_PARTITION, 35000, 30000, -1},
           {SIM_CANCEL_BURST, 36000, 1, 8},
@@ -120,14 +128,14 @@
           {SIM_KILL, 78000, 1, LEADER}},
          8},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 12. */
 static void old_reports_as_a_leader_begins(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"copies kept for each next leader",
+    static const struct combination rows[] = {
+        {"copies of heartbeats are replayed to each new leader",
          0,
          {{SIM_REPLAYED_HEARTBEATS, 10000, 110000, 60},
           {SIM_KILL, 35000, 1, LEADER},
@@ -136,7 +144,7 @@
           {SIM_KILL, 72000, 1, LEADER},
           {SIM_RESTART, 95000, 1, LEADER}},
          0},
-        {"copies of all, teams at their limit",
+        {"copies of all heartbeats are replayed, teams at their limit",
          SIM_LOAD_SMALL_QUOTAS,
          {{SIM_REPLAYED_HEARTBEATS, 10000, 110000, ALL},
           {SIM_KILL, 40000, 1, LEADER},
@@ -144,7 +152,7 @@
           {SIM_KILL, 65000, 1, LEADER},
           {SIM_LOSE_HEARTBEAT_REPLIES, 64000, 20000, BUSIEST}},
          0},
-        {"copies of machines that stand still within their lease",
+        {"copies of the heartbeats of machines that pause for less than their lease",
          SIM_LOAD_STREAM | SIM_LOAD_UNEVEN_TASKS,
          {{SIM_REPLAYED_HEARTBEATS, 10000, 110000, ALL},
           {SIM_MACHINE_HANG, 40000, 9500, BUSIEST},
@@ -157,28 +165,28 @@
           {SIM_RESTART, 70000, 1, LEADER}},
          6},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 14. */
 static void leader_ends_while_machines_are_out_of_reach(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"machines that reach nobody",
+    static const struct combination rows[] = {
+        {"machines whose heartbeats are lost",
          SIM_LOAD_UNEVEN_TASKS,
          {{SIM_LOSE_HEARTBEATS, 29000, 30000, BUSIEST},
           {SIM_KILL, 30000, 1, LEADER},
           {SIM_LOSE_HEARTBEATS, 70000, 8000, BUSIEST},
           {SIM_KILL, 71000, 1, LEADER}},
          8},
-        {"machines that don't hear the new leader's answers",
+        {"machines that do not receive the new leader's answers",
          SIM_LOAD_UNEVEN_TASKS,
          {{SIM_LOSE_HEARTBEAT_REPLIES, 29000, 30000, BUSIEST},
           {SIM_KILL, 30000, 1, LEADER},
           {SIM_LOSE_HEARTBEAT_REPLIES, 70000, 8000, BUSIEST},
           {SIM_KILL, 71000, 1, LEADER}},
          8},
-        {"a zone that can't be reached; the old leader lives on in it",
+        {"a zone that cannot be reached; the old leader runs on",
          SIM_LOAD_UNEVEN_TASKS,
          {{SIM_ZONE_PARTITION, 29000, 25000, -1},
           {SIM_KILL, 30000, 1, LEADER},
@@ -186,14 +194,14 @@
           {SIM_ZONE_PARTITION, 72000, 15000, -1}},
          8},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 15. */
 static void full_team_at_a_change_of_leader(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"some machines can't be asked, and a cancellation falls into it",
+    static const struct combination rows[] = {
+        {"some machines are out of reach while jobs are cancelled",
          SIM_LOAD_SMALL_QUOTAS,
          {{SIM_LOSE_HEARTBEATS, 38000, 25000, BUSIEST},
           {SIM_MACHINE_HANG, 38000, 14000, 1},
@@ -203,7 +211,7 @@
           {SIM_KILL, 76000, 1, LEADER},
           {SIM_CANCEL_BURST, 79000, 1, 6}},
          8},
-        {"and the cloud can't be asked either",
+        {"some machines and the cloud are out of reach",
          SIM_LOAD_SMALL_QUOTAS,
          {{SIM_CLOUD_OUTAGE, 35000, 45000, -1},
           {SIM_LOSE_HEARTBEAT_REPLIES, 38000, 25000, BUSIEST},
@@ -212,14 +220,14 @@
           {SIM_CANCEL_BURST, 43000, 1, 6}},
          8},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 17. */
 static void quick_boots_while_writes_lag(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"writes late, and the leader ends",
+    static const struct combination rows[] = {
+        {"writes are late, and leaders are killed",
          0,
          {{SIM_QUICK_BOOTS, 1, 150000, -1},
           {SIM_LATE_WRITES, 5000, 100000, 40},
@@ -227,7 +235,7 @@
           {SIM_KILL, 45000, 1, LEADER},
           {SIM_KILL, 70000, 1, LEADER}},
          8},
-        {"charters late or unanswered",
+        {"rental requests are late or unanswered",
          SIM_LOAD_OVERLOAD,
          {{SIM_QUICK_BOOTS, 1, 150000, -1},
           {SIM_LATE_REQUESTS, 5000, 60000, -1},
@@ -236,7 +244,7 @@
           {SIM_KILL, 50000, 1, LEADER},
           {SIM_SLOW_STORE, 60000, 20000, -1}},
          8},
-        {"machines stand still as the leader ends",
+        {"machines hang as the leader restarts",
          SIM_LOAD_UNEVEN_TASKS | SIM_LOAD_STREAM,
          {{SIM_QUICK_BOOTS, 1, 150000, -1},
           {SIM_LATE_WRITES, 5000, 130000, 60},
@@ -250,14 +258,14 @@
           {SIM_RESTART, 90000, 1, LEADER}},
          2},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 23. */
 static void late_commands_of_a_former_leader(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"the leader ends",
+    static const struct combination rows[] = {
+        {"the leader is killed",
          0,
          {{SIM_LATE_COMMANDS, 10000, 120000, ALL},
           {SIM_CANCEL_BURST, 35000, 1, 8},
@@ -266,7 +274,7 @@
           {SIM_KILL, 65400, 1, LEADER},
           {SIM_LOSE_HEARTBEATS, 64000, 12000, BUSIEST}},
          0},
-        {"the leader is deposed and lives on",
+        {"the leader is replaced and runs on",
          SIM_LOAD_OVERLOAD,
          {{SIM_LATE_COMMANDS, 10000, 120000, ALL},
           {SIM_CUT_ALL_BUT_AGENTS, 35000, 20000, LEADER},
@@ -275,14 +283,14 @@
           {SIM_CANCEL_BURST, 80000, 5000, 8}},
          0},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 24. */
 static void report_held_back_until_a_new_leader_acted(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"copies of seconds to well over a lease across changes of leader",
+    static const struct combination rows[] = {
+        {"heartbeats arrive again after seconds to well over a lease, across failovers",
          0,
          {{SIM_LATE_HEARTBEAT_COPIES, 10000, 110000, 60},
           {SIM_MACHINE_HANG, 33000, 14000, BUSIEST},
@@ -291,7 +299,7 @@
           {SIM_KILL, 61000, 1, LEADER},
           {SIM_KILL, 90000, 1, LEADER}},
          8},
-        {"the same with teams at their limit and bound jobs",
+        {"the same with teams at their limit and zone-bound jobs",
          SIM_LOAD_SMALL_QUOTAS | SIM_LOAD_ZONE_BOUND,
          {{SIM_LATE_HEARTBEAT_COPIES, 10000, 110000, 60},
           {SIM_MACHINE_HANG, 33000, 14000, BUSIEST},
@@ -300,34 +308,34 @@
           {SIM_KILL, 61000, 1, LEADER}},
          8},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 25. */
 static void old_report_after_newer_ones(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"copies of reports, of earlier sessions too",
+    static const struct combination rows[] = {
+        {"late copies of heartbeats, also of earlier incarnations",
          0,
          {{SIM_LATE_HEARTBEAT_COPIES, 5000, 130000, ALL},
           {SIM_MACHINE_HANG, 30000, 14000, BUSIEST},
           {SIM_MACHINE_HANG, 55000, 14000, BUSIEST},
           {SIM_LOSE_HEARTBEATS, 80000, 15000, BUSIEST}},
          0},
-        {"copies of reports of earlier attempts",
+        {"late copies of heartbeats with earlier attempts",
          SIM_LOAD_OVERLOAD,
          {{SIM_LATE_HEARTBEAT_COPIES, 5000, 130000, ALL},
           {SIM_FAULTY_MACHINE, 20000, 30000, BUSIEST},
           {SIM_FAULTY_MACHINE, 60000, 20000, BUSIEST}},
          0},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 26. */
 static void machines_that_reach_no_controller(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
+    static const struct combination rows[] = {
         {"jobs are cancelled meanwhile",
          0,
          {{SIM_LOSE_HEARTBEATS, 30000, 40000, BUSIEST},
@@ -336,7 +344,7 @@
           {SIM_LOSE_HEARTBEATS, 80000, 20000, BUSIEST},
           {SIM_CANCEL_BURST, 81000, 1, 8}},
          0},
-        {"and commands are late, the leader ends",
+        {"jobs are cancelled, commands are late, and the leader is killed",
          SIM_LOAD_SMALL_QUOTAS,
          {{SIM_LOSE_HEARTBEATS, 30000, 40000, BUSIEST},
           {SIM_LOSE_HEARTBEATS, 31000, 40000, 1},
@@ -345,14 +353,14 @@
           {SIM_KILL, 33000, 1, LEADER}},
          0},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 /* Row 27. */
 static void more_work_than_room(void **state) {
     (void)state;
-    static const struct meeting rows[] = {
-        {"over slow links",
+    static const struct combination rows[] = {
+        {"slow network links",
          SIM_LOAD_OVERLOAD,
          {{SIM_SLOW_LINKS, 1, 130000, -1},
           {SIM_MACHINE_HANG, 30000, 9500, BUSIEST},
@@ -363,7 +371,7 @@
           {SIM_MACHINE_HANG, 70000, 9500, BUSIEST},
           {SIM_MACHINE_HANG, 85000, 9500, BUSIEST}},
          8},
-        {"with nothing to rent",
+        {"no machine can be rented",
          SIM_LOAD_OVERLOAD | SIM_LOAD_UNEVEN_TASKS,
          {{SIM_SLOW_LINKS, 20000, 100000, -1},
           {SIM_NO_CAPACITY, 30000, 60000, -1},
@@ -371,7 +379,7 @@
           {SIM_KILL, 52000, 1, LEADER}},
          8},
     };
-    must_hold(rows, ROWS(rows));
+    run_combinations(rows, ROWS(rows));
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_fault_combinations_leader.c
+++ b/tests/scenarios/test_fault_combinations_leader.c
@@ -1,7 +1,7 @@
-/* Whole days against the stand-in, one test for each meeting of docs/design/fault-combinations.md that tries
- * who leads and what a leader without news does. Every rule must hold at every moment, what was accepted must
- * get done, and the day must have brought the meeting about: as many cancellations as the table says, at
- * least. */
+/* Fault combinations of docs/design/fault-combinations.md that concern the election of leaders and a leader
+ * that receives no changes, one test function each. Every rule must hold at every moment, every accepted job
+ * must be completed or cancelled, and each scenario must have at least the cancellations of its table row, so
+ * that the combination has occurred. */
 #include "check.h"
 #include "named_tests.h"
 #include "scenario_table.h"
@@ -15,38 +15,39 @@
     LEASE = 10000, /* of sim_small */
     CANCEL = 30000,
     LONG_CUT = 2 * CANCEL,
-    LONG_DEAF = 2 * LEASE,
+    LONG_REPLY_LOSS = 2 * LEASE,
 };
 
-static void play(const struct fault_scenario *day) {
-    run_seeds(day, FIRST_SEED, LAST_SEED);
+static void run_scenario(const struct fault_scenario *scenario) {
+    run_seeds(scenario, FIRST_SEED, LAST_SEED);
 }
 
-static void play_all(const struct fault_scenario *days, size_t count) {
-    for (size_t i = 0; i < count; i++) play(&days[i]);
+static void run_scenarios(const struct fault_scenario *scenarios, size_t count) {
+    for (size_t i = 0; i < count; i++) run_scenario(&scenarios[i]);
 }
 
-/* Two nodes confirm cancellations while the leader does not hear them, and restart in the outage that
- * follows: what they are then is no witness of what they were. */
-static void play_gap_with_restarts(int one, int other) {
-    const struct fault_scenario day = {"the gap, and those who have confirmed restart",
-                                       15,
-                                       0,
-                                       {{SIM_STORE_REFUSES_NODE, 50000, 14000, -1},
-                                        {SIM_CUT_PEERS, 50050, 1500, -1},
-                                        {SIM_CANCEL_BURST, 50200, 0, 8},
-                                        {SIM_STORE_OUTAGE, 51450, CANCEL + 22000, -1},
-                                        {SIM_RESTART, 51500, 1, one},
-                                        {SIM_RESTART, 51500, 1, other}}};
-    play(&day);
+/* Two controllers confirm cancellations that the leader does not learn of, and restart in the outage that
+ * follows: after a restart they must not confirm the leader, because they have forgotten the cancellations.
+ */
+static void run_gap_with_restarts(int one, int other) {
+    const struct fault_scenario scenario = {"the gap, then the confirming controllers restart",
+                                            15,
+                                            0,
+                                            {{SIM_STORE_REFUSES_NODE, 50000, 14000, -1},
+                                             {SIM_CUT_PEERS, 50050, 1500, -1},
+                                             {SIM_CANCEL_BURST, 50200, 0, 8},
+                                             {SIM_STORE_OUTAGE, 51450, CANCEL + 22000, -1},
+                                             {SIM_RESTART, 51500, 1, one},
+                                             {SIM_RESTART, 51500, 1, other}}};
+    run_scenario(&scenario);
 }
 
-/* Row 1, the letter's gap: the state service refuses the leader alone, another controller confirms
- * cancellations, then everybody is refused for longer than cancel_s, while workers report to the old leader.
- */
+/* Row 1, called the gap: the state service refuses the leader alone, another controller confirms
+ * cancellations, then all controllers are refused for longer than cancel_s, while workers still send their
+ * heartbeats to the old leader. */
 static void gap(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
+    static const struct fault_scenario scenarios[] = {
         {"the gap, twice",
          30,
          0,
@@ -57,7 +58,7 @@
           {SIM_STORE_REFUSES_NODE, 145000, 14000, -1},
           {SIM_CANCEL_BURST, 145500, 0, 10},
           {SIM_STORE_OUTAGE, 147000, CANCEL + 22000, -1}}},
-        {"the gap, and the peers are out of reach",
+        {"the gap while the peers are out of reach",
          25,
          0,
          {{SIM_STORE_REFUSES_NODE, 50000, 14000, -1},
@@ -65,18 +66,18 @@
           {SIM_CUT_PEERS, 50100, CANCEL + 25000, -1},
           {SIM_STORE_OUTAGE, 52000, CANCEL + 22000, -1}}},
     };
-    play_all(days, ROWS(days));
-    /* Whichever node leads, once its peers are the two. */
-    play_gap_with_restarts(1, 2);
-    play_gap_with_restarts(0, 2);
-    play_gap_with_restarts(0, 1);
+    run_scenarios(scenarios, ROWS(scenarios));
+    /* One of the three pairs is the two peers of the leader, whichever controller leads. */
+    run_gap_with_restarts(1, 2);
+    run_gap_with_restarts(0, 2);
+    run_gap_with_restarts(0, 1);
 }
 
-/* Row 2: ten leaders in two minutes, also inside an outage. */
+/* Row 2: ten changes of leader within two minutes, also during an outage of the state service. */
 static void ten_leaders(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
-        {"ten leaders end",
+    static const struct fault_scenario scenarios[] = {
+        {"ten leaders are killed, restarted or cut off",
          10,
          0,
          {{SIM_KILL, 30000, 1, -1},
@@ -91,7 +92,7 @@
           {SIM_KILL, 138000, 1, -1},
           {SIM_CANCEL_BURST, 66500, 0, 4},
           {SIM_CANCEL_BURST, 102300, 0, 4}}},
-        {"leaders end before, in and after an outage",
+        {"leaders are killed before, in and after an outage",
          10,
          0,
          {{SIM_KILL, 40000, 1, -1},
@@ -104,14 +105,15 @@
           {SIM_KILL, 99000, 1, -1},
           {SIM_RESTART, 103000, 1, -1}}},
     };
-    play_all(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* Row 5: controllers hand over and back, all end, and one returns, also within a second. */
+/* Row 5: leadership changes back and forth, then all controllers are killed and one returns, also within a
+ * second. */
 static void all_end_and_one_returns(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
-        {"over and back, all end, one is back within a second",
+    static const struct fault_scenario scenarios[] = {
+        {"leadership changes twice, all are killed, one is back within a second",
          10,
          0,
          {{SIM_KILL, 40000, 1, 0},
@@ -125,7 +127,7 @@
           {SIM_RESTART, 100000, 1, 0},
           {SIM_RESTART, 100000, 1, 1},
           {SIM_RESTART, 100000, 1, 2}}},
-        {"writes come late while it does",
+        {"the same while writes are late",
          10,
          0,
          {{SIM_LATE_WRITES, 38000, 40000, 30},
@@ -138,15 +140,15 @@
           {SIM_RESTART, 54700, 1, 2},
           {SIM_RESTART, 58000, 1, 2}}},
     };
-    play_all(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 /* Row 6: the leader is cut from the state service and the other controllers, while workers and users reach
  * it; jobs are cancelled through the new one. */
 static void leader_cut_off_but_for_agents(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
-        {"cut but for workers and users",
+    static const struct fault_scenario scenarios[] = {
+        {"cut off from all but workers and users",
          25,
          0,
          {{SIM_CUT_ALL_BUT_AGENTS, 50000, LONG_CUT, -1},
@@ -154,7 +156,7 @@
           {SIM_CANCEL_BURST, 52000, 0, 4},
           {SIM_CANCEL_BURST, 55000, 0, 4},
           {SIM_CANCEL_BURST, 60000, 0, 4}}},
-        {"and then the new one",
+        {"then the new leader is cut off too",
          25,
          0,
          {{SIM_CUT_ALL_BUT_AGENTS, 40000, 50000, 0},
@@ -163,22 +165,22 @@
           {SIM_CANCEL_BURST, 51000, 0, 4},
           {SIM_CUT_ALL_BUT_AGENTS, 95000, 50000, 2},
           {SIM_CANCEL_BURST, 95500, 0, 4}}},
-        {"and the state service is out as well",
+        {"cut off, then an outage of the state service",
          25,
          0,
          {{SIM_CUT_ALL_BUT_AGENTS, 50000, LONG_CUT, -1},
           {SIM_CANCEL_BURST, 50400, 0, 8},
           {SIM_STORE_OUTAGE, 51500, CANCEL + 10000, -1}}},
     };
-    play_all(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 /* Row 7: the state service is slow, or refuses the leader alone and then everybody for longer than cancel_s,
- * while users cancel and ask. */
+ * while users cancel jobs and query them. */
 static void slow_or_refused(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
-        {"slow all the while, then refused",
+    static const struct fault_scenario scenarios[] = {
+        {"slow throughout, then refused",
          25,
          0,
          {{SIM_SLOW_STORE, 40000, 60000, -1},
@@ -187,7 +189,7 @@
           {SIM_STORE_REFUSES_NODE, 60000, 20000, -1},
           {SIM_CANCEL_BURST, 62000, 0, 6},
           {SIM_STORE_OUTAGE, 66000, CANCEL + 15000, -1}}},
-        {"refused alone for as long as users cancel",
+        {"only the leader is refused while users cancel",
          25,
          0,
          {{SIM_STORE_REFUSES_NODE, 50000, 30000, -1},
@@ -197,21 +199,21 @@
           {SIM_CANCEL_BURST, 52000, 0, 3},
           {SIM_STORE_OUTAGE, 52600, CANCEL + 15000, -1}}},
     };
-    play_all(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* Row 11: cancelled at the very moment at which the state service refuses the leader alone; a second later it
- * is out for longer than cancel_s. */
+/* Row 11: jobs are cancelled at the moment at which the state service begins to refuse the leader alone; a
+ * second later the state service is out for longer than cancel_s. */
 static void cancelled_as_the_leader_is_refused(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
-        {"at the very moment",
+    static const struct fault_scenario scenarios[] = {
+        {"at the same moment",
          25,
          0,
          {{SIM_STORE_REFUSES_NODE, 60000, 14000, -1},
           {SIM_CANCEL_BURST, 60000, 0, 10},
           {SIM_STORE_OUTAGE, 61000, CANCEL + 20000, -1}}},
-        {"just after a change of leader, which has no records yet",
+        {"just after a failover, before the new leader has read the placement log",
          20,
          0,
          {{SIM_KILL, 60000, 1, -1},
@@ -220,27 +222,27 @@
           {SIM_STORE_REFUSES_NODE, 64000, 14000, -1},
           {SIM_STORE_OUTAGE, 64900, CANCEL + 20000, -1}}},
     };
-    play_all(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 /* Row 18: a zone with workers and a controller is cut off for longer than lease_s. */
 static void zone_cut_off(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
+    static const struct fault_scenario scenarios[] = {
         {"jobs are cancelled meanwhile",
          25,
          0,
          {{SIM_ZONE_PARTITION, 40000, 60000, -1},
           {SIM_CANCEL_BURST, 42000, 0, 4},
           {SIM_CANCEL_BURST, 55000, 0, 4}}},
-        {"and the cloud takes no machine back",
+        {"and the cloud takes back no machine",
          25,
          0,
          {{SIM_ZONE_PARTITION, 40000, 70000, -1},
           {SIM_CLOUD_OUTAGE, 46000, 60000, -1},
           {SIM_CANCEL_BURST, 50000, 0, 4},
           {SIM_CANCEL_BURST, 55000, 0, 4}}},
-        {"and the leader ends",
+        {"and the leader is killed",
          25,
          0,
          {{SIM_ZONE_PARTITION, 40000, 60000, -1},
@@ -254,19 +256,20 @@
           {SIM_CANCEL_BURST, 49500, 0, 8},
           {SIM_STORE_OUTAGE, 50500, CANCEL + 15000, -1}}},
     };
-    play_all(days, ROWS(days));
-    /* The leader had not answered a far machine for a lease, while a deputy kept its tasks alive. */
-    struct fault_scenario kept_by_a_deputy = days[0];
-    kept_by_a_deputy.min_cancelled = 3;
-    run_seeds(&kept_by_a_deputy, 24, 24);
+    run_scenarios(scenarios, ROWS(scenarios));
+    /* With this seed the leader does not answer a machine in the cut-off zone for a whole lease, while a
+     * lease proxy keeps the machine's tasks alive. */
+    struct fault_scenario kept_by_lease_proxy = scenarios[0];
+    kept_by_lease_proxy.min_cancelled = 3;
+    run_seeds(&kept_by_lease_proxy, 24, 24);
 }
 
-/* Row 22: all controllers are away for longer than lease_s. A node that was ended is back after six seconds,
- * and ended again at once. */
+/* Row 22: all controllers are down for longer than lease_s. A killed controller is back after six seconds and
+ * is killed again at once. */
 static void all_controllers_down_longer_than_a_lease(void **state) {
     (void)state;
-    static const struct fault_scenario days[] = {
-        {"all away",
+    static const struct fault_scenario scenarios[] = {
+        {"all controllers are down",
          15,
          0,
          {{SIM_CANCEL_BURST, 49500, 0, 6},
@@ -276,7 +279,7 @@
           {SIM_KILL, 56100, 1, 0},
           {SIM_KILL, 56100, 1, 1},
           {SIM_KILL, 56100, 1, 2}}},
-        {"and machines hang, or hear nothing, when they are back",
+        {"and machines hang or receive no answers when they are back",
          15,
          0,
          {{SIM_CANCEL_BURST, 49500, 20000, 6},
@@ -286,8 +289,8 @@
           {SIM_KILL, 56100, 1, 0},
           {SIM_KILL, 56100, 1, 1},
           {SIM_KILL, 56100, 1, 2},
-          {SIM_LOSE_HEARTBEAT_REPLIES, 61000, LONG_DEAF, -1}}},
-        {"and the cloud answers nobody, so that the records can't be read",
+          {SIM_LOSE_HEARTBEAT_REPLIES, 61000, LONG_REPLY_LOSS, -1}}},
+        {"and the cloud is out, so that the records cannot be read",
          15,
          0,
          {{SIM_CLOUD_OUTAGE, 49000, CANCEL + 40000, -1},
@@ -297,7 +300,7 @@
           {SIM_CANCEL_BURST, 58500, 0, 4},
           {SIM_CANCEL_BURST, 62000, 0, 4}}},
     };
-    play_all(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_standin.c
+++ b/tests/scenarios/test_standin.c
@@ -1,72 +1,74 @@
-/* Whole days against the stand-in: one trouble at a time, then several drawn at once. Every rule must hold at
- * every moment, and once the troubles are over all that was accepted must get done. */
+/* Simulated scenarios: each fault alone, then several random faults at once, then larger fleets. Every rule
+ * must hold at every moment, and once the faults are over every accepted job must be completed or cancelled.
+ */
 #include "named_tests.h"
 #include "small_scenario.h"
 
 #include "amberpin/base/log.h"
 
-enum { DAY = 240000, DRAWN_KINDS = SIM_ZONE_PARTITION + 1 };
+enum { LENGTH_MS = 240000, RANDOM_KINDS = SIM_ZONE_PARTITION + 1 };
 
 static const char *const names[] = {
     "kill",
-    "brief kill",
-    "cut state",
-    "refuse state",
-    "cut workers",
-    "cut peers",
-    "cut all",
-    "cut but workers",
-    "outage",
-    "hang",
-    "die",
-    "deaf",
-    "copies",
+    "restart",
+    "state service unreachable",
+    "refused by the state service",
+    "cut off from workers",
+    "cut off from peers",
+    "cut off from all",
+    "cut off from all but workers",
+    "outage of the state service",
+    "machine hangs",
+    "machine crashes",
+    "machine receives no answers",
+    "duplicate heartbeats",
     "lost answers",
     "late requests",
-    "bad machine",
-    "no capacity",
-    "zones apart",
-    "mute",
+    "faulty machine",
+    "no cloud capacity",
+    "zones cut off from each other",
+    "lost heartbeats",
     "late writes",
     "lost write answers",
-    "late reports",
-    "reports kept for the next leader",
+    "late copies of heartbeats",
+    "heartbeats replayed to the next leader",
     "late commands",
     "quick boots",
     "slow state service",
     "burst of cancellations",
-    "cancelled at the end",
-    "close looks",
-    "odd requests",
+    "cancelled at completion",
+    "bursts of queries",
+    "invalid requests",
     "slow links",
     "cloud outage",
-    "lowered limits",
+    "lowered limits of the state service",
     "upgrade",
-    "duties",
+    "duties switched on",
     "lost zone",
     "late returns",
-    "cut zone",
-    "half a zone",
-    "freeze",
-    "late boots",
-    "no boots",
-    "questions",
+    "zone cut off",
+    "half a zone lost",
+    "paused controller",
+    "slow boots",
+    "failed boots",
+    "frequent polling",
 };
 _Static_assert(ROWS(names) == SIM_FAULT_KINDS, "a name for each kind of fault");
 
-/* Answers that would say nothing wait for orders, but never so long that a worker would report later. */
+/* An answer without commands is held back (long poll) until there is a command, but never so long that it
+ * delays the worker's next heartbeat. */
 static void days_without_faults(void **state) {
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         struct sim_result result = run_small_scenario("quiet", seed, NULL, 0);
         if (result.longest_long_poll_ms > 500 || result.long_poll_starts * 5 < result.start_commands)
-            fail_msg("seed %llu: an answer took %lld ms; %u of %u orders in kept answers",
+            fail_msg("seed %llu: an answer took %lld ms; %u of %u start commands in long-poll answers",
                      (unsigned long long)seed, (long long)result.longest_long_poll_ms,
                      result.long_poll_starts, result.start_commands);
     }
 }
 
-static void single_troubles(enum sim_fault_kind first, enum sim_fault_kind end) {
+static void run_single_faults(enum sim_fault_kind first, enum sim_fault_kind end) {
     for (int kind = (int)first; kind < (int)end; kind++)
         for (uint64_t seed = 1; seed <= 2; seed++) {
             const struct sim_fault faults[] = {
@@ -78,48 +80,48 @@
 
 static void controller_faults(void **state) {
     (void)state;
-    single_troubles(SIM_KILL, SIM_CUT_PEERS);
+    run_single_faults(SIM_KILL, SIM_CUT_PEERS);
 }
 
 static void peer_network_faults(void **state) {
     (void)state;
-    single_troubles(SIM_CUT_PEERS, SIM_MACHINE_HANG);
+    run_single_faults(SIM_CUT_PEERS, SIM_MACHINE_HANG);
 }
 
 static void machine_faults(void **state) {
     (void)state;
-    single_troubles(SIM_MACHINE_HANG, SIM_LOSE_RESPONSES);
+    run_single_faults(SIM_MACHINE_HANG, SIM_LOSE_RESPONSES);
 }
 
 static void platform_service_faults(void **state) {
     (void)state;
-    single_troubles(SIM_LOSE_RESPONSES, SIM_LOSE_HEARTBEATS);
+    run_single_faults(SIM_LOSE_RESPONSES, SIM_LOSE_HEARTBEATS);
 }
 
 static void message_faults(void **state) {
     (void)state;
-    single_troubles(SIM_LOSE_HEARTBEATS, SIM_QUICK_BOOTS);
+    run_single_faults(SIM_LOSE_HEARTBEATS, SIM_QUICK_BOOTS);
 }
 
 static void timing_faults(void **state) {
     (void)state;
-    single_troubles(SIM_QUICK_BOOTS, SIM_CANCEL_BURST);
+    run_single_faults(SIM_QUICK_BOOTS, SIM_CANCEL_BURST);
 }
 
 static void user_faults(void **state) {
     (void)state;
-    single_troubles(SIM_CANCEL_BURST,
-                    SIM_LOWER_STORE_LIMITS); /* that lasts: tests/scenarios/test_upgrade.c */
+    run_single_faults(SIM_CANCEL_BURST,
+                      SIM_LOWER_STORE_LIMITS); /* it is permanent: tests/scenarios/test_upgrade.c has it */
 }
 
 static void unfit_jobs_are_refused(void **state) {
     (void)state;
     const struct sim_fault faults[] = {{SIM_INVALID_REQUESTS, 15000, 60000, -1}};
-    struct sim_result result = run_small_scenario("odd requests", 1, faults, ROWS(faults));
+    struct sim_result result = run_small_scenario("invalid requests", 1, faults, ROWS(faults));
     if (result.refused < 10) fail_msg("%u unfit jobs refused", result.refused);
 }
 
-/* What a day's jobs may be like; and each with a leader that ends and a burst of cancellations. */
+/* Each load alone, then with a killed leader and a burst of cancellations. */
 static void loads(void **state) {
     (void)state;
     static const struct {
@@ -131,13 +133,14 @@
         {"teams at their limits", SIM_LOAD_SMALL_QUOTAS, 16},
         {"a stream of one-task jobs", SIM_LOAD_STREAM, 600},
         {"jobs whose tasks end far apart", SIM_LOAD_UNEVEN_TASKS, 24},
-        {"more work than room", SIM_LOAD_OVERLOAD, 24},
+        {"more work than capacity", SIM_LOAD_OVERLOAD, 24},
     };
     static const struct sim_fault faults[] = {{SIM_KILL, 40000, 1, -1}, {SIM_CANCEL_BURST, 60000, 8000, 4}};
     for (size_t i = 0; i < ROWS(rows); i++)
         for (size_t count = 0; count <= ROWS(faults); count += ROWS(faults)) {
-            const struct sim_scenario plan = {&sim_small, 1, DAY + 60000, rows[i].load, faults, count};
-            struct sim_result result = sim_run(&plan);
+            const struct sim_scenario scenario = {&sim_small,   1,      LENGTH_MS + 60000,
+                                                  rows[i].load, faults, count};
+            struct sim_result result = sim_run(&scenario);
             if (result.violation[0]) fail_msg("%s, %zu faults: %s", rows[i].what, count, result.violation);
             if (result.accepted < rows[i].accepted || result.done < rows[i].accepted / 4 || result.open_jobs)
                 fail_msg("%s, %zu faults: %u accepted, %u done, %u left open", rows[i].what, count,
@@ -145,21 +148,21 @@
         }
 }
 
-/* The combinations that the standard days of a site lack. */
+/* Combinations of faults that a site's standard scenarios lack. */
 static void selected_fault_combinations(void **state) {
     (void)state;
     static const struct {
         const char *what;
         struct sim_fault faults[6];
         size_t fault_count;
-    } days[] = {
-        {"all controllers lost during an outage",
+    } scenarios[] = {
+        {"all controllers killed during an outage",
          {{SIM_STORE_OUTAGE, 30000, 30000, -1},
           {SIM_KILL, 40000, 1, 0},
           {SIM_KILL, 40000, 1, 1},
           {SIM_KILL, 40000, 1, 2}},
          4},
-        {"restarts in mid-election",
+        {"restarts during an election",
          {{SIM_KILL, 30000, 1, -1},
           {SIM_RESTART, 33100, 1, 0},
           {SIM_RESTART, 33300, 1, 1},
@@ -167,86 +170,87 @@
           {SIM_RESTART, 34000, 1, -1}},
          5},
         {"a long outage", {{SIM_STORE_OUTAGE, 25000, 70000, -1}}, 1},
-        {"late requests and a new leader",
+        {"late requests and failovers",
          {{SIM_LATE_REQUESTS, 20000, 60000, -1}, {SIM_KILL, 30000, 1, -1}, {SIM_KILL, 50000, 1, -1}},
          3},
-        {"lost answers and a new leader",
+        {"lost answers and a failover",
          {{SIM_LOSE_RESPONSES, 20000, 60000, -1},
           {SIM_KILL, 30000, 1, -1},
           {SIM_CUT_STORE, 50000, 20000, -1}},
          3},
-        {"copies of reports across take-overs",
+        {"duplicate heartbeats across failovers",
          {{SIM_DUPLICATE_HEARTBEATS, 15000, 90000, 0},
           {SIM_DUPLICATE_HEARTBEATS, 15000, 90000, 1},
           {SIM_KILL, 40000, 1, -1},
           {SIM_KILL, 60000, 1, -1}},
          4},
         {"only the workers reach the leader", {{SIM_CUT_ALL_BUT_AGENTS, 30000, 40000, -1}}, 1},
-        {"zones apart and the leader dies",
+        {"zones cut off from each other and the leader killed",
          {{SIM_ZONE_PARTITION, 30000, 30000, -1}, {SIM_KILL, 35000, 1, -1}},
          2},
-        {"a deaf machine while the cloud is empty",
+        {"a machine without answers while the cloud has no capacity",
          {{SIM_LOSE_HEARTBEAT_REPLIES, 25000, 40000, -1}, {SIM_NO_CAPACITY, 20000, 40000, -1}},
          2},
     };
-    for (size_t i = 0; i < ROWS(days); i++)
+    for (size_t i = 0; i < ROWS(scenarios); i++)
         for (uint64_t seed = 1; seed <= 2; seed++)
-            run_small_scenario(days[i].what, seed, days[i].faults, days[i].fault_count);
+            run_small_scenario(scenarios[i].what, seed, scenarios[i].faults, scenarios[i].fault_count);
 }
 
-static void draw_faults(uint64_t seed, struct sim_fault *fault, size_t count) {
+static void random_faults(uint64_t seed, struct sim_fault *fault, size_t count) {
     uint64_t state = seed * 0x9e3779b97f4a7c15u;
     for (size_t i = 0; i < count; i++) {
         state ^= state << 13, state ^= state >> 7, state ^= state << 17;
-        fault[i].kind = (enum sim_fault_kind)(state % DRAWN_KINDS);
+        fault[i].kind = (enum sim_fault_kind)(state % RANDOM_KINDS);
         fault[i].at = 15000 + (amb_ms)(state >> 16) % 110000;
         fault[i].lasts = 3000 + (amb_ms)(state >> 40) % 40000;
         fault[i].which = (state >> 60) < 8 ? -1 : (int)((state >> 58) % 3);
     }
 }
 
-static void play_drawn(uint64_t first, uint64_t last) {
+static void run_random_scenarios(uint64_t first, uint64_t last) {
     struct sim_fault faults[8];
     for (uint64_t seed = first; seed <= last; seed++) {
-        draw_faults(seed, faults, ROWS(faults));
-        run_small_scenario("drawn", seed, faults, ROWS(faults));
+        random_faults(seed, faults, ROWS(faults));
+        run_small_scenario("random faults", seed, faults, ROWS(faults));
     }
 }
 
 static void random_days(void **state) {
     (void)state;
-    play_drawn(1, 6);
+    run_random_scenarios(1, 6);
 }
 
 static void more_random_days(void **state) {
     (void)state;
-    play_drawn(7, 12);
+    run_random_scenarios(7, 12);
 }
 
-/* Drawn days that once broke something. */
+/* Random scenarios that once broke a rule. */
 static void past_failures(void **state) {
     (void)state;
     static const struct {
         const char *what;
         uint64_t seed;
     } rows[] = {
-        {"a cancellation told just before an outage, unknown to a leader that its peers confirm", 1074},
-        {"an earlier leader's stale placement started again, over the team's limit", 1180},
-        {"a job that came while the leader was mute was never taken up", 1035},
+        {"a cancellation confirmed just before an outage, unknown to a leader that its peers confirm", 1074},
+        {"a stale placement of an earlier leader started again, above the team's limit", 1180},
+        {"a job that arrived while the leader was unreachable was never scheduled", 1035},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct sim_fault faults[8];
-        draw_faults(rows[i].seed, faults, ROWS(faults));
+        random_faults(rows[i].seed, faults, ROWS(faults));
         run_small_scenario(rows[i].what, rows[i].seed, faults, ROWS(faults));
     }
 }
 
-/* Days that broke a rule when they were drawn by tests/standin/explore.c, taken apart by it. */
+/* Random scenarios of tests/standin/explore.c that broke a rule, as reduced by it to the faults that matter.
+ */
 static void past_explorer_failures(void **state) {
     (void)state;
     static const struct {
         const char *what;
-        struct sim_scenario plan;
+        struct sim_scenario scenario;
         struct sim_fault faults[4];
         size_t count;
     } rows[] = {
@@ -256,15 +260,15 @@
           {SIM_LOSE_RESPONSES, 65826, 39578, -1},
           {SIM_CUT_ALL, 67769, 5104, 1}},
          3},
-        {"a spoilt repeat at a node that the state service refuses",
+        {"a corrupted resubmission at a controller that the state service refuses",
          {&sim_small, 403, 300000, 0, NULL, 0},
          {{SIM_INVALID_REQUESTS, 57953, 43944, 1}, {SIM_STORE_REFUSES_NODE, 53637, 42186, 0}},
          2},
-        {"a spoilt repeat at a node that is cut from the state service",
+        {"a corrupted resubmission at a controller that is cut off from the state service",
          {&sim_small, 74, 300000, 0, NULL, 0},
          {{SIM_CUT_STORE, 62537, 25953, -1}, {SIM_INVALID_REQUESTS, 73179, 4983, 0}},
          2},
-        {"spoilt repeats and close looks while the state service is slow",
+        {"corrupted resubmissions and bursts of queries while the state service is slow",
          {&sim_small, 867, 300000, SIM_LOAD_SMALL_QUOTAS, NULL, 0},
          {{SIM_POLL_BURST, 105243, 15352, 0},
           {SIM_SLOW_STORE, 104433, 25791, 0},
@@ -273,10 +277,10 @@
          4},
     };
     for (size_t i = 0; i < ROWS(rows); i++) {
-        struct sim_scenario plan = rows[i].plan;
-        plan.faults = rows[i].faults;
-        plan.fault_count = rows[i].count;
-        struct sim_result result = sim_run(&plan);
+        struct sim_scenario scenario = rows[i].scenario;
+        scenario.faults = rows[i].faults;
+        scenario.fault_count = rows[i].count;
+        struct sim_result result = sim_run(&scenario);
         if (result.violation[0]) fail_msg("%s: %s", rows[i].what, result.violation);
         if (result.accepted < 12 || result.done < 3 || result.starts < 10)
             fail_msg("%s: %u accepted, %u done, %u starts", rows[i].what, result.accepted, result.done,
@@ -284,7 +288,7 @@
     }
 }
 
-/* The size of the grown deployments: seven nodes, over a hundred machines, bursts of hundreds of tasks. */
+/* A larger deployment: seven controllers, over a hundred machines, bursts of hundreds of tasks. */
 static void grown_day(void **state) {
     (void)state;
     const struct sim_fault faults[] = {{SIM_KILL, 30000, 1, -1},
@@ -295,17 +299,17 @@
                                        {SIM_CUT_ALL_BUT_AGENTS, 95000, 15000, -1},
                                        {SIM_LOSE_RESPONSES, 80000, 9000, -1},
                                        {SIM_MACHINE_HANG, 85000, 25000, -1}};
-    struct sim_result result = sim_run_default_load(&sim_grown, 7, DAY, faults, ROWS(faults));
+    struct sim_result result = sim_run_default_load(&sim_grown, 7, LENGTH_MS, faults, ROWS(faults));
     if (result.violation[0]) fail_msg("%s", result.violation);
     if (result.accepted < 100 || result.done < 40 || result.starts < 900 || result.open_jobs)
         fail_msg("%u accepted, %u done, %u starts, %u left open", result.accepted, result.done, result.starts,
                  result.open_jobs);
 }
 
-/* Reports come so seldom that a part of their period is longer than a worker waits for an answer. */
+/* Heartbeats are so rare that a fraction of their interval is longer than a worker waits for an answer. */
 static void slow_reports(void **state) {
     (void)state;
-    struct sim_result result = sim_run_default_load(&sim_slow, 1, DAY + 100000, NULL, 0);
+    struct sim_result result = sim_run_default_load(&sim_slow, 1, LENGTH_MS + 100000, NULL, 0);
     if (result.violation[0]) fail_msg("%s", result.violation);
     if (result.accepted < 12 || result.done < 3 || result.starts < 10 || result.open_jobs ||
         result.longest_long_poll_ms > 2000)
@@ -313,9 +317,9 @@
                  result.done, result.starts, result.open_jobs, (long long)result.longest_long_poll_ms);
 }
 
-/* The size of the fleet deployments: hundreds of machines, slow reports, long leases. All controllers end
- * together while a zone is out of reach, a machine hears no answers, others hang or die, and late copies
- * come. */
+/* The size of the fleet deployments: hundreds of machines, rare heartbeats, long leases. All controllers are
+ * killed at once while machines hang or crash, a machine receives no answers, a zone is cut off and
+ * heartbeats are duplicated. */
 static void fleet_day(void **state) {
     (void)state;
     const struct sim_fault faults[] = {
@@ -338,7 +342,7 @@
         {SIM_LATE_REQUESTS, 95000, 10000, -1},
         {SIM_CUT_ALL_BUT_AGENTS, 100000, 20000, -1},
     };
-    struct sim_result result = sim_run_default_load(&sim_fleet, 3, DAY, faults, ROWS(faults));
+    struct sim_result result = sim_run_default_load(&sim_fleet, 3, LENGTH_MS, faults, ROWS(faults));
     if (result.violation[0]) fail_msg("%s", result.violation);
     if (result.accepted < 600 || result.done < 200 || result.starts < 7000 || result.open_jobs)
         fail_msg("%u accepted, %u done, %u starts, %u left open", result.accepted, result.done, result.starts,
--- a/tests/scenarios/test_standin_digest.c
+++ b/tests/scenarios/test_standin_digest.c
@@ -1,4 +1,4 @@
-/* The digest of a simulated day tells two days apart that differ in anything that was said. */
+/* The digest of a simulated scenario must differ between two runs that differ in any message. */
 #include "check.h"
 #include "named_tests.h"
 #include "world.h"
@@ -32,7 +32,7 @@
     const uint64_t plain = digest_of(calls, 2, 100, 200);
     assert_true(plain == digest_of(calls, 2, 100, 200));
     assert_true(plain != digest_of(calls, 2, 100, 201)); /* a later answer */
-    assert_true(plain != digest_of(calls, 1, 100, 200)); /* one less */
+    assert_true(plain != digest_of(calls, 1, 100, 200)); /* one call fewer */
 
     const struct sim_call swapped[] = {calls[1], calls[0]};
     assert_true(plain != digest_of(swapped, 2, 100, 200));
@@ -64,22 +64,22 @@
     assert_true(digests[0] != digests[1]);
 }
 
-/* Each day in a process of its own, as explore plays them: the library keeps some state from one to the next.
- */
-static uint64_t digest_of_day(uint64_t seed, const struct sim_fault *faults, size_t count) {
+/* Each scenario runs in a process of its own, as in explore: the library keeps some state from one run to the
+ * next. */
+static uint64_t digest_of_scenario(uint64_t seed, const struct sim_fault *faults, size_t count) {
     enum { LENGTH_MS = 40000 };
-    int ends[2];
+    int pipe_fds[2];
     uint64_t digest = 0;
-    assert_int_equal(pipe(ends), 0);
+    assert_int_equal(pipe(pipe_fds), 0);
     pid_t child = fork();
     assert_true(child >= 0);
     if (!child) {
         digest = sim_run_default_load(&sim_small, seed, LENGTH_MS, faults, count).digest;
-        _exit(write(ends[1], &digest, sizeof digest) == (ssize_t)sizeof digest ? 0 : 1);
+        _exit(write(pipe_fds[1], &digest, sizeof digest) == (ssize_t)sizeof digest ? 0 : 1);
     }
-    close(ends[1]);
-    assert_int_equal(read(ends[0], &digest, sizeof digest), sizeof digest);
-    close(ends[0]);
+    close(pipe_fds[1]);
+    assert_int_equal(read(pipe_fds[0], &digest, sizeof digest), sizeof digest);
+    close(pipe_fds[0]);
     assert_int_equal(waitpid(child, NULL, 0), child);
     return digest;
 }
@@ -88,10 +88,10 @@
     static const struct sim_fault lost_answers = {
         .kind = SIM_LOSE_RESPONSES, .at = 20000, .lasts = 5000, .which = -1};
     (void)state;
-    const uint64_t first = digest_of_day(1, NULL, 0);
-    assert_true(first == digest_of_day(1, NULL, 0));
-    assert_true(first != digest_of_day(2, NULL, 0));
-    assert_true(first != digest_of_day(1, &lost_answers, 1));
+    const uint64_t first = digest_of_scenario(1, NULL, 0);
+    assert_true(first == digest_of_scenario(1, NULL, 0));
+    assert_true(first != digest_of_scenario(2, NULL, 0));
+    assert_true(first != digest_of_scenario(1, &lost_answers, 1));
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_standin_duties.c
+++ b/tests/scenarios/test_standin_duties.c
@@ -1,5 +1,5 @@
-/* Whole days against the stand-in with single-holder duties switched on. Its cloud knows their tokens, and
- * breaks a rule when a machine is returned in use, or when leader and holders both act. */
+/* Scenarios with single-holder duties switched on. The simulated cloud checks the fencing tokens, and a rule
+ * is violated when a machine in use is returned, or when the leader and a holder both act. */
 #include "named_tests.h"
 #include "small_scenario.h"
 
@@ -14,7 +14,7 @@
     }
 }
 
-static void single_troubles(enum sim_fault_kind first, enum sim_fault_kind end) {
+static void run_single_faults(enum sim_fault_kind first, enum sim_fault_kind end) {
     for (int kind = (int)first; kind < (int)end; kind++)
         for (uint64_t seed = 1; seed <= 2; seed++) {
             const struct sim_fault faults[] = {
@@ -22,27 +22,27 @@
                 {(enum sim_fault_kind)kind, 25000, 20000 + 9000 * (amb_ms)seed, -1},
                 {(enum sim_fault_kind)kind, 80000, 25000, -1}};
             char what[32];
-            snprintf(what, sizeof what, "trouble %d", kind);
+            snprintf(what, sizeof what, "fault %d", kind);
             run_small_scenario(what, seed, faults, ROWS(faults));
         }
 }
 
 static void controller_faults(void **state) {
     (void)state;
-    single_troubles(SIM_KILL, SIM_MACHINE_HANG);
+    run_single_faults(SIM_KILL, SIM_MACHINE_HANG);
 }
 
 static void machine_and_service_faults(void **state) {
     (void)state;
-    single_troubles(SIM_MACHINE_HANG, SIM_LOSE_HEARTBEATS);
+    run_single_faults(SIM_MACHINE_HANG, SIM_LOSE_HEARTBEATS);
 }
 
 static void message_faults(void **state) {
     (void)state;
-    single_troubles(SIM_LOSE_HEARTBEATS, SIM_LOWER_STORE_LIMITS);
+    run_single_faults(SIM_LOSE_HEARTBEATS, SIM_LOWER_STORE_LIMITS);
 }
 
-/* Switched on, and off again, a node at a time, while the leader and others end. */
+/* Duties are switched on and off again, one controller at a time, also during failovers and outages. */
 static void switched_while_it_runs(void **state) {
     (void)state;
     static const struct {
@@ -54,7 +54,7 @@
         {"switched on", {{SIM_SWITCH_DUTIES, 20000, SIM_PERMANENT_MS, -1}}, 1, 1},
         {"switched off", {{SIM_SWITCH_DUTIES, 0, 60000, -1}}, 1, 2},
         {"on and off", {{SIM_SWITCH_DUTIES, 20000, 70000, -1}}, 1, 2},
-        {"on and off while the leader ends",
+        {"on and off while leaders are killed",
          {{SIM_SWITCH_DUTIES, 15000, 60000, -1}, {SIM_KILL, 48000, 1, -1}, {SIM_KILL, 85000, 1, -1}},
          3,
          2},
--- a/tests/scenarios/test_standin_end.c
+++ b/tests/scenarios/test_standin_end.c
@@ -1,31 +1,33 @@
-/* How a day of the stand-in ends: in time, with what is open counted, or when all work is done. */
+/* A simulated scenario ends either at its fixed length, with the open jobs counted, or when all jobs are
+ * done. */
 #include "check.h"
 #include "named_tests.h"
 #include "standin.h"
 
-/* One-task jobs come faster than the teams' limits let them run, so the work outlasts the day. */
+/* One-task jobs arrive faster than the teams' limits let them run, so jobs are left open at the fixed length.
+ */
 static void work_that_outlasts_the_day(void **state) {
     (void)state;
-    const struct sim_scenario plan = {
+    const struct sim_scenario scenario = {
         .size = &sim_small,
         .seed = 5024,
         .length = 300000,
         .load = SIM_LOAD_STREAM | SIM_LOAD_SMALL_QUOTAS,
     };
-    struct sim_result in_time = sim_run(&plan);
-    assert_string_equal(in_time.violation, "");
-    assert_true(in_time.open_jobs > 0);
-    assert_int_equal(in_time.overtime_ms, 0);
+    struct sim_result fixed_length = sim_run(&scenario);
+    assert_string_equal(fixed_length.violation, "");
+    assert_true(fixed_length.open_jobs > 0);
+    assert_int_equal(fixed_length.overtime_ms, 0);
 
-    struct sim_result too_short = sim_run_until_done(&plan, 1000);
+    struct sim_result too_short = sim_run_until_done(&scenario, 1000);
     assert_non_null(strstr(too_short.violation, "unfinished"));
     assert_true(too_short.open_jobs > 0);
 
-    struct sim_result all_done = sim_run_until_done(&plan, 300000);
+    struct sim_result all_done = sim_run_until_done(&scenario, 300000);
     assert_string_equal(all_done.violation, "");
     assert_int_equal(all_done.open_jobs, 0);
     assert_in_range(all_done.overtime_ms, 1000, 299999);
-    assert_true(all_done.done > in_time.done);
+    assert_true(all_done.done > fixed_length.done);
 }
 
 int main(int argc, char **argv) {
--- a/tests/scenarios/test_upgrade.c
+++ b/tests/scenarios/test_upgrade.c
@@ -1,85 +1,87 @@
-/* Whole days of the stand-in on which machines get the present version a few at a time, while the production
- * version serves beside it, and the state service lowers its limits afterwards. */
+/* Scenarios in which controllers are upgraded a few at a time from the production version to the present one,
+ * so that both versions run side by side, and in which the state service lowers its limits afterwards. */
 #include "check.h"
 #include "named_tests.h"
 #include "standin.h"
 
 #include "amberpin/base/log.h"
 
-enum { LENGTH = 300000, SEEDS = 3 };
+enum { LENGTH_MS = 300000, SEEDS = 3 };
 
 static const struct sim_size fleet = {3, 20, 24, 40, 3, 1000, 10000, 30000, 200, 20, 3};
 
-struct day {
+struct scenario {
     const char *what;
     unsigned load;
     struct sim_fault faults[6];
     size_t count;
-    amb_ms length; /* 0: LENGTH */
+    amb_ms length; /* 0: LENGTH_MS */
 };
 
-static bool plans_upgrade(const struct day *day) {
-    for (size_t i = 0; i < day->count; i++)
-        if (day->faults[i].kind == SIM_UPGRADE) return true;
+static bool plans_upgrade(const struct scenario *scenario) {
+    for (size_t i = 0; i < scenario->count; i++)
+        if (scenario->faults[i].kind == SIM_UPGRADE) return true;
     return false;
 }
 
-static void must_hold(const struct day *day, uint64_t seed) {
+static void run_seed(const struct scenario *scenario, uint64_t seed) {
     if (!sim_is_production_available()) fail_msg("the production version is not in the repository's history");
     struct sim_result result = sim_run(&(struct sim_scenario){
         .size = &fleet,
         .seed = seed,
-        .length = day->length ? day->length : LENGTH,
-        .load = day->load,
-        .faults = day->faults,
-        .fault_count = day->count,
+        .length = scenario->length ? scenario->length : LENGTH_MS,
+        .load = scenario->load,
+        .faults = scenario->faults,
+        .fault_count = scenario->count,
     });
     if (getenv("SIM_TRACE"))
-        printf("%s, seed %llu: %u accepted, %u done, %u cancelled, %u open, upgraded at %lld; of jobs that "
-               "await others %u "
-               "accepted, %u done, %u cancelled with one; %u refused for size, %u for rate; %s\n",
-               day->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
-               result.open_jobs, (long long)result.upgraded_at, result.dependents, result.dependents_done,
-               result.dependents_cancelled, result.size_refusals, result.rate_refusals, result.violation);
-    if (result.violation[0]) fail_msg("%s, seed %llu: %s", day->what, (unsigned long long)seed, result.violation);
-    if ((day->load & SIM_LOAD_PIPELINES) &&
+        printf(
+            "%s, seed %llu: %u accepted, %u done, %u cancelled, %u open, upgraded at %lld; of dependent jobs "
+            "%u accepted, %u done, %u cancelled with a dependency; %u refused for size, %u for rate; %s\n",
+            scenario->what, (unsigned long long)seed, result.accepted, result.done, result.cancelled,
+            result.open_jobs, (long long)result.upgraded_at, result.dependents, result.dependents_done,
+            result.dependents_cancelled, result.size_refusals, result.rate_refusals, result.violation);
+    if (result.violation[0])
+        fail_msg("%s, seed %llu: %s", scenario->what, (unsigned long long)seed, result.violation);
+    if ((scenario->load & SIM_LOAD_PIPELINES) &&
         (result.dependents < 15 || result.dependents_done < 4 || result.dependents_cancelled < 2))
-        fail_msg("%s, seed %llu: of jobs that await others %u accepted, %u done, %u cancelled", day->what,
+        fail_msg("%s, seed %llu: of dependent jobs %u accepted, %u done, %u cancelled", scenario->what,
                  (unsigned long long)seed, result.dependents, result.dependents_done,
                  result.dependents_cancelled);
-    if (plans_upgrade(day) && !result.upgraded_at)
-        fail_msg("%s, seed %llu: not all nodes were upgraded", day->what, (unsigned long long)seed);
+    if (plans_upgrade(scenario) && !result.upgraded_at)
+        fail_msg("%s, seed %llu: not all controllers were upgraded", scenario->what,
+                 (unsigned long long)seed);
     if (result.accepted < 16 || result.done < 8 || result.open_jobs)
-        fail_msg("%s, seed %llu: %u accepted, %u done, %u left open", day->what, (unsigned long long)seed,
-                 result.accepted, result.done, result.open_jobs);
+        fail_msg("%s, seed %llu: %u accepted, %u done, %u left open", scenario->what,
+                 (unsigned long long)seed, result.accepted, result.done, result.open_jobs);
 }
 
-static void play_days(const struct day *days, size_t count) {
+static void run_scenarios(const struct scenario *scenarios, size_t count) {
     for (size_t i = 0; i < count; i++)
-        for (uint64_t seed = 1; seed <= SEEDS; seed++) must_hold(&days[i], seed);
+        for (uint64_t seed = 1; seed <= SEEDS; seed++) run_seed(&scenarios[i], seed);
 }
 
-/* The last node is back at 66 s. */
+/* The last controller is back at 66 s of simulated time. */
 static void one_at_a_time(void **state) {
     (void)state;
-    static const struct day days[] = {
+    static const struct scenario scenarios[] = {
         {"an upgrade", 0, {{SIM_UPGRADE, 30000, 15000, -1}}, 1, 0},
         {"two at a time", 0, {{SIM_UPGRADE, 30000, 15000, 2}}, 1, 0},
         {"one right after the other", 0, {{SIM_UPGRADE, 30000, 3000, -1}}, 1, 0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* New and old leaders take turns, and read what the other wrote. */
+/* Leaders of the two versions follow each other and read what the other version wrote. */
 static void leader_failures_during_upgrade(void **state) {
     (void)state;
-    static const struct day days[] = {
-        {"the new leader ends while old nodes live",
+    static const struct scenario scenarios[] = {
+        {"the new leader is killed while old controllers run",
          0,
          {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_KILL, 42000, 1, -1}, {SIM_KILL, 60000, 1, -1}},
          3,
          0},
-        {"leaders end every few seconds",
+        {"a leader restarts every few seconds",
          0,
          {{SIM_UPGRADE, 30000, 25000, -1},
           {SIM_RESTART, 38000, 1, -1},
@@ -89,7 +91,7 @@
           {SIM_RESTART, 76000, 1, -1}},
          6,
          0},
-        {"all end together when one is new",
+        {"all are killed at once when one is upgraded",
          0,
          {{SIM_UPGRADE, 30000, 40000, -1},
           {SIM_KILL, 50000, 1, 0},
@@ -97,25 +99,25 @@
           {SIM_KILL, 50000, 1, 2}},
          4,
          0},
-        {"all end together when the last is on its way",
+        {"the others are killed while the last one is being upgraded",
          0,
          {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_KILL, 71000, 1, 0}, {SIM_KILL, 72000, 1, 1}},
          3,
          0},
-        {"a node ends just before its turn",
+        {"a controller is killed just before its upgrade",
          0,
          {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_KILL, 49000, 1, 1}, {SIM_KILL, 69500, 1, 2}},
          3,
          0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 /* The only new node leads and places the tasks of large jobs; then an old one takes over while machines hang,
  * so that what they hold is known from the records alone. Then the other way round. */
 static void taken_over_by_the_other_version(void **state) {
     (void)state;
-    static const struct day days[] = {
+    static const struct scenario scenarios[] = {
         {"an old node takes over from a new one",
          SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 10000, 80000, 1},
@@ -126,7 +128,7 @@
           {SIM_KILL, 60500, 1, 0}},
          6,
          0},
-        {"a new node takes over from an old one",
+        {"a new controller takes over from an old one",
          SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 50000, 30000, 1},
           {SIM_MACHINE_HANG, 60000, 9000, 0},
@@ -136,13 +138,13 @@
          5,
          0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 static void faults_during_upgrade(void **state) {
     (void)state;
-    static const struct day days[] = {
-        {"late transactions of ended nodes",
+    static const struct scenario scenarios[] = {
+        {"late transactions of killed controllers",
          0,
          {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_LATE_WRITES, 25000, 70000, 40}, {SIM_KILL, 60000, 1, -1}},
          3,
@@ -152,9 +154,17 @@
          {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_LOSE_RESPONSES, 25000, 70000, -1}},
          2,
          0},
-        {"an outage", 0, {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_STORE_OUTAGE, 45000, 35000, -1}}, 2, 0},
-        {"zones apart", 0, {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_ZONE_PARTITION, 40000, 45000, -1}}, 2, 0},
-        {"the leader is refused by the state service, cancellations at the others",
+        {"an outage of the state service",
+         0,
+         {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_STORE_OUTAGE, 45000, 35000, -1}},
+         2,
+         0},
+        {"zones cut off from each other",
+         0,
+         {{SIM_UPGRADE, 30000, 20000, -1}, {SIM_ZONE_PARTITION, 40000, 45000, -1}},
+         2,
+         0},
+        {"the leader is refused by the state service, cancellations at its peers",
          0,
          {{SIM_UPGRADE, 30000, 25000, -1},
           {SIM_STORE_REFUSES_NODE, 40000, 12000, -1},
@@ -162,7 +172,7 @@
           {SIM_STORE_OUTAGE, 52000, 35000, -1}},
          4,
          0},
-        {"reports come late, and as leaders begin",
+        {"copies of heartbeats arrive late and at new leaders",
          0,
          {{SIM_UPGRADE, 30000, 20000, -1},
           {SIM_LATE_HEARTBEAT_COPIES, 25000, 70000, 30},
@@ -170,30 +180,30 @@
          3,
          0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* The first pipelines come as soon as all nodes are new. */
+/* The first pipelines are submitted as soon as all controllers are upgraded. */
 static void pipelines_right_after_upgrade(void **state) {
     (void)state;
-    static const struct day days[] = {
+    static const struct scenario scenarios[] = {
         {"an upgrade, then pipelines", SIM_LOAD_PIPELINES, {{SIM_UPGRADE, 30000, 15000, -1}}, 1, 0},
-        {"the last node is new, and the leader ends",
+        {"leaders are killed right after the last upgrade",
          SIM_LOAD_PIPELINES,
          {{SIM_UPGRADE, 30000, 12000, -1}, {SIM_RESTART, 60500, 1, -1}, {SIM_KILL, 68000, 1, -1}},
          3,
          0},
-        {"late transactions of ended nodes",
+        {"late transactions of killed controllers",
          SIM_LOAD_PIPELINES,
          {{SIM_UPGRADE, 30000, 12000, -1}, {SIM_LATE_WRITES, 25000, 70000, 40}, {SIM_KILL, 62000, 1, -1}},
          3,
          0},
-        {"zones apart as the last node is upgraded",
+        {"zones cut off from each other during the last upgrade",
          SIM_LOAD_PIPELINES,
          {{SIM_UPGRADE, 30000, 12000, -1}, {SIM_ZONE_PARTITION, 50000, 30000, -1}},
          2,
          0},
-        {"answers are lost",
+        {"answers of the state service are lost, bursts of queries",
          SIM_LOAD_PIPELINES,
          {{SIM_UPGRADE, 30000, 12000, -1},
           {SIM_LOSE_RESPONSES, 45000, 40000, -1},
@@ -201,25 +211,25 @@
          3,
          0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* The limits are lowered as soon as all nodes are new, or later, as jobs of many tasks and pipelines come:
- * what was recorded in large blocks has to be written in smaller ones. */
+/* The limits are lowered as soon as all controllers are upgraded, or later, while jobs of many tasks and
+ * pipelines are submitted: what was recorded in large blocks must then be written in smaller ones. */
 static void limits_lowered(void **state) {
     (void)state;
-    static const struct day days[] = {
+    static const struct scenario scenarios[] = {
         {"right after the upgrade",
          SIM_LOAD_PIPELINES,
          {{SIM_UPGRADE, 30000, 12000, -1}, {SIM_LOWER_STORE_LIMITS, 30000, 1, -1}},
          2,
          0},
-        {"in the middle of a burst",
+        {"during a burst",
          SIM_LOAD_PIPELINES | SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 10000, 8000, -1}, {SIM_LOWER_STORE_LIMITS, 75000, 1, -1}},
          2,
          0},
-        {"in the middle of a burst, on a day without an upgrade",
+        {"during a burst, without an upgrade",
          SIM_LOAD_PIPELINES | SIM_LOAD_OVERLOAD,
          {{SIM_LOWER_STORE_LIMITS, 60000, 1, -1}},
          1,
@@ -230,13 +240,13 @@
          2,
          0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 static void limits_lowered_during_leader_failures(void **state) {
     (void)state;
-    static const struct day days[] = {
-        {"the leader ends as it happens",
+    static const struct scenario scenarios[] = {
+        {"the leader is killed as the limits are lowered",
          SIM_LOAD_PIPELINES | SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 10000, 8000, -1},
           {SIM_LOWER_STORE_LIMITS, 75000, 1, -1},
@@ -245,7 +255,7 @@
           {SIM_RESTART, 88000, 1, -1}},
          5,
          0},
-        {"leaders end while records are split",
+        {"leaders restart while records are split",
          SIM_LOAD_PIPELINES | SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 10000, 8000, -1},
           {SIM_LOWER_STORE_LIMITS, 50000, 1, -1},
@@ -255,7 +265,7 @@
           {SIM_RESTART, 65000, 1, -1}},
          6,
          0},
-        {"transactions come late or get no answer",
+        {"transactions are late or get no answer",
          SIM_LOAD_PIPELINES | SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 10000, 8000, -1},
           {SIM_LOWER_STORE_LIMITS, 50000, 1, -1},
@@ -264,7 +274,7 @@
           {SIM_KILL, 70000, 1, -1}},
          5,
          0},
-        {"in an outage, in which all end",
+        {"in an outage, in which all controllers are killed",
          SIM_LOAD_PIPELINES | SIM_LOAD_OVERLOAD,
          {{SIM_STORE_OUTAGE, 50000, 40000, -1},
           {SIM_LOWER_STORE_LIMITS, 55000, 1, -1},
@@ -274,7 +284,7 @@
          5,
          0},
     };
-    play_days(days, ROWS(days));
+    run_scenarios(scenarios, ROWS(scenarios));
 }
 
 int main(int argc, char **argv) {
