--- a/bench/bench.c
+++ b/bench/bench.c
@@ -1,9 +1,9 @@
 /* Measures single parts of the scheduler, and compares them with another build of this program.
  *
- * A figure is processor time of one run of a case. Samples are repeated, and what is printed is the median
- * and the middle half of them. With --against, both programs are run alternately, case by case, so that a
- * change of the machine's speed meets both; each pair gives a ratio, and the median and middle half of those
- * are printed. */
+ * A figure is the processor time of one run of a case. Each case is sampled repeatedly; the median and the
+ * middle half (the quartiles) of the samples are printed. With --against, both programs run alternately, case
+ * by case, so that a change of the machine's speed affects both; each pair gives a ratio, and the median and
+ * the middle half of the ratios are printed. */
 #include "cases.h"
 #include "measure.h"
 
@@ -15,8 +15,8 @@
 #include <string.h>
 
 enum { CASE_NAME = 96, SAMPLES_MAX = 1000, DEFAULT_SAMPLES = 15, DEFAULT_PAIRS = 9 };
-static const double SAMPLE_NS = 4e6;        /* a sample lasts about as long, if the case can be repeated */
-static const double FRESH_SAMPLES_NS = 2e7; /* so long in all, cases that can't be */
+static const double SAMPLE_NS = 4e6;        /* approximate length of a sample of a repeatable case */
+static const double FRESH_SAMPLES_NS = 2e7; /* total run time in a sample of a case with fresh input */
 enum { FRESH_SAMPLES_MAX = 60 };
 
 struct arguments {
@@ -28,9 +28,15 @@
 /* ---- cases ---- */
 
 typedef struct bench_cases (*case_source)(void);
-static const case_source sources[] = {bench_codec_cases,  bench_http_cases,  bench_report_cases,
-                                      bench_submit_cases, bench_scheduling_cycle_cases, bench_heartbeat_cases,
-                                      bench_watch_cases, bench_load_cases,  bench_tick_cases};
+static const case_source sources[] = {bench_codec_cases,
+                                      bench_http_cases,
+                                      bench_report_cases,
+                                      bench_submit_cases,
+                                      bench_scheduling_cycle_cases,
+                                      bench_heartbeat_cases,
+                                      bench_watch_cases,
+                                      bench_load_cases,
+                                      bench_tick_cases};
 enum { SOURCES = sizeof sources / sizeof *sources };
 
 static void case_name(char out[CASE_NAME], const struct bench_case *bench) {
@@ -53,7 +59,7 @@
     return ns;
 }
 
-/* A sample is the median of some runs, each on its own input. */
+/* A sample is the median of several runs, each on fresh input. */
 static double sample_fresh(const struct bench_case *bench, bool once) {
     double runs[FRESH_SAMPLES_MAX];
     size_t count = 0;
@@ -66,7 +72,7 @@
 }
 
 static long runs_for_sample(const struct bench_case *bench, void *input) {
-    time_runs(bench, input, 1); /* caches and allocator warm */
+    time_runs(bench, input, 1); /* warms up caches and the allocator */
     double ns = time_runs(bench, input, 3);
     long runs = ns > 0 ? (long)(SAMPLE_NS / ns) : 1000;
     return runs > 0 ? runs : 1;
@@ -87,8 +93,9 @@
 
 /* ---- comparing ---- */
 
-/* The median that a program of this kind prints for one case; negative: it has no such case. */
-static double ask(const char *program, const char *name) {
+/* Returns the median in ns that a build of this program prints for one case; negative if it has no such case.
+ */
+static double run_program(const char *program, const char *name) {
     char command[4096], line[256];
     double ns = -1;
     snprintf(command, sizeof command, "'%s' --raw --samples 3 --case '%s'", program, name);
@@ -106,10 +113,10 @@
 static void compare(const char *name, const struct arguments *args) {
     double own[SAMPLES_MAX], other[SAMPLES_MAX], ratio[SAMPLES_MAX];
     for (int i = 0; i < args->samples; i++) {
-        /* In turns, so that neither is always the one that finds the machine warm. */
-        if (i % 2) own[i] = ask(args->program, name);
-        other[i] = ask(args->against, name);
-        if (i % 2 == 0) own[i] = ask(args->program, name);
+        /* The order alternates, so that neither program always finds the machine warmed up. */
+        if (i % 2) own[i] = run_program(args->program, name);
+        other[i] = run_program(args->against, name);
+        if (i % 2 == 0) own[i] = run_program(args->program, name);
         if (other[i] <= 0 || own[i] <= 0) {
             printf("%-40s not in both programs\n", name);
             return;
@@ -138,15 +145,15 @@
     fflush(stdout);
 }
 
-static bool wanted(const char *name, const struct arguments *args) {
+static bool is_selected(const char *name, const struct arguments *args) {
     if (!args->filter) return true;
     return args->raw ? !strcmp(name, args->filter) : strstr(name, args->filter) != NULL;
 }
 
-static void visit(const struct bench_case *bench, const struct arguments *args) {
+static void run_case(const struct bench_case *bench, const struct arguments *args) {
     char name[CASE_NAME];
     case_name(name, bench);
-    if (!wanted(name, args)) return;
+    if (!is_selected(name, args)) return;
     if (args->list)
         puts(name);
     else if (args->against)
@@ -166,13 +173,12 @@
 enum { KEY_ONCE = 256, KEY_RAW };
 
 static const struct argp_option options[] = {
-    {"case", 'c', "TEXT", 0, "only cases whose name holds TEXT", 0},
-    {"against", 'a', "PROGRAM", 0, "compare with this build of the benchmark; ratio: this one by that one",
-     0},
+    {"case", 'c', "TEXT", 0, "only cases whose name contains TEXT", 0},
+    {"against", 'a', "PROGRAM", 0, "compare with another build; ratio: this program's time by PROGRAM's", 0},
     {"samples", 'n', "COUNT", 0, "samples of each case, or pairs with --against", 0},
-    {"list", 'l', 0, 0, "name the cases and end", 0},
-    {"once", KEY_ONCE, 0, 0, "run each case once, to see that it works", 0},
-    {"raw", KEY_RAW, 0, 0, "print name and median only, for the case named exactly so", 0},
+    {"list", 'l', 0, 0, "print the names of the cases and exit", 0},
+    {"once", KEY_ONCE, 0, 0, "run each case once, to check that it works", 0},
+    {"raw", KEY_RAW, 0, 0, "print only name and median, of the case whose name is exactly TEXT", 0},
     {0},
 };
 
@@ -200,9 +206,9 @@
     if (!args.samples) args.samples = args.against ? DEFAULT_PAIRS : DEFAULT_SAMPLES;
     amb_log_init("error");
     print_head(&args);
-    for (size_t size = 0; size < SOURCES; size++) {
-        struct bench_cases cases = sources[size]();
-        for (size_t i = 0; i < cases.count; i++) visit(&cases.list[i], &args);
+    for (size_t source = 0; source < SOURCES; source++) {
+        struct bench_cases cases = sources[source]();
+        for (size_t i = 0; i < cases.count; i++) run_case(&cases.list[i], &args);
     }
     return 0;
 }
--- a/bench/case_codec.c
+++ b/bench/case_codec.c
@@ -1,4 +1,4 @@
-/* CBOR messages: decoding from the body's bytes, encoding into a buffer. */
+/* CBOR messages: decoding from the bytes of a body, encoding into a buffer. */
 #include "cases.h"
 
 #include "amberpin/codec/messages.h"
@@ -7,11 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { FOLLOW_CHANGES = 20, ORDERS = 4 };
+enum { PAGE_CHANGES = 20, COMMANDS = 4 };
 
-static void *report_body(const struct world_size *size) {
+static void *heartbeat_body(const struct world_size *size) {
     struct amb_buf *body = amb_alloc(sizeof *body);
-    world_put_report(body, size, 0, 1, NULL);
+    world_put_heartbeat(body, size, 0, 1, NULL);
     return body;
 }
 
@@ -21,7 +21,7 @@
     free(body);
 }
 
-static void decode_report(void *input) {
+static void decode_heartbeat(void *input) {
     const struct amb_buf *body = input;
     struct amb_agent_heartbeat heartbeat;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
@@ -46,15 +46,15 @@
     cbor_decref(&item);
 }
 
-/* A page of changes as `GET /follow` gives it: as many accepted jobs. */
-static void *follow_body(const struct world_size *size) {
+/* Builds a page of changes as `GET /follow` answers it: each change is an accepted job. */
+static void *change_page_body(const struct world_size *size) {
     struct amb_buf *body = amb_alloc(sizeof *body);
     amb_cbor_write_map(body, 2);
     amb_cbor_write_string(body, "epoch");
     amb_cbor_write_uint(body, 1000);
     amb_cbor_write_string(body, "news");
-    amb_cbor_write_list(body, FOLLOW_CHANGES);
-    for (uint32_t i = 0; i < FOLLOW_CHANGES; i++) {
+    amb_cbor_write_list(body, PAGE_CHANGES);
+    for (uint32_t i = 0; i < PAGE_CHANGES; i++) {
         struct amb_job_spec spec;
         char key[AMB_NAME_SIZE + 8];
         world_spec(&spec, size, i);
@@ -76,42 +76,42 @@
     return body;
 }
 
-static void decode_follow(void *input) {
+static void decode_change_page(void *input) {
     const struct amb_buf *body = input;
     cbor_item_t *item = amb_cbor_parse(body->data, body->len);
-    const cbor_item_t *news = amb_cbor_map_get(item, "news");
-    for (size_t i = 0; i < amb_cbor_list_length(news); i++) {
+    const cbor_item_t *changes = amb_cbor_map_get(item, "news");
+    for (size_t i = 0; i < amb_cbor_list_length(changes); i++) {
         struct amb_job_spec spec;
-        const cbor_item_t *value = amb_cbor_map_get(amb_cbor_list_item(news, i), "value");
+        const cbor_item_t *value = amb_cbor_map_get(amb_cbor_list_item(changes, i), "value");
         if (amb_codec_decode_spec(amb_cbor_map_get(value, "d"), &spec) != AMB_CODEC_OK) abort();
     }
     cbor_decref(&item);
 }
 
-static void *some_orders(const struct world_size *size) {
-    struct amb_agent_command *orders = amb_alloc(ORDERS * sizeof *orders);
-    for (uint32_t i = 0; i < ORDERS; i++) {
+static void *sample_commands(const struct world_size *size) {
+    struct amb_agent_command *commands = amb_alloc(COMMANDS * sizeof *commands);
+    for (uint32_t i = 0; i < COMMANDS; i++) {
         struct amb_job_spec spec;
         world_spec(&spec, size, i);
-        orders[i].kind = i % 2 ? AMB_COMMAND_STOP : AMB_COMMAND_RUN;
-        strcpy(orders[i].job_ref, spec.ref);
-        orders[i].index = i;
-        orders[i].attempt = 1;
+        commands[i].kind = i % 2 ? AMB_COMMAND_STOP : AMB_COMMAND_RUN;
+        strcpy(commands[i].job_ref, spec.ref);
+        commands[i].index = i;
+        commands[i].attempt = 1;
     }
-    return orders;
+    return commands;
 }
 
-static void encode_orders(void *input) {
+static void encode_commands(void *input) {
     struct amb_buf body = {0};
-    amb_codec_encode_commands(&body, input, ORDERS);
+    amb_codec_encode_commands(&body, input, COMMANDS);
     amb_buf_free(&body);
 }
 
 static const struct bench_case cases[] = {
-    {"codec/report-decode", &world_sizes[1], report_body, decode_report, body_free, false},
+    {"codec/report-decode", &world_sizes[1], heartbeat_body, decode_heartbeat, body_free, false},
     {"codec/spec-decode", &world_sizes[1], spec_body, decode_spec, body_free, false},
-    {"codec/follow-decode", &world_sizes[1], follow_body, decode_follow, body_free, false},
-    {"codec/orders-encode", &world_sizes[1], some_orders, encode_orders, free, false},
+    {"codec/follow-decode", &world_sizes[1], change_page_body, decode_change_page, body_free, false},
+    {"codec/orders-encode", &world_sizes[1], sample_commands, encode_commands, free, false},
 };
 
 struct bench_cases bench_codec_cases(void) {
--- a/bench/case_heartbeat.c
+++ b/bench/case_heartbeat.c
@@ -1,4 +1,5 @@
-/* Messages between nodes: what a node says to all others twice a report, and what each does with it. */
+/* Heartbeats between controllers: building the one that a controller sends to all peers twice per agent
+ * heartbeat interval, and handling it at a peer. */
 #include "cases.h"
 
 #include <stdlib.h>
@@ -8,7 +9,7 @@
     return world_leader(size);
 }
 
-/* A node that follows knows all jobs, and no machines. */
+/* Returns a follower, which knows all jobs and no machines. */
 static struct amb_node *follower(const struct world_size *size, uint32_t member) {
     struct amb_node *node = world_node(size, member);
     struct world_pages jobs = world_job_pages(size);
@@ -20,11 +21,11 @@
     return node;
 }
 
-static void *following(const struct world_size *size) {
+static void *new_follower(const struct world_size *size) {
     return follower(size, 1);
 }
 
-static void build(void *input) {
+static void encode(void *input) {
     free(amb_peer_encode_heartbeat(input));
 }
 
@@ -32,7 +33,8 @@
     world_free(input);
 }
 
-/* One heartbeat after another: a leader's differ, because it tells of other machines each time. */
+/* Number of successive heartbeats to receive. Those of a leader differ, because each covers other machines.
+ */
 enum { MESSAGES = 16 };
 
 struct receiving {
@@ -75,49 +77,49 @@
     free(receiving);
 }
 
-/* The answer to a leader that lacks the newest cancellation only. */
-struct asking {
+/* Building the answer to a leader that lacks only the newest cancellation. */
+struct replying {
     struct amb_node *node;
     uint64_t known_revision;
 };
 
-static void *asked(const struct world_size *size) {
-    struct asking *asking = amb_alloc(sizeof *asking);
+static void *replier(const struct world_size *size) {
+    struct replying *replying = amb_alloc(sizeof *replying);
     uint64_t newest = 0;
-    asking->node = follower(size, 1);
-    for (const struct amb_job *job = asking->node->jobs.all; job; job = job->hh.next)
+    replying->node = follower(size, 1);
+    for (const struct amb_job *job = replying->node->jobs.all; job; job = job->hh.next)
         if (job->cancel_revision > newest) newest = job->cancel_revision;
-    asking->known_revision = newest - 1;
-    return asking;
+    replying->known_revision = newest - 1;
+    return replying;
 }
 
-static void answer(void *input) {
-    struct asking *asking = input;
-    amb_peer_message_release(amb_peer_encode_reply(asking->node, asking->known_revision));
+static void encode_reply(void *input) {
+    struct replying *replying = input;
+    amb_peer_message_release(amb_peer_encode_reply(replying->node, replying->known_revision));
 }
 
-static void finish_asking(void *input) {
-    struct asking *asking = input;
-    world_free(asking->node);
-    free(asking);
+static void finish_replying(void *input) {
+    struct replying *replying = input;
+    world_free(replying->node);
+    free(replying);
 }
 
-/* The grown size when it has run for half a day. */
+/* The size "grown" after half a day of operation, with many more finished jobs. */
 static const struct world_size aged = {"aged", 7, 120, 60, 40, 20000, 20, 14, 6, 1, 10, 30};
 
 static const struct bench_case cases[] = {
-    {"heartbeat/build-leader", &world_sizes[0], leader, build, finish, false},
-    {"heartbeat/build-leader", &world_sizes[1], leader, build, finish, false},
-    {"heartbeat/build-leader", &world_sizes[2], leader, build, finish, false},
-    {"heartbeat/build-leader", &world_sizes[3], leader, build, finish, false},
-    {"heartbeat/build-leader", &world_sizes[4], leader, build, finish, false},
-    {"heartbeat/build-leader", &world_sizes[5], leader, build, finish, false},
-    {"heartbeat/build-leader", &world_sizes[6], leader, build, finish, false},
-    {"heartbeat/build-follower", &world_sizes[0], following, build, finish, false},
-    {"heartbeat/build-follower", &world_sizes[1], following, build, finish, false},
-    {"heartbeat/build-follower", &world_sizes[2], following, build, finish, false},
-    {"heartbeat/answer-newer", &world_sizes[1], asked, answer, finish_asking, false},
-    {"heartbeat/answer-newer", &aged, asked, answer, finish_asking, false},
+    {"heartbeat/build-leader", &world_sizes[0], leader, encode, finish, false},
+    {"heartbeat/build-leader", &world_sizes[1], leader, encode, finish, false},
+    {"heartbeat/build-leader", &world_sizes[2], leader, encode, finish, false},
+    {"heartbeat/build-leader", &world_sizes[3], leader, encode, finish, false},
+    {"heartbeat/build-leader", &world_sizes[4], leader, encode, finish, false},
+    {"heartbeat/build-leader", &world_sizes[5], leader, encode, finish, false},
+    {"heartbeat/build-leader", &world_sizes[6], leader, encode, finish, false},
+    {"heartbeat/build-follower", &world_sizes[0], new_follower, encode, finish, false},
+    {"heartbeat/build-follower", &world_sizes[1], new_follower, encode, finish, false},
+    {"heartbeat/build-follower", &world_sizes[2], new_follower, encode, finish, false},
+    {"heartbeat/answer-newer", &world_sizes[1], replier, encode_reply, finish_replying, false},
+    {"heartbeat/answer-newer", &aged, replier, encode_reply, finish_replying, false},
     {"heartbeat/receive-from-leader", &world_sizes[0], from_leader, receive, finish_receiving, false},
     {"heartbeat/receive-from-leader", &world_sizes[1], from_leader, receive, finish_receiving, false},
     {"heartbeat/receive-from-leader", &world_sizes[2], from_leader, receive, finish_receiving, false},
--- a/bench/case_http.c
+++ b/bench/case_http.c
@@ -1,4 +1,4 @@
-/* The HTTP parser: heads as workers and the state service send them. */
+/* The HTTP parser: a worker's request and a response of the state service. */
 #include "cases.h"
 
 #include "amberpin/http/parser.h"
@@ -13,12 +13,12 @@
 static const char response[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: application/cbor\r\n\r\nbody";
 
-static void *nothing(const struct world_size *size) {
+static void *no_input(const struct world_size *size) {
     (void)size;
     return NULL;
 }
 
-static void finish_nothing(void *input) {
+static void finish_no_input(void *input) {
     (void)input;
 }
 
@@ -36,8 +36,8 @@
 }
 
 static const struct bench_case cases[] = {
-    {"http/request-parse", NULL, nothing, parse_request, finish_nothing, false},
-    {"http/response-parse", NULL, nothing, parse_response, finish_nothing, false},
+    {"http/request-parse", NULL, no_input, parse_request, finish_no_input, false},
+    {"http/response-parse", NULL, no_input, parse_response, finish_no_input, false},
 };
 
 struct bench_cases bench_http_cases(void) {
--- a/bench/case_load.c
+++ b/bench/case_load.c
@@ -1,4 +1,5 @@
-/* What a node reads before it can answer: all jobs when it starts, all placements when it takes the lead. */
+/* What a controller reads before it can serve requests: all jobs at its start, all placements when it becomes
+ * leader. */
 #include "cases.h"
 
 #include <stdlib.h>
@@ -8,7 +9,7 @@
     struct world_pages pages;
 };
 
-static void *start(const struct world_size *size) {
+static void *prepare_start(const struct world_size *size) {
     struct loading *loading = amb_alloc(sizeof *loading);
     loading->node = world_node(size, 0);
     loading->pages = world_job_pages(size);
@@ -20,7 +21,7 @@
     world_apply_jobs(loading->node, &loading->pages);
 }
 
-static void *take_over(const struct world_size *size) {
+static void *prepare_failover(const struct world_size *size) {
     struct loading *loading = amb_alloc(sizeof *loading);
     struct world_pages jobs = world_job_pages(size);
     loading->node = world_node(size, 0);
@@ -44,16 +45,16 @@
 }
 
 static const struct bench_case cases[] = {
-    {"load/start", &world_sizes[0], start, load_jobs, finish, true},
-    {"load/start", &world_sizes[1], start, load_jobs, finish, true},
-    {"load/start", &world_sizes[2], start, load_jobs, finish, true},
-    {"load/take-over", &world_sizes[0], take_over, load_placements, finish, true},
-    {"load/take-over", &world_sizes[1], take_over, load_placements, finish, true},
-    {"load/take-over", &world_sizes[2], take_over, load_placements, finish, true},
-    {"load/take-over", &world_sizes[3], take_over, load_placements, finish, true},
-    {"load/take-over", &world_sizes[4], take_over, load_placements, finish, true},
-    {"load/take-over", &world_sizes[5], take_over, load_placements, finish, true},
-    {"load/take-over", &world_sizes[6], take_over, load_placements, finish, true},
+    {"load/start", &world_sizes[0], prepare_start, load_jobs, finish, true},
+    {"load/start", &world_sizes[1], prepare_start, load_jobs, finish, true},
+    {"load/start", &world_sizes[2], prepare_start, load_jobs, finish, true},
+    {"load/take-over", &world_sizes[0], prepare_failover, load_placements, finish, true},
+    {"load/take-over", &world_sizes[1], prepare_failover, load_placements, finish, true},
+    {"load/take-over", &world_sizes[2], prepare_failover, load_placements, finish, true},
+    {"load/take-over", &world_sizes[3], prepare_failover, load_placements, finish, true},
+    {"load/take-over", &world_sizes[4], prepare_failover, load_placements, finish, true},
+    {"load/take-over", &world_sizes[5], prepare_failover, load_placements, finish, true},
+    {"load/take-over", &world_sizes[6], prepare_failover, load_placements, finish, true},
 };
 
 struct bench_cases bench_load_cases(void) {
--- a/bench/case_report.c
+++ b/bench/case_report.c
@@ -1,10 +1,9 @@
-/* A machine's report, from the request's body to the answer: at the leader, and at a node that does not lead.
- */
+/* An agent's heartbeat, from the request's body to the answer, at the leader and at a follower. */
 #include "cases.h"
 
 #include <stdlib.h>
 
-struct reporting {
+struct heartbeat {
     struct amb_node *node;
     struct amb_buf body;
     size_t seq_at;
@@ -12,30 +11,30 @@
     int status;
 };
 
-static struct reporting *reporting_to(struct amb_node *node, const struct world_size *size, int status) {
-    struct reporting *reporting = amb_alloc(sizeof *reporting);
-    reporting->node = node;
-    reporting->seq = 1;
-    reporting->status = status;
-    world_put_report(&reporting->body, size, 0, reporting->seq, &reporting->seq_at);
-    return reporting;
+static struct heartbeat *prepare(struct amb_node *node, const struct world_size *size, int status) {
+    struct heartbeat *heartbeat = amb_alloc(sizeof *heartbeat);
+    heartbeat->node = node;
+    heartbeat->seq = 1;
+    heartbeat->status = status;
+    world_put_heartbeat(&heartbeat->body, size, 0, heartbeat->seq, &heartbeat->seq_at);
+    return heartbeat;
 }
 
 static void *to_leader(const struct world_size *size) {
-    return reporting_to(world_leader(size), size, 200);
+    return prepare(world_leader(size), size, 200);
 }
 
 static void *to_follower(const struct world_size *size) {
     struct amb_node *node = world_node(size, 1);
     node->election.role = AMB_ROLE_FOLLOWER;
     node->election.highest_term = WORLD_TERM;
-    return reporting_to(node, size, 421);
+    return prepare(node, size, 421);
 }
 
-/* Each report is newer than the one before. Nothing has changed on the machine, so the leader keeps an answer
- * that would say nothing until the next report comes, and gives it then. */
-static void report(void *input) {
-    struct reporting *heartbeat = input;
+/* Each heartbeat has the next sequence number. Nothing has changed on the machine, so the leader holds back
+ * the answer, which has no commands (long poll), and sends it when the next heartbeat arrives. */
+static void handle_heartbeat(void *input) {
+    struct heartbeat *heartbeat = input;
     heartbeat->seq++;
     for (int i = 0; i < 8; i++)
         heartbeat->body.data[heartbeat->seq_at + (size_t)i] = (char)(heartbeat->seq >> (56 - 8 * i));
@@ -44,22 +43,22 @@
 }
 
 static void finish(void *input) {
-    struct reporting *reporting = input;
-    if (world_last_status() != reporting->status) abort();
-    amb_buf_free(&reporting->body);
-    world_free(reporting->node);
-    free(reporting);
+    struct heartbeat *heartbeat = input;
+    if (world_last_status() != heartbeat->status) abort();
+    amb_buf_free(&heartbeat->body);
+    world_free(heartbeat->node);
+    free(heartbeat);
 }
 
 static const struct bench_case cases[] = {
-    {"report/leader", &world_sizes[0], to_leader, report, finish, false},
-    {"report/leader", &world_sizes[1], to_leader, report, finish, false},
-    {"report/leader", &world_sizes[2], to_leader, report, finish, false},
-    {"report/leader", &world_sizes[3], to_leader, report, finish, false},
-    {"report/leader", &world_sizes[4], to_leader, report, finish, false},
-    {"report/leader", &world_sizes[5], to_leader, report, finish, false},
-    {"report/leader", &world_sizes[6], to_leader, report, finish, false},
-    {"report/follower", &world_sizes[1], to_follower, report, finish, false},
+    {"report/leader", &world_sizes[0], to_leader, handle_heartbeat, finish, false},
+    {"report/leader", &world_sizes[1], to_leader, handle_heartbeat, finish, false},
+    {"report/leader", &world_sizes[2], to_leader, handle_heartbeat, finish, false},
+    {"report/leader", &world_sizes[3], to_leader, handle_heartbeat, finish, false},
+    {"report/leader", &world_sizes[4], to_leader, handle_heartbeat, finish, false},
+    {"report/leader", &world_sizes[5], to_leader, handle_heartbeat, finish, false},
+    {"report/leader", &world_sizes[6], to_leader, handle_heartbeat, finish, false},
+    {"report/follower", &world_sizes[1], to_follower, handle_heartbeat, finish, false},
 };
 
 struct bench_cases bench_report_cases(void) {
--- a/bench/case_submit.c
+++ b/bench/case_submit.c
@@ -1,4 +1,5 @@
-/* A submission, from the request's body to the answer: the transaction is answered at once. */
+/* A submission, from the request's body to the answer. The store's answer to the transaction comes at once.
+ */
 #include "cases.h"
 
 #include "amberpin/api/user_api.h"
--- a/bench/profile.c
+++ b/bench/profile.c
@@ -1,5 +1,6 @@
-/* Plays a day without troubles on the stand-in, at the size of a deployment, and has callgrind count what
- * nodes of one role execute. The stand-in takes the network's place, so HTTP and the kernel are not in it.
+/* Simulates a scenario without faults at the size of a deployment, and has callgrind count the instructions
+ * that controllers of one role execute. The stand-in replaces the network, so HTTP and the kernel are not
+ * included.
  *
  *     valgrind --tool=callgrind --collect-atstart=no profile leader|follower [SEED]
  */
@@ -12,9 +13,10 @@
 #include <string.h>
 #include <valgrind/callgrind.h>
 
-enum { DAY_MS = 120000, DEFAULT_SEED = 7 };
+enum { LENGTH_MS = 120000, DEFAULT_SEED = 7 };
 
-/* Five nodes, 167 machines, reports each second: the deployment on the smallest share of a core. */
+/* Five controllers, 167 machines, a heartbeat each second: the deployment with the smallest share of a core.
+ */
 static const struct sim_size deployment = {
     .nodes = 5,
     .machines = 167,
@@ -29,12 +31,12 @@
     .cloud_rps = 8,
 };
 
-static bool counts_leader, counting;
+static bool count_leader, collecting;
 
-static void count_role(int node) {
-    bool wanted = node >= 0 && sim_node_leads(node) == counts_leader;
-    if (wanted == counting) return;
-    counting = wanted;
+static void toggle_collection(int node) {
+    bool has_role = node >= 0 && sim_node_leads(node) == count_leader;
+    if (has_role == collecting) return;
+    collecting = has_role;
     CALLGRIND_TOGGLE_COLLECT;
 }
 
@@ -44,11 +46,12 @@
         return 2;
     }
     amb_log_init("error");
-    counts_leader = !strcmp(argv[1], "leader");
-    sim_on_node_switch = count_role;
+    count_leader = !strcmp(argv[1], "leader");
+    sim_on_node_switch = toggle_collection;
     uint64_t seed = argc > 2 ? strtoull(argv[2], NULL, 10) : DEFAULT_SEED;
-    struct sim_result result = sim_run_default_load(&deployment, seed, DAY_MS, NULL, 0);
-    printf("%s: %u jobs accepted, %u done, %u cancelled, %u starts; broken: %s\n", argv[1], result.accepted,
-           result.done, result.cancelled, result.starts, result.violation[0] ? result.violation : "none");
+    struct sim_result result = sim_run_default_load(&deployment, seed, LENGTH_MS, NULL, 0);
+    printf("%s: %u jobs accepted, %u done, %u cancelled, %u starts; violation: %s\n", argv[1],
+           result.accepted, result.done, result.cancelled, result.starts,
+           result.violation[0] ? result.violation : "none");
     return result.violation[0] != 0;
 }
--- a/bench/world.c
+++ b/bench/world.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* As the simulated deployments: machines of 8 GPUs, of which some seven are taken. The last four are the
- * fleet with more machines, and work in proportion. */
+/* Sizes of the simulated deployments: machines have 8 GPUs, of which about seven are in use. The last four
+ * have the settings of "fleet", with more machines and proportionally more jobs. */
 const struct world_size world_sizes[WORLD_SIZES] = {
     {"small", 3, 12, 6, 6, 100, 4, 14, 3, 1, 10, 30},
     {"grown", 7, 120, 60, 40, 600, 20, 14, 6, 1, 10, 30},
@@ -22,8 +22,8 @@
 
 enum {
     GPUS_PER_MACHINE = 8,
-    PAGE_ENTRIES = 200, /* as amb_store_list asks for */
-    START_MS = 1000000, /* a steady clock starts anywhere */
+    PAGE_ENTRIES = 200, /* the page size of amb_store_list */
+    START_MS = 1000000, /* arbitrary: a monotonic clock may start at any value */
 };
 static const int64_t START_WALL_MS = 1700000000000;
 static const double REQUESTS_PER_S = 200, WRITES_PER_S = 20, CLOUD_CALLS_PER_S = 3, VALUE_KB = 8;
@@ -47,7 +47,7 @@
 static struct world_call last_call;
 static int last_status;
 
-/* The linker puts these in the place of the library's own (--wrap). */
+/* The linker replaces the library's functions by these (--wrap). */
 struct amb_http_server *__wrap_amb_server_open(const char *addr, int max, size_t body_max, amb_ms idle_ms,
                                                amb_http_handler fn, void *arg);
 void __wrap_amb_http_reply(struct amb_http_req *request, int status, const char *type, const void *body,
@@ -95,7 +95,8 @@
 
 struct amb_http_req *world_request(const char *method, const char *path, const void *body, size_t len) {
     struct amb_http_req *request = amb_alloc(sizeof *request);
-    request->connection = (struct amb_http_connection *)&last_server; /* somebody waits for the answer */
+    request->connection =
+        (struct amb_http_connection *)&last_server; /* not NULL: the client is still connected */
     strcpy(request->method, method);
     strcpy(request->path, path);
     request->body = amb_alloc(len + 1);
@@ -144,7 +145,7 @@
     snprintf(out, AMB_NAME_SIZE, "m-%06u", machine);
 }
 
-/* Task by task around the machines, so that tasks of a job lie on many. */
+/* Assigns tasks to machines round-robin, so that the tasks of a job run on many machines. */
 static uint32_t machine_of(const struct world_size *size, uint32_t job, uint32_t task) {
     return (job * size->tasks_per_job + task) % size->machines;
 }
@@ -287,21 +288,22 @@
     for (size_t i = 0; i < pages->count; i++) apply_page(node, &pages->pages[i], true);
 }
 
-/* ---- reports ---- */
+/* ---- agent heartbeats ---- */
 
 static uint32_t tasks_on(const struct world_size *size, uint32_t machine) {
     uint32_t all = size->running_jobs * size->tasks_per_job;
     return all / size->machines + (machine < all % size->machines);
 }
 
-static void put_long_uint(struct amb_buf *out, uint64_t value) { /* always nine bytes, so it can be changed */
+static void put_long_uint(struct amb_buf *out,
+                          uint64_t value) { /* always nine bytes, so that it can be overwritten in place */
     unsigned char bytes[9] = {0x1b};
     for (int i = 0; i < 8; i++) bytes[1 + i] = (unsigned char)(value >> (56 - 8 * i));
     amb_buf_append(out, bytes, sizeof bytes);
 }
 
-void world_put_report(struct amb_buf *body, const struct world_size *size, uint32_t machine, uint64_t seq,
-                      size_t *seq_at) {
+void world_put_heartbeat(struct amb_buf *body, const struct world_size *size, uint32_t machine, uint64_t seq,
+                         size_t *seq_at) {
     char name[AMB_NAME_SIZE];
     machine_name(name, machine);
     amb_cbor_write_map(body, 10);
@@ -339,7 +341,7 @@
     }
 }
 
-/* ---- nodes ---- */
+/* ---- controllers ---- */
 
 static void put_settings(struct amb_settings *settings, const struct world_size *size, uint32_t member) {
     snprintf(settings->member, sizeof settings->member, "n%u", member);
@@ -358,7 +360,7 @@
         settings->teams[team].guarantee.gpus = size->machines * GPUS_PER_MACHINE / 3.0;
         settings->teams[team].limit.gpus = size->machines * GPUS_PER_MACHINE;
     }
-    settings->heartbeat_s = size->report_s;
+    settings->heartbeat_s = size->heartbeat_s;
     settings->agent_lease_s = size->lease_s;
     settings->cancel_s = size->cancel_s;
     settings->gang_wait_s = 20;
@@ -409,8 +411,8 @@
     amb_controller_start_leading(node);
 }
 
-/* As after a heartbeat that told all other nodes. */
-static void forget_changes(struct amb_node *node) {
+/* Clears the marks of changes that a heartbeat to the peers has yet to report. */
+static void clear_unreported_changes(struct amb_node *node) {
     for (struct amb_job *job = node->jobs.active; job; job = job->next_active) job->progress_changed = false;
     for (struct amb_machine *machine = node->fleet.machines; machine; machine = machine->hh.next)
         machine->images_changed = false;
@@ -432,13 +434,13 @@
     node->controller.ready = true;
     for (uint32_t machine = 0; machine < size->machines; machine++) {
         struct amb_buf body = {0};
-        world_put_report(&body, size, machine, 1, NULL);
+        world_put_heartbeat(&body, size, machine, 1, NULL);
         amb_agent_handle_request(node, world_request("POST", "/hello", body.data, body.len));
         amb_buf_free(&body);
     }
     world_pages_free(&jobs);
     world_pages_free(&placements);
-    forget_changes(node);
+    clear_unreported_changes(node);
     return node;
 }
 
