--- a/tests/test_tracepoints.sh
+++ b/tests/test_tracepoints.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The tracepoints of docs/operators/tracing.md and those of the program are the same: test_tracepoints.sh PROGRAM
+# test_tracepoints.sh PROGRAM: checks that PROGRAM has exactly the tracepoints that docs/operators/tracing.md documents.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 documented=$(sed -n 's/^| `amberpin:\([a-z_]*\)`.*/\1/p' docs/operators/tracing.md | sort)
