--- a/tests/scenarios/test_fault_combinations_fleet.c
+++ b/tests/scenarios/test_fault_combinations_fleet.c
@@ -34,7 +34,7 @@
 }
 
 static void run_combinations(const struct combination *combinations, size_t count) {
-    const char *only = getenv("SIM_SEEDS"); /* raises the number of seeds outside of CI */
+    const char *only = getenv("SIM_SEEDS"); /* sets the number of seeds, for longer runs than in CI */
     for (size_t i = 0; i < count; i++) {
         const struct combination *combination = &combinations[i];
         uint64_t seeds = only ? strtoull(only, NULL, 10) : combination->seeds ? combination->seeds : SEEDS;
--- a/tests/scenarios/test_upgrade.c
+++ b/tests/scenarios/test_upgrade.c
@@ -67,7 +67,7 @@
     static const struct scenario scenarios[] = {
         {"an upgrade", 0, {{SIM_UPGRADE, 30000, 15000, -1}}, 1, 0},
         {"two at a time", 0, {{SIM_UPGRADE, 30000, 15000, 2}}, 1, 0},
-        {"one right after the other", 0, {{SIM_UPGRADE, 30000, 3000, -1}}, 1, 0},
+        {"each right after the previous one", 0, {{SIM_UPGRADE, 30000, 3000, -1}}, 1, 0},
     };
     run_scenarios(scenarios, ROWS(scenarios));
 }
@@ -113,12 +113,13 @@
     run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* The only new node leads and places the tasks of large jobs; then an old one takes over while machines hang,
- * so that what they hold is known from the records alone. Then the other way round. */
+/* The only upgraded controller leads and places the tasks of large jobs; then an old one takes over while
+ * machines hang, so that it knows their tasks only from the records. The second scenario swaps the versions.
+ */
 static void taken_over_by_the_other_version(void **state) {
     (void)state;
     static const struct scenario scenarios[] = {
-        {"an old node takes over from a new one",
+        {"an old controller takes over from a new one",
          SIM_LOAD_OVERLOAD,
          {{SIM_UPGRADE, 10000, 80000, 1},
           {SIM_KILL, 18000, 1, 1},
--- a/tests/scenarios/test_zone_recovery_days.c
+++ b/tests/scenarios/test_zone_recovery_days.c
@@ -29,7 +29,7 @@
 }
 
 static void run_scenarios(const struct zone_scenario *scenarios, size_t count) {
-    const char *more = getenv("SIM_SEEDS"); /* raises the number of seeds outside of CI */
+    const char *more = getenv("SIM_SEEDS"); /* sets the number of seeds, for longer runs than in CI */
     uint64_t seeds = more ? strtoull(more, NULL, 10) : SEEDS;
     uint32_t lost = 0;
     for (size_t i = 0; i < count; i++)
@@ -130,8 +130,8 @@
     run_scenarios(scenarios, ROWS(scenarios));
 }
 
-/* Two zones lack the capacity for all lost replicas, so only those of the first class are placed while the
- * zone is lost. Work that is left over at the end of such a scenario is not a fault. */
+/* Two zones lack the capacity for all lost replicas, so only those of the class that recovers first are
+ * placed while the zone is lost. Work that is left over at the end of such a scenario is not a fault. */
 static void recovery_order_holds_when_crowded(void **state) {
     (void)state;
     static const struct zone_scenario scenarios[] = {
