--- a/tests/standin/large_day.c
+++ b/tests/standin/large_day.c
@@ -199,7 +199,7 @@
         running++;
     }
     for (; running; running--) failed += !wait_for_child();
-    unsigned long long days = options.last - options.first + 1;
-    printf("%d of %llu scenarios failed\n", failed, days);
+    unsigned long long scenarios = options.last - options.first + 1;
+    printf("%d of %llu scenarios failed\n", failed, scenarios);
     return failed != 0;
 }
--- a/tests/standin/state_service.c
+++ b/tests/standin/state_service.c
@@ -161,11 +161,11 @@
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         const cbor_item_t *guard = amb_cbor_list_item(guards, i);
         char key[SIM_KEY_SIZE] = "";
-        uint64_t stamp = 0;
+        uint64_t compared = 0;
         amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), key, sizeof key);
-        amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp);
+        amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &compared);
         int k = key_find(key);
-        if ((k < 0 ? 0 : world.store.keys[k].revision) == stamp) continue;
+        if ((k < 0 ? 0 : world.store.keys[k].revision) == compared) continue;
         count++;
         amb_cbor_write_string(names, key);
     }
--- a/tests/support/bare_node.h
+++ b/tests/support/bare_node.h
@@ -1,13 +1,12 @@
-/* A node without settings, network or loop: what every stand-alone node of tests and benchmarks begins with.
- */
+/* A node without settings, network or event loop, for tests and benchmarks that run a single node. */
 #ifndef AMBERPIN_TESTS_BARE_NODE_H
 #define AMBERPIN_TESTS_BARE_NODE_H
 
 #include "amberpin/node/node.h"
 
-/* Its events go to the controller, its options are the usual ones. */
+/* Its events are handled by the controller; its options have their defaults. */
 struct amb_node *bare_node_new(void);
-/* With all that it holds. One that leads must have stopped (amb_controller_stop_leading). */
+/* Frees the node and everything it owns. A leader must have called amb_controller_stop_leading before. */
 void bare_node_free(struct amb_node *node);
 
 #endif
--- a/tests/support/check.h
+++ b/tests/support/check.h
@@ -1,4 +1,4 @@
-/* What every test file needs, in the order that cmocka wants it. */
+/* Headers that every test needs, in the order that cmocka requires. */
 #ifndef AMBERPIN_TESTS_CHECK_H
 #define AMBERPIN_TESTS_CHECK_H
 
--- a/tests/support/duty_members.c
+++ b/tests/support/duty_members.c
@@ -2,18 +2,18 @@
 #include "check.h"
 
 enum {
-    KEYS_MOST = 64,
-    LEASES_MOST = 256,
-    CALLS_MOST = 512,
-    NEWS_MOST = 4096,
-    RENTALS_MOST = 16,
-    TICK_EVERY_MS = 100,
+    MAX_KEYS = 64,
+    MAX_LEASES = 256,
+    MAX_CALLS = 512,
+    MAX_CHANGES = 4096,
+    MAX_RENTALS = 16,
+    TICK_INTERVAL_MS = 100,
 };
 
 struct key {
     char name[AMB_DUTY_KEY_SIZE];
     cbor_item_t *value;
-    uint64_t stamp, lease;
+    uint64_t revision, lease;
 };
 
 struct lease {
@@ -21,10 +21,10 @@
     amb_ms ttl, end;
 };
 
-struct news {
+struct change_record {
     char name[AMB_DUTY_KEY_SIZE];
     cbor_item_t *value;
-    uint64_t stamp;
+    uint64_t revision;
 };
 
 enum verb { GRANT, EXTEND, DROP, LIST, COMMIT, CLOUD };
@@ -33,19 +33,19 @@
     bool used;
     enum verb verb;
     int member;
-    uint64_t life; /* of the member, when it was sent */
+    uint64_t incarnation; /* of the member, when it was sent */
     amb_ms ttl;
     uint64_t lease, token;
     char prefix[AMB_DUTY_KEY_SIZE];
     cbor_item_t *body;
     enum member_call kind;
-    struct amb_duty_intent_record order;
+    struct amb_duty_intent_record intent;
     uint32_t count, machine_count;
     char machines[AMB_DUTY_MAX_MACHINES][AMB_NAME_SIZE];
     amb_store_callback done;
     amb_duty_cloud_done cloud_done;
     void *arg;
-    bool carried_out, hold;
+    bool applied, is_held;
     int status;
     cbor_item_t *answer;
     struct amb_duty_cloud_reply reply;
@@ -54,22 +54,22 @@
 struct member members[MEMBERS];
 struct member_cloud member_cloud;
 
-static struct key keys[KEYS_MOST];
+static struct key keys[MAX_KEYS];
 static size_t key_count;
-static struct lease leases[LEASES_MOST];
+static struct lease leases[MAX_LEASES];
 static size_t lease_count;
-static struct news news[NEWS_MOST];
-static size_t news_count;
-static size_t news_read[MEMBERS];
-static struct call calls[CALLS_MOST];
-static uint64_t lives[MEMBERS];
-static uint64_t epoch, lease_serial;
+static struct change_record changes[MAX_CHANGES];
+static size_t change_count;
+static size_t applied_changes[MEMBERS];
+static struct call calls[MAX_CALLS];
+static uint64_t incarnations[MEMBERS];
+static uint64_t revision, lease_serial;
 static uint32_t writes;
-static char unguarded[AMB_DUTY_KEY_SIZE * 2];
+static char first_unguarded_change[AMB_DUTY_KEY_SIZE * 2];
 static amb_ms now_ms;
-static struct member_fault plan;
-static bool planned;
-static char rentals[RENTALS_MOST][AMB_DUTY_INTENT_ID_SIZE];
+static struct member_fault pending_fault;
+static bool fault_pending;
+static char rentals[MAX_RENTALS][AMB_DUTY_INTENT_ID_SIZE];
 
 /* ---- the key-value store ---- */
 
@@ -79,23 +79,23 @@
     return NULL;
 }
 
-static uint64_t stamp_of(const char *name) {
+static uint64_t revision_of(const char *name) {
     const struct key *key = key_find(name);
-    return key ? key->stamp : 0;
+    return key ? key->revision : 0;
 }
 
-static void note(const char *name, cbor_item_t *value) {
-    assert_true(news_count < NEWS_MOST);
-    struct news *item = &news[news_count++];
+static void record_change(const char *name, cbor_item_t *value) {
+    assert_true(change_count < MAX_CHANGES);
+    struct change_record *item = &changes[change_count++];
     strcpy(item->name, name);
     item->value = value ? cbor_incref(value) : NULL;
-    item->stamp = epoch;
+    item->revision = revision;
 }
 
 static void key_put(const char *name, cbor_item_t *value, uint64_t lease) {
     struct key *key = key_find(name);
     if (!key) {
-        assert_true(key_count < KEYS_MOST);
+        assert_true(key_count < MAX_KEYS);
         key = &keys[key_count++];
         memset(key, 0, sizeof *key);
         strcpy(key->name, name);
@@ -103,13 +103,13 @@
         cbor_decref(&key->value);
     }
     key->value = cbor_incref(value);
-    key->stamp = epoch;
+    key->revision = revision;
     key->lease = lease;
-    note(name, value);
+    record_change(name, value);
 }
 
 static void key_remove(struct key *key) {
-    note(key->name, NULL);
+    record_change(key->name, NULL);
     cbor_decref(&key->value);
     *key = keys[--key_count];
 }
@@ -119,7 +119,7 @@
     leases[index] = leases[--lease_count];
     for (size_t i = key_count; i > 0; i--) {
         if (keys[i - 1].lease != id) continue;
-        epoch++;
+        revision++;
         key_remove(&keys[i - 1]);
     }
 }
@@ -133,11 +133,11 @@
 static bool guards_hold(const cbor_item_t *guards) {
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char name[AMB_DUTY_KEY_SIZE];
-        uint64_t stamp;
+        uint64_t compared;
         const cbor_item_t *guard = amb_cbor_list_item(guards, i);
         assert_true(amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), name, sizeof name));
-        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp));
-        if (stamp_of(name) != stamp) return false;
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &compared));
+        if (revision_of(name) != compared) return false;
     }
     return true;
 }
@@ -152,28 +152,30 @@
     return false;
 }
 
-static void note_unguarded(const char *name, const char *by) {
-    if (!unguarded[0]) snprintf(unguarded, sizeof unguarded, "%s is changed without a guard on %s", name, by);
+static void record_unguarded_change(const char *name, const char *by) {
+    if (!first_unguarded_change[0])
+        snprintf(first_unguarded_change, sizeof first_unguarded_change, "%s is changed without a guard on %s",
+                 name, by);
 }
 
 const char *members_unconditional_change(void) {
-    return unguarded;
+    return first_unguarded_change;
 }
 
-/* What a member changes it guards by what it has read of it: an order by the order and the claim of its duty,
- * a duty by its record and, when it claims, by its own key; its own key by that. */
+/* A member guards each change by the revisions that it has read: an intent by the intent and the claim of its
+ * duty, a duty by its record and, in a claim, by the member's own key, and its own key by that key. */
 static void check_guards(const cbor_item_t *guards, const cbor_item_t *change) {
     char name[AMB_DUTY_KEY_SIZE];
     const cbor_item_t *put = amb_cbor_map_get(change, "put");
     const cbor_item_t *state = amb_cbor_map_get(amb_cbor_map_get(change, "value"), "state");
     assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, sizeof name));
-    if (!is_guarded(guards, name)) note_unguarded(name, "itself");
+    if (!is_guarded(guards, name)) record_unguarded_change(name, "itself");
     if (!strncmp(name, AMB_DUTY_INTENT_KEYS, strlen(AMB_DUTY_INTENT_KEYS)) &&
         !is_guarded(guards, AMB_DUTY_RECORD_KEYS))
-        note_unguarded(name, "the claim");
+        record_unguarded_change(name, "the claim");
     if (!strncmp(name, AMB_DUTY_RECORD_KEYS, strlen(AMB_DUTY_RECORD_KEYS)) &&
         amb_cbor_equals(state, "held") && !is_guarded(guards, AMB_DUTY_MEMBER_KEYS))
-        note_unguarded(name, "a member");
+        record_unguarded_change(name, "a member");
 }
 
 static int commit(const cbor_item_t *txn) {
@@ -187,7 +189,7 @@
     for (size_t i = 0; i < amb_cbor_list_length(then); i++)
         check_guards(amb_cbor_map_get(txn, "guards"), amb_cbor_list_item(then, i));
     if (!guards_hold(amb_cbor_map_get(txn, "guards"))) return 409;
-    epoch++;
+    revision++;
     writes++;
     for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
         const cbor_item_t *change = amb_cbor_list_item(then, i);
@@ -202,21 +204,21 @@
     return 200;
 }
 
-static void answer_map(struct call *call, int status, struct amb_buf *body) {
+static void set_answer(struct call *call, int status, struct amb_buf *body) {
     call->status = status;
     if (body->len) call->answer = amb_cbor_parse(body->data, body->len);
     amb_buf_free(body);
 }
 
-static void answer_number(struct call *call, int status, const char *field, uint64_t number) {
+static void set_number_answer(struct call *call, int status, const char *field, uint64_t number) {
     struct amb_buf body = {0};
     amb_cbor_write_map(&body, 1);
     amb_cbor_write_string(&body, field);
     amb_cbor_write_uint(&body, number);
-    answer_map(call, status, &body);
+    set_answer(call, status, &body);
 }
 
-static void answer_list(struct call *call) {
+static void set_list_answer(struct call *call) {
     struct amb_buf body = {0}, pairs = {0};
     size_t count = 0;
     for (size_t i = 0; i < key_count; i++) {
@@ -227,30 +229,30 @@
         count++;
         amb_cbor_write_map(&pairs, 3);
         amb_cbor_write_string(&pairs, "path"), amb_cbor_write_string(&pairs, keys[i].name);
-        amb_cbor_write_string(&pairs, "stamp"), amb_cbor_write_uint(&pairs, keys[i].stamp);
+        amb_cbor_write_string(&pairs, "stamp"), amb_cbor_write_uint(&pairs, keys[i].revision);
         amb_cbor_write_string(&pairs, "value"), amb_buf_append(&pairs, text, len);
         free(text);
     }
     amb_cbor_write_map(&body, 2);
-    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, epoch);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, revision);
     amb_cbor_write_string(&body, "pairs"), amb_cbor_write_list(&body, count);
     amb_buf_append(&body, pairs.data, pairs.len);
     amb_buf_free(&pairs);
-    answer_map(call, 200, &body);
+    set_answer(call, 200, &body);
 }
 
 /* ---- the cloud ---- */
 
 static void rent(struct call *call) {
     uint32_t i = 0;
-    while (i < member_cloud.rentals && strcmp(rentals[i], call->order.id) != 0) i++;
+    while (i < member_cloud.rentals && strcmp(rentals[i], call->intent.id) != 0) i++;
     if (i == member_cloud.rentals) {
         if (member_cloud.no_capacity) {
             call->reply.answer = AMB_DUTY_CLOUD_NO_CAPACITY;
             return;
         }
-        assert_true(i < RENTALS_MOST);
-        strcpy(rentals[member_cloud.rentals++], call->order.id);
+        assert_true(i < MAX_RENTALS);
+        strcpy(rentals[member_cloud.rentals++], call->intent.id);
         member_cloud.rented += call->count;
     }
     call->reply.answer = AMB_DUTY_CLOUD_DONE;
@@ -263,13 +265,13 @@
 
 static void serve_cloud(struct call *call) {
     member_cloud.calls++;
-    if (call->token < member_cloud.highest[call->order.duty]) {
+    if (call->token < member_cloud.highest[call->intent.duty]) {
         member_cloud.stale_token_refusals++;
         call->reply.answer = AMB_DUTY_CLOUD_FENCED;
         return;
     }
-    member_cloud.highest[call->order.duty] = call->token;
-    if (call->order.duty == AMB_DUTY_RENT) {
+    member_cloud.highest[call->intent.duty] = call->token;
+    if (call->intent.duty == AMB_DUTY_RENT) {
         rent(call);
         return;
     }
@@ -277,7 +279,7 @@
     call->reply.answer = AMB_DUTY_CLOUD_DONE;
 }
 
-/* ---- calls on their way ---- */
+/* ---- calls in transit ---- */
 
 static int index_of(const void *context) {
     return (int)((const struct member *)context - members);
@@ -285,14 +287,14 @@
 
 static struct call *call_new(void *context, enum verb verb) {
     size_t i = 0;
-    while (i < CALLS_MOST && calls[i].used) i++;
-    assert_true(i < CALLS_MOST);
+    while (i < MAX_CALLS && calls[i].used) i++;
+    assert_true(i < MAX_CALLS);
     struct call *call = &calls[i];
     memset(call, 0, sizeof *call);
     call->used = true;
     call->verb = verb;
     call->member = index_of(context);
-    call->life = lives[call->member];
+    call->incarnation = incarnations[call->member];
     call->kind = MEMBER_CALL_OTHER;
     return call;
 }
@@ -304,44 +306,44 @@
     call->used = false;
 }
 
-static void carry_out(struct call *call) {
+static void apply_call(struct call *call) {
     struct lease *lease = lease_find(call->lease);
     int status;
-    call->carried_out = true;
+    call->applied = true;
     switch (call->verb) {
     case GRANT:
-        assert_true(lease_count < LEASES_MOST);
+        assert_true(lease_count < MAX_LEASES);
         leases[lease_count++] = (struct lease){++lease_serial, call->ttl, now_ms + call->ttl};
-        answer_number(call, 200, "tenure", lease_serial);
+        set_number_answer(call, 200, "tenure", lease_serial);
         break;
     case EXTEND:
         if (lease) lease->end = now_ms + lease->ttl;
-        answer_number(call, lease ? 200 : 404, "tenure", call->lease);
+        set_number_answer(call, lease ? 200 : 404, "tenure", call->lease);
         break;
     case DROP:
         if (lease) lease_end((size_t)(lease - leases));
         break;
-    case LIST: answer_list(call); break;
+    case LIST: set_list_answer(call); break;
     case COMMIT:
         status = commit(call->body);
-        answer_number(call, status, "epoch", epoch);
+        set_number_answer(call, status, "epoch", revision);
         break;
     case CLOUD: serve_cloud(call); break;
     }
 }
 
-static bool asker_lives(const struct call *call) {
-    return members[call->member].alive && call->life == lives[call->member];
+static bool is_caller_alive(const struct call *call) {
+    return members[call->member].alive && call->incarnation == incarnations[call->member];
 }
 
-/* The call is copied: what its answer leads to may use its place. */
-static void tell(struct call *call) {
+/* Works on a copy, since the callback may reuse the entry. */
+static void complete_call(struct call *call) {
     struct call copy = *call;
     call->used = false;
     struct member *member = &members[copy.member];
     member->clock_jump_due = copy.kind == MEMBER_CALL_INTENT && member->clock_jump_after_intent;
-    if (!asker_lives(&copy))
-        free(copy.arg); /* as the end of a process does */
+    if (!is_caller_alive(&copy))
+        free(copy.arg); /* a crashed process frees its memory as well */
     else if (copy.verb == CLOUD)
         copy.cloud_done(copy.arg, &copy.reply);
     else if (copy.done)
@@ -349,12 +351,12 @@
     call_free(&copy);
 }
 
-static void member_dies(int index) {
+static void crash_member(int index) {
     members[index].alive = false;
-    lives[index]++;
+    incarnations[index]++;
 }
 
-static void lose_answer(struct call *call) {
+static void drop_response(struct call *call) {
     call->status = 0;
     if (call->answer) cbor_decref(&call->answer);
     call->answer = NULL;
@@ -362,34 +364,36 @@
     call->reply.answer = AMB_DUTY_CLOUD_NO_ANSWER;
 }
 
-static void meet_fate(struct call *call) {
-    enum member_outcome fate = planned && plan.call == call->kind ? plan.outcome : MEMBER_UNDISTURBED;
-    if (fate) planned = false;
+static void process_call(struct call *call) {
+    enum member_outcome outcome =
+        fault_pending && pending_fault.call == call->kind ? pending_fault.outcome : MEMBER_UNDISTURBED;
+    if (outcome) fault_pending = false;
     if (members[call->member].cut_off && call->verb != CLOUD)
-        lose_answer(call);
-    else if (fate != MEMBER_CRASHES_BEFORE)
-        carry_out(call);
-    if (fate == MEMBER_CRASHES_BEFORE || fate == MEMBER_CRASHES_AFTER) member_dies(call->member);
-    if (fate == MEMBER_PAUSES_BEFORE) members[call->member].paused = true;
-    if (fate == MEMBER_RESPONSE_LOST || (call->verb == CLOUD && member_cloud.responses_lost)) lose_answer(call);
-    call->carried_out = true;
+        drop_response(call);
+    else if (outcome != MEMBER_CRASHES_BEFORE)
+        apply_call(call);
+    if (outcome == MEMBER_CRASHES_BEFORE || outcome == MEMBER_CRASHES_AFTER) crash_member(call->member);
+    if (outcome == MEMBER_PAUSES_BEFORE) members[call->member].paused = true;
+    if (outcome == MEMBER_RESPONSE_LOST || (call->verb == CLOUD && member_cloud.responses_lost))
+        drop_response(call);
+    call->applied = true;
 }
 
 static void serve_calls(void) {
-    bool sent[CALLS_MOST];
-    for (size_t i = 0; i < CALLS_MOST; i++) sent[i] = calls[i].used;
-    for (size_t i = 0; i < CALLS_MOST; i++) {
+    bool sent[MAX_CALLS];
+    for (size_t i = 0; i < MAX_CALLS; i++) sent[i] = calls[i].used;
+    for (size_t i = 0; i < MAX_CALLS; i++) {
         if (!sent[i]) continue;
-        if (!calls[i].carried_out) meet_fate(&calls[i]);
+        if (!calls[i].applied) process_call(&calls[i]);
         const struct member *member = &members[calls[i].member];
         bool held = member->paused || (member->lists_held && calls[i].verb == LIST);
-        if (!held || !asker_lives(&calls[i])) tell(&calls[i]);
+        if (!held || !is_caller_alive(&calls[i])) complete_call(&calls[i]);
     }
 }
 
-/* ---- what a service needs ---- */
+/* ---- callbacks of the duty service ---- */
 
-static amb_ms port_now(void *context) {
+static amb_ms callback_now(void *context) {
     struct member *member = context;
     amb_ms now = now_ms + member->clock_skew;
     if (member->clock_jump_due) {
@@ -400,28 +404,28 @@
     return now;
 }
 
-static void port_grant(void *context, amb_ms ttl, amb_store_callback done, void *arg) {
+static void callback_grant(void *context, amb_ms ttl, amb_store_callback done, void *arg) {
     struct call *call = call_new(context, GRANT);
     call->ttl = ttl;
     call->done = done;
     call->arg = arg;
 }
 
-static void port_extend(void *context, uint64_t lease, amb_store_callback done, void *arg) {
+static void callback_extend(void *context, uint64_t lease, amb_store_callback done, void *arg) {
     struct call *call = call_new(context, EXTEND);
     call->lease = lease;
     call->done = done;
     call->arg = arg;
 }
 
-static void port_drop(void *context, uint64_t lease) {
+static void callback_revoke(void *context, uint64_t lease) {
     call_new(context, DROP)->lease = lease;
 }
 
-static void port_list(void *context, const char *prefix, const char *after, amb_store_callback done,
-                      void *arg) {
+static void callback_list(void *context, const char *prefix, const char *after, amb_store_callback done,
+                          void *arg) {
     struct call *call = call_new(context, LIST);
-    (void)after; /* all keys go into one page */
+    (void)after; /* all keys fit in one page */
     strcpy(call->prefix, prefix);
     call->done = done;
     call->arg = arg;
@@ -437,8 +441,8 @@
     return amb_cbor_equals(state, "settled") ? MEMBER_CALL_RESULT : MEMBER_CALL_INTENT;
 }
 
-static void port_commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
-                        amb_store_callback done, void *arg) {
+static void callback_commit(void *context, struct amb_txn *transaction, enum amb_store_priority urgency,
+                            amb_store_callback done, void *arg) {
     struct call *call = call_new(context, COMMIT);
     struct amb_buf body = {0};
     (void)urgency;
@@ -458,46 +462,46 @@
     call->arg = arg;
 }
 
-static bool port_call_cloud(void *context, const struct amb_duty_intent_record *order,
-                            const struct amb_duty_intent_payload *work, uint64_t token,
-                            amb_duty_cloud_done done, void *arg) {
+static bool callback_call_cloud(void *context, const struct amb_duty_intent_record *intent,
+                                const struct amb_duty_intent_payload *payload, uint64_t token,
+                                amb_duty_cloud_done done, void *arg) {
     struct call *call = call_new(context, CLOUD);
     call->kind = MEMBER_CALL_CLOUD;
-    call->order = *order;
+    call->intent = *intent;
     call->token = token;
-    call->count = work->count;
+    call->count = payload->count;
     call->cloud_done = done;
     call->arg = arg;
     return true;
 }
 
-static bool port_proved_gone(void *context, const struct amb_duty_intent_payload *work) {
+static bool callback_is_absence_proven(void *context, const struct amb_duty_intent_payload *payload) {
     const struct member *member = context;
-    return member->proves_gone && work->machine_count;
+    return member->proves_gone && payload->machine_count;
 }
 
-static void port_order_changed(void *context, const struct amb_duty_intent_record *order,
-                               const struct amb_duty_intent_payload *work) {
-    (void)context, (void)order, (void)work;
+static void callback_intent_changed(void *context, const struct amb_duty_intent_record *intent,
+                                    const struct amb_duty_intent_payload *payload) {
+    (void)context, (void)intent, (void)payload;
 }
 
-static void port_loaded(void *context) {
+static void callback_loaded(void *context) {
     (void)context;
 }
 
-static void port_log(void *context, const char *line) {
+static void callback_log(void *context, const char *line) {
     (void)context;
     assert_true(strlen(line) > 0);
 }
 
 /* ---- time ---- */
 
-static void deliver_news(int index) {
+static void deliver_changes(int index) {
     struct member *member = &members[index];
     if (!member->alive || member->paused || member->cut_off || member->watch_held) return;
-    while (news_read[index] < news_count) {
-        const struct news *item = &news[news_read[index]++];
-        amb_duty_service_apply_change(&member->service, item->name, item->value, item->stamp);
+    while (applied_changes[index] < change_count) {
+        const struct change_record *item = &changes[applied_changes[index]++];
+        amb_duty_service_apply_change(&member->service, item->name, item->value, item->revision);
     }
 }
 
@@ -508,8 +512,8 @@
             if (leases[i - 1].end <= now_ms) lease_end(i - 1);
         serve_calls();
         for (int i = 0; i < MEMBERS; i++) {
-            deliver_news(i);
-            if (members[i].alive && !members[i].paused && now_ms % TICK_EVERY_MS == 0)
+            deliver_changes(i);
+            if (members[i].alive && !members[i].paused && now_ms % TICK_INTERVAL_MS == 0)
                 amb_duty_service_tick(&members[i].service);
         }
     }
@@ -523,56 +527,56 @@
 
 void members_start(int index) {
     struct member *member = &members[index];
-    const struct amb_duty_service_callbacks ports = {.kvstore = {.context = member,
-                                                                 .grant = port_grant,
-                                                                 .extend = port_extend,
-                                                                 .revoke = port_drop,
-                                                                 .list = port_list,
-                                                                 .commit = port_commit},
-                                                     .context = member,
-                                                     .now = port_now,
-                                                     .call_cloud = port_call_cloud,
-                                                     .is_absence_proven = port_proved_gone,
-                                                     .intent_changed = port_order_changed,
-                                                     .loaded = port_loaded,
-                                                     .log = port_log};
+    const struct amb_duty_service_callbacks callbacks = {.kvstore = {.context = member,
+                                                                     .grant = callback_grant,
+                                                                     .extend = callback_extend,
+                                                                     .revoke = callback_revoke,
+                                                                     .list = callback_list,
+                                                                     .commit = callback_commit},
+                                                         .context = member,
+                                                         .now = callback_now,
+                                                         .call_cloud = callback_call_cloud,
+                                                         .is_absence_proven = callback_is_absence_proven,
+                                                         .intent_changed = callback_intent_changed,
+                                                         .loaded = callback_loaded,
+                                                         .log = callback_log};
     struct amb_duty_settings settings = amb_duty_settings_default(MEMBER_TTL_MS, MEMBER_LIST_MS);
     amb_duty_service_abort(&member->service);
     snprintf(member->name, sizeof member->name, "n-%d", index);
     member->alive = true;
     member->paused = member->cut_off = member->watch_held = member->lists_held = member->proves_gone = false;
-    news_read[index] = news_count;
-    amb_duty_service_start(&member->service, &ports, &settings, member->name,
-                           (uint64_t)index * 7919 + ++lives[index]);
+    applied_changes[index] = change_count;
+    amb_duty_service_start(&member->service, &callbacks, &settings, member->name,
+                           (uint64_t)index * 7919 + ++incarnations[index]);
 }
 
 void members_begin(void) {
     now_ms = 1000000;
-    epoch = 100;
+    revision = 100;
     writes = 0;
-    unguarded[0] = 0;
-    planned = false;
+    first_unguarded_change[0] = 0;
+    fault_pending = false;
     memset(&member_cloud, 0, sizeof member_cloud);
     for (int i = 0; i < MEMBERS; i++) members_start(i);
 }
 
 void members_end(void) {
     for (int i = 0; i < MEMBERS; i++) amb_duty_service_abort(&members[i].service);
-    for (size_t i = 0; i < CALLS_MOST; i++) {
+    for (size_t i = 0; i < MAX_CALLS; i++) {
         if (!calls[i].used) continue;
         free(calls[i].arg);
         call_free(&calls[i]);
     }
     for (size_t i = 0; i < key_count; i++) cbor_decref(&keys[i].value);
-    for (size_t i = 0; i < news_count; i++)
-        if (news[i].value) cbor_decref(&news[i].value);
-    key_count = lease_count = news_count = 0;
+    for (size_t i = 0; i < change_count; i++)
+        if (changes[i].value) cbor_decref(&changes[i].value);
+    key_count = lease_count = change_count = 0;
     memset(members, 0, sizeof members);
 }
 
-void members_inject_fault(struct member_fault next) {
-    plan = next;
-    planned = true;
+void members_inject_fault(struct member_fault fault) {
+    pending_fault = fault;
+    fault_pending = true;
 }
 
 int members_holder(enum amb_duty_name duty) {
@@ -592,7 +596,7 @@
 
 void members_put(const char *name, const struct amb_buf *value) {
     cbor_item_t *item = amb_cbor_parse(value->data, value->len);
-    epoch++;
+    revision++;
     key_put(name, item, 0);
     cbor_decref(&item);
 }
@@ -602,24 +606,25 @@
     return key ? key->value : NULL;
 }
 
-void members_put_intent(enum amb_duty_name duty, const char *id, const struct amb_duty_intent_payload *work) {
+void members_put_intent(enum amb_duty_name duty, const char *id,
+                        const struct amb_duty_intent_payload *payload) {
     char key[AMB_DUTY_KEY_SIZE];
     struct amb_buf value = {0};
-    struct amb_duty_intent_record order = {.duty = duty};
+    struct amb_duty_intent_record intent = {.duty = duty};
     amb_duty_intent_key(key, duty, id);
-    amb_duty_encode_intent(&value, &order, work);
+    amb_duty_encode_intent(&value, &intent, payload);
     members_put(key, &value);
     amb_buf_free(&value);
 }
 
 bool members_read_intent(enum amb_duty_name duty, const char *id, struct amb_duty_intent_record *out,
-                        struct amb_duty_intent_payload *work) {
+                         struct amb_duty_intent_payload *payload) {
     char key[AMB_DUTY_KEY_SIZE];
     amb_duty_intent_key(key, duty, id);
     const cbor_item_t *value = members_value(key);
     memset(out, 0, sizeof *out);
     out->duty = duty;
-    return value && amb_duty_decode_intent(value, out, work) == AMB_DUTY_DECODED;
+    return value && amb_duty_decode_intent(value, out, payload) == AMB_DUTY_DECODED;
 }
 
 uint32_t members_writes(void) {
--- a/tests/support/fake_clock.c
+++ b/tests/support/fake_clock.c
@@ -5,7 +5,7 @@
 
 static amb_ms clock_ms = 1000000;
 static struct amb_timer *timers[TIMERS];
-static size_t ntimers;
+static size_t timer_count;
 
 /* ---- clock ---- */
 
@@ -22,13 +22,13 @@
     return 0x100000 + ++last * 0x10001;
 }
 
-/* ---- timers: few, so a list will do; slot is the place in it, counted from 1 ---- */
+/* ---- timers: an unsorted list, since there are few; position is the index in it plus 1 ---- */
 
 void amb_loop_init(void) {}
 
 void amb_timer_stop(struct amb_timer *timer) {
     if (!timer->position) return;
-    struct amb_timer *last = timers[--ntimers];
+    struct amb_timer *last = timers[--timer_count];
     timers[timer->position - 1] = last;
     last->position = timer->position;
     timer->position = 0;
@@ -39,9 +39,9 @@
     timer->fn = fn;
     timer->arg = arg;
     if (timer->position) return;
-    assert_true(ntimers < TIMERS);
-    timers[ntimers++] = timer;
-    timer->position = ntimers;
+    assert_true(timer_count < TIMERS);
+    timers[timer_count++] = timer;
+    timer->position = timer_count;
 }
 
 void amb_timer_set_after(struct amb_timer *timer, amb_ms delay, void (*fn)(void *), void *arg) {
@@ -50,7 +50,7 @@
 
 static struct amb_timer *next_timer(amb_ms until) {
     struct amb_timer *best = NULL;
-    for (size_t i = 0; i < ntimers; i++)
+    for (size_t i = 0; i < timer_count; i++)
         if (timers[i]->at <= until && (!best || timers[i]->at < best->at)) best = timers[i];
     return best;
 }
@@ -66,5 +66,5 @@
 }
 
 void fake_clock_reset(void) {
-    while (ntimers) amb_timer_stop(timers[0]);
+    while (timer_count) amb_timer_stop(timers[0]);
 }
--- a/tests/support/fake_clock.h
+++ b/tests/support/fake_clock.h
@@ -1,13 +1,13 @@
-/* In place of the library's clock and timers: time passes when the test says so. Link it into a test beside
- * the library. */
+/* Replaces the library's clock and timers by a clock that the test advances. Link it into a test in addition
+ * to the library. */
 #ifndef AMBERPIN_TESTS_FAKE_CLOCK_H
 #define AMBERPIN_TESTS_FAKE_CLOCK_H
 
 #include "amberpin/base/loop.h"
 
-/* Time passes, and timers run as they fall due. */
+/* Advances the clock and runs the timers that fall due, in order. */
 void fake_clock_advance(amb_ms by);
-/* Forgets all timers; time goes on. */
+/* Stops all timers; the clock keeps its value. */
 void fake_clock_reset(void);
 
 #endif
--- a/tests/support/fake_http.c
+++ b/tests/support/fake_http.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static struct fake_call calls[FAKE_CALLS];
-static size_t ncalls;
+static size_t call_count;
 
 enum { SERVERS = 4 };
 
@@ -15,14 +15,14 @@
     void *arg;
 };
 static struct amb_http_server servers[SERVERS];
-static size_t nservers;
+static size_t server_count;
 
 struct amb_http_client_connection *amb_http_call(const char *addr, const char *method, const char *path,
                                                  const char *type, const void *body, size_t len,
                                                  amb_ms timeout_ms, amb_http_done on_done, void *arg) {
     (void)type, (void)timeout_ms;
-    if (ncalls == FAKE_CALLS) abort();
-    struct fake_call *client = &calls[ncalls++];
+    if (call_count == FAKE_CALLS) abort();
+    struct fake_call *client = &calls[call_count++];
     memset(client, 0, sizeof *client);
     snprintf(client->addr, sizeof client->addr, "%s", addr);
     snprintf(client->method, sizeof client->method, "%s", method);
@@ -45,8 +45,8 @@
 struct amb_http_server *amb_server_open(const char *addr, int max_connections, size_t max_body_bytes,
                                         amb_ms idle_ms, amb_http_handler handler, void *arg) {
     (void)max_connections, (void)max_body_bytes, (void)idle_ms;
-    if (nservers == SERVERS) abort();
-    struct amb_http_server *server = &servers[nservers++];
+    if (server_count == SERVERS) abort();
+    struct amb_http_server *server = &servers[server_count++];
     snprintf(server->addr, sizeof server->addr, "%s", addr);
     server->handler = handler;
     server->arg = arg;
@@ -55,8 +55,8 @@
 
 void fake_serve(const char *addr, struct amb_http_req *request) {
     struct amb_http_server *server = servers;
-    while (server < servers + nservers && strcmp(server->addr, addr) != 0) server++;
-    if (server == servers + nservers) abort();
+    while (server < servers + server_count && strcmp(server->addr, addr) != 0) server++;
+    if (server == servers + server_count) abort();
     server->handler(server->arg, request);
 }
 
@@ -64,7 +64,7 @@
                     int retry_after_s) {
     struct fake_reply *reply = (struct fake_reply *)(void *)request->connection;
     (void)type;
-    if (reply) { /* or else whoever asked has hung up */
+    if (reply) { /* NULL: the client has disconnected */
         reply->status = status;
         reply->retry_after_s = retry_after_s;
         if (len) amb_buf_append(&reply->body, body, len);
@@ -86,18 +86,18 @@
     return request;
 }
 
-static bool begins(const char *path, const char *prefix) {
+static bool has_prefix(const char *path, const char *prefix) {
     return !strncmp(path, prefix, strlen(prefix));
 }
 
 static bool is_open(const struct fake_call *call, const char *addr, const char *method,
                     const char *path_prefix) {
     return !call->answered && (!addr || !strcmp(call->addr, addr)) &&
-           (!method || !strcmp(call->method, method)) && begins(call->path, path_prefix);
+           (!method || !strcmp(call->method, method)) && has_prefix(call->path, path_prefix);
 }
 
 struct fake_call *fake_call_find(const char *addr, const char *method, const char *path_prefix) {
-    for (size_t i = 0; i < ncalls; i++)
+    for (size_t i = 0; i < call_count; i++)
         if (is_open(&calls[i], addr, method, path_prefix)) return &calls[i];
     return NULL;
 }
@@ -108,13 +108,13 @@
 
 size_t fake_count_open_calls(const char *method, const char *path_prefix) {
     size_t count = 0;
-    for (size_t i = 0; i < ncalls; i++) count += is_open(&calls[i], NULL, method, path_prefix);
+    for (size_t i = 0; i < call_count; i++) count += is_open(&calls[i], NULL, method, path_prefix);
     return count;
 }
 
 size_t fake_count_sent_calls(const char *path_prefix) {
     size_t count = 0;
-    for (size_t i = 0; i < ncalls; i++) count += begins(calls[i].path, path_prefix);
+    for (size_t i = 0; i < call_count; i++) count += has_prefix(calls[i].path, path_prefix);
     return count;
 }
 
@@ -130,11 +130,11 @@
 }
 
 void fake_http_reset(void) {
-    for (size_t i = 0; i < ncalls; i++) {
+    for (size_t i = 0; i < call_count; i++) {
         amb_buf_free(&calls[i].body);
         if (calls[i].cbor_body) cbor_decref(&calls[i].cbor_body);
     }
-    ncalls = nservers = 0;
+    call_count = server_count = 0;
 }
 
 /* ---- transactions ---- */
@@ -143,10 +143,10 @@
     const cbor_item_t *guards = amb_cbor_map_get(call->cbor_body, "guards");
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         const cbor_item_t *guard = amb_cbor_list_item(guards, i);
-        uint64_t stamp;
+        uint64_t compared;
         if (amb_cbor_equals(amb_cbor_map_get(guard, "path"), key) &&
-            amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp))
-            return stamp;
+            amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &compared))
+            return compared;
     }
     return FAKE_NOT_COMPARED;
 }
--- a/tests/support/fake_store.c
+++ b/tests/support/fake_store.c
@@ -4,30 +4,30 @@
 
 #include "amberpin/node/node.h"
 
-enum { KEYS = 1024, LATE = 64, STATUSES = 600 };
+enum { MAX_KEYS = 1024, MAX_LATE = 64, MAX_STATUS = 600 };
 
 struct key {
     char name[256];
     cbor_item_t *value;
-    uint64_t stamp;
+    uint64_t revision;
 };
 
-static struct key keys[KEYS]; /* in their order */
-static size_t nkeys, nlate, largest;
-static cbor_item_t *late[LATE];
-static uint64_t epoch;
+static struct key keys[MAX_KEYS]; /* sorted by name */
+static size_t key_count, late_count, largest_value;
+static cbor_item_t *late_txns[MAX_LATE];
+static uint64_t revision;
 static struct fake_store_limits limits;
-static uint32_t changes;
-static size_t answers[STATUSES];
+static uint32_t changes_since_refill;
+static size_t answer_counts[MAX_STATUS];
 
 void fake_store_reset(void) {
-    for (size_t i = 0; i < nkeys; i++) cbor_decref(&keys[i].value);
-    for (size_t i = 0; i < nlate; i++) cbor_decref(&late[i]);
-    nkeys = nlate = largest = 0;
-    epoch = 100;
-    changes = 0;
+    for (size_t i = 0; i < key_count; i++) cbor_decref(&keys[i].value);
+    for (size_t i = 0; i < late_count; i++) cbor_decref(&late_txns[i]);
+    key_count = late_count = largest_value = 0;
+    revision = 100;
+    changes_since_refill = 0;
     limits = (struct fake_store_limits){.value_kb = 64};
-    memset(answers, 0, sizeof answers);
+    memset(answer_counts, 0, sizeof answer_counts);
 }
 
 void fake_store_set_limits(struct fake_store_limits new_limits) {
@@ -35,28 +35,28 @@
 }
 
 void fake_store_refill(void) {
-    changes = 0;
+    changes_since_refill = 0;
 }
 
 /* ---- keys ---- */
 
-static size_t place(const char *name) {
+static size_t lower_bound(const char *name) {
     size_t i = 0;
-    while (i < nkeys && strcmp(keys[i].name, name) < 0) i++;
+    while (i < key_count && strcmp(keys[i].name, name) < 0) i++;
     return i;
 }
 
 static struct key *find(const char *name) {
-    size_t i = place(name);
-    return i < nkeys && !strcmp(keys[i].name, name) ? &keys[i] : NULL;
+    size_t i = lower_bound(name);
+    return i < key_count && !strcmp(keys[i].name, name) ? &keys[i] : NULL;
 }
 
-static void set(const char *name, const cbor_item_t *value, uint64_t stamp) {
+static void set_key(const char *name, const cbor_item_t *value, uint64_t at_revision) {
     struct key *key = find(name);
     if (!key) {
-        size_t i = place(name);
-        assert_true(nkeys < KEYS);
-        memmove(&keys[i + 1], &keys[i], (nkeys++ - i) * sizeof *keys);
+        size_t i = lower_bound(name);
+        assert_true(key_count < MAX_KEYS);
+        memmove(&keys[i + 1], &keys[i], (key_count++ - i) * sizeof *keys);
         key = &keys[i];
         memset(key, 0, sizeof *key);
         snprintf(key->name, sizeof key->name, "%s", name);
@@ -64,32 +64,32 @@
         cbor_decref(&key->value);
     }
     key->value = cbor_incref((cbor_item_t *)value);
-    key->stamp = stamp;
+    key->revision = at_revision;
 }
 
-static void unset(const char *name) {
+static void remove_key(const char *name) {
     struct key *key = find(name);
     if (!key) return;
     cbor_decref(&key->value);
     size_t i = (size_t)(key - keys);
-    memmove(key, key + 1, (--nkeys - i) * sizeof *keys);
+    memmove(key, key + 1, (--key_count - i) * sizeof *keys);
 }
 
 uint64_t fake_store_put(const char *name, const struct amb_buf *value) {
-    epoch++;
+    revision++;
     if (!value) {
-        unset(name);
-        return epoch;
+        remove_key(name);
+        return revision;
     }
     cbor_item_t *item = amb_cbor_parse(value->data, value->len);
-    set(name, item, epoch);
+    set_key(name, item, revision);
     cbor_decref(&item);
-    return epoch;
+    return revision;
 }
 
 uint64_t fake_store_revision(const char *name) {
     const struct key *key = find(name);
-    return key ? key->stamp : 0;
+    return key ? key->revision : 0;
 }
 
 const cbor_item_t *fake_store_value(const char *name) {
@@ -98,7 +98,7 @@
 }
 
 const char *fake_store_key(const char *prefix, size_t index) {
-    for (size_t i = 0; i < nkeys; i++)
+    for (size_t i = 0; i < key_count; i++)
         if (!strncmp(keys[i].name, prefix, strlen(prefix)) && !index--) return keys[i].name;
     return NULL;
 }
@@ -109,9 +109,9 @@
     return count;
 }
 
-/* ---- sizes, written apart from the library's own count ---- */
+/* ---- sizes, computed independently of the library ---- */
 
-/* One item without what is within it, which is put on the stack; ", " and ": " stand between. */
+/* Size of one item without its children, which are pushed on the stack; ", " and ": " are the separators. */
 static size_t json_item_size(const cbor_item_t *item, const cbor_item_t **stack, size_t *depth) {
     char number[32];
     if (cbor_isa_string(item)) return cbor_string_length(item) + 2;
@@ -148,13 +148,13 @@
 
 /* ---- calls ---- */
 
-static const cbor_item_t *change_key(const cbor_item_t *change, char *name, size_t cap) {
+static const cbor_item_t *change_key(const cbor_item_t *change, char *name, size_t capacity) {
     const cbor_item_t *put = amb_cbor_map_get(change, "put");
-    assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, cap));
+    assert_true(amb_cbor_copy_string(put ? put : amb_cbor_map_get(change, "remove"), name, capacity));
     return put ? amb_cbor_map_get(change, "value") : NULL;
 }
 
-static bool within_limits(const cbor_item_t *then) {
+static bool is_within_limits(const cbor_item_t *then) {
     if (limits.txn_ops && amb_cbor_list_length(then) > limits.txn_ops) return false;
     for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
         char name[256];
@@ -167,41 +167,41 @@
 static bool guards_hold(const cbor_item_t *guards) {
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char name[256];
-        uint64_t stamp;
+        uint64_t compared;
         const cbor_item_t *guard = amb_cbor_list_item(guards, i);
         assert_true(amb_cbor_copy_string(amb_cbor_map_get(guard, "path"), name, sizeof name));
-        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &stamp));
-        if (fake_store_revision(name) != stamp) return false;
+        assert_true(amb_cbor_get_uint(amb_cbor_map_get(guard, "stamp"), &compared));
+        if (fake_store_revision(name) != compared) return false;
     }
     return true;
 }
 
-/* The status that the transaction is answered with. */
-static int carry_out(const cbor_item_t *txn) {
+/* Applies the transaction and returns the status of its answer. */
+static int apply_txn(const cbor_item_t *txn) {
     const cbor_item_t *then = amb_cbor_map_get(txn, "then");
-    if (!within_limits(then)) return 400;
-    if (limits.burst && changes + amb_cbor_list_length(then) > limits.burst) return 429;
-    changes += (uint32_t)amb_cbor_list_length(then);
+    if (!is_within_limits(then)) return 400;
+    if (limits.burst && changes_since_refill + amb_cbor_list_length(then) > limits.burst) return 429;
+    changes_since_refill += (uint32_t)amb_cbor_list_length(then);
     if (!guards_hold(amb_cbor_map_get(txn, "guards"))) return 409;
-    epoch++;
+    revision++;
     for (size_t i = 0; i < amb_cbor_list_length(then); i++) {
         char name[256];
         const cbor_item_t *value = change_key(amb_cbor_list_item(then, i), name, sizeof name);
         if (!value) {
-            unset(name);
+            remove_key(name);
             continue;
         }
-        if (json_size(value) > largest) largest = json_size(value);
-        set(name, value, epoch);
+        if (json_size(value) > largest_value) largest_value = json_size(value);
+        set_key(name, value, revision);
     }
     return 200;
 }
 
-static void answer(struct fake_call *call, int status) {
+static void answer_call(struct fake_call *call, int status) {
     struct amb_buf body = {0};
-    answers[status]++;
+    answer_counts[status]++;
     amb_cbor_write_map(&body, 2);
-    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, epoch);
+    amb_cbor_write_string(&body, "epoch"), amb_cbor_write_uint(&body, revision);
     amb_cbor_write_string(&body, "failed"), amb_cbor_write_list(&body, 0);
     fake_answer(call, status, &body);
 }
@@ -209,62 +209,63 @@
 static void answer_read(struct fake_call *call) {
     const struct key *key = find(call->path + strlen("/store/"));
     if (!key) {
-        answer(call, 404);
+        answer_call(call, 404);
         return;
     }
     struct amb_buf body = {0};
     unsigned char *text = NULL;
     size_t room = 0, len = cbor_serialize_alloc(key->value, &text, &room);
     amb_cbor_write_map(&body, 2);
-    amb_cbor_write_string(&body, "stamp"), amb_cbor_write_uint(&body, key->stamp);
+    amb_cbor_write_string(&body, "stamp"), amb_cbor_write_uint(&body, key->revision);
     amb_cbor_write_string(&body, "value"), amb_buf_append(&body, text, len);
     free(text);
-    answers[200]++;
+    answer_counts[200]++;
     fake_answer(call, 200, &body);
 }
 
-bool fake_store_serve(enum fake_outcome fate) {
+bool fake_store_serve(enum fake_outcome outcome) {
     struct fake_call *call = fake_open_call("/commit"), *read = fake_open_call("/store/");
-    if (!call || (read && read < call)) call = read; /* calls are kept in their order */
+    if (!call || (read && read < call)) call = read; /* calls are stored in the order of sending */
     if (!call) return false;
     bool commit = call != read;
-    int status = commit && (fate == FAKE_APPLIED || fate == FAKE_ANSWER_LOST) ? carry_out(call->cbor_body) : 0;
-    if (commit && fate == FAKE_APPLIED_LATE) {
-        assert_true(nlate < LATE);
-        late[nlate++] = cbor_incref(call->cbor_body);
+    int status =
+        commit && (outcome == FAKE_APPLIED || outcome == FAKE_ANSWER_LOST) ? apply_txn(call->cbor_body) : 0;
+    if (commit && outcome == FAKE_APPLIED_LATE) {
+        assert_true(late_count < MAX_LATE);
+        late_txns[late_count++] = cbor_incref(call->cbor_body);
     }
-    if (fate != FAKE_APPLIED)
+    if (outcome != FAKE_APPLIED)
         fake_answer(call, 0, NULL);
     else if (commit)
-        answer(call, status);
+        answer_call(call, status);
     else
         answer_read(call);
     return true;
 }
 
-void fake_store_serve_late(size_t *refused, size_t *carried_out) {
-    *refused = *carried_out = 0;
-    for (size_t i = 0; i < nlate; i++) {
-        int status = carry_out(late[i]);
+void fake_store_serve_late(size_t *refused, size_t *applied) {
+    *refused = *applied = 0;
+    for (size_t i = 0; i < late_count; i++) {
+        int status = apply_txn(late_txns[i]);
         *refused += status == 409;
-        *carried_out += status == 200;
-        cbor_decref(&late[i]);
+        *applied += status == 200;
+        cbor_decref(&late_txns[i]);
     }
-    nlate = 0;
+    late_count = 0;
 }
 
 size_t fake_store_answers(int status) {
-    return answers[status];
+    return answer_counts[status];
 }
 
 size_t fake_store_largest(void) {
-    return largest;
+    return largest_value;
 }
 
 void fake_store_load_records(struct amb_node *node) {
     const char *name;
     for (size_t i = 0; (name = fake_store_key("b/", i)); i++) {
         const struct key *key = find(name);
-        amb_placement_log_restore(node, key->name, key->value, key->stamp);
+        amb_placement_log_restore(node, key->name, key->value, key->revision);
     }
 }
--- a/tests/support/fake_store.h
+++ b/tests/support/fake_store.h
@@ -1,5 +1,5 @@
-/* A key-value store in memory behind fake_http.h: it answers the transactions and reads that a node has sent,
- * one at a time and as the test says, under limits that the test may lower. */
+/* An in-memory key-value store behind fake_http.h. It answers the transactions and reads that a node has
+ * sent, one at a time with the outcome that the test chooses, under limits that the test may lower. */
 #ifndef AMBERPIN_TESTS_FAKE_STORE_H
 #define AMBERPIN_TESTS_FAKE_STORE_H
 
@@ -8,39 +8,39 @@
 struct amb_node;
 
 struct fake_store_limits {
-    double value_kb;  /* counted in JSON, as the protocol does */
-    uint32_t txn_ops; /* changes a transaction; 0: any number */
-    uint32_t burst;   /* changes until fake_state_refill; 0: any number */
+    double value_kb;  /* size in JSON form, as in the protocol */
+    uint32_t txn_ops; /* changes per transaction; 0: unlimited */
+    uint32_t burst;   /* changes until fake_store_refill; 0: unlimited */
 };
 
 enum fake_outcome {
-    FAKE_APPLIED,      /* and answered */
-    FAKE_ANSWER_LOST,  /* carried out, but no answer comes */
-    FAKE_REQUEST_LOST, /* never carried out, no answer */
-    FAKE_APPLIED_LATE, /* no answer; carried out by fake_state_late */
+    FAKE_APPLIED,      /* applied and answered */
+    FAKE_ANSWER_LOST,  /* applied, but not answered */
+    FAKE_REQUEST_LOST, /* neither applied nor answered */
+    FAKE_APPLIED_LATE, /* not answered; applied by fake_store_serve_late */
 };
 
 void fake_store_reset(void);
 void fake_store_set_limits(struct fake_store_limits new_limits);
 void fake_store_refill(void);
-/* A key as somebody else writes it; value NULL: removed. Returns the stamp. */
+/* Writes a key on behalf of another client; value NULL: removes it. Returns the new revision. */
 uint64_t fake_store_put(const char *name, const struct amb_buf *value);
-uint64_t fake_store_revision(const char *name); /* 0: not there */
+uint64_t fake_store_revision(const char *name); /* 0: no such key */
 const cbor_item_t *fake_store_value(const char *name);
 size_t fake_store_count(const char *prefix);
-const char *fake_store_key(const char *prefix, size_t index); /* in the order of keys; NULL: no more */
-
-/* The oldest call that is open. False: there is none. */
-bool fake_store_serve(enum fake_outcome fate);
-/* Carries out what was kept to be carried out late. How many of it were refused by a guard, and how many were
- * not. */
-void fake_store_serve_late(size_t *refused, size_t *carried_out);
-/* Answers so far with this status. */
+const char *fake_store_key(const char *prefix, size_t index); /* in key order; NULL: no more */
+
+/* Serves the oldest open call. False: there is none. */
+bool fake_store_serve(enum fake_outcome outcome);
+/* Applies the transactions with the outcome FAKE_APPLIED_LATE. Returns how many a guard refused and how many
+ * were applied. */
+void fake_store_serve_late(size_t *refused, size_t *applied);
+/* Number of answers so far with this status. */
 size_t fake_store_answers(int status);
-/* The largest value ever taken, in bytes of JSON. */
+/* Size of the largest value stored so far, in bytes of JSON. */
 size_t fake_store_largest(void);
 
-/* The node reads all records, as a new leader does. */
+/* Restores the node from all records, as a new leader does. */
 void fake_store_load_records(struct amb_node *node);
 
 #endif
--- a/tests/support/json_cbor.c
+++ b/tests/support/json_cbor.c
@@ -13,7 +13,7 @@
     amb_buf_append(out, head, cbor_encode_negint((uint64_t)(-1 - value), head, sizeof head));
 }
 
-/* NOLINTNEXTLINE(misc-no-recursion): the tests' own messages are not deep */
+/* NOLINTNEXTLINE(misc-no-recursion): messages of tests have little nesting */
 void cbor_from_json(struct amb_buf *out, const json_t *value) {
     const char *key;
     json_t *item;
@@ -48,7 +48,7 @@
     json_error_t error;
     json_t *value = json_loads(text, JSON_DECODE_ANY, &error);
     if (!value) {
-        fprintf(stderr, "not JSON: %s: %s\n", error.text, text);
+        fprintf(stderr, "invalid JSON: %s: %s\n", error.text, text);
         abort();
     }
     struct amb_buf out = {0};
@@ -57,7 +57,7 @@
     return out;
 }
 
-/* NOLINTNEXTLINE(misc-no-recursion): the tests' own messages are not deep */
+/* NOLINTNEXTLINE(misc-no-recursion): messages of tests have little nesting */
 json_t *json_from_cbor(const cbor_item_t *value) {
     if (cbor_isa_uint(value)) return json_integer((json_int_t)cbor_get_int(value));
     if (cbor_isa_negint(value)) return json_integer(-1 - (json_int_t)cbor_get_int(value));
--- a/tests/support/leader_fixture.c
+++ b/tests/support/leader_fixture.c
@@ -7,41 +7,42 @@
 static const char PEER_LISTEN[] = "peers:1";
 
 static struct fake_reply replies[REQUESTS];
-static size_t nrequests;
+static size_t request_count;
 
-/* ---- requests to the node, and what it replies ---- */
+/* ---- requests to the node, and its replies ---- */
 
-static void forget_replies(void) {
-    for (size_t i = 0; i < nrequests; i++) amb_buf_free(&replies[i].body);
-    nrequests = 0;
+static void clear_replies(void) {
+    for (size_t i = 0; i < request_count; i++) amb_buf_free(&replies[i].body);
+    request_count = 0;
 }
 
 struct amb_http_req *new_request(const char *method, const char *path, struct amb_buf *body) {
-    assert_true(nrequests < REQUESTS);
-    struct amb_http_req *request = fake_request(method, path, body, &replies[nrequests++]);
+    assert_true(request_count < REQUESTS);
+    struct amb_http_req *request = fake_request(method, path, body, &replies[request_count++]);
     if (body) amb_buf_free(body);
     return request;
 }
 
 struct fake_reply *latest_reply(void) {
-    assert_true(nrequests > 0);
-    return &replies[nrequests - 1];
+    assert_true(request_count > 0);
+    return &replies[request_count - 1];
 }
 
 size_t count_replies(void) {
     size_t count = 0;
-    for (size_t i = 0; i < nrequests; i++) count += replies[i].status != 0;
+    for (size_t i = 0; i < request_count; i++) count += replies[i].status != 0;
     return count;
 }
 
 const cbor_item_t *latest_reply_body(void) {
     static cbor_item_t *map;
     if (map) cbor_decref(&map);
-    map = latest_reply()->body.len ? amb_cbor_parse(latest_reply()->body.data, latest_reply()->body.len) : NULL;
+    map =
+        latest_reply()->body.len ? amb_cbor_parse(latest_reply()->body.data, latest_reply()->body.len) : NULL;
     return map;
 }
 
-/* ---- requests of the node ---- */
+/* ---- requests sent by the node ---- */
 
 struct fake_call *find_call(const char *method, const char *path) {
     return fake_call_find(NULL, method, path);
@@ -49,7 +50,7 @@
 
 struct fake_call *open_call(const char *method, const char *path) {
     struct fake_call *call = find_call(method, path);
-    if (!call) fail_msg("no %s %s is under way", method, path);
+    if (!call) fail_msg("no open %s %s", method, path);
     return call;
 }
 
@@ -58,7 +59,7 @@
 int fixture_setup(void **state) {
     fake_http_reset();
     fake_clock_reset();
-    forget_replies();
+    clear_replies();
     setup(state);
     amb_ms now = amb_now();
     strcpy(node->settings.member, "n-0");
@@ -100,7 +101,7 @@
     fake_answer_all_lost();
     fake_http_reset();
     fake_clock_reset();
-    forget_replies();
+    clear_replies();
     return teardown(state);
 }
 
@@ -116,13 +117,13 @@
     election->holder_revision = election->highest_term = term;
 }
 
-/* ---- what the key-value store answers ---- */
+/* ---- answers of the key-value store ---- */
 
-void answer_committed(struct fake_call *call, uint64_t epoch) {
+void answer_committed(struct fake_call *call, uint64_t store_revision) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 1);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, epoch);
+    amb_cbor_write_uint(&buffer, store_revision);
     fake_answer(call, 200, &buffer);
 }
 
@@ -144,7 +145,7 @@
 }
 
 void answer_value(struct fake_call *call, const char *field, const char *text, uint64_t number,
-                  uint64_t stamp) {
+                  uint64_t revision) {
     struct amb_buf buffer = {0};
     amb_cbor_write_map(&buffer, 2);
     amb_cbor_write_string(&buffer, "value");
@@ -155,7 +156,7 @@
     else
         amb_cbor_write_uint(&buffer, number);
     amb_cbor_write_string(&buffer, "stamp");
-    amb_cbor_write_uint(&buffer, stamp);
+    amb_cbor_write_uint(&buffer, revision);
     fake_answer(call, 200, &buffer);
 }
 
@@ -172,13 +173,13 @@
     amb_job_encode_record(buffer, &draft, state);
 }
 
-void answer_change_list(struct fake_call *call, uint64_t epoch, const char *ref, enum amb_job_state state,
-                 uint64_t stamp) {
+void answer_change_list(struct fake_call *call, uint64_t store_revision, const char *ref,
+                        enum amb_job_state state, uint64_t revision) {
     struct amb_buf buffer = {0};
     char key[AMB_NAME_SIZE + 16];
     amb_cbor_write_map(&buffer, 2);
     amb_cbor_write_string(&buffer, "epoch");
-    amb_cbor_write_uint(&buffer, epoch);
+    amb_cbor_write_uint(&buffer, store_revision);
     amb_cbor_write_string(&buffer, "news");
     amb_cbor_write_list(&buffer, ref ? 1 : 0);
     if (ref) {
@@ -189,7 +190,7 @@
         amb_cbor_write_string(&buffer, "value");
         put_job_value(&buffer, ref, state);
         amb_cbor_write_string(&buffer, "stamp");
-        amb_cbor_write_uint(&buffer, stamp);
+        amb_cbor_write_uint(&buffer, revision);
     }
     fake_answer(call, 200, &buffer);
 }
@@ -258,23 +259,23 @@
 
 /* ---- peers ---- */
 
-static struct amb_buf said_text(int peer, struct peer_state said) {
+static struct amb_buf format_peer_message(int peer, struct peer_state state) {
     struct amb_buf buffer = {0};
     amb_buf_append_format(&buffer,
                           "{\"from\":\"n-%d\",\"loaded\":%s,\"term\":%llu,\"leading\":%s,\"store\":true,"
                           "\"reports_arrive\":false,\"cancelled\":[%s]}",
-                          peer + 1, said.unloaded ? "false" : "true", (unsigned long long)said.term,
-                          said.leading ? "true" : "false", said.cancelled ? said.cancelled : "");
+                          peer + 1, state.unloaded ? "false" : "true", (unsigned long long)state.term,
+                          state.leading ? "true" : "false", state.cancelled ? state.cancelled : "");
     return buffer;
 }
 
-void answer_peer_heartbeat(int peer, struct peer_state said) {
-    struct amb_buf buffer = said_text(peer, said);
+void answer_peer_heartbeat(int peer, struct peer_state state) {
+    struct amb_buf buffer = format_peer_message(peer, state);
     fake_answer(fake_call_find(node->settings.peers[peer].addr, "POST", "/peer/heartbeat"), 200, &buffer);
 }
 
-void receive_peer_heartbeat(int peer, struct peer_state said) {
-    struct amb_buf buffer = said_text(peer, said);
+void receive_peer_heartbeat(int peer, struct peer_state state) {
+    struct amb_buf buffer = format_peer_message(peer, state);
     fake_serve(PEER_LISTEN, new_request("POST", "/peer/heartbeat", &buffer));
 }
 
--- a/tests/support/named_tests.h
+++ b/tests/support/named_tests.h
@@ -1,4 +1,4 @@
-/* Test programs that play one test by its name, given as the first argument. */
+/* For test programs that can run a single test, whose name is the first argument. */
 #ifndef AMBERPIN_TESTS_NAMED_TESTS_H
 #define AMBERPIN_TESTS_NAMED_TESTS_H
 
@@ -8,8 +8,9 @@
 
 #include <stdbool.h>
 
-/* Sets the log's level from LOG_LEVEL (errors only by default) and the filter from the arguments. False, with
- * a line on standard error: the name is no test's, which must not pass as a run of no test. */
+/* Sets the log level from LOG_LEVEL (default: errors only) and the test filter from the arguments. Returns
+ * false and prints a line to standard error if no test has the name, since cmocka would pass with no test
+ * run. */
 static inline bool choose_named_test(const struct CMUnitTest *tests, size_t count, int argc, char **argv) {
     const char *level = getenv("LOG_LEVEL");
     amb_log_init(level ? level : "error");
--- a/tests/support/node_fixture.c
+++ b/tests/support/node_fixture.c
@@ -52,19 +52,19 @@
 
 int teardown(void **state) {
     (void)state;
-    /* The loop never runs, so no timer fires and no call goes out. */
+    /* The event loop never runs, so no timer fires and no call is sent. */
     amb_controller_stop_leading(node, "end of test");
     bare_node_free(node);
     return 0;
 }
 
-bool deliver_heartbeat(const char *machine, uint64_t session, uint64_t seq, uint64_t token, amb_ms now,
-            const struct amb_agent_task *tasks, size_t ntasks) {
-    struct amb_agent_heartbeat heartbeat = {.incarnation = session,
-                                            .sequence = seq,
+bool deliver_heartbeat(const char *machine, uint64_t incarnation, uint64_t sequence, uint64_t token,
+                       amb_ms now, const struct amb_agent_task *tasks, size_t task_count) {
+    struct amb_agent_heartbeat heartbeat = {.incarnation = incarnation,
+                                            .sequence = sequence,
                                             .fencing_token = token,
                                             .reclaim_notice_s = -1,
-                                            .task_count = ntasks};
+                                            .task_count = task_count};
     strcpy(heartbeat.machine, machine);
     strcpy(heartbeat.address, "127.0.0.1:1");
     strcpy(heartbeat.type, "g8");
@@ -76,9 +76,9 @@
     return result == AMB_HEARTBEAT_PROCESSED;
 }
 
-size_t count_commands(enum amb_agent_command_kind op) {
+size_t count_commands(enum amb_agent_command_kind kind) {
     size_t count = 0;
-    for (size_t i = 0; i < reply_command_count; i++) count += reply_commands[i].kind == op;
+    for (size_t i = 0; i < reply_command_count; i++) count += reply_commands[i].kind == kind;
     return count;
 }
 
@@ -88,7 +88,8 @@
 }
 
 struct amb_agent_task make_agent_task(const char *ref, uint32_t index, uint64_t attempt,
-                              enum amb_agent_task_state agent_state, enum amb_exit_reason exit_reason) {
+                                      enum amb_agent_task_state agent_state,
+                                      enum amb_exit_reason exit_reason) {
     struct amb_agent_task agent_task = {
         .index = index, .attempt = attempt, .state = agent_state, .exit_reason = exit_reason};
     strcpy(agent_task.job_ref, ref);
--- a/tests/support/peer_json.h
+++ b/tests/support/peer_json.h
@@ -1,4 +1,4 @@
-/* Messages between controllers as trees of JSON, to be built and looked at by tests. */
+/* Messages between controllers as JSON trees that tests can build and inspect. */
 #ifndef AMBERPIN_TESTS_PEER_JSON_H
 #define AMBERPIN_TESTS_PEER_JSON_H
 
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The node's reply to a peer that knows all changes up to this revision (0: it has not said), to be released.
+/* The node's reply to a peer that knows all changes up to this revision (0: unknown). The caller releases it.
  */
 static inline json_t *peer_reply_json(struct amb_node *node, uint64_t known_revision) {
     struct amb_peer_message *reply = amb_peer_encode_reply(node, known_revision);
@@ -19,7 +19,7 @@
     return json;
 }
 
-/* The same message as the library parses it, to be released. */
+/* The message as parsed by the library. The caller releases it. */
 static inline struct amb_peer_message *peer_message_of_json(const json_t *json) {
     struct amb_peer_message *message;
     char *text = json_dumps(json, JSON_COMPACT);
@@ -28,7 +28,8 @@
     return message;
 }
 
-/* The peer has sent this message, as the reply to a heartbeat of then, or (asked_at 0) on its own. */
+/* Applies a message of the peer, as the reply to a heartbeat sent at asked_at, or (asked_at 0) as an
+ * unsolicited one. */
 static inline void apply_peer_json(struct amb_node *node, struct amb_peer *peer, const json_t *json,
                                    amb_ms asked_at) {
     struct amb_peer_message *message = peer_message_of_json(json);
--- a/tests/support/pipeline_fixture.c
+++ b/tests/support/pipeline_fixture.c
@@ -6,7 +6,7 @@
 #include "fake_http.h"
 #include "json_cbor.h"
 
-enum { REPLIES = 64, FIRST_EPOCH = 100, VALUE_BYTES = 8192 };
+enum { REPLIES = 64, FIRST_REVISION = 100, VALUE_BYTES = 8192 };
 
 static const char LEADER_KEY[] = "a/leader";
 
@@ -15,10 +15,10 @@
 struct job_value job_values[JOB_LETTERS];
 struct fake_service fake_service;
 
-static void forget_records(void) {
+static void clear_records(void) {
     for (size_t i = 0; i < JOB_LETTERS; i++) amb_buf_free(&job_values[i].value);
     memset(job_values, 0, sizeof job_values);
-    fake_service = (struct fake_service){.revision = FIRST_EPOCH};
+    fake_service = (struct fake_service){.revision = FIRST_REVISION};
 }
 
 static const char *job_name(char letter) {
@@ -29,7 +29,7 @@
     return name;
 }
 
-/* The record of a key "a/job/wk-x"; NULL: another key. */
+/* The record of a key "a/job/wk-x"; NULL: the key is not a job's. */
 static struct job_value *record_of(const char *key) {
     static const char prefix[] = "a/job/wk-";
     if (strncmp(key, prefix, sizeof prefix - 1) != 0) return NULL;
@@ -88,21 +88,22 @@
     const cbor_item_t *guards = amb_cbor_map_get(call->cbor_body, "guards");
     for (size_t i = 0; i < amb_cbor_list_length(guards); i++) {
         char key[128];
-        uint64_t stamp = 0;
+        uint64_t compared = 0;
         amb_cbor_copy_string(amb_cbor_map_get(amb_cbor_list_item(guards, i), "path"), key, sizeof key);
-        amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, i), "stamp"), &stamp);
+        amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, i), "stamp"), &compared);
         const struct job_value *record = record_of(key);
-        if (record ? record->revision != stamp : !strcmp(key, LEADER_KEY) && stamp != TERM) return false;
+        if (record ? record->revision != compared : !strcmp(key, LEADER_KEY) && compared != TERM)
+            return false;
     }
     return true;
 }
 
-static void carry_out(struct fake_call *call) {
+static void apply_txn(struct fake_call *call) {
     struct amb_buf buffer = {0};
-    bool holds = guards_hold(call);
+    bool guards_ok = guards_hold(call);
     const cbor_item_t *changes = amb_cbor_map_get(call->cbor_body, "then");
-    fake_service.revision += holds;
-    for (size_t i = 0; holds && i < amb_cbor_list_length(changes); i++) {
+    fake_service.revision += guards_ok;
+    for (size_t i = 0; guards_ok && i < amb_cbor_list_length(changes); i++) {
         char key[128];
         const cbor_item_t *change = amb_cbor_list_item(changes, i);
         if (!amb_cbor_copy_string(amb_cbor_map_get(change, "put"), key, sizeof key)) continue;
@@ -115,37 +116,37 @@
         amb_buf_append(&record->value, bytes, len);
         record->revision = fake_service.revision;
     }
-    amb_cbor_write_map(&buffer, holds ? 1 : 2);
+    amb_cbor_write_map(&buffer, guards_ok ? 1 : 2);
     amb_cbor_write_string(&buffer, "epoch");
     amb_cbor_write_uint(&buffer, fake_service.revision);
-    if (!holds) {
+    if (!guards_ok) {
         amb_cbor_write_string(&buffer, "failed");
         amb_cbor_write_list(&buffer, 0);
     }
     bool lost = fake_service.next_response_lost;
     fake_service.next_response_lost = false;
-    fake_answer(call, lost ? 0 : holds ? 200 : 409, &buffer);
+    fake_answer(call, lost ? 0 : guards_ok ? 200 : 409, &buffer);
 }
 
 static bool is_watch(const struct fake_call *call) {
     return !strstr(call->path, "wait_ms=0");
 }
 
-/* The oldest read of changes, a watch or one that is answered at once. */
-static struct fake_call *find_follow(bool watch) {
-    static struct fake_call *kept[FAKE_CALLS];
-    size_t nkept = 0;
+/* The oldest read of changes: a watch, or a read that is answered at once. */
+static struct fake_call *find_changes_read(bool watch) {
+    static struct fake_call *skipped[FAKE_CALLS];
+    size_t skipped_count = 0;
     struct fake_call *call;
     while ((call = fake_open_call("/follow")) && is_watch(call) != watch) {
         call->answered = true;
-        kept[nkept++] = call;
+        skipped[skipped_count++] = call;
     }
-    while (nkept) kept[--nkept]->answered = false;
+    while (skipped_count) skipped[--skipped_count]->answered = false;
     return call;
 }
 
 bool serve_one(void) {
-    struct fake_call *call = find_follow(false);
+    struct fake_call *call = find_changes_read(false);
     if (call && fake_service.changes_compacted && !fake_service.unavailable) {
         fake_service.changes_compacted = false;
         fake_answer(call, 410, NULL);
@@ -163,14 +164,14 @@
     else if (changes)
         answer_changes(call);
     else if (commit)
-        carry_out(call);
+        apply_txn(call);
     else
         answer_listing(call, jobs);
     return true;
 }
 
-/* Lets the node go on until the key-value store has nothing more to answer. */
-static void settle(void) {
+/* Serves calls and advances the clock until the node has no more requests for the key-value store. */
+static void run_until_idle(void) {
     for (int i = 0; i < 20; i++) {
         while (serve_one()) {}
         node->election.renewed_at = amb_now();
@@ -181,7 +182,7 @@
 /* ---- users and other nodes ---- */
 
 static struct fake_reply replies[REPLIES];
-static size_t nreplies;
+static size_t reply_count;
 
 static char submission_text[2048];
 
@@ -200,14 +201,14 @@
 }
 
 static void send_request(const char *method, const char *path, struct amb_buf *body) {
-    assert_true(nreplies < REPLIES);
-    assert_true(amb_api_handle_request(node, fake_request(method, path, body, &replies[nreplies++])));
+    assert_true(reply_count < REPLIES);
+    assert_true(amb_api_handle_request(node, fake_request(method, path, body, &replies[reply_count++])));
     if (body) amb_buf_free(body);
-    settle();
+    run_until_idle();
 }
 
 int latest_status(void) {
-    return replies[nreplies - 1].status;
+    return replies[reply_count - 1].status;
 }
 
 void submit_text(const char *text) {
@@ -222,7 +223,7 @@
     send_request("POST", "/v1/jobs", &body);
 }
 
-static void ask(char letter, bool cancel) {
+static void query_job(char letter, bool cancel) {
     char path[AMB_NAME_SIZE + 32];
     snprintf(path, sizeof path, "/v1/jobs/%s%s", job_name(letter), cancel ? "/cancel" : "");
     send_request(cancel ? "POST" : "GET", path, NULL);
@@ -230,7 +231,7 @@
 
 const char *latest_answer(void) {
     static char text[16];
-    const struct fake_reply *reply = &replies[nreplies - 1];
+    const struct fake_reply *reply = &replies[reply_count - 1];
     cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
     char stance[16] = "";
     amb_cbor_copy_string(amb_cbor_map_get(body, "stance"), stance, sizeof stance);
@@ -239,8 +240,8 @@
     return text;
 }
 
-/* Another node writes the job's record. */
-static void write_elsewhere(char letter, const char *state, const char *awaits) {
+/* Writes the job's record on behalf of another node. */
+static void write_from_other_node(char letter, const char *state, const char *awaits) {
     struct job_value *record = &job_values[letter - 'a'];
     static char awaited[JOB_LETTERS][16];
     if (awaits) snprintf(awaited[letter - 'a'], sizeof awaited[0], "%s", awaits);
@@ -249,21 +250,21 @@
     if (!strcmp(state, "done"))
         record->value = cbor_from_text("{\"s\":\"done\",\"n\":%d}", TASKS_PER_JOB);
     else
-        record->value =
-            cbor_from_text("{\"s\":\"%s\",\"a\":%lld,\"c\":%lld,\"d\":%s}", state, (long long)amb_wall_ms(),
-                           (long long)amb_wall_ms(), format_submission(letter, awaited[letter - 'a'], "batch"));
+        record->value = cbor_from_text("{\"s\":\"%s\",\"a\":%lld,\"c\":%lld,\"d\":%s}", state,
+                                       (long long)amb_wall_ms(), (long long)amb_wall_ms(),
+                                       format_submission(letter, awaited[letter - 'a'], "batch"));
 }
 
-static void hear_news(void) {
-    struct fake_call *call = find_follow(true);
+static void deliver_watched_changes(void) {
+    struct fake_call *call = find_changes_read(true);
     if (call)
         answer_changes(call);
     else
-        fail_msg("no watch is open");
-    settle();
+        fail_msg("no open watch");
+    run_until_idle();
 }
 
-static void hear_hint(char letter) {
+static void apply_cancel_hint(char letter) {
     amb_job_apply_cancel_hint(node, job_name(letter), amb_wall_ms(), job_values[letter - 'a'].revision);
 }
 
@@ -272,7 +273,7 @@
 int fixture_setup(void **state) {
     fake_http_reset();
     fake_clock_reset();
-    forget_records();
+    clear_records();
     setup(state);
     node->election.role = AMB_ROLE_FOLLOWER;
     node->controller.ready = false;
@@ -289,7 +290,7 @@
     amb_catalog_find_or_add_zone(&node->catalog, "a");
     char err[128];
     assert_int_equal(amb_node_start(node, err, sizeof err), 0);
-    settle();
+    run_until_idle();
     assert_true(node->watch.loaded);
     return 0;
 }
@@ -298,9 +299,9 @@
     fake_answer_all_lost();
     fake_http_reset();
     fake_clock_reset();
-    for (size_t i = 0; i < nreplies; i++) amb_buf_free(&replies[i].body);
-    nreplies = 0;
-    forget_records();
+    for (size_t i = 0; i < reply_count; i++) amb_buf_free(&replies[i].body);
+    reply_count = 0;
+    clear_records();
     return teardown(state);
 }
 
@@ -316,8 +317,8 @@
     node->election.fence_after = 3600000;
     node->election.renewed_at = amb_now();
     amb_controller_start_leading(node);
-    settle();
-    if (!fake_service.unavailable && !node->controller.restored_at) fail_msg("the records are not read");
+    run_until_idle();
+    if (!fake_service.unavailable && !node->controller.restored_at) fail_msg("the records were not restored");
 }
 
 void stop_leading(void) {
@@ -330,7 +331,7 @@
     assert_true(job && job->active);
     for (uint32_t i = 0; i < job->spec->task_count; i++) amb_task_mark_done(node, &job->tasks[i]);
     amb_placement_log_flush(node);
-    settle();
+    run_until_idle();
 }
 
 const char *active_jobs(void) {
@@ -347,22 +348,22 @@
 
 /* ---- scripts ---- */
 
-static void play_elsewhere(const char *step) {
+static void run_other_node_step(const char *step) {
     char letter = step[1];
     if (*step == '+')
-        write_elsewhere(letter, "queued", step[2] == ':' ? step + 3 : "");
+        write_from_other_node(letter, "queued", step[2] == ':' ? step + 3 : "");
     else
-        write_elsewhere(letter, *step == '!' ? "done" : "cancelled", NULL);
+        write_from_other_node(letter, *step == '!' ? "done" : "cancelled", NULL);
 }
 
-static bool play_word(const char *step) {
+static bool run_keyword(const char *step) {
     if (!strcmp(step, "~")) {
-        hear_news();
+        deliver_watched_changes();
     } else if (!strcmp(step, "out") || !strcmp(step, "back")) {
         fake_service.unavailable = *step == 'o';
     } else if (!strcmp(step, "hold") || !strcmp(step, "release")) {
         fake_service.commits_held = *step == 'h';
-        settle();
+        run_until_idle();
     } else if (!strcmp(step, "gone")) {
         fake_service.changes_compacted = true;
     } else if (!strcmp(step, "lose")) {
@@ -377,17 +378,17 @@
     return true;
 }
 
-/* One step without what is due after it; what it shows. */
-static const char *play_step(const char *step) {
-    if (play_word(step)) return NULL;
+/* Runs one step, without its expected result, and returns the actual result. */
+static const char *run_step(const char *step) {
+    if (run_keyword(step)) return NULL;
     if (!strcmp(step, "live")) return active_jobs();
     if (!strcmp(step, "last")) return latest_answer();
     if (*step == '@') {
-        play_elsewhere(step + 1);
+        run_other_node_step(step + 1);
         return NULL;
     }
     if (*step == '^') {
-        hear_hint(step[1]);
+        apply_cancel_hint(step[1]);
         return NULL;
     }
     if (*step == '!') {
@@ -397,9 +398,9 @@
     if (*step == '+')
         submit_text(format_submission(step[1], step[2] == ':' ? step + 3 : "", "batch"));
     else if (*step == '-' || *step == '?')
-        ask(step[1], *step == '-');
+        query_job(step[1], *step == '-');
     else
-        fail_msg("no such step: %s", step);
+        fail_msg("unknown step: %s", step);
     return latest_answer();
 }
 
@@ -410,17 +411,17 @@
     for (char *step; (step = strtok_r(rest, " ", &rest));) {
         char whole[64];
         snprintf(whole, sizeof whole, "%s", step);
-        char *due = strchr(step, '=');
-        if (due) *due++ = 0;
-        const char *seen = play_step(step);
-        if (due && strcmp(seen ? seen : "", due) != 0)
-            fail_msg("%s: %s: %s where %s was due", what, script, seen ? seen : "nothing", whole);
+        char *expected = strchr(step, '=');
+        if (expected) *expected++ = 0;
+        const char *actual = run_step(step);
+        if (expected && strcmp(actual ? actual : "", expected) != 0)
+            fail_msg("%s: %s: got %s at step %s", what, script, actual ? actual : "nothing", whole);
     }
 }
 
-void run_scripts(const struct pipeline_script *scenes, size_t count) {
+void run_scripts(const struct pipeline_script *scripts, size_t count) {
     for (size_t i = 0; i < count; i++) {
         fixture_reset();
-        run_script(scenes[i].name, scenes[i].script);
+        run_script(scripts[i].name, scripts[i].script);
     }
 }
--- a/tests/support/pipeline_fixture.h
+++ b/tests/support/pipeline_fixture.h
@@ -1,21 +1,20 @@
-/* A node with jobs that await others: the test plays the key-value store, the other nodes and the users by
- * scripts. A job is called by one letter. Steps are parted by blanks; after "=" comes the answer that is due:
+/* A node with jobs that have dependencies. Scripts control the key-value store, the other nodes and the
+ * users. A job is named by one letter. Steps are separated by blanks; "=" precedes the expected result:
  *
- *   +b:a=201q   a user submits job b, which awaits a; -a=200c cancels a; ?a=200q asks for it
- *   200q 200r 200d 200c 0   answers: queued, running, done, cancelled; none yet
- *   last=200d   the latest user's answer, which had not come yet
- *   @+b:a       another node accepts it: it is on record, and not heard of here yet; @-a cancels, @!a ends it
- *   ~           the watch brings all news
- *   ^a          another node's heartbeat tells that a is cancelled
- *   out back    the key-value store refuses all calls, and no more
- *   hold release  transactions are not answered yet
- *   lose        the answer to the next transaction is lost
- *   gone        the next read of changes is too old (410): all keys are listed again
- *   lead stop   this node takes the lead and reads the records; or loses it
- *   !a          the leader has seen all tasks of a end
- *   live=ab     the jobs in the leader's care
+ *   +b:a=201q   a user submits job b, which depends on a; -a=200c cancels a; ?a=200q queries it
+ *   200q 200r 200d 200c 0   results: status and state queued, running, done, cancelled; 0: no reply yet
+ *   last=200d   the reply to the latest user request, if it was still missing
+ *   @+b:a       another node accepts b: it is recorded, but this node has not read it; @-a cancels, @!a
+ * completes a ~           the watch delivers all changes ^a          the heartbeat of another node carries a
+ * cancellation notice for a out back    the key-value store starts to refuse all calls; stops refusing them
+ *   hold release  transactions are left unanswered; are answered again
+ *   lose        the response to the next transaction is lost
+ *   gone        the next read of changes is answered 410 (compacted), so that all keys are listed again
+ *   lead stop   this node becomes leader and restores the records; steps down
+ *   !a          all tasks of a complete at the leader
+ *   live=ab     the leader's active jobs
  *
- * Link it beside node_fixture.c, fake_clock.c, fake_http.c and json_cbor. */
+ * Link it together with node_fixture.c, fake_clock.c, fake_http.c and json_cbor. */
 #ifndef AMBERPIN_TESTS_PIPELINE_FIXTURE_H
 #define AMBERPIN_TESTS_PIPELINE_FIXTURE_H
 
@@ -27,44 +26,44 @@
 
 /* ---- the node ---- */
 
-/* As cmocka wants them. */
+/* Test setup and teardown for cmocka. */
 int fixture_setup(void **state);
 int fixture_teardown(void **state);
-/* A fresh node in mid-test, for the next row of a table. */
+/* Replaces the node by a new one within a test, for the next row of a table. */
 void fixture_reset(void);
 void start_leading(void);
 void stop_leading(void);
-/* The leader has seen all tasks of the job end. */
+/* Completes all tasks of the job at the leader. */
 void finish_tasks(char letter);
-/* The letters of the jobs in the leader's care. */
+/* The letters of the leader's active jobs. */
 const char *active_jobs(void);
 
 /* ---- the key-value store ---- */
 
 struct job_value {
-    uint64_t revision; /* 0: not there */
+    uint64_t revision; /* 0: no such record */
     struct amb_buf value;
 };
 
 struct fake_service {
     uint64_t revision;
     bool unavailable, commits_held, changes_compacted,
-        next_response_lost; /* loses: the next answer to a transaction */
+        next_response_lost; /* the response to the next transaction is lost */
 };
 
 extern struct job_value job_values[JOB_LETTERS];
 extern struct fake_service fake_service;
 
-/* Answers one request to the key-value store; false: there is none that it answers now. */
+/* Answers one request to the key-value store; false: there is none that can be answered now. */
 bool serve_one(void);
 
 /* ---- users ---- */
 
-/* A submission of the job, as JSON. */
+/* A submission of the job, as JSON text. */
 const char *format_submission(char letter, const char *awaits, const char *shape);
 void submit_text(const char *text);
 void submit_json(struct json_t *job); /* releases it */
-/* The latest user's answer as scripts write it, and its status alone. */
+/* The reply to the latest user request in the notation of scripts, and its status alone. */
 const char *latest_answer(void);
 int latest_status(void);
 
@@ -75,8 +74,8 @@
 };
 
 void run_script(const char *what, const char *script);
-/* Each with a fresh node. */
-void run_scripts(const struct pipeline_script *scenes, size_t count);
+/* Runs each script with a new node. */
+void run_scripts(const struct pipeline_script *scripts, size_t count);
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, fixture_setup, fixture_teardown)
 
--- a/tests/support/small_scenario.h
+++ b/tests/support/small_scenario.h
@@ -1,6 +1,6 @@
-/* A day of the small stand-in on which every rule must hold, and all that was accepted must get done. */
-#ifndef SMALL_DAY_H
-#define SMALL_DAY_H
+/* Runs a scenario of the small deployment. No rule may be violated, and all accepted work must be done. */
+#ifndef AMBERPIN_TESTS_SMALL_SCENARIO_H
+#define AMBERPIN_TESTS_SMALL_SCENARIO_H
 
 #include "check.h"
 #include "standin.h"
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -25,7 +25,7 @@
     node->catalog.type_count = 2;
     for (uint32_t i = 0; i < 2; i++) {
         struct amb_machine_type *type = &node->catalog.types[i];
-        type->zone_count = 2 - i; /* g8 in a and b, c4 in a alone */
+        type->zone_count = 2 - i; /* g8 in zones a and b, c4 in a only */
         strcpy(type->zones[0], "a");
         strcpy(type->zones[1], "b");
     }
@@ -84,11 +84,11 @@
 void expect_reply(const char *what, int user, int status, const char *stance) {
     const struct fake_reply *reply = &replies[user];
     cbor_item_t *body = reply->body.len ? amb_cbor_parse(reply->body.data, reply->body.len) : NULL;
-    bool right =
+    bool matches =
         reply->status == status && (!stance || amb_cbor_equals(amb_cbor_map_get(body, "stance"), stance));
     if (body) cbor_decref(&body);
-    if (!right)
-        fail_msg("%s: answer %d where %d %s was due", what, reply->status, status, stance ? stance : "");
+    if (!matches)
+        fail_msg("%s: reply %d instead of %d %s", what, reply->status, status, stance ? stance : "");
 }
 
 void expect_no_reply(const char *what, int user) {
@@ -97,36 +97,38 @@
 
 /* ---- the key-value store ---- */
 
-/* What the key-value store answers to a read of all changes: nothing new, or one change of the job. */
-struct amb_buf encode_changes(uint64_t stamp, const char *state) {
+/* The answer of the key-value store to a read of all changes: no change (state NULL), or one change of the
+ * job. */
+struct amb_buf encode_changes(uint64_t revision, const char *state) {
     if (!state) return cbor_from_text("{\"epoch\":%d,\"news\":[]}", FIXTURE_REVISION);
     return cbor_from_text("{\"epoch\":%llu,\"news\":[{\"put\":\"a/job/" JOB_REF "\",\"stamp\":%llu,"
                           "\"value\":{\"s\":\"%s\",\"a\":1,\"c\":1,\"n\":16,\"d\":%s}}]}",
-                          (unsigned long long)stamp, (unsigned long long)stamp, state, VALID_SUBMISSION);
+                          (unsigned long long)revision, (unsigned long long)revision, state,
+                          VALID_SUBMISSION);
 }
 
 struct fake_call *open_call(const char *path) {
     struct fake_call *call = fake_open_call(path);
-    if (!call) fail_msg("no call of %s is open", path);
+    if (!call) fail_msg("no open call of %s", path);
     return call;
 }
 
-void answer_fresh_read(uint64_t stamp, const char *state) {
-    struct amb_buf body = encode_changes(stamp, state);
+void answer_fresh_read(uint64_t revision, const char *state) {
+    struct amb_buf body = encode_changes(revision, state);
     fake_answer(open_call(CHANGES_PATH), 200, &body);
 }
 
-void answer_commit(int status, uint64_t epoch) {
-    struct amb_buf body = cbor_from_text("{\"epoch\":%llu}", (unsigned long long)epoch);
+void answer_commit(int status, uint64_t store_revision) {
+    struct amb_buf body = cbor_from_text("{\"epoch\":%llu}", (unsigned long long)store_revision);
     fake_answer(open_call(COMMIT_PATH), status, status ? &body : NULL);
     amb_buf_free(&body);
 }
 
-void apply_watched_change(uint64_t stamp, const char *state) {
+void apply_watched_change(uint64_t revision, const char *state) {
     struct amb_buf value =
         cbor_from_text("{\"s\":\"%s\",\"a\":1,\"c\":1,\"n\":16,\"d\":%s}", state, VALID_SUBMISSION);
     cbor_item_t *item = amb_cbor_parse(value.data, value.len);
-    amb_jobs_apply_item(node, JOB_REF, item, stamp);
+    amb_jobs_apply_item(node, JOB_REF, item, revision);
     cbor_decref(&item);
     amb_buf_free(&value);
 }
@@ -141,10 +143,10 @@
     struct fake_call *call = open_call(COMMIT_PATH);
     cbor_item_t *body = amb_cbor_parse(call->body.data, call->body.len);
     const cbor_item_t *guards = amb_cbor_map_get(body, "guards");
-    uint64_t stamp = UINT64_MAX;
+    uint64_t revision = UINT64_MAX;
     assert_int_equal(amb_cbor_list_length(guards), 1);
     assert_true(amb_cbor_equals(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "path"), "a/job/" JOB_REF));
-    assert_true(amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "stamp"), &stamp));
+    assert_true(amb_cbor_get_uint(amb_cbor_map_get(amb_cbor_list_item(guards, 0), "stamp"), &revision));
     cbor_decref(&body);
-    return stamp;
+    return revision;
 }
--- a/tests/support/user_fixture.h
+++ b/tests/support/user_fixture.h
@@ -1,6 +1,6 @@
-/* A node that does not lead, and one job that users submit, ask for and cancel there: the test plays the
- * key-value store and the users, in any order of events that the network allows. Link it beside
- * node_fixture.c, fake_http.c and json_cbor. */
+/* A follower, and one job that users submit, query and cancel at it. The test acts as the key-value store and
+ * as the users, in any order of events that the network allows. Link it together with node_fixture.c,
+ * fake_http.c and json_cbor. */
 #ifndef AMBERPIN_TESTS_USER_FIXTURE_H
 #define AMBERPIN_TESTS_USER_FIXTURE_H
 
@@ -11,7 +11,7 @@
 enum {
     ACCEPTED_REVISION = FIXTURE_REVISION + 10,
     CHANGED_REVISION = FIXTURE_REVISION + 20
-}; /* stamps of the job */
+}; /* revisions of the job's record */
 
 #define JOB_REF "wk-000412"
 #define JOB_PATH "/v1/jobs/" JOB_REF
@@ -20,15 +20,15 @@
 
 /* A submission of the job. */
 extern const char *const VALID_SUBMISSION;
-/* What each user was answered last. */
+/* The latest reply to each user. */
 extern struct fake_reply replies[USERS];
 
 /* ---- the node ---- */
 
-/* As cmocka wants them. */
+/* Test setup and teardown for cmocka. */
 int fixture_setup(void **state);
 int fixture_teardown(void **state);
-/* A fresh node in mid-test, for the next row of a table. */
+/* Replaces the node by a new one within a test, for the next row of a table. */
 void fixture_reset(void);
 
 /* ---- users ---- */
@@ -37,25 +37,26 @@
 void user_submit(int user, const char *text);
 void poll_job(int user);
 void user_cancel(int user);
-/* Fails unless this user was answered so; stance NULL: whatever the state. */
+/* Fails the test unless this user got this reply; stance NULL: any state. */
 void expect_reply(const char *what, int user, int status, const char *stance);
 void expect_no_reply(const char *what, int user);
 
 /* ---- the key-value store ---- */
 
-/* What the key-value store answers to a read of all changes: nothing new, or one change of the job. */
-struct amb_buf encode_changes(uint64_t stamp, const char *state);
-/* The oldest call of this path that is not answered; fails if there is none. */
+/* The answer of the key-value store to a read of all changes: no change (state NULL), or one change of the
+ * job. */
+struct amb_buf encode_changes(uint64_t revision, const char *state);
+/* The oldest unanswered call of this path; fails the test if there is none. */
 struct fake_call *open_call(const char *path);
-/* Answers a read of all changes: nothing new (NULL), or that the job is in this state. */
-void answer_fresh_read(uint64_t stamp, const char *state);
-/* Answers the transaction that is open; status 0: its answer is lost. */
-void answer_commit(int status, uint64_t epoch);
-/* News that come on their own: through the watch that every node keeps open. */
-void apply_watched_change(uint64_t stamp, const char *state);
-/* Lets a timer run out. */
+/* Answers a read of all changes: no change (state NULL), or a change of the job to this state. */
+void answer_fresh_read(uint64_t revision, const char *state);
+/* Answers the open transaction; status 0: its response is lost. */
+void answer_commit(int status, uint64_t store_revision);
+/* Delivers a change of the job through the watch that every node keeps open. */
+void apply_watched_change(uint64_t revision, const char *state);
+/* Fires a timer. */
 void fire_timer(struct amb_timer *timer);
-/* The stamp in the only guard of the transaction that is open. */
+/* The revision in the only guard of the open transaction. */
 uint64_t compared_revision(void);
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, fixture_setup, fixture_teardown)
