--- a/tests/standin/pipelines.c
+++ b/tests/standin/pipelines.c
@@ -23,7 +23,7 @@
     {4, {0, 1, 2, 4}},     /* a chain */
     {4, {0, 1, 1, 6}},     /* a diamond */
     {5, {0, 0, 0, 7, 8}},  /* several first stages */
-    {5, {0, 1, 3, 5, 14}}, /* stages with more dependencies than the preceding stage */
+    {5, {0, 1, 3, 5, 14}}, /* stages that depend on more than the preceding one */
     {2, {0, 1}},
 };
 
@@ -92,7 +92,7 @@
 
 /* ---- submissions ---- */
 
-/* A random accepted job outside of the pipeline, in any state and of any team; -1: none. */
+/* A random accepted array or gang outside of the pipeline, in any state and of any team; -1: none. */
 static int pick_earlier(const struct sim_job *job) {
     int first = (int)(sim_random() % (uint64_t)world.job_count);
     for (int i = 0; i < world.job_count; i++) {
--- a/tests/standin/rules.c
+++ b/tests/standin/rules.c
@@ -9,10 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum {
-    MAX_PLACEMENT_WAIT_MS = 90000,
-    MAX_UNANSWERED_MS = 75000
-}; /* after the effects of all faults have ended */
+/* Apply once the effects of all faults have ended. */
+enum { MAX_PLACEMENT_WAIT_MS = 90000, MAX_UNANSWERED_MS = 75000 };
 
 void sim_report_violation(const char *format, ...) {
     char text[sizeof world.result.violation - 32];
@@ -37,8 +35,8 @@
         world.result.refused_for_memory++;
 }
 
-/* Nodes learn with a delay of the jobs that other nodes accept: by then the writes of a tenth of a second may
- * have been accepted in excess of the job table's share of memory. */
+/* Nodes learn of jobs accepted by other nodes with a delay. In the meantime the jobs of a tenth of a second's
+ * writes may be accepted in excess of the job table's share of memory. */
 static void check_memory(const struct sim_node *node) {
     size_t used = node->version->job_table_used(node->node);
     size_t max_bytes = node->version->job_table_max(node->node);
--- a/tests/standin/users.c
+++ b/tests/standin/users.c
@@ -6,10 +6,8 @@
 #include <string.h>
 
 enum { SUBMIT_TIMEOUT_MS = 5000, QUERY_TIMEOUT_MS = 2000, EARLY_QUERY_MS = 1500 };
-enum {
-    MIN_DEPENDENCY_CHECK_MS = 10,
-    MAX_DEPENDENCY_CHECK_MS = 100
-};     /* interval at which a user checks whether the dependencies are ready */
+/* Interval at which a user checks whether the dependencies are ready. */
+enum { MIN_DEPENDENCY_CHECK_MS = 10, MAX_DEPENDENCY_CHECK_MS = 100 };
 enum { /* of SIM_CANCEL_BURST */
        MIN_REMAINING_RUN_MS = 3000,
        MIN_HANG_MS = 1000, /* with a shorter fault no machine hangs */
--- a/tests/support/duty_members.h
+++ b/tests/support/duty_members.h
@@ -75,7 +75,7 @@
 
 struct member_cloud {
     uint32_t rentals;              /* fulfilled rental requests */
-    uint32_t rented;               /* machines */
+    uint32_t rented;               /* machines granted to them */
     uint32_t calls;                /* including repeated ones */
     uint32_t releases;             /* calls that return machines */
     uint32_t stale_token_refusals; /* calls refused for their fencing token */
--- a/tests/support/user_fixture.c
+++ b/tests/support/user_fixture.c
@@ -37,7 +37,7 @@
     return 0;
 }
 
-static void forget_replies(void) {
+static void clear_replies(void) {
     for (size_t i = 0; i < USERS; i++) {
         amb_buf_free(&replies[i].body);
         memset(&replies[i], 0, sizeof replies[i]);
@@ -47,7 +47,7 @@
 int fixture_teardown(void **state) {
     fake_answer_all_lost();
     fake_http_reset();
-    forget_replies();
+    clear_replies();
     amb_timer_stop(&node->watch.fresh_read_timer);
     amb_timer_stop(&node->watch.watch_timer);
     amb_timer_stop(&node->store.dispatch_timer);
