--- a/include/amberpin/cloud/scale_out.h
+++ b/include/amberpin/cloud/scale_out.h
@@ -77,7 +77,8 @@
 
 /* ---- results ---- */
 
-/* Adds a machine that the cloud has granted to the leader's table. */
+/* Adds a newly granted machine to the leader's machine table. If the table already has the machine, sets its
+ * type and zone and whether it is a spot instance. */
 void amb_scale_out_add_machine(struct amb_node *node, const struct amb_scale_out_kind *kind,
                                const char *name);
 /* Notes that the cloud has granted `machine_count` machines, and backs off if these are too few. */
--- a/include/amberpin/config/settings.h
+++ b/include/amberpin/config/settings.h
@@ -11,7 +11,8 @@
     char member[AMB_NAME_SIZE], addr[AMB_NAME_SIZE]; /* "A.B.C.D:PORT" */
 };
 
-/* A service-level objective: a share of the jobs of a class must reach what `kind` names within a time. */
+/* A service-level objective: this share of the jobs of a class must start, or be complete, within `within_s`
+ * of becoming ready. `kind` names which of the two ("wait" or "finished"). */
 struct amb_objective {
     char kind[24], class_name[AMB_NAME_SIZE];
     double within_s, share;
--- a/include/amberpin/controller/controller.h
+++ b/include/amberpin/controller/controller.h
@@ -12,9 +12,11 @@
 
 struct amb_controller {
     /* A new leader restores placements from the state service before it schedules. */
-    bool restoring;         /* the restore is in progress */
-    bool ready;             /* the restore is complete and the fleet is known: scheduling cycles run */
-    bool restore_synced;    /* the jobs were read after leadership began; the pages of records are next */
+    bool restoring; /* the restore is in progress */
+    bool ready;     /* the restore is complete and the fleet is known: scheduling cycles run */
+    /* The jobs were read after leadership began. The pages of the leader's records are next: placement
+     * blocks, scale-out requests, the scale-in intent log and zone health. */
+    bool restore_synced;
     bool restore_in_flight; /* a read is in flight */
     amb_ms restore_sent_at;
     amb_ms cycle_at; /* the latest scheduling cycle */
--- a/include/amberpin/duty/service.h
+++ b/include/amberpin/duty/service.h
@@ -45,7 +45,8 @@
     /* The record of an intent has changed; `payload` is NULL if it was removed. */
     void (*intent_changed)(void *context, const struct amb_duty_intent_record *intent,
                            const struct amb_duty_intent_payload *payload);
-    /* All records have been read. */
+    /* The records of all members, duties and intents have been read for the first time since the start of the
+     * service. It is not called again when they are read again. */
     void (*loaded)(void *context);
     void (*log)(void *context, const char *line);
 };
--- a/include/amberpin/election/format_version.h
+++ b/include/amberpin/election/format_version.h
@@ -23,8 +23,10 @@
     enum amb_format
         test_override; /* tests only: the node behaves like a process of this format. UNKNOWN: latest */
     enum amb_format recorded; /* value of `a/format`; UNKNOWN: the key does not exist */
-    bool upgrade_complete;    /* the store has shown that no older process will return */
-    bool write_pending;       /* a write of the key by this node is in flight */
+    /* The key-value store has lowered its limits, which it does only after all nodes have been upgraded: no
+     * node will again run software that does not support the latest format. */
+    bool upgrade_complete;
+    bool write_pending; /* a write of the key by this node is in flight */
     amb_ms retry_at;
 };
 
--- a/include/amberpin/fleet/fleet.h
+++ b/include/amberpin/fleet/fleet.h
@@ -23,7 +23,7 @@
     uint64_t heartbeats_processed; /* stored in amb_task.last_listed_in of each task that a heartbeat lists */
     enum amb_zone_reachability zone_reachability[AMB_ZONES_MAX];
     amb_ms zone_last_unreachable_at[AMB_ZONES_MAX]; /* when last not AMB_ZONE_REACHABLE; 0: never */
-    amb_ms last_heartbeat_at; /* when any agent last sent this node a heartbeat, whether it leads or not */
+    amb_ms last_heartbeat_at; /* when this node, leading or not, last received any heartbeat of an agent */
 };
 
 #endif
--- a/include/amberpin/model/absence_proof.h
+++ b/include/amberpin/model/absence_proof.h
@@ -11,7 +11,7 @@
     AMB_ABSENCE_READ_NEEDED, /* unproven, but a read of the state service sent now may complete the proof */
     AMB_ABSENCE_NOT_IN_HEARTBEAT, /* a heartbeat under our term does not list the task */
     AMB_ABSENCE_EXITED,           /* a heartbeat under our term lists it as exited */
-    AMB_ABSENCE_LEASE_EXPIRED,    /* the machine follows only our term, and its lease has expired */
+    AMB_ABSENCE_LEASE_EXPIRED,    /* the agent rejects leaders of earlier terms, and its lease has expired */
     AMB_ABSENCE_FENCED,   /* no controller can have renewed the machine's lease for longer than it lasts */
     AMB_ABSENCE_RELEASED, /* the cloud has confirmed the machine's release */
     AMB_ABSENCE_FAILED,   /* the cloud reports that the machine has failed */
--- a/lib/agent/agent_api.c
+++ b/lib/agent/agent_api.c
@@ -18,6 +18,7 @@
                               struct amb_command_list *commands) {
     struct amb_machine *machine = amb_machine_get(node, heartbeat->machine, false);
     bool is_newer = machine && amb_heartbeat_is_newer(heartbeat, machine);
+    /* The machine's deferred response, if there is one, answers an earlier heartbeat. */
     if (is_newer) amb_deferred_response_finish(node, machine); /* the agent no longer waits for it */
     if (!amb_election_is_leader(node) ||
         amb_heartbeat_process(node, heartbeat, amb_now(), commands) != AMB_HEARTBEAT_PROCESSED)
--- a/lib/agent/unusable_machines.c
+++ b/lib/agent/unusable_machines.c
@@ -15,9 +15,9 @@
     return first > second ? first : second;
 }
 
-/* Machines come back after a network fault, and a replacement takes longer to boot and to fetch its images
- * than most faults last. The machines do not all come back at once, so the recovery of the zone counts as
- * part of the fault. */
+/* Machines are released later while the network is at fault, because they come back after the fault, and a
+ * replacement takes longer to boot and to fetch its images than most faults last. The machines do not all
+ * come back at once, so the recovery of the zone counts as part of the fault. */
 static double release_delay_factor(const struct amb_node *node, const struct amb_machine *machine,
                                    amb_ms now) {
     bool is_reachable = amb_zone_get_reachability(node, machine->zone_index) == AMB_ZONE_REACHABLE;
--- a/lib/cloud/scale_out.c
+++ b/lib/cloud/scale_out.c
@@ -57,7 +57,7 @@
     uint32_t recordable = amb_duty_max_machines(amb_settings_lowered_limits(&node->settings).value_kb);
     if (request->via_intent && request->count > recordable) request->count = recordable;
     scale_out_append(node, request);
-    amb_info("scale-out request %s: submitted for %u %s in %s%s", request->id, request->count,
+    amb_info("scale-out request %s: requesting %u %s in %s%s", request->id, request->count,
              node->catalog.types[type].name, node->catalog.zones[zone], spot ? ", spot" : "");
 }
 
--- a/lib/cloud_duty/participation.c
+++ b/lib/cloud_duty/participation.c
@@ -102,7 +102,8 @@
                                                          .log = callback_log};
     struct amb_duty_settings settings = amb_duties_make_settings(&node->settings, &node->options);
     duties->records_exist = false;
-    amb_info("duties: this node joins as a member, lease %lld ms", (long long)settings.ttl);
+    amb_info("duties: this node joins as a member that can hold duties, member lease %lld ms",
+             (long long)settings.ttl);
     amb_duty_service_start(&duties->service, &callbacks, &settings, node->settings.member, amb_nonce());
     tick(node);
 }
--- a/lib/cloud_duty/scaling_mode.c
+++ b/lib/cloud_duty/scaling_mode.c
@@ -13,7 +13,8 @@
     if (revision <= duties->mode_revision) return;
     duties->mode_revision = value ? revision : 0;
     duties->mode_unknown = value && amb_duty_decode_mode(value, &mode) != AMB_DUTY_DECODED;
-    if (duties->mode_unknown) amb_error("duties: ignoring %s: unknown version", AMB_DUTY_MODE_KEY);
+    if (duties->mode_unknown)
+        amb_error("duties: ignoring record %s: its version or mode is unknown", AMB_DUTY_MODE_KEY);
     duties->mode_write_pending = false;
     if (mode != duties->mode) amb_info("duties: mode %s is in use", amb_duty_mode_text(mode));
     duties->mode = mode;
--- a/lib/election/format_version.c
+++ b/lib/election/format_version.c
@@ -41,7 +41,7 @@
         recorded = AMB_FORMAT_LATEST; /* written by a later version that was rolled back */
     if (recorded <= node->formats.recorded) return;
     node->formats.recorded = (enum amb_format)recorded;
-    amb_info("format version %d is active", (int)amb_format_active(node));
+    amb_info("format version %d of records and messages is active", (int)amb_format_active(node));
 }
 
 void amb_format_complete_upgrade(struct amb_node *node, const char *evidence) {
@@ -65,7 +65,8 @@
     /* If there is no answer, the watch shows whether the key was written; nothing relies on it until then. */
     if (amb_store_call_result(status) == AMB_CALL_OK) {
         node->formats.recorded = AMB_FORMAT_LATEST;
-        amb_info("format version %d is active: recorded by this node", (int)AMB_FORMAT_LATEST);
+        amb_info("format version %d of records and messages is active: recorded by this node",
+                 (int)AMB_FORMAT_LATEST);
     }
     node->formats.retry_at = amb_now() + node->store.call_timeout;
 }
--- a/lib/model/absence_proof.c
+++ b/lib/model/absence_proof.c
@@ -3,7 +3,8 @@
 /* The protocol bounds clock drift by 0.05%, a twentieth of the 1% allowed here. */
 static const double LEASE_DRIFT_FACTOR = 1.01;
 static const double LEASE_MARGIN_HEARTBEATS = 0.25;
-/* The protocol allows a list to lag by up to twice the nominal time. */
+/* The protocol allows the cloud's machine list to lag by up to twice the nominal lag; a tenth is added as a
+ * margin. */
 static const double LIST_LAG_FACTOR = 2.2;
 static const double LIST_MARGIN_HEARTBEATS = 1;
 
--- a/lib/peer/peers.c
+++ b/lib/peer/peers.c
@@ -38,7 +38,7 @@
                         send_heartbeats, node);
     char *text = amb_peer_encode_heartbeat(node);
     bool sent_to_all = true;
-    amb_debug("heartbeat: %zu bytes", strlen(text));
+    amb_debug("heartbeat: sending %zu bytes to the peers", strlen(text));
     for (uint32_t i = 0; i < node->peers.count; i++) {
         struct amb_peer *peer = &node->peers.list[i];
         if (peer->heartbeat_in_flight)
@@ -129,7 +129,7 @@
         amb_server_open(node->settings.peer_listen, 4 * (int)node->peers.count + 8, AMB_HEARTBEAT_MAX_BYTES,
                         (amb_ms)(node->settings.agent_lease_s * 1000), handle_request, node);
     if (!node->peer_server) {
-        amb_error("cluster_listen %s can't be opened", node->settings.peer_listen);
+        amb_error("cluster_listen %s: cannot open the listening socket", node->settings.peer_listen);
         return;
     }
     send_heartbeats(node);
--- a/lib/placement_log/block_restore.c
+++ b/lib/placement_log/block_restore.c
@@ -11,7 +11,9 @@
     const struct amb_placement_block_value *value;
     amb_ms age;                  /* since the value was written; 0 if unknown */
     struct amb_task_range range; /* tasks that the block may name */
-    bool *superseded; /* by task index: a preceding block is authoritative; NULL if for none; owned */
+    /* By task index: another block that holds the task takes precedence, so this block's entry for the task
+     * is ignored. NULL: there is no such task. Owned. */
+    bool *superseded;
     struct amb_task_range named; /* covers the tasks that the value has named so far */
 };
 
--- a/lib/placement_log/restore.c
+++ b/lib/placement_log/restore.c
@@ -37,7 +37,7 @@
                                     uint64_t revision) {
     struct amb_job *job = amb_job_find(node, ref);
     if (!job || !job->spec) {
-        amb_debug("block %s: job is over or unknown", key);
+        amb_debug("block %s: placement block ignored: its job is over or unknown", key);
         if (job && (job->state == AMB_JOB_DONE || job->tasks_gone))
             remove_obsolete_block(node, key, revision);
         return NULL;
--- a/lib/scheduler/preemption.c
+++ b/lib/scheduler/preemption.c
@@ -164,8 +164,9 @@
     return start_is_awaited && little_is_lost ? 0 : spec->checkpoint_save_s;
 }
 
-/* Stops work of at most this priority until the slot's available resources, from which more was taken than
- * there was, are no longer negative. */
+/* Stops work of at most this priority until the slot's available resources, with those about to be released,
+ * are no longer negative. The caller has already taken the waiting task's resources from the slot, which may
+ * have made them negative. */
 static void preempt_up_to_priority(struct amb_cycle *cycle, struct amb_slot *slot,
                                    const struct amb_preemptor *preemptor,
                                    const struct amb_job_spec *waiting_spec, enum amb_priority max_priority) {
--- a/lib/watch/key_changes.c
+++ b/lib/watch/key_changes.c
@@ -61,7 +61,7 @@
 
 /* Handles a page in an encoding that amb_change_page_decode does not support. */
 static bool apply_parsed_page(struct amb_node *node, const void *page, size_t len, uint64_t *store_revision) {
-    amb_debug("changes: %zu bytes need the full CBOR parser", len);
+    amb_debug("changes: page of %zu bytes: not in the plain encodings, using the full CBOR parser", len);
     return amb_change_page_parse(page, len, store_revision, apply_parsed_change, node);
 }
 
--- a/lib/zone_recovery/health.c
+++ b/lib/zone_recovery/health.c
@@ -6,8 +6,10 @@
 
 enum {
     UNRELATED_FAILURES_MAX = 2, /* this many machines may be unresponsive for unrelated reasons */
-    DROPPED_DIVISOR = 10,       /* unstable if more than one in this many stable machines drops out */
-    DOUBLINGS_MAX = 30,         /* most doublings of a period, so that it does not overflow */
+    /* The stability period starts again if more than one in this many of the machines that have responded
+     * during it no longer respond. */
+    DROPPED_DIVISOR = 10,
+    DOUBLINGS_MAX = 30, /* most doublings of a period, so that it does not overflow */
 };
 
 /* ---- names ---- */
--- a/lib/zone_recovery/health_tick.c
+++ b/lib/zone_recovery/health_tick.c
@@ -71,7 +71,8 @@
                       const struct zone_machines *machines) {
     const struct amb_zone_health *health = &node->zone_recovery.zones[zone];
     amb_ms stability_period = amb_zone_health_stability_period(health, &node->zone_recovery.settings);
-    amb_info("zone %s: %s -> %s: %llu of %llu machines unresponsive, %u losses, stability period %lld ms",
+    amb_info("zone %s: %s -> %s: %llu of %llu machines unresponsive, %u unexpired zone losses, stability "
+             "period %lld ms",
              node->catalog.zones[zone], amb_zone_health_state_name(previous),
              amb_zone_health_state_name(health->state), (unsigned long long)count_unresponsive(machines),
              (unsigned long long)roaring_bitmap_get_cardinality(machines->expected), health->losses,
--- a/lib/zone_recovery/reachability.c
+++ b/lib/zone_recovery/reachability.c
@@ -45,7 +45,8 @@
 }
 
 /* Do the missing heartbeats have another cause than an unreachable zone? If no zone responds, it is this node
- * that cannot be reached; and a zone with an active lease proxy is working. */
+ * that cannot be reached. If a lease proxy is active in the zone, a controller there can answer the zone's
+ * agents and keep their tasks running: only the network between that zone and this node is at fault. */
 static bool is_unreachability_ruled_out(const struct amb_node *node, uint32_t zone,
                                         uint32_t unreachable_zones) {
     return unreachable_zones == node->catalog.zone_count ||
