--- a/tests/loopback/controllers.c
+++ b/tests/loopback/controllers.c
@@ -94,6 +94,11 @@
     }
 }
 
+/* A controller keeps the program of its number, also when it is started again. */
+static const char *program_of(int node) {
+    return run.plan->other && node % 2 ? run.plan->other : run.plan->program;
+}
+
 /* In the child: becomes the controller. Its steady clock starts anywhere and is fast, right or slow. */
 static void become_controller(int node, double ppm, long long offset) {
     char settings[PATH_SIZE], options[PATH_SIZE], log[PATH_SIZE], text[32];
@@ -109,7 +114,8 @@
     snprintf(text, sizeof text, "%lld", offset);
     setenv("AMB_TEST_CLOCK_OFFSET_MS", text, 1);
     setenv("LOG_LEVEL", run.plan->log_level, 1);
-    execl(run.plan->program, run.plan->program, "--config", settings, "--options", options, (char *)NULL);
+    const char *program = program_of(node);
+    execl(program, program, "--config", settings, "--options", options, (char *)NULL);
     _exit(127);
 }
 
--- a/tests/loopback/duty_proof.c
+++ b/tests/loopback/duty_proof.c
@@ -9,7 +9,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-enum { PARALLEL_MOST = 64, DIRECTORY_SIZE = 256, KEY_CALM = 256, KEY_IDLE, KEY_ONLY };
+enum { PARALLEL_MOST = 64, DIRECTORY_SIZE = 256, KEY_CALM = 256, KEY_IDLE, KEY_ONLY, KEY_OTHER };
 
 struct arguments {
     int parallel;
@@ -36,6 +36,8 @@
     {"handovers", 'n', "N", 0, "handovers that a run waits for (10)", 0},
     {"duties", 'd', 0, 0, "duties switched on", 0},
     {"program", 'p', "FILE", 0, "the controller (amberpin_skewed beside this program)", 0},
+    {"other", KEY_OTHER, "FILE", 0,
+     "another version, for the controllers with odd numbers; of a plain amberpin the clock has no drift", 0},
     {"directory", 'o', "DIR", 0, "keep settings, logs and events of each run there", 0},
     {"log-level", 'l', "LEVEL", 0, "of the controllers (info)", 0},
     {"calm", KEY_CALM, "SECONDS", 0, "do nothing to the controllers for that long, instead of handovers", 0},
@@ -65,6 +67,7 @@
         if (!proof_incident_known(arg)) argp_error(state, "there is no incident %s", arg);
         arguments->plan.only = arg;
         return 0;
+    case KEY_OTHER: arguments->plan.other = arg; return 0;
     case ARGP_KEY_ARG:
         if (arguments->given >= 2) argp_usage(state);
         *(arguments->given++ ? &arguments->last : &arguments->first) = strtoull(arg, NULL, 10);
@@ -74,6 +77,8 @@
         if (arguments->parallel < 1 || arguments->parallel > PARALLEL_MOST) argp_error(state, "-j: 1 to 64");
         if (arguments->plan.controllers < 1 || arguments->plan.controllers > SIM_NODES)
             argp_error(state, "-c: 1 to %d", SIM_NODES);
+        if (arguments->plan.other && arguments->plan.controllers < 2)
+            argp_error(state, "-c: 2 or more with --other");
         return 0;
     default: return ARGP_ERR_UNKNOWN;
     }
--- a/tests/loopback/proof.h
+++ b/tests/loopback/proof.h
@@ -21,6 +21,7 @@
     bool idle;             /* there is no work */
     const char *only;      /* incident that alone happens; NULL: all */
     const char *program;   /* the controller, with the injected clock */
+    const char *other;     /* program of the controllers with odd numbers; NULL: the same */
     const char *directory; /* for settings and logs of the controllers */
     const char *log_level;
 };
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -11,6 +11,9 @@
     /* Far beyond what a run takes on a busy machine: they end one that hangs, and judge nothing else. */
     RUN_MOST_MS = 600000,
     QUIET_MOST_MS = 90000,
+    /* Longer than a controller waits for word from its leader before it becomes a lease proxy: 1.5 heartbeat
+     * periods of the agents, or the leadership lease if that is longer. */
+    SETTLED_MS = 5 * PROOF_REPORT_MS,
     MACHINES = 20,
     TASKS = 4,
     IMAGES = 3,
@@ -32,7 +35,10 @@
                                .store_write_rps = 200,
                                .cloud_rps = 40};
 static struct amb_timer tick_timer;
-static amb_ms begun, quiet_since;
+static const char LEASE_PROXY_PREFIX[] = "a/deputy/";
+static amb_ms begun, quiet_since, unsettled_at;
+static uint64_t leader_stamp;
+static bool has_led[2]; /* a controller with an even number, one with an odd number */
 static bool all_done;
 
 /* ---- what the stand-in's parts expect of clock.c and nodes.c ---- */
@@ -137,10 +143,46 @@
     return run.handovers >= run.plan->handovers || world.now - begun > RUN_MOST_MS;
 }
 
+/* The member that is a lease proxy; NULL: none. A controller that cannot read its leader's messages stays a
+ * lease proxy as long as this leader leads. */
+static const char *find_lease_proxy(void) {
+    for (int i = 0; i < world.store.key_count; i++)
+        if (!strncmp(world.store.keys[i].key, LEASE_PROXY_PREFIX, strlen(LEASE_PROXY_PREFIX)))
+            return world.store.keys[i].key + strlen(LEASE_PROXY_PREFIX);
+    return NULL;
+}
+
+static void start_stopped_controllers(void) {
+    for (int i = 0; i < run.plan->controllers; i++) proof_controller_start(i);
+}
+
+/* Has the same controller led for SETTLED_MS, heard by all others? */
+static bool is_leader_settled(void) {
+    uint64_t stamp = sim_leader_stamp();
+    if (stamp && stamp != leader_stamp) start_stopped_controllers();
+    if (!stamp || stamp != leader_stamp || find_lease_proxy()) unsettled_at = world.now;
+    leader_stamp = stamp;
+    return world.now - unsettled_at >= SETTLED_MS;
+}
+
+/* With a second program, a controller of each program must have led and been heard by all others. Until then
+ * the leader is killed. It is started again under the next leader: at once, it would reclaim its own key. */
+static bool is_leadership_proven(void) {
+    int leader = proof_leader();
+    if (!is_leader_settled() || leader < 0) return false;
+    has_led[leader % 2] = true;
+    if (!run.plan->other || (has_led[0] && has_led[1])) return true;
+    proof_controller_kill(leader);
+    return false;
+}
+
 static bool is_over(void) {
     if (!quiet_since) return false;
-    all_done = proof_workload_done() && !machines_left();
-    return all_done || world.now - quiet_since > QUIET_MOST_MS;
+    all_done = proof_workload_done() && !machines_left() && is_leadership_proven();
+    if (all_done || world.now - quiet_since <= QUIET_MOST_MS) return all_done;
+    const char *proxy = find_lease_proxy();
+    if (proxy) sim_report_violation("%s does not hear the leader, n%d", proxy, proof_leader());
+    return true;
 }
 
 static void tick(void *arg) {
