--- a/tests/loopback/proof.h
+++ b/tests/loopback/proof.h
@@ -53,6 +53,7 @@
     struct proof_log log;
     struct proof_controller controllers[SIM_NODES];
     uint32_t handovers;      /* seen so far */
+    bool has_held[2];        /* a duty, or the lead without duties: controllers with even, with odd numbers */
     bool quiet;              /* no trouble any more */
     amb_ms cloud_held_until; /* orders to the cloud are held back, and delivered then */
 };
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -38,6 +38,7 @@
 static const char LEASE_PROXY_PREFIX[] = "a/deputy/";
 static amb_ms begun, quiet_since, unsettled_at;
 static uint64_t leader_stamp;
+static uint32_t handovers_seen;
 static bool has_led[2]; /* a controller with an even number, one with an odd number */
 static bool all_done;
 
@@ -156,22 +157,27 @@
     for (int i = 0; i < run.plan->controllers; i++) proof_controller_start(i);
 }
 
-/* Has the same controller led for SETTLED_MS, heard by all others? */
+/* Has the same controller led for SETTLED_MS, heard by all others, and has no duty changed its holder? */
 static bool is_leader_settled(void) {
     uint64_t stamp = sim_leader_stamp();
     if (stamp && stamp != leader_stamp) start_stopped_controllers();
-    if (!stamp || stamp != leader_stamp || find_lease_proxy()) unsettled_at = world.now;
+    if (!stamp || stamp != leader_stamp || run.handovers != handovers_seen || find_lease_proxy())
+        unsettled_at = world.now;
     leader_stamp = stamp;
+    handovers_seen = run.handovers;
     return world.now - unsettled_at >= SETTLED_MS;
 }
 
-/* With a second program, a controller of each program must have led and been heard by all others. Until then
- * the leader is killed. It is started again under the next leader: at once, it would reclaim its own key. */
+/* With a second program, a controller of each program must have led and been heard by all others, and must
+ * have held a duty. Until then the leader and the holder of some duty are killed. They are started again
+ * under the next leader: at once, they would reclaim their own keys. */
 static bool is_leadership_proven(void) {
     int leader = proof_leader();
     if (!is_leader_settled() || leader < 0) return false;
     has_led[leader % 2] = true;
-    if (!run.plan->other || (has_led[0] && has_led[1])) return true;
+    if (!run.plan->other || (has_led[0] && has_led[1] && run.has_held[0] && run.has_held[1])) return true;
+    int holder;
+    if (run.plan->controllers > 2 && proof_holder(&holder)) proof_controller_kill(holder);
     proof_controller_kill(leader);
     return false;
 }
--- a/tests/loopback/witness.c
+++ b/tests/loopback/witness.c
@@ -52,6 +52,7 @@
     snprintf(event.name, sizeof event.name, "%s", name);
     bool counts = !run.plan->duties || strcmp(duty, LEADER_DUTY);
     if (!released && holder->name[0] && strcmp(holder->name, name) && counts) run.handovers++;
+    if (!released && counts && event.node >= 0) run.has_held[event.node % 2] = true;
     if (!released || !holder->released) proof_note(&event);
     snprintf(holder->name, sizeof holder->name, "%s", name);
     holder->token = token;
