--- a/tests/duty_model/explorer.c
+++ b/tests/duty_model/explorer.c
@@ -11,8 +11,8 @@
     TTL = 1200,
     CALL_TIMEOUT = 50,
     BACKOFF = 100,
-    QUIET_STEP = 50,
-    QUIET_FOR = 12 * TTL,
+    QUIESCE_STEP = 50,
+    QUIESCE_FOR = 12 * TTL,
     STEPS_SHOWN = 64,
 };
 
@@ -37,14 +37,14 @@
     uint8_t kind, index;
 };
 
-/* A state of the exploration: the world, and what may still happen in it. */
+/* A state of the exploration: the protocol model, and how many steps of each limited kind are left. */
 struct state {
     struct explorer_limits left;
-    struct world world;
+    struct protocol_model model;
 };
 
-/* Two halves of a hash of a whole state. A state is known by it alone: that two of a million meet in 128 bits
- * has a chance of less than one in 10^26. */
+/* A 128-bit hash of a whole state, which alone identifies the state: among a million states the chance of a
+ * collision is less than one in 10^26. */
 struct digest {
     uint64_t half[2];
 };
@@ -70,11 +70,11 @@
     struct visited *visited;
     struct queued *first, *last;
     struct explorer_result result;
-    uint32_t quiet_every;
+    uint32_t quiesce_every;
     uint64_t most;
 };
 
-/* ---- states as short rows of words: runs of zeros are most of them ---- */
+/* ---- packed states: words with runs of zeros, which make up most of a state, left out ---- */
 
 struct words {
     uint64_t *data;
@@ -95,7 +95,8 @@
     return run;
 }
 
-/* Pairs of counts, of zeros and of words that follow. */
+/* Writes blocks of a head word and literal words. The head holds two counts: of the zeros before the literal
+ * words (upper half), and of these words (lower half). */
 static void pack(struct words *words, const void *bytes, size_t size) {
     const uint64_t *from = bytes;
     size_t left = size / sizeof *from;
@@ -129,30 +130,30 @@
     return data;
 }
 
-_Static_assert(offsetof(struct state, world) % sizeof(uint64_t) == 0, "states are packed by words");
-_Static_assert(sizeof(struct world_member) % sizeof(uint64_t) == 0, "states are packed by words");
-_Static_assert(sizeof(struct world_message) % sizeof(uint64_t) == 0, "states are packed by words");
+_Static_assert(offsetof(struct state, model) % sizeof(uint64_t) == 0, "states are packed by words");
+_Static_assert(sizeof(struct model_member) % sizeof(uint64_t) == 0, "states are packed by words");
+_Static_assert(sizeof(struct model_message) % sizeof(uint64_t) == 0, "states are packed by words");
 
 static int compare_messages(const void *left, const void *right) {
-    return memcmp(left, right, sizeof(struct world_message));
+    return memcmp(left, right, sizeof(struct model_message));
 }
 
-/* Messages may overtake each other, so that the order in which they stand says nothing. */
+/* Messages may overtake each other, so their order in the array is no part of the state: they are sorted. */
 static void pack_state(struct words *words, struct state *state) {
-    struct world *world = &state->world;
+    struct protocol_model *model = &state->model;
     words->length = 0;
-    for (uint32_t i = 0; i < world->nmembers; i++) world->members[i].core.intents.entries = NULL;
-    qsort(world->messages, world->nmessages, sizeof *world->messages, compare_messages);
-    pack(words, state, offsetof(struct state, world.members));
-    pack(words, world->members, world->nmembers * sizeof *world->members);
-    pack(words, world->messages, world->nmessages * sizeof *world->messages);
+    for (uint32_t i = 0; i < model->nmembers; i++) model->members[i].core.intents.entries = NULL;
+    qsort(model->messages, model->nmessages, sizeof *model->messages, compare_messages);
+    pack(words, state, offsetof(struct state, model.members));
+    pack(words, model->members, model->nmembers * sizeof *model->members);
+    pack(words, model->messages, model->nmessages * sizeof *model->messages);
 }
 
 static void unpack_state(const uint64_t *data, struct state *state) {
-    struct world *world = &state->world;
-    data = unpack(data, state, offsetof(struct state, world.members));
-    data = unpack(data, world->members, world->nmembers * sizeof *world->members);
-    unpack(data, world->messages, world->nmessages * sizeof *world->messages);
+    struct protocol_model *model = &state->model;
+    data = unpack(data, state, offsetof(struct state, model.members));
+    data = unpack(data, model->members, model->nmembers * sizeof *model->members);
+    unpack(data, model->messages, model->nmessages * sizeof *model->messages);
 }
 
 static uint64_t mix(uint64_t hash, uint64_t word) {
@@ -177,92 +178,92 @@
     return true;
 }
 
-static bool is_answer_or_commit(const struct world_message *message) {
-    return message->kind == WORLD_ANSWER || message->kind == WORLD_TO_SERVICE;
+static bool is_answer_or_commit(const struct model_message *message) {
+    return message->kind == MODEL_ANSWER || message->kind == MODEL_TO_SERVICE;
 }
 
 static bool choose_message(struct state *state, struct choice choice) {
-    struct world *world = &state->world;
-    if (choice.index >= world->nmessages) return false;
-    const struct world_message *message = &world->messages[choice.index];
-    bool rental = message->kind == WORLD_TO_CLOUD && message->action.duty == AMB_DUTY_RENT;
-    bool answers_call = message->kind == WORLD_ANSWER && message->answer.call;
-    bool can_give_up = message->kind == WORLD_ANSWER
+    struct protocol_model *model = &state->model;
+    if (choice.index >= model->nmessages) return false;
+    const struct model_message *message = &model->messages[choice.index];
+    bool rental = message->kind == MODEL_TO_CLOUD && message->action.duty == AMB_DUTY_RENT;
+    bool answers_call = message->kind == MODEL_ANSWER && message->answer.call;
+    bool can_give_up = message->kind == MODEL_ANSWER
                            ? answers_call && message->answer.result != AMB_CALL_NO_ANSWER &&
                                  message->answer.answer != AMB_DUTY_CLOUD_NO_ANSWER
-                           : message->kind != WORLD_TO_SEND && !message->given_up;
+                           : message->kind != MODEL_TO_SEND && !message->given_up;
     switch (choice.kind) {
-    case CHOOSE_DELIVER: world_deliver(world, choice.index, false, false); return true;
+    case CHOOSE_DELIVER: model_deliver(model, choice.index, false, false); return true;
     case CHOOSE_DELIVER_TWICE:
         if (!is_answer_or_commit(message) || !spend(&state->left.doubles)) return false;
-        world_deliver(world, choice.index, true, false);
+        model_deliver(model, choice.index, true, false);
         return true;
     case CHOOSE_REFUSE:
         if (!rental || !spend(&state->left.refusals)) return false;
-        world_deliver(world, choice.index, false, true);
+        model_deliver(model, choice.index, false, true);
         return true;
     default:
         if (!can_give_up || !spend(&state->left.give_ups)) return false;
-        world_give_up(world, choice.index);
+        model_give_up(model, choice.index);
         return true;
     }
 }
 
 static bool choose_member(const struct exploration *exploration, struct state *state, struct choice choice) {
-    struct world *world = &state->world;
+    struct protocol_model *model = &state->model;
     uint32_t i = choice.index;
-    if (i >= world->nmembers) return false;
-    struct world_member *member = &world->members[i];
+    if (i >= model->nmembers) return false;
+    struct model_member *member = &model->members[i];
     if (choice.kind == CHOOSE_RESTART) {
         if (member->running || !spend(&state->left.restarts)) return false;
-        world_start(world, i, &exploration->settings, i);
+        model_start(model, i, &exploration->settings, i);
         return true;
     }
     if (!member->running) return false;
     switch (choice.kind) {
-    case CHOOSE_NEWS: return world_news(world, i);
+    case CHOOSE_NEWS: return model_news(model, i);
     case CHOOSE_TICK:
-        world_tick(world, i);
+        model_tick(model, i);
         member->ticked_at = 0; /* a tick that changes nothing leads to the same state */
         return true;
     case CHOOSE_KILL:
         if (!spend(&state->left.kills)) return false;
-        world_kill(world, i);
+        model_kill(model, i);
         return true;
     default:
         if (member->core.duties[exploration->scenario->duty].state != AMB_DUTY_HELD ||
             !spend(&state->left.drains))
             return false;
-        world_step(
-            world, i,
+        model_step(
+            model, i,
             (struct amb_duty_event){.type = AMB_DUTY_DRAIN_REQUESTED, .duty = exploration->scenario->duty});
         return true;
     }
 }
 
-/* False: this choice is not there in this state. */
+/* Takes the step. Returns false if it is not possible in this state. */
 static bool choose(const struct exploration *exploration, struct state *state, struct choice choice) {
-    struct world *world = &state->world;
+    struct protocol_model *model = &state->model;
     switch (choice.kind) {
     case CHOOSE_DELIVER:
     case CHOOSE_DELIVER_TWICE:
     case CHOOSE_REFUSE:
     case CHOOSE_GIVE_UP: return choose_message(state, choice);
     case CHOOSE_ADVANCE:
-        /* The state service ends leases in time (its lateness is far less than the quantum). */
-        if (choice.index || world_next_expiry(world) <= world_service_clock(world) ||
+        /* The state service ends due leases first: its lateness is far less than the quantum. */
+        if (choice.index || model_next_expiry(model) <= model_service_clock(model) ||
             !spend(&state->left.advances))
             return false;
-        world->now += exploration->scenario->quantum;
-        world_check(world);
+        model->now += exploration->scenario->quantum;
+        model_check(model);
         return true;
-    case CHOOSE_EXPIRE: return !choice.index && world_expire(world);
+    case CHOOSE_EXPIRE: return !choice.index && model_expire(model);
     case CHOOSE_PLACE:
         return choice.index < exploration->scenario->intents && state->left.placements &&
-               world_place(world, choice.index) && spend(&state->left.placements);
+               model_place(model, choice.index) && spend(&state->left.placements);
     case CHOOSE_WITHDRAW:
         return choice.index < exploration->scenario->intents && state->left.withdrawals &&
-               world_withdraw(world, choice.index) && spend(&state->left.withdrawals);
+               model_withdraw(model, choice.index) && spend(&state->left.withdrawals);
     default: return choose_member(exploration, state, choice);
     }
 }
@@ -272,12 +273,12 @@
     case CHOOSE_DELIVER:
     case CHOOSE_DELIVER_TWICE:
     case CHOOSE_REFUSE:
-    case CHOOSE_GIVE_UP: return state->world.nmessages;
+    case CHOOSE_GIVE_UP: return state->model.nmessages;
     case CHOOSE_ADVANCE:
     case CHOOSE_EXPIRE: return 1;
     case CHOOSE_PLACE:
-    case CHOOSE_WITHDRAW: return WORLD_INTENTS;
-    default: return state->world.nmembers;
+    case CHOOSE_WITHDRAW: return MODEL_INTENTS;
+    default: return state->model.nmembers;
     }
 }
 
@@ -311,7 +312,7 @@
     exploration->last = queued;
 }
 
-/* Adds a state that has not been seen; false: it has. */
+/* Adds a state. Returns false if it was visited before. */
 static bool visit(struct exploration *exploration, struct words *words, struct state *state,
                   struct visited *parent, struct choice choice, uint32_t depth) {
     pack_state(words, state);
@@ -340,7 +341,7 @@
 static void expand(struct exploration *exploration, const struct queued *queued, struct state *state,
                    struct words *words) {
     struct state *next = amb_alloc(sizeof *next);
-    bool fresh = false; /* a choice that is not there changes nothing */
+    bool fresh = false; /* `next` is still the queued state, because the last step was not possible */
     for (int kind = 0; kind < CHOICE_KINDS; kind++) {
         uint32_t count = choices_of(state, (uint8_t)kind);
         for (uint32_t index = 0; index < count && !exploration->result.violation; index++) {
@@ -349,8 +350,8 @@
             fresh = !choose(exploration, next, choice);
             if (fresh) continue;
             exploration->result.steps++;
-            if (next->world.violation)
-                found(exploration, next->world.violation, queued->visited, choice);
+            if (next->model.violation)
+                found(exploration, next->model.violation, queued->visited, choice);
             else
                 visit(exploration, words, next, queued->visited, choice, queued->depth + 1);
         }
@@ -358,19 +359,20 @@
     free(next);
 }
 
-/* Is all well in the end, if no more faults come? */
-static void play_on(struct exploration *exploration, const struct queued *queued, struct state *state) {
-    if (!exploration->quiet_every || queued->visited->digest.half[0] % exploration->quiet_every) return;
+/* Runs one of quiesce_every states without faults until it has quiesced, and checks the rules for that. */
+static void check_quiescence(struct exploration *exploration, const struct queued *queued,
+                             struct state *state) {
+    if (!exploration->quiesce_every || queued->visited->digest.half[0] % exploration->quiesce_every) return;
     exploration->result.quiesced++;
-    world_quiet_down(&state->world, QUIET_STEP, QUIET_FOR);
-    if (state->world.violation)
-        found(exploration, state->world.violation, queued->visited, (struct choice){CHOOSE_ADVANCE, 0});
+    model_quiesce(&state->model, QUIESCE_STEP, QUIESCE_FOR);
+    if (state->model.violation)
+        found(exploration, state->model.violation, queued->visited, (struct choice){CHOOSE_ADVANCE, 0});
 }
 
 static struct amb_duty_settings small_settings(const struct explorer_scenario *scenario) {
     struct amb_duty_settings settings = amb_duty_settings_default(TTL, 3 * (amb_ms)TTL);
     for (int i = 0; i < AMB_DUTY_COUNT; i++) settings.enabled[i] = i == (int)scenario->duty;
-    settings.safety_margin = 0; /* so that nothing but the allowance for drift covers drift */
+    settings.safety_margin = 0; /* the allowance for drift alone must cover drift */
     settings.call_timeout = CALL_TIMEOUT;
     settings.backoff = BACKOFF;
     int32_t drift = scenario->service_drift_ppm > -scenario->member_drift_ppm ? scenario->service_drift_ppm
@@ -379,22 +381,22 @@
     return settings;
 }
 
-/* Members have joined, and the duty has its holder. */
+/* Initial state: the members have joined, and the duty has a holder. */
 static void begin(struct exploration *exploration, struct state *state) {
     const struct explorer_scenario *scenario = exploration->scenario;
-    struct world *world = &state->world;
-    world_init(world, scenario->members);
-    world->repeatable_random = true;
-    world->instant_incarnations = scenario->instant_incarnations;
-    world->service.drift_ppm = scenario->service_drift_ppm;
+    struct protocol_model *model = &state->model;
+    model_init(model, scenario->members);
+    model->repeatable_random = true;
+    model->instant_incarnations = scenario->instant_incarnations;
+    model->service.drift_ppm = scenario->service_drift_ppm;
     for (uint32_t i = 0; i < scenario->members; i++) {
-        world->members[i].drift_ppm = scenario->member_drift_ppm;
-        world_start(world, i, &exploration->settings, i);
+        model->members[i].drift_ppm = scenario->member_drift_ppm;
+        model_start(model, i, &exploration->settings, i);
     }
-    world_quiet_down(world, QUIET_STEP, 3 * (amb_ms)TTL);
-    world->fault = scenario->mutation;
-    for (uint32_t i = 0; i < scenario->members; i++) world->members[i].ticked_at = 0;
-    for (uint32_t i = 0; i < scenario->intents; i++) world_create_intent(world, i, scenario->duty);
+    model_quiesce(model, QUIESCE_STEP, 3 * (amb_ms)TTL);
+    model->mutation = scenario->mutation;
+    for (uint32_t i = 0; i < scenario->members; i++) model->members[i].ticked_at = 0;
+    for (uint32_t i = 0; i < scenario->intents; i++) model_create_intent(model, i, scenario->duty);
     state->left = scenario->limits;
 }
 
@@ -414,13 +416,13 @@
 }
 
 struct explorer_result explorer_run(const struct explorer_scenario *scenario, uint64_t most,
-                                    uint32_t quiet_every) {
-    struct exploration exploration = {.scenario = scenario, .quiet_every = quiet_every, .most = most};
+                                    uint32_t quiesce_every) {
+    struct exploration exploration = {.scenario = scenario, .quiesce_every = quiesce_every, .most = most};
     struct words words = {0};
     struct state *state = amb_alloc(sizeof *state);
     exploration.settings = small_settings(scenario);
     begin(&exploration, state);
-    exploration.result.violation = state->world.violation;
+    exploration.result.violation = state->model.violation;
     visit(&exploration, &words, state, NULL, (struct choice){0}, 0);
     while (exploration.first && !exploration.result.violation && exploration.result.states < most) {
         struct queued *queued = exploration.first;
@@ -430,7 +432,7 @@
         expand(&exploration, queued, state, &words);
         if (!exploration.result.violation) {
             unpack_state(queued->data, state);
-            play_on(&exploration, queued, state);
+            check_quiescence(&exploration, queued, state);
         }
         free(queued);
     }
--- a/tests/duty_model/scenarios.h
+++ b/tests/duty_model/scenarios.h
@@ -1,4 +1,4 @@
-/* The small worlds that are explored. */
+/* The scenarios that the explorer knows: sizes of the protocol model and limits of its faults. */
 #ifndef AMBERPIN_TESTS_DUTY_SCENARIOS_H
 #define AMBERPIN_TESTS_DUTY_SCENARIOS_H
 
--- a/tests/duty_model/simulate_main.c
+++ b/tests/duty_model/simulate_main.c
@@ -1,6 +1,8 @@
-/* Plays drawn days of single-holder duties.
+/* Runs random simulation scenarios of single-holder duties.
  *
- *   duty_simulate FIRST COUNT    the seeds FIRST to FIRST + COUNT - 1; a failing one is shrunk and printed */
+ *   duty_simulate FIRST COUNT    the seeds FIRST to FIRST + COUNT - 1
+ *
+ * The scenarios of the first three seeds that fail are shrunk and printed. */
 #include "simulation.h"
 
 #include <stdio.h>
@@ -12,8 +14,8 @@
     struct simulation_result sum = {0};
     uint64_t failed = 0;
     for (uint64_t seed = first; seed < first + count; seed++) {
-        struct simulation_scenario day = simulation_generate(seed);
-        struct simulation_result result = simulation_run(&day);
+        struct simulation_scenario scenario = simulation_generate(seed);
+        struct simulation_result result = simulation_run(&scenario);
         sum.handovers += result.handovers;
         sum.intents += result.intents;
         sum.fenced_calls += result.fenced_calls;
@@ -28,18 +30,18 @@
         printf("seed %llu fails at %lld ms: %s\n", (unsigned long long)seed, (long long)result.at,
                result.violation);
         if (failed > 3) continue;
-        struct simulation_scenario least = simulation_shrink(&day);
-        simulation_print(&least);
-        printf("  %s\n", simulation_run(&least).violation);
+        struct simulation_scenario shrunk = simulation_shrink(&scenario);
+        simulation_print(&shrunk);
+        printf("  %s\n", simulation_run(&shrunk).violation);
     }
-    printf("%llu days, %llu failed; %llu handovers, %llu orders (%llu done, %llu refused, %llu void), %llu "
-           "stale "
-           "calls refused; %llu vacancies, %.0f ms on average, %lld ms at most\n",
-           (unsigned long long)count, (unsigned long long)failed, (unsigned long long)sum.handovers,
-           (unsigned long long)sum.intents, (unsigned long long)sum.settled_done,
-           (unsigned long long)sum.settled_refused, (unsigned long long)sum.settled_void,
-           (unsigned long long)sum.fenced_calls, (unsigned long long)sum.vacancies,
-           sum.vacancies ? (double)sum.vacancy_sum / (double)sum.vacancies : 0.0,
-           (long long)sum.vacancy_most);
+    printf(
+        "%llu scenarios, %llu failed; %llu handovers, %llu orders (%llu done, %llu refused, %llu void), %llu "
+        "stale "
+        "calls refused; %llu vacancies, %.0f ms on average, %lld ms at most\n",
+        (unsigned long long)count, (unsigned long long)failed, (unsigned long long)sum.handovers,
+        (unsigned long long)sum.intents, (unsigned long long)sum.settled_done,
+        (unsigned long long)sum.settled_refused, (unsigned long long)sum.settled_void,
+        (unsigned long long)sum.fenced_calls, (unsigned long long)sum.vacancies,
+        sum.vacancies ? (double)sum.vacancy_sum / (double)sum.vacancies : 0.0, (long long)sum.vacancy_most);
     return failed ? 1 : 0;
 }
