--- a/tests/loopback/checker.c
+++ b/tests/loopback/checker.c
@@ -5,7 +5,7 @@
 struct check {
     const struct proof_log *log;
     struct proof_terms terms;
-    size_t at; /* the event that is judged */
+    size_t at; /* index of the event that is checked */
     struct proof_verdict *verdict;
 };
 
@@ -28,7 +28,7 @@
     return !strcmp(left->duty, right->duty);
 }
 
-/* The latest event of this type before the one that is judged, that is `same`; NULL: none. */
+/* The latest event of this type before the checked one for which `same` holds; NULL: none. */
 static const struct proof_event *earlier(const struct check *check, enum proof_event_type type,
                                          bool (*same)(const struct proof_event *,
                                                       const struct proof_event *)) {
@@ -44,13 +44,13 @@
     return !strcmp(left->name, right->name) && left->at != right->at;
 }
 
-/* Its holder was replaced before it took effect. */
+/* Counts an order that took effect after its holder was replaced. */
 static void note_late(struct check *check) {
     const struct proof_event *holder = earlier(check, PROOF_HOLDER, same_duty);
     if (holder && check->log->events[check->at].token < holder->token) check->verdict->late++;
 }
 
-/* A cloud that knows tokens has seen a newer one: it had to refuse this. */
+/* A cloud that checks tokens and has seen a newer one has to refuse this order. */
 static void check_token(struct check *check) {
     static const enum proof_event_type shown[] = {PROOF_RENTED, PROOF_REPEATED, PROOF_RETURNED};
     const struct proof_event *event = &check->log->events[check->at];
@@ -71,7 +71,7 @@
     check_token(check);
 }
 
-/* One request may bring several machines, all at one moment. */
+/* One request may rent several machines, all at the same time. */
 static void check_rented(struct check *check) {
     check->verdict->rents++;
     if (earlier(check, PROOF_RENTED, same_machine) || earlier(check, PROOF_RENTED, is_of_another_moment))
@@ -107,7 +107,7 @@
 static void check_holder(struct check *check) {
     const struct proof_event *event = &check->log->events[check->at];
     const struct proof_event *before = earlier(check, PROOF_HOLDER, same_duty);
-    /* Beside duties, the leader is none of them. */
+    /* With duties switched on, changes of the leader are no handovers of a duty. */
     if (!before || (check->terms.recorded && !strcmp(event->duty, "leader"))) return;
     if (strcmp(before->name, event->name))
         check->verdict->handovers++;
--- a/tests/loopback/controllers.c
+++ b/tests/loopback/controllers.c
@@ -1,4 +1,4 @@
-/* Controllers as child processes: settings, start, pause, end. */
+/* Controllers as child processes: their settings, start, pause and end. */
 #include "proof.h"
 
 #include "amberpin/base/log.h"
@@ -18,8 +18,8 @@
 
 enum { PATH_SIZE = 512, DRIFT_PPM = 500 /* the protocol allows 0.05% */, OFFSET_MOST_MS = 1000000000 };
 
-/* A port that the kernel chose and keeps for us: the socket stays bound and never listens, so that a
- * controller can listen there, and again after it was killed. */
+/* Reserves a port that the kernel chooses. The socket stays bound and never listens, so a controller can
+ * listen there, also after it was killed and started again. */
 static void reserve(char address[PROOF_ADDRESS]) {
     struct sockaddr_in bound = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t size = sizeof bound;
@@ -99,7 +99,7 @@
     return run.plan->other && node % 2 ? run.plan->other : run.plan->program;
 }
 
-/* In the child: becomes the controller. Its steady clock starts anywhere and is fast, right or slow. */
+/* Runs the controller in the child process. Its steady clock has an offset and is fast, exact or slow. */
 static void become_controller(int node, double ppm, long long offset) {
     char settings[PATH_SIZE], options[PATH_SIZE], log[PATH_SIZE], text[32];
     file_of(settings, node, ".toml");
@@ -134,7 +134,7 @@
     return (double)time.tv_sec * 1e3 + (double)time.tv_usec / 1e3;
 }
 
-/* Not what wait4 tells: that counts the memory of this process, whose copy it was, too. */
+/* Reads the peak memory from /proc: the maximum of wait4 includes the memory of this process before exec. */
 static void note_memory(struct proof_controller *controller) {
     char path[64], line[128];
     long kb;
@@ -164,7 +164,7 @@
     controller->paused = true;
 }
 
-void proof_controller_wake(int node) {
+void proof_controller_resume(int node) {
     struct proof_controller *controller = &run.controllers[node];
     if (!controller->pid || !controller->paused) return;
     kill(controller->pid, SIGCONT);
--- a/tests/loopback/duty_proof.c
+++ b/tests/loopback/duty_proof.c
@@ -1,4 +1,4 @@
-/* Drives the loopback proof: one run for each seed, each in a process of its own, some at a time. */
+/* Runs the loopback proof once for each seed, in a process of its own, up to --parallel at a time. */
 #include "proof.h"
 
 #include <argp.h>
@@ -19,7 +19,7 @@
     const char *directory;
 };
 
-struct job { /* a run under way */
+struct job { /* a run in progress */
     pid_t pid;
     uint64_t seed;
     int pipe;
@@ -125,7 +125,7 @@
     char directory[DIRECTORY_SIZE];
     struct proof_plan plan = arguments->plan;
     plan.seed = seed;
-    plan.tokens = seed % 2; /* the protocol's cloud, or one that could refuse stale orders */
+    plan.tokens = seed % 2; /* 0: the protocol's cloud; 1: a cloud that refuses stale orders */
     plan.directory = directory;
     make_directory(arguments, seed, directory);
     struct proof_outcome outcome = proof_play(&plan);
@@ -184,7 +184,7 @@
     sum->violations += one->violations;
 }
 
-/* For each controller and second. */
+/* Prints the usage per controller and second. */
 static void print_usage(const struct proof_outcome *outcome, int controllers) {
     double share = (double)outcome->took / 1000 * controllers;
     printf("usage: %d controllers, each second: %.2f state calls, %.2f cloud calls, %.2f ms of processor; "
--- a/tests/loopback/event_log.c
+++ b/tests/loopback/event_log.c
@@ -18,7 +18,7 @@
         [PROOF_RENTED] = "rented",       [PROOF_REPEATED] = "repeated", [PROOF_RETURNED] = "returned",
         [PROOF_STALE] = "stale-refused", [PROOF_STARTED] = "started",   [PROOF_DIED] = "died",
         [PROOF_CHARGED] = "charged",     [PROOF_INCIDENT] = "incident", [PROOF_RECOVERED] = "recovered",
-        [PROOF_QUIET] = "quiet",
+        [PROOF_QUIESCED] = "quiet",
     };
     return texts[type];
 }
--- a/tests/loopback/event_log.h
+++ b/tests/loopback/event_log.h
@@ -1,4 +1,4 @@
-/* What the stand-ins saw, in the order in which they saw it. The checker judges a run by this alone. */
+/* Log of the events that the stand-ins observe, in order. The checker judges a run by this log alone. */
 #ifndef AMBERPIN_TESTS_LOOPBACK_EVENT_LOG_H
 #define AMBERPIN_TESTS_LOOPBACK_EVENT_LOG_H
 
@@ -11,24 +11,25 @@
 enum proof_event_type {
     /* state service */
     PROOF_HOLDER,      /* a duty's record names a new holder: duty, name (holder), token */
-    PROOF_RELEASED,    /* a duty's record says that it was handed back: duty, name (holder), token */
-    PROOF_LEASE_ENDED, /* with it ends the right of its holder: duty (leader), or all duties of name (node) */
+    PROOF_RELEASED,    /* a duty's record says that its holder released it: duty, name (holder), token */
+    PROOF_LEASE_ENDED, /* the lease of the leader (duty) or of a member (name, node) ended: its holder loses
+                          its right */
     PROOF_ORDER,       /* an order's record was written: duty, name (order), state, token */
     PROOF_ORDER_GONE,  /* an order's record was removed: duty, name */
-    PROOF_MARK,        /* a machine is recorded as leaving for good: duty, name (order), machine */
+    PROOF_MARK,        /* an order records that a machine is leaving: duty, name (order), machine */
     /* cloud */
-    PROOF_RENTED,   /* a request took effect, one event for each machine: name (request), machine, token */
-    PROOF_REPEATED, /* an order changed nothing: what it asks for was done before: duty, name, token */
-    PROOF_RETURNED, /* a machine that was there ended: duty, machine, token, tasks, silent */
+    PROOF_RENTED,   /* a request took effect; one event for each machine: name (request), machine, token */
+    PROOF_REPEATED, /* an order changed nothing because it had taken effect before: duty, name, token */
+    PROOF_RETURNED, /* an existing machine was returned: duty, machine, token, tasks, silent */
     PROOF_STALE,    /* an order under an old token was refused: duty, token */
     /* machines */
     PROOF_STARTED, /* a task started: machine, name (task) */
-    PROOF_DIED,    /* a machine stopped of itself: machine */
-    PROOF_CHARGED, /* at the end, once quiet: a machine is there still: machine, tasks */
-    /* the run's own doings */
-    PROOF_INCIDENT,  /* name (what), node */
-    PROOF_RECOVERED, /* what was done to a node is undone: name (what), node */
-    PROOF_QUIET,     /* no more trouble from here on */
+    PROOF_DIED,    /* a machine failed: machine */
+    PROOF_CHARGED, /* a machine still exists at the end of the run: machine, tasks */
+    /* the run */
+    PROOF_INCIDENT,  /* an incident was injected: name (incident), node */
+    PROOF_RECOVERED, /* an incident was undone: name (incident), node */
+    PROOF_QUIESCED,  /* no more incidents from here on */
     PROOF_EVENT_TYPES,
 };
 
@@ -37,9 +38,9 @@
     amb_ms at;
     char duty[16], name[PROOF_NAME], machine[PROOF_NAME], state[16];
     uint64_t token;
-    int node;       /* that it concerns; -1: none */
-    uint32_t tasks; /* that ran on the machine */
-    bool silent;    /* the machine had not been heard for its lease, or had failed */
+    int node;       /* the one that the event concerns; -1: none */
+    uint32_t tasks; /* number of tasks on the machine */
+    bool silent;    /* the machine had failed, or had renewed no lease for the lease's length */
 };
 
 struct proof_log {
--- a/tests/loopback/incidents.c
+++ b/tests/loopback/incidents.c
@@ -1,5 +1,5 @@
-/* Does to the controllers, one at a time, what the seed says: in the middle of an order, which is told by
- * what the stand-ins see, or while nothing is under way. */
+/* Injects incidents into the controllers, one at a time, drawn from the seed: in the middle of an order, at a
+ * step that the stand-ins observe, or while no order is under way. */
 #include "proof.h"
 
 #include "amberpin/http/http.h"
@@ -8,15 +8,15 @@
 #include <string.h>
 
 enum incident {
-    INCIDENT_PAUSE,   /* SIGSTOP, mostly past the lease */
+    INCIDENT_PAUSE,   /* SIGSTOP, mostly for longer than the lease */
     INCIDENT_KILL,    /* SIGKILL */
-    INCIDENT_CUT,     /* the state service is out of its reach, what it sent arrives later */
+    INCIDENT_CUT,     /* the state service is unreachable for it; what it sent arrives later */
     INCIDENT_REFUSED, /* the state service refuses it alone */
-    INCIDENT_OUTAGE,  /* the state service refuses everybody */
+    INCIDENT_OUTAGE,  /* the state service refuses all controllers */
     INCIDENT_PLANNED, /* it is asked to hand the duty over */
-    INCIDENT_LOST,    /* the answer to this message is lost */
-    INCIDENT_LATE,    /* this message is carried out later, without an answer */
-    INCIDENT_DOUBLED, /* this message is carried out again later */
+    INCIDENT_LOST,    /* the answer to the message is lost */
+    INCIDENT_LATE,    /* the message is carried out later, without an answer */
+    INCIDENT_DOUBLED, /* the message is carried out a second time, later */
     INCIDENTS,
 };
 
@@ -25,20 +25,20 @@
 static const char *const step_text[PROOF_STEPS] = {"idle",  "recorded", "sent",   "arrived",
                                                    "acted", "settling", "settled"};
 
-/* How many of a hundred. */
+/* Percentage of each incident. */
 static const unsigned share[INCIDENTS] = {30, 18, 10, 8, 4, 10, 6, 8, 6};
 
-enum phase { PHASE_RESTING, PHASE_ARMED, PHASE_STRUCK };
+enum phase { PHASE_RESTING, PHASE_ARMED, PHASE_ACTIVE };
 
 enum {
-    FIRST_MS = 4000, /* the controllers start */
+    FIRST_MS = 4000, /* until the controllers have started */
     REST_LEAST_MS = 100,
     REST_MOST_MS = 1200,
-    ARMED_MOST_MS = 2500, /* then it strikes a holder that does nothing */
+    ARMED_MOST_MS = 2500, /* afterwards a holder without an order under way is hit */
     OUTAGE_MOST_MS = 1500,
-    FAULT_REFUSED = 0, /* places in world.faults */
+    FAULT_REFUSED = 0, /* index in world.faults */
     FAULT_OUTAGE = 1,
-    FAULT_LATE = 2, /* never strikes: it tells the models that requests may be from before a change */
+    FAULT_LATE = 2, /* has no effect of its own: the models accept that requests were sent before a change */
     FAULTS,
 };
 
@@ -46,9 +46,9 @@
     enum phase phase;
     enum incident incident;
     enum proof_step step;
-    char duty[16]; /* whose order it strikes */
+    char duty[16]; /* the duty of the order that is hit */
     int node;
-    amb_ms until; /* the phase lasts */
+    amb_ms until; /* end of the phase */
 } director;
 
 static void begin_phase(enum phase phase, amb_ms lasts) {
@@ -78,7 +78,7 @@
     return incident_named(name) < INCIDENTS;
 }
 
-static void draw(void) {
+static void draw_incident(void) {
     unsigned lot = (unsigned)(sim_random() % 100);
     director.incident = INCIDENT_PAUSE;
     while (director.incident < INCIDENT_DOUBLED && lot >= share[director.incident])
@@ -92,32 +92,32 @@
     world.faults[place] = (struct sim_fault){kind, world.now, lasts, director.node};
 }
 
-/* Most last longer than a lease, some less. */
-static amb_ms how_long(void) {
+/* Most lengths exceed the lease, some do not. */
+static amb_ms draw_length(void) {
     return sim_random_between(PROOF_TTL_MS / 2, PROOF_TTL_MS * 5);
 }
 
-static amb_ms how_late(void) {
+static amb_ms draw_lateness(void) {
     return sim_random_between(PROOF_TTL_MS / 2, PROOF_TTL_MS * 10);
 }
 
-/* Whoever sent it is paused, dead or cut off by now: it is carried out and answered, carried out with its
- * answer lost, or is on its way still and arrives when another holds the duty. */
-static struct proof_treatment message_of_the_struck(void) {
+/* The sender of the message is paused, dead or cut off by now. The message is carried out and answered,
+ * carried out with its answer lost, or delayed until another controller may hold the duty. */
+static struct proof_treatment treat_message_of_victim(void) {
     struct proof_treatment treatment = {0};
     switch (sim_random() % 3) {
     case 0: treatment.unanswered = true; break;
-    case 1: treatment.delay = how_late(); break;
+    case 1: treatment.delay = draw_lateness(); break;
     default: break;
     }
     return treatment;
 }
 
 static void handover_answered(void *arg, int status, const char *body, size_t len) {
-    (void)arg, (void)status, (void)body, (void)len; /* the duty's record tells */
+    (void)arg, (void)status, (void)body, (void)len; /* the result shows in the duty's record */
 }
 
-/* As an operator does, of any controller. */
+/* Asks a controller for a handover, as an operator does. */
 static void ask_handover(int node) {
     enum { TIMEOUT_MS = 2000 };
     char body[64];
@@ -126,9 +126,9 @@
                   (size_t)len, TIMEOUT_MS, handover_answered, NULL);
 }
 
-/* Instead of the holder, at times: while an order is on its way, and all others are held back too, another
- * leader takes over and places. */
-static bool strikes_leader(void) {
+/* Sometimes the incident hits the leader in place of the holder: orders to the cloud are delayed while
+ * another leader takes over and places work. */
+static bool hits_leader_instead(void) {
     if (!run.plan->duties || director.incident >= INCIDENT_PLANNED || director.step != PROOF_STEP_ARRIVED ||
         proof_leader() < 0 || sim_random() % 2)
         return false;
@@ -136,10 +136,10 @@
     return true;
 }
 
-static struct proof_treatment strike(int node) {
+static struct proof_treatment inject(int node) {
     struct proof_treatment treatment = {0};
-    amb_ms lasts = how_long();
-    if (strikes_leader()) node = proof_leader();
+    amb_ms lasts = draw_length();
+    if (hits_leader_instead()) node = proof_leader();
     director.node = node;
     switch (director.incident) {
     case INCIDENT_PAUSE: proof_controller_pause(node); break;
@@ -152,34 +152,34 @@
         break;
     case INCIDENT_PLANNED: ask_handover(node); break;
     case INCIDENT_LOST: treatment.unanswered = true; break;
-    case INCIDENT_LATE: treatment.delay = how_late(); break;
+    case INCIDENT_LATE: treatment.delay = draw_lateness(); break;
     case INCIDENT_DOUBLED: treatment.doubled = true; break;
     case INCIDENTS: break;
     }
-    if (director.incident < INCIDENT_PLANNED) treatment = message_of_the_struck();
+    if (director.incident < INCIDENT_PLANNED) treatment = treat_message_of_victim();
     if (world.now < run.cloud_held_until) treatment.delay = run.cloud_held_until - world.now;
-    begin_phase(PHASE_STRUCK, lasts);
+    begin_phase(PHASE_ACTIVE, lasts);
     note(PROOF_INCIDENT);
     return treatment;
 }
 
 struct proof_treatment proof_incident_at(const struct proof_moment *moment, int node) {
     if (director.phase != PHASE_ARMED || director.step != moment->step || node < 0 ||
-        run.controllers[node].paused || run.quiet)
+        run.controllers[node].paused || run.quiesced)
         return (struct proof_treatment){0};
     strcpy(director.duty, moment->duty);
-    return strike(node);
+    return inject(node);
 }
 
-static void undo(void) {
-    proof_controller_wake(director.node);
+static void undo_incident(void) {
+    proof_controller_resume(director.node);
     proof_controller_start(director.node);
     note(PROOF_RECOVERED);
     begin_phase(PHASE_RESTING, sim_random_between(REST_LEAST_MS, REST_MOST_MS));
 }
 
-/* No order came along: it strikes a holder at rest. */
-static void strike_idle(void) {
+/* No order reached the step in time: a holder without an order under way is hit. */
+static void inject_idle(void) {
     int node;
     director.step = PROOF_STEP_NONE;
     director.duty[0] = 0;
@@ -188,13 +188,13 @@
     if (duty && director.incident == INCIDENT_PLANNED)
         snprintf(director.duty, sizeof director.duty, "%s", duty);
     if (duty)
-        strike(node);
+        inject(node);
     else
         begin_phase(PHASE_ARMED, ARMED_MOST_MS);
 }
 
 void proof_incidents_tick(void) {
-    if (run.quiet || run.plan->calm) return;
+    if (run.quiesced || run.plan->calm) return;
     if (!director.until) {
         world.fault_count = FAULTS;
         set_fault(FAULT_LATE, SIM_LATE_REQUESTS, 0);
@@ -203,18 +203,18 @@
     if (world.now < director.until) return;
     switch (director.phase) {
     case PHASE_RESTING:
-        draw();
+        draw_incident();
         begin_phase(PHASE_ARMED, ARMED_MOST_MS);
         break;
-    case PHASE_ARMED: strike_idle(); break;
-    case PHASE_STRUCK: undo(); break;
+    case PHASE_ARMED: inject_idle(); break;
+    case PHASE_ACTIVE: undo_incident(); break;
     }
 }
 
 void proof_incidents_end(void) {
-    run.quiet = true;
+    run.quiesced = true;
     run.cloud_held_until = 0;
-    if (director.phase == PHASE_STRUCK) undo();
+    if (director.phase == PHASE_ACTIVE) undo_incident();
     world.faults[FAULT_REFUSED].lasts = world.faults[FAULT_OUTAGE].lasts = 0;
     for (int i = 0; i < run.plan->controllers; i++) run.controllers[i].cut_until = 0;
 }
--- a/tests/loopback/network.c
+++ b/tests/loopback/network.c
@@ -1,4 +1,4 @@
-/* The way between real processes and the stand-in's models: takes the place of tests/standin/network.c. */
+/* Network between real processes and the stand-in's models, in place of tests/standin/network.c. */
 #include "proof.h"
 
 #include "amberpin/http/http.h"
@@ -8,8 +8,8 @@
 #include <string.h>
 
 enum {
-    FORGET_MS = 70000, /* longer than any watch waits */
-    NOISE_ONE_IN = 60, /* messages that are lost, late or doubled without any incident */
+    FORGET_MS = 70000, /* longer than any watch request waits */
+    NOISE_ONE_IN = 60, /* of messages outside incidents: lost, late or doubled */
     LATE_LEAST_MS = 50,
     LATE_MOST_MS = 1500,
     SLOW_LEAST_MS = 1000,
@@ -17,13 +17,14 @@
 };
 
 static char machine_address[SIM_MACHINES][PROOF_ADDRESS];
-static struct sim_call *serving; /* the call that a model is carrying out */
+static struct sim_call *serving; /* the call that a model is carrying out; NULL: none */
 
 static void call_free(struct sim_call *call) {
     amb_timer_stop(&call->delivery_timer);
     amb_timer_stop(&call->reply_timer);
     amb_timer_stop(&call->timeout_timer);
-    if (call->on_done == NULL && call->user && call->destination != SIM_TO_API) proof_leave_unanswered(call->user);
+    if (call->on_done == NULL && call->user && call->destination != SIM_TO_API)
+        proof_leave_unanswered(call->user);
     free(call->body);
     amb_buf_free(&call->answer);
     memset(call, 0, sizeof *call);
@@ -92,7 +93,7 @@
     else if (request)
         proof_reply(request, status, body->data, body->len);
     amb_buf_free(body);
-    /* Not at once: the model that answers may go on reading the call. */
+    /* Freed from a timer, because the model that answers may still read the call. */
     amb_timer_stop(&call->delivery_timer);
     amb_timer_stop(&call->reply_timer);
     amb_timer_set_after(&call->timeout_timer, 0, forget, call);
@@ -102,7 +103,7 @@
     struct sim_call *call = arg;
     struct proof_controller *controller = call->from < 0 ? NULL : &run.controllers[call->from];
     if (controller && call->destination == SIM_TO_STORE && amb_now() < controller->cut_until) {
-        /* Held back while the way is cut, and delivered after the sender has given up. */
+        /* Delayed while the controller is cut off, and delivered after the sender's timeout. */
         call->unanswered = true;
         amb_timer_set(&call->delivery_timer, controller->cut_until + 1, sim_call_deliver, call);
         return;
@@ -110,7 +111,7 @@
     carry_out(call);
 }
 
-/* Carried out once more, later, without an answer to anybody. */
+/* Delivers a copy of the call later, without an answer. */
 static void deliver_again(const struct sim_call *call) {
     struct sim_call *copy = sim_call_new();
     copy->destination = call->destination;
@@ -123,11 +124,12 @@
     copy->len = call->len;
     copy->unanswered = true;
     amb_timer_set_after(&copy->timeout_timer, FORGET_MS, forget, copy);
-    amb_timer_set_after(&copy->delivery_timer, sim_random_between(LATE_LEAST_MS, LATE_MOST_MS), sim_call_deliver, copy);
+    amb_timer_set_after(&copy->delivery_timer, sim_random_between(LATE_LEAST_MS, LATE_MOST_MS),
+                        sim_call_deliver, copy);
 }
 
-/* For some seconds now and then half of the orders to the cloud arrive late, whoever sends them: a
- * successor's too, while those of the holder before it are still on their way. */
+/* From time to time, for some seconds, half of the orders to the cloud arrive late, whichever controller
+ * sends them: also those of a new holder while its predecessor's are still in flight. */
 static bool cloud_is_slow(void) {
     static amb_ms from, until;
     amb_ms now = world.now;
@@ -145,11 +147,11 @@
         treatment.delay = run.cloud_held_until - world.now + sim_random_between(0, LATE_LEAST_MS);
         return treatment;
     }
-    if (orders_cloud && !run.quiet && !run.plan->calm && cloud_is_slow()) {
+    if (orders_cloud && !run.quiesced && !run.plan->calm && cloud_is_slow()) {
         treatment.delay = sim_random_between(LATE_LEAST_MS, SLOW_MOST_MS);
         return treatment;
     }
-    if (run.quiet || run.plan->calm || !strcmp(call->method, "GET") || sim_random() % NOISE_ONE_IN)
+    if (run.quiesced || run.plan->calm || !strcmp(call->method, "GET") || sim_random() % NOISE_ONE_IN)
         return treatment;
     switch (sim_random() % 3) {
     case 0: treatment.unanswered = true; break;
@@ -159,7 +161,7 @@
     return treatment;
 }
 
-/* What is about to happen to an order; none if nothing is. */
+/* The step that an order is about to take with this call; PROOF_STEP_NONE: none. */
 static struct proof_moment moment_before(const struct sim_call *call) {
     struct proof_moment none = {.step = PROOF_STEP_NONE};
     if (call->destination == SIM_TO_CLOUD)
@@ -193,7 +195,7 @@
     struct sim_call *call = sim_call_new();
     call->destination = to;
     call->user = request;
-    memcpy(call->method, request->method, sizeof call->method - 1); /* none is longer that means anything */
+    memcpy(call->method, request->method, sizeof call->method - 1); /* known methods are not longer */
     snprintf(call->path, sizeof call->path, "%s", request->path);
     call->body = amb_alloc(request->len + 1);
     if (request->len) memcpy(call->body, request->body, request->len);
@@ -231,7 +233,7 @@
     snprintf(out, AMB_NAME_SIZE, "%s", address);
 }
 
-/* A transaction was carried out, and is not answered yet. */
+/* Called when a transaction was carried out and is not answered yet. */
 static void on_transaction(const struct sim_call *call, const cbor_item_t *transaction) {
     struct proof_moment moment = proof_moment_of_commit(transaction);
     if (moment.step && serving == call)
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -1,4 +1,4 @@
-/* One run: the stand-ins' world in real time, until enough handovers were seen and all is quiet again. */
+/* One run: the stand-in's models in real time, until enough handovers were seen and the run has quiesced. */
 #include "proof.h"
 
 #include <signal.h>
@@ -8,9 +8,9 @@
 
 enum {
     TICK_MS = 10,
-    /* Far beyond what a run takes on a busy machine: they end one that hangs, and judge nothing else. */
+    /* Limits for a run that hangs, far beyond what a run takes on a busy machine. */
     RUN_MOST_MS = 600000,
-    QUIET_MOST_MS = 90000,
+    QUIESCE_MOST_MS = 90000,
     /* Longer than a controller waits for word from its leader before it becomes a lease proxy: 1.5 heartbeat
      * periods of the agents, or the leadership lease if that is longer. */
     SETTLED_MS = 5 * PROOF_REPORT_MS,
@@ -36,13 +36,13 @@
                                .cloud_rps = 40};
 static struct amb_timer tick_timer;
 static const char LEASE_PROXY_PREFIX[] = "a/deputy/";
-static amb_ms begun, quiet_since, unsettled_at;
+static amb_ms begun, quiesced_since, unsettled_at;
 static uint64_t leader_stamp;
 static uint32_t handovers_seen;
 static bool has_led[2]; /* a controller with an even number, one with an odd number */
 static bool all_done;
 
-/* ---- what the stand-in's parts expect of clock.c and nodes.c ---- */
+/* ---- replacements for tests/standin/clock.c and nodes.c ---- */
 
 uint64_t sim_random(void) {
     world.random ^= world.random << 13;
@@ -59,7 +59,7 @@
     return (int)(sim_random() % (uint64_t)world.size->nodes);
 }
 
-/* The models read the time of their world, which is the loop's. */
+/* The models read world.now, which follows the event loop's clock. */
 amb_ms amb_now(void) {
     struct timespec now;
     clock_gettime(CLOCK_MONOTONIC, &now);
@@ -79,7 +79,7 @@
     return 0;
 }
 
-/* Controllers are processes: their books are not at hand. */
+/* Controllers are processes, so their state is not accessible here. */
 const struct amb_node *sim_restored_leader_since(amb_ms before) {
     (void)before;
     return NULL;
@@ -90,7 +90,7 @@
     proof_controller_kill(index);
 }
 
-/* Controllers are processes of their own: no node's code runs here. */
+/* Controllers are processes, so no node's code runs here. */
 int sim_switch_to(int node) {
     (void)node;
     return -1;
@@ -122,10 +122,10 @@
     return false;
 }
 
-static void become_quiet(void) {
-    struct proof_event event = {.type = PROOF_QUIET, .node = -1};
+static void quiesce(void) {
+    struct proof_event event = {.type = PROOF_QUIESCED, .node = -1};
     proof_incidents_end();
-    quiet_since = world.now;
+    quiesced_since = world.now;
     proof_note(&event);
 }
 
@@ -183,9 +183,9 @@
 }
 
 static bool is_over(void) {
-    if (!quiet_since) return false;
+    if (!quiesced_since) return false;
     all_done = proof_workload_done() && !machines_left() && is_leadership_proven();
-    if (all_done || world.now - quiet_since <= QUIET_MOST_MS) return all_done;
+    if (all_done || world.now - quiesced_since <= QUIESCE_MOST_MS) return all_done;
     const char *proxy = find_lease_proxy();
     if (proxy) sim_report_violation("%s does not hear the leader, n%d", proxy, proof_leader());
     return true;
@@ -200,7 +200,7 @@
     proof_controllers_watch();
     proof_workload_tick();
     proof_incidents_tick();
-    if (!quiet_since && has_seen_enough()) become_quiet();
+    if (!quiesced_since && has_seen_enough()) quiesce();
     if (is_over() || world.result.violation[0]) amb_loop_stop();
 }
 
--- a/tests/loopback/server.c
+++ b/tests/loopback/server.c
@@ -27,8 +27,8 @@
     struct amb_fd_watch watch;
     struct server *server;
     struct amb_buf in, out;
-    struct proof_request *request; /* that the handler has */
-    bool busy;                     /* a request has come and was not answered, and may never be */
+    struct proof_request *request; /* the one that the handler has; NULL: none */
+    bool busy;                     /* a request was received and is not answered, and may never be */
 };
 
 static void end_connection(struct proof_connection *connection) {
@@ -71,7 +71,7 @@
     return request;
 }
 
-/* Takes the next request if one is there and none is under way. May end the connection. */
+/* Passes the next complete request to the handler unless one is under way. May end the connection. */
 static void advance(struct proof_connection *connection) {
     struct amb_http_message msg;
     if (connection->busy || !connection->in.len) return;
@@ -143,7 +143,7 @@
     connection->busy = false;
     amb_buf_append_format(&connection->out, "HTTP/1.1 %d Status\r\nContent-Length: %zu\r\n\r\n", status, len);
     if (len) amb_buf_append(&connection->out, body, len);
-    /* The loop ends a connection that can't be written to; nothing may end it under a handler's feet. */
+    /* On a write error the event loop ends the connection later: the caller may still use it. */
     if (!write_some(connection)) amb_buf_free(&connection->out);
     amb_loop_mod(&connection->watch, EPOLLIN | (connection->out.len ? (uint32_t)EPOLLOUT : 0U));
 }
--- a/tests/loopback/skewed_clock.c
+++ b/tests/loopback/skewed_clock.c
@@ -1,5 +1,5 @@
-/* The clock of a test build of the controller: takes the place of lib/base/clock.c. Its steady clock starts
- * and drifts as the environment says, as those of different machines do. */
+/* Clock of a test build of the controller, in place of lib/base/clock.c. Environment variables set the offset
+ * and the drift of its steady clock, which differ between machines. */
 #include "amberpin/base/util.h"
 
 #include <stdlib.h>
--- a/tests/loopback/test_proof_checker.c
+++ b/tests/loopback/test_proof_checker.c
@@ -1,4 +1,4 @@
-/* The checker of the loopback proof must notice each kind of fault, and nothing in a sound log. */
+/* The checker of the loopback proof reports each kind of violation, and none in a valid log. */
 #include "checker.h"
 
 #include <setjmp.h>
@@ -25,8 +25,8 @@
 
 struct row {
     const char *name;
-    bool lone_leader; /* no records of orders */
-    bool plain_cloud; /* which knows no tokens */
+    bool lone_leader; /* duties are off: orders have no records */
+    bool plain_cloud; /* the cloud checks no tokens */
     struct proof_event events[EVENTS_MOST];
     size_t count;
     int violation; /* enum proof_violation_type */
@@ -164,7 +164,7 @@
     {"a machine is left over",
      false,
      false,
-     {{.type = PROOF_QUIET}, {.type = PROOF_CHARGED, .machine = "m-1"}},
+     {{.type = PROOF_QUIESCED}, {.type = PROOF_CHARGED, .machine = "m-1"}},
      2,
      PROOF_ORPHAN},
 };
--- a/tests/loopback/witness.c
+++ b/tests/loopback/witness.c
@@ -1,4 +1,4 @@
-/* Reads commits and cloud calls: what they mean goes to the log. */
+/* Interprets commits and cloud calls, and logs them as events. */
 #include "proof.h"
 
 #include <stdio.h>
@@ -82,7 +82,7 @@
     snprintf(event->name, sizeof event->name, "%s", slash + 1);
 }
 
-/* A string's own machine, or those of a list of strings. */
+/* Logs a mark if the string is a machine's name. */
 static void mark_machine(const cbor_item_t *text, struct proof_event *event) {
     if (amb_cbor_copy_string(text, event->machine, sizeof event->machine) &&
         !strncmp(event->machine, "m-", 2))
@@ -95,7 +95,7 @@
         mark_machine(amb_cbor_list_item(value, i), event);
 }
 
-/* Every name of a machine within the order, or within what it says is to be done. */
+/* Logs a mark for each machine that the order or one of its maps names. */
 static void mark_machines(const cbor_item_t *value, struct proof_event *event) {
     for (size_t i = 0; i < cbor_map_size(value); i++) {
         const cbor_item_t *field = cbor_map_handle(value)[i].value;
@@ -146,7 +146,8 @@
     proof_note(&event);
 }
 
-/* Leases end without a transaction. A member's key that is written anew is that of another session. */
+/* Logs the ends of leases, which come without a transaction. A member's key that is written again belongs to
+ * another incarnation. */
 static void look_at_leases(void) {
     static int seen;
     for (; seen < world.store.change_count; seen++) {
@@ -196,7 +197,7 @@
         } else if (amb_cbor_copy_string(amb_cbor_map_get(operation, "remove"), key, sizeof key) &&
                    begins(key, RENTAL_PREFIX)) {
             return moment_of(PROOF_STEP_SETTLED, RENT, strlen(RENT));
-        } else if (begins(key, ORDER_PREFIX)) { /* it was read just above: a record is removed */
+        } else if (begins(key, ORDER_PREFIX)) { /* the record of `key`, read above, is removed */
             return moment_of(PROOF_STEP_SETTLED, CLEANUP, strlen(CLEANUP));
         }
     }
@@ -229,7 +230,7 @@
 
 /* ---- the cloud ---- */
 
-struct cloud_order { /* the call that the cloud is carrying out */
+struct cloud_order { /* an order that the cloud is carrying out */
     char duty[16], name[PROOF_NAME];
     uint64_t token;
     int rentals_before;
@@ -321,7 +322,7 @@
     call->unanswered |= proof_incident_at(&moment, call->from).unanswered;
 }
 
-/* ---- machines (the linker puts this in the place of the stand-in's check, which it calls) ---- */
+/* ---- machines: the linker replaces the stand-in's sim_check_start by this wrapper, which calls it ---- */
 
 /* NOLINTBEGIN(readability-identifier-naming): the linker gives the names */
 void __real_sim_check_start(const struct sim_machine *machine, const struct sim_task *task);
--- a/tests/loopback/workload.c
+++ b/tests/loopback/workload.c
@@ -1,4 +1,4 @@
-/* Users whose bursts of short jobs make machines be rented and returned all the time. */
+/* Users who submit bursts of short jobs, so that machines are rented and returned throughout the run. */
 #include "proof.h"
 
 #include <string.h>
@@ -27,15 +27,15 @@
     spec->one_zone = spec->spread_zones = false;
     spec->spot_allowed = sim_random() % 2;
     spec->task_count = (uint32_t)sim_random_between(1, TASKS_MOST);
-    spec->task_resources = (struct amb_resources){8, SIM_MACHINE_GPUS, 40}; /* a machine each */
+    spec->task_resources = (struct amb_resources){8, SIM_MACHINE_GPUS, 40}; /* each task fills a machine */
     spec->estimated_runtime_s = (double)sim_random_between(RUN_LEAST_MS, RUN_MOST_MS) / 1000;
     job->short_task = true;
     job->submit_at = world.now;
     sim_schedule_submission(job, world.now);
 }
 
-/* One that is up stops of itself, with its tasks: it has to be given up and returned. */
-static void stop_some_machine(void) {
+/* Fails a random machine that is up, with its tasks: the controllers have to give it up and return it. */
+static void fail_some_machine(void) {
     int first = (int)sim_random_between(0, world.machine_count - 1);
     for (int i = 0; i < world.machine_count; i++) {
         struct sim_machine *machine = &world.machines[(first + i) % world.machine_count];
@@ -51,10 +51,10 @@
 }
 
 void proof_workload_tick(void) {
-    if (run.quiet || run.plan->idle) return;
+    if (run.quiesced || run.plan->idle) return;
     if (!next_death) next_death = world.now + sim_random_between(DEATH_LEAST_MS, DEATH_MOST_MS);
     if (world.now >= next_death && world.machine_count && !run.plan->calm) {
-        stop_some_machine();
+        fail_some_machine();
         next_death = world.now + sim_random_between(DEATH_LEAST_MS, DEATH_MOST_MS);
     }
     if (!next_burst) next_burst = world.now + FIRST_MS;
