--- a/tests/loopback/duty_proof.c
+++ b/tests/loopback/duty_proof.c
@@ -1,4 +1,4 @@
-/* Drives the loopback proof: one run for each seed, each in a process of its own, some at a time. */
+/* Runs the loopback proof once for each seed, in a process of its own, up to --parallel at a time. */
 #include "proof.h"
 
 #include <argp.h>
@@ -9,7 +9,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-enum { PARALLEL_MOST = 64, DIRECTORY_SIZE = 256, KEY_CALM = 256, KEY_IDLE, KEY_ONLY };
+enum { PARALLEL_MOST = 64, DIRECTORY_SIZE = 256, KEY_CALM = 256, KEY_IDLE, KEY_ONLY, KEY_OTHER };
 
 struct arguments {
     int parallel;
@@ -19,7 +19,7 @@
     const char *directory;
 };
 
-struct job { /* a run under way */
+struct job { /* a run in progress */
     pid_t pid;
     uint64_t seed;
     int pipe;
@@ -36,6 +36,8 @@
     {"handovers", 'n', "N", 0, "handovers that a run waits for (10)", 0},
     {"duties", 'd', 0, 0, "duties switched on", 0},
     {"program", 'p', "FILE", 0, "the controller (amberpin_skewed beside this program)", 0},
+    {"other", KEY_OTHER, "FILE", 0,
+     "another version, for the controllers with odd numbers; of a plain amberpin the clock has no drift", 0},
     {"directory", 'o', "DIR", 0, "keep settings, logs and events of each run there", 0},
     {"log-level", 'l', "LEVEL", 0, "of the controllers (info)", 0},
     {"calm", KEY_CALM, "SECONDS", 0, "do nothing to the controllers for that long, instead of handovers", 0},
@@ -65,6 +67,7 @@
         if (!proof_incident_known(arg)) argp_error(state, "there is no incident %s", arg);
         arguments->plan.only = arg;
         return 0;
+    case KEY_OTHER: arguments->plan.other = arg; return 0;
     case ARGP_KEY_ARG:
         if (arguments->given >= 2) argp_usage(state);
         *(arguments->given++ ? &arguments->last : &arguments->first) = strtoull(arg, NULL, 10);
@@ -74,6 +77,8 @@
         if (arguments->parallel < 1 || arguments->parallel > PARALLEL_MOST) argp_error(state, "-j: 1 to 64");
         if (arguments->plan.controllers < 1 || arguments->plan.controllers > SIM_NODES)
             argp_error(state, "-c: 1 to %d", SIM_NODES);
+        if (arguments->plan.other && arguments->plan.controllers < 2)
+            argp_error(state, "-c: 2 or more with --other");
         return 0;
     default: return ARGP_ERR_UNKNOWN;
     }
@@ -120,7 +125,7 @@
     char directory[DIRECTORY_SIZE];
     struct proof_plan plan = arguments->plan;
     plan.seed = seed;
-    plan.tokens = seed % 2; /* the protocol's cloud, or one that could refuse stale orders */
+    plan.tokens = seed % 2; /* 0: the protocol's cloud; 1: a cloud that refuses stale orders */
     plan.directory = directory;
     make_directory(arguments, seed, directory);
     struct proof_outcome outcome = proof_play(&plan);
@@ -179,7 +184,7 @@
     sum->violations += one->violations;
 }
 
-/* For each controller and second. */
+/* Prints the usage per controller and second. */
 static void print_usage(const struct proof_outcome *outcome, int controllers) {
     double share = (double)outcome->took / 1000 * controllers;
     printf("usage: %d controllers, each second: %.2f state calls, %.2f cloud calls, %.2f ms of processor; "
