--- a/include/amberpin/codec/messages.h
+++ b/include/amberpin/codec/messages.h
@@ -1,8 +1,8 @@
 /* CBOR encodings of job descriptions, agents' heartbeats, commands to agents and the cloud's machine types.
  * The names that fields and values have on the wire appear only in lib/codec; other code uses jobs, tasks and
  * machines. */
-#ifndef AMBERPIN_CODEC_H
-#define AMBERPIN_CODEC_H
+#ifndef AMBERPIN_CODEC_MESSAGES_H
+#define AMBERPIN_CODEC_MESSAGES_H
 
 #include "amberpin/codec/cbor_item.h"
 #include "amberpin/codec/cbor_writer.h"
--- a/tests/duty/test_duty_explore_small.c
+++ b/tests/duty/test_duty_explore_small.c
@@ -1,9 +1,9 @@
-/* Exhaustive exploration of small models around the core of single-holder duties; and of the same models
- * without one safety mechanism, in which the explorer must find a violation. */
+/* Explores every reachable state of small protocol models of single-holder duties. Mutations remove one
+ * safety mechanism each; the explorer must find a violation in every mutated model. */
 #include "check.h"
 #include "scenarios.h"
 
-enum { MOST_STATES = 400000, QUIET_EVERY = 97 };
+enum { MAX_STATES = 400000, QUIESCE_EVERY = 97 };
 
 static void every_state_is_safe(void **state) {
     (void)state;
@@ -11,8 +11,8 @@
     for (size_t i = 0; i < duty_scenario_count; i++) {
         const struct explorer_scenario *scenario = &duty_scenarios[i];
         if (!scenario->in_ci) continue;
-        struct explorer_result result = explorer_run(scenario, MOST_STATES, QUIET_EVERY);
-        print_message("%s: %llu states, %llu steps, depth %u, %llu played on until quiet\n", scenario->name,
+        struct explorer_result result = explorer_run(scenario, MAX_STATES, QUIESCE_EVERY);
+        print_message("%s: %llu states, %llu steps, depth %u, %llu quiesced\n", scenario->name,
                       (unsigned long long)result.states, (unsigned long long)result.steps, result.depth,
                       (unsigned long long)result.quiesced);
         if (result.violation) fail_msg("%s: %s after%s", scenario->name, result.violation, result.trace);
@@ -25,7 +25,7 @@
 static void each_mechanism_is_needed(void **state) {
     (void)state;
     static const struct {
-        enum model_mutation fault;
+        enum model_mutation mutation;
         const char *scenario, *violation;
     } rows[] = {
         {MODEL_NO_DUTY_COMPARE, "paused", "an order was written by another than the holder"},
@@ -38,12 +38,12 @@
     assert_int_equal(ROWS(rows), MODEL_MUTATIONS - 1);
     for (size_t i = 0; i < ROWS(rows); i++) {
         struct explorer_scenario scenario = *duty_scenario_find(rows[i].scenario);
-        scenario.mutation = rows[i].fault;
-        struct explorer_result result = explorer_run(&scenario, MOST_STATES, 0);
+        scenario.mutation = rows[i].mutation;
+        struct explorer_result result = explorer_run(&scenario, MAX_STATES, 0);
         if (!result.violation || strcmp(result.violation, rows[i].violation) != 0)
-            fail_msg("fault %d: %s, wanted: %s", (int)rows[i].fault,
+            fail_msg("mutation %d: %s, wanted: %s", (int)rows[i].mutation,
                      result.violation ? result.violation : "nothing", rows[i].violation);
-        print_message("fault %d: after %llu states:%s: %s\n", (int)rows[i].fault,
+        print_message("mutation %d: after %llu states:%s: %s\n", (int)rows[i].mutation,
                       (unsigned long long)result.states, result.trace, result.violation);
     }
 }
--- a/tests/duty_model/protocol_model.h
+++ b/tests/duty_model/protocol_model.h
@@ -4,8 +4,8 @@
  * broken, if any.
  *
  * The model is plain data, so that a state can be copied and compared. */
-#ifndef AMBERPIN_TESTS_DUTY_WORLD_H
-#define AMBERPIN_TESTS_DUTY_WORLD_H
+#ifndef AMBERPIN_TESTS_DUTY_PROTOCOL_MODEL_H
+#define AMBERPIN_TESTS_DUTY_PROTOCOL_MODEL_H
 
 #include "amberpin/duty/core.h"
 
