--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -37,7 +37,7 @@
 static struct amb_timer tick_timer;
 static const char LEASE_PROXY_PREFIX[] = "a/deputy/";
 static amb_ms begun, quiesced_since, unsettled_at;
-static uint64_t leader_stamp;
+static uint64_t leader_revision;
 static uint32_t handovers_seen;
 static bool has_led[2]; /* a controller with an even number, one with an odd number */
 static bool all_done;
@@ -159,11 +159,11 @@
 
 /* Has the same controller led for SETTLED_MS, heard by all others, and has no duty changed its holder? */
 static bool is_leader_settled(void) {
-    uint64_t stamp = sim_leader_stamp();
-    if (stamp && stamp != leader_stamp) start_stopped_controllers();
-    if (!stamp || stamp != leader_stamp || run.handovers != handovers_seen || find_lease_proxy())
+    uint64_t revision = sim_leader_revision();
+    if (revision && revision != leader_revision) start_stopped_controllers();
+    if (!revision || revision != leader_revision || run.handovers != handovers_seen || find_lease_proxy())
         unsettled_at = world.now;
-    leader_stamp = stamp;
+    leader_revision = revision;
     handovers_seen = run.handovers;
     return world.now - unsettled_at >= SETTLED_MS;
 }
