--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -51,8 +51,8 @@
     return world.random;
 }
 
-amb_ms sim_random_between(amb_ms least, amb_ms most) {
-    return least + (amb_ms)(sim_random() % (uint64_t)(most - least + 1));
+amb_ms sim_random_between(amb_ms min, amb_ms max) {
+    return min + (amb_ms)(sim_random() % (uint64_t)(max - min + 1));
 }
 
 int sim_random_node(void) {
@@ -80,13 +80,13 @@
 }
 
 /* Controllers are processes, so their state is not accessible here. */
-const struct amb_node *sim_restored_leader_since(amb_ms before) {
-    (void)before;
+const struct amb_node *sim_restored_leader_since(amb_ms min_age) {
+    (void)min_age;
     return NULL;
 }
 
-void sim_node_kill(int index, amb_ms back) {
-    (void)back;
+void sim_node_kill(int index, amb_ms restart_delay) {
+    (void)restart_delay;
     proof_controller_kill(index);
 }
 
